--- a/src/main/java/wharftrestle/ConfigWatch.java
+++ b/src/main/java/wharftrestle/ConfigWatch.java
@@ -9,47 +9,54 @@
 import wharftrestle.core.Threads;
 
 /**
- * Stands in for SIGHUP where that cannot be heard: owns the look at the configuration's file, and tells once that it has
- * changed. It must never read what is in the file for more than that, and runs only where the signal is ignored.
+ * Stands in for SIGHUP where that cannot be heard: owns the look at the configuration's file, and
+ * tells once that it has changed. It must never read what is in the file for more than that, and
+ * runs only where the signal is ignored.
  */
 final class ConfigWatch {
-    /** Milliseconds between two looks: some kilobytes are read, and callers wait seconds for a box that moves. */
-    static final int EVERY_MS = 250;
+  /**
+   * Milliseconds between two looks: some kilobytes are read, and callers wait seconds for a box
+   * that moves.
+   */
+  static final int EVERY_MS = 250;
 
-    private final Path file;
-    private final Runnable changed;
-    private byte[] known;
+  private final Path file;
+  private final Runnable changed;
+  private byte[] known;
 
-    ConfigWatch(Path file, Runnable changed) {
-        this.file = file;
-        this.changed = changed;
-        known = read();
-    }
+  ConfigWatch(Path file, Runnable changed) {
+    this.file = file;
+    this.changed = changed;
+    known = read();
+  }
 
-    void start() {
-        Threads.lasting("config-watch", () -> {
-            for (;;) {
+  void start() {
+    Threads.lasting(
+            "config-watch",
+            () -> {
+              for (; ; ) {
                 LockSupport.parkNanos(EVERY_MS * 1_000_000L);
                 look();
-            }
-        }).start();
-    }
+              }
+            })
+        .start();
+  }
 
-    /** One look; a file that cannot be read now is looked at again. */
-    void look() {
-        byte[] now = read();
-        if (now.length > 0 && !Arrays.equals(known, now)) {
-            known = now;
-            changed.run();
-        }
+  /** One look; a file that cannot be read now is looked at again. */
+  void look() {
+    byte[] now = read();
+    if (now.length > 0 && !Arrays.equals(known, now)) {
+      known = now;
+      changed.run();
     }
+  }
 
-    private byte[] read() {
-        try {
-            return Files.readAllBytes(file);
-        } catch (IOException e) {
-            Logger.debug("configuration: {}", e.toString());
-            return new byte[0];
-        }
+  private byte[] read() {
+    try {
+      return Files.readAllBytes(file);
+    } catch (IOException e) {
+      Logger.debug("configuration: {}", e.toString());
+      return new byte[0];
     }
+  }
 }
--- a/src/main/java/wharftrestle/Signals.java
+++ b/src/main/java/wharftrestle/Signals.java
@@ -6,71 +6,76 @@
 import sun.misc.SignalHandler;
 
 /**
- * Owns the process's signals: TERM and INT are the notice to leave, and HUP, which would end the program, has the
- * configuration read anew. It hears them from before the first address is taken. Guards against the instant in which callers
- * connect already and a signal would still end the process with all that they sent. It must never wait.
+ * Owns the process's signals: TERM and INT are the notice to leave, and HUP, which would end the
+ * program, has the configuration read anew. It hears them from before the first address is taken.
+ * Guards against the instant in which callers connect already and a signal would still end the
+ * process with all that they sent. It must never wait.
  */
 class Signals {
-    private final Lifecycle.Source source;
-    private final boolean deafToHangups;
-    private Lifecycle life;      // null until there is one
-    private boolean leave;       // told before that
-    private boolean reload;
+  private final Lifecycle.Source source;
+  private final boolean deafToHangups;
+  private Lifecycle life; // null until there is one
+  private boolean leave; // told before that
+  private boolean reload;
 
-    Signals(Lifecycle.Source source) {
-        this.source = source;
-        Signal.handle(new Signal("TERM"), signal -> leave());
-        Signal.handle(new Signal("INT"), signal -> leave());
-        // Guards against a box that can never move: under nohup, and some supervisors, hangups are ignored from the
-        // start, the JVM leaves it so, and the addresses of a new configuration would never be taken over.
-        deafToHangups = Signal.handle(new Signal("HUP"), signal -> reload()) == SignalHandler.SIG_IGN;
-    }
+  Signals(Lifecycle.Source source) {
+    this.source = source;
+    Signal.handle(new Signal("TERM"), signal -> leave());
+    Signal.handle(new Signal("INT"), signal -> leave());
+    // Guards against a box that can never move: under nohup, and some supervisors, hangups are
+    // ignored from the
+    // start, the JVM leaves it so, and the addresses of a new configuration would never be taken
+    // over.
+    deafToHangups = Signal.handle(new Signal("HUP"), signal -> reload()) == SignalHandler.SIG_IGN;
+  }
 
-    private synchronized void leave() {
-        leave = true;
-        if (life != null) {
-            life.leave();
-        }
-        heard();
+  private synchronized void leave() {
+    leave = true;
+    if (life != null) {
+      life.leave();
     }
+    heard();
+  }
 
-    private void reload() {
-        Lifecycle now;
-        synchronized (this) {
-            reload = true;
-            now = life;
-        }
-        if (now != null) {
-            now.reload(source);
-        }
-        heard();
+  private void reload() {
+    Lifecycle now;
+    synchronized (this) {
+      reload = true;
+      now = life;
+    }
+    if (now != null) {
+      now.reload(source);
     }
+    heard();
+  }
 
-    /** A signal was dealt with. */
-    void heard() { }
+  /** A signal was dealt with. */
+  void heard() {}
 
-    /** From now on this one is told, and of what came before. */
-    Signals tell(Lifecycle now) {
-        boolean missed;
-        synchronized (this) {
-            life = now;
-            missed = reload;
-            if (leave) {
-                life.leave();
-            }
-        }
-        if (missed) {
-            now.reload(source);
-        }
-        return this;
+  /** From now on this one is told, and of what came before. */
+  Signals tell(Lifecycle now) {
+    boolean missed;
+    synchronized (this) {
+      life = now;
+      missed = reload;
+      if (leave) {
+        life.leave();
+      }
+    }
+    if (missed) {
+      now.reload(source);
     }
+    return this;
+  }
 
-    /** Looks at the configuration's file instead, where hangups are not heard. */
-    void watch(String file) {
-        if (deafToHangups) {
-            Logger.warn("SIGHUP is ignored by whoever started this process: {} is looked at every {} ms instead", file,
-                    ConfigWatch.EVERY_MS);
-            new ConfigWatch(Path.of(file), this::reload).start();
-        }
+  /** Looks at the configuration's file instead, where hangups are not heard. */
+  void watch(String file) {
+    if (deafToHangups) {
+      Logger.warn(
+          "SIGHUP is ignored by whoever started this process: {} is looked at every {} ms instead",
+          file,
+          ConfigWatch.EVERY_MS);
+      new ConfigWatch(Path.of(file), this::reload).start();
     }
+  }
 }
--- a/src/main/java/wharftrestle/Succession.java
+++ b/src/main/java/wharftrestle/Succession.java
@@ -5,491 +5,551 @@
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
 import wharftrestle.clock.Wall;
-import wharftrestle.core.Threads;
 import wharftrestle.core.Partner;
+import wharftrestle.core.Threads;
 import wharftrestle.handover.Agreement;
+import wharftrestle.handover.HandOver;
 import wharftrestle.handover.HandOver.Act;
 import wharftrestle.handover.HandOver.Event;
 import wharftrestle.handover.HandOver.State;
-import wharftrestle.handover.HandOver;
 import wharftrestle.handover.Standstill;
 import wharftrestle.handover.Terms;
-import wharftrestle.net.BoxLink.Word;
 import wharftrestle.net.BoxLink;
+import wharftrestle.net.BoxLink.Word;
 import wharftrestle.net.Bytes;
 import wharftrestle.net.Seat;
 import wharftrestle.version.Build;
 
 /**
- * Carries out the hand-over between the processes of one box: it gives {@link HandOver} what was heard, and does what that
- * asks for. It owns the links to the other processes, the place where they meet, and the waiting. It must never decide a
- * step itself, or wait for the other side while its own lock is held.
+ * Carries out the hand-over between the processes of one box: it gives {@link HandOver} what was
+ * heard, and does what that asks for. It owns the links to the other processes, the place where
+ * they meet, and the waiting. It must never decide a step itself, or wait for the other side while
+ * its own lock is held.
  */
 final class Succession implements BoxLink.Side {
 
-    /** What is done to the process itself; none of it waits for the other process. */
-    interface Box {
-        /** What this process says of itself, but for the room that its keys have. */
-        Terms terms();
-
-        /** Has the clients' addresses, beside the other process or alone; false where the platform's cannot be had. */
-        boolean bind(boolean alone);
-
-        /** Takes clients at the addresses that it has. */
-        void accept();
-
-        /** Takes no more clients. */
-        void cede();
-
-        /** Half of all threads and connections, or the whole; who is too many then is sent away. */
-        void halve(boolean half);
-
-        /** Takes the folder of kept results; false where it cannot be had. */
-        boolean openRecords(int tries);
-
-        /** True where what ran is known from a disk, whoever ended. */
-        boolean keepsRecords();
-
-        /** Gives the folder back, once what waits for it is written or has waited long enough. */
-        void closeRecords();
-
-        /** This process serves from now on. */
-        void serveOn();
-
-        /** This process waits until the other one has ended. */
-        void refused(String reason);
-
-        /** What ran at the process that has ended could not be carried: no key that is not known runs for a window. */
-        void unknownFail();
-
-        /** The other process has ended: what it had besides its clients can be had. */
-        void otherEnded();
+  /** What is done to the process itself; none of it waits for the other process. */
+  interface Box {
+    /** What this process says of itself, but for the room that its keys have. */
+    Terms terms();
+
+    /**
+     * Has the clients' addresses, beside the other process or alone; false where the platform's
+     * cannot be had.
+     */
+    boolean bind(boolean alone);
+
+    /** Takes clients at the addresses that it has. */
+    void accept();
+
+    /** Takes no more clients. */
+    void cede();
+
+    /** Half of all threads and connections, or the whole; who is too many then is sent away. */
+    void halve(boolean half);
+
+    /** Takes the folder of kept results; false where it cannot be had. */
+    boolean openRecords(int tries);
+
+    /** True where what ran is known from a disk, whoever ended. */
+    boolean keepsRecords();
+
+    /** Gives the folder back, once what waits for it is written or has waited long enough. */
+    void closeRecords();
+
+    /** This process serves from now on. */
+    void serveOn();
+
+    /** This process waits until the other one has ended. */
+    void refused(String reason);
+
+    /**
+     * What ran at the process that has ended could not be carried: no key that is not known runs
+     * for a window.
+     */
+    void unknownFail();
+
+    /** The other process has ended: what it had besides its clients can be had. */
+    void otherEnded();
+  }
+
+  /** Milliseconds after which a silent asker is given up on: nothing was lost or moved by then. */
+  private static final long SILENT_MS = 10_000;
+
+  /** Milliseconds of the first pause before it is asked again, and how often it is. */
+  private static final long PAUSE_MS = 200;
+
+  private static final int MOST_PAUSES = 5;
+
+  /** Milliseconds between two looks whether a process serves, at first and at most. */
+  private static final long LOOK_MS = 50;
+
+  private static final long MOST_LOOK_MS = 1000;
+
+  /**
+   * Tries for a folder that a process which has just ended had, and for one that was given back.
+   */
+  private static final int TRIES_AFTER_DEATH = 20;
+
+  private static final int TRIES_GIVEN = 2;
+
+  private final String name;
+  private final Path meeting; // null where there is no hand-over
+  private final Partner partner;
+  private final Box box;
+  private final Agreement agreement;
+  private final HandOver steps;
+  private final Seat seat; // null where there is no hand-over
+  private BoxLink link; // to the other process of the hand-over under way
+  private BoxLink next; // asked meanwhile: its turn comes after
+  private String nextRange;
+  private String reason = ""; // of the last no
+  private boolean refusedBefore; // what is known could not be carried
+  private volatile boolean closed;
+  private volatile Standstill standstill; // since this process handed over; null where it has not
+  private boolean lostHeir; // the one that took over has died, and this process leaves
+  private int told; // settled keys
+  private int given; // open keys
+  private int pauses;
+  private int rounds; // of hand-overs asked for here, so that a late look knows its own
+  private ServerSocketChannel successors;
+
+  Succession(String name, Path meeting, Partner partner, Box box, Agreement agreement) {
+    this.name = name;
+    this.meeting = meeting;
+    this.partner = partner;
+    this.box = box;
+    this.agreement = agreement;
+    seat = meeting == null ? null : new Seat(meeting);
+    link = meeting == null ? null : BoxLink.meet(meeting, partner, this);
+    // Guards against serving without the keys of a process that is stopped, or lives on after its
+    // successor died.
+    boolean waits = link == null && seat != null && !seat.alone();
+    steps = waits ? new HandOver(State.LOOKING) : new HandOver(link != null);
+  }
+
+  /** True where this process came second and has yet to serve. */
+  synchronized boolean comes() {
+    return steps.state() != State.ALONE;
+  }
+
+  /** How far it has come. */
+  synchronized State state() {
+    return steps.state();
+  }
+
+  /** Why this process waits; empty where it does not. */
+  synchronized String refusal() {
+    return steps.state() == State.REFUSED ? reason : "";
+  }
+
+  /**
+   * True where this process leaves, and what it knows is known nowhere else: a further one can
+   * still be told.
+   */
+  synchronized boolean lastHolder() {
+    return lostHeir && steps.state() != State.CEDED;
+  }
+
+  /** Hears the process that serves, from now on. */
+  void start() {
+    BoxLink elder;
+    synchronized (this) {
+      elder = link;
     }
-
-    /** Milliseconds after which a silent asker is given up on: nothing was lost or moved by then. */
-    private static final long SILENT_MS = 10_000;
-    /** Milliseconds of the first pause before it is asked again, and how often it is. */
-    private static final long PAUSE_MS = 200;
-    private static final int MOST_PAUSES = 5;
-    /** Milliseconds between two looks whether a process serves, at first and at most. */
-    private static final long LOOK_MS = 50;
-    private static final long MOST_LOOK_MS = 1000;
-    /** Tries for a folder that a process which has just ended had, and for one that was given back. */
-    private static final int TRIES_AFTER_DEATH = 20;
-    private static final int TRIES_GIVEN = 2;
-
-    private final String name;
-    private final Path meeting;       // null where there is no hand-over
-    private final Partner partner;
-    private final Box box;
-    private final Agreement agreement;
-    private final HandOver steps;
-    private final Seat seat;          // null where there is no hand-over
-    private BoxLink link;             // to the other process of the hand-over under way
-    private BoxLink next;             // asked meanwhile: its turn comes after
-    private String nextRange;
-    private String reason = "";       // of the last no
-    private boolean refusedBefore;    // what is known could not be carried
-    private volatile boolean closed;
-    private volatile Standstill standstill;    // since this process handed over; null where it has not
-    private boolean lostHeir;         // the one that took over has died, and this process leaves
-    private int told;                 // settled keys
-    private int given;                // open keys
-    private int pauses;
-    private int rounds;               // of hand-overs asked for here, so that a late look knows its own
-    private ServerSocketChannel successors;
-
-    Succession(String name, Path meeting, Partner partner, Box box, Agreement agreement) {
-        this.name = name;
-        this.meeting = meeting;
-        this.partner = partner;
-        this.box = box;
-        this.agreement = agreement;
-        seat = meeting == null ? null : new Seat(meeting);
-        link = meeting == null ? null : BoxLink.meet(meeting, partner, this);
-        // Guards against serving without the keys of a process that is stopped, or lives on after its successor died.
-        boolean waits = link == null && seat != null && !seat.alone();
-        steps = waits ? new HandOver(State.LOOKING) : new HandOver(link != null);
+    if (elder != null) {
+      elder.start();
+    } else {
+      Logger.warn(
+          "{}: a process that knows the keys of this box lives and cannot be met now: it is waited for",
+          name);
     }
-
-    /** True where this process came second and has yet to serve. */
-    synchronized boolean comes() {
-        return steps.state() != State.ALONE;
+  }
+
+  /** The worker pool is up, and with it all that this process needs to serve. */
+  synchronized void poolUp() {
+    if (steps.takes(Event.POOL_UP)) {
+      take(Event.POOL_UP);
+    } else if (steps.state() == State.LOOKING) {
+      act(Act.LOOK);
     }
-
-    /** How far it has come. */
-    synchronized State state() {
-        return steps.state();
+  }
+
+  /** A further process can meet this one from now on. */
+  synchronized void awaitNext() {
+    if (meeting != null && !closed) {
+      Bytes.closeQuietly(successors);
+      successors = BoxLink.await(meeting, partner, this);
+      if (successors != null) {
+        seat.share();
+      } else {
+        seat.leave(); // whoever comes cannot meet this process, and must not wait for it
+      }
     }
-
-    /** Why this process waits; empty where it does not. */
-    synchronized String refusal() {
-        return steps.state() == State.REFUSED ? reason : "";
+  }
+
+  /**
+   * This process has to end while what it handed over has died with the other one; it can be met
+   * until then.
+   */
+  synchronized void leavesAsLast() {
+    lostHeir = true;
+    awaitNext();
+  }
+
+  synchronized void close() {
+    closed = true;
+    Bytes.closeQuietly(successors);
+    if (seat != null) {
+      seat.close();
     }
-
-    /** True where this process leaves, and what it knows is known nowhere else: a further one can still be told. */
-    synchronized boolean lastHolder() {
-        return lostHeir && steps.state() != State.CEDED;
+    if (link != null) {
+      link.close();
     }
-
-    /** Hears the process that serves, from now on. */
-    void start() {
-        BoxLink elder;
-        synchronized (this) {
-            elder = link;
-        }
-        if (elder != null) {
-            elder.start();
-        } else {
-            Logger.warn("{}: a process that knows the keys of this box lives and cannot be met now: it is waited for", name);
-        }
+    if (next != null) {
+      next.close();
     }
+  }
 
-    /** The worker pool is up, and with it all that this process needs to serve. */
-    synchronized void poolUp() {
-        if (steps.takes(Event.POOL_UP)) {
-            take(Event.POOL_UP);
-        } else if (steps.state() == State.LOOKING) {
-            act(Act.LOOK);
-        }
-    }
+  // ---- What is heard ----
 
-    /** A further process can meet this one from now on. */
-    synchronized void awaitNext() {
-        if (meeting != null && !closed) {
-            Bytes.closeQuietly(successors);
-            successors = BoxLink.await(meeting, partner, this);
-            if (successors != null) {
-                seat.share();
-            } else {
-                seat.leave();   // whoever comes cannot meet this process, and must not wait for it
-            }
-        }
+  @Override
+  public synchronized void heard(BoxLink from, Word word, String detail) {
+    if (closed) {
+      return;
     }
-
-    /** This process has to end while what it handed over has died with the other one; it can be met until then. */
-    synchronized void leavesAsLast() {
-        lostHeir = true;
-        awaitNext();
+    if (word == Word.TAKE) {
+      asked(from, detail);
+      return;
     }
-
-    synchronized void close() {
-        closed = true;
-        Bytes.closeQuietly(successors);
-        if (seat != null) {
-            seat.close();
-        }
-        if (link != null) {
-            link.close();
-        }
-        if (next != null) {
-            next.close();
-        }
+    if (from != link) {
+      next = word == Word.LOST && from == next ? null : next;
+      return;
     }
-
-    // ---- What is heard ----
-
-    @Override
-    public synchronized void heard(BoxLink from, Word word, String detail) {
-        if (closed) {
-            return;
-        }
-        if (word == Word.TAKE) {
-            asked(from, detail);
-            return;
-        }
-        if (from != link) {
-            next = word == Word.LOST && from == next ? null : next;
-            return;
-        }
-        reason = detail.isEmpty() || word == Word.WHO || word == Word.TERMS ? reason : detail;
-        Event event = switch (word) {
-            case WHO -> weigh(detail, true) ? Event.WHO_FITS : Event.WHO_DIFFERS;
-            case TERMS -> weigh(detail, false) ? Event.TERMS_FIT : Event.TERMS_DIFFER;
-            default -> Event.valueOf(word.name());
+    reason = detail.isEmpty() || word == Word.WHO || word == Word.TERMS ? reason : detail;
+    Event event =
+        switch (word) {
+          case WHO -> weigh(detail, true) ? Event.WHO_FITS : Event.WHO_DIFFERS;
+          case TERMS -> weigh(detail, false) ? Event.TERMS_FIT : Event.TERMS_DIFFER;
+          default -> Event.valueOf(word.name());
         };
-        if (word == Word.TAKEN && partner.lagged()) {
-            event = Event.LAGGED;
-            reason = "too much settled meanwhile";
-        }
-        if (word == Word.LOST) {
-            link = null;
-        }
-        take(event);
-        turn();
+    if (word == Word.TAKEN && partner.lagged()) {
+      event = Event.LAGGED;
+      reason = "too much settled meanwhile";
     }
-
-    private void asked(BoxLink from, String range) {
-        if (!steps.state().free()) {
-            // Guards against a further process that waits for ever, as the one before this has yet to end.
-            if (from != link) {
-                next = from;
-                nextRange = range;
-            }
-            return;
-        }
-        BoxLink before = link;
-        link = from;
-        Event event = switch (range) {
-            case "0" -> Event.TAKE_OLD;
-            case "1" -> Event.TAKE_FORMER;
-            default -> Event.TAKE;
+    if (word == Word.LOST) {
+      link = null;
+    }
+    take(event);
+    turn();
+  }
+
+  private void asked(BoxLink from, String range) {
+    if (!steps.state().free()) {
+      // Guards against a further process that waits for ever, as the one before this has yet to
+      // end.
+      if (from != link) {
+        next = from;
+        nextRange = range;
+      }
+      return;
+    }
+    BoxLink before = link;
+    link = from;
+    Event event =
+        switch (range) {
+          case "0" -> Event.TAKE_OLD;
+          case "1" -> Event.TAKE_FORMER;
+          default -> Event.TAKE;
         };
-        take(event);
-        if (event == Event.TAKE_OLD) {
-            link = before;
-        }
+    take(event);
+    if (event == Event.TAKE_OLD) {
+      link = before;
     }
-
-    /** Whoever asked meanwhile has its turn once this process can hand over. */
-    private void turn() {
-        if (next != null && steps.state().free()) {
-            BoxLink waits = next;
-            next = null;
-            asked(waits, nextRange);
-        }
+  }
+
+  /** Whoever asked meanwhile has its turn once this process can hand over. */
+  private void turn() {
+    if (next != null && steps.state().free()) {
+      BoxLink waits = next;
+      next = null;
+      asked(waits, nextRange);
     }
-
-    private boolean weigh(String said, boolean comes) {
-        try {
-            Terms theirs = Terms.read(said);
-            Terms mine = terms();
-            String against = comes ? agreement.against(theirs, mine) : agreement.against(mine, theirs);
-            if (against == null && comes) {
-                if (theirs.scale() != 0) {
-                    Wall.adopt(theirs.scale());   // stamps of keys are compared with those of requests read here
-                }
-                partner.join(link, Agreement.stretch(theirs, mine));
-            }
-            reason = against == null ? "" : against;
-            return against == null;
-        } catch (Terms.UnreadableException e) {
-            reason = e.getMessage();
-            return false;
+  }
+
+  private boolean weigh(String said, boolean comes) {
+    try {
+      Terms theirs = Terms.read(said);
+      Terms mine = terms();
+      String against = comes ? agreement.against(theirs, mine) : agreement.against(mine, theirs);
+      if (against == null && comes) {
+        if (theirs.scale() != 0) {
+          Wall.adopt(
+              theirs.scale()); // stamps of keys are compared with those of requests read here
         }
+        partner.join(link, Agreement.stretch(theirs, mine));
+      }
+      reason = against == null ? "" : against;
+      return against == null;
+    } catch (Terms.UnreadableException e) {
+      reason = e.getMessage();
+      return false;
     }
-
-    private Terms terms() {
-        Terms own = box.terms();
-        return new Terms(own.build(), own.speaks(), own.log(), own.folder(), own.classes(), own.tenants(), partner.room(),
-                Wall.base());
+  }
+
+  private Terms terms() {
+    Terms own = box.terms();
+    return new Terms(
+        own.build(),
+        own.speaks(),
+        own.log(),
+        own.folder(),
+        own.classes(),
+        own.tenants(),
+        partner.room(),
+        Wall.base());
+  }
+
+  // ---- What is done ----
+
+  private void take(Event event) {
+    HandOver.Step step = steps.take(event);
+    if (step.outOfTurn()) {
+      Logger.debug("{}: {} while {} changes nothing", name, event, step.from());
+      return;
     }
-
-    // ---- What is done ----
-
-    private void take(Event event) {
-        HandOver.Step step = steps.take(event);
-        if (step.outOfTurn()) {
-            Logger.debug("{}: {} while {} changes nothing", name, event, step.from());
-            return;
-        }
-        if (step.from() != step.to()) {
-            Logger.info("{}: hand-over {} to {} by {}", name, step.from(), step.to(), event);
-        }
-        if (step.to().bounded() && !step.from().bounded()) {
-            lookForSilence(++rounds);
-        }
-        step.acts().forEach(this::act);
+    if (step.from() != step.to()) {
+      Logger.info("{}: hand-over {} to {} by {}", name, step.from(), step.to(), event);
     }
-
-    private void act(Act act) {
-        switch (act) {
-            case SAY_TAKE -> {
-                partner.join(link, 0);
-                link.sayTake(name, Build.HANDOVER);
-            }
-            case SAY_WHO -> link.sayWho(terms().text());
-            case SAY_TERMS -> link.sayTerms(terms().text());
-            case SAY_UNFIT -> link.say(Word.UNFIT, reason);
-            case SAY_AGREED -> link.say(Word.AGREED, "");
-            case SAY_NO_NEVER -> {
-                Logger.warn("{}: another process asked to take over and cannot: {}", name, reason);
-                link.say(Word.NO_NEVER, reason);
-            }
-            case SAY_NO_LATER -> {
-                Logger.warn("{}: the process that asked to take over is given up on for now: {}", name, reason);
-                link.say(Word.NO_LATER, reason);
-            }
-            case TELL_SETTLED -> tellSettled(link, rounds);
-            case STOP_TELLING -> partner.stopTelling();
-            case SAY_TOLD -> link.sayTold(told);
-            case SAY_TAKEN -> {
-                seat.share();   // before the keys can come: they may arrive after their owner's death
-                link.say(Word.TAKEN, "");
-            }
-            case GIVE -> given = give(link);
-            case SAY_YOURS -> link.sayYours(given);
-            case HAND_AS_FORMER -> handAsFormer(link);
-            case PARK -> Logger.warn("{}: an older build asks to take over; it can start once this process has ended", name);
-            case OPEN_RECORDS -> openRecords();
-            case SAY_BACK -> {
-                seat.leave();
-                link.say(Word.BACK, reason);
-            }
-            case LISTEN -> {
-                box.bind(false);
-                box.accept();
-            }
-            case SAY_LISTENS -> link.say(Word.LISTENS, "");
-            case CEDE -> box.cede();
-            case SAY_CEDED -> link.say(Word.CEDED, "");
-            case TAKE_BACK -> takeBack();
-            case OTHER_GONE -> otherGone();
-            case SERVE -> {
-                box.bind(true);
-                box.accept();
-            }
-            case READY -> box.serveOn();
-            case LOOK -> later("look", LOOK_MS, () -> look(LOOK_MS));
-            case PAUSE -> {
-                seat.leave();
-                pause();
-            }
-            case REFUSED -> {
-                refusedBefore = true;
-                box.refused(reason);
-            }
-            default -> throw new IllegalStateException("nothing does " + act);
-        }
+    if (step.to().bounded() && !step.from().bounded()) {
+      lookForSilence(++rounds);
     }
-
-    /** Tells without the lock, as the other side may be slow; the end of it is an event of its own. */
-    private void tellSettled(BoxLink to, int round) {
-        Threads.thread("box-tell", () -> {
-            int all = partner.tellSettled(to);
-            synchronized (this) {
+    step.acts().forEach(this::act);
+  }
+
+  private void act(Act act) {
+    switch (act) {
+      case SAY_TAKE -> {
+        partner.join(link, 0);
+        link.sayTake(name, Build.HANDOVER);
+      }
+      case SAY_WHO -> link.sayWho(terms().text());
+      case SAY_TERMS -> link.sayTerms(terms().text());
+      case SAY_UNFIT -> link.say(Word.UNFIT, reason);
+      case SAY_AGREED -> link.say(Word.AGREED, "");
+      case SAY_NO_NEVER -> {
+        Logger.warn("{}: another process asked to take over and cannot: {}", name, reason);
+        link.say(Word.NO_NEVER, reason);
+      }
+      case SAY_NO_LATER -> {
+        Logger.warn(
+            "{}: the process that asked to take over is given up on for now: {}", name, reason);
+        link.say(Word.NO_LATER, reason);
+      }
+      case TELL_SETTLED -> tellSettled(link, rounds);
+      case STOP_TELLING -> partner.stopTelling();
+      case SAY_TOLD -> link.sayTold(told);
+      case SAY_TAKEN -> {
+        seat.share(); // before the keys can come: they may arrive after their owner's death
+        link.say(Word.TAKEN, "");
+      }
+      case GIVE -> given = give(link);
+      case SAY_YOURS -> link.sayYours(given);
+      case HAND_AS_FORMER -> handAsFormer(link);
+      case PARK ->
+          Logger.warn(
+              "{}: an older build asks to take over; it can start once this process has ended",
+              name);
+      case OPEN_RECORDS -> openRecords();
+      case SAY_BACK -> {
+        seat.leave();
+        link.say(Word.BACK, reason);
+      }
+      case LISTEN -> {
+        box.bind(false);
+        box.accept();
+      }
+      case SAY_LISTENS -> link.say(Word.LISTENS, "");
+      case CEDE -> box.cede();
+      case SAY_CEDED -> link.say(Word.CEDED, "");
+      case TAKE_BACK -> takeBack();
+      case OTHER_GONE -> otherGone();
+      case SERVE -> {
+        box.bind(true);
+        box.accept();
+      }
+      case READY -> box.serveOn();
+      case LOOK -> later("look", LOOK_MS, () -> look(LOOK_MS));
+      case PAUSE -> {
+        seat.leave();
+        pause();
+      }
+      case REFUSED -> {
+        refusedBefore = true;
+        box.refused(reason);
+      }
+      default -> throw new IllegalStateException("nothing does " + act);
+    }
+  }
+
+  /**
+   * Tells without the lock, as the other side may be slow; the end of it is an event of its own.
+   */
+  private void tellSettled(BoxLink to, int round) {
+    Threads.thread(
+            "box-tell",
+            () -> {
+              int all = partner.tellSettled(to);
+              synchronized (this) {
                 if (to == link && round == rounds && steps.state() == State.DEALING) {
-                    told = all;
-                    reason = "it does not take what it is told";
-                    take(all < 0 ? Event.OVERDUE : Event.ALL_TOLD);
-                    turn();
+                  told = all;
+                  reason = "it does not take what it is told";
+                  take(all < 0 ? Event.OVERDUE : Event.ALL_TOLD);
+                  turn();
                 }
-            }
-        }).start();
-    }
-
-    /** Guards against a process that asked and stalls: this one waits for it without loss, but not for ever. */
-    private void lookForSilence(int round) {
-        later("box-silence", SILENT_MS, () -> {
-            if (round == rounds && steps.state().bounded()) {
-                reason = "it was silent for " + SILENT_MS / 1000 + " s";
-                take(Event.OVERDUE);
-                turn();
-            }
+              }
+            })
+        .start();
+  }
+
+  /**
+   * Guards against a process that asked and stalls: this one waits for it without loss, but not for
+   * ever.
+   */
+  private void lookForSilence(int round) {
+    later(
+        "box-silence",
+        SILENT_MS,
+        () -> {
+          if (round == rounds && steps.state().bounded()) {
+            reason = "it was silent for " + SILENT_MS / 1000 + " s";
+            take(Event.OVERDUE);
+            turn();
+          }
         });
-    }
-
-    private void later(String what, long ms, Runnable then) {
-        Threads.thread(what, () -> {
-            LockSupport.parkNanos(ms * 1_000_000);
-            synchronized (this) {
+  }
+
+  private void later(String what, long ms, Runnable then) {
+    Threads.thread(
+            what,
+            () -> {
+              LockSupport.parkNanos(ms * 1_000_000);
+              synchronized (this) {
                 if (!closed) {
-                    then.run();
+                  then.run();
                 }
-            }
-        }).start();
+              }
+            })
+        .start();
+  }
+
+  private int give(BoxLink to) {
+    box.halve(true);
+    int open = partner.handOver(to);
+    box.closeRecords(); // only the owner of the keys writes, and it reads what is on disk by now
+    Standstill mine = new Standstill(seconds());
+    standstill = mine;
+    Threads.thread("box-awake", () -> lookFor(mine)).start();
+    return open;
+  }
+
+  private void handAsFormer(BoxLink to) {
+    int handed = give(to);
+    // Not under this lock, which its end needs: a build of format 1 that stalls is waited for, as
+    // it owns all by now.
+    Threads.thread(
+            "box-tell", () -> to.sayHanded(handed + Math.max(0, partner.tellSettledAfter(to))))
+        .start();
+  }
+
+  private void openRecords() {
+    boolean opened = box.openRecords(TRIES_GIVEN);
+    reason = opened ? reason : "its folder of kept results cannot be had";
+    if (!opened) {
+      partner.giveBack();
     }
-
-    private int give(BoxLink to) {
-        box.halve(true);
-        int open = partner.handOver(to);
-        box.closeRecords();   // only the owner of the keys writes, and it reads what is on disk by now
-        Standstill mine = new Standstill(seconds());
-        standstill = mine;
-        Threads.thread("box-awake", () -> lookFor(mine)).start();
-        return open;
-    }
-
-    private void handAsFormer(BoxLink to) {
-        int handed = give(to);
-        // Not under this lock, which its end needs: a build of format 1 that stalls is waited for, as it owns all by now.
-        Threads.thread("box-tell", () -> to.sayHanded(handed + Math.max(0, partner.tellSettledAfter(to)))).start();
+    take(opened ? Event.OPENED : Event.UNOPENED);
+  }
+
+  private static double seconds() {
+    return System.nanoTime() / 1e9;
+  }
+
+  /** Not under this lock, which may be held for longer than a look. */
+  private void lookFor(Standstill mine) {
+    while (standstill == mine && !closed) {
+      synchronized (mine) {
+        mine.look(seconds());
+      }
+      LockSupport.parkNanos((long) (Standstill.LOOK * 1e9));
     }
+  }
 
-    private void openRecords() {
-        boolean opened = box.openRecords(TRIES_GIVEN);
-        reason = opened ? reason : "its folder of kept results cannot be had";
-        if (!opened) {
-            partner.giveBack();
-        }
-        take(opened ? Event.OPENED : Event.UNOPENED);
+  private boolean stoodStill() {
+    Standstill mine = standstill;
+    if (mine == null) {
+      return false;
     }
-
-    private static double seconds() {
-        return System.nanoTime() / 1e9;
+    synchronized (mine) {
+      return mine.lately(seconds());
     }
+  }
 
-    /** Not under this lock, which may be held for longer than a look. */
-    private void lookFor(Standstill mine) {
-        while (standstill == mine && !closed) {
-            synchronized (mine) {
-                mine.look(seconds());
-            }
-            LockSupport.parkNanos((long) (Standstill.LOOK * 1e9));
-        }
+  private void takeBack() {
+    if (stoodStill() && !box.keepsRecords()) {
+      // Guards against a second run of a key whose word the other one could not write while this
+      // process stood still.
+      box.unknownFail();
     }
-
-    private boolean stoodStill() {
-        Standstill mine = standstill;
-        if (mine == null) {
-            return false;
-        }
-        synchronized (mine) {
-            return mine.lately(seconds());
-        }
+    standstill = null;
+    box.openRecords(TRIES_AFTER_DEATH);
+    partner.otherGone();
+    box.halve(false);
+    Logger.warn("{}: the process that took over is gone, this one owns its keys again", name);
+  }
+
+  private void otherGone() {
+    if (!box.openRecords(TRIES_AFTER_DEATH)) {
+      Logger.error("{}: kept results cannot be had, keyed requests are refused", name);
     }
-
-    private void takeBack() {
-        if (stoodStill() && !box.keepsRecords()) {
-            // Guards against a second run of a key whose word the other one could not write while this process stood still.
-            box.unknownFail();
-        }
-        standstill = null;
-        box.openRecords(TRIES_AFTER_DEATH);
-        partner.otherGone();
-        box.halve(false);
-        Logger.warn("{}: the process that took over is gone, this one owns its keys again", name);
+    partner.otherGone();
+    box.halve(false);
+    if (refusedBefore) {
+      refusedBefore = false;
+      box.unknownFail();
     }
+    box.otherEnded();
+  }
 
-    private void otherGone() {
-        if (!box.openRecords(TRIES_AFTER_DEATH)) {
-            Logger.error("{}: kept results cannot be had, keyed requests are refused", name);
-        }
-        partner.otherGone();
-        box.halve(false);
-        if (refusedBefore) {
-            refusedBefore = false;
-            box.unknownFail();
-        }
-        box.otherEnded();
+  /** Whoever comes first serves: another process of this box may have waited as well. */
+  private void look(long waited) {
+    if (steps.state() != State.LOOKING) {
+      return;
     }
-
-    /** Whoever comes first serves: another process of this box may have waited as well. */
-    private void look(long waited) {
-        if (steps.state() != State.LOOKING) {
-            return;
-        }
-        seat.leave();   // what it was told in part counts for nothing
-        BoxLink met = BoxLink.meet(meeting, partner, this);
-        if (met != null) {
-            link = met;
-            pauses = 0;
-            met.start();
-            take(Event.MET);
-        } else if (seat.alone() && box.bind(true)) {
-            take(Event.NOBODY);
-        } else {
-            long longer = Math.min(MOST_LOOK_MS, waited * 2);
-            later("look", longer, () -> look(longer));
-        }
+    seat.leave(); // what it was told in part counts for nothing
+    BoxLink met = BoxLink.meet(meeting, partner, this);
+    if (met != null) {
+      link = met;
+      pauses = 0;
+      met.start();
+      take(Event.MET);
+    } else if (seat.alone() && box.bind(true)) {
+      take(Event.NOBODY);
+    } else {
+      long longer = Math.min(MOST_LOOK_MS, waited * 2);
+      later("look", longer, () -> look(longer));
     }
-
-    private void pause() {
-        boolean again = ++pauses <= MOST_PAUSES;
-        later("box-pause", again ? PAUSE_MS << pauses : 1, () -> {
-            if (steps.state() == State.PAUSING) {
-                take(again ? Event.AGAIN : Event.GIVE_UP);
-            }
+  }
+
+  private void pause() {
+    boolean again = ++pauses <= MOST_PAUSES;
+    later(
+        "box-pause",
+        again ? PAUSE_MS << pauses : 1,
+        () -> {
+          if (steps.state() == State.PAUSING) {
+            take(again ? Event.AGAIN : Event.GIVE_UP);
+          }
         });
-    }
+  }
 }
--- a/src/main/java/wharftrestle/box/BoxKeeper.java
+++ b/src/main/java/wharftrestle/box/BoxKeeper.java
@@ -24,486 +24,598 @@
 import wharftrestle.net.Address;
 
 /**
- * Carries out what {@link Keeper} decides: it starts, watches and ends the daemons of one box, keeps the journal, and
- * takes orders at a Unix socket in its folder. It owns that folder while it runs. It must never do a thing before it stands
- * in the journal, or end a daemon with itself: a keeper that goes leaves its daemons, and the next one adopts them.
+ * Carries out what {@link Keeper} decides: it starts, watches and ends the daemons of one box,
+ * keeps the journal, and takes orders at a Unix socket in its folder. It owns that folder while it
+ * runs. It must never do a thing before it stands in the journal, or end a daemon with itself: a
+ * keeper that goes leaves its daemons, and the next one adopts them.
  */
 public final class BoxKeeper implements Closeable {
 
-    /**
-     * Where things are.
-     *
-     * @param state    the keeper's own folder: journal, lock, socket, logs of daemons; also where daemons meet
-     * @param releases all releases
-     * @param config   the daemon's configuration
-     * @param java     command and options before -jar
-     * @param name     of the box within its fleet; empty for none
-     * @param fleet    where a driver of the fleet may call; null for nowhere
-     */
-    public record Places(Path state, Path releases, Path config, List<String> java, String name, InetSocketAddress fleet) {
-        /** A box of no fleet. */
-        public Places(Path state, Path releases, Path config, List<String> java) {
-            this(state, releases, config, java, "", null);
-        }
+  /**
+   * Where things are.
+   *
+   * @param state the keeper's own folder: journal, lock, socket, logs of daemons; also where
+   *     daemons meet
+   * @param releases all releases
+   * @param config the daemon's configuration
+   * @param java command and options before -jar
+   * @param name of the box within its fleet; empty for none
+   * @param fleet where a driver of the fleet may call; null for nowhere
+   */
+  public record Places(
+      Path state,
+      Path releases,
+      Path config,
+      List<String> java,
+      String name,
+      InetSocketAddress fleet) {
+    /** A box of no fleet. */
+    public Places(Path state, Path releases, Path config, List<String> java) {
+      this(state, releases, config, java, "", null);
     }
+  }
 
-    /** The folder is another keeper's. */
-    public static final class TakenException extends Exception {
-        private static final long serialVersionUID = 1L;
+  /** The folder is another keeper's. */
+  public static final class TakenException extends Exception {
+    private static final long serialVersionUID = 1L;
 
-        TakenException(String message) {
-            super(message);
-        }
+    TakenException(String message) {
+      super(message);
     }
-
-    private record Running(long pid, long began, int door, String release, ProcessHandle handle) { }
-
-    private record Order(String text, BlockingQueue<String> answer) { }
-
-    /** Milliseconds between two looks at the daemons. */
-    private static final long LOOK_MS = 100;
-    /** Seconds in which a release's program reads a settings file. */
-    private static final long CHECK_S = 20;
-    private static final String GONE = "no the keeper goes";
-    private static final String SOCKET = "keeper.sock";
-
-    private final Places places;
-    private final Releases releases;
-    private final Keeper keeper;
-    private final FolderLock lock;
-    private final StepLog journal;
-    private final Map<Keeper.Role, Running> running = new EnumMap<>(Keeper.Role.class);
-    private final List<Running> ending = new ArrayList<>();
-    private final BlockingQueue<Order> orders = new LinkedBlockingQueue<>();
-    private final PrintStream out;
-    private final Consumer<StepLog.Entry> before;
-    private OrderSocket socket;
-    private FleetDoor fleet;                                      // null where no driver may call
-    private final Map<String, Integer> deaths = new LinkedHashMap<>();   // by release
-    private final Map<Keeper.Role, DaemonLook> looks = new EnumMap<>(Keeper.Role.class);
-    private String told = "";                                     // the release that a driver told last
-    private int attempt;                                          // how often, in its epoch
-    private String refusal = "";                                  // why that was not begun
-    private volatile Map<String, Object> shown = Map.of();
-    private int logs;
-    private volatile boolean over;
-
-    /**
-     * Takes the folder.
-     *
-     * @throws TakenException where another keeper has it
-     */
-    public BoxKeeper(Places places, Keeper.Limits limits, PrintStream out) throws IOException, TakenException {
-        this(places, limits, out, step -> { });
-    }
-
-    /** The same with one who is told of each step before it is written, so that tests can end the keeper there. */
-    BoxKeeper(Places places, Keeper.Limits limits, PrintStream out, Consumer<StepLog.Entry> before)
-            throws IOException, TakenException {
-        this.places = places;
-        this.out = out;
-        this.before = before;
-        releases = new Releases(places.releases());
-        keeper = new Keeper(limits);
-        Files.createDirectories(places.state());
-        lock = FolderLock.take(places.state().resolve("keeper.lock"));
-        if (lock == null) {
-            throw new TakenException("another keeper has this box (" + places.state() + ")");
-        }
-        journal = new StepLog(places.state().resolve("journal.jsonl"));
+  }
+
+  private record Running(long pid, long began, int door, String release, ProcessHandle handle) {}
+
+  private record Order(String text, BlockingQueue<String> answer) {}
+
+  /** Milliseconds between two looks at the daemons. */
+  private static final long LOOK_MS = 100;
+
+  /** Seconds in which a release's program reads a settings file. */
+  private static final long CHECK_S = 20;
+
+  private static final String GONE = "no the keeper goes";
+  private static final String SOCKET = "keeper.sock";
+
+  private final Places places;
+  private final Releases releases;
+  private final Keeper keeper;
+  private final FolderLock lock;
+  private final StepLog journal;
+  private final Map<Keeper.Role, Running> running = new EnumMap<>(Keeper.Role.class);
+  private final List<Running> ending = new ArrayList<>();
+  private final BlockingQueue<Order> orders = new LinkedBlockingQueue<>();
+  private final PrintStream out;
+  private final Consumer<StepLog.Entry> before;
+  private OrderSocket socket;
+  private FleetDoor fleet; // null where no driver may call
+  private final Map<String, Integer> deaths = new LinkedHashMap<>(); // by release
+  private final Map<Keeper.Role, DaemonLook> looks = new EnumMap<>(Keeper.Role.class);
+  private String told = ""; // the release that a driver told last
+  private int attempt; // how often, in its epoch
+  private String refusal = ""; // why that was not begun
+  private volatile Map<String, Object> shown = Map.of();
+  private int logs;
+  private volatile boolean over;
+
+  /**
+   * Takes the folder.
+   *
+   * @throws TakenException where another keeper has it
+   */
+  public BoxKeeper(Places places, Keeper.Limits limits, PrintStream out)
+      throws IOException, TakenException {
+    this(places, limits, out, step -> {});
+  }
+
+  /**
+   * The same with one who is told of each step before it is written, so that tests can end the
+   * keeper there.
+   */
+  BoxKeeper(Places places, Keeper.Limits limits, PrintStream out, Consumer<StepLog.Entry> before)
+      throws IOException, TakenException {
+    this.places = places;
+    this.out = out;
+    this.before = before;
+    releases = new Releases(places.releases());
+    keeper = new Keeper(limits);
+    Files.createDirectories(places.state());
+    lock = FolderLock.take(places.state().resolve("keeper.lock"));
+    if (lock == null) {
+      throw new TakenException("another keeper has this box (" + places.state() + ")");
     }
-
-    /** Keeps the box until {@link #stop}: adopts what runs, else starts this release, or the last one where it is null. */
-    public void run(String first) throws IOException, InterruptedException {
-        socket = new OrderSocket(places.state().resolve(SOCKET), this::askLoop);
-        if (places.fleet() != null) {
-            fleet = new FleetDoor(places.fleet(), places.name(), places.state(), releases, this::askLoop, () -> shown,
-                    this::reads);
-        }
-        findStarted();
-        Found found = Found.of(journal.entries(), step -> handle(step).isPresent());
-        for (StepLog.Entry each : found.end()) {
-            say("ended", Keeper.Role.COMES, each.release(), each.pid(), each.began(), each.door(),
-                    "its change had no keeper any more");
-            handle(each).ifPresent(ProcessHandle::destroyForcibly);
-        }
-        found.leave().forEach(each -> handle(each).ifPresent(ProcessHandle::destroy));
-        if (found.serves() != null) {
-            StepLog.Entry serves = found.serves();
-            running.put(Keeper.Role.SERVES, new Running(serves.pid(), serves.began(), serves.door(), serves.release(),
-                    handle(serves).orElseThrow()));
-            carryOut(keeper.adopt(found.release(), found.good(), found.probation(), now()));
-        } else {
-            String start = first != null ? first : found.release();
-            String against = start.isEmpty() ? "no release is named, and none ran before" : releases.against(start);
-            if (!against.isEmpty() && !found.good().isEmpty()) {
-                start = found.good();
-                against = releases.against(start);
-            }
-            if (!against.isEmpty()) {
-                throw new IOException(against);
-            }
-            carryOut(keeper.run(start, found.good(), now()));
-        }
-        Order order = null;
-        try {
-            while (!over) {
-                order = orders.poll(LOOK_MS, TimeUnit.MILLISECONDS);
-                if (order != null) {
-                    order.answer().add(obey(order.text()));
-                }
-                look();
-            }
-        } finally {
-            // Guards against somebody who waits for ever for a keeper that has gone.
-            over = true;
-            if (order != null) {
-                order.answer().add(GONE);
-            }
-            orders.forEach(each -> each.answer().add(GONE));
-        }
+    journal = new StepLog(places.state().resolve("journal.jsonl"));
+  }
+
+  /**
+   * Keeps the box until {@link #stop}: adopts what runs, else starts this release, or the last one
+   * where it is null.
+   */
+  public void run(String first) throws IOException, InterruptedException {
+    socket = new OrderSocket(places.state().resolve(SOCKET), this::askLoop);
+    if (places.fleet() != null) {
+      fleet =
+          new FleetDoor(
+              places.fleet(),
+              places.name(),
+              places.state(),
+              releases,
+              this::askLoop,
+              () -> shown,
+              this::reads);
     }
-
-    /** The keeper goes, and its daemons stay. */
-    public void stop() {
-        over = true;
+    findStarted();
+    Found found = Found.of(journal.entries(), step -> handle(step).isPresent());
+    for (StepLog.Entry each : found.end()) {
+      say(
+          "ended",
+          Keeper.Role.COMES,
+          each.release(),
+          each.pid(),
+          each.began(),
+          each.door(),
+          "its change had no keeper any more");
+      handle(each).ifPresent(ProcessHandle::destroyForcibly);
     }
-
-    /** A keeper that died just after it started a daemon left a step without its process: it is known by its door. */
-    private void findStarted() throws IOException {
-        List<StepLog.Entry> steps = journal.entries();
-        StepLog.Entry last = steps.isEmpty() ? null : steps.get(steps.size() - 1);
-        if (last == null || !last.what().equals("starting")) {
-            return;
-        }
-        String door = "EDGE_CONSOLE=127.0.0.1:" + last.door();
-        for (ProcessHandle each : ProcessHandle.allProcesses().toList()) {
-            if (environment(each).contains(door)) {
-                journal.add(new StepLog.Entry(Wall.now(), "started", last.role(), last.release(),
-                        last.good(), each.pid(), began(each), last.door(), "found by its door"));
-            }
-        }
+    found.leave().forEach(each -> handle(each).ifPresent(ProcessHandle::destroy));
+    if (found.serves() != null) {
+      StepLog.Entry serves = found.serves();
+      running.put(
+          Keeper.Role.SERVES,
+          new Running(
+              serves.pid(),
+              serves.began(),
+              serves.door(),
+              serves.release(),
+              handle(serves).orElseThrow()));
+      carryOut(keeper.adopt(found.release(), found.good(), found.probation(), now()));
+    } else {
+      String start = first != null ? first : found.release();
+      String against =
+          start.isEmpty() ? "no release is named, and none ran before" : releases.against(start);
+      if (!against.isEmpty() && !found.good().isEmpty()) {
+        start = found.good();
+        against = releases.against(start);
+      }
+      if (!against.isEmpty()) {
+        throw new IOException(against);
+      }
+      carryOut(keeper.run(start, found.good(), now()));
     }
-
-    private static List<String> environment(ProcessHandle of) {
-        try {
-            return List.of(Files.readString(Path.of("/proc/" + of.pid() + "/environ"), StandardCharsets.ISO_8859_1)
-                    .split("\0"));
-        } catch (IOException gone) {
-            return List.of();
+    Order order = null;
+    try {
+      while (!over) {
+        order = orders.poll(LOOK_MS, TimeUnit.MILLISECONDS);
+        if (order != null) {
+          order.answer().add(obey(order.text()));
         }
+        look();
+      }
+    } finally {
+      // Guards against somebody who waits for ever for a keeper that has gone.
+      over = true;
+      if (order != null) {
+        order.answer().add(GONE);
+      }
+      orders.forEach(each -> each.answer().add(GONE));
     }
-
-    private static double now() {
-        return System.nanoTime() / 1e9;
+  }
+
+  /** The keeper goes, and its daemons stay. */
+  public void stop() {
+    over = true;
+  }
+
+  /**
+   * A keeper that died just after it started a daemon left a step without its process: it is known
+   * by its door.
+   */
+  private void findStarted() throws IOException {
+    List<StepLog.Entry> steps = journal.entries();
+    StepLog.Entry last = steps.isEmpty() ? null : steps.get(steps.size() - 1);
+    if (last == null || !last.what().equals("starting")) {
+      return;
     }
-
-    private static Optional<ProcessHandle> handle(StepLog.Entry step) {
-        return ProcessHandle.of(step.pid()).filter(ProcessHandle::isAlive).filter(handle -> began(handle) == step.began());
-    }
-
-    private static long began(ProcessHandle handle) {
-        return handle.info().startInstant().map(at -> at.toEpochMilli()).orElse(0L);
+    String door = "EDGE_CONSOLE=127.0.0.1:" + last.door();
+    for (ProcessHandle each : ProcessHandle.allProcesses().toList()) {
+      if (environment(each).contains(door)) {
+        journal.add(
+            new StepLog.Entry(
+                Wall.now(),
+                "started",
+                last.role(),
+                last.release(),
+                last.good(),
+                each.pid(),
+                began(each),
+                last.door(),
+                "found by its door"));
+      }
     }
-
-    // ---- Orders ----
-
-    /** Has the keeper's own thread obey an order, and waits for its answer. */
-    private String askLoop(String text) {
-        Order order = new Order(text, new LinkedBlockingQueue<>());
-        orders.add(order);
-        if (over) {
-            order.answer().add(GONE);
-        }
-        try {
-            return order.answer().take();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            return GONE;
-        }
+  }
+
+  private static List<String> environment(ProcessHandle of) {
+    try {
+      return List.of(
+          Files.readString(Path.of("/proc/" + of.pid() + "/environ"), StandardCharsets.ISO_8859_1)
+              .split("\0"));
+    } catch (IOException gone) {
+      return List.of();
     }
-
-    /** Sends one order to the keeper of this folder; its answer, or null where none keeps it. */
-    public static String order(Path state, String text) {
-        return OrderSocket.order(state.resolve(SOCKET), text);
+  }
+
+  private static double now() {
+    return System.nanoTime() / 1e9;
+  }
+
+  private static Optional<ProcessHandle> handle(StepLog.Entry step) {
+    return ProcessHandle.of(step.pid())
+        .filter(ProcessHandle::isAlive)
+        .filter(handle -> began(handle) == step.began());
+  }
+
+  private static long began(ProcessHandle handle) {
+    return handle.info().startInstant().map(at -> at.toEpochMilli()).orElse(0L);
+  }
+
+  // ---- Orders ----
+
+  /** Has the keeper's own thread obey an order, and waits for its answer. */
+  private String askLoop(String text) {
+    Order order = new Order(text, new LinkedBlockingQueue<>());
+    orders.add(order);
+    if (over) {
+      order.answer().add(GONE);
     }
-
-    /** Answers begin with "ok" or "no". */
-    private String obey(String text) throws IOException {
-        String[] words = text.split(" ", 2);
-        switch (words[0]) {
-            case "status" -> {
-                return status();
-            }
-            case "change" -> {
-                String to = words.length > 1 ? words[1] : "";
-                String against = keeper.against(to);
-                against = against.isEmpty() ? releases.against(to) : against;
-                if (!against.isEmpty()) {
-                    return "no " + against;
-                }
-                carryOut(keeper.change(to, now()));
-                return "ok changing to " + to;
-            }
-            case "back" -> {
-                String to = keeper.good();
-                String against = to.isEmpty() ? "" : releases.against(to);
-                if (!against.isEmpty()) {
-                    return "no " + against;
-                }
-                List<Keeper.Act> acts = keeper.back(now());
-                carryOut(acts);
-                return acts.isEmpty() ? "no there is nothing to go back to" : "ok going back";
-            }
-            case "stand" -> {
-                tellStand(words[1]);
-                return "ok";
-            }
-            case "go" -> {
-                String[] order = words[1].split(" ");
-                attempt = Integer.parseInt(order[0]);
-                told = order[1];
-                String answer = go(told, order.length > 2);
-                refusal = answer.startsWith("no ") ? answer.substring(3) : "";
-                show();
-                return answer;
-            }
-            default -> {
-                return "no such order: " + words[0];
-            }
-        }
+    try {
+      return order.answer().take();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      return GONE;
     }
-
-    /** A driver's word: this release is to serve, from wherever this box is; back from what was found bad, or not. */
-    private String go(String to, boolean back) throws IOException {
-        boolean coming = !keeper.candidate().isEmpty();
-        if (coming ? keeper.candidate().equals(to) : keeper.release().equals(to)) {
-            return "ok " + to + (coming ? " comes already" : " serves already");
-        }
-        String against = releases.against(to);
+  }
+
+  /** Sends one order to the keeper of this folder; its answer, or null where none keeps it. */
+  public static String order(Path state, String text) {
+    return OrderSocket.order(state.resolve(SOCKET), text);
+  }
+
+  /** Answers begin with "ok" or "no". */
+  private String obey(String text) throws IOException {
+    String[] words = text.split(" ", 2);
+    switch (words[0]) {
+      case "status" -> {
+        return status();
+      }
+      case "change" -> {
+        String to = words.length > 1 ? words[1] : "";
+        String against = keeper.against(to);
+        against = against.isEmpty() ? releases.against(to) : against;
         if (!against.isEmpty()) {
-            return "no " + against;
+          return "no " + against;
         }
-        boolean undoes = keeper.state() == Keeper.State.CHANGING && keeper.release().equals(to)
-                || keeper.state() == Keeper.State.PROBATION && keeper.good().equals(to);
-        if (undoes) {
-            carryOut(keeper.back(now()));
-            return "ok going back to " + to;
-        }
-        against = keeper.against(to);
+        carryOut(keeper.change(to, now()));
+        return "ok changing to " + to;
+      }
+      case "back" -> {
+        String to = keeper.good();
+        String against = to.isEmpty() ? "" : releases.against(to);
         if (!against.isEmpty()) {
-            return "no " + against;
+          return "no " + against;
         }
-        carryOut(keeper.change(to, back, now()));
-        return "ok changing to " + to;
+        List<Keeper.Act> acts = keeper.back(now());
+        carryOut(acts);
+        return acts.isEmpty() ? "no there is nothing to go back to" : "ok going back";
+      }
+      case "stand" -> {
+        tellStand(words[1]);
+        return "ok";
+      }
+      case "go" -> {
+        String[] order = words[1].split(" ");
+        attempt = Integer.parseInt(order[0]);
+        told = order[1];
+        String answer = go(told, order.length > 2);
+        refusal = answer.startsWith("no ") ? answer.substring(3) : "";
+        show();
+        return answer;
+      }
+      default -> {
+        return "no such order: " + words[0];
+      }
     }
-
-    private String status() throws IOException {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("state", keeper.state().name().toLowerCase(Locale.ROOT));
-        all.put("release", keeper.release());
-        all.put("candidate", keeper.candidate());
-        all.put("back_to", keeper.good());
-        all.put("reason", keeper.reason());
-        running.forEach((role, each) -> all.put(role.name().toLowerCase(Locale.ROOT), Map.of("pid", each.pid(), "release",
-                each.release(), "door", each.door(), "ready", DaemonLook.at(each.door()).ready())));
-        return "ok " + new ObjectMapper().writeValueAsString(all);
+  }
+
+  /**
+   * A driver's word: this release is to serve, from wherever this box is; back from what was found
+   * bad, or not.
+   */
+  private String go(String to, boolean back) throws IOException {
+    boolean coming = !keeper.candidate().isEmpty();
+    if (coming ? keeper.candidate().equals(to) : keeper.release().equals(to)) {
+      return "ok " + to + (coming ? " comes already" : " serves already");
     }
-
-    // ---- The daemons ----
-
-    private void look() throws IOException {
-        looks.clear();
-        for (Keeper.Role role : List.copyOf(running.keySet())) {
-            Running each = running.get(role);
-            if (each == null) {
-                continue;   // it changed its role meanwhile
-            }
-            if (!each.handle().isAlive()) {
-                running.remove(role);
-                deaths.merge(each.release(), 1, Integer::sum);
-                say("ended", role, each.release(), each.pid(), each.began(), each.door(), "by itself");
-                carryOut(keeper.died(role, now()));
-                continue;
-            }
-            DaemonLook look = DaemonLook.at(each.door());
-            looks.put(role, look);
-            if (keeper.state() != Keeper.State.SERVING && keeper.state() != Keeper.State.PROBATION && look.ready()) {
-                carryOut(keeper.ready(role, now()));
-            } else if (role == Keeper.Role.COMES && !look.refusal().isEmpty()) {
-                carryOut(keeper.refused(role, look.refusal(), now()));
-            }
-        }
-        ending.removeIf(each -> !each.handle().isAlive());
-        DaemonLook serves = running.containsKey(Keeper.Role.SERVES) ? looks.get(Keeper.Role.SERVES) : null;
-        carryOut(keeper.tick(serves == null ? null : serves.figures(), now()));
-        if (fleet != null) {
-            show();
-        }
+    String against = releases.against(to);
+    if (!against.isEmpty()) {
+      return "no " + against;
     }
-
-    /** What a driver of the fleet is shown: made here, so that no call of a driver waits for a daemon that is silent. */
-    private void show() {
-        Running serves = running.get(Keeper.Role.SERVES);
-        DaemonLook look = serves == null ? null : looks.get(Keeper.Role.SERVES);
-        boolean settled = keeper.state() == Keeper.State.SERVING || keeper.state() == Keeper.State.PROBATION;
-        boolean missed = keeper.state() == Keeper.State.SERVING && !told.isEmpty() && !told.equals(keeper.release());
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("state", keeper.state().name().toLowerCase(Locale.ROOT));
-        all.put("release", keeper.release());
-        all.put("settled", settled && look != null && look.ready());
-        all.put("acts", serves == null || look == null ? "" : acts(serves, look));
-        all.put("told", told);
-        all.put("attempt", attempt);
-        all.put("failed", !refusal.isEmpty() ? refusal : !missed ? "" : keeper.reason().isEmpty() ? "it did not go"
-                : keeper.reason());
-        all.put("deaths", new LinkedHashMap<>(deaths));
-        all.put("good", keeper.good());
-        if (serves != null && look != null) {
-            all.put("pid", serves.pid());
-            all.put("up", look.up());
-            all.put("calls", look.calls());
-            all.put("badCalls", look.badCalls());
-            all.put("classes", look.classes());
-            try {
-                all.put("cpu", Proc.cpuSeconds(serves.pid()));
-                all.put("ownMb", Proc.memoryKb(serves.pid(), "RssAnon") / 1024.0);
-            } catch (IOException gone) {
-                Logger.debug("{} has just ended", serves.pid());
-            }
-        }
-        shown = all;
+    boolean undoes =
+        keeper.state() == Keeper.State.CHANGING && keeper.release().equals(to)
+            || keeper.state() == Keeper.State.PROBATION && keeper.good().equals(to);
+    if (undoes) {
+      carryOut(keeper.back(now()));
+      return "ok going back to " + to;
     }
-
-    /**
-     * The release that a daemon is, by the digest that it says of itself: where that is not the one it was started from, the
-     * one that has it; empty where none has.
-     */
-    private String acts(Running serves, DaemonLook look) {
-        if (look.build().isEmpty() || look.build().equals(releases.build(serves.release()))) {
-            return look.build().isEmpty() ? "" : serves.release();
-        }
-        try {
-            return releases.names().stream().filter(name -> releases.build(name).equals(look.build()))
-                    .findFirst().orElse("");
-        } catch (IOException unread) {
-            return "";
-        }
+    against = keeper.against(to);
+    if (!against.isEmpty()) {
+      return "no " + against;
     }
-
-    /** Asks the program of one release whether it can read the settings of another. */
-    private boolean reads(String program, String settings) {
-        List<String> command = new ArrayList<>(places.java());
-        command.addAll(List.of("-jar", releases.of(program).resolve(Releases.JAR).toString(), "settings", "check",
-                releases.of(settings).resolve(Releases.SETTINGS).toString()));
-        try {
-            Process check = new ProcessBuilder(command).redirectErrorStream(true)
-                    .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
-            return check.waitFor(CHECK_S, TimeUnit.SECONDS) && check.exitValue() == 0;
-        } catch (IOException e) {
-            return false;
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            return false;
-        }
+    carryOut(keeper.change(to, back, now()));
+    return "ok changing to " + to;
+  }
+
+  private String status() throws IOException {
+    Map<String, Object> all = new LinkedHashMap<>();
+    all.put("state", keeper.state().name().toLowerCase(Locale.ROOT));
+    all.put("release", keeper.release());
+    all.put("candidate", keeper.candidate());
+    all.put("back_to", keeper.good());
+    all.put("reason", keeper.reason());
+    running.forEach(
+        (role, each) ->
+            all.put(
+                role.name().toLowerCase(Locale.ROOT),
+                Map.of(
+                    "pid",
+                    each.pid(),
+                    "release",
+                    each.release(),
+                    "door",
+                    each.door(),
+                    "ready",
+                    DaemonLook.at(each.door()).ready())));
+    return "ok " + new ObjectMapper().writeValueAsString(all);
+  }
+
+  // ---- The daemons ----
+
+  private void look() throws IOException {
+    looks.clear();
+    for (Keeper.Role role : List.copyOf(running.keySet())) {
+      Running each = running.get(role);
+      if (each == null) {
+        continue; // it changed its role meanwhile
+      }
+      if (!each.handle().isAlive()) {
+        running.remove(role);
+        deaths.merge(each.release(), 1, Integer::sum);
+        say("ended", role, each.release(), each.pid(), each.began(), each.door(), "by itself");
+        carryOut(keeper.died(role, now()));
+        continue;
+      }
+      DaemonLook look = DaemonLook.at(each.door());
+      looks.put(role, look);
+      if (keeper.state() != Keeper.State.SERVING
+          && keeper.state() != Keeper.State.PROBATION
+          && look.ready()) {
+        carryOut(keeper.ready(role, now()));
+      } else if (role == Keeper.Role.COMES && !look.refusal().isEmpty()) {
+        carryOut(keeper.refused(role, look.refusal(), now()));
+      }
     }
-
-    /** The daemon that serves is told where the fleet stands, for its door and its MIB. */
-    void tellStand(String query) {
-        Running serves = running.get(Keeper.Role.SERVES);
-        if (serves != null) {
-            try {
-                DaemonLook.get(serves.door(), "POST", "/_fleet?" + query);
-            } catch (IOException silent) {
-                Logger.debug("the daemon at {} does not answer", serves.door());
-            }
-        }
+    ending.removeIf(each -> !each.handle().isAlive());
+    DaemonLook serves =
+        running.containsKey(Keeper.Role.SERVES) ? looks.get(Keeper.Role.SERVES) : null;
+    carryOut(keeper.tick(serves == null ? null : serves.figures(), now()));
+    if (fleet != null) {
+      show();
     }
-
-    private void carryOut(List<Keeper.Act> acts) throws IOException {
-        for (Keeper.Act act : acts) {
-            Running of = running.get(act.role());
-            switch (act.kind()) {
-                case START -> start(act);
-                case TERM, KILL -> {
-                    if (of != null) {
-                        say("ended", act.role(), of.release(), of.pid(), of.began(), of.door(), act.why());
-                        running.remove(act.role());
-                        ending.add(of);
-                        if (act.kind() == Keeper.Act.Kind.TERM) {
-                            of.handle().destroy();
-                        } else {
-                            of.handle().destroyForcibly();
-                        }
-                    }
-                }
-                case PROMOTE -> {
-                    Running came = running.remove(Keeper.Role.COMES);
-                    if (came != null) {
-                        running.put(Keeper.Role.SERVES, came);
-                        say("promoted", Keeper.Role.SERVES, came.release(), came.pid(), came.began(), came.door(),
-                                act.why());
-                    }
-                }
-                case SAY -> say(act.why().startsWith("held") ? "held" : "said", act.role(), act.release(), 0, 0, 0,
-                        act.why());
-                default -> throw new IllegalStateException("nothing does " + act);
-            }
-        }
+  }
+
+  /**
+   * What a driver of the fleet is shown: made here, so that no call of a driver waits for a daemon
+   * that is silent.
+   */
+  private void show() {
+    Running serves = running.get(Keeper.Role.SERVES);
+    DaemonLook look = serves == null ? null : looks.get(Keeper.Role.SERVES);
+    boolean settled =
+        keeper.state() == Keeper.State.SERVING || keeper.state() == Keeper.State.PROBATION;
+    boolean missed =
+        keeper.state() == Keeper.State.SERVING && !told.isEmpty() && !told.equals(keeper.release());
+    Map<String, Object> all = new LinkedHashMap<>();
+    all.put("state", keeper.state().name().toLowerCase(Locale.ROOT));
+    all.put("release", keeper.release());
+    all.put("settled", settled && look != null && look.ready());
+    all.put("acts", serves == null || look == null ? "" : acts(serves, look));
+    all.put("told", told);
+    all.put("attempt", attempt);
+    all.put(
+        "failed",
+        !refusal.isEmpty()
+            ? refusal
+            : !missed ? "" : keeper.reason().isEmpty() ? "it did not go" : keeper.reason());
+    all.put("deaths", new LinkedHashMap<>(deaths));
+    all.put("good", keeper.good());
+    if (serves != null && look != null) {
+      all.put("pid", serves.pid());
+      all.put("up", look.up());
+      all.put("calls", look.calls());
+      all.put("badCalls", look.badCalls());
+      all.put("classes", look.classes());
+      try {
+        all.put("cpu", Proc.cpuSeconds(serves.pid()));
+        all.put("ownMb", Proc.memoryKb(serves.pid(), "RssAnon") / 1024.0);
+      } catch (IOException gone) {
+        Logger.debug("{} has just ended", serves.pid());
+      }
     }
-
-    private void start(Keeper.Act act) throws IOException {
-        String against = releases.against(act.release());
-        if (!against.isEmpty()) {
-            say("said", act.role(), act.release(), 0, 0, 0, against);
-            carryOut(keeper.died(act.role(), now()));
-            return;
-        }
-        Path release = releases.of(act.release());
-        List<String> command = new ArrayList<>(places.java());
-        command.addAll(List.of("-jar", release.resolve(Releases.JAR).toString(), "serve"));
-        Path settings = release.resolve(Releases.SETTINGS);
-        if (Files.exists(settings)) {
-            command.addAll(List.of("--appliance", settings.toString()));
-        }
-        int door = Address.freePort();
-        Path log = places.state().resolve("daemon-" + Wall.now() + "-" + ++logs + ".log");
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectInput(ProcessBuilder.Redirect.from(Path.of("/dev/null").toFile()))
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
-        builder.environment().put("EDGE_CONFIG", places.config().toString());
-        builder.environment().put("EDGE_CONSOLE", "127.0.0.1:" + door);
-        builder.environment().put("TMPDIR", places.state().toString());
-        // A keeper that dies between the two would leave a daemon that no journal names: the step stands there before.
-        say("starting", act.role(), act.release(), 0, 0, door, act.why());
-        ProcessHandle handle = builder.start().toHandle();
-        running.put(act.role(), new Running(handle.pid(), began(handle), door, act.release(), handle));
-        say("started", act.role(), act.release(), handle.pid(), began(handle), door, act.why());
+    shown = all;
+  }
+
+  /**
+   * The release that a daemon is, by the digest that it says of itself: where that is not the one
+   * it was started from, the one that has it; empty where none has.
+   */
+  private String acts(Running serves, DaemonLook look) {
+    if (look.build().isEmpty() || look.build().equals(releases.build(serves.release()))) {
+      return look.build().isEmpty() ? "" : serves.release();
     }
-
-    private void say(String what, Keeper.Role role, String release, long pid, long began, int door, String why)
-            throws IOException {
-        StepLog.Entry entry = new StepLog.Entry(Wall.now(), what, role.name(), release, keeper.good(), pid,
-                began, door, why);
-        before.accept(entry);
-        try {
-            journal.add(entry);
-        } catch (IOException full) {
-            // Guards against a full disk ending the keeper within a change: what serves goes on, and people are told.
-            Logger.error("the keeper's journal cannot be written ({}): {}", full.getMessage(), entry);
-        }
-        out.println(what + " " + release + (pid == 0 ? "" : " (" + pid + ")") + (why.isEmpty() ? "" : ": " + why));
+    try {
+      return releases.names().stream()
+          .filter(name -> releases.build(name).equals(look.build()))
+          .findFirst()
+          .orElse("");
+    } catch (IOException unread) {
+      return "";
     }
-
-    @Override
-    public void close() throws IOException {
-        if (fleet != null) {
-            fleet.close();
+  }
+
+  /** Asks the program of one release whether it can read the settings of another. */
+  private boolean reads(String program, String settings) {
+    List<String> command = new ArrayList<>(places.java());
+    command.addAll(
+        List.of(
+            "-jar",
+            releases.of(program).resolve(Releases.JAR).toString(),
+            "settings",
+            "check",
+            releases.of(settings).resolve(Releases.SETTINGS).toString()));
+    try {
+      Process check =
+          new ProcessBuilder(command)
+              .redirectErrorStream(true)
+              .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+              .start();
+      return check.waitFor(CHECK_S, TimeUnit.SECONDS) && check.exitValue() == 0;
+    } catch (IOException e) {
+      return false;
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      return false;
+    }
+  }
+
+  /** The daemon that serves is told where the fleet stands, for its door and its MIB. */
+  void tellStand(String query) {
+    Running serves = running.get(Keeper.Role.SERVES);
+    if (serves != null) {
+      try {
+        DaemonLook.get(serves.door(), "POST", "/_fleet?" + query);
+      } catch (IOException silent) {
+        Logger.debug("the daemon at {} does not answer", serves.door());
+      }
+    }
+  }
+
+  private void carryOut(List<Keeper.Act> acts) throws IOException {
+    for (Keeper.Act act : acts) {
+      Running of = running.get(act.role());
+      switch (act.kind()) {
+        case START -> start(act);
+        case TERM, KILL -> {
+          if (of != null) {
+            say("ended", act.role(), of.release(), of.pid(), of.began(), of.door(), act.why());
+            running.remove(act.role());
+            ending.add(of);
+            if (act.kind() == Keeper.Act.Kind.TERM) {
+              of.handle().destroy();
+            } else {
+              of.handle().destroyForcibly();
+            }
+          }
         }
-        if (socket != null) {
-            socket.close();
+        case PROMOTE -> {
+          Running came = running.remove(Keeper.Role.COMES);
+          if (came != null) {
+            running.put(Keeper.Role.SERVES, came);
+            say(
+                "promoted",
+                Keeper.Role.SERVES,
+                came.release(),
+                came.pid(),
+                came.began(),
+                came.door(),
+                act.why());
+          }
         }
-        journal.close();
-        lock.close();
+        case SAY ->
+            say(
+                act.why().startsWith("held") ? "held" : "said",
+                act.role(),
+                act.release(),
+                0,
+                0,
+                0,
+                act.why());
+        default -> throw new IllegalStateException("nothing does " + act);
+      }
+    }
+  }
+
+  private void start(Keeper.Act act) throws IOException {
+    String against = releases.against(act.release());
+    if (!against.isEmpty()) {
+      say("said", act.role(), act.release(), 0, 0, 0, against);
+      carryOut(keeper.died(act.role(), now()));
+      return;
+    }
+    Path release = releases.of(act.release());
+    List<String> command = new ArrayList<>(places.java());
+    command.addAll(List.of("-jar", release.resolve(Releases.JAR).toString(), "serve"));
+    Path settings = release.resolve(Releases.SETTINGS);
+    if (Files.exists(settings)) {
+      command.addAll(List.of("--appliance", settings.toString()));
+    }
+    int door = Address.freePort();
+    Path log = places.state().resolve("daemon-" + Wall.now() + "-" + ++logs + ".log");
+    ProcessBuilder builder =
+        new ProcessBuilder(command)
+            .redirectErrorStream(true)
+            .redirectInput(ProcessBuilder.Redirect.from(Path.of("/dev/null").toFile()))
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+    builder.environment().put("EDGE_CONFIG", places.config().toString());
+    builder.environment().put("EDGE_CONSOLE", "127.0.0.1:" + door);
+    builder.environment().put("TMPDIR", places.state().toString());
+    // A keeper that dies between the two would leave a daemon that no journal names: the step
+    // stands there before.
+    say("starting", act.role(), act.release(), 0, 0, door, act.why());
+    ProcessHandle handle = builder.start().toHandle();
+    running.put(act.role(), new Running(handle.pid(), began(handle), door, act.release(), handle));
+    say("started", act.role(), act.release(), handle.pid(), began(handle), door, act.why());
+  }
+
+  private void say(
+      String what, Keeper.Role role, String release, long pid, long began, int door, String why)
+      throws IOException {
+    StepLog.Entry entry =
+        new StepLog.Entry(
+            Wall.now(), what, role.name(), release, keeper.good(), pid, began, door, why);
+    before.accept(entry);
+    try {
+      journal.add(entry);
+    } catch (IOException full) {
+      // Guards against a full disk ending the keeper within a change: what serves goes on, and
+      // people are told.
+      Logger.error("the keeper's journal cannot be written ({}): {}", full.getMessage(), entry);
+    }
+    out.println(
+        what
+            + " "
+            + release
+            + (pid == 0 ? "" : " (" + pid + ")")
+            + (why.isEmpty() ? "" : ": " + why));
+  }
+
+  @Override
+  public void close() throws IOException {
+    if (fleet != null) {
+      fleet.close();
+    }
+    if (socket != null) {
+      socket.close();
     }
+    journal.close();
+    lock.close();
+  }
 }
--- a/src/main/java/wharftrestle/box/FolderLock.java
+++ b/src/main/java/wharftrestle/box/FolderLock.java
@@ -10,30 +10,30 @@
 
 /** A locked file that says whose a folder is, as long as its process lives. */
 public final class FolderLock implements Closeable {
-    private final FileChannel file;
+  private final FileChannel file;
 
-    private FolderLock(FileChannel file) {
-        this.file = file;
-    }
+  private FolderLock(FileChannel file) {
+    this.file = file;
+  }
 
-    /** Locks this file; null where another process, or another part of this one, has it. */
-    public static FolderLock take(Path path) throws IOException {
-        FileChannel file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        FileLock lock;
-        try {
-            lock = file.tryLock();
-        } catch (OverlappingFileLockException e) {
-            lock = null;
-        }
-        if (lock == null) {
-            file.close();
-            return null;
-        }
-        return new FolderLock(file);
+  /** Locks this file; null where another process, or another part of this one, has it. */
+  public static FolderLock take(Path path) throws IOException {
+    FileChannel file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    FileLock lock;
+    try {
+      lock = file.tryLock();
+    } catch (OverlappingFileLockException e) {
+      lock = null;
     }
-
-    @Override
-    public void close() throws IOException {
-        file.close();
+    if (lock == null) {
+      file.close();
+      return null;
     }
+    return new FolderLock(file);
+  }
+
+  @Override
+  public void close() throws IOException {
+    file.close();
+  }
 }
--- a/src/main/java/wharftrestle/clock/Wall.java
+++ b/src/main/java/wharftrestle/clock/Wall.java
@@ -7,57 +7,66 @@
 import java.nio.file.Path;
 
 /**
- * The machine's time of day, which may step, and a scale beside it that never does: Unix ms as they were when this process
- * began, and on from there by the steady clock. A stamp of a request is laid on that scale as it is read, by its age then,
- * so that a step of the clock moves neither a window of a key nor a due time. Two processes of one box agree on the scale
- * by {@link #adopt}: the one that takes over goes on with that of the one before.
+ * The machine's time of day, which may step, and a scale beside it that never does: Unix ms as they
+ * were when this process began, and on from there by the steady clock. A stamp of a request is laid
+ * on that scale as it is read, by its age then, so that a step of the clock moves neither a window
+ * of a key nor a due time. Two processes of one box agree on the scale by {@link #adopt}: the one
+ * that takes over goes on with that of the one before.
  */
 public final class Wall {
-    /** Names a file of eight bytes, ms by which this process's time of day is off; the rig alone sets it. */
-    public static final String OFF = "wharftrestle.clock";
-
-    private static final LongBuffer BY = off(System.getProperty(OFF));
-    private static volatile long base = now() - steady();
-
-    private Wall() { }
-
-    private static LongBuffer off(String file) {
-        if (file == null) {
-            return null;
-        }
-        try (FileChannel channel = FileChannel.open(Path.of(file))) {
-            return channel.map(FileChannel.MapMode.READ_ONLY, 0, Long.BYTES).asLongBuffer();
-        } catch (IOException e) {
-            throw new UncheckedIOException("the rig's clock cannot be read", e);
-        }
-    }
+  /**
+   * Names a file of eight bytes, ms by which this process's time of day is off; the rig alone sets
+   * it.
+   */
+  public static final String OFF = "wharftrestle.clock";
 
-    private static long steady() {
-        return System.nanoTime() / 1_000_000;
-    }
+  private static final LongBuffer BY = off(System.getProperty(OFF));
+  private static volatile long base = now() - steady();
 
-    /** The time of day, Unix ms; it may step. */
-    public static long now() {
-        return System.currentTimeMillis() + (BY == null ? 0 : BY.get(0));
-    }
+  private Wall() {}
 
-    /** The time on the scale that never steps, ms. */
-    public static long even() {
-        return base + steady();
+  private static LongBuffer off(String file) {
+    if (file == null) {
+      return null;
     }
-
-    /** A stamp of the machine's clock, Unix ms, as it lies on the scale that never steps; none lies ahead of now. */
-    public static long even(long stamp) {
-        return even() - Math.max(0, now() - stamp);
+    try (FileChannel channel = FileChannel.open(Path.of(file))) {
+      return channel.map(FileChannel.MapMode.READ_ONLY, 0, Long.BYTES).asLongBuffer();
+    } catch (IOException e) {
+      throw new UncheckedIOException("the rig's clock cannot be read", e);
     }
+  }
 
-    /** Where the scale of this process begins, ms; another process of this machine goes on with it. */
-    public static long base() {
-        return base;
-    }
+  private static long steady() {
+    return System.nanoTime() / 1_000_000;
+  }
 
-    /** Goes on with the scale of the process before; nothing may have been stamped here yet. */
-    public static void adopt(long theirs) {
-        base = theirs;
-    }
+  /** The time of day, Unix ms; it may step. */
+  public static long now() {
+    return System.currentTimeMillis() + (BY == null ? 0 : BY.get(0));
+  }
+
+  /** The time on the scale that never steps, ms. */
+  public static long even() {
+    return base + steady();
+  }
+
+  /**
+   * A stamp of the machine's clock, Unix ms, as it lies on the scale that never steps; none lies
+   * ahead of now.
+   */
+  public static long even(long stamp) {
+    return even() - Math.max(0, now() - stamp);
+  }
+
+  /**
+   * Where the scale of this process begins, ms; another process of this machine goes on with it.
+   */
+  public static long base() {
+    return base;
+  }
+
+  /** Goes on with the scale of the process before; nothing may have been stamped here yet. */
+  public static void adopt(long theirs) {
+    base = theirs;
+  }
 }
--- a/src/main/java/wharftrestle/core/Partner.java
+++ b/src/main/java/wharftrestle/core/Partner.java
@@ -13,381 +13,407 @@
 import wharftrestle.keys.KeyTable;
 
 /**
- * The core's face for the other process of its box: each word of that process enters here, under the core's lock, and
- * {@link Between} decides what it means. It owns the tries that wait for that process's word. It must never hold the lock
- * while it waits for the other side.
+ * The core's face for the other process of its box: each word of that process enters here, under
+ * the core's lock, and {@link Between} decides what it means. It owns the tries that wait for that
+ * process's word. It must never hold the lock while it waits for the other side.
  */
 public final class Partner implements Between.Host<Task> {
-    private final Core core;
-    private final KeyTable<Task> keys;
-    private final Between<Task> between;
-    private final Set<Task> asking = new HashSet<>();
-    private Recorder recorder;
-    private double roomlessUntil = Double.NEGATIVE_INFINITY;
-
-    Partner(Core core, KeyTable<Task> keys) {
-        this.core = core;
-        this.keys = keys;
-        between = new Between<>(keys, this);
-    }
-
-    /** Before the first request. */
-    void records(Recorder records) {
-        recorder = records;
-    }
-
-    Between<Task> between() {
-        return between;
-    }
-
-    // ---- The steps of a hand-over ----
-
-    /** What is known of keys now, and what there is room for. */
-    public Terms.Room room() {
-        core.lock();
-        try {
-            return new Terms.Room(keys.size(), recorder.mostKeys(), keys.resultBytes(), core.mostResultBytes());
-        } finally {
-            core.unlock();
-        }
-    }
-
-    /**
-     * Tells a process that asked all keys that are settled, and from now on what settles; this one owns them still. Waits
-     * for the other side, so the lock is held for one key at a time.
-     *
-     * @return how many, or -1 where the other side did not take them, or nobody wants them any more
-     */
-    public int tellSettled(Other to) {
-        List<Digest> all;
-        core.lock();
-        try {
-            all = between.tellsSettled(to);
-        } finally {
-            core.unlock();
-        }
-        return tell(to, all);
-    }
-
-    /** The same for a process of format 1, which has been handed all by now. */
-    public int tellSettledAfter(Other to) {
-        List<Digest> all;
-        core.lock();
-        try {
-            all = keys.settled();
-        } finally {
-            core.unlock();
-        }
-        return tell(to, all);
-    }
-
-    private int tell(Other to, List<Digest> all) {
-        int told = 0;
-        for (Digest key : all) {
-            Over over;
-            core.lock();
-            try {
-                over = between.settled(key, recorder.on(), core.now());
-            } finally {
-                core.unlock();
-            }
-            if (over != null) {
-                if (!to.tellOver(over)) {
-                    return -1;
-                }
-                told++;
-            }
-        }
-        return told;
-    }
-
-    public void stopTelling() {
-        core.lock();
-        try {
-            between.stopsTelling();
-        } finally {
-            core.unlock();
-        }
-    }
-
-    /** True where what settled while all was told could not be told. */
-    public boolean lagged() {
-        core.lock();
-        try {
-            return between.lagged();
-        } finally {
-            core.unlock();
-        }
-    }
-
-    /**
-     * In one step hands all keys over, and with them the say about every further one. What is held or runs here stays
-     * here; its end is told.
-     */
-    public int handOver(Other to) {
-        core.lock();
-        try {
-            int handed = between.handOver(to, core.now());
-            core.halved(true);
-            return handed;
-        } finally {
-            core.unlock();
-        }
-    }
-
-    /** From here on the other process of this box is known; its keys follow, and this one is to own them all. */
-    public void join(Other from, double stretch) {
-        core.lock();
-        try {
-            between.join(from, stretch);
-            core.halved(true);
-        } finally {
-            core.unlock();
-        }
-    }
-
-    /** This process took over and cannot go on: it has run nothing and gives all back. */
-    public void giveBack() {
-        core.lock();
-        try {
-            between.givesBack();
-            wakeAll();
-        } finally {
-            core.unlock();
-        }
-    }
-
-    /** The other process is gone: what it had in hand has an unknown end, which fails and never runs again. */
-    public void otherGone() {
-        core.lock();
-        try {
-            between.gone();
-            recorder.saveUnsaved();
-            wakeAll();
-            core.halved(false);
-        } finally {
-            core.unlock();
-        }
-    }
-
-    /** Until a window is over no key that is not known may run: what ran here could not be carried along. */
-    public void unknownFail(double seconds) {
-        core.lock();
-        try {
-            keys.blind(core.now() + seconds);
-        } finally {
-            core.unlock();
-        }
-    }
-
-    private void wakeAll() {
-        asking.forEach(task -> task.signal.signal());
-    }
-
-    // ---- What the other process says ----
-
-    public void heard(Over over) {
-        boolean first = false;
-        core.lock();
-        try {
-            double now = core.now();
-            if (!between.heard(over, now)) {
-                first = now > roomlessUntil;
-                roomlessUntil = Math.max(roomlessUntil, now + over.secondsLeft());
-            }
-        } finally {
-            core.unlock();
-        }
-        if (first) {
-            Logger.warn("there is no room for all keys of the other process: unknown ones fail for up to {} s",
-                    Math.round(over.secondsLeft()));
-        }
-    }
-
-    public void heard(Kept kept) {
-        core.lock();
-        try {
-            between.heard(kept, core.now());
-            core.settleIfUp();
-        } finally {
-            core.unlock();
-        }
-    }
-
-    public void ended(String key, byte[] result) {
-        core.lock();
-        try {
-            between.ended(key, result);
-            core.settleIfUp();
-        } finally {
-            core.unlock();
+  private final Core core;
+  private final KeyTable<Task> keys;
+  private final Between<Task> between;
+  private final Set<Task> asking = new HashSet<>();
+  private Recorder recorder;
+  private double roomlessUntil = Double.NEGATIVE_INFINITY;
+
+  Partner(Core core, KeyTable<Task> keys) {
+    this.core = core;
+    this.keys = keys;
+    between = new Between<>(keys, this);
+  }
+
+  /** Before the first request. */
+  void records(Recorder records) {
+    recorder = records;
+  }
+
+  Between<Task> between() {
+    return between;
+  }
+
+  // ---- The steps of a hand-over ----
+
+  /** What is known of keys now, and what there is room for. */
+  public Terms.Room room() {
+    core.lock();
+    try {
+      return new Terms.Room(
+          keys.size(), recorder.mostKeys(), keys.resultBytes(), core.mostResultBytes());
+    } finally {
+      core.unlock();
+    }
+  }
+
+  /**
+   * Tells a process that asked all keys that are settled, and from now on what settles; this one
+   * owns them still. Waits for the other side, so the lock is held for one key at a time.
+   *
+   * @return how many, or -1 where the other side did not take them, or nobody wants them any more
+   */
+  public int tellSettled(Other to) {
+    List<Digest> all;
+    core.lock();
+    try {
+      all = between.tellsSettled(to);
+    } finally {
+      core.unlock();
+    }
+    return tell(to, all);
+  }
+
+  /** The same for a process of format 1, which has been handed all by now. */
+  public int tellSettledAfter(Other to) {
+    List<Digest> all;
+    core.lock();
+    try {
+      all = keys.settled();
+    } finally {
+      core.unlock();
+    }
+    return tell(to, all);
+  }
+
+  private int tell(Other to, List<Digest> all) {
+    int told = 0;
+    for (Digest key : all) {
+      Over over;
+      core.lock();
+      try {
+        over = between.settled(key, recorder.on(), core.now());
+      } finally {
+        core.unlock();
+      }
+      if (over != null) {
+        if (!to.tellOver(over)) {
+          return -1;
         }
-    }
-
-    public void freed(String key) {
-        core.lock();
-        try {
-            between.freed(key);
-            core.settleIfUp();
-        } finally {
-            core.unlock();
-        }
-    }
-
-    public void claimed(String key, long door, byte[] body) {
-        Between.Reread<Task> reread;
-        core.lock();
-        try {
-            reread = between.claimed(key, door, body, core.now());
-        } finally {
-            core.unlock();
-        }
-        if (reread != null) {
-            // A settled key: where its result lies on disk it is read there, so not under the lock.
-            reread.tell(reread.entry().onDisk() ? recorder.read(key, reread.entry().place()) : reread.inMemory());
-        }
-    }
-
-    public void intendElsewhere(String key) {
-        core.lock();
-        try {
-            recorder.intendElsewhere(key);
-        } finally {
-            core.unlock();
-        }
-    }
-
-    public void intendedElsewhere(String key, boolean written) {
-        core.lock();
-        try {
-            KeyTable.Entry<Task> entry = keys.find(key);
-            if (entry != null && entry.holder() != null) {
-                recorder.intended(entry.holder(), written);
-                core.settleIfUp();
-            }
-        } finally {
-            core.unlock();
-        }
-    }
-
-    public void savedElsewhere(String key) {
-        core.lock();
-        try {
-            KeyTable.Entry<Task> entry = keys.find(key);
-            if (entry != null) {
-                recorder.saved(entry, -1);
-            }
-        } finally {
-            core.unlock();
-        }
-    }
-
-    public void granted(String key) {
-        core.lock();
-        try {
-            wake(key, true);
-        } finally {
-            core.unlock();
-        }
-    }
-
-    // ---- What the requests of this process ask and tell ----
-
-    /** A keyed request that this process reads after it handed all keys over waits for the owner's word. */
-    void ask(Task task) {
-        core.lock();
-        try {
-            if (!mustAsk(task)) {
-                return;
-            }
-            Core.Arrival a = task.arrival;
-            asking.add(task);
-            between.other().claim(task.key, a.door(), a.body());
-            double due = core.due(a, core.now());
-            while (between.other() != null && !task.granted && !task.answered && !between.known(task.key, a.door())
-                    && core.now() < due) {
-                task.signal.awaitNanos((long) ((due - core.now()) * 1e9) + 1);
-            }
-            asking.remove(task);
-        } catch (InterruptedException e) {
-            throw new IllegalStateException("nobody interrupts a request", e);
-        } finally {
-            core.unlock();
-        }
-    }
-
-    /** True where this try may not be taken before the other process was asked; also without the lock. */
-    boolean mustAsk(Task task) {
-        core.lock();
-        try {
-            return between.mustAsk(task.key, task.arrival.door());
-        } finally {
-            core.unlock();
-        }
-    }
-
-    /** True where this try may not be taken, as the process that owns its key is silent; under the lock. */
-    boolean unasked(Task task) {
-        return between.other() != null && !between.owner() && !task.granted;
-    }
-
-    /** Guards against a second run should this process die early: the other one knows of this one before it begins. */
-    void tellBeforeRun(Task task) {
-        Other told;
-        Kept kept;
-        core.lock();
-        try {
-            told = between.other();
-            kept = between.beforeRun(task.entry, core.now());
-        } finally {
-            core.unlock();
-        }
-        if (kept != null) {
-            told.tellSurely(kept);
-        }
-    }
-
-    /** This try is forgotten; the others in hand say whether its key is; under the lock. */
-    void forgotten(Task task, Iterable<Task> inHand) {
-        if (between.other() == null || task.key == null) {
-            return;
-        }
-        boolean held = asking.stream().anyMatch(task::sameKey);
-        for (Task each : inHand) {
-            held |= each.key != null && task.sameKey(each);
-        }
-        between.tellFree(task.key, held);
-    }
-
-    // ---- What Between needs of the tries ----
-
-    @Override
-    public long door(Task holder) {
-        return holder.arrival.door();
-    }
-
-    @Override
-    public double window(String key) {
-        return core.window(Task.classOf(key)) + KeyTable.SLACK;
-    }
-
-    @Override
-    public void finished(KeyTable.Entry<Task> entry, byte[] result) {
-        core.finish(entry, result);
-    }
-
-    @Override
-    public void voided(KeyTable.Entry<Task> entry) {
-        recorder.voided(entry);
-    }
-
-    @Override
-    public void wake(String key, boolean granted) {
-        for (Task task : asking) {
-            if (key.equals(task.key)) {
-                task.granted |= granted;
-                task.signal.signal();
-            }
-        }
-    }
+        told++;
+      }
+    }
+    return told;
+  }
+
+  public void stopTelling() {
+    core.lock();
+    try {
+      between.stopsTelling();
+    } finally {
+      core.unlock();
+    }
+  }
+
+  /** True where what settled while all was told could not be told. */
+  public boolean lagged() {
+    core.lock();
+    try {
+      return between.lagged();
+    } finally {
+      core.unlock();
+    }
+  }
+
+  /**
+   * In one step hands all keys over, and with them the say about every further one. What is held or
+   * runs here stays here; its end is told.
+   */
+  public int handOver(Other to) {
+    core.lock();
+    try {
+      int handed = between.handOver(to, core.now());
+      core.halved(true);
+      return handed;
+    } finally {
+      core.unlock();
+    }
+  }
+
+  /**
+   * From here on the other process of this box is known; its keys follow, and this one is to own
+   * them all.
+   */
+  public void join(Other from, double stretch) {
+    core.lock();
+    try {
+      between.join(from, stretch);
+      core.halved(true);
+    } finally {
+      core.unlock();
+    }
+  }
+
+  /** This process took over and cannot go on: it has run nothing and gives all back. */
+  public void giveBack() {
+    core.lock();
+    try {
+      between.givesBack();
+      wakeAll();
+    } finally {
+      core.unlock();
+    }
+  }
+
+  /**
+   * The other process is gone: what it had in hand has an unknown end, which fails and never runs
+   * again.
+   */
+  public void otherGone() {
+    core.lock();
+    try {
+      between.gone();
+      recorder.saveUnsaved();
+      wakeAll();
+      core.halved(false);
+    } finally {
+      core.unlock();
+    }
+  }
+
+  /**
+   * Until a window is over no key that is not known may run: what ran here could not be carried
+   * along.
+   */
+  public void unknownFail(double seconds) {
+    core.lock();
+    try {
+      keys.blind(core.now() + seconds);
+    } finally {
+      core.unlock();
+    }
+  }
+
+  private void wakeAll() {
+    asking.forEach(task -> task.signal.signal());
+  }
+
+  // ---- What the other process says ----
+
+  public void heard(Over over) {
+    boolean first = false;
+    core.lock();
+    try {
+      double now = core.now();
+      if (!between.heard(over, now)) {
+        first = now > roomlessUntil;
+        roomlessUntil = Math.max(roomlessUntil, now + over.secondsLeft());
+      }
+    } finally {
+      core.unlock();
+    }
+    if (first) {
+      Logger.warn(
+          "there is no room for all keys of the other process: unknown ones fail for up to {} s",
+          Math.round(over.secondsLeft()));
+    }
+  }
+
+  public void heard(Kept kept) {
+    core.lock();
+    try {
+      between.heard(kept, core.now());
+      core.settleIfUp();
+    } finally {
+      core.unlock();
+    }
+  }
+
+  public void ended(String key, byte[] result) {
+    core.lock();
+    try {
+      between.ended(key, result);
+      core.settleIfUp();
+    } finally {
+      core.unlock();
+    }
+  }
+
+  public void freed(String key) {
+    core.lock();
+    try {
+      between.freed(key);
+      core.settleIfUp();
+    } finally {
+      core.unlock();
+    }
+  }
+
+  public void claimed(String key, long door, byte[] body) {
+    Between.Reread<Task> reread;
+    core.lock();
+    try {
+      reread = between.claimed(key, door, body, core.now());
+    } finally {
+      core.unlock();
+    }
+    if (reread != null) {
+      // A settled key: where its result lies on disk it is read there, so not under the lock.
+      reread.tell(
+          reread.entry().onDisk() ? recorder.read(key, reread.entry().place()) : reread.inMemory());
+    }
+  }
+
+  public void intendElsewhere(String key) {
+    core.lock();
+    try {
+      recorder.intendElsewhere(key);
+    } finally {
+      core.unlock();
+    }
+  }
+
+  public void intendedElsewhere(String key, boolean written) {
+    core.lock();
+    try {
+      KeyTable.Entry<Task> entry = keys.find(key);
+      if (entry != null && entry.holder() != null) {
+        recorder.intended(entry.holder(), written);
+        core.settleIfUp();
+      }
+    } finally {
+      core.unlock();
+    }
+  }
+
+  public void savedElsewhere(String key) {
+    core.lock();
+    try {
+      KeyTable.Entry<Task> entry = keys.find(key);
+      if (entry != null) {
+        recorder.saved(entry, -1);
+      }
+    } finally {
+      core.unlock();
+    }
+  }
+
+  public void granted(String key) {
+    core.lock();
+    try {
+      wake(key, true);
+    } finally {
+      core.unlock();
+    }
+  }
+
+  // ---- What the requests of this process ask and tell ----
+
+  /**
+   * A keyed request that this process reads after it handed all keys over waits for the owner's
+   * word.
+   */
+  void ask(Task task) {
+    core.lock();
+    try {
+      if (!mustAsk(task)) {
+        return;
+      }
+      Core.Arrival a = task.arrival;
+      asking.add(task);
+      between.other().claim(task.key, a.door(), a.body());
+      double due = core.due(a, core.now());
+      while (between.other() != null
+          && !task.granted
+          && !task.answered
+          && !between.known(task.key, a.door())
+          && core.now() < due) {
+        task.signal.awaitNanos((long) ((due - core.now()) * 1e9) + 1);
+      }
+      asking.remove(task);
+    } catch (InterruptedException e) {
+      throw new IllegalStateException("nobody interrupts a request", e);
+    } finally {
+      core.unlock();
+    }
+  }
+
+  /**
+   * True where this try may not be taken before the other process was asked; also without the lock.
+   */
+  boolean mustAsk(Task task) {
+    core.lock();
+    try {
+      return between.mustAsk(task.key, task.arrival.door());
+    } finally {
+      core.unlock();
+    }
+  }
+
+  /**
+   * True where this try may not be taken, as the process that owns its key is silent; under the
+   * lock.
+   */
+  boolean unasked(Task task) {
+    return between.other() != null && !between.owner() && !task.granted;
+  }
+
+  /**
+   * Guards against a second run should this process die early: the other one knows of this one
+   * before it begins.
+   */
+  void tellBeforeRun(Task task) {
+    Other told;
+    Kept kept;
+    core.lock();
+    try {
+      told = between.other();
+      kept = between.beforeRun(task.entry, core.now());
+    } finally {
+      core.unlock();
+    }
+    if (kept != null) {
+      told.tellSurely(kept);
+    }
+  }
+
+  /** This try is forgotten; the others in hand say whether its key is; under the lock. */
+  void forgotten(Task task, Iterable<Task> inHand) {
+    if (between.other() == null || task.key == null) {
+      return;
+    }
+    boolean held = asking.stream().anyMatch(task::sameKey);
+    for (Task each : inHand) {
+      held |= each.key != null && task.sameKey(each);
+    }
+    between.tellFree(task.key, held);
+  }
+
+  // ---- What Between needs of the tries ----
+
+  @Override
+  public long door(Task holder) {
+    return holder.arrival.door();
+  }
+
+  @Override
+  public double window(String key) {
+    return core.window(Task.classOf(key)) + KeyTable.SLACK;
+  }
+
+  @Override
+  public void finished(KeyTable.Entry<Task> entry, byte[] result) {
+    core.finish(entry, result);
+  }
+
+  @Override
+  public void voided(KeyTable.Entry<Task> entry) {
+    recorder.voided(entry);
+  }
+
+  @Override
+  public void wake(String key, boolean granted) {
+    for (Task task : asking) {
+      if (key.equals(task.key)) {
+        task.granted |= granted;
+        task.signal.signal();
+      }
+    }
+  }
 }
--- a/src/main/java/wharftrestle/core/Recorder.java
+++ b/src/main/java/wharftrestle/core/Recorder.java
@@ -14,204 +14,228 @@
 import wharftrestle.policy.Admission.Outcome;
 
 /**
- * Intents and results of keyed runs on their way to the disk and back: what the request in hand does for it, step by
- * step. It owns which records there are; none of them, and then it does nothing. It must never let a run begin before its
- * intent is kept, or a result go out before it is; the {@link KeyTable} decides what a key may do. Guarded by the core's
- * lock, but for what says otherwise.
+ * Intents and results of keyed runs on their way to the disk and back: what the request in hand
+ * does for it, step by step. It owns which records there are; none of them, and then it does
+ * nothing. It must never let a run begin before its intent is kept, or a result go out before it
+ * is; the {@link KeyTable} decides what a key may do. Guarded by the core's lock, but for what says
+ * otherwise.
  */
 final class Recorder {
-    private final Core core;
-    private final KeyTable<Task> keys;
-    private final KeyRoom room;
-    private final Between<Task> between;
-    private volatile Records records;        // null where no results are kept
-    private int most;
-
-    Recorder(Core core, KeyTable<Task> keys, KeyRoom room, Between<Task> between) {
-        this.core = core;
-        this.keys = keys;
-        this.room = room;
-        this.between = between;
-    }
-
-    /** From now on no keyed run begins before its intent is kept, and none is answered before its result is. */
-    void record(Records kept) {
-        records = kept;
-        most = Math.min(kept.mostKeys(), room.mostKeysOnDisk());
-        if (most < kept.mostKeys()) {
-            Logger.warn("memory holds {} keys of the {} that are set", most, kept.mostKeys());
-        }
-        keys.record(most);
-    }
-
-    /** True where results are kept; also without the lock. */
-    boolean on() {
-        return records != null;
-    }
-
-    /** Keys known at most. */
-    int mostKeys() {
-        return records == null ? room.mostKeys() : most;
-    }
-
-    /** The figures of kept results, empty where none are kept; also without the lock. */
-    Map<ResultFigure, Long> figures(long indexBytes) {
-        Records kept = records;
-        if (kept == null) {
-            return Map.of();
-        }
-        Map<ResultFigure, Long> all = kept.figures();
-        all.put(ResultFigure.INDEX_BYTES, indexBytes);
-        return all;
-    }
-
-    /** Why a new key cannot be recorded now; null where it can, or need not. */
-    Records.Refusal refusal() {
-        return records == null || !between.owner() ? null
-                : keys.size() >= most ? Records.Refusal.KEYS_FULL : records.refusal();
-    }
-
-    Answer unrecorded(Records.Refusal why) {
-        return Answer.refused(Math.min(core.settings().maxRetryAfter(), records.again(why)), false);
-    }
-
-    private Records.Keyed keyed(KeyTable.Entry<Task> entry) {
-        return new Records.Keyed(entry.key(), entry.lastDoor(), core.window(Task.classOf(entry.key())) + KeyTable.SLACK,
-                entry.asked().brief());
-    }
-
-    /** True while the intent of this try's run is on its way to the disk. */
-    boolean recording(Task task) {
-        return task.entry != null && task.entry.holder() == task && task.entry.state() == KeyState.RECORDING;
-    }
-
-    /** Has the intent of a run written; word of that is its next step, or its refusal. */
-    void intend(Task task) {
-        if (!recording(task)) {
-            return;
-        }
-        if (!between.owner() && between.other() != null) {
-            // The other process writes: its word comes by intendedElsewhere.
-            task.recordBy = core.now() + 2 * records.patience();
-            between.other().intend(task.key, task.arrival.door(), task.arrival.body());
-            return;
-        }
-        task.recordBy = core.now() + records.patience();
-        task.intent = records.intend(keyed(task.entry), place -> {
-            core.lock();
-            try {
+  private final Core core;
+  private final KeyTable<Task> keys;
+  private final KeyRoom room;
+  private final Between<Task> between;
+  private volatile Records records; // null where no results are kept
+  private int most;
+
+  Recorder(Core core, KeyTable<Task> keys, KeyRoom room, Between<Task> between) {
+    this.core = core;
+    this.keys = keys;
+    this.room = room;
+    this.between = between;
+  }
+
+  /**
+   * From now on no keyed run begins before its intent is kept, and none is answered before its
+   * result is.
+   */
+  void record(Records kept) {
+    records = kept;
+    most = Math.min(kept.mostKeys(), room.mostKeysOnDisk());
+    if (most < kept.mostKeys()) {
+      Logger.warn("memory holds {} keys of the {} that are set", most, kept.mostKeys());
+    }
+    keys.record(most);
+  }
+
+  /** True where results are kept; also without the lock. */
+  boolean on() {
+    return records != null;
+  }
+
+  /** Keys known at most. */
+  int mostKeys() {
+    return records == null ? room.mostKeys() : most;
+  }
+
+  /** The figures of kept results, empty where none are kept; also without the lock. */
+  Map<ResultFigure, Long> figures(long indexBytes) {
+    Records kept = records;
+    if (kept == null) {
+      return Map.of();
+    }
+    Map<ResultFigure, Long> all = kept.figures();
+    all.put(ResultFigure.INDEX_BYTES, indexBytes);
+    return all;
+  }
+
+  /** Why a new key cannot be recorded now; null where it can, or need not. */
+  Records.Refusal refusal() {
+    return records == null || !between.owner()
+        ? null
+        : keys.size() >= most ? Records.Refusal.KEYS_FULL : records.refusal();
+  }
+
+  Answer unrecorded(Records.Refusal why) {
+    return Answer.refused(Math.min(core.settings().maxRetryAfter(), records.again(why)), false);
+  }
+
+  private Records.Keyed keyed(KeyTable.Entry<Task> entry) {
+    return new Records.Keyed(
+        entry.key(),
+        entry.lastDoor(),
+        core.window(Task.classOf(entry.key())) + KeyTable.SLACK,
+        entry.asked().brief());
+  }
+
+  /** True while the intent of this try's run is on its way to the disk. */
+  boolean recording(Task task) {
+    return task.entry != null
+        && task.entry.holder() == task
+        && task.entry.state() == KeyState.RECORDING;
+  }
+
+  /** Has the intent of a run written; word of that is its next step, or its refusal. */
+  void intend(Task task) {
+    if (!recording(task)) {
+      return;
+    }
+    if (!between.owner() && between.other() != null) {
+      // The other process writes: its word comes by intendedElsewhere.
+      task.recordBy = core.now() + 2 * records.patience();
+      between.other().intend(task.key, task.arrival.door(), task.arrival.body());
+      return;
+    }
+    task.recordBy = core.now() + records.patience();
+    task.intent =
+        records.intend(
+            keyed(task.entry),
+            place -> {
+              core.lock();
+              try {
                 intended(task, place >= 0);
-            } finally {
+              } finally {
                 core.unlock();
-            }
+              }
+            });
+    if (task.intent == null) {
+      Records.Refusal why = records.refusal();
+      neverBegun(task, why == null ? Records.Refusal.STORE_FULL : why);
+    }
+  }
+
+  /** An intent is on disk, or cannot be. */
+  void intended(Task task, boolean written) {
+    if (!recording(task)) {
+      return; // withdrawn meanwhile
+    }
+    if (!written) {
+      neverBegun(task, Records.Refusal.DISK_FAILED);
+    } else if (task.answered) {
+      // Nobody waits any more, and nothing ran: a further try may.
+      neverBegun(task, null);
+    } else {
+      keys.recorded(task.entry);
+      task.step(Task.Step.of(Task.Kind.SPAWN));
+    }
+  }
+
+  /** A run that was decided is not begun, and its key is free again. */
+  void neverBegun(Task task, Records.Refusal why) {
+    if (task.intent != null) {
+      records.withdraw(task.intent, keyed(task.entry));
+    }
+    if (why != null) {
+      core.count(Count.GUARDED);
+      core.answer(task, unrecorded(why));
+    }
+    task.steps.removeIf(
+        step -> step.kind() == Task.Kind.INTEND || step.kind() == Task.Kind.SUSPEND);
+    core.tellRunOver(task, Outcome.VOID, 0, null);
+  }
+
+  /** A run of this key was never begun. */
+  void voided(KeyTable.Entry<Task> entry) {
+    if (records != null && between.owner()) {
+      records.voided(keyed(entry));
+    }
+  }
+
+  /**
+   * A run of this key is over, and the key knows it; the result is null where it has none to give.
+   */
+  void ended(KeyTable.Entry<Task> entry, byte[] result) {
+    if (records != null && between.owner()) {
+      save(entry, result);
+    }
+  }
+
+  private void save(KeyTable.Entry<Task> entry, byte[] result) {
+    records.ended(
+        keyed(entry),
+        result,
+        place -> {
+          core.lock();
+          try {
+            saved(entry, place);
+          } finally {
+            core.unlock();
+          }
         });
-        if (task.intent == null) {
-            Records.Refusal why = records.refusal();
-            neverBegun(task, why == null ? Records.Refusal.STORE_FULL : why);
-        }
-    }
-
-    /** An intent is on disk, or cannot be. */
-    void intended(Task task, boolean written) {
-        if (!recording(task)) {
-            return;   // withdrawn meanwhile
-        }
-        if (!written) {
-            neverBegun(task, Records.Refusal.DISK_FAILED);
-        } else if (task.answered) {
-            // Nobody waits any more, and nothing ran: a further try may.
-            neverBegun(task, null);
-        } else {
-            keys.recorded(task.entry);
-            task.step(Task.Step.of(Task.Kind.SPAWN));
-        }
-    }
-
-    /** A run that was decided is not begun, and its key is free again. */
-    void neverBegun(Task task, Records.Refusal why) {
-        if (task.intent != null) {
-            records.withdraw(task.intent, keyed(task.entry));
-        }
-        if (why != null) {
-            core.count(Count.GUARDED);
-            core.answer(task, unrecorded(why));
-        }
-        task.steps.removeIf(step -> step.kind() == Task.Kind.INTEND || step.kind() == Task.Kind.SUSPEND);
-        core.tellRunOver(task, Outcome.VOID, 0, null);
-    }
-
-    /** A run of this key was never begun. */
-    void voided(KeyTable.Entry<Task> entry) {
-        if (records != null && between.owner()) {
-            records.voided(keyed(entry));
-        }
-    }
-
-    /** A run of this key is over, and the key knows it; the result is null where it has none to give. */
-    void ended(KeyTable.Entry<Task> entry, byte[] result) {
-        if (records != null && between.owner()) {
-            save(entry, result);
-        }
-    }
-
-    private void save(KeyTable.Entry<Task> entry, byte[] result) {
-        records.ended(keyed(entry), result, place -> {
-            core.lock();
-            try {
-                saved(entry, place);
-            } finally {
-                core.unlock();
-            }
-        });
-    }
-
-    /** What the other process of the box was to write, and is gone, is written here. */
-    void saveUnsaved() {
-        if (records != null) {
-            keys.unsaved().forEach(entry -> save(entry, keys.result(entry)));
-        }
-    }
-
-    /** A result is on disk, or with a place below 0 cannot be: its intent is, so it never runs again, and is answered. */
-    void saved(KeyTable.Entry<Task> entry, long place) {
-        if (entry.state() != KeyState.SAVING) {
-            return;
-        }
-        keys.saved(entry, place);
-        if (entry.holder() != null) {
-            core.answer(entry.holder(), Answer.served(keys.result(entry)));
-            if (between.other() != null && !between.owner()) {
-                // It was on its way when the keys were handed over.
-                between.other().ended(entry.key(), keys.result(entry));
-            }
-        } else if (between.other() != null) {
-            between.other().saved(entry.key());
-        }
-        between.follow(entry.key(), true, core.now());
-        core.settleSoonIfUp();
-    }
-
-    /** The other process is about to run a key that it has in hand: its intent is written here. */
-    void intendElsewhere(String key) {
-        KeyTable.Entry<Task> entry = keys.find(key);
-        Other asks = between.other();
-        if (asks == null) {
-            return;
-        }
-        boolean asked = records != null && keys.elsewhere(entry)
-                && records.intend(keyed(entry), place -> asks.intended(key, place >= 0)) != null;
-        if (!asked) {
-            asks.intended(key, false);
-        }
-    }
-
-    /** The result that lies there, null where it cannot be read; never under the lock. */
-    byte[] read(String key, long place) {
-        try {
-            return records.read(key, place);
-        } catch (IOException e) {
-            Logger.error("a kept result cannot be read: {}", e.toString());
-            return null;
-        }
-    }
+  }
+
+  /** What the other process of the box was to write, and is gone, is written here. */
+  void saveUnsaved() {
+    if (records != null) {
+      keys.unsaved().forEach(entry -> save(entry, keys.result(entry)));
+    }
+  }
+
+  /**
+   * A result is on disk, or with a place below 0 cannot be: its intent is, so it never runs again,
+   * and is answered.
+   */
+  void saved(KeyTable.Entry<Task> entry, long place) {
+    if (entry.state() != KeyState.SAVING) {
+      return;
+    }
+    keys.saved(entry, place);
+    if (entry.holder() != null) {
+      core.answer(entry.holder(), Answer.served(keys.result(entry)));
+      if (between.other() != null && !between.owner()) {
+        // It was on its way when the keys were handed over.
+        between.other().ended(entry.key(), keys.result(entry));
+      }
+    } else if (between.other() != null) {
+      between.other().saved(entry.key());
+    }
+    between.follow(entry.key(), true, core.now());
+    core.settleSoonIfUp();
+  }
+
+  /** The other process is about to run a key that it has in hand: its intent is written here. */
+  void intendElsewhere(String key) {
+    KeyTable.Entry<Task> entry = keys.find(key);
+    Other asks = between.other();
+    if (asks == null) {
+      return;
+    }
+    boolean asked =
+        records != null
+            && keys.elsewhere(entry)
+            && records.intend(keyed(entry), place -> asks.intended(key, place >= 0)) != null;
+    if (!asked) {
+      asks.intended(key, false);
+    }
+  }
+
+  /** The result that lies there, null where it cannot be read; never under the lock. */
+  byte[] read(String key, long place) {
+    try {
+      return records.read(key, place);
+    } catch (IOException e) {
+      Logger.error("a kept result cannot be read: {}", e.toString());
+      return null;
+    }
+  }
 }
--- a/src/main/java/wharftrestle/core/Records.java
+++ b/src/main/java/wharftrestle/core/Records.java
@@ -6,87 +6,92 @@
 import wharftrestle.ops.ResultFigure;
 
 /**
- * Where intents and results of keyed runs are kept, as the core sees it. None of these waits for the disk but {@link
- * #read}, so all others may be called under the core's lock. It must never decide whether a key may run.
+ * Where intents and results of keyed runs are kept, as the core sees it. None of these waits for
+ * the disk but {@link #read}, so all others may be called under the core's lock. It must never
+ * decide whether a key may run.
  */
 public interface Records {
 
-    /** Why a key cannot be recorded now, and so may not run. */
-    enum Refusal {
-        STORE_FULL("the store of results is full"),
-        KEYS_FULL("as many keys are known as may be"),
-        DISK_BUSY("too much waits for the disk"),
-        DISK_STALLED("the disk is silent"),
-        DISK_FAILED("the disk fails");
+  /** Why a key cannot be recorded now, and so may not run. */
+  enum Refusal {
+    STORE_FULL("the store of results is full"),
+    KEYS_FULL("as many keys are known as may be"),
+    DISK_BUSY("too much waits for the disk"),
+    DISK_STALLED("the disk is silent"),
+    DISK_FAILED("the disk fails");
 
-        private final String text;
+    private final String text;
 
-        Refusal(String text) {
-            this.text = text;
-        }
-
-        /** The reason in words. */
-        public String text() {
-            return text;
-        }
+    Refusal(String text) {
+      this.text = text;
     }
 
-    /**
-     * One key as it is recorded.
-     *
-     * @param lastDoor no try stamped up to here may run, Unix ms
-     * @param window   seconds, with its slack
-     * @param check    {@code keys.Digest.check} of the body
-     */
-    record Keyed(String key, long lastDoor, double window, long check) { }
-
-    /**
-     * What a dead process left of one key.
-     *
-     * @param place of its result, or -1 where its end is unknown
-     * @param until seconds on the clock of System.nanoTime
-     */
-    record Remembered(String key, long place, long lastDoor, double until, long check) { }
-
-    /**
-     * All that a dead process left.
-     *
-     * @param blindUntil until then keys that are not known fail, as some may be lost; in the past where none are
-     */
-    record Recovered(List<Remembered> keys, double blindUntil) { }
-
-    /** Told once, on another thread or within the call, where a record lies; -1 where it could not be written. */
-    interface Written {
-        void written(long place);
+    /** The reason in words. */
+    public String text() {
+      return text;
     }
-
-    /** Seconds for which an intent waits for the disk. */
-    double patience();
-
-    /** Keys known at most. */
-    int mostKeys();
-
-    /** Why no key can be recorded now; null where one can. */
-    Refusal refusal();
-
-    /** Counts a refusal; seconds until it is worth while to come again. */
-    double again(Refusal why);
-
-    /** Has an intent written; null, and no word of it, where it cannot be. */
-    Object intend(Keyed keyed, Written told);
-
-    /** The run of this intent is not begun, whatever became of the record. */
-    void withdraw(Object intent, Keyed keyed);
-
-    /** A recorded run was never begun. */
-    void voided(Keyed keyed);
-
-    /** A recorded run is over; the result is null where it has none to give. */
-    void ended(Keyed keyed, byte[] result, Written told);
-
-    /** The result that lies there; never under a lock. */
-    byte[] read(String key, long place) throws IOException;
-
-    /** All figures but the index, which the core knows. */
-    Map<ResultFigure, Long> figures();
+  }
+
+  /**
+   * One key as it is recorded.
+   *
+   * @param lastDoor no try stamped up to here may run, Unix ms
+   * @param window seconds, with its slack
+   * @param check {@code keys.Digest.check} of the body
+   */
+  record Keyed(String key, long lastDoor, double window, long check) {}
+
+  /**
+   * What a dead process left of one key.
+   *
+   * @param place of its result, or -1 where its end is unknown
+   * @param until seconds on the clock of System.nanoTime
+   */
+  record Remembered(String key, long place, long lastDoor, double until, long check) {}
+
+  /**
+   * All that a dead process left.
+   *
+   * @param blindUntil until then keys that are not known fail, as some may be lost; in the past
+   *     where none are
+   */
+  record Recovered(List<Remembered> keys, double blindUntil) {}
+
+  /**
+   * Told once, on another thread or within the call, where a record lies; -1 where it could not be
+   * written.
+   */
+  interface Written {
+    void written(long place);
+  }
+
+  /** Seconds for which an intent waits for the disk. */
+  double patience();
+
+  /** Keys known at most. */
+  int mostKeys();
+
+  /** Why no key can be recorded now; null where one can. */
+  Refusal refusal();
+
+  /** Counts a refusal; seconds until it is worth while to come again. */
+  double again(Refusal why);
+
+  /** Has an intent written; null, and no word of it, where it cannot be. */
+  Object intend(Keyed keyed, Written told);
+
+  /** The run of this intent is not begun, whatever became of the record. */
+  void withdraw(Object intent, Keyed keyed);
+
+  /** A recorded run was never begun. */
+  void voided(Keyed keyed);
+
+  /** A recorded run is over; the result is null where it has none to give. */
+  void ended(Keyed keyed, byte[] result, Written told);
+
+  /** The result that lies there; never under a lock. */
+  byte[] read(String key, long place) throws IOException;
+
+  /** All figures but the index, which the core knows. */
+  Map<ResultFigure, Long> figures();
 }
--- a/src/main/java/wharftrestle/drive/Events.java
+++ b/src/main/java/wharftrestle/drive/Events.java
@@ -9,42 +9,54 @@
 import java.util.Map;
 import wharftrestle.clock.Wall;
 
-/** What a driver tells: a line an event, for people or as a JSON object; each names the epoch and the stage. */
+/**
+ * What a driver tells: a line an event, for people or as a JSON object; each names the epoch and
+ * the stage.
+ */
 final class Events {
-    private static final ObjectMapper JSON = new ObjectMapper();
+  private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final PrintStream out;
-    private final boolean json;
+  private final PrintStream out;
+  private final boolean json;
 
-    Events(PrintStream out, boolean json) {
-        this.out = out;
-        this.json = json;
-    }
+  Events(PrintStream out, boolean json) {
+    this.out = out;
+    this.json = json;
+  }
 
-    /** @param stage from 1 */
-    synchronized void tell(long epoch, int stage, String what, String box, String why) {
-        if (!json) {
-            out.println(LocalTime.now().truncatedTo(ChronoUnit.SECONDS) + "  epoch " + epoch + " stage " + stage + "  "
-                    + what
-                    + (box.isEmpty() ? "" : " " + box) + (why.isEmpty() ? "" : ": " + why));
-        } else {
-            Map<String, Object> all = new LinkedHashMap<>();
-            all.put("at", Wall.now());
-            all.put("epoch", epoch);
-            all.put("stage", stage);
-            all.put("what", what);
-            if (!box.isEmpty()) {
-                all.put("box", box);
-            }
-            if (!why.isEmpty()) {
-                all.put("why", why);
-            }
-            try {
-                out.println(JSON.writeValueAsString(all));
-            } catch (JsonProcessingException e) {
-                throw new IllegalStateException(e);
-            }
-        }
-        out.flush();
+  /**
+   * @param stage from 1
+   */
+  synchronized void tell(long epoch, int stage, String what, String box, String why) {
+    if (!json) {
+      out.println(
+          LocalTime.now().truncatedTo(ChronoUnit.SECONDS)
+              + "  epoch "
+              + epoch
+              + " stage "
+              + stage
+              + "  "
+              + what
+              + (box.isEmpty() ? "" : " " + box)
+              + (why.isEmpty() ? "" : ": " + why));
+    } else {
+      Map<String, Object> all = new LinkedHashMap<>();
+      all.put("at", Wall.now());
+      all.put("epoch", epoch);
+      all.put("stage", stage);
+      all.put("what", what);
+      if (!box.isEmpty()) {
+        all.put("box", box);
+      }
+      if (!why.isEmpty()) {
+        all.put("why", why);
+      }
+      try {
+        out.println(JSON.writeValueAsString(all));
+      } catch (JsonProcessingException e) {
+        throw new IllegalStateException(e);
+      }
     }
+    out.flush();
+  }
 }
--- a/src/main/java/wharftrestle/drive/KeeperCall.java
+++ b/src/main/java/wharftrestle/drive/KeeperCall.java
@@ -14,76 +14,101 @@
 import wharftrestle.fleet.Fence;
 
 /**
- * Calls a keeper. It owns the words on the wire and how long an answer is waited for; a call is made once and never
- * repeated.
+ * Calls a keeper. It owns the words on the wire and how long an answer is waited for; a call is
+ * made once and never repeated.
  */
 final class KeeperCall {
-    private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Duration PATIENCE = Duration.ofMillis(900);
-    private static final Duration LONG = Duration.ofSeconds(30);
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final Duration PATIENCE = Duration.ofMillis(900);
+  private static final Duration LONG = Duration.ofSeconds(30);
 
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(PATIENCE)
-            .build();
+  private final HttpClient client =
+      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(PATIENCE).build();
 
-    /** What a keeper said: the fence's answer, and how its box is. */
-    record Heard(Fence.Said said, String obeyed, JsonNode whole) { }
+  /** What a keeper said: the fence's answer, and how its box is. */
+  record Heard(Fence.Said said, String obeyed, JsonNode whole) {}
 
-    private JsonNode send(HttpRequest request) throws IOException {
-        try {
-            HttpResponse<String> answer = client.send(request, HttpResponse.BodyHandlers.ofString());
-            JsonNode read = JSON.readTree(answer.body());
-            if (answer.statusCode() != 200) {
-                throw new IOException(answer.statusCode() + ": " + read.path("why").asText());
-            }
-            return read;
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            throw new IOException("ended while it waited");
-        }
+  private JsonNode send(HttpRequest request) throws IOException {
+    try {
+      HttpResponse<String> answer = client.send(request, HttpResponse.BodyHandlers.ofString());
+      JsonNode read = JSON.readTree(answer.body());
+      if (answer.statusCode() != 200) {
+        throw new IOException(answer.statusCode() + ": " + read.path("why").asText());
+      }
+      return read;
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      throw new IOException("ended while it waited");
     }
+  }
 
-    private JsonNode get(String keeper, String path, Duration patience) throws IOException {
-        return send(HttpRequest.newBuilder(URI.create("http://" + keeper + path)).timeout(patience).build());
-    }
+  private JsonNode get(String keeper, String path, Duration patience) throws IOException {
+    return send(
+        HttpRequest.newBuilder(URI.create("http://" + keeper + path)).timeout(patience).build());
+  }
 
-    private Heard post(String keeper, String path, Map<String, Object> body) throws IOException {
-        JsonNode read = send(HttpRequest.newBuilder(URI.create("http://" + keeper + path)).timeout(PATIENCE)
-                .POST(HttpRequest.BodyPublishers.ofString(JSON.writeValueAsString(body))).build());
-        try {
-            return new Heard(new Fence.Said(Fence.Answer.valueOf(read.path("answer").asText()), read.path("stamp").asLong(),
-                    new Fence.Kept(read.path("epoch").asLong(), read.path("driver").asText(), read.path("target").asText(),
-                    read.path("orders").asInt())), read.path("obeyed").asText(), read);
-        } catch (IllegalArgumentException e) {
-            throw new IOException("no answer of a keeper: " + read);
-        }
+  private Heard post(String keeper, String path, Map<String, Object> body) throws IOException {
+    JsonNode read =
+        send(
+            HttpRequest.newBuilder(URI.create("http://" + keeper + path))
+                .timeout(PATIENCE)
+                .POST(HttpRequest.BodyPublishers.ofString(JSON.writeValueAsString(body)))
+                .build());
+    try {
+      return new Heard(
+          new Fence.Said(
+              Fence.Answer.valueOf(read.path("answer").asText()),
+              read.path("stamp").asLong(),
+              new Fence.Kept(
+                  read.path("epoch").asLong(),
+                  read.path("driver").asText(),
+                  read.path("target").asText(),
+                  read.path("orders").asInt())),
+          read.path("obeyed").asText(),
+          read);
+    } catch (IllegalArgumentException e) {
+      throw new IOException("no answer of a keeper: " + read);
     }
+  }
 
-    Heard claim(String keeper, long epoch, String driver) throws IOException {
-        return post(keeper, "/claim", Map.of("epoch", epoch, "driver", driver));
-    }
+  Heard claim(String keeper, long epoch, String driver) throws IOException {
+    return post(keeper, "/claim", Map.of("epoch", epoch, "driver", driver));
+  }
 
-    Heard ask(String keeper, long epoch, String driver, int stage, String verdict) throws IOException {
-        return post(keeper, "/ask", Map.of("epoch", epoch, "driver", driver, "stage", stage, "verdict", verdict));
-    }
+  Heard ask(String keeper, long epoch, String driver, int stage, String verdict)
+      throws IOException {
+    return post(
+        keeper,
+        "/ask",
+        Map.of("epoch", epoch, "driver", driver, "stage", stage, "verdict", verdict));
+  }
 
-    /** @param back from what was found bad: the keeper goes back to that by no means */
-    Heard order(String keeper, long epoch, String driver, long stamp, String to, boolean back) throws IOException {
-        return post(keeper, "/order", Map.of("epoch", epoch, "driver", driver, "stamp", stamp, "to", to,
-                "back", back));
-    }
+  /**
+   * @param back from what was found bad: the keeper goes back to that by no means
+   */
+  Heard order(String keeper, long epoch, String driver, long stamp, String to, boolean back)
+      throws IOException {
+    return post(
+        keeper,
+        "/order",
+        Map.of("epoch", epoch, "driver", driver, "stamp", stamp, "to", to, "back", back));
+  }
 
-    /** How the box is, to anybody. */
-    JsonNode box(String keeper) throws IOException {
-        return get(keeper, "/box", PATIENCE);
-    }
+  /** How the box is, to anybody. */
+  JsonNode box(String keeper) throws IOException {
+    return get(keeper, "/box", PATIENCE);
+  }
 
-    /** Asks a keeper for another box. */
-    JsonNode look(String keeper, String other, String front) throws IOException {
-        return get(keeper, "/look?keeper=" + other + (front.isEmpty() ? "" : "&front=" + front), PATIENCE.multipliedBy(3));
-    }
+  /** Asks a keeper for another box. */
+  JsonNode look(String keeper, String other, String front) throws IOException {
+    return get(
+        keeper,
+        "/look?keeper=" + other + (front.isEmpty() ? "" : "&front=" + front),
+        PATIENCE.multipliedBy(3));
+  }
 
-    /** Whether a box can go to a release. */
-    JsonNode release(String keeper, String name) throws IOException {
-        return get(keeper, "/release?name=" + URLEncoder.encode(name, StandardCharsets.UTF_8), LONG);
-    }
+  /** Whether a box can go to a release. */
+  JsonNode release(String keeper, String name) throws IOException {
+    return get(keeper, "/release?name=" + URLEncoder.encode(name, StandardCharsets.UTF_8), LONG);
+  }
 }
--- a/src/main/java/wharftrestle/drive/PlanScript.java
+++ b/src/main/java/wharftrestle/drive/PlanScript.java
@@ -17,251 +17,308 @@
 import wharftrestle.net.Address;
 import wharftrestle.settings.BadSettingsException;
 import wharftrestle.settings.Place;
-import wharftrestle.settings.Scripts.RefusedException;
 import wharftrestle.settings.Scripts;
+import wharftrestle.settings.Scripts.RefusedException;
 
 /**
- * The plan of a rolling change, in the settings' language: {@code box(...)} for each box of the fleet, and {@code
- * change(...)} once. It owns the words and their bounds; whatever is wrong is told with line and column before anything
- * starts.
+ * The plan of a rolling change, in the settings' language: {@code box(...)} for each box of the
+ * fleet, and {@code change(...)} once. It owns the words and their bounds; whatever is wrong is
+ * told with line and column before anything starts.
  *
- * @param plan   what is decided by
+ * @param plan what is decided by
  * @param fronts where callers reach each box, by its name; absent where the script does not say
  * @param window seconds over which boxes are compared
- * @param watch  seconds for which the fleet is watched before the first box goes
- * @param text   as it was read
+ * @param watch seconds for which the fleet is watched before the first box goes
+ * @param text as it was read
  */
-public record PlanScript(Plan plan, Map<String, String> fronts, double window, double watch, String text) {
-    private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
-    private static final long LONGEST = 256 * 1024;
-    /** Windows of a box that a judge needs before it is changed. */
-    private static final int LEAST_WINDOWS = 8;
+public record PlanScript(
+    Plan plan, Map<String, String> fronts, double window, double watch, String text) {
+  private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
+  private static final long LONGEST = 256 * 1024;
 
-    private static final Map<String, List<String>> WORDS = new LinkedHashMap<>();
+  /** Windows of a box that a judge needs before it is changed. */
+  private static final int LEAST_WINDOWS = 8;
 
-    static {
-        WORDS.put("box", List.of("name", "zone", "keeper", "tenants", "front"));
-        WORDS.put("stage", List.of("boxes", "share", "spread", "hold"));
-        WORDS.put("change", List.of("to", "stages", "worse", "most_away", "when_cut", "when_worse", "errors", "tries",
-                "warm",
-                "patience", "window", "watch"));
-        for (Measure measure : Measure.values()) {
-            WORDS.put(measure.word(), List.of("limit"));
-        }
+  private static final Map<String, List<String>> WORDS = new LinkedHashMap<>();
+
+  static {
+    WORDS.put("box", List.of("name", "zone", "keeper", "tenants", "front"));
+    WORDS.put("stage", List.of("boxes", "share", "spread", "hold"));
+    WORDS.put(
+        "change",
+        List.of(
+            "to",
+            "stages",
+            "worse",
+            "most_away",
+            "when_cut",
+            "when_worse",
+            "errors",
+            "tries",
+            "warm",
+            "patience",
+            "window",
+            "watch"));
+    for (Measure measure : Measure.values()) {
+      WORDS.put(measure.word(), List.of("limit"));
     }
+  }
 
-    private record Limit(Measure measure, double value) { }
+  private record Limit(Measure measure, double value) {}
 
-    /**
-     * Reads a plan.
-     *
-     * @throws BadSettingsException in one line
-     */
-    public static PlanScript read(Path file) throws BadSettingsException {
-        try {
-            if (Files.size(file) > LONGEST) {
-                throw new BadSettingsException(file + ": longer than " + LONGEST + " bytes");
-            }
-            return parse(file.toString(), Files.readString(file));
-        } catch (IOException e) {
-            throw new BadSettingsException(file + ": cannot be read (" + e.getClass().getSimpleName() + ")");
-        }
+  /**
+   * Reads a plan.
+   *
+   * @throws BadSettingsException in one line
+   */
+  public static PlanScript read(Path file) throws BadSettingsException {
+    try {
+      if (Files.size(file) > LONGEST) {
+        throw new BadSettingsException(file + ": longer than " + LONGEST + " bytes");
+      }
+      return parse(file.toString(), Files.readString(file));
+    } catch (IOException e) {
+      throw new BadSettingsException(
+          file + ": cannot be read (" + e.getClass().getSimpleName() + ")");
     }
+  }
 
-    /** The same with a text; the name is for faults. */
-    public static PlanScript parse(String name, String text) throws BadSettingsException {
-        Reader reader = new Reader();
-        Scripts.run(name, text, reader);
-        if (reader.change == null) {
-            throw new BadSettingsException(name + ": has no change(to = ..., stages = [...])");
-        }
-        try {
-            return reader.whole(text);
-        } catch (RefusedException wrong) {
-            throw new BadSettingsException(name, wrong.place(), wrong.getMessage());
-        }
+  /** The same with a text; the name is for faults. */
+  public static PlanScript parse(String name, String text) throws BadSettingsException {
+    Reader reader = new Reader();
+    Scripts.run(name, text, reader);
+    if (reader.change == null) {
+      throw new BadSettingsException(name + ": has no change(to = ..., stages = [...])");
+    }
+    try {
+      return reader.whole(text);
+    } catch (RefusedException wrong) {
+      throw new BadSettingsException(name, wrong.place(), wrong.getMessage());
     }
+  }
 
-    private static final class Reader implements Scripts.Words {
-        private final Map<String, Plan.Box> boxes = new LinkedHashMap<>();
-        private final Map<String, String> fronts = new LinkedHashMap<>();
-        private Scripts.Call change;
-        private List<Plan.Stage> stages;
-        private Map<Measure, Double> limits;
+  private static final class Reader implements Scripts.Words {
+    private final Map<String, Plan.Box> boxes = new LinkedHashMap<>();
+    private final Map<String, String> fronts = new LinkedHashMap<>();
+    private Scripts.Call change;
+    private List<Plan.Stage> stages;
+    private Map<Measure, Double> limits;
 
-        @Override
-        public List<String> values(String word) {
-            return WORDS.get(word);
-        }
+    @Override
+    public List<String> values(String word) {
+      return WORDS.get(word);
+    }
 
-        @Override
-        public Object called(Scripts.Call call) throws RefusedException {
-            switch (call.word()) {
-                case "box" -> {
-                    box(call);
-                    return null;
-                }
-                case "stage" -> {
-                    return stage(call);
-                }
-                case "change" -> {
-                    if (change != null) {
-                        throw new RefusedException(call.place(), "change stands twice");
-                    }
-                    change = call;
-                    stages = stages(call);
-                    limits = limits(call);
-                    return null;
-                }
-                default -> {
-                    Measure measure = measure(call.word());
-                    return new Limit(measure, call.number("limit", measure.limit(), 1e-4, measure.part() ? 1 : 1e6));
-                }
-            }
+    @Override
+    public Object called(Scripts.Call call) throws RefusedException {
+      switch (call.word()) {
+        case "box" -> {
+          box(call);
+          return null;
         }
-
-        private static Measure measure(String word) {
-            return Measure.valueOf(word.toUpperCase(Locale.ROOT));
+        case "stage" -> {
+          return stage(call);
         }
-
-        private void box(Scripts.Call call) throws RefusedException {
-            String name = call.text("name", null, NAME, "a name of letters, digits, '.', '_' and '-'");
-            if (boxes.containsKey(name)) {
-                throw new RefusedException(call.place(), "box " + name + " stands twice");
-            }
-            String keeper = address(call, "keeper", true);
-            String front = address(call, "front", false);
-            if (boxes.values().stream().anyMatch(each -> each.keeper().equals(keeper))) {
-                throw new RefusedException(call.values().get("keeper").place(), "the keeper at " + keeper
-                        + " has another box");
-            }
-            if (!front.isEmpty()) {
-                fronts.put(name, front);
-            }
-            boxes.put(name, new Plan.Box(name, call.text("zone", "", NAME, "a zone's name"), keeper, tenants(call)));
+        case "change" -> {
+          if (change != null) {
+            throw new RefusedException(call.place(), "change stands twice");
+          }
+          change = call;
+          stages = stages(call);
+          limits = limits(call);
+          return null;
         }
-
-        private static List<String> tenants(Scripts.Call call) throws RefusedException {
-            List<String> all = new ArrayList<>();
-            for (Object each : call.list("tenants", List.of())) {
-                if (!(each instanceof String tenant) || tenant.isEmpty()) {
-                    throw new RefusedException(call.values().get("tenants").place(), "box.tenants: expected names, got "
-                            + each);
-                }
-                all.add(tenant);
-            }
-            return List.copyOf(all);
+        default -> {
+          Measure measure = measure(call.word());
+          return new Limit(
+              measure, call.number("limit", measure.limit(), 1e-4, measure.part() ? 1 : 1e6));
         }
+      }
+    }
 
-        private static Plan.Stage stage(Scripts.Call call) throws RefusedException {
-            boolean counted = call.values().containsKey("boxes");
-            if (counted == call.values().containsKey("share")) {
-                throw new RefusedException(call.place(), "stage needs boxes or share, and not both");
-            }
-            String spread = call.text("spread", "", "zone", "\"zone\"");
-            return new Plan.Stage(counted ? (int) call.number("boxes", Double.NaN, 1, 100_000) : 0,
-                    counted ? 0 : call.number("share", Double.NaN, 1e-6, 1), !spread.isEmpty(),
-                    call.number("hold", 60, 0, 86_400));
-        }
+    private static Measure measure(String word) {
+      return Measure.valueOf(word.toUpperCase(Locale.ROOT));
+    }
 
-        private static List<Plan.Stage> stages(Scripts.Call call) throws RefusedException {
-            List<Plan.Stage> all = new ArrayList<>();
-            for (Object each : call.list("stages", null)) {
-                if (!(each instanceof Plan.Stage stage)) {
-                    throw new RefusedException(call.values().get("stages").place(),
-                            "change.stages: expected stages, such as stage(boxes = 1, hold = 120), got " + each);
-                }
-                all.add(stage);
-            }
-            if (all.isEmpty()) {
-                throw new RefusedException(call.values().get("stages").place(), "change.stages: expected one at least");
-            }
-            return all;
-        }
+    private void box(Scripts.Call call) throws RefusedException {
+      String name = call.text("name", null, NAME, "a name of letters, digits, '.', '_' and '-'");
+      if (boxes.containsKey(name)) {
+        throw new RefusedException(call.place(), "box " + name + " stands twice");
+      }
+      String keeper = address(call, "keeper", true);
+      String front = address(call, "front", false);
+      if (boxes.values().stream().anyMatch(each -> each.keeper().equals(keeper))) {
+        throw new RefusedException(
+            call.values().get("keeper").place(), "the keeper at " + keeper + " has another box");
+      }
+      if (!front.isEmpty()) {
+        fronts.put(name, front);
+      }
+      boxes.put(
+          name,
+          new Plan.Box(name, call.text("zone", "", NAME, "a zone's name"), keeper, tenants(call)));
+    }
 
-        private static Map<Measure, Double> limits(Scripts.Call call) throws RefusedException {
-            Map<Measure, Double> all = new EnumMap<>(Measure.class);
-            if (!call.values().containsKey("worse")) {
-                for (Measure measure : Measure.values()) {
-                    all.put(measure, measure.limit());
-                }
-                return all;
-            }
-            for (Object each : call.list("worse", null)) {
-                if (!(each instanceof Limit limit)) {
-                    throw new RefusedException(call.values().get("worse").place(),
-                            "change.worse: expected measures, such as worth(0.03), got " + each);
-                }
-                if (all.put(limit.measure(), limit.value()) != null) {
-                    throw new RefusedException(call.values().get("worse").place(),
-                            "change.worse: " + limit.measure().word() + " stands twice");
-                }
-            }
-            return all;
+    private static List<String> tenants(Scripts.Call call) throws RefusedException {
+      List<String> all = new ArrayList<>();
+      for (Object each : call.list("tenants", List.of())) {
+        if (!(each instanceof String tenant) || tenant.isEmpty()) {
+          throw new RefusedException(
+              call.values().get("tenants").place(), "box.tenants: expected names, got " + each);
         }
+        all.add(tenant);
+      }
+      return List.copyOf(all);
+    }
 
-        private PlanScript whole(String text) throws RefusedException {
-            Place at = change.place();
-            if (boxes.isEmpty()) {
-                throw new RefusedException(at, "there is no box: name each with box(name, zone, keeper)");
-            }
-            int before = 0;
-            for (Plan.Stage stage : stages) {
-                int target = stage.target(boxes.size());
-                if (target <= before) {
-                    throw new RefusedException(change.values().get("stages").place(), "change.stages: a stage of " + target
-                            + " boxes comes after one of " + before + ", expected more");
-                }
-                before = target;
-            }
-            double window = change.number("window", 10, 0.5, 600);
-            double watch = change.number("watch", LEAST_WINDOWS * window + 20, 0, 86_400);
-            if (watch < LEAST_WINDOWS * window && !limits.isEmpty()) {
-                throw new RefusedException(change.values().get("watch").place(), "change.watch: expected " + LEAST_WINDOWS
-                        + " windows at least, or nothing can be compared: " + LEAST_WINDOWS * window + " s");
-            }
-            Plan plan = new Plan(change.text("to", null, NAME, "the name of a release"), List.copyOf(boxes.values()),
-                    List.copyOf(stages), limits, change.number("errors", 0.05, 1e-6, 0.5),
-                    (int) change.number("most_away", 1, 1, 1000), (int) change.number("tries", 2, 1, 100),
-                    change.number("warm", 30, 0, 3600), change.number("patience", 1800, 0, 86_400),
-                    Plan.WhenCut.valueOf(change.text("when_cut", "hold", "hold|go", "\"hold\" or \"go\"")
-                    .toUpperCase(Locale.ROOT)), Plan.WhenWorse.valueOf(change.text("when_worse", "back", "back|hold",
-                    "\"back\" or \"hold\"").toUpperCase(Locale.ROOT)));
-            return new PlanScript(plan, fronts, window, watch, text);
-        }
+    private static Plan.Stage stage(Scripts.Call call) throws RefusedException {
+      boolean counted = call.values().containsKey("boxes");
+      if (counted == call.values().containsKey("share")) {
+        throw new RefusedException(call.place(), "stage needs boxes or share, and not both");
+      }
+      String spread = call.text("spread", "", "zone", "\"zone\"");
+      return new Plan.Stage(
+          counted ? (int) call.number("boxes", Double.NaN, 1, 100_000) : 0,
+          counted ? 0 : call.number("share", Double.NaN, 1e-6, 1),
+          !spread.isEmpty(),
+          call.number("hold", 60, 0, 86_400));
+    }
 
-        private static String address(Scripts.Call call, String name, boolean needed) throws RefusedException {
-            if (!needed && !call.values().containsKey(name)) {
-                return "";
-            }
-            Scripts.Value value = call.need(name);
-            InetSocketAddress at = value.value() instanceof String text ? Address.of(text) : null;
-            if (at == null) {
-                throw new RefusedException(value.place(), call.word() + "." + name
-                        + ": expected an address as \"HOST:PORT\", with a numeric host, got " + value.value());
-            }
-            return (String) value.value();
+    private static List<Plan.Stage> stages(Scripts.Call call) throws RefusedException {
+      List<Plan.Stage> all = new ArrayList<>();
+      for (Object each : call.list("stages", null)) {
+        if (!(each instanceof Plan.Stage stage)) {
+          throw new RefusedException(
+              call.values().get("stages").place(),
+              "change.stages: expected stages, such as stage(boxes = 1, hold = 120), got " + each);
         }
+        all.add(stage);
+      }
+      if (all.isEmpty()) {
+        throw new RefusedException(
+            call.values().get("stages").place(), "change.stages: expected one at least");
+      }
+      return all;
     }
 
-    /** What a plan that can be carried out should still be looked at for. */
-    public List<String> warnings(double longestWindow) {
-        List<String> all = new ArrayList<>();
-        Set<String> zones = new HashSet<>();
-        plan.boxes().forEach(box -> zones.add(box.zone()));
-        for (int i = 0; i + 1 < plan.stages().size(); i++) {
-            if (plan.stages().get(i).hold() < longestWindow) {
-                all.add(String.format(Locale.ROOT,
-                        "stage %d holds %.0f s, less than the longest window of keys (%.0f s): what "
-                        + "shows only after it shows in no stage", i + 1, plan.stages().get(i).hold(), longestWindow));
-            }
+    private static Map<Measure, Double> limits(Scripts.Call call) throws RefusedException {
+      Map<Measure, Double> all = new EnumMap<>(Measure.class);
+      if (!call.values().containsKey("worse")) {
+        for (Measure measure : Measure.values()) {
+          all.put(measure, measure.limit());
         }
-        if (zones.size() > 1 && plan.stages().stream().noneMatch(Plan.Stage::spread)) {
-            all.add("no stage spreads over zones: a whole zone may go first");
+        return all;
+      }
+      for (Object each : call.list("worse", null)) {
+        if (!(each instanceof Limit limit)) {
+          throw new RefusedException(
+              call.values().get("worse").place(),
+              "change.worse: expected measures, such as worth(0.03), got " + each);
         }
-        if (plan.limits().isEmpty()) {
-            all.add("nothing is compared: only deaths and broken rules stop the change");
+        if (all.put(limit.measure(), limit.value()) != null) {
+          throw new RefusedException(
+              call.values().get("worse").place(),
+              "change.worse: " + limit.measure().word() + " stands twice");
         }
-        return all;
+      }
+      return all;
+    }
+
+    private PlanScript whole(String text) throws RefusedException {
+      Place at = change.place();
+      if (boxes.isEmpty()) {
+        throw new RefusedException(at, "there is no box: name each with box(name, zone, keeper)");
+      }
+      int before = 0;
+      for (Plan.Stage stage : stages) {
+        int target = stage.target(boxes.size());
+        if (target <= before) {
+          throw new RefusedException(
+              change.values().get("stages").place(),
+              "change.stages: a stage of "
+                  + target
+                  + " boxes comes after one of "
+                  + before
+                  + ", expected more");
+        }
+        before = target;
+      }
+      double window = change.number("window", 10, 0.5, 600);
+      double watch = change.number("watch", LEAST_WINDOWS * window + 20, 0, 86_400);
+      if (watch < LEAST_WINDOWS * window && !limits.isEmpty()) {
+        throw new RefusedException(
+            change.values().get("watch").place(),
+            "change.watch: expected "
+                + LEAST_WINDOWS
+                + " windows at least, or nothing can be compared: "
+                + LEAST_WINDOWS * window
+                + " s");
+      }
+      Plan plan =
+          new Plan(
+              change.text("to", null, NAME, "the name of a release"),
+              List.copyOf(boxes.values()),
+              List.copyOf(stages),
+              limits,
+              change.number("errors", 0.05, 1e-6, 0.5),
+              (int) change.number("most_away", 1, 1, 1000),
+              (int) change.number("tries", 2, 1, 100),
+              change.number("warm", 30, 0, 3600),
+              change.number("patience", 1800, 0, 86_400),
+              Plan.WhenCut.valueOf(
+                  change
+                      .text("when_cut", "hold", "hold|go", "\"hold\" or \"go\"")
+                      .toUpperCase(Locale.ROOT)),
+              Plan.WhenWorse.valueOf(
+                  change
+                      .text("when_worse", "back", "back|hold", "\"back\" or \"hold\"")
+                      .toUpperCase(Locale.ROOT)));
+      return new PlanScript(plan, fronts, window, watch, text);
+    }
+
+    private static String address(Scripts.Call call, String name, boolean needed)
+        throws RefusedException {
+      if (!needed && !call.values().containsKey(name)) {
+        return "";
+      }
+      Scripts.Value value = call.need(name);
+      InetSocketAddress at = value.value() instanceof String text ? Address.of(text) : null;
+      if (at == null) {
+        throw new RefusedException(
+            value.place(),
+            call.word()
+                + "."
+                + name
+                + ": expected an address as \"HOST:PORT\", with a numeric host, got "
+                + value.value());
+      }
+      return (String) value.value();
+    }
+  }
+
+  /** What a plan that can be carried out should still be looked at for. */
+  public List<String> warnings(double longestWindow) {
+    List<String> all = new ArrayList<>();
+    Set<String> zones = new HashSet<>();
+    plan.boxes().forEach(box -> zones.add(box.zone()));
+    for (int i = 0; i + 1 < plan.stages().size(); i++) {
+      if (plan.stages().get(i).hold() < longestWindow) {
+        all.add(
+            String.format(
+                Locale.ROOT,
+                "stage %d holds %.0f s, less than the longest window of keys (%.0f s): what "
+                    + "shows only after it shows in no stage",
+                i + 1,
+                plan.stages().get(i).hold(),
+                longestWindow));
+      }
+    }
+    if (zones.size() > 1 && plan.stages().stream().noneMatch(Plan.Stage::spread)) {
+      all.add("no stage spreads over zones: a whole zone may go first");
+    }
+    if (plan.limits().isEmpty()) {
+      all.add("nothing is compared: only deaths and broken rules stop the change");
     }
+    return all;
+  }
 }
--- a/src/main/java/wharftrestle/durable/Gather.java
+++ b/src/main/java/wharftrestle/durable/Gather.java
@@ -4,74 +4,78 @@
 import java.util.List;
 
 /**
- * Who waits for the disk: the queue of the group commit. Whoever adds never waits; the one writer takes all that is
- * there at once. It owns the order, which is the order of the log, and the bound on bytes; it must never give one
- * entry out twice, or lose one.
+ * Who waits for the disk: the queue of the group commit. Whoever adds never waits; the one writer
+ * takes all that is there at once. It owns the order, which is the order of the log, and the bound
+ * on bytes; it must never give one entry out twice, or lose one.
  *
  * @param <T> what waits; told apart by identity
  */
 public final class Gather<T> {
-    private final int most;
-    private List<T> waiting = new ArrayList<>();
-    private long bytes;
-    private boolean closed;
+  private final int most;
+  private List<T> waiting = new ArrayList<>();
+  private long bytes;
+  private boolean closed;
 
-    /** @param most bytes that wait at most, but for what must be taken */
-    public Gather(int most) {
-        this.most = most;
+  /**
+   * @param most bytes that wait at most, but for what must be taken
+   */
+  public Gather(int most) {
+    this.most = most;
+  }
+
+  /** Adds it; false where it is closed, or too much waits and this one need not be taken. */
+  public synchronized boolean add(T entry, int size, boolean must) {
+    if (closed || !must && bytes + size > most) {
+      return false;
     }
+    waiting.add(entry);
+    bytes += size;
+    notifyAll();
+    return true;
+  }
 
-    /** Adds it; false where it is closed, or too much waits and this one need not be taken. */
-    public synchronized boolean add(T entry, int size, boolean must) {
-        if (closed || !must && bytes + size > most) {
-            return false;
-        }
-        waiting.add(entry);
-        bytes += size;
-        notifyAll();
+  /** Takes it back; false where the writer has it already. */
+  public synchronized boolean withdraw(T entry, int size) {
+    for (int i = waiting.size() - 1; i >= 0; i--) {
+      if (waiting.get(i) == entry) {
+        waiting.remove(i);
+        bytes -= size;
         return true;
+      }
     }
+    return false;
+  }
 
-    /** Takes it back; false where the writer has it already. */
-    public synchronized boolean withdraw(T entry, int size) {
-        for (int i = waiting.size() - 1; i >= 0; i--) {
-            if (waiting.get(i) == entry) {
-                waiting.remove(i);
-                bytes -= size;
-                return true;
-            }
-        }
-        return false;
-    }
+  /** All that waits now, in order; empty where nothing does. */
+  public synchronized List<T> drain() {
+    List<T> all = waiting;
+    waiting = new ArrayList<>();
+    bytes = 0;
+    return all;
+  }
 
-    /** All that waits now, in order; empty where nothing does. */
-    public synchronized List<T> drain() {
-        List<T> all = waiting;
-        waiting = new ArrayList<>();
-        bytes = 0;
-        return all;
+  /**
+   * Waits until something is there, it is closed, or so many ms are over; then as {@link #drain}.
+   */
+  public synchronized List<T> take(long millis) throws InterruptedException {
+    if (waiting.isEmpty() && !closed) {
+      wait(millis);
     }
+    return drain();
+  }
 
-    /** Waits until something is there, it is closed, or so many ms are over; then as {@link #drain}. */
-    public synchronized List<T> take(long millis) throws InterruptedException {
-        if (waiting.isEmpty() && !closed) {
-            wait(millis);
-        }
-        return drain();
-    }
+  /** Nothing more comes; what is there is still given out. */
+  public synchronized void close() {
+    closed = true;
+    notifyAll();
+  }
 
-    /** Nothing more comes; what is there is still given out. */
-    public synchronized void close() {
-        closed = true;
-        notifyAll();
-    }
+  public synchronized boolean closed() {
+    return closed;
+  }
 
-    public synchronized boolean closed() {
-        return closed;
-    }
-
-    /** Bytes that wait. */
-    public synchronized long bytes() {
-        return bytes;
-    }
+  /** Bytes that wait. */
+  public synchronized long bytes() {
+    return bytes;
+  }
 }
