--- a/src/main/java/wharftrestle/durable/Journal.java
+++ b/src/main/java/wharftrestle/durable/Journal.java
@@ -13,16 +13,16 @@
 import org.HdrHistogram.Histogram;
 import org.tinylog.Logger;
 import wharftrestle.clock.Wall;
-import wharftrestle.core.Threads;
 import wharftrestle.core.Records;
+import wharftrestle.core.Threads;
 import wharftrestle.net.Config;
 import wharftrestle.ops.ResultFigure;
 
 /**
- * Carries intents and results to the disk: one thread takes all that waits, writes it as one batch, syncs once, and
- * tells how that went. It owns the folder while it is open, the thread, and the figures. It must never decide what a
- * key may do, make a caller wait, write over what is on disk, or write on after a failure of the disk but into a fresh
- * file.
+ * Carries intents and results to the disk: one thread takes all that waits, writes it as one batch,
+ * syncs once, and tells how that went. It owns the folder while it is open, the thread, and the
+ * figures. It must never decide what a key may do, make a caller wait, write over what is on disk,
+ * or write on after a failure of the disk but into a fresh file.
  *
  * <pre>
  * state   means                                  next
@@ -33,563 +33,618 @@
  */
 public final class Journal implements Records, AutoCloseable {
 
-    /** How far it has come. */
-    public enum State { SHUT, OPEN, FAILED }
-
-    /** Makes the folder's lock and files; told apart so that tests put faults in. */
-    interface Opener {
-        Disk open() throws IOException;
-    }
-
-    /** Milliseconds between two looks at what is over, and after which a failed disk is tried anew. */
-    private static final long LOOK_MS = 250;
-    private static final long AGAIN_MS = 1000;
-    /** Milliseconds for which an end waits for the disk. */
-    private static final long END_MS = 2500;
-    /** Seconds to come back after where nothing better is known. */
-    private static final double SOON = 0.25;
-    private static final int BUFFER = 256 * 1024;
-    /** Microseconds of the longest sync that is told apart. */
-    private static final long LONGEST_SYNC = 60_000_000;
-    /** Bytes read at once where a result is looked up: PROTOCOL's longest one is in them. */
-    private static final int LOOK = 5 * 1024;
-
-    /** One record on its way. */
-    private static final class Ticket {
-        private final Record record;
-        private final int size;
-        private final double until;
-        private final Records.Written told;
-        private long place = -1;
-
-        Ticket(Record record, double until, Records.Written told) {
-            this.record = record;
-            this.size = record.size();
-            this.until = until;
-            this.told = told;
-        }
-    }
-
-    private final Config.Durable settings;
-    private final Opener opener;
-    private final Room room;                       // also the lock of what stands below it
-    private final Map<String, Integer> promises = new HashMap<>();
-    private volatile Gather<Ticket> gather;
-    private volatile State state = State.SHUT;
-    private volatile Disk disk;
-    private Thread writer;
-    private int batch;
-    private volatile long batchBegan;              // System.nanoTime; 0 while nothing is written
-    private long failedAt;
-    private final TreeSet<Long> ghosts = new TreeSet<>();
-    private double ghostsUntil;
-    private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER);
-
-    private final Histogram syncs = new Histogram(LONGEST_SYNC, 2);
-    private final AtomicLongArray refused = new AtomicLongArray(Records.Refusal.values().length);
-    private volatile long records;
-    private volatile long unsaved;
-    private volatile long errors;
-    private volatile int recoveredKnown;
-    private volatile int recoveredUnknown;
-    private volatile boolean damaged;
-    private volatile double recoveryMs;
-
-    public Journal(Config.Durable settings) {
-        this(settings, () -> new FileDisk(settings.folder()));
-    }
-
-    Journal(Config.Durable settings, Opener opener) {
-        this.settings = settings;
-        this.opener = opener;
-        room = new Room(settings.most());
-    }
-
-    // ---- Opening: what a dead process left ----
-
-    /**
-     * Takes the folder and reads what is in it.
-     *
-     * @param longest seconds of the longest window, for which a damaged log makes unknown keys fail
-     * @return what is known of keys, in the order of their last records
-     * @throws UnusableException in one line, where it is another's, of a newer version, or cannot be written
-     */
-    public synchronized Records.Recovered open(double longest) throws IOException {
-        if (state != State.SHUT) {
-            throw new IllegalStateException("kept results are " + state);
-        }
-        long began = System.nanoTime();
-        Disk opened = opener.open();
-        try {
-            Records.Recovered recovered = recover(opened, longest);
-            if (!damaged && Compaction.worthWhile(room) && Compaction.run(opened, room.segment(), room.files())) {
-                recovered = recover(opened, longest);   // so that starts one after another do not fill the folder
-            }
-            disk = opened;
-            gather = new Gather<>(settings.queue());
-            if (mayGrow()) {
-                begin();
-                state = State.OPEN;
-            } else {
-                // Guards against a start that ends for want of room: old files go soon, then one is begun.
-                failedAt = System.nanoTime();
-                state = State.FAILED;
-                Logger.warn("kept results: no room in {}, keyed requests are refused", settings.folder());
-            }
-            writer = Threads.thread("results", this::write);
-            writer.start();
-            recoveryMs = (System.nanoTime() - began) / 1e6;
-            return recovered;
-        } catch (UnusableException e) {
-            opened.close();
-            throw e;
-        } catch (IOException | RuntimeException e) {
-            opened.close();
-            throw new UnusableException(settings.folder() + " cannot be used (" + e + ")");
-        }
-    }
-
-    private Records.Recovered recover(Disk opened, double longest) throws IOException {
-        Recovery recovery = new Recovery(Wall.even(), steady());
-        long boot = opened.boot();
-        double now = seconds();
-        boolean hurt = false;
-        synchronized (room) {
-            promises.clear();
-            room.clear();
-        }
-        try {
-            long[] files = opened.files();
-            byte[] list = opened.list();
-            List<Long> listed = list == null ? null : Listing.parse(list);
-            hurt = files.length > 0 && listed == null || list != null && listed == null;
-            ghosts.clear();
-            for (long number : listed == null ? List.<Long>of() : listed) {
-                if (Arrays.binarySearch(files, number) < 0) {
-                    ghosts.add(number);   // stays on the list while it may matter, should this process die as well
-                    hurt = true;
-                }
-            }
-            ghostsUntil = now + longest + Recovery.LINGER;
-            for (int i = 0; i < files.length; i++) {
-                long number = files[i];
-                ByteBuffer bytes = opened.read(number);
-                boolean same = Segment.sameBoot(bytes, boot);
-                double[] until = {Double.NEGATIVE_INFINITY};
-                Segment.Seen seen = Segment.scan(bytes, (record, offset) -> {
-                    if (recovery.take(record, place(number, offset), same)) {
-                        until[0] = Math.max(until[0], now + record.window() / 1000.0 + Recovery.LINGER);
-                    }
+  /** How far it has come. */
+  public enum State {
+    SHUT,
+    OPEN,
+    FAILED
+  }
+
+  /** Makes the folder's lock and files; told apart so that tests put faults in. */
+  interface Opener {
+    Disk open() throws IOException;
+  }
+
+  /**
+   * Milliseconds between two looks at what is over, and after which a failed disk is tried anew.
+   */
+  private static final long LOOK_MS = 250;
+
+  private static final long AGAIN_MS = 1000;
+
+  /** Milliseconds for which an end waits for the disk. */
+  private static final long END_MS = 2500;
+
+  /** Seconds to come back after where nothing better is known. */
+  private static final double SOON = 0.25;
+
+  private static final int BUFFER = 256 * 1024;
+
+  /** Microseconds of the longest sync that is told apart. */
+  private static final long LONGEST_SYNC = 60_000_000;
+
+  /** Bytes read at once where a result is looked up: PROTOCOL's longest one is in them. */
+  private static final int LOOK = 5 * 1024;
+
+  /** One record on its way. */
+  private static final class Ticket {
+    private final Record record;
+    private final int size;
+    private final double until;
+    private final Records.Written told;
+    private long place = -1;
+
+    Ticket(Record record, double until, Records.Written told) {
+      this.record = record;
+      this.size = record.size();
+      this.until = until;
+      this.told = told;
+    }
+  }
+
+  private final Config.Durable settings;
+  private final Opener opener;
+  private final Room room; // also the lock of what stands below it
+  private final Map<String, Integer> promises = new HashMap<>();
+  private volatile Gather<Ticket> gather;
+  private volatile State state = State.SHUT;
+  private volatile Disk disk;
+  private Thread writer;
+  private int batch;
+  private volatile long batchBegan; // System.nanoTime; 0 while nothing is written
+  private long failedAt;
+  private final TreeSet<Long> ghosts = new TreeSet<>();
+  private double ghostsUntil;
+  private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER);
+
+  private final Histogram syncs = new Histogram(LONGEST_SYNC, 2);
+  private final AtomicLongArray refused = new AtomicLongArray(Records.Refusal.values().length);
+  private volatile long records;
+  private volatile long unsaved;
+  private volatile long errors;
+  private volatile int recoveredKnown;
+  private volatile int recoveredUnknown;
+  private volatile boolean damaged;
+  private volatile double recoveryMs;
+
+  public Journal(Config.Durable settings) {
+    this(settings, () -> new FileDisk(settings.folder()));
+  }
+
+  Journal(Config.Durable settings, Opener opener) {
+    this.settings = settings;
+    this.opener = opener;
+    room = new Room(settings.most());
+  }
+
+  // ---- Opening: what a dead process left ----
+
+  /**
+   * Takes the folder and reads what is in it.
+   *
+   * @param longest seconds of the longest window, for which a damaged log makes unknown keys fail
+   * @return what is known of keys, in the order of their last records
+   * @throws UnusableException in one line, where it is another's, of a newer version, or cannot be
+   *     written
+   */
+  public synchronized Records.Recovered open(double longest) throws IOException {
+    if (state != State.SHUT) {
+      throw new IllegalStateException("kept results are " + state);
+    }
+    long began = System.nanoTime();
+    Disk opened = opener.open();
+    try {
+      Records.Recovered recovered = recover(opened, longest);
+      if (!damaged
+          && Compaction.worthWhile(room)
+          && Compaction.run(opened, room.segment(), room.files())) {
+        recovered =
+            recover(opened, longest); // so that starts one after another do not fill the folder
+      }
+      disk = opened;
+      gather = new Gather<>(settings.queue());
+      if (mayGrow()) {
+        begin();
+        state = State.OPEN;
+      } else {
+        // Guards against a start that ends for want of room: old files go soon, then one is begun.
+        failedAt = System.nanoTime();
+        state = State.FAILED;
+        Logger.warn("kept results: no room in {}, keyed requests are refused", settings.folder());
+      }
+      writer = Threads.thread("results", this::write);
+      writer.start();
+      recoveryMs = (System.nanoTime() - began) / 1e6;
+      return recovered;
+    } catch (UnusableException e) {
+      opened.close();
+      throw e;
+    } catch (IOException | RuntimeException e) {
+      opened.close();
+      throw new UnusableException(settings.folder() + " cannot be used (" + e + ")");
+    }
+  }
+
+  private Records.Recovered recover(Disk opened, double longest) throws IOException {
+    Recovery recovery = new Recovery(Wall.even(), steady());
+    long boot = opened.boot();
+    double now = seconds();
+    boolean hurt = false;
+    synchronized (room) {
+      promises.clear();
+      room.clear();
+    }
+    try {
+      long[] files = opened.files();
+      byte[] list = opened.list();
+      List<Long> listed = list == null ? null : Listing.parse(list);
+      hurt = files.length > 0 && listed == null || list != null && listed == null;
+      ghosts.clear();
+      for (long number : listed == null ? List.<Long>of() : listed) {
+        if (Arrays.binarySearch(files, number) < 0) {
+          ghosts.add(
+              number); // stays on the list while it may matter, should this process die as well
+          hurt = true;
+        }
+      }
+      ghostsUntil = now + longest + Recovery.LINGER;
+      for (int i = 0; i < files.length; i++) {
+        long number = files[i];
+        ByteBuffer bytes = opened.read(number);
+        boolean same = Segment.sameBoot(bytes, boot);
+        double[] until = {Double.NEGATIVE_INFINITY};
+        Segment.Seen seen =
+            Segment.scan(
+                bytes,
+                (record, offset) -> {
+                  if (recovery.take(record, place(number, offset), same)) {
+                    until[0] = Math.max(until[0], now + record.window() / 1000.0 + Recovery.LINGER);
+                  }
                 });
-                hurt |= seen.damaged() || seen.torn() && i < files.length - 1;
-                batch = Math.max(batch, seen.lastBatch() + 1);
-                synchronized (room) {
-                    room.add(number, Math.max(Segment.HEAD, seen.end()), until[0]);
-                }
-            }
-        } catch (Segment.ForeignException e) {
-            throw new UnusableException(settings.folder() + " " + e.getMessage());
-        }
-        damaged = hurt;
-        recoveredKnown = recovery.known();
-        recoveredUnknown = recovery.unknown();
-        if (hurt) {
-            Logger.error("kept results in {} are damaged: for {} s keys that are not known fail and do not run",
-                    settings.folder(), (long) Math.ceil(longest));
-        }
-        Logger.info("kept results: {} known, {} of unknown end, {} records over", recoveredKnown, recoveredUnknown,
-                recovery.over());
-        List<Records.Remembered> all = new ArrayList<>();
-        for (Recovery.Known known : recovery.keys()) {
-            all.add(new Records.Remembered(known.key(), known.place(), known.lastDoor(), Recovery.until(known, now),
-                    known.check()));
-        }
-        return new Records.Recovered(all, hurt ? now + longest : Double.NEGATIVE_INFINITY);
-    }
-
-    /** Begins a further file: made and listed before anything in it counts. */
-    private void begin() throws IOException {
-        if (!mayGrow()) {
-            throw new IOException("no room for a further file");
-        }
-        long number;
-        synchronized (room) {
-            number = room.current() + 1;
-        }
-        number = Math.max(number, ghosts.isEmpty() ? 0 : ghosts.last() + 1);
-        disk.create(number, Segment.head(batch + 1, number, disk.boot(), room.segment()), room.segment());
-        synchronized (room) {
-            room.add(number, Segment.HEAD, Double.NEGATIVE_INFINITY);
-        }
-        list();
-    }
-
-    private boolean mayGrow() {
-        synchronized (room) {
-            return room.mayGrow();
-        }
-    }
-
-    private void list() throws IOException {
-        TreeSet<Long> all = new TreeSet<>(ghosts);
+        hurt |= seen.damaged() || seen.torn() && i < files.length - 1;
+        batch = Math.max(batch, seen.lastBatch() + 1);
         synchronized (room) {
-            all.addAll(room.numbers());
-        }
-        disk.list(Listing.of(all));
-    }
-
-    // ---- What the core tells; none of it waits ----
-
-    @Override
-    public double patience() {
-        return settings.patience();
-    }
-
-    @Override
-    public int mostKeys() {
-        return settings.keys();
-    }
-
-    @Override
-    public Records.Refusal refusal() {
-        if (state != State.OPEN) {
-            return Records.Refusal.DISK_FAILED;
-        }
-        long began = batchBegan;
-        if (began != 0 && System.nanoTime() - began > settings.patience() * 1e9) {
-            return Records.Refusal.DISK_STALLED;
-        }
-        if (gather.bytes() > settings.queue()) {
-            return Records.Refusal.DISK_BUSY;
-        }
-        synchronized (room) {
-            return room.fits(Room.PROMISE) ? null : Records.Refusal.STORE_FULL;
-        }
-    }
-
-    @Override
-    public double again(Records.Refusal why) {
-        refused.incrementAndGet(why.ordinal());
-        synchronized (room) {
-            return why == Records.Refusal.STORE_FULL ? room.again(seconds()) : SOON;
-        }
-    }
-
-    @Override
-    public Object intend(Records.Keyed keyed, Records.Written told) {
-        Ticket ticket = ticket(Record.Kind.INTENT, keyed, null, told);
-        synchronized (room) {
-            if (state != State.OPEN || promises.containsKey(keyed.key()) || !room.promise(ticket.size)) {
-                return null;
-            }
-            promises.put(keyed.key(), ticket.size);
-        }
-        if (!gather.add(ticket, ticket.size, false)) {
-            settle(keyed.key());
-            return null;
-        }
-        return ticket;
-    }
-
-    @Override
-    public void withdraw(Object intent, Records.Keyed keyed) {
-        Ticket ticket = (Ticket) intent;
-        if (gather.withdraw(ticket, ticket.size)) {
-            settle(keyed.key());
+          room.add(number, Math.max(Segment.HEAD, seen.end()), until[0]);
+        }
+      }
+    } catch (Segment.ForeignException e) {
+      throw new UnusableException(settings.folder() + " " + e.getMessage());
+    }
+    damaged = hurt;
+    recoveredKnown = recovery.known();
+    recoveredUnknown = recovery.unknown();
+    if (hurt) {
+      Logger.error(
+          "kept results in {} are damaged: for {} s keys that are not known fail and do not run",
+          settings.folder(),
+          (long) Math.ceil(longest));
+    }
+    Logger.info(
+        "kept results: {} known, {} of unknown end, {} records over",
+        recoveredKnown,
+        recoveredUnknown,
+        recovery.over());
+    List<Records.Remembered> all = new ArrayList<>();
+    for (Recovery.Known known : recovery.keys()) {
+      all.add(
+          new Records.Remembered(
+              known.key(),
+              known.place(),
+              known.lastDoor(),
+              Recovery.until(known, now),
+              known.check()));
+    }
+    return new Records.Recovered(all, hurt ? now + longest : Double.NEGATIVE_INFINITY);
+  }
+
+  /** Begins a further file: made and listed before anything in it counts. */
+  private void begin() throws IOException {
+    if (!mayGrow()) {
+      throw new IOException("no room for a further file");
+    }
+    long number;
+    synchronized (room) {
+      number = room.current() + 1;
+    }
+    number = Math.max(number, ghosts.isEmpty() ? 0 : ghosts.last() + 1);
+    disk.create(
+        number, Segment.head(batch + 1, number, disk.boot(), room.segment()), room.segment());
+    synchronized (room) {
+      room.add(number, Segment.HEAD, Double.NEGATIVE_INFINITY);
+    }
+    list();
+  }
+
+  private boolean mayGrow() {
+    synchronized (room) {
+      return room.mayGrow();
+    }
+  }
+
+  private void list() throws IOException {
+    TreeSet<Long> all = new TreeSet<>(ghosts);
+    synchronized (room) {
+      all.addAll(room.numbers());
+    }
+    disk.list(Listing.of(all));
+  }
+
+  // ---- What the core tells; none of it waits ----
+
+  @Override
+  public double patience() {
+    return settings.patience();
+  }
+
+  @Override
+  public int mostKeys() {
+    return settings.keys();
+  }
+
+  @Override
+  public Records.Refusal refusal() {
+    if (state != State.OPEN) {
+      return Records.Refusal.DISK_FAILED;
+    }
+    long began = batchBegan;
+    if (began != 0 && System.nanoTime() - began > settings.patience() * 1e9) {
+      return Records.Refusal.DISK_STALLED;
+    }
+    if (gather.bytes() > settings.queue()) {
+      return Records.Refusal.DISK_BUSY;
+    }
+    synchronized (room) {
+      return room.fits(Room.PROMISE) ? null : Records.Refusal.STORE_FULL;
+    }
+  }
+
+  @Override
+  public double again(Records.Refusal why) {
+    refused.incrementAndGet(why.ordinal());
+    synchronized (room) {
+      return why == Records.Refusal.STORE_FULL ? room.again(seconds()) : SOON;
+    }
+  }
+
+  @Override
+  public Object intend(Records.Keyed keyed, Records.Written told) {
+    Ticket ticket = ticket(Record.Kind.INTENT, keyed, null, told);
+    synchronized (room) {
+      if (state != State.OPEN || promises.containsKey(keyed.key()) || !room.promise(ticket.size)) {
+        return null;
+      }
+      promises.put(keyed.key(), ticket.size);
+    }
+    if (!gather.add(ticket, ticket.size, false)) {
+      settle(keyed.key());
+      return null;
+    }
+    return ticket;
+  }
+
+  @Override
+  public void withdraw(Object intent, Records.Keyed keyed) {
+    Ticket ticket = (Ticket) intent;
+    if (gather.withdraw(ticket, ticket.size)) {
+      settle(keyed.key());
+    } else {
+      voided(keyed);
+    }
+  }
+
+  @Override
+  public void voided(Records.Keyed keyed) {
+    settle(keyed.key());
+    end(Record.Kind.VOID, keyed, null, place -> {});
+  }
+
+  @Override
+  public void ended(Records.Keyed keyed, byte[] result, Records.Written told) {
+    end(result == null ? Record.Kind.FAILED : Record.Kind.RESULT, keyed, result, told);
+  }
+
+  private void end(Record.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
+    Ticket ticket = ticket(kind, keyed, result, told);
+    if (result != null && result.length > Record.LONGEST_RESULT
+        || state == State.SHUT
+        || !gather.add(ticket, ticket.size, true)) {
+      settle(keyed.key());
+      unsaved += kind == Record.Kind.VOID ? 0 : 1;
+      told.written(-1);
+    }
+  }
+
+  private static Ticket ticket(
+      Record.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
+    int window = (int) Math.ceil(keyed.window() * 1000);
+    return new Ticket(
+        new Record(
+            kind,
+            false,
+            0,
+            0,
+            0,
+            keyed.lastDoor(),
+            window,
+            keyed.check(),
+            keyed.key(),
+            result == null ? new byte[0] : result),
+        seconds() + keyed.window() + Recovery.LINGER,
+        told);
+  }
+
+  private void settle(String key) {
+    synchronized (room) {
+      Integer promised = promises.remove(key);
+      if (promised != null) {
+        room.settle(promised);
+      }
+    }
+  }
+
+  /** A result of a settled key, from disk; not under any lock. */
+  @Override
+  public byte[] read(String key, long place) throws IOException {
+    Disk from = disk;
+    if (from == null) {
+      throw new IOException("kept results are shut");
+    }
+    long number = place >>> 32;
+    int at = (int) place;
+    ByteBuffer bytes = from.read(number, at, LOOK);
+    if (bytes.limit() >= 4
+        && bytes.getInt(0) > LOOK - Record.HEAD
+        && bytes.getInt(0) <= Record.MOST) {
+      bytes = from.read(number, at, bytes.getInt(0) + Record.HEAD);
+    }
+    Record record = Record.at(bytes, 0);
+    if (record == null || record.kind() != Record.Kind.RESULT || !record.key().equals(key)) {
+      throw new IOException("the result of a key is not where it was written");
+    }
+    return record.result();
+  }
+
+  private static long place(long number, int offset) {
+    return number << 32 | offset;
+  }
+
+  // ---- The writer ----
+
+  private void write() {
+    try {
+      for (; ; ) {
+        List<Ticket> all = gather.take(LOOK_MS);
+        if (!all.isEmpty()) {
+          commit(all);
+        } else if (gather.closed()) {
+          return;
+        }
+        tidy();
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    } catch (RuntimeException | Error fault) {
+      Logger.error(fault, "kept results");
+      state = State.FAILED;
+    } finally {
+      // Guards against results that wait for a writer that has ended: what comes now is told at
+      // once.
+      gather.close();
+      gather.drain().forEach(ticket -> tell(ticket));
+    }
+  }
+
+  private void commit(List<Ticket> all) {
+    if (state == State.OPEN) {
+      batchBegan = System.nanoTime();
+      try {
+        if (settings.sync().equals("each")) {
+          for (Ticket ticket : all) {
+            put(List.of(ticket));
+          }
         } else {
-            voided(keyed);
-        }
-    }
-
-    @Override
-    public void voided(Records.Keyed keyed) {
-        settle(keyed.key());
-        end(Record.Kind.VOID, keyed, null, place -> { });
-    }
-
-    @Override
-    public void ended(Records.Keyed keyed, byte[] result, Records.Written told) {
-        end(result == null ? Record.Kind.FAILED : Record.Kind.RESULT, keyed, result, told);
-    }
-
-    private void end(Record.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
-        Ticket ticket = ticket(kind, keyed, result, told);
-        if (result != null && result.length > Record.LONGEST_RESULT || state == State.SHUT
-                || !gather.add(ticket, ticket.size, true)) {
-            settle(keyed.key());
-            unsaved += kind == Record.Kind.VOID ? 0 : 1;
-            told.written(-1);
-        }
-    }
-
-    private static Ticket ticket(Record.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
-        int window = (int) Math.ceil(keyed.window() * 1000);
-        return new Ticket(new Record(kind, false, 0, 0, 0, keyed.lastDoor(), window, keyed.check(), keyed.key(),
-                result == null ? new byte[0] : result), seconds() + keyed.window() + Recovery.LINGER, told);
-    }
-
-    private void settle(String key) {
-        synchronized (room) {
-            Integer promised = promises.remove(key);
-            if (promised != null) {
-                room.settle(promised);
-            }
-        }
-    }
-
-    /** A result of a settled key, from disk; not under any lock. */
-    @Override
-    public byte[] read(String key, long place) throws IOException {
-        Disk from = disk;
-        if (from == null) {
-            throw new IOException("kept results are shut");
-        }
-        long number = place >>> 32;
-        int at = (int) place;
-        ByteBuffer bytes = from.read(number, at, LOOK);
-        if (bytes.limit() >= 4 && bytes.getInt(0) > LOOK - Record.HEAD && bytes.getInt(0) <= Record.MOST) {
-            bytes = from.read(number, at, bytes.getInt(0) + Record.HEAD);
-        }
-        Record record = Record.at(bytes, 0);
-        if (record == null || record.kind() != Record.Kind.RESULT || !record.key().equals(key)) {
-            throw new IOException("the result of a key is not where it was written");
-        }
-        return record.result();
-    }
-
-    private static long place(long number, int offset) {
-        return number << 32 | offset;
-    }
-
-    // ---- The writer ----
-
-    private void write() {
-        try {
-            for (;;) {
-                List<Ticket> all = gather.take(LOOK_MS);
-                if (!all.isEmpty()) {
-                    commit(all);
-                } else if (gather.closed()) {
-                    return;
-                }
-                tidy();
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        } catch (RuntimeException | Error fault) {
-            Logger.error(fault, "kept results");
-            state = State.FAILED;
-        } finally {
-            // Guards against results that wait for a writer that has ended: what comes now is told at once.
-            gather.close();
-            gather.drain().forEach(ticket -> tell(ticket));
-        }
-    }
-
-    private void commit(List<Ticket> all) {
-        if (state == State.OPEN) {
-            batchBegan = System.nanoTime();
-            try {
-                if (settings.sync().equals("each")) {
-                    for (Ticket ticket : all) {
-                        put(List.of(ticket));
-                    }
-                } else {
-                    put(all);
-                }
-            } catch (IOException | RuntimeException | Error e) {
-                // Guards against a batch that is told nothing, and a writer that ends, as memory was short for a moment.
-                fail(e);
-            } finally {
-                batchBegan = 0;
-            }
-        }
-        for (Ticket ticket : all) {
-            boolean end = ticket.record.kind() == Record.Kind.RESULT || ticket.record.kind() == Record.Kind.FAILED;
-            if (end || ticket.record.kind() == Record.Kind.INTENT && ticket.place < 0) {
-                settle(ticket.record.key());
-            }
-            unsaved += end && ticket.place < 0 ? 1 : 0;
-            tell(ticket);
-        }
-    }
-
-    /** Guards against a fault in one request's next step ending the writer of all. */
-    private static void tell(Ticket ticket) {
-        try {
-            ticket.told.written(ticket.place);
-        } catch (RuntimeException | Error fault) {
-            Logger.error(fault, "word of a record");
-        }
-    }
-
-    /** Writes one batch and syncs it; a ticket has its place only when it is on disk. */
-    private void put(List<Ticket> all) throws IOException {
-        batch++;
-        long wall = Wall.now();
-        long steady = steady();
-        long[] places = new long[all.size()];
-        int from = -1;
-        buffer.clear();
-        for (int i = 0; i < places.length; i++) {
-            Ticket ticket = all.get(i);
-            boolean full;
-            synchronized (room) {
-                full = room.full(ticket.size);
-            }
-            if (full) {
-                flush(from);
-                from = -1;
-                sync();
-                if (!mayGrow()) {
-                    places[i] = -1;   // longer than was promised, and no room: it stays in memory alone
-                    continue;
-                }
-                begin();
-            }
-            if (buffer.remaining() < ticket.size) {
-                flush(from);
-                from = -1;
-            }
-            int at;
-            long number;
-            synchronized (room) {
-                at = room.put(ticket.size, ticket.until);
-                number = room.current();
-            }
-            from = from < 0 ? at : from;
-            places[i] = place(number, at);
-            ticket.record.written(i == places.length - 1, batch, wall, steady).put(buffer);
-        }
+          put(all);
+        }
+      } catch (IOException | RuntimeException | Error e) {
+        // Guards against a batch that is told nothing, and a writer that ends, as memory was short
+        // for a moment.
+        fail(e);
+      } finally {
+        batchBegan = 0;
+      }
+    }
+    for (Ticket ticket : all) {
+      boolean end =
+          ticket.record.kind() == Record.Kind.RESULT || ticket.record.kind() == Record.Kind.FAILED;
+      if (end || ticket.record.kind() == Record.Kind.INTENT && ticket.place < 0) {
+        settle(ticket.record.key());
+      }
+      unsaved += end && ticket.place < 0 ? 1 : 0;
+      tell(ticket);
+    }
+  }
+
+  /** Guards against a fault in one request's next step ending the writer of all. */
+  private static void tell(Ticket ticket) {
+    try {
+      ticket.told.written(ticket.place);
+    } catch (RuntimeException | Error fault) {
+      Logger.error(fault, "word of a record");
+    }
+  }
+
+  /** Writes one batch and syncs it; a ticket has its place only when it is on disk. */
+  private void put(List<Ticket> all) throws IOException {
+    batch++;
+    long wall = Wall.now();
+    long steady = steady();
+    long[] places = new long[all.size()];
+    int from = -1;
+    buffer.clear();
+    for (int i = 0; i < places.length; i++) {
+      Ticket ticket = all.get(i);
+      boolean full;
+      synchronized (room) {
+        full = room.full(ticket.size);
+      }
+      if (full) {
         flush(from);
+        from = -1;
         sync();
-        records += places.length;
-        for (int i = 0; i < places.length; i++) {
-            all.get(i).place = places[i];
-        }
-    }
-
-    private void flush(int at) throws IOException {
-        if (at >= 0) {
-            buffer.flip();
-            disk.write(room.current(), at, buffer);
-        }
-        buffer.clear();
-    }
-
-    private void sync() throws IOException {
-        if (!settings.sync().equals("none")) {
-            long began = System.nanoTime();
-            disk.sync(room.current());
-            long took = Math.min(LONGEST_SYNC, (System.nanoTime() - began) / 1000);
-            synchronized (syncs) {
-                syncs.recordValue(took);
-            }
-        }
-    }
-
-    /** Guards against trusting a file after its sync failed: the kernel may have thrown its pages away. */
-    private void fail(Throwable e) {
-        errors++;
-        failedAt = System.nanoTime();
-        state = State.FAILED;
-        Logger.error("kept results: {}; keyed requests are refused until the disk takes a fresh file", e.toString());
-    }
-
-    private void tidy() {
-        try {
-            if (!ghosts.isEmpty() && seconds() > ghostsUntil) {
-                ghosts.clear();
-                list();
-            }
-            for (long over = over(); over >= 0; over = over()) {
-                synchronized (room) {
-                    room.drop();
-                }
-                list();
-                disk.delete(over);
-            }
-            if (state == State.FAILED && System.nanoTime() - failedAt > AGAIN_MS * 1_000_000) {
-                batch += 2;
-                begin();
-                state = State.OPEN;
-                Logger.info("kept results: the disk takes records again");
-            }
-        } catch (IOException | RuntimeException | Error e) {
-            if (state == State.OPEN || System.nanoTime() - failedAt > AGAIN_MS * 1_000_000) {
-                fail(e);
-            }
-        }
-    }
-
-    private long over() {
-        synchronized (room) {
-            return room.over(seconds());
-        }
-    }
-
-    @Override
-    public void close() {
-        close(END_MS);
-    }
-
-    /** Waits until what was told is on disk, at most so many ms, and gives the folder back. */
-    public synchronized void close(long millis) {
-        if (state == State.SHUT) {
-            return;
-        }
-        gather.close();
-        try {
-            writer.join(Math.max(1, millis));
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
+        if (!mayGrow()) {
+          places[i] = -1; // longer than was promised, and no room: it stays in memory alone
+          continue;
         }
-        state = State.SHUT;
-        disk.close();
-    }
-
-    // ---- Figures ----
-
-    public State state() {
-        return state;
-    }
-
-    @Override
-    public Map<ResultFigure, Long> figures() {
-        Map<ResultFigure, Long> all = new EnumMap<>(ResultFigure.class);
-        all.put(ResultFigure.STATE, state.ordinal() + 1L);
-        all.put(ResultFigure.RECORDS, records);
+        begin();
+      }
+      if (buffer.remaining() < ticket.size) {
+        flush(from);
+        from = -1;
+      }
+      int at;
+      long number;
+      synchronized (room) {
+        at = room.put(ticket.size, ticket.until);
+        number = room.current();
+      }
+      from = from < 0 ? at : from;
+      places[i] = place(number, at);
+      ticket.record.written(i == places.length - 1, batch, wall, steady).put(buffer);
+    }
+    flush(from);
+    sync();
+    records += places.length;
+    for (int i = 0; i < places.length; i++) {
+      all.get(i).place = places[i];
+    }
+  }
+
+  private void flush(int at) throws IOException {
+    if (at >= 0) {
+      buffer.flip();
+      disk.write(room.current(), at, buffer);
+    }
+    buffer.clear();
+  }
+
+  private void sync() throws IOException {
+    if (!settings.sync().equals("none")) {
+      long began = System.nanoTime();
+      disk.sync(room.current());
+      long took = Math.min(LONGEST_SYNC, (System.nanoTime() - began) / 1000);
+      synchronized (syncs) {
+        syncs.recordValue(took);
+      }
+    }
+  }
+
+  /**
+   * Guards against trusting a file after its sync failed: the kernel may have thrown its pages
+   * away.
+   */
+  private void fail(Throwable e) {
+    errors++;
+    failedAt = System.nanoTime();
+    state = State.FAILED;
+    Logger.error(
+        "kept results: {}; keyed requests are refused until the disk takes a fresh file",
+        e.toString());
+  }
+
+  private void tidy() {
+    try {
+      if (!ghosts.isEmpty() && seconds() > ghostsUntil) {
+        ghosts.clear();
+        list();
+      }
+      for (long over = over(); over >= 0; over = over()) {
         synchronized (room) {
-            all.put(ResultFigure.KB, room.bytes() >> 10);
-            all.put(ResultFigure.USED_KB, room.used() >> 10);
-            all.put(ResultFigure.PROMISED_KB, room.promised() >> 10);
-            all.put(ResultFigure.FILES, (long) room.segments());
-        }
-        Gather<Ticket> waiting = gather;
-        all.put(ResultFigure.WAITING_BYTES, waiting == null ? 0 : waiting.bytes());
-        synchronized (syncs) {
-            all.put(ResultFigure.SYNCS, syncs.getTotalCount());
-            all.put(ResultFigure.SYNC_P50_US, syncs.getValueAtPercentile(50));
-            all.put(ResultFigure.SYNC_P99_US, syncs.getValueAtPercentile(99));
-            all.put(ResultFigure.SYNC_MAX_US, syncs.getMaxValue());
+          room.drop();
         }
-        all.put(ResultFigure.RECOVERED_KNOWN, (long) recoveredKnown);
-        all.put(ResultFigure.RECOVERED_UNKNOWN, (long) recoveredUnknown);
-        all.put(ResultFigure.RECOVERY_US, (long) (recoveryMs * 1000));
-        all.put(ResultFigure.DAMAGED, damaged ? 1L : 0L);
-        all.put(ResultFigure.ERRORS, errors);
-        all.put(ResultFigure.UNSAVED, unsaved);
-        for (Records.Refusal why : Records.Refusal.values()) {
-            all.put(ResultFigure.valueOf("REFUSED_" + why.name()), refused.get(why.ordinal()));
-        }
-        return all;
-    }
-
-    private static double seconds() {
-        return System.nanoTime() / 1e9;
-    }
-
-    private static long steady() {
-        return System.nanoTime() / 1_000_000;
-    }
+        list();
+        disk.delete(over);
+      }
+      if (state == State.FAILED && System.nanoTime() - failedAt > AGAIN_MS * 1_000_000) {
+        batch += 2;
+        begin();
+        state = State.OPEN;
+        Logger.info("kept results: the disk takes records again");
+      }
+    } catch (IOException | RuntimeException | Error e) {
+      if (state == State.OPEN || System.nanoTime() - failedAt > AGAIN_MS * 1_000_000) {
+        fail(e);
+      }
+    }
+  }
+
+  private long over() {
+    synchronized (room) {
+      return room.over(seconds());
+    }
+  }
+
+  @Override
+  public void close() {
+    close(END_MS);
+  }
+
+  /** Waits until what was told is on disk, at most so many ms, and gives the folder back. */
+  public synchronized void close(long millis) {
+    if (state == State.SHUT) {
+      return;
+    }
+    gather.close();
+    try {
+      writer.join(Math.max(1, millis));
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+    state = State.SHUT;
+    disk.close();
+  }
+
+  // ---- Figures ----
+
+  public State state() {
+    return state;
+  }
+
+  @Override
+  public Map<ResultFigure, Long> figures() {
+    Map<ResultFigure, Long> all = new EnumMap<>(ResultFigure.class);
+    all.put(ResultFigure.STATE, state.ordinal() + 1L);
+    all.put(ResultFigure.RECORDS, records);
+    synchronized (room) {
+      all.put(ResultFigure.KB, room.bytes() >> 10);
+      all.put(ResultFigure.USED_KB, room.used() >> 10);
+      all.put(ResultFigure.PROMISED_KB, room.promised() >> 10);
+      all.put(ResultFigure.FILES, (long) room.segments());
+    }
+    Gather<Ticket> waiting = gather;
+    all.put(ResultFigure.WAITING_BYTES, waiting == null ? 0 : waiting.bytes());
+    synchronized (syncs) {
+      all.put(ResultFigure.SYNCS, syncs.getTotalCount());
+      all.put(ResultFigure.SYNC_P50_US, syncs.getValueAtPercentile(50));
+      all.put(ResultFigure.SYNC_P99_US, syncs.getValueAtPercentile(99));
+      all.put(ResultFigure.SYNC_MAX_US, syncs.getMaxValue());
+    }
+    all.put(ResultFigure.RECOVERED_KNOWN, (long) recoveredKnown);
+    all.put(ResultFigure.RECOVERED_UNKNOWN, (long) recoveredUnknown);
+    all.put(ResultFigure.RECOVERY_US, (long) (recoveryMs * 1000));
+    all.put(ResultFigure.DAMAGED, damaged ? 1L : 0L);
+    all.put(ResultFigure.ERRORS, errors);
+    all.put(ResultFigure.UNSAVED, unsaved);
+    for (Records.Refusal why : Records.Refusal.values()) {
+      all.put(ResultFigure.valueOf("REFUSED_" + why.name()), refused.get(why.ordinal()));
+    }
+    return all;
+  }
+
+  private static double seconds() {
+    return System.nanoTime() / 1e9;
+  }
+
+  private static long steady() {
+    return System.nanoTime() / 1_000_000;
+  }
 }
--- a/src/main/java/wharftrestle/durable/Listing.java
+++ b/src/main/java/wharftrestle/durable/Listing.java
@@ -6,41 +6,43 @@
 import wharftrestle.keys.Digest;
 
 /**
- * The list of the log's files, as text: the version, a number a line, a check. It is what a missing file is known by.
- * A number is on it before its file is used, and off it before its file is deleted.
+ * The list of the log's files, as text: the version, a number a line, a check. It is what a missing
+ * file is known by. A number is on it before its file is used, and off it before its file is
+ * deleted.
  */
 final class Listing {
-    private static final String WORD = "wharftrestle-results ";
+  private static final String WORD = "wharftrestle-results ";
 
-    private Listing() { }
+  private Listing() {}
 
-    static byte[] of(Iterable<Long> numbers) {
-        StringBuilder text = new StringBuilder(WORD + Segment.VERSION + "\n");
-        for (long number : numbers) {
-            text.append(number).append('\n');
-        }
-        return (text + end(text)).getBytes(StandardCharsets.US_ASCII);
+  static byte[] of(Iterable<Long> numbers) {
+    StringBuilder text = new StringBuilder(WORD + Segment.VERSION + "\n");
+    for (long number : numbers) {
+      text.append(number).append('\n');
     }
+    return (text + end(text)).getBytes(StandardCharsets.US_ASCII);
+  }
 
-    private static String end(CharSequence text) {
-        return "end " + Long.toHexString(Digest.of(text.toString()).high()) + "\n";
-    }
+  private static String end(CharSequence text) {
+    return "end " + Long.toHexString(Digest.of(text.toString()).high()) + "\n";
+  }
 
-    /** The numbers; null where it is garbled. */
-    static List<Long> parse(byte[] bytes) throws Segment.ForeignException {
-        String text = new String(bytes, StandardCharsets.US_ASCII);
-        int end = text.indexOf("end ");
-        if (end < 0 || !text.substring(end).equals(end(text.substring(0, end)))) {
-            return null;
-        }
-        String[] lines = text.substring(0, end).split("\n");
-        if (!lines[0].equals(WORD + Segment.VERSION)) {
-            throw new Segment.ForeignException("is of '" + lines[0] + "', this program knows " + WORD + Segment.VERSION);
-        }
-        List<Long> numbers = new ArrayList<>();
-        for (int i = 1; i < lines.length; i++) {
-            numbers.add(Long.parseLong(lines[i]));
-        }
-        return numbers;
+  /** The numbers; null where it is garbled. */
+  static List<Long> parse(byte[] bytes) throws Segment.ForeignException {
+    String text = new String(bytes, StandardCharsets.US_ASCII);
+    int end = text.indexOf("end ");
+    if (end < 0 || !text.substring(end).equals(end(text.substring(0, end)))) {
+      return null;
+    }
+    String[] lines = text.substring(0, end).split("\n");
+    if (!lines[0].equals(WORD + Segment.VERSION)) {
+      throw new Segment.ForeignException(
+          "is of '" + lines[0] + "', this program knows " + WORD + Segment.VERSION);
+    }
+    List<Long> numbers = new ArrayList<>();
+    for (int i = 1; i < lines.length; i++) {
+      numbers.add(Long.parseLong(lines[i]));
     }
+    return numbers;
+  }
 }
--- a/src/main/java/wharftrestle/durable/Record.java
+++ b/src/main/java/wharftrestle/durable/Record.java
@@ -5,8 +5,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * One record of the log and its bytes. It owns the layout and what counts as whole; it must never trust a length
- * that it has not checked.
+ * One record of the log and its bytes. It owns the layout and what counts as whole; it must never
+ * trust a length that it has not checked.
  *
  * <pre>
  * int    length of what follows the check    1 to MOST
@@ -24,110 +24,141 @@
  *
  * Records begin at multiples of 8 bytes; zeros fill the gap.
  *
- * @param ends   it is the last of its batch
+ * @param ends it is the last of its batch
  * @param window ms
- * @param wall   Unix ms
+ * @param wall Unix ms
  * @param steady ms
  */
-public record Record(Kind kind, boolean ends, int batch, long wall, long steady, long lastDoor, int window, long check,
-                     String key, byte[] result) {
+public record Record(
+    Kind kind,
+    boolean ends,
+    int batch,
+    long wall,
+    long steady,
+    long lastDoor,
+    int window,
+    long check,
+    String key,
+    byte[] result) {
 
-    /** What a record says of its key. */
-    public enum Kind {
-        /** A run is about to be asked for. */
-        INTENT,
-        /** It ended well, with this result. */
-        RESULT,
-        /** It ended, and has no result to give. */
-        FAILED,
-        /** No run was begun. */
-        VOID
-    }
+  /** What a record says of its key. */
+  public enum Kind {
+    /** A run is about to be asked for. */
+    INTENT,
+    /** It ended well, with this result. */
+    RESULT,
+    /** It ended, and has no result to give. */
+    FAILED,
+    /** No run was begun. */
+    VOID
+  }
 
-    /** Bytes of one record at most, its head left out. */
-    static final int MOST = 128 * 1024;
-    /** Bytes of a key at most. */
-    public static final int LONGEST_KEY = 512;
-    /** Bytes of a result at most; PROTOCOL has 4 kB. */
-    public static final int LONGEST_RESULT = 64 * 1024;
-    static final int HEAD = 8;
-    private static final int LAST = 0x80;
-    static final int ALIGN = 8;
-    private static final int FIXED = 1 + 4 + 8 + 8 + 8 + 4 + 8 + 2 + 4;
+  /** Bytes of one record at most, its head left out. */
+  static final int MOST = 128 * 1024;
 
-    Record written(boolean last, int inBatch, long atWall, long atSteady) {
-        return new Record(kind, last, inBatch, atWall, atSteady, lastDoor, window, check, key, result);
-    }
+  /** Bytes of a key at most. */
+  public static final int LONGEST_KEY = 512;
 
-    /** Bytes on disk, the gap to the next record included. */
-    int size() {
-        return size(key.getBytes(StandardCharsets.UTF_8).length, result.length);
-    }
+  /** Bytes of a result at most; PROTOCOL has 4 kB. */
+  public static final int LONGEST_RESULT = 64 * 1024;
 
-    static int size(int keyBytes, int resultBytes) {
-        return aligned(HEAD + FIXED + keyBytes + resultBytes);
-    }
+  static final int HEAD = 8;
+  private static final int LAST = 0x80;
+  static final int ALIGN = 8;
+  private static final int FIXED = 1 + 4 + 8 + 8 + 8 + 4 + 8 + 2 + 4;
 
-    static int aligned(int size) {
-        return size + ALIGN - 1 & -ALIGN;
-    }
+  Record written(boolean last, int inBatch, long atWall, long atSteady) {
+    return new Record(kind, last, inBatch, atWall, atSteady, lastDoor, window, check, key, result);
+  }
 
-    void put(ByteBuffer to) {
-        int begin = to.position();
-        byte[] name = key.getBytes(StandardCharsets.UTF_8);
-        int length = FIXED + name.length + result.length;
-        to.putInt(length).putInt(0).put((byte) (kind.ordinal() + 1 | (ends ? LAST : 0)))
-                .putInt(batch).putLong(wall).putLong(steady)
-                .putLong(lastDoor).putInt(window).putLong(check).putShort((short) name.length).put(name)
-                .putInt(result.length).put(result);
-        to.putInt(begin + 4, crc(to, begin, length));
-        while ((to.position() - begin) % ALIGN != 0) {
-            to.put((byte) 0);
-        }
-    }
+  /** Bytes on disk, the gap to the next record included. */
+  int size() {
+    return size(key.getBytes(StandardCharsets.UTF_8).length, result.length);
+  }
+
+  static int size(int keyBytes, int resultBytes) {
+    return aligned(HEAD + FIXED + keyBytes + resultBytes);
+  }
 
-    private static int crc(ByteBuffer bytes, int begin, int length) {
-        CRC32C crc = new CRC32C();
-        ByteBuffer part = bytes.duplicate();
-        crc.update(part.limit(begin + 4).position(begin));
-        crc.update(part.limit(begin + HEAD + length).position(begin + HEAD));
-        return (int) crc.getValue();
+  static int aligned(int size) {
+    return size + ALIGN - 1 & -ALIGN;
+  }
+
+  void put(ByteBuffer to) {
+    int begin = to.position();
+    byte[] name = key.getBytes(StandardCharsets.UTF_8);
+    int length = FIXED + name.length + result.length;
+    to.putInt(length)
+        .putInt(0)
+        .put((byte) (kind.ordinal() + 1 | (ends ? LAST : 0)))
+        .putInt(batch)
+        .putLong(wall)
+        .putLong(steady)
+        .putLong(lastDoor)
+        .putInt(window)
+        .putLong(check)
+        .putShort((short) name.length)
+        .put(name)
+        .putInt(result.length)
+        .put(result);
+    to.putInt(begin + 4, crc(to, begin, length));
+    while ((to.position() - begin) % ALIGN != 0) {
+      to.put((byte) 0);
     }
+  }
+
+  private static int crc(ByteBuffer bytes, int begin, int length) {
+    CRC32C crc = new CRC32C();
+    ByteBuffer part = bytes.duplicate();
+    crc.update(part.limit(begin + 4).position(begin));
+    crc.update(part.limit(begin + HEAD + length).position(begin + HEAD));
+    return (int) crc.getValue();
+  }
 
-    /** The whole record that begins there; null where there is none. */
-    static Record at(ByteBuffer bytes, int begin) {
-        if (begin < 0 || bytes.limit() - begin < HEAD + FIXED) {
-            return null;
-        }
-        int length = bytes.getInt(begin);
-        if (length < FIXED || length > MOST || length > bytes.limit() - begin - HEAD) {
-            return null;
-        }
-        int kind = (bytes.get(begin + HEAD) & LAST - 1) - 1;
-        boolean ends = (bytes.get(begin + HEAD) & LAST) != 0;
-        if (kind < 0 || kind >= Kind.values().length
-                || bytes.getInt(begin + 4) != crc(bytes, begin, length)) {
-            return null;
-        }
-        ByteBuffer in = bytes.duplicate().position(begin + HEAD + 1);
-        int batch = in.getInt();
-        long wall = in.getLong();
-        long steady = in.getLong();
-        long lastDoor = in.getLong();
-        int window = in.getInt();
-        long check = in.getLong();
-        byte[] name = new byte[in.getShort() & 0xffff];
-        if (name.length > length - FIXED) {
-            return null;
-        }
-        in.get(name);
-        int most = length - FIXED - name.length;
-        byte[] result = new byte[Math.max(0, Math.min(most, in.getInt()))];
-        if (result.length != most) {
-            return null;
-        }
-        in.get(result);
-        return new Record(Kind.values()[kind], ends, batch, wall, steady, lastDoor, window, check,
-                new String(name, StandardCharsets.UTF_8), result);
+  /** The whole record that begins there; null where there is none. */
+  static Record at(ByteBuffer bytes, int begin) {
+    if (begin < 0 || bytes.limit() - begin < HEAD + FIXED) {
+      return null;
+    }
+    int length = bytes.getInt(begin);
+    if (length < FIXED || length > MOST || length > bytes.limit() - begin - HEAD) {
+      return null;
+    }
+    int kind = (bytes.get(begin + HEAD) & LAST - 1) - 1;
+    boolean ends = (bytes.get(begin + HEAD) & LAST) != 0;
+    if (kind < 0
+        || kind >= Kind.values().length
+        || bytes.getInt(begin + 4) != crc(bytes, begin, length)) {
+      return null;
+    }
+    ByteBuffer in = bytes.duplicate().position(begin + HEAD + 1);
+    int batch = in.getInt();
+    long wall = in.getLong();
+    long steady = in.getLong();
+    long lastDoor = in.getLong();
+    int window = in.getInt();
+    long check = in.getLong();
+    byte[] name = new byte[in.getShort() & 0xffff];
+    if (name.length > length - FIXED) {
+      return null;
+    }
+    in.get(name);
+    int most = length - FIXED - name.length;
+    byte[] result = new byte[Math.max(0, Math.min(most, in.getInt()))];
+    if (result.length != most) {
+      return null;
     }
+    in.get(result);
+    return new Record(
+        Kind.values()[kind],
+        ends,
+        batch,
+        wall,
+        steady,
+        lastDoor,
+        window,
+        check,
+        new String(name, StandardCharsets.UTF_8),
+        result);
+  }
 }
--- a/src/main/java/wharftrestle/durable/Recovery.java
+++ b/src/main/java/wharftrestle/durable/Recovery.java
@@ -5,9 +5,10 @@
 import wharftrestle.keys.KeyTable;
 
 /**
- * What the records of a dead process mean. Result known: repeats get it. Intent without a result: its end is unknown,
- * whatever the worker pool may still be doing of it, so tries in the window fail and never run. Neither: the key may
- * run. It must never trust a clock that can step: see {@link #until}.
+ * What the records of a dead process mean. Result known: repeats get it. Intent without a result:
+ * its end is unknown, whatever the worker pool may still be doing of it, so tries in the window
+ * fail and never run. Neither: the key may run. It must never trust a clock that can step: see
+ * {@link #until}.
  *
  * <pre>
  * last records of a key       after recovery
@@ -19,68 +20,80 @@
  * </pre>
  */
 public final class Recovery {
-    /** Seconds kept beyond a window, as of the keys in memory. */
-    static final double LINGER = KeyTable.LINGER;
+  /** Seconds kept beyond a window, as of the keys in memory. */
+  static final double LINGER = KeyTable.LINGER;
 
-    /**
-     * What is known of one key.
-     *
-     * @param place of its result; -1 where its end is unknown
-     */
-    public record Known(String key, long place, long lastDoor, int window, long check) { }
+  /**
+   * What is known of one key.
+   *
+   * @param place of its result; -1 where its end is unknown
+   */
+  public record Known(String key, long place, long lastDoor, int window, long check) {}
 
-    private final Map<String, Known> keys = new LinkedHashMap<>();
-    private final long wallNow;
-    private final long steadyNow;
-    private int over;
+  private final Map<String, Known> keys = new LinkedHashMap<>();
+  private final long wallNow;
+  private final long steadyNow;
+  private int over;
 
-    /** @param wallNow ms on the scale of stamps; steadyNow ms on the machine's steady clock */
-    public Recovery(long wallNow, long steadyNow) {
-        this.wallNow = wallNow;
-        this.steadyNow = steadyNow;
-    }
+  /**
+   * @param wallNow ms on the scale of stamps; steadyNow ms on the machine's steady clock
+   */
+  public Recovery(long wallNow, long steadyNow) {
+    this.wallNow = wallNow;
+    this.steadyNow = steadyNow;
+  }
 
-    /**
-     * Takes the next record of the log, which lies there; same boot where its steady clock is the present one. False
-     * where nothing of it need be kept.
-     */
-    public boolean take(Record record, long place, boolean sameBoot) {
-        keys.remove(record.key());
-        if (record.kind() == Record.Kind.VOID) {
-            return false;
-        }
-        if (sameBoot && steadyNow - record.steady() > record.window() + LINGER * 1000) {
-            over++;   // a process that dies again and again must not carry it for ever
-            return false;
-        }
-        boolean known = record.kind() == Record.Kind.RESULT;
-        // Stamps are of a clock that may have stepped meanwhile: any try read within a window from now is covered.
-        keys.put(record.key(), new Known(record.key(), known ? place : -1,
-                Math.max(record.lastDoor(), wallNow + record.window()), record.window(), record.check()));
-        return true;
+  /**
+   * Takes the next record of the log, which lies there; same boot where its steady clock is the
+   * present one. False where nothing of it need be kept.
+   */
+  public boolean take(Record record, long place, boolean sameBoot) {
+    keys.remove(record.key());
+    if (record.kind() == Record.Kind.VOID) {
+      return false;
     }
-
-    /** Seconds on a clock that is now at {@code now} until a key is forgotten: one window and a linger, from now. */
-    public static double until(Known known, double now) {
-        return now + known.window() / 1000.0 + LINGER;
+    if (sameBoot && steadyNow - record.steady() > record.window() + LINGER * 1000) {
+      over++; // a process that dies again and again must not carry it for ever
+      return false;
     }
+    boolean known = record.kind() == Record.Kind.RESULT;
+    // Stamps are of a clock that may have stepped meanwhile: any try read within a window from now
+    // is covered.
+    keys.put(
+        record.key(),
+        new Known(
+            record.key(),
+            known ? place : -1,
+            Math.max(record.lastDoor(), wallNow + record.window()),
+            record.window(),
+            record.check()));
+    return true;
+  }
 
-    public Iterable<Known> keys() {
-        return keys.values();
-    }
+  /**
+   * Seconds on a clock that is now at {@code now} until a key is forgotten: one window and a
+   * linger, from now.
+   */
+  public static double until(Known known, double now) {
+    return now + known.window() / 1000.0 + LINGER;
+  }
 
-    /** Keys with a result. */
-    public int known() {
-        return (int) keys.values().stream().filter(key -> key.place() >= 0).count();
-    }
+  public Iterable<Known> keys() {
+    return keys.values();
+  }
 
-    /** Keys whose end is unknown. */
-    public int unknown() {
-        return keys.size() - known();
-    }
+  /** Keys with a result. */
+  public int known() {
+    return (int) keys.values().stream().filter(key -> key.place() >= 0).count();
+  }
 
-    /** Records left out as their time was over. */
-    public int over() {
-        return over;
-    }
+  /** Keys whose end is unknown. */
+  public int unknown() {
+    return keys.size() - known();
+  }
+
+  /** Records left out as their time was over. */
+  public int over() {
+    return over;
+  }
 }
--- a/src/main/java/wharftrestle/durable/Segment.java
+++ b/src/main/java/wharftrestle/durable/Segment.java
@@ -4,146 +4,164 @@
 import java.util.zip.CRC32C;
 
 /**
- * One file of the log: a head, then records, then zeros up to its full size. It owns the head's layout and what a scan
- * makes of a file that is not whole. It must never take a hole in what was synced for the end of the log: a key lost
- * in there could run again.
+ * One file of the log: a head, then records, then zeros up to its full size. It owns the head's
+ * layout and what a scan makes of a file that is not whole. It must never take a hole in what was
+ * synced for the end of the log: a key lost in there could run again.
  *
- * <p>A file has its full size from the start, so a shorter one was cut. Within it, what is no record is told apart by
- * the batches: a batch is written only after the one before it was synced. So a hole with a later batch behind it was
- * on disk and is damage; a hole within the last batch of the log is a write that a crash tore, and nothing in it was
- * acted on.
+ * <p>A file has its full size from the start, so a shorter one was cut. Within it, what is no
+ * record is told apart by the batches: a batch is written only after the one before it was synced.
+ * So a hole with a later batch behind it was on disk and is damage; a hole within the last batch of
+ * the log is a write that a crash tore, and nothing in it was acted on.
  */
 final class Segment {
-    /** Bytes: magic, version, first batch, number, boot, capacity, check; records follow. */
-    static final int HEAD = 48;
-    static final int VERSION = 1;
-    private static final long MAGIC = 0x5754524553554c54L;   // "WTRESULT"
+  /** Bytes: magic, version, first batch, number, boot, capacity, check; records follow. */
+  static final int HEAD = 48;
 
-    private Segment() { }
+  static final int VERSION = 1;
+  private static final long MAGIC = 0x5754524553554c54L; // "WTRESULT"
 
-    /** A head as read: the boot tells whether the steady clock of its records is the present one. */
-    record Head(int version, int firstBatch, long number, long boot, long capacity) { }
+  private Segment() {}
 
-    /** Told of each whole record in turn. */
-    interface Each {
-        void record(Record record, int offset);
-    }
+  /** A head as read: the boot tells whether the steady clock of its records is the present one. */
+  record Head(int version, int firstBatch, long number, long boot, long capacity) {}
 
-    /**
-     * What a scan saw.
-     *
-     * @param end       where the next record would begin
-     * @param lastBatch of its records; 0 for none
-     * @param torn      something at its end is no record
-     * @param damaged   something that was on disk is lost
-     */
-    record Seen(Head head, int end, int records, int lastBatch, boolean torn, boolean damaged) { }
-
-    /** This is no file of ours, or one of a later version. */
-    static final class ForeignException extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        ForeignException(String message) {
-            super(message);
-        }
-    }
+  /** Told of each whole record in turn. */
+  interface Each {
+    void record(Record record, int offset);
+  }
 
-    static ByteBuffer head(int firstBatch, long number, long boot, long capacity) {
-        ByteBuffer head = ByteBuffer.allocate(HEAD);
-        head.putLong(MAGIC).putInt(VERSION).putInt(firstBatch).putLong(number).putLong(boot).putLong(capacity);
-        CRC32C crc = new CRC32C();
-        crc.update(head.array(), 0, head.position());
-        head.putInt((int) crc.getValue());
-        return head.position(0).limit(HEAD);
-    }
+  /**
+   * What a scan saw.
+   *
+   * @param end where the next record would begin
+   * @param lastBatch of its records; 0 for none
+   * @param torn something at its end is no record
+   * @param damaged something that was on disk is lost
+   */
+  record Seen(Head head, int end, int records, int lastBatch, boolean torn, boolean damaged) {}
 
-    /** The head; null where it is garbled or cut. */
-    static Head head(ByteBuffer bytes) throws ForeignException {
-        if (bytes.limit() < HEAD) {
-            return null;
-        }
-        CRC32C crc = new CRC32C();
-        crc.update(bytes.duplicate().position(0).limit(40));
-        boolean whole = bytes.getInt(40) == (int) crc.getValue();
-        if (bytes.getLong(0) != MAGIC) {
-            if (whole || !like(bytes.getLong(0))) {
-                throw new ForeignException("is no file of kept results");
-            }
-            return null;
-        }
-        if (whole && bytes.getInt(8) > VERSION) {
-            throw new ForeignException("is of version " + bytes.getInt(8) + ", this program knows " + VERSION);
-        }
-        return whole ? new Head(bytes.getInt(8), bytes.getInt(12), bytes.getLong(16),
-                bytes.getLong(24), bytes.getLong(32)) : null;
+  /** This is no file of ours, or one of a later version. */
+  static final class ForeignException extends Exception {
+    private static final long serialVersionUID = 1L;
+
+    ForeignException(String message) {
+      super(message);
     }
+  }
 
-    /** True where the steady clock of its records is that of this boot; a boot of 0 is no known one. */
-    static boolean sameBoot(ByteBuffer bytes, long boot) throws ForeignException {
-        Head head = head(bytes);
-        return head != null && boot != 0 && head.boot() == boot;
+  static ByteBuffer head(int firstBatch, long number, long boot, long capacity) {
+    ByteBuffer head = ByteBuffer.allocate(HEAD);
+    head.putLong(MAGIC)
+        .putInt(VERSION)
+        .putInt(firstBatch)
+        .putLong(number)
+        .putLong(boot)
+        .putLong(capacity);
+    CRC32C crc = new CRC32C();
+    crc.update(head.array(), 0, head.position());
+    head.putInt((int) crc.getValue());
+    return head.position(0).limit(HEAD);
+  }
+
+  /** The head; null where it is garbled or cut. */
+  static Head head(ByteBuffer bytes) throws ForeignException {
+    if (bytes.limit() < HEAD) {
+      return null;
+    }
+    CRC32C crc = new CRC32C();
+    crc.update(bytes.duplicate().position(0).limit(40));
+    boolean whole = bytes.getInt(40) == (int) crc.getValue();
+    if (bytes.getLong(0) != MAGIC) {
+      if (whole || !like(bytes.getLong(0))) {
+        throw new ForeignException("is no file of kept results");
+      }
+      return null;
     }
+    if (whole && bytes.getInt(8) > VERSION) {
+      throw new ForeignException(
+          "is of version " + bytes.getInt(8) + ", this program knows " + VERSION);
+    }
+    return whole
+        ? new Head(
+            bytes.getInt(8),
+            bytes.getInt(12),
+            bytes.getLong(16),
+            bytes.getLong(24),
+            bytes.getLong(32))
+        : null;
+  }
 
-    /** Guards against calling a file of ours foreign for some garbled bytes, or zeros that a crash left. */
-    private static boolean like(long magic) {
-        int same = 0;
-        for (int i = 0; i < 64; i += 8) {
-            same += (magic >>> i & 0xff) == (MAGIC >>> i & 0xff) ? 1 : 0;
-        }
-        return magic == 0 || same >= 4;
+  /**
+   * True where the steady clock of its records is that of this boot; a boot of 0 is no known one.
+   */
+  static boolean sameBoot(ByteBuffer bytes, long boot) throws ForeignException {
+    Head head = head(bytes);
+    return head != null && boot != 0 && head.boot() == boot;
+  }
+
+  /**
+   * Guards against calling a file of ours foreign for some garbled bytes, or zeros that a crash
+   * left.
+   */
+  private static boolean like(long magic) {
+    int same = 0;
+    for (int i = 0; i < 64; i += 8) {
+      same += (magic >>> i & 0xff) == (MAGIC >>> i & 0xff) ? 1 : 0;
     }
+    return magic == 0 || same >= 4;
+  }
 
-    /** Goes through a file; each record is told in the order of the file. */
-    static Seen scan(ByteBuffer bytes, Each each) throws ForeignException {
-        Head head = head(bytes);
-        boolean damaged = head == null || bytes.limit() < head.capacity();
-        int records = 0;
-        int batch = head == null ? 0 : head.firstBatch() - 1;   // of the last whole record
-        boolean ended = head != null;                           // and it was the last of that
-        int hole = Integer.MAX_VALUE;                           // the batch that the last hole lies in
-        int at = HEAD;
-        int end = HEAD;
-        while (at < bytes.limit()) {
-            Record record = Record.at(bytes, at);
-            if (record == null) {
-                int next = next(bytes, at);
-                if (next < 0) {
-                    break;
-                }
-                int behind = Record.at(bytes, next).batch();
-                hole = Math.min(hole, ended ? batch + 1 : batch);
-                damaged |= behind > hole;
-                at = next;
-                continue;
-            }
-            damaged |= record.batch() > hole;
-            batch = record.batch();
-            ended = record.ends();
-            records++;
-            each.record(record, at);
-            at += record.size();
-            end = at;
+  /** Goes through a file; each record is told in the order of the file. */
+  static Seen scan(ByteBuffer bytes, Each each) throws ForeignException {
+    Head head = head(bytes);
+    boolean damaged = head == null || bytes.limit() < head.capacity();
+    int records = 0;
+    int batch = head == null ? 0 : head.firstBatch() - 1; // of the last whole record
+    boolean ended = head != null; // and it was the last of that
+    int hole = Integer.MAX_VALUE; // the batch that the last hole lies in
+    int at = HEAD;
+    int end = HEAD;
+    while (at < bytes.limit()) {
+      Record record = Record.at(bytes, at);
+      if (record == null) {
+        int next = next(bytes, at);
+        if (next < 0) {
+          break;
         }
-        boolean torn = hole < Integer.MAX_VALUE || records > 0 && !ended || !zeros(bytes, end);
-        return new Seen(head, end, records, batch, torn, damaged);
+        int behind = Record.at(bytes, next).batch();
+        hole = Math.min(hole, ended ? batch + 1 : batch);
+        damaged |= behind > hole;
+        at = next;
+        continue;
+      }
+      damaged |= record.batch() > hole;
+      batch = record.batch();
+      ended = record.ends();
+      records++;
+      each.record(record, at);
+      at += record.size();
+      end = at;
     }
+    boolean torn = hole < Integer.MAX_VALUE || records > 0 && !ended || !zeros(bytes, end);
+    return new Seen(head, end, records, batch, torn, damaged);
+  }
 
-    /** Where the next whole record begins behind this place; -1 for none. */
-    private static int next(ByteBuffer bytes, int after) {
-        for (int at = after + Record.ALIGN; at < bytes.limit(); at += Record.ALIGN) {
-            if (bytes.limit() - at >= 4 && bytes.getInt(at) != 0 && Record.at(bytes, at) != null) {
-                return at;
-            }
-        }
-        return -1;
+  /** Where the next whole record begins behind this place; -1 for none. */
+  private static int next(ByteBuffer bytes, int after) {
+    for (int at = after + Record.ALIGN; at < bytes.limit(); at += Record.ALIGN) {
+      if (bytes.limit() - at >= 4 && bytes.getInt(at) != 0 && Record.at(bytes, at) != null) {
+        return at;
+      }
     }
+    return -1;
+  }
 
-    private static boolean zeros(ByteBuffer bytes, int from) {
-        for (int at = from; at < bytes.limit(); at++) {
-            if (bytes.get(at) != 0) {
-                return false;
-            }
-        }
-        return true;
+  private static boolean zeros(ByteBuffer bytes, int from) {
+    for (int at = from; at < bytes.limit(); at++) {
+      if (bytes.get(at) != 0) {
+        return false;
+      }
     }
+    return true;
+  }
 }
--- a/src/main/java/wharftrestle/durable/UnusableException.java
+++ b/src/main/java/wharftrestle/durable/UnusableException.java
@@ -2,11 +2,14 @@
 
 import java.io.IOException;
 
-/** A folder of kept results that is another process's, foreign, of a newer version or not to be written: one line. */
+/**
+ * A folder of kept results that is another process's, foreign, of a newer version or not to be
+ * written: one line.
+ */
 public final class UnusableException extends IOException {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    UnusableException(String message) {
-        super(message);
-    }
+  UnusableException(String message) {
+    super(message);
+  }
 }
--- a/src/main/java/wharftrestle/fleet/Measure.java
+++ b/src/main/java/wharftrestle/fleet/Measure.java
@@ -1,49 +1,50 @@
 package wharftrestle.fleet;
 
 /**
- * What boxes are compared by. Each is a loss: more is worse. The limit of a measure is the loss at which a release must not
- * go on; a third of it is tolerated for good, so that a true difference of nothing is never a reason to stop.
+ * What boxes are compared by. Each is a loss: more is worse. The limit of a measure is the loss at
+ * which a release must not go on; a third of it is tolerated for good, so that a true difference of
+ * nothing is never a reason to stop.
  */
 public enum Measure {
-    /** Part of the worth asked for that was not served, over all classes. */
-    WORTH("worth", 0.03, true),
-    /** Part of a class's requests that failed; of the worst class. */
-    FAILED("failed", 0.03, true),
-    /** Part of a class's requests that were refused; of the worst class. */
-    REFUSED("refused", 0.1, true),
-    /** Part of a class's requests that were served after their aim; of the worst class. */
-    LATE("late", 0.1, true),
-    /** Part of store calls that ended badly. */
-    STORE("store", 0.05, true),
-    /** CPU for a request, as a part of what the old release takes. */
-    CPU("cpu", 0.5, false),
-    /** Own memory of the daemon, as a part of what the old release has. */
-    MEMORY("memory", 0.5, false),
-    /** Growth of own memory, MB a minute, beyond that of the old release. */
-    GROWTH("growth", 6, false);
+  /** Part of the worth asked for that was not served, over all classes. */
+  WORTH("worth", 0.03, true),
+  /** Part of a class's requests that failed; of the worst class. */
+  FAILED("failed", 0.03, true),
+  /** Part of a class's requests that were refused; of the worst class. */
+  REFUSED("refused", 0.1, true),
+  /** Part of a class's requests that were served after their aim; of the worst class. */
+  LATE("late", 0.1, true),
+  /** Part of store calls that ended badly. */
+  STORE("store", 0.05, true),
+  /** CPU for a request, as a part of what the old release takes. */
+  CPU("cpu", 0.5, false),
+  /** Own memory of the daemon, as a part of what the old release has. */
+  MEMORY("memory", 0.5, false),
+  /** Growth of own memory, MB a minute, beyond that of the old release. */
+  GROWTH("growth", 6, false);
 
-    private final String word;
-    private final double limit;
-    private final boolean part;
+  private final String word;
+  private final double limit;
+  private final boolean part;
 
-    Measure(String word, double limit, boolean part) {
-        this.word = word;
-        this.limit = limit;
-        this.part = part;
-    }
+  Measure(String word, double limit, boolean part) {
+    this.word = word;
+    this.limit = limit;
+    this.part = part;
+  }
 
-    /** Its name in plans, tables and logs. */
-    public String word() {
-        return word;
-    }
+  /** Its name in plans, tables and logs. */
+  public String word() {
+    return word;
+  }
 
-    /** Its limit where a plan names none. */
-    public double limit() {
-        return limit;
-    }
+  /** Its limit where a plan names none. */
+  public double limit() {
+    return limit;
+  }
 
-    /** True where it is a part of requests, and so a limit is at most 1. */
-    public boolean part() {
-        return part;
-    }
+  /** True where it is a part of requests, and so a limit is at most 1. */
+  public boolean part() {
+    return part;
+  }
 }
--- a/src/main/java/wharftrestle/handover/Between.java
+++ b/src/main/java/wharftrestle/handover/Between.java
@@ -8,10 +8,11 @@
 import wharftrestle.keys.KeyTable;
 
 /**
- * What becomes of each key while two processes serve one box: the one owns all keys, the other ends what it has in hand
- * and asks before it takes more. It owns which of both this process is, whom it tells, and what is told. It must never
- * let a key run here that the other may run, or say of a key what is not known. Not thread-safe: its caller's lock
- * guards it, and {@code now} is passed in, in seconds on the caller's clock.
+ * What becomes of each key while two processes serve one box: the one owns all keys, the other ends
+ * what it has in hand and asks before it takes more. It owns which of both this process is, whom it
+ * tells, and what is told. It must never let a key run here that the other may run, or say of a key
+ * what is not known. Not thread-safe: its caller's lock guards it, and {@code now} is passed in, in
+ * seconds on the caller's clock.
  *
  * <pre>
  * owner  other   this process
@@ -25,242 +26,298 @@
  */
 public final class Between<T> {
 
-    /** What the caller does with the tries concerned. */
-    public interface Host<T> {
-        /** The stamp of a try, Unix ms. */
-        long door(T holder);
-
-        /** Seconds in which this key may come again, with the slack of the table. */
-        double window(String key);
-
-        /** The run of a key at the other process is over; the result is null unless it ended well. */
-        void finished(KeyTable.Entry<T> entry, byte[] result);
-
-        /** A key that the other process had in hand never ran. */
-        void voided(KeyTable.Entry<T> entry);
-
-        /** Tries that wait for word of this key look again. */
-        void wake(String key, boolean granted);
+  /** What the caller does with the tries concerned. */
+  public interface Host<T> {
+    /** The stamp of a try, Unix ms. */
+    long door(T holder);
+
+    /** Seconds in which this key may come again, with the slack of the table. */
+    double window(String key);
+
+    /** The run of a key at the other process is over; the result is null unless it ended well. */
+    void finished(KeyTable.Entry<T> entry, byte[] result);
+
+    /** A key that the other process had in hand never ran. */
+    void voided(KeyTable.Entry<T> entry);
+
+    /** Tries that wait for word of this key look again. */
+    void wake(String key, boolean granted);
+  }
+
+  /** A claim whose answer lies on disk: it is read without the lock, then told. */
+  public record Reread<T>(
+      Other asks,
+      String key,
+      KeyTable.Entry<T> entry,
+      byte[] inMemory,
+      double window,
+      byte[] body) {
+
+    /** Tells what is known of the key; the result is null where it has none to give. */
+    public void tell(byte[] result) {
+      // A try with another body must be told apart there too: it is told a body that differs.
+      byte[] asked = entry.asked().same(body) ? body : Arrays.copyOf(body, body.length + 1);
+      asks.tell(new Kept(key, true, entry.lastDoor(), window + KeyTable.LINGER, asked, result));
     }
-
-    /** A claim whose answer lies on disk: it is read without the lock, then told. */
-    public record Reread<T>(Other asks, String key, KeyTable.Entry<T> entry, byte[] inMemory, double window, byte[] body) {
-
-        /** Tells what is known of the key; the result is null where it has none to give. */
-        public void tell(byte[] result) {
-            // A try with another body must be told apart there too: it is told a body that differs.
-            byte[] asked = entry.asked().same(body) ? body : Arrays.copyOf(body, body.length + 1);
-            asks.tell(new Kept(key, true, entry.lastDoor(), window + KeyTable.LINGER, asked, result));
-        }
+  }
+
+  private final KeyTable<T> keys;
+  private final Host<T> host;
+  private Other other;
+  private Other told; // asked to take over, and is told what settles
+  private boolean lagged; // what settled could not all be told
+  private boolean owner = true;
+  private double stretch;
+
+  public Between(KeyTable<T> keys, Host<T> host) {
+    this.keys = keys;
+    this.host = host;
+  }
+
+  /** The other process; null for none. */
+  public Other other() {
+    return other;
+  }
+
+  /** True where this process says what becomes of every key. */
+  public boolean owner() {
+    return owner;
+  }
+
+  // ---- Handing over ----
+
+  /**
+   * A process asked: from now on it is told what settles. All that are settled now come back, to be
+   * told one by one.
+   */
+  public List<Digest> tellsSettled(Other to) {
+    told = to;
+    lagged = false;
+    return keys.settled();
+  }
+
+  /** What was asked will not be: nothing more is told. */
+  public void stopsTelling() {
+    told = null;
+  }
+
+  /** True where what settled meanwhile could not all be told. */
+  public boolean lagged() {
+    return lagged;
+  }
+
+  /**
+   * One settled key as it is told; null where it is known no more, or its result lies on a disk
+   * that both read.
+   */
+  public Over settled(Digest key, boolean onDisk, double now) {
+    KeyTable.Settled known = keys.settled(key);
+    return known == null || onDisk && known.result() == null
+        ? null
+        : new Over(key, known.lastDoor(), known.until() - now, known.check(), known.result());
+  }
+
+  /** This key may have come to be over just now. */
+  public void follow(String key, boolean onDisk, double now) {
+    if (told == null || lagged) {
+      return;
     }
-
-    private final KeyTable<T> keys;
-    private final Host<T> host;
-    private Other other;
-    private Other told;             // asked to take over, and is told what settles
-    private boolean lagged;         // what settled could not all be told
-    private boolean owner = true;
-    private double stretch;
-
-    public Between(KeyTable<T> keys, Host<T> host) {
-        this.keys = keys;
-        this.host = host;
-    }
-
-    /** The other process; null for none. */
-    public Other other() {
-        return other;
-    }
-
-    /** True where this process says what becomes of every key. */
-    public boolean owner() {
-        return owner;
+    Over over = settled(Digest.of(key), onDisk, now);
+    if (over != null) {
+      lagged = !told.follows(over);
     }
-
-    // ---- Handing over ----
-
-    /** A process asked: from now on it is told what settles. All that are settled now come back, to be told one by one. */
-    public List<Digest> tellsSettled(Other to) {
-        told = to;
-        lagged = false;
-        return keys.settled();
-    }
-
-    /** What was asked will not be: nothing more is told. */
-    public void stopsTelling() {
-        told = null;
-    }
-
-    /** True where what settled meanwhile could not all be told. */
-    public boolean lagged() {
-        return lagged;
-    }
-
-    /** One settled key as it is told; null where it is known no more, or its result lies on a disk that both read. */
-    public Over settled(Digest key, boolean onDisk, double now) {
-        KeyTable.Settled known = keys.settled(key);
-        return known == null || onDisk && known.result() == null ? null
-                : new Over(key, known.lastDoor(), known.until() - now, known.check(), known.result());
-    }
-
-    /** This key may have come to be over just now. */
-    public void follow(String key, boolean onDisk, double now) {
-        if (told == null || lagged) {
-            return;
-        }
-        Over over = settled(Digest.of(key), onDisk, now);
-        if (over != null) {
-            lagged = !told.follows(over);
-        }
-    }
-
-    /** In one step hands all keys over, with what is open; their number. What is held or runs here stays here. */
-    public int handOver(Other to, double now) {
-        told = null;
-        other = to;
-        owner = false;
-        int[] open = {0};
-        keys.each(entry -> {
-            open[0]++;
-            if (entry.over() && entry.asked().body() == null) {
-                // Over, and still open as the index is full: its body is not kept any more.
-                to.follows(new Over(Digest.of(entry.key()), entry.lastDoor(), entry.until() - now, entry.asked().brief(),
-                        keys.result(entry)));
-            } else {
-                to.tell(kept(entry, now));
-            }
+  }
+
+  /**
+   * In one step hands all keys over, with what is open; their number. What is held or runs here
+   * stays here.
+   */
+  public int handOver(Other to, double now) {
+    told = null;
+    other = to;
+    owner = false;
+    int[] open = {0};
+    keys.each(
+        entry -> {
+          open[0]++;
+          if (entry.over() && entry.asked().body() == null) {
+            // Over, and still open as the index is full: its body is not kept any more.
+            to.follows(
+                new Over(
+                    Digest.of(entry.key()),
+                    entry.lastDoor(),
+                    entry.until() - now,
+                    entry.asked().brief(),
+                    keys.result(entry)));
+          } else {
+            to.tell(kept(entry, now));
+          }
         });
-        return open[0];
-    }
-
-    /** This process takes over from that one, whose keys follow; what it hears of is stretched by so many seconds. */
-    public void join(Other from, double longer) {
-        other = from;
-        stretch = longer;
-    }
-
-    /**
-     * The other process is gone, or never took what it was given: what it had in hand has an unknown end, which fails and
-     * never runs again in its window.
-     */
-    public void gone() {
-        other = null;
-        told = null;
-        owner = true;
-        stretch = 0;
-        keys.otherGone();
-    }
-
-    /** This process gives back what it was given, and asks that one no more: it has run nothing. */
-    public void givesBack() {
-        other = null;
-    }
-
-    // ---- What the other process says ----
-
-    /** False where there is no room to know it: then no key that is not known runs until its window is over. */
-    public boolean heard(Over over, double now) {
-        // Guards against keys whose window is over taking the room: no request comes here yet that would have them go.
-        keys.expire(now);
-        double until = now + over.secondsLeft() + stretch;
-        if (!keys.hear(new KeyTable.Settled(over.key().high(), over.key().low(), stretched(over.lastDoor()), over.check(),
-                until, over.result()))) {
-            // Guards against a second run of a key that there is no room to know: less memory than the other had.
-            keys.blind(until);
-            return false;
-        }
-        return true;
+    return open[0];
+  }
+
+  /**
+   * This process takes over from that one, whose keys follow; what it hears of is stretched by so
+   * many seconds.
+   */
+  public void join(Other from, double longer) {
+    other = from;
+    stretch = longer;
+  }
+
+  /**
+   * The other process is gone, or never took what it was given: what it had in hand has an unknown
+   * end, which fails and never runs again in its window.
+   */
+  public void gone() {
+    other = null;
+    told = null;
+    owner = true;
+    stretch = 0;
+    keys.otherGone();
+  }
+
+  /** This process gives back what it was given, and asks that one no more: it has run nothing. */
+  public void givesBack() {
+    other = null;
+  }
+
+  // ---- What the other process says ----
+
+  /**
+   * False where there is no room to know it: then no key that is not known runs until its window is
+   * over.
+   */
+  public boolean heard(Over over, double now) {
+    // Guards against keys whose window is over taking the room: no request comes here yet that
+    // would have them go.
+    keys.expire(now);
+    double until = now + over.secondsLeft() + stretch;
+    if (!keys.hear(
+        new KeyTable.Settled(
+            over.key().high(),
+            over.key().low(),
+            stretched(over.lastDoor()),
+            over.check(),
+            until,
+            over.result()))) {
+      // Guards against a second run of a key that there is no room to know: less memory than the
+      // other had.
+      keys.blind(until);
+      return false;
     }
-
-    /** The other process has this key in hand, or had. */
-    public void heard(Kept kept, double now) {
-        keys.hear(kept.key(), KeyTable.Asked.of(kept.body()), stretched(kept.lastDoor()),
-                now + kept.secondsLeft() + stretch);
-        KeyTable.Entry<T> known = keys.find(kept.key());
-        if (kept.finished() && keys.elsewhere(known)) {
-            host.finished(known, kept.result());
-        }
-        host.wake(kept.key(), false);
+    return true;
+  }
+
+  /** The other process has this key in hand, or had. */
+  public void heard(Kept kept, double now) {
+    keys.hear(
+        kept.key(),
+        KeyTable.Asked.of(kept.body()),
+        stretched(kept.lastDoor()),
+        now + kept.secondsLeft() + stretch);
+    KeyTable.Entry<T> known = keys.find(kept.key());
+    if (kept.finished() && keys.elsewhere(known)) {
+      host.finished(known, kept.result());
     }
+    host.wake(kept.key(), false);
+  }
 
-    private long stretched(long lastDoor) {
-        return lastDoor + Math.round(stretch * 1000);
-    }
+  private long stretched(long lastDoor) {
+    return lastDoor + Math.round(stretch * 1000);
+  }
 
-    public void ended(String key, byte[] result) {
-        KeyTable.Entry<T> entry = keys.find(key);
-        if (keys.elsewhere(entry)) {
-            host.finished(entry, result);
-        }
+  public void ended(String key, byte[] result) {
+    KeyTable.Entry<T> entry = keys.find(key);
+    if (keys.elsewhere(entry)) {
+      host.finished(entry, result);
     }
+  }
 
-    public void freed(String key) {
-        KeyTable.Entry<T> entry = keys.find(key);
-        if (keys.elsewhere(entry)) {
-            host.voided(entry);
-            keys.freed(entry);
-        }
+  public void freed(String key) {
+    KeyTable.Entry<T> entry = keys.find(key);
+    if (keys.elsewhere(entry)) {
+      host.voided(entry);
+      keys.freed(entry);
     }
-
-    /** The other process asks for a key: it is told, or has it in hand from now on. Not null where a disk has the answer. */
-    public Reread<T> claimed(String key, long door, byte[] body, double now) {
-        KeyTable.Entry<T> entry = keys.meet(key, door);
-        if (other == null) {
-            return null;
-        }
-        double window = host.window(key);
-        if (entry == null || keys.elsewhere(entry)) {
-            if (entry == null) {
-                keys.hear(key, KeyTable.Asked.of(body), door + Math.round(window * 1000), now + window + KeyTable.LINGER);
-            }
-            other.granted(key);
-            return null;
-        }
-        if (entry.asked().body() != null) {
-            other.tell(kept(entry, now));
-            return null;
-        }
-        return new Reread<>(other, key, entry, keys.result(entry), window, body);
-    }
-
-    // ---- What this process says ----
-
-    /** True where this process may not take a keyed try before the other one was asked. */
-    public boolean mustAsk(String key, long door) {
-        return other != null && !owner && key != null && !known(key, door);
+  }
+
+  /**
+   * The other process asks for a key: it is told, or has it in hand from now on. Not null where a
+   * disk has the answer.
+   */
+  public Reread<T> claimed(String key, long door, byte[] body, double now) {
+    KeyTable.Entry<T> entry = keys.meet(key, door);
+    if (other == null) {
+      return null;
     }
-
-    public boolean known(String key, long door) {
-        KeyTable.Entry<T> entry = keys.find(key);
-        return entry != null && entry.covers(door);
+    double window = host.window(key);
+    if (entry == null || keys.elsewhere(entry)) {
+      if (entry == null) {
+        keys.hear(
+            key,
+            KeyTable.Asked.of(body),
+            door + Math.round(window * 1000),
+            now + window + KeyTable.LINGER);
+      }
+      other.granted(key);
+      return null;
     }
-
-    /** What the other process has to know before a run of this key begins; null for nothing. */
-    public Kept beforeRun(KeyTable.Entry<T> entry, double now) {
-        return other == null || !owner || entry == null ? null : kept(entry, now);
+    if (entry.asked().body() != null) {
+      other.tell(kept(entry, now));
+      return null;
     }
-
-    /** A run of this process is over. */
-    public void tellEnd(KeyTable.Entry<T> entry, byte[] result) {
-        if (other != null && entry.holder() != null && keys.current(entry)) {
-            other.ended(entry.key(), result);
-        }
+    return new Reread<>(other, key, entry, keys.result(entry), window, body);
+  }
+
+  // ---- What this process says ----
+
+  /** True where this process may not take a keyed try before the other one was asked. */
+  public boolean mustAsk(String key, long door) {
+    return other != null && !owner && key != null && !known(key, door);
+  }
+
+  public boolean known(String key, long door) {
+    KeyTable.Entry<T> entry = keys.find(key);
+    return entry != null && entry.covers(door);
+  }
+
+  /** What the other process has to know before a run of this key begins; null for nothing. */
+  public Kept beforeRun(KeyTable.Entry<T> entry, double now) {
+    return other == null || !owner || entry == null ? null : kept(entry, now);
+  }
+
+  /** A run of this process is over. */
+  public void tellEnd(KeyTable.Entry<T> entry, byte[] result) {
+    if (other != null && entry.holder() != null && keys.current(entry)) {
+      other.ended(entry.key(), result);
     }
+  }
 
-    /** No try of this key is in hand any more; {@code held} where another one is. */
-    public void tellFree(String key, boolean held) {
-        if (other != null && key != null && !held && keys.find(key) == null) {
-            other.freed(key);
-        }
+  /** No try of this key is in hand any more; {@code held} where another one is. */
+  public void tellFree(String key, boolean held) {
+    if (other != null && key != null && !held && keys.find(key) == null) {
+      other.freed(key);
     }
-
-    private Kept kept(KeyTable.Entry<T> entry, double now) {
-        if (entry.ran()) {
-            return new Kept(entry.key(), entry.over(), entry.lastDoor(), entry.until() - now, entry.asked().body(),
-                    keys.result(entry));
-        }
-        double window = host.window(entry.key());
-        return new Kept(entry.key(), false, host.door(entry.holder()) + Math.round(window * 1000),
-                window + KeyTable.LINGER, entry.asked().body(), null);
+  }
+
+  private Kept kept(KeyTable.Entry<T> entry, double now) {
+    if (entry.ran()) {
+      return new Kept(
+          entry.key(),
+          entry.over(),
+          entry.lastDoor(),
+          entry.until() - now,
+          entry.asked().body(),
+          keys.result(entry));
     }
+    double window = host.window(entry.key());
+    return new Kept(
+        entry.key(),
+        false,
+        host.door(entry.holder()) + Math.round(window * 1000),
+        window + KeyTable.LINGER,
+        entry.asked().body(),
+        null);
+  }
 }
--- a/src/main/java/wharftrestle/handover/Other.java
+++ b/src/main/java/wharftrestle/handover/Other.java
@@ -3,45 +3,66 @@
 import wharftrestle.keys.Digest;
 
 /**
- * The other process of this box, as one tells it of keys. Only {@link #tellSurely} and {@link #tellOver} may wait; all
- * others return at once and may be called under the core's lock, and what they tell arrives in that order.
+ * The other process of this box, as one tells it of keys. Only {@link #tellSurely} and {@link
+ * #tellOver} may wait; all others return at once and may be called under the core's lock, and what
+ * they tell arrives in that order.
  */
 public interface Other {
 
-    /** What one process tells the other of a key while two serve one box; the body tells what it was asked. */
-    record Kept(String key, boolean finished, long lastDoor, double secondsLeft, byte[] body, byte[] result) { }
+  /**
+   * What one process tells the other of a key while two serve one box; the body tells what it was
+   * asked.
+   */
+  record Kept(
+      String key,
+      boolean finished,
+      long lastDoor,
+      double secondsLeft,
+      byte[] body,
+      byte[] result) {}
 
-    /** A key that is over, as one process tells it the other: by its digest, as its text is not kept. */
-    record Over(Digest key, long lastDoor, double secondsLeft, long check, byte[] result) { }
+  /**
+   * A key that is over, as one process tells it the other: by its digest, as its text is not kept.
+   */
+  record Over(Digest key, long lastDoor, double secondsLeft, long check, byte[] result) {}
 
-    /** Tells a key that is over; returns once few such words wait, false where the other side takes none in time. */
-    boolean tellOver(Over over);
+  /**
+   * Tells a key that is over; returns once few such words wait, false where the other side takes
+   * none in time.
+   */
+  boolean tellOver(Over over);
 
-    /** Tells a key that has just come to be over; false where more waits to be told than should. It is told all the same. */
-    boolean follows(Over over);
+  /**
+   * Tells a key that has just come to be over; false where more waits to be told than should. It is
+   * told all the same.
+   */
+  boolean follows(Over over);
 
-    /** Asks whether this key may be held and run here. */
-    void claim(String key, long door, byte[] body);
+  /** Asks whether this key may be held and run here. */
+  void claim(String key, long door, byte[] body);
 
-    void granted(String key);
+  void granted(String key);
 
-    void tell(Kept kept);
+  void tell(Kept kept);
 
-    /** Returns once the word is on its way, whatever then becomes of this process, or the other is gone. */
-    void tellSurely(Kept kept);
+  /**
+   * Returns once the word is on its way, whatever then becomes of this process, or the other is
+   * gone.
+   */
+  void tellSurely(Kept kept);
 
-    /** A key of this side has ended; the result is null unless it ended well. */
-    void ended(String key, byte[] result);
+  /** A key of this side has ended; the result is null unless it ended well. */
+  void ended(String key, byte[] result);
 
-    /** A key of this side never ran and is not held any more. */
-    void freed(String key);
+  /** A key of this side never ran and is not held any more. */
+  void freed(String key);
 
-    /** Asks the side that writes to have the intent of this side's run on disk. */
-    void intend(String key, long door, byte[] body);
+  /** Asks the side that writes to have the intent of this side's run on disk. */
+  void intend(String key, long door, byte[] body);
 
-    /** The other side's intent is on disk, or cannot be. */
-    void intended(String key, boolean written);
+  /** The other side's intent is on disk, or cannot be. */
+  void intended(String key, boolean written);
 
-    /** The result of the other side's run is on disk, or could not be written. */
-    void saved(String key);
+  /** The result of the other side's run is on disk, or could not be written. */
+  void saved(String key);
 }
--- a/src/main/java/wharftrestle/handover/Terms.java
+++ b/src/main/java/wharftrestle/handover/Terms.java
@@ -7,128 +7,151 @@
 import wharftrestle.version.Range;
 
 /**
- * What a process says of itself before anything moves. It owns the text form: a line a part, {@code name value}; parts
- * that a reader does not know are passed over, so that later builds may say more.
+ * What a process says of itself before anything moves. It owns the text form: a line a part, {@code
+ * name value}; parts that a reader does not know are passed over, so that later builds may say
+ * more.
  *
- * @param build    for people: which build it is
- * @param speaks   formats of the hand-over
- * @param log      files of kept results that it reads; it writes the newest
- * @param folder   where it keeps results; empty for nowhere
- * @param classes  by place
- * @param tenants  names by place
- * @param room     what it knows, or can
- * @param scale    where its scale of stamps begins, ms; 0 where it does not say, as builds before this line do not
+ * @param build for people: which build it is
+ * @param speaks formats of the hand-over
+ * @param log files of kept results that it reads; it writes the newest
+ * @param folder where it keeps results; empty for nowhere
+ * @param classes by place
+ * @param tenants names by place
+ * @param room what it knows, or can
+ * @param scale where its scale of stamps begins, ms; 0 where it does not say, as builds before this
+ *     line do not
  */
-public record Terms(String build, Range speaks, Range log, String folder, List<Kind> classes, List<String> tenants,
-                    Room room, long scale) {
+public record Terms(
+    String build,
+    Range speaks,
+    Range log,
+    String folder,
+    List<Kind> classes,
+    List<String> tenants,
+    Room room,
+    long scale) {
 
-    /** One class of requests: {@code window} in ms, 0 where it has no keys. */
-    public record Kind(String name, boolean keyed, long window) { }
+  /** One class of requests: {@code window} in ms, 0 where it has no keys. */
+  public record Kind(String name, boolean keyed, long window) {}
 
-    /**
-     * Keys and bytes of results.
-     *
-     * @param keys      known now
-     * @param mostKeys  known at most
-     * @param bytes     of what is known now, kept in memory
-     * @param mostBytes kept in memory at most
-     */
-    public record Room(long keys, long mostKeys, long bytes, long mostBytes) { }
+  /**
+   * Keys and bytes of results.
+   *
+   * @param keys known now
+   * @param mostKeys known at most
+   * @param bytes of what is known now, kept in memory
+   * @param mostBytes kept in memory at most
+   */
+  public record Room(long keys, long mostKeys, long bytes, long mostBytes) {}
 
-    /** What a peer said is no terms. */
-    public static final class UnreadableException extends Exception {
-        private static final long serialVersionUID = 1L;
+  /** What a peer said is no terms. */
+  public static final class UnreadableException extends Exception {
+    private static final long serialVersionUID = 1L;
 
-        UnreadableException(String message) {
-            super(message, null, false, false);
-        }
+    UnreadableException(String message) {
+      super(message, null, false, false);
     }
+  }
 
-    /** Lines and characters of a line that are read at most. */
-    private static final int MOST_LINES = 2000;
-    private static final int LONGEST = 4000;
+  /** Lines and characters of a line that are read at most. */
+  private static final int MOST_LINES = 2000;
 
-    /** As it is said. */
-    public String text() {
-        StringBuilder text = new StringBuilder();
-        line(text, "build", build);
-        line(text, "speaks", speaks.toString());
-        line(text, "log", log.toString());
-        line(text, "folder", folder);
-        for (Kind kind : classes) {
-            line(text, "class", (kind.keyed() ? "keyed " : "plain ") + kind.window() + " " + kind.name());
-        }
-        tenants.forEach(name -> line(text, "tenant", name));
-        line(text, "room", room.keys() + " " + room.mostKeys() + " " + room.bytes() + " " + room.mostBytes());
-        line(text, "scale", Long.toString(scale));
-        return text.toString();
-    }
+  private static final int LONGEST = 4000;
 
-    /** A value is one line, whatever is in it: what ends a line or the escape itself is written as %XX. */
-    private static void line(StringBuilder text, String name, String value) {
-        text.append(name).append(' ')
-                .append(value.replace("%", "%25").replace("\n", "%0A").replace("\r", "%0D")).append('\n');
+  /** As it is said. */
+  public String text() {
+    StringBuilder text = new StringBuilder();
+    line(text, "build", build);
+    line(text, "speaks", speaks.toString());
+    line(text, "log", log.toString());
+    line(text, "folder", folder);
+    for (Kind kind : classes) {
+      line(text, "class", (kind.keyed() ? "keyed " : "plain ") + kind.window() + " " + kind.name());
     }
+    tenants.forEach(name -> line(text, "tenant", name));
+    line(
+        text,
+        "room",
+        room.keys() + " " + room.mostKeys() + " " + room.bytes() + " " + room.mostBytes());
+    line(text, "scale", Long.toString(scale));
+    return text.toString();
+  }
 
-    private static String plain(String value) {
-        return value.replace("%0A", "\n").replace("%0D", "\r").replace("%25", "%");
-    }
+  /**
+   * A value is one line, whatever is in it: what ends a line or the escape itself is written as
+   * %XX.
+   */
+  private static void line(StringBuilder text, String name, String value) {
+    text.append(name)
+        .append(' ')
+        .append(value.replace("%", "%25").replace("\n", "%0A").replace("\r", "%0D"))
+        .append('\n');
+  }
+
+  private static String plain(String value) {
+    return value.replace("%0A", "\n").replace("%0D", "\r").replace("%25", "%");
+  }
 
-    /**
-     * Reads what a peer said.
-     *
-     * @throws UnreadableException in one line
-     */
-    public static Terms read(String text) throws UnreadableException {
-        String[] lines = text.split("\n");
-        if (lines.length > MOST_LINES) {
-            throw new UnreadableException("more than " + MOST_LINES + " lines of terms");
-        }
-        Map<String, String> once = new LinkedHashMap<>();
-        List<Kind> classes = new ArrayList<>();
-        List<String> tenants = new ArrayList<>();
-        for (String line : lines) {
-            int blank = line.indexOf(' ');
-            if (blank < 1 || line.length() > LONGEST) {
-                throw new UnreadableException("no line of terms: '" + (line.length() > 40 ? line.substring(0, 40) : line)
-                        + "'");
-            }
-            String name = line.substring(0, blank);
-            String value = plain(line.substring(blank + 1));
-            switch (name) {
-                case "class" -> classes.add(kind(value));
-                case "tenant" -> tenants.add(value);
-                default -> once.put(name, value);
-            }
-        }
-        try {
-            long[] room = new long[4];
-            String[] figures = need(once, "room").split(" ");
-            for (int i = 0; i < room.length; i++) {
-                room[i] = Long.parseLong(figures[i]);
-            }
-            return new Terms(need(once, "build"), Range.of(need(once, "speaks")), Range.of(need(once, "log")),
-                    need(once, "folder"), List.copyOf(classes), List.copyOf(tenants),
-                    new Room(room[0], room[1], room[2], room[3]),
-                    Long.parseLong(once.getOrDefault("scale", "0")));
-        } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            throw new UnreadableException("terms cannot be read: " + e.getMessage());
-        }
+  /**
+   * Reads what a peer said.
+   *
+   * @throws UnreadableException in one line
+   */
+  public static Terms read(String text) throws UnreadableException {
+    String[] lines = text.split("\n");
+    if (lines.length > MOST_LINES) {
+      throw new UnreadableException("more than " + MOST_LINES + " lines of terms");
+    }
+    Map<String, String> once = new LinkedHashMap<>();
+    List<Kind> classes = new ArrayList<>();
+    List<String> tenants = new ArrayList<>();
+    for (String line : lines) {
+      int blank = line.indexOf(' ');
+      if (blank < 1 || line.length() > LONGEST) {
+        throw new UnreadableException(
+            "no line of terms: '" + (line.length() > 40 ? line.substring(0, 40) : line) + "'");
+      }
+      String name = line.substring(0, blank);
+      String value = plain(line.substring(blank + 1));
+      switch (name) {
+        case "class" -> classes.add(kind(value));
+        case "tenant" -> tenants.add(value);
+        default -> once.put(name, value);
+      }
+    }
+    try {
+      long[] room = new long[4];
+      String[] figures = need(once, "room").split(" ");
+      for (int i = 0; i < room.length; i++) {
+        room[i] = Long.parseLong(figures[i]);
+      }
+      return new Terms(
+          need(once, "build"),
+          Range.of(need(once, "speaks")),
+          Range.of(need(once, "log")),
+          need(once, "folder"),
+          List.copyOf(classes),
+          List.copyOf(tenants),
+          new Room(room[0], room[1], room[2], room[3]),
+          Long.parseLong(once.getOrDefault("scale", "0")));
+    } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
+      throw new UnreadableException("terms cannot be read: " + e.getMessage());
     }
+  }
 
-    private static String need(Map<String, String> once, String name) throws UnreadableException {
-        String value = once.get(name);
-        if (value == null) {
-            throw new UnreadableException("terms say no " + name);
-        }
-        return value;
+  private static String need(Map<String, String> once, String name) throws UnreadableException {
+    String value = once.get(name);
+    if (value == null) {
+      throw new UnreadableException("terms say no " + name);
     }
+    return value;
+  }
 
-    private static Kind kind(String value) throws UnreadableException {
-        String[] words = value.split(" ", 3);
-        if (words.length < 3 || !words[0].matches("keyed|plain") || !words[1].matches("[0-9]{1,12}")) {
-            throw new UnreadableException("terms name a class that cannot be read");
-        }
-        return new Kind(words[2], words[0].equals("keyed"), Long.parseLong(words[1]));
+  private static Kind kind(String value) throws UnreadableException {
+    String[] words = value.split(" ", 3);
+    if (words.length < 3 || !words[0].matches("keyed|plain") || !words[1].matches("[0-9]{1,12}")) {
+      throw new UnreadableException("terms name a class that cannot be read");
     }
+    return new Kind(words[2], words[0].equals("keyed"), Long.parseLong(words[1]));
+  }
 }
--- a/src/main/java/wharftrestle/lab/LabCommand.java
+++ b/src/main/java/wharftrestle/lab/LabCommand.java
@@ -13,91 +13,114 @@
 import wharftrestle.net.Config;
 
 /** The command line of the rig. */
-@Command(name = "lab", description = "real processes on loopback, with faults put between them",
-        subcommands = {LabCommand.Faults.class, LabCommand.Proxy.class})
+@Command(
+    name = "lab",
+    description = "real processes on loopback, with faults put between them",
+    subcommands = {LabCommand.Faults.class, LabCommand.Proxy.class})
 public final class LabCommand implements Runnable {
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "name a command: lab faults or lab link");
-    }
+  @Override
+  public void run() {
+    throw new CommandLine.ParameterException(
+        spec.commandLine(), "name a command: lab faults or lab link");
+  }
 
-    /** Plays a script. */
-    @Command(name = "faults", description = "play a script of failures; exit 1 where a rule is broken")
-    static final class Faults implements Callable<Integer> {
-        @Parameters(paramLabel = "SCRIPT", description = "such as docs/examples/faults.star")
-        private Path script;
+  /** Plays a script. */
+  @Command(
+      name = "faults",
+      description = "play a script of failures; exit 1 where a rule is broken")
+  static final class Faults implements Callable<Integer> {
+    @Parameters(paramLabel = "SCRIPT", description = "such as docs/examples/faults.star")
+    private Path script;
 
-        @Option(names = "--jar", paramLabel = "JAR", description = "the build to play; default: this one")
-        private Path jar;
+    @Option(
+        names = "--jar",
+        paramLabel = "JAR",
+        description = "the build to play; default: this one")
+    private Path jar;
 
-        @Option(names = "--out", paramLabel = "FILE", description = "a JSON object a line; default: standard output")
-        private Path results;
+    @Option(
+        names = "--out",
+        paramLabel = "FILE",
+        description = "a JSON object a line; default: standard output")
+    private Path results;
 
-        @Override
-        public Integer call() throws Exception {
-            FaultScript read = FaultScript.read(script);
-            PrintStream out = results == null ? System.out : new PrintStream(results.toFile(), StandardCharsets.UTF_8);
-            try {
-                return new Scenario(read, jar, System.err, out).play() ? 0 : 1;
-            } finally {
-                out.flush();
-            }
-        }
+    @Override
+    public Integer call() throws Exception {
+      FaultScript read = FaultScript.read(script);
+      PrintStream out =
+          results == null ? System.out : new PrintStream(results.toFile(), StandardCharsets.UTF_8);
+      try {
+        return new Scenario(read, jar, System.err, out).play() ? 0 : 1;
+      } finally {
+        out.flush();
+      }
     }
+  }
 
-    /** The proxy alone. */
-    @Command(name = "link", description = "a proxy on loopback, for TCP and UDP, that goes wrong as told; until Ctrl-C")
-    static final class Proxy implements Callable<Integer> {
-        @Parameters(paramLabel = "HOST:PORT", description = "where it leads, on loopback")
-        private String to;
+  /** The proxy alone. */
+  @Command(
+      name = "link",
+      description = "a proxy on loopback, for TCP and UDP, that goes wrong as told; until Ctrl-C")
+  static final class Proxy implements Callable<Integer> {
+    @Parameters(paramLabel = "HOST:PORT", description = "where it leads, on loopback")
+    private String to;
 
-        @Option(names = "--delay", paramLabel = "MS", description = "what crosses comes later, both ways")
-        private double delay;
+    @Option(
+        names = "--delay",
+        paramLabel = "MS",
+        description = "what crosses comes later, both ways")
+    private double delay;
 
-        @Option(names = "--jitter", paramLabel = "MS", description = "on top of the delay, at most")
-        private double jitter;
+    @Option(names = "--jitter", paramLabel = "MS", description = "on top of the delay, at most")
+    private double jitter;
 
-        @Option(names = "--rate", paramLabel = "KB", description = "kB a second at most, each way")
-        private Double rate;
+    @Option(names = "--rate", paramLabel = "KB", description = "kB a second at most, each way")
+    private Double rate;
 
-        @Option(names = "--drop", paramLabel = "PART", description = "part of datagrams that is lost, 0 to 1")
-        private double drop;
+    @Option(
+        names = "--drop",
+        paramLabel = "PART",
+        description = "part of datagrams that is lost, 0 to 1")
+    private double drop;
 
-        @Option(names = "--hole", paramLabel = "WAY", description = "nothing comes through: both, there or back")
-        private String hole;
+    @Option(
+        names = "--hole",
+        paramLabel = "WAY",
+        description = "nothing comes through: both, there or back")
+    private String hole;
 
-        @Option(names = "--seed", paramLabel = "N", description = "of all that is drawn")
-        private long seed = 1;
+    @Option(names = "--seed", paramLabel = "N", description = "of all that is drawn")
+    private long seed = 1;
 
-        @Override
-        public Integer call() throws Exception {
-            InetSocketAddress address = Config.address("HOST:PORT", to);
-            if (!address.getAddress().isLoopbackAddress()) {
-                throw new Config.BadConfigException("a link leads to loopback alone, not to " + to);
-            }
-            if (hole != null && !hole.matches("both|there|back")) {
-                throw new Config.BadConfigException("--hole is both, there or back, not '" + hole + "'");
-            }
-            Link link = new Link(address, seed);
-            if (delay > 0 || jitter > 0) {
-                link.trouble(Wire.Trouble.DELAY, delay, jitter, true, true);
-            }
-            if (rate != null) {
-                link.trouble(Wire.Trouble.RATE, rate, 0, true, true);
-            }
-            if (drop > 0) {
-                link.trouble(Wire.Trouble.DROP, drop, 0, true, true);
-            }
-            if (hole != null) {
-                link.trouble(Wire.Trouble.HOLE, 0, 0, !hole.equals("back"), !hole.equals("there"));
-            }
-            System.out.println("127.0.0.1:" + link.address().getPort() + " leads to " + to + ", seed " + seed);
-            System.out.flush();
-            new CountDownLatch(1).await();
-            return 0;
-        }
+    @Override
+    public Integer call() throws Exception {
+      InetSocketAddress address = Config.address("HOST:PORT", to);
+      if (!address.getAddress().isLoopbackAddress()) {
+        throw new Config.BadConfigException("a link leads to loopback alone, not to " + to);
+      }
+      if (hole != null && !hole.matches("both|there|back")) {
+        throw new Config.BadConfigException("--hole is both, there or back, not '" + hole + "'");
+      }
+      Link link = new Link(address, seed);
+      if (delay > 0 || jitter > 0) {
+        link.trouble(Wire.Trouble.DELAY, delay, jitter, true, true);
+      }
+      if (rate != null) {
+        link.trouble(Wire.Trouble.RATE, rate, 0, true, true);
+      }
+      if (drop > 0) {
+        link.trouble(Wire.Trouble.DROP, drop, 0, true, true);
+      }
+      if (hole != null) {
+        link.trouble(Wire.Trouble.HOLE, 0, 0, !hole.equals("back"), !hole.equals("there"));
+      }
+      System.out.println(
+          "127.0.0.1:" + link.address().getPort() + " leads to " + to + ", seed " + seed);
+      System.out.flush();
+      new CountDownLatch(1).await();
+      return 0;
     }
+  }
 }
--- a/src/main/java/wharftrestle/lab/PoolPeer.java
+++ b/src/main/java/wharftrestle/lab/PoolPeer.java
@@ -14,137 +14,140 @@
 import wharftrestle.net.Bytes;
 
 /**
- * The worker pool's side of its links, as the protocol has them: it owns the address, the links and how commands are read.
- * What is done and said is its script's.
+ * The worker pool's side of its links, as the protocol has them: it owns the address, the links and
+ * how commands are read. What is done and said is its script's.
  */
 public final class PoolPeer implements Closeable {
 
-    /** Milliseconds in which a new link says its first word. */
-    private static final int BIND_MS = 10_000;
-    private static final int LONGEST_LINE = 400;
+  /** Milliseconds in which a new link says its first word. */
+  private static final int BIND_MS = 10_000;
 
-    /** What a worker pool does. */
-    public interface Script {
-        /** A daemon binds that has read so many notices; false closes its link. */
-        boolean binds(Link link, int read) throws IOException;
+  private static final int LONGEST_LINE = 400;
 
-        /** A command came, with its body; empty for none. */
-        void command(Link link, String[] words, String body) throws IOException;
-    }
-
-    /** One link of a daemon. */
-    public static final class Link {
-        private final Socket socket;
-
-        Link(Socket socket) {
-            this.socket = socket;
-        }
+  /** What a worker pool does. */
+  public interface Script {
+    /** A daemon binds that has read so many notices; false closes its link. */
+    boolean binds(Link link, int read) throws IOException;
 
-        /** Says these bytes as one. */
-        public void say(byte[] bytes) throws IOException {
-            synchronized (socket) {
-                socket.getOutputStream().write(bytes);
-            }
-        }
-
-        /** Says these words as they stand. */
-        public void say(String text) throws IOException {
-            say(Bytes.ascii(text));
-        }
+    /** A command came, with its body; empty for none. */
+    void command(Link link, String[] words, String body) throws IOException;
+  }
 
-        /** Breaks it. */
-        public void cut() throws IOException {
-            socket.close();
-        }
+  /** One link of a daemon. */
+  public static final class Link {
+    private final Socket socket;
 
-        public boolean open() {
-            return !socket.isClosed();
-        }
+    Link(Socket socket) {
+      this.socket = socket;
     }
 
-    private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final List<Link> links = new CopyOnWriteArrayList<>();
-    private final Script script;
-    private volatile boolean retired;
-
-    public PoolPeer(Script script) throws IOException {
-        this.script = script;
+    /** Says these bytes as one. */
+    public void say(byte[] bytes) throws IOException {
+      synchronized (socket) {
+        socket.getOutputStream().write(bytes);
+      }
     }
 
-    /** Takes daemons from now on. */
-    public PoolPeer start() {
-        thread("stand-in pool", this::accept);
-        return this;
+    /** Says these words as they stand. */
+    public void say(String text) throws IOException {
+      say(Bytes.ascii(text));
     }
 
-    private static void thread(String name, Runnable body) {
-        Thread thread = new Thread(body, name);
-        thread.setDaemon(true);
-        thread.start();
+    /** Breaks it. */
+    public void cut() throws IOException {
+      socket.close();
     }
 
-    public InetSocketAddress address() {
-        return (InetSocketAddress) server.getLocalSocketAddress();
+    public boolean open() {
+      return !socket.isClosed();
     }
-
-    private void accept() {
-        try {
-            for (;;) {
-                Socket socket = server.accept();
-                if (retired) {
-                    socket.close();
-                    return;   // whoever comes from now on waits at the address
-                }
-                Link link = new Link(socket);
-                links.add(link);
-                thread("stand-in link", () -> serve(link));
-            }
-        } catch (IOException closed) {
-            return;
+  }
+
+  private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+  private final List<Link> links = new CopyOnWriteArrayList<>();
+  private final Script script;
+  private volatile boolean retired;
+
+  public PoolPeer(Script script) throws IOException {
+    this.script = script;
+  }
+
+  /** Takes daemons from now on. */
+  public PoolPeer start() {
+    thread("stand-in pool", this::accept);
+    return this;
+  }
+
+  private static void thread(String name, Runnable body) {
+    Thread thread = new Thread(body, name);
+    thread.setDaemon(true);
+    thread.start();
+  }
+
+  public InetSocketAddress address() {
+    return (InetSocketAddress) server.getLocalSocketAddress();
+  }
+
+  private void accept() {
+    try {
+      for (; ; ) {
+        Socket socket = server.accept();
+        if (retired) {
+          socket.close();
+          return; // whoever comes from now on waits at the address
         }
+        Link link = new Link(socket);
+        links.add(link);
+        thread("stand-in link", () -> serve(link));
+      }
+    } catch (IOException closed) {
+      return;
     }
-
-    private void serve(Link link) {
-        try (Socket socket = link.socket) {
-            socket.setTcpNoDelay(true);
-            InputStream in = new BufferedInputStream(socket.getInputStream());
-            socket.setSoTimeout(BIND_MS);
-            int read = Integer.parseInt(Bytes.line(in, LONGEST_LINE).split(" ")[1]);
-            socket.setSoTimeout(0);
-            if (!script.binds(link, read)) {
-                return;
-            }
-            for (;;) {
-                String[] words = Bytes.line(in, LONGEST_LINE).split(" ");
-                String body = "";
-                if (words[0].equals("spawn") || words[0].equals("supply")) {
-                    body = new String(Bytes.exactly(in, Integer.parseInt(words[words.length - 1])),
-                            StandardCharsets.ISO_8859_1);
-                    Bytes.crlf(in);
-                }
-                script.command(link, words, body);
-            }
-        } catch (IOException ended) {
-            return;   // the daemon has ended, or its link was cut
-        } finally {
-            links.remove(link);
+  }
+
+  private void serve(Link link) {
+    try (Socket socket = link.socket) {
+      socket.setTcpNoDelay(true);
+      InputStream in = new BufferedInputStream(socket.getInputStream());
+      socket.setSoTimeout(BIND_MS);
+      int read = Integer.parseInt(Bytes.line(in, LONGEST_LINE).split(" ")[1]);
+      socket.setSoTimeout(0);
+      if (!script.binds(link, read)) {
+        return;
+      }
+      for (; ; ) {
+        String[] words = Bytes.line(in, LONGEST_LINE).split(" ");
+        String body = "";
+        if (words[0].equals("spawn") || words[0].equals("supply")) {
+          body =
+              new String(
+                  Bytes.exactly(in, Integer.parseInt(words[words.length - 1])),
+                  StandardCharsets.ISO_8859_1);
+          Bytes.crlf(in);
         }
+        script.command(link, words, body);
+      }
+    } catch (IOException ended) {
+      return; // the daemon has ended, or its link was cut
+    } finally {
+      links.remove(link);
     }
-
-    /**
-     * Ends its links and takes no more, and keeps its address. Guards against somebody else having that address while a
-     * daemon that has not ended looks for its worker pool there for ever.
-     */
-    public void retire() throws IOException {
-        retired = true;
-        for (Link link : links) {
-            link.cut();
-        }
+  }
+
+  /**
+   * Ends its links and takes no more, and keeps its address. Guards against somebody else having
+   * that address while a daemon that has not ended looks for its worker pool there for ever.
+   */
+  public void retire() throws IOException {
+    retired = true;
+    for (Link link : links) {
+      link.cut();
     }
+  }
 
-    @Override
-    public void close() throws IOException {
-        server.close();
-        retire();
-    }
+  @Override
+  public void close() throws IOException {
+    server.close();
+    retire();
+  }
 }
--- a/src/main/java/wharftrestle/net/BoxLink.java
+++ b/src/main/java/wharftrestle/net/BoxLink.java
@@ -18,443 +18,541 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.core.Threads;
 import wharftrestle.core.Partner;
+import wharftrestle.core.Threads;
 import wharftrestle.handover.Other;
 import wharftrestle.keys.Digest;
 import wharftrestle.version.Range;
 
 /**
- * Owns the Unix socket over which the two processes of a box talk: lines of words, bounded, with bodies by length. It
- * carries what the core tells the other core and the steps of the hand-over, in order. It must never decide who owns a
- * key or when a side listens, never make the core wait but where the core asks for it, and never close a link while its
- * process lives and the other may talk: the end of a link means that a process has ended. What cannot be understood makes
- * it deaf and dumb instead.
+ * Owns the Unix socket over which the two processes of a box talk: lines of words, bounded, with
+ * bodies by length. It carries what the core tells the other core and the steps of the hand-over,
+ * in order. It must never decide who owns a key or when a side listens, never make the core wait
+ * but where the core asks for it, and never close a link while its process lives and the other may
+ * talk: the end of a link means that a process has ended. What cannot be understood makes it deaf
+ * and dumb instead.
  */
 public final class BoxLink implements Other, Closeable {
 
-    /** The steps of a hand-over, as the other process says them. */
-    public enum Word {
-        TAKE, WHO, TERMS, UNFIT, AGREED, NO_NEVER, NO_LATER, TOLD, TAKEN, YOURS, HANDED, LISTENS, BACK, CEDED, LOST
-    }
-
-    /** Told of each word, in order; LOST is the last. */
-    public interface Side {
-        /** The detail is what came with the word: terms, a reason; empty for none. */
-        void heard(BoxLink link, Word word, String detail);
-    }
-
-    private static final int LONGEST_LINE = 1024;
-    private static final int LONGEST_BODY = 64 * 1024;
-    /** Characters of a reason. */
-    private static final int LONGEST_REASON = 300;
-    /** Milliseconds for which a run waits at most until the other process can know of it. */
-    private static final long SURELY_MS = 1000;
-    /** Milliseconds for which the words of settled keys wait at most: waiting for a stopped process costs nothing. */
-    private static final long PATIENCE_MS = 10_000;
-    /** Nanoseconds between two tries to hear who comes, where descriptors are short. */
-    private static final long AGAIN_NANOS = 200_000_000L;
-    private static final byte[] CRLF = {'\r', '\n'};
-    /** Words of keys that are over which wait to be written at most: a full table is never in the heap twice. */
-    private static final int MOST_OVER = 16;
-    /** Words that may wait while what settles is told; with more, the other side lags too far behind. */
-    private static final int MOST_FOLLOW = 1024;
-    /** What a process says with its wish to take over: it knows the word for keys that are over. */
-    private static final String KNOWS_OVER = "over";
-    /** Links at once: the process that takes over, and those that wait. */
-    private static final int MOST_LINKS = 4;
-
-    private final SocketChannel channel;
-    private final Partner core;
-    private final Side side;
-    private final LinkedBlockingQueue<byte[]> words = new LinkedBlockingQueue<>();
-    private long queued;
-    private long written;
-    private boolean over;
-    private volatile boolean mute;
-
-    private BoxLink(SocketChannel channel, Partner core, Side side) {
-        this.channel = channel;
-        this.core = core;
-        this.side = side;
-    }
-
-    /** The link to a process that serves already; null where none does. Nothing is heard before {@link #start}. */
-    public static BoxLink meet(Path at, Partner core, Side side) {
-        try {
-            return new BoxLink(SocketChannel.open(UnixDomainSocketAddress.of(at)), core, side);
-        } catch (IOException | RuntimeException none) {
-            return null;   // no such file, or a stale one
-        }
-    }
-
-    /** Waits for further processes at this file, which may be a stale one; null where it cannot be had. */
-    public static ServerSocketChannel await(Path at, Partner core, Side side) {
-        ServerSocketChannel server;
-        try {
-            Files.deleteIfExists(at);
-            server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-            server.bind(UnixDomainSocketAddress.of(at));
-        } catch (IOException | RuntimeException e) {
-            Logger.warn("no upgrade can take over from this process: {}", e.toString());
-            return null;
-        }
-        Semaphore links = new Semaphore(MOST_LINKS);
-        Threads.thread("box-accept", () -> {
-            while (server.isOpen()) {
+  /** The steps of a hand-over, as the other process says them. */
+  public enum Word {
+    TAKE,
+    WHO,
+    TERMS,
+    UNFIT,
+    AGREED,
+    NO_NEVER,
+    NO_LATER,
+    TOLD,
+    TAKEN,
+    YOURS,
+    HANDED,
+    LISTENS,
+    BACK,
+    CEDED,
+    LOST
+  }
+
+  /** Told of each word, in order; LOST is the last. */
+  public interface Side {
+    /** The detail is what came with the word: terms, a reason; empty for none. */
+    void heard(BoxLink link, Word word, String detail);
+  }
+
+  private static final int LONGEST_LINE = 1024;
+  private static final int LONGEST_BODY = 64 * 1024;
+
+  /** Characters of a reason. */
+  private static final int LONGEST_REASON = 300;
+
+  /** Milliseconds for which a run waits at most until the other process can know of it. */
+  private static final long SURELY_MS = 1000;
+
+  /**
+   * Milliseconds for which the words of settled keys wait at most: waiting for a stopped process
+   * costs nothing.
+   */
+  private static final long PATIENCE_MS = 10_000;
+
+  /** Nanoseconds between two tries to hear who comes, where descriptors are short. */
+  private static final long AGAIN_NANOS = 200_000_000L;
+
+  private static final byte[] CRLF = {'\r', '\n'};
+
+  /**
+   * Words of keys that are over which wait to be written at most: a full table is never in the heap
+   * twice.
+   */
+  private static final int MOST_OVER = 16;
+
+  /**
+   * Words that may wait while what settles is told; with more, the other side lags too far behind.
+   */
+  private static final int MOST_FOLLOW = 1024;
+
+  /** What a process says with its wish to take over: it knows the word for keys that are over. */
+  private static final String KNOWS_OVER = "over";
+
+  /** Links at once: the process that takes over, and those that wait. */
+  private static final int MOST_LINKS = 4;
+
+  private final SocketChannel channel;
+  private final Partner core;
+  private final Side side;
+  private final LinkedBlockingQueue<byte[]> words = new LinkedBlockingQueue<>();
+  private long queued;
+  private long written;
+  private boolean over;
+  private volatile boolean mute;
+
+  private BoxLink(SocketChannel channel, Partner core, Side side) {
+    this.channel = channel;
+    this.core = core;
+    this.side = side;
+  }
+
+  /**
+   * The link to a process that serves already; null where none does. Nothing is heard before {@link
+   * #start}.
+   */
+  public static BoxLink meet(Path at, Partner core, Side side) {
+    try {
+      return new BoxLink(SocketChannel.open(UnixDomainSocketAddress.of(at)), core, side);
+    } catch (IOException | RuntimeException none) {
+      return null; // no such file, or a stale one
+    }
+  }
+
+  /**
+   * Waits for further processes at this file, which may be a stale one; null where it cannot be
+   * had.
+   */
+  public static ServerSocketChannel await(Path at, Partner core, Side side) {
+    ServerSocketChannel server;
+    try {
+      Files.deleteIfExists(at);
+      server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
+      server.bind(UnixDomainSocketAddress.of(at));
+    } catch (IOException | RuntimeException e) {
+      Logger.warn("no upgrade can take over from this process: {}", e.toString());
+      return null;
+    }
+    Semaphore links = new Semaphore(MOST_LINKS);
+    Threads.thread(
+            "box-accept",
+            () -> {
+              while (server.isOpen()) {
                 try {
-                    links.acquire();
-                    SocketChannel channel = server.accept();
-                    try {
-                        BoxLink link = new BoxLink(channel, core, side);
-                        Threads.thread("box", () -> {
-                            try {
+                  links.acquire();
+                  SocketChannel channel = server.accept();
+                  try {
+                    BoxLink link = new BoxLink(channel, core, side);
+                    Threads.thread(
+                            "box",
+                            () -> {
+                              try {
                                 link.converse();
-                            } finally {
+                              } finally {
                                 links.release();
-                            }
-                        }).start();
-                    } catch (RuntimeException | Error noThread) {
-                        Bytes.closeQuietly(channel);   // nothing was heard on it: whoever comes tries again
-                        throw noThread;
-                    }
+                              }
+                            })
+                        .start();
+                  } catch (RuntimeException | Error noThread) {
+                    Bytes.closeQuietly(
+                        channel); // nothing was heard on it: whoever comes tries again
+                    throw noThread;
+                  }
                 } catch (IOException | RuntimeException | Error e) {
-                    // Guards against a box that no process can take over any more, as descriptors were short once.
-                    Logger.debug("hand-over: {}", e.toString());
-                    links.release();
-                    LockSupport.parkNanos(AGAIN_NANOS);
+                  // Guards against a box that no process can take over any more, as descriptors
+                  // were short once.
+                  Logger.debug("hand-over: {}", e.toString());
+                  links.release();
+                  LockSupport.parkNanos(AGAIN_NANOS);
                 } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                    return;
+                  Thread.currentThread().interrupt();
+                  return;
                 }
-            }
-        }).start();
-        return server;
-    }
-
-    /** Hears from now on. */
-    public void start() {
-        Threads.thread("box", this::converse).start();
-    }
-
-    // ---- The steps, as this side says them ----
-
-    /** Asks to take over; a build of format 1 reads the first words alone. */
-    public void sayTake(String name, Range speaks) {
-        say("take " + URLEncoder.encode(name, StandardCharsets.ISO_8859_1) + " " + KNOWS_OVER + " " + speaks);
-    }
-
-    public void sayWho(String terms) {
-        sayText("who", terms);
-    }
-
-    public void sayTerms(String terms) {
-        sayText("terms", terms);
-    }
-
-    private void sayText(String word, String text) {
-        byte[] body = text.getBytes(StandardCharsets.UTF_8);
-        say(word + " " + body.length, body);
-    }
-
-    /** Says one step; the reason is for people. */
-    public void say(Word word, String reason) {
-        String text = switch (word) {
-            case AGREED -> "agreed";
-            case NO_NEVER -> "no never";
-            case NO_LATER -> "no later";
-            case UNFIT -> "unfit";
-            case BACK -> "back";
-            case TAKEN -> "taken";
-            case LISTENS -> "listens";
-            case CEDED -> "ceded";
-            default -> throw new IllegalArgumentException("has more to say: " + word);
+              }
+            })
+        .start();
+    return server;
+  }
+
+  /** Hears from now on. */
+  public void start() {
+    Threads.thread("box", this::converse).start();
+  }
+
+  // ---- The steps, as this side says them ----
+
+  /** Asks to take over; a build of format 1 reads the first words alone. */
+  public void sayTake(String name, Range speaks) {
+    say(
+        "take "
+            + URLEncoder.encode(name, StandardCharsets.ISO_8859_1)
+            + " "
+            + KNOWS_OVER
+            + " "
+            + speaks);
+  }
+
+  public void sayWho(String terms) {
+    sayText("who", terms);
+  }
+
+  public void sayTerms(String terms) {
+    sayText("terms", terms);
+  }
+
+  private void sayText(String word, String text) {
+    byte[] body = text.getBytes(StandardCharsets.UTF_8);
+    say(word + " " + body.length, body);
+  }
+
+  /** Says one step; the reason is for people. */
+  public void say(Word word, String reason) {
+    String text =
+        switch (word) {
+          case AGREED -> "agreed";
+          case NO_NEVER -> "no never";
+          case NO_LATER -> "no later";
+          case UNFIT -> "unfit";
+          case BACK -> "back";
+          case TAKEN -> "taken";
+          case LISTENS -> "listens";
+          case CEDED -> "ceded";
+          default -> throw new IllegalArgumentException("has more to say: " + word);
         };
-        String brief = reason.length() > LONGEST_REASON ? reason.substring(0, LONGEST_REASON) : reason;
-        say(brief.isEmpty() ? text : text + " " + URLEncoder.encode(brief, StandardCharsets.UTF_8));
-    }
-
-    /** Says that so many keys have been told, which this side owns still. */
-    public void sayTold(int keys) {
-        say("told " + keys);
-    }
-
-    /** Says that so many open keys have been told, and that the other side owns all. */
-    public void sayYours(int keys) {
-        say("yours " + keys);
-    }
-
-    /** The same to a process of format 1. */
-    public void sayHanded(int keys) {
-        say("handed " + keys);
-    }
-
-    // ---- Reading ----
-
-    private void converse() {
-        Threads.thread("box-write", this::write).start();
-        try {
-            InputStream in = new BufferedInputStream(new Bytes.Runs() {
-                // The channel's own stream would hold its lock while it waits, and so hold up all writes.
+    String brief = reason.length() > LONGEST_REASON ? reason.substring(0, LONGEST_REASON) : reason;
+    say(brief.isEmpty() ? text : text + " " + URLEncoder.encode(brief, StandardCharsets.UTF_8));
+  }
+
+  /** Says that so many keys have been told, which this side owns still. */
+  public void sayTold(int keys) {
+    say("told " + keys);
+  }
+
+  /** Says that so many open keys have been told, and that the other side owns all. */
+  public void sayYours(int keys) {
+    say("yours " + keys);
+  }
+
+  /** The same to a process of format 1. */
+  public void sayHanded(int keys) {
+    say("handed " + keys);
+  }
+
+  // ---- Reading ----
+
+  private void converse() {
+    Threads.thread("box-write", this::write).start();
+    try {
+      InputStream in =
+          new BufferedInputStream(
+              new Bytes.Runs() {
+                // The channel's own stream would hold its lock while it waits, and so hold up all
+                // writes.
                 @Override
                 public int read(byte[] into, int from, int most) throws IOException {
-                    return channel.read(ByteBuffer.wrap(into, from, Math.min(most, 4096)));
+                  return channel.read(ByteBuffer.wrap(into, from, Math.min(most, 4096)));
                 }
-            }, 4096);
-            try {
-                for (;;) {
-                    hear(Bytes.line(in, LONGEST_LINE).split(" "), in);
-                }
-            } catch (Server.MalformedException | RuntimeException | Error e) {
-                Logger.error("the other process of this box is not understood ({}): nothing more is said or heard until it"
-                        + " has ended", e.toString());
-                hush();
-                for (byte[] dropped = new byte[4096]; in.read(dropped) >= 0;) {
-                    continue;
-                }
-            }
-        } catch (IOException e) {
-            Logger.info("the other process of this box has ended its link ({})", e.getMessage());
-        } finally {
-            close();
-            side.heard(this, Word.LOST, "");
-        }
-    }
-
-    private void hear(String[] words, InputStream in) throws IOException {
-        need(words, 1);
-        switch (words[0]) {
-            case "take" -> step(Word.TAKE, words.length < 3 || !words[2].equals(KNOWS_OVER) ? "0"
-                    : words.length < 4 ? "1" : words[3]);
-            case "who" -> step(Word.WHO, text(words, in));
-            case "terms" -> step(Word.TERMS, text(words, in));
-            case "unfit" -> step(Word.UNFIT, reason(words, 1));
-            case "agreed" -> step(Word.AGREED, "");
-            case "no" -> {
-                need(words, 2);
-                step(words[1].equals("never") ? Word.NO_NEVER : Word.NO_LATER, reason(words, 2));
-            }
-            case "told" -> step(Word.TOLD, "");
-            case "taken" -> step(Word.TAKEN, "");
-            case "yours" -> step(Word.YOURS, "");
-            case "handed" -> step(Word.HANDED, "");
-            case "listens" -> step(Word.LISTENS, "");
-            case "back" -> step(Word.BACK, reason(words, 1));
-            case "ceded" -> step(Word.CEDED, "");
-            case "over" -> {
-                need(words, 7);
-                core.heard(new Over(new Digest(Long.parseLong(words[1]), Long.parseLong(words[2])),
-                        Long.parseLong(words[3]), Bytes.duration(words[4]), Long.parseLong(words[5]),
-                        words[6].equals("-") ? null : body(in, words[6])));
-            }
-            case "key" -> {
-                need(words, 7);
-                byte[] body = body(in, words[5]);
-                byte[] result = words[6].equals("-") ? null : body(in, words[6]);
-                core.heard(new Kept(key(words[1]), words[2].equals("over"), Long.parseLong(words[3]),
-                        Bytes.duration(words[4]), body, result));
-            }
-            case "claim" -> {
-                need(words, 4);
-                core.claimed(key(words[1]), Long.parseLong(words[2]), body(in, words[3]));
-            }
-            case "granted" -> core.granted(key(words[1]));
-            case "ended" -> {
-                need(words, 3);
-                core.ended(key(words[1]), words[2].equals("-") ? null : body(in, words[2]));
-            }
-            case "freed" -> core.freed(key(words[1]));
-            case "intend" -> {
-                need(words, 4);
-                body(in, words[3]);
-                core.intendElsewhere(key(words[1]));
-            }
-            case "intended" -> {
-                need(words, 3);
-                core.intendedElsewhere(key(words[1]), words[2].equals("yes"));
-            }
-            case "saved" -> core.savedElsewhere(key(words[1]));
-            default -> throw new Server.MalformedException("the other process says '" + words[0] + "'");
-        }
-    }
-
-    private void step(Word word, String detail) {
-        side.heard(this, word, detail);
-    }
-
-    private static void need(String[] words, int least) throws IOException {
-        boolean keyed = words[0].matches("key|claim|granted|ended|freed|intend|intended|saved");
-        if (words.length < (keyed ? Math.max(2, least) : least)) {
-            throw new Server.MalformedException("too short a word of the other process");
+              },
+              4096);
+      try {
+        for (; ; ) {
+          hear(Bytes.line(in, LONGEST_LINE).split(" "), in);
         }
-    }
-
-    private static String key(String word) {
-        String key = URLDecoder.decode(word, StandardCharsets.ISO_8859_1);
-        if (!key.matches("(?s)[0-9]{1,6}/.*")) {
-            throw new IllegalArgumentException("a key without its class");
+      } catch (Server.MalformedException | RuntimeException | Error e) {
+        Logger.error(
+            "the other process of this box is not understood ({}): nothing more is said or heard until it"
+                + " has ended",
+            e.toString());
+        hush();
+        for (byte[] dropped = new byte[4096]; in.read(dropped) >= 0; ) {
+          continue;
         }
-        return key;
-    }
-
-    private static String reason(String[] words, int at) {
-        return words.length <= at ? "" : URLDecoder.decode(words[at], StandardCharsets.UTF_8);
-    }
-
-    private static String text(String[] words, InputStream in) throws IOException {
+      }
+    } catch (IOException e) {
+      Logger.info("the other process of this box has ended its link ({})", e.getMessage());
+    } finally {
+      close();
+      side.heard(this, Word.LOST, "");
+    }
+  }
+
+  private void hear(String[] words, InputStream in) throws IOException {
+    need(words, 1);
+    switch (words[0]) {
+      case "take" ->
+          step(
+              Word.TAKE,
+              words.length < 3 || !words[2].equals(KNOWS_OVER)
+                  ? "0"
+                  : words.length < 4 ? "1" : words[3]);
+      case "who" -> step(Word.WHO, text(words, in));
+      case "terms" -> step(Word.TERMS, text(words, in));
+      case "unfit" -> step(Word.UNFIT, reason(words, 1));
+      case "agreed" -> step(Word.AGREED, "");
+      case "no" -> {
         need(words, 2);
-        return new String(body(in, words[1]), StandardCharsets.UTF_8);
-    }
-
-    private static byte[] body(InputStream in, String length) throws IOException {
-        byte[] body = Bytes.exactly(in, (int) Bytes.number(length, LONGEST_BODY));
-        Bytes.crlf(in);
-        return body;
-    }
-
-    // ---- Writing ----
-
-    private void write() {
-        try {
-            for (byte[] next = words.take(); next.length > 0; next = words.take()) {
-                for (ByteBuffer rest = ByteBuffer.wrap(next); rest.hasRemaining() && !mute;) {
-                    channel.write(rest);
-                }
-                synchronized (words) {
-                    written++;
-                    words.notifyAll();
-                }
-            }
-        } catch (IOException | RuntimeException | Error e) {
-            Logger.debug("hand-over: {}", e.toString());
-            hush();   // its end is heard where words are read; half a word must not be followed by another
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-    }
-
-    /** The words stand in the order of the core's events, which tells them under its lock. */
-    private long say(String line, byte[]... bodies) {
-        byte[] all = Bytes.ascii(line + "\r\n");
-        for (byte[] body : bodies) {
-            all = body == null ? all : Bytes.join(all, body, CRLF);
-        }
-        synchronized (words) {
-            if (!over) {
-                words.add(all);
-            }
-            return ++queued;
-        }
-    }
-
-    private static String word(String key) {
-        return URLEncoder.encode(key, StandardCharsets.ISO_8859_1);
-    }
-
-    private static String length(byte[] body) {
-        return body == null ? "-" : Integer.toString(body.length);
-    }
-
-    @Override
-    public void claim(String key, long door, byte[] body) {
-        say("claim " + word(key) + " " + door + " " + body.length, body);
-    }
-
-    @Override
-    public void granted(String key) {
-        say("granted " + word(key));
-    }
-
-    @Override
-    public void tell(Kept kept) {
-        told(kept);
-    }
-
-    private long told(Kept kept) {
-        return say("key " + word(kept.key()) + (kept.finished() ? " over " : " open ") + kept.lastDoor() + " "
-                + Math.round(kept.secondsLeft() * 1000) + " " + kept.body().length + " " + length(kept.result()),
-                kept.body(), kept.result());
-    }
-
-    @Override
-    public void tellSurely(Kept kept) {
-        awaitWritten(told(kept), SURELY_MS);
-    }
-
-    private long told(Over key) {
-        return say("over " + key.key().high() + " " + key.key().low() + " " + key.lastDoor() + " "
-                + Math.round(key.secondsLeft() * 1000) + " " + key.check() + " " + length(key.result()), key.result());
-    }
-
-    @Override
-    public boolean tellOver(Over key) {
-        return awaitWritten(told(key) - MOST_OVER, PATIENCE_MS);
-    }
-
-    @Override
-    public boolean follows(Over key) {
-        long mine = told(key);
-        synchronized (words) {
-            return mine - written <= MOST_FOLLOW;
+        step(words[1].equals("never") ? Word.NO_NEVER : Word.NO_LATER, reason(words, 2));
+      }
+      case "told" -> step(Word.TOLD, "");
+      case "taken" -> step(Word.TAKEN, "");
+      case "yours" -> step(Word.YOURS, "");
+      case "handed" -> step(Word.HANDED, "");
+      case "listens" -> step(Word.LISTENS, "");
+      case "back" -> step(Word.BACK, reason(words, 1));
+      case "ceded" -> step(Word.CEDED, "");
+      case "over" -> {
+        need(words, 7);
+        core.heard(
+            new Over(
+                new Digest(Long.parseLong(words[1]), Long.parseLong(words[2])),
+                Long.parseLong(words[3]),
+                Bytes.duration(words[4]),
+                Long.parseLong(words[5]),
+                words[6].equals("-") ? null : body(in, words[6])));
+      }
+      case "key" -> {
+        need(words, 7);
+        byte[] body = body(in, words[5]);
+        byte[] result = words[6].equals("-") ? null : body(in, words[6]);
+        core.heard(
+            new Kept(
+                key(words[1]),
+                words[2].equals("over"),
+                Long.parseLong(words[3]),
+                Bytes.duration(words[4]),
+                body,
+                result));
+      }
+      case "claim" -> {
+        need(words, 4);
+        core.claimed(key(words[1]), Long.parseLong(words[2]), body(in, words[3]));
+      }
+      case "granted" -> core.granted(key(words[1]));
+      case "ended" -> {
+        need(words, 3);
+        core.ended(key(words[1]), words[2].equals("-") ? null : body(in, words[2]));
+      }
+      case "freed" -> core.freed(key(words[1]));
+      case "intend" -> {
+        need(words, 4);
+        body(in, words[3]);
+        core.intendElsewhere(key(words[1]));
+      }
+      case "intended" -> {
+        need(words, 3);
+        core.intendedElsewhere(key(words[1]), words[2].equals("yes"));
+      }
+      case "saved" -> core.savedElsewhere(key(words[1]));
+      default -> throw new Server.MalformedException("the other process says '" + words[0] + "'");
+    }
+  }
+
+  private void step(Word word, String detail) {
+    side.heard(this, word, detail);
+  }
+
+  private static void need(String[] words, int least) throws IOException {
+    boolean keyed = words[0].matches("key|claim|granted|ended|freed|intend|intended|saved");
+    if (words.length < (keyed ? Math.max(2, least) : least)) {
+      throw new Server.MalformedException("too short a word of the other process");
+    }
+  }
+
+  private static String key(String word) {
+    String key = URLDecoder.decode(word, StandardCharsets.ISO_8859_1);
+    if (!key.matches("(?s)[0-9]{1,6}/.*")) {
+      throw new IllegalArgumentException("a key without its class");
+    }
+    return key;
+  }
+
+  private static String reason(String[] words, int at) {
+    return words.length <= at ? "" : URLDecoder.decode(words[at], StandardCharsets.UTF_8);
+  }
+
+  private static String text(String[] words, InputStream in) throws IOException {
+    need(words, 2);
+    return new String(body(in, words[1]), StandardCharsets.UTF_8);
+  }
+
+  private static byte[] body(InputStream in, String length) throws IOException {
+    byte[] body = Bytes.exactly(in, (int) Bytes.number(length, LONGEST_BODY));
+    Bytes.crlf(in);
+    return body;
+  }
+
+  // ---- Writing ----
+
+  private void write() {
+    try {
+      for (byte[] next = words.take(); next.length > 0; next = words.take()) {
+        for (ByteBuffer rest = ByteBuffer.wrap(next); rest.hasRemaining() && !mute; ) {
+          channel.write(rest);
         }
-    }
-
-    /** Waits until so many words are written; false where they are not in time. */
-    private boolean awaitWritten(long count, long patienceMs) {
-        long end = System.nanoTime() + patienceMs * 1_000_000;
         synchronized (words) {
-            try {
-                for (long left = patienceMs; written < count && !over && left > 0;
-                        left = (end - System.nanoTime()) / 1_000_000) {
-                    words.wait(left);
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-            return written >= count && !over;
+          written++;
+          words.notifyAll();
         }
-    }
-
-    @Override
-    public void ended(String key, byte[] result) {
-        say("ended " + word(key) + " " + length(result), result);
-    }
-
-    @Override
-    public void freed(String key) {
-        say("freed " + word(key));
-    }
-
-    @Override
-    public void intend(String key, long door, byte[] body) {
-        say("intend " + word(key) + " " + door + " " + body.length, body);
-    }
-
-    @Override
-    public void intended(String key, boolean written) {
-        say("intended " + word(key) + (written ? " yes" : " no"));
-    }
-
-    @Override
-    public void saved(String key) {
-        say("saved " + word(key));
-    }
-
-    /** Says nothing more; what waits to be said is dropped, and whoever waits for it goes on. */
-    private void hush() {
-        synchronized (words) {
-            mute = true;
-            over = true;
-            words.clear();
-            words.add(new byte[0]);
-            words.notifyAll();
+      }
+    } catch (IOException | RuntimeException | Error e) {
+      Logger.debug("hand-over: {}", e.toString());
+      hush(); // its end is heard where words are read; half a word must not be followed by another
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+  }
+
+  /** The words stand in the order of the core's events, which tells them under its lock. */
+  private long say(String line, byte[]... bodies) {
+    byte[] all = Bytes.ascii(line + "\r\n");
+    for (byte[] body : bodies) {
+      all = body == null ? all : Bytes.join(all, body, CRLF);
+    }
+    synchronized (words) {
+      if (!over) {
+        words.add(all);
+      }
+      return ++queued;
+    }
+  }
+
+  private static String word(String key) {
+    return URLEncoder.encode(key, StandardCharsets.ISO_8859_1);
+  }
+
+  private static String length(byte[] body) {
+    return body == null ? "-" : Integer.toString(body.length);
+  }
+
+  @Override
+  public void claim(String key, long door, byte[] body) {
+    say("claim " + word(key) + " " + door + " " + body.length, body);
+  }
+
+  @Override
+  public void granted(String key) {
+    say("granted " + word(key));
+  }
+
+  @Override
+  public void tell(Kept kept) {
+    told(kept);
+  }
+
+  private long told(Kept kept) {
+    return say(
+        "key "
+            + word(kept.key())
+            + (kept.finished() ? " over " : " open ")
+            + kept.lastDoor()
+            + " "
+            + Math.round(kept.secondsLeft() * 1000)
+            + " "
+            + kept.body().length
+            + " "
+            + length(kept.result()),
+        kept.body(),
+        kept.result());
+  }
+
+  @Override
+  public void tellSurely(Kept kept) {
+    awaitWritten(told(kept), SURELY_MS);
+  }
+
+  private long told(Over key) {
+    return say(
+        "over "
+            + key.key().high()
+            + " "
+            + key.key().low()
+            + " "
+            + key.lastDoor()
+            + " "
+            + Math.round(key.secondsLeft() * 1000)
+            + " "
+            + key.check()
+            + " "
+            + length(key.result()),
+        key.result());
+  }
+
+  @Override
+  public boolean tellOver(Over key) {
+    return awaitWritten(told(key) - MOST_OVER, PATIENCE_MS);
+  }
+
+  @Override
+  public boolean follows(Over key) {
+    long mine = told(key);
+    synchronized (words) {
+      return mine - written <= MOST_FOLLOW;
+    }
+  }
+
+  /** Waits until so many words are written; false where they are not in time. */
+  private boolean awaitWritten(long count, long patienceMs) {
+    long end = System.nanoTime() + patienceMs * 1_000_000;
+    synchronized (words) {
+      try {
+        for (long left = patienceMs;
+            written < count && !over && left > 0;
+            left = (end - System.nanoTime()) / 1_000_000) {
+          words.wait(left);
         }
-    }
-
-    /** As at the end of the process; nothing else may close a link that the other side still talks on. */
-    @Override
-    public void close() {
-        hush();
-        Bytes.closeQuietly(channel);
-    }
+      } catch (InterruptedException e) {
+        Thread.currentThread().interrupt();
+      }
+      return written >= count && !over;
+    }
+  }
+
+  @Override
+  public void ended(String key, byte[] result) {
+    say("ended " + word(key) + " " + length(result), result);
+  }
+
+  @Override
+  public void freed(String key) {
+    say("freed " + word(key));
+  }
+
+  @Override
+  public void intend(String key, long door, byte[] body) {
+    say("intend " + word(key) + " " + door + " " + body.length, body);
+  }
+
+  @Override
+  public void intended(String key, boolean written) {
+    say("intended " + word(key) + (written ? " yes" : " no"));
+  }
+
+  @Override
+  public void saved(String key) {
+    say("saved " + word(key));
+  }
+
+  /** Says nothing more; what waits to be said is dropped, and whoever waits for it goes on. */
+  private void hush() {
+    synchronized (words) {
+      mute = true;
+      over = true;
+      words.clear();
+      words.add(new byte[0]);
+      words.notifyAll();
+    }
+  }
+
+  /**
+   * As at the end of the process; nothing else may close a link that the other side still talks on.
+   */
+  @Override
+  public void close() {
+    hush();
+    Bytes.closeQuietly(channel);
+  }
 }
--- a/src/main/java/wharftrestle/net/Config.java
+++ b/src/main/java/wharftrestle/net/Config.java
@@ -13,151 +13,224 @@
 import wharftrestle.wire.SettingsReader;
 
 /**
- * Owns what the program is told at its start: the platform's configuration, and where the processes of an upgrade
- * meet. What operators set comes from {@code settings}, in the records below. It must never fill in what is missing or
- * wrong: that is one plain line in a {@link BadConfigException}. {@code db} is null at a site whose runs call nothing;
- * {@code cores}, {@code sockets} and {@code memoryMb} are this process's limits, not the worker pool's.
+ * Owns what the program is told at its start: the platform's configuration, and where the processes
+ * of an upgrade meet. What operators set comes from {@code settings}, in the records below. It must
+ * never fill in what is missing or wrong: that is one plain line in a {@link BadConfigException}.
+ * {@code db} is null at a site whose runs call nothing; {@code cores}, {@code sockets} and {@code
+ * memoryMb} are this process's limits, not the worker pool's.
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress pool, InetSocketAddress db,
-                     InetSocketAddress naming, InetSocketAddress console, long seed, double stopSeconds, double cores,
-                     int sockets, double memoryMb, Path meeting, Admission.Settings settings) {
+public record Config(
+    String name,
+    InetSocketAddress listen,
+    InetSocketAddress pool,
+    InetSocketAddress db,
+    InetSocketAddress naming,
+    InetSocketAddress console,
+    long seed,
+    double stopSeconds,
+    double cores,
+    int sockets,
+    double memoryMb,
+    Path meeting,
+    Admission.Settings settings) {
 
-    /** Something that the program was told cannot be used. */
-    public static final class BadConfigException extends Exception {
-        private static final long serialVersionUID = 1L;
+  /** Something that the program was told cannot be used. */
+  public static final class BadConfigException extends Exception {
+    private static final long serialVersionUID = 1L;
 
-        public BadConfigException(String message) {
-            super(message);
-        }
+    public BadConfigException(String message) {
+      super(message);
     }
+  }
 
-    /** kB booked for a held uwsgi request where nothing is set. */
-    public static final double HELD_KB = 24;
+  /** kB booked for a held uwsgi request where nothing is set. */
+  public static final double HELD_KB = 24;
 
-    /**
-     * Results kept over restarts.
-     *
-     * @param folder   on a disk that lasts
-     * @param most     bytes on disk
-     * @param keys     known at most
-     * @param queue    bytes that wait for the disk at most
-     * @param patience seconds after which a silent disk counts as stalled
-     * @param sync     "group", "each" or "none"
-     */
-    public record Durable(Path folder, long most, int keys, int queue, double patience, String sync) { }
+  /**
+   * Results kept over restarts.
+   *
+   * @param folder on a disk that lasts
+   * @param most bytes on disk
+   * @param keys known at most
+   * @param queue bytes that wait for the disk at most
+   * @param patience seconds after which a silent disk counts as stalled
+   * @param sync "group", "each" or "none"
+   */
+  public record Durable(
+      Path folder, long most, int keys, int queue, double patience, String sync) {}
 
-    /** What the operators' settings open besides the platform's front; null where off. */
-    public record Appliance(InetSocketAddress uwsgi, InetSocketAddress control, InetSocketAddress snmp,
-                            String community, double heldKb, Durable durable) {
-        public Appliance(InetSocketAddress uwsgi, InetSocketAddress control, InetSocketAddress snmp, String community,
-                double heldKb) {
-            this(uwsgi, control, snmp, community, heldKb, null);
-        }
-
-        /** Nothing but the platform's front: what the platform has. */
-        public static Appliance none() {
-            return new Appliance(null, null, null, "public", HELD_KB, null);
-        }
+  /** What the operators' settings open besides the platform's front; null where off. */
+  public record Appliance(
+      InetSocketAddress uwsgi,
+      InetSocketAddress control,
+      InetSocketAddress snmp,
+      String community,
+      double heldKb,
+      Durable durable) {
+    public Appliance(
+        InetSocketAddress uwsgi,
+        InetSocketAddress control,
+        InetSocketAddress snmp,
+        String community,
+        double heldKb) {
+      this(uwsgi, control, snmp, community, heldKb, null);
     }
 
-    /**
-     * All that a daemon is set to, in one form whatever way it was written down; addresses of others and seeds are no
-     * settings. Written out by hand: the text forms that the JVM makes for records cost a start a tenth of a second of CPU.
-     */
-    public String canonical(Appliance appliance) {
-        StringBuilder text = new StringBuilder(1024);
-        Admission.Settings s = settings;
-        put(text, stopSeconds, cores, sockets, memoryMb, s.peers(), s.callers(), s.cores(), s.memory(), s.runFactor(),
-                s.keyMemory(), s.shareFor(), s.callShare(), s.callsOver(), s.linger(), s.answerSlack(), s.drainGrace(),
-                s.crowdMultiple(), s.crowdOver(), s.coldFrom(), s.coldFor(), s.maxRetryAfter(), s.overShareWorth(),
-                s.tick());
-        text.append(s.preemption()).append(' ').append(s.downstream()).append(' ');
-        put(text, s.tellsGone(), s.realChecks(), s.listFollows(), s.worthByWork(), s.marksRetry());
-        for (Admission.RequestClass each : s.classes()) {
-            text.append('\n').append(each.name()).append(' ').append(each.repeat()).append(' ');
-            put(text, each.calls());
-            put(text, each.aim(), each.aimStretch(), each.deadline(), each.worth(), each.lateWorth(), each.window(),
-                    each.skipWorth());
-        }
-        for (Admission.Tenant each : s.tenants()) {
-            text.append('\n').append(each.name()).append(' ');
-            put(text, each.allowance(), each.portion());
-        }
-        text.append('\n').append(s.gauges());
-        text.append('\n').append(appliance.uwsgi()).append(' ').append(appliance.control()).append(' ')
-                .append(appliance.snmp()).append(' ').append(appliance.community()).append(' ').append(appliance.heldKb());
-        Durable durable = appliance.durable();
-        if (durable != null) {
-            text.append('\n').append(durable.folder()).append(' ').append(durable.sync()).append(' ');
-            put(text, durable.most(), durable.keys(), durable.queue(), durable.patience());
-        }
-        return text.toString();
+    /** Nothing but the platform's front: what the platform has. */
+    public static Appliance none() {
+      return new Appliance(null, null, null, "public", HELD_KB, null);
     }
+  }
 
-    private static void put(StringBuilder text, double... numbers) {
-        for (double number : numbers) {
-            text.append(number).append(' ');
-        }
+  /**
+   * All that a daemon is set to, in one form whatever way it was written down; addresses of others
+   * and seeds are no settings. Written out by hand: the text forms that the JVM makes for records
+   * cost a start a tenth of a second of CPU.
+   */
+  public String canonical(Appliance appliance) {
+    StringBuilder text = new StringBuilder(1024);
+    Admission.Settings s = settings;
+    put(
+        text,
+        stopSeconds,
+        cores,
+        sockets,
+        memoryMb,
+        s.peers(),
+        s.callers(),
+        s.cores(),
+        s.memory(),
+        s.runFactor(),
+        s.keyMemory(),
+        s.shareFor(),
+        s.callShare(),
+        s.callsOver(),
+        s.linger(),
+        s.answerSlack(),
+        s.drainGrace(),
+        s.crowdMultiple(),
+        s.crowdOver(),
+        s.coldFrom(),
+        s.coldFor(),
+        s.maxRetryAfter(),
+        s.overShareWorth(),
+        s.tick());
+    text.append(s.preemption()).append(' ').append(s.downstream()).append(' ');
+    put(text, s.tellsGone(), s.realChecks(), s.listFollows(), s.worthByWork(), s.marksRetry());
+    for (Admission.RequestClass each : s.classes()) {
+      text.append('\n').append(each.name()).append(' ').append(each.repeat()).append(' ');
+      put(text, each.calls());
+      put(
+          text,
+          each.aim(),
+          each.aimStretch(),
+          each.deadline(),
+          each.worth(),
+          each.lateWorth(),
+          each.window(),
+          each.skipWorth());
     }
-
-    private static void put(StringBuilder text, boolean... flags) {
-        for (boolean flag : flags) {
-            text.append(flag).append(' ');
-        }
+    for (Admission.Tenant each : s.tenants()) {
+      text.append('\n').append(each.name()).append(' ');
+      put(text, each.allowance(), each.portion());
     }
+    text.append('\n').append(s.gauges());
+    text.append('\n')
+        .append(appliance.uwsgi())
+        .append(' ')
+        .append(appliance.control())
+        .append(' ')
+        .append(appliance.snmp())
+        .append(' ')
+        .append(appliance.community())
+        .append(' ')
+        .append(appliance.heldKb());
+    Durable durable = appliance.durable();
+    if (durable != null) {
+      text.append('\n').append(durable.folder()).append(' ').append(durable.sync()).append(' ');
+      put(text, durable.most(), durable.keys(), durable.queue(), durable.patience());
+    }
+    return text.toString();
+  }
 
-    public static Config read(Map<String, String> environment) throws BadConfigException {
-        String file = environment.get("EDGE_CONFIG");
-        if (file == null || file.isEmpty()) {
-            throw new BadConfigException("EDGE_CONFIG names no configuration file");
-        }
-        JsonNode root;
-        try {
-            root = new ObjectMapper().readTree(Files.readAllBytes(Path.of(file)));
-        } catch (JsonProcessingException e) {
-            throw new BadConfigException("the configuration is no JSON: " + e.getOriginalMessage());
-        } catch (IOException e) {
-            throw new BadConfigException("the configuration cannot be read: " + e.getMessage());
-        }
-        String name = environment.getOrDefault("EDGE_NAME", root.path("name").asText());
-        String listen = environment.getOrDefault("EDGE_LISTEN", root.path("listen").asText());
-        String door = environment.getOrDefault("EDGE_CONSOLE", "").isBlank() ? root.path("console").asText()
-                : environment.get("EDGE_CONSOLE");
-        try {
-            Admission.Settings settings = SettingsReader.read(root.get("settings"));
-            return new Config(name, address("listen", listen), address("pool", root.path("pool").asText()),
-                    store(root.path("db"), settings), address("naming", root.path("naming").asText()),
-                    door.isBlank() ? null : address("console", door.trim()),
-                    Long.parseUnsignedLong(root.path("seed").asText("0"), 16),
-                    root.path("stop_ms").asDouble(3000) / 1000, root.path("limits").path("cores").asDouble(1),
-                    root.path("limits").path("sockets").asInt(1024),
-                    root.path("limits").path("memory_mb").asDouble(192), meeting(environment.get("TMPDIR"), name),
-                    settings);
-        } catch (NumberFormatException e) {
-            throw new BadConfigException("the configuration's 'seed' is no hexadecimal number");
-        } catch (MalformedLineException e) {
-            throw new BadConfigException("the configuration's settings: " + e.getMessage());
-        }
+  private static void put(StringBuilder text, double... numbers) {
+    for (double number : numbers) {
+      text.append(number).append(' ');
     }
+  }
 
-    /** The store's address; null where there is none and the settings say that no run calls below. */
-    private static InetSocketAddress store(JsonNode told, Admission.Settings settings) throws BadConfigException {
-        return told.asText("").isBlank() && settings.downstream() == Admission.Downstream.NONE ? null
-                : address("db", told.asText());
+  private static void put(StringBuilder text, boolean... flags) {
+    for (boolean flag : flags) {
+      text.append(flag).append(' ');
     }
+  }
 
-    /** Where the two processes of an upgrade meet; null, and with it no upgrade, where there is no such folder. */
-    private static Path meeting(String folder, String name) {
-        return folder == null || folder.isBlank() ? null
-                : Path.of(folder, "wharftrestle-" + name.replaceAll("[^A-Za-z0-9_.-]", "_") + ".sock");
+  public static Config read(Map<String, String> environment) throws BadConfigException {
+    String file = environment.get("EDGE_CONFIG");
+    if (file == null || file.isEmpty()) {
+      throw new BadConfigException("EDGE_CONFIG names no configuration file");
+    }
+    JsonNode root;
+    try {
+      root = new ObjectMapper().readTree(Files.readAllBytes(Path.of(file)));
+    } catch (JsonProcessingException e) {
+      throw new BadConfigException("the configuration is no JSON: " + e.getOriginalMessage());
+    } catch (IOException e) {
+      throw new BadConfigException("the configuration cannot be read: " + e.getMessage());
     }
+    String name = environment.getOrDefault("EDGE_NAME", root.path("name").asText());
+    String listen = environment.getOrDefault("EDGE_LISTEN", root.path("listen").asText());
+    String door =
+        environment.getOrDefault("EDGE_CONSOLE", "").isBlank()
+            ? root.path("console").asText()
+            : environment.get("EDGE_CONSOLE");
+    try {
+      Admission.Settings settings = SettingsReader.read(root.get("settings"));
+      return new Config(
+          name,
+          address("listen", listen),
+          address("pool", root.path("pool").asText()),
+          store(root.path("db"), settings),
+          address("naming", root.path("naming").asText()),
+          door.isBlank() ? null : address("console", door.trim()),
+          Long.parseUnsignedLong(root.path("seed").asText("0"), 16),
+          root.path("stop_ms").asDouble(3000) / 1000,
+          root.path("limits").path("cores").asDouble(1),
+          root.path("limits").path("sockets").asInt(1024),
+          root.path("limits").path("memory_mb").asDouble(192),
+          meeting(environment.get("TMPDIR"), name),
+          settings);
+    } catch (NumberFormatException e) {
+      throw new BadConfigException("the configuration's 'seed' is no hexadecimal number");
+    } catch (MalformedLineException e) {
+      throw new BadConfigException("the configuration's settings: " + e.getMessage());
+    }
+  }
+
+  /** The store's address; null where there is none and the settings say that no run calls below. */
+  private static InetSocketAddress store(JsonNode told, Admission.Settings settings)
+      throws BadConfigException {
+    return told.asText("").isBlank() && settings.downstream() == Admission.Downstream.NONE
+        ? null
+        : address("db", told.asText());
+  }
+
+  /**
+   * Where the two processes of an upgrade meet; null, and with it no upgrade, where there is no
+   * such folder.
+   */
+  private static Path meeting(String folder, String name) {
+    return folder == null || folder.isBlank()
+        ? null
+        : Path.of(folder, "wharftrestle-" + name.replaceAll("[^A-Za-z0-9_.-]", "_") + ".sock");
+  }
 
-    /** HOST:PORT with a numeric host: there are no names to look up. */
-    public static InetSocketAddress address(String key, String text) throws BadConfigException {
-        InetSocketAddress address = Address.of(text);
-        if (address == null) {
-            throw new BadConfigException("'" + key + "' is no address: '" + text + "'");
-        }
-        return address;
+  /** HOST:PORT with a numeric host: there are no names to look up. */
+  public static InetSocketAddress address(String key, String text) throws BadConfigException {
+    InetSocketAddress address = Address.of(text);
+    if (address == null) {
+      throw new BadConfigException("'" + key + "' is no address: '" + text + "'");
     }
+    return address;
+  }
 }
--- a/src/main/java/wharftrestle/net/Reporter.java
+++ b/src/main/java/wharftrestle/net/Reporter.java
@@ -12,96 +12,99 @@
 import wharftrestle.ops.Counters.Count;
 
 /**
- * Owns the reports to the name service: one datagram many times within the 3 s after which an entry runs out,
- * and some at once when health changes, as some are lost. It must never make the one who changes health wait.
+ * Owns the reports to the name service: one datagram many times within the 3 s after which an entry
+ * runs out, and some at once when health changes, as some are lost. It must never make the one who
+ * changes health wait.
  */
 public final class Reporter implements Core.Watcher {
-    private static final int EVERY_MS = 250;
-    /** Reports in quick order after a change, and the milliseconds between them. */
-    private static final int REPEATS = 3;
-    private static final int REPEAT_MS = 40;
+  private static final int EVERY_MS = 250;
 
-    private final String name;
-    private final Counters counters;
-    private volatile InetSocketAddress naming;
-    private boolean good = true;
-    private boolean paused;
-    private int urgent = REPEATS;
+  /** Reports in quick order after a change, and the milliseconds between them. */
+  private static final int REPEATS = 3;
 
-    public Reporter(String name, InetSocketAddress naming, Counters counters) {
-        this.name = name;
-        this.naming = naming;
-        this.counters = counters;
-    }
+  private static final int REPEAT_MS = 40;
 
-    public void start() {
-        Threads.lasting("reporter", this::report).start();
-    }
+  private final String name;
+  private final Counters counters;
+  private volatile InetSocketAddress naming;
+  private boolean good = true;
+  private boolean paused;
+  private int urgent = REPEATS;
 
-    /** Reports go to another address from now on. */
-    public synchronized void moveTo(InetSocketAddress next) {
-        naming = next;
-        hurry();
-    }
+  public Reporter(String name, InetSocketAddress naming, Counters counters) {
+    this.name = name;
+    this.naming = naming;
+    this.counters = counters;
+  }
 
-    /** Says nothing, while another process of this box reports for both, or goes on. */
-    public synchronized void pause(boolean quiet) {
-        paused = quiet;
-        hurry();
-    }
+  public void start() {
+    Threads.lasting("reporter", this::report).start();
+  }
 
-    @Override
-    public synchronized void health(boolean now) {
-        if (now != good) {
-            good = now;
-            hurry();
-        }
-    }
+  /** Reports go to another address from now on. */
+  public synchronized void moveTo(InetSocketAddress next) {
+    naming = next;
+    hurry();
+  }
+
+  /** Says nothing, while another process of this box reports for both, or goes on. */
+  public synchronized void pause(boolean quiet) {
+    paused = quiet;
+    hurry();
+  }
 
-    /** Guards against a lost datagram hiding a change: it is told again at once. */
-    private void hurry() {
-        urgent = REPEATS + 1;
-        notifyAll();
+  @Override
+  public synchronized void health(boolean now) {
+    if (now != good) {
+      good = now;
+      hurry();
     }
+  }
+
+  /** Guards against a lost datagram hiding a change: it is told again at once. */
+  private void hurry() {
+    urgent = REPEATS + 1;
+    notifyAll();
+  }
 
-    private void report() {
-        LogLimiter lines = new LogLimiter(System.nanoTime());
-        boolean told = false;
-        for (;;) {
-            try (DatagramSocket socket = new DatagramSocket()) {
-                for (;;) {
-                    byte[] word = Bytes.ascii("renew " + name + (next() ? " yes" : " no"));
-                    socket.send(new DatagramPacket(word, word.length, naming));
-                    counters.add(Count.REPORTS);
-                    told = false;
-                }
-            } catch (IOException | RuntimeException e) {
-                if (!told && lines.may(System.nanoTime())) {
-                    Logger.warn("name service: {}", e.getMessage());
-                    told = true;
-                }
-                // Guards against spinning where there is no socket to be had.
-                LockSupport.parkNanos(EVERY_MS * 1_000_000L);
-            } catch (InterruptedException e) {
-                return;
-            }
+  private void report() {
+    LogLimiter lines = new LogLimiter(System.nanoTime());
+    boolean told = false;
+    for (; ; ) {
+      try (DatagramSocket socket = new DatagramSocket()) {
+        for (; ; ) {
+          byte[] word = Bytes.ascii("renew " + name + (next() ? " yes" : " no"));
+          socket.send(new DatagramPacket(word, word.length, naming));
+          counters.add(Count.REPORTS);
+          told = false;
         }
+      } catch (IOException | RuntimeException e) {
+        if (!told && lines.may(System.nanoTime())) {
+          Logger.warn("name service: {}", e.getMessage());
+          told = true;
+        }
+        // Guards against spinning where there is no socket to be had.
+        LockSupport.parkNanos(EVERY_MS * 1_000_000L);
+      } catch (InterruptedException e) {
+        return;
+      }
     }
+  }
 
-    private synchronized boolean next() throws InterruptedException {
-        long began = System.nanoTime();
-        for (;;) {
-            if (paused) {
-                wait();
-                continue;
-            }
-            long pause = urgent > REPEATS ? 0 : urgent > 0 ? REPEAT_MS : EVERY_MS;
-            long left = pause - (System.nanoTime() - began) / 1_000_000;
-            if (left <= 0) {
-                urgent = Math.max(0, urgent - 1);
-                return good;
-            }
-            wait(left);
-        }
+  private synchronized boolean next() throws InterruptedException {
+    long began = System.nanoTime();
+    for (; ; ) {
+      if (paused) {
+        wait();
+        continue;
+      }
+      long pause = urgent > REPEATS ? 0 : urgent > 0 ? REPEAT_MS : EVERY_MS;
+      long left = pause - (System.nanoTime() - began) / 1_000_000;
+      if (left <= 0) {
+        urgent = Math.max(0, urgent - 1);
+        return good;
+      }
+      wait(left);
     }
+  }
 }
--- a/src/main/java/wharftrestle/settings/BadSettingsException.java
+++ b/src/main/java/wharftrestle/settings/BadSettingsException.java
@@ -1,14 +1,17 @@
 package wharftrestle.settings;
 
-/** A script that cannot be used, and where: one plain line of file, line, column and what was expected. */
+/**
+ * A script that cannot be used, and where: one plain line of file, line, column and what was
+ * expected.
+ */
 public final class BadSettingsException extends Exception {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    public BadSettingsException(String file, Place place, String message) {
-        super(file + (place == null ? "" : ":" + place) + ": " + message);
-    }
+  public BadSettingsException(String file, Place place, String message) {
+    super(file + (place == null ? "" : ":" + place) + ": " + message);
+  }
 
-    public BadSettingsException(String message) {
-        super(message);
-    }
+  public BadSettingsException(String message) {
+    super(message);
+  }
 }
--- a/src/main/java/wharftrestle/version/Build.java
+++ b/src/main/java/wharftrestle/version/Build.java
@@ -12,73 +12,83 @@
 import wharftrestle.keys.Digest;
 
 /**
- * Which build this is, and what it speaks. It owns the ranges of formats: who adds a version of one changes it here. The
- * figure beside the jar is read, the jar is not, unless {@link #digest} is asked.
+ * Which build this is, and what it speaks. It owns the ranges of formats: who adds a version of one
+ * changes it here. The figure beside the jar is read, the jar is not, unless {@link #digest} is
+ * asked.
  */
 public final class Build {
-    /** Words between two processes: 1 hands over at once, 2 agrees first. */
-    public static final Range HANDOVER = new Range(1, 2);
-    /** Files of kept results ({@code durable.Segment}). */
-    public static final Range LOG = new Range(1, 1);
-    /** The operators' settings. */
-    public static final Range LANGUAGE = new Range(1, 1);
+  /** Words between two processes: 1 hands over at once, 2 agrees first. */
+  public static final Range HANDOVER = new Range(1, 2);
 
-    /** What is written beside a jar, as sha256sum has it: the digest, two blanks, the file's name. */
-    private static final String BESIDE = ".sha256";
-    private static final int DIGITS = 64;
-    private static final int CHUNK = 64 * 1024;
+  /** Files of kept results ({@code durable.Segment}). */
+  public static final Range LOG = new Range(1, 1);
 
-    private Build() { }
+  /** The operators' settings. */
+  public static final Range LANGUAGE = new Range(1, 1);
 
-    /** This build, with these effective settings in their canonical form; null for none. */
-    public static Version version(String settings) {
-        String said = Build.class.getPackage().getImplementationVersion();
-        int plus = said == null ? -1 : said.indexOf('+');
-        Path jar = jar();
-        return new Version(said == null ? "unpackaged" : plus < 0 ? said : said.substring(0, plus),
-                plus < 0 || plus + 1 == said.length() ? Version.UNKNOWN : said.substring(plus + 1),
-                jar == null ? Version.UNKNOWN : beside(jar), settings == null ? "none" : digest(settings), HANDOVER, LOG,
-                LANGUAGE);
-    }
+  /** What is written beside a jar, as sha256sum has it: the digest, two blanks, the file's name. */
+  private static final String BESIDE = ".sha256";
 
-    /** The jar that this program is run from; null where it is run from classes. */
-    public static Path jar() {
-        try {
-            Path from = Path.of(Build.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-            return Files.isRegularFile(from) ? from : null;
-        } catch (URISyntaxException | RuntimeException e) {
-            return null;   // no file: nothing is known of it
-        }
-    }
+  private static final int DIGITS = 64;
+  private static final int CHUNK = 64 * 1024;
+
+  private Build() {}
 
-    /** The digest that was written beside a jar; "unknown" where there is none. */
-    public static String beside(Path jar) {
-        try {
-            String text = Files.readString(jar.resolveSibling(jar.getFileName() + BESIDE), StandardCharsets.ISO_8859_1);
-            String digits = text.length() < DIGITS ? "" : text.substring(0, DIGITS);
-            return digits.matches("[0-9a-f]+") ? digits : Version.UNKNOWN;
-        } catch (IOException e) {
-            return Version.UNKNOWN;
-        }
+  /** This build, with these effective settings in their canonical form; null for none. */
+  public static Version version(String settings) {
+    String said = Build.class.getPackage().getImplementationVersion();
+    int plus = said == null ? -1 : said.indexOf('+');
+    Path jar = jar();
+    return new Version(
+        said == null ? "unpackaged" : plus < 0 ? said : said.substring(0, plus),
+        plus < 0 || plus + 1 == said.length() ? Version.UNKNOWN : said.substring(plus + 1),
+        jar == null ? Version.UNKNOWN : beside(jar),
+        settings == null ? "none" : digest(settings),
+        HANDOVER,
+        LOG,
+        LANGUAGE);
+  }
+
+  /** The jar that this program is run from; null where it is run from classes. */
+  public static Path jar() {
+    try {
+      Path from = Path.of(Build.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+      return Files.isRegularFile(from) ? from : null;
+    } catch (URISyntaxException | RuntimeException e) {
+      return null; // no file: nothing is known of it
     }
+  }
 
-    /** SHA-256 of a file's bytes, in hex. */
-    public static String digest(Path file) throws IOException {
-        try (InputStream in = Files.newInputStream(file)) {
-            MessageDigest sha = MessageDigest.getInstance("SHA-256");
-            byte[] chunk = new byte[CHUNK];
-            for (int read = in.read(chunk); read >= 0; read = in.read(chunk)) {
-                sha.update(chunk, 0, read);
-            }
-            return HexFormat.of().formatHex(sha.digest());
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
-        }
+  /** The digest that was written beside a jar; "unknown" where there is none. */
+  public static String beside(Path jar) {
+    try {
+      String text =
+          Files.readString(
+              jar.resolveSibling(jar.getFileName() + BESIDE), StandardCharsets.ISO_8859_1);
+      String digits = text.length() < DIGITS ? "" : text.substring(0, DIGITS);
+      return digits.matches("[0-9a-f]+") ? digits : Version.UNKNOWN;
+    } catch (IOException e) {
+      return Version.UNKNOWN;
     }
+  }
 
-    /** 128 bits of a text, in hex. */
-    public static String digest(String text) {
-        Digest digest = Digest.of(text);
-        return HexFormat.of().toHexDigits(digest.high()) + HexFormat.of().toHexDigits(digest.low());
+  /** SHA-256 of a file's bytes, in hex. */
+  public static String digest(Path file) throws IOException {
+    try (InputStream in = Files.newInputStream(file)) {
+      MessageDigest sha = MessageDigest.getInstance("SHA-256");
+      byte[] chunk = new byte[CHUNK];
+      for (int read = in.read(chunk); read >= 0; read = in.read(chunk)) {
+        sha.update(chunk, 0, read);
+      }
+      return HexFormat.of().formatHex(sha.digest());
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException("every Java has SHA-256", e);
     }
+  }
+
+  /** 128 bits of a text, in hex. */
+  public static String digest(String text) {
+    Digest digest = Digest.of(text);
+    return HexFormat.of().toHexDigits(digest.high()) + HexFormat.of().toHexDigits(digest.low());
+  }
 }
--- a/src/main/java/wharftrestle/version/Version.java
+++ b/src/main/java/wharftrestle/version/Version.java
@@ -6,47 +6,64 @@
 /**
  * What a version is.
  *
- * @param program  the program's number, of its project file
- * @param commit   what it was made from; "unknown" where no history was there
- * @param build    SHA-256 of the jar, in hex, as the build wrote it beside the jar; "unknown" where it did not
- * @param settings digest of the effective settings' canonical form, in hex; "none" where none are read
+ * @param program the program's number, of its project file
+ * @param commit what it was made from; "unknown" where no history was there
+ * @param build SHA-256 of the jar, in hex, as the build wrote it beside the jar; "unknown" where it
+ *     did not
+ * @param settings digest of the effective settings' canonical form, in hex; "none" where none are
+ *     read
  * @param handover words of the hand-over between two processes
- * @param log      files of kept results that it reads; it writes the newest
+ * @param log files of kept results that it reads; it writes the newest
  * @param language the operators' settings
  */
-public record Version(String program, String commit, String build, String settings, Range handover, Range log,
-                      Range language) {
+public record Version(
+    String program,
+    String commit,
+    String build,
+    String settings,
+    Range handover,
+    Range log,
+    Range language) {
 
-    /** What is not known. */
-    public static final String UNKNOWN = "unknown";
-    /** Hexadecimal digits by which people tell builds and settings apart. */
-    private static final int BRIEF = 12;
+  /** What is not known. */
+  public static final String UNKNOWN = "unknown";
 
-    /** Each part under its one name, in the order in which it is shown. */
-    public Map<String, String> parts() {
-        Map<String, String> parts = new LinkedHashMap<>();
-        parts.put("program", program);
-        parts.put("commit", commit);
-        parts.put("build", build);
-        parts.put("settings", settings);
-        parts.put("handover", handover.toString());
-        parts.put("log", log.toString());
-        parts.put("language", language.toString());
-        return parts;
-    }
+  /** Hexadecimal digits by which people tell builds and settings apart. */
+  private static final int BRIEF = 12;
 
-    /** One line for people: long digests are cut. */
-    public String line() {
-        StringBuilder line = new StringBuilder();
-        parts().forEach((name, value) -> line.append(line.length() == 0 ? "" : " ").append(name).append(' ')
-                .append(value.length() > BRIEF && value.matches("[0-9a-f]+") ? value.substring(0, BRIEF) : value));
-        return line.toString();
-    }
+  /** Each part under its one name, in the order in which it is shown. */
+  public Map<String, String> parts() {
+    Map<String, String> parts = new LinkedHashMap<>();
+    parts.put("program", program);
+    parts.put("commit", commit);
+    parts.put("build", build);
+    parts.put("settings", settings);
+    parts.put("handover", handover.toString());
+    parts.put("log", log.toString());
+    parts.put("language", language.toString());
+    return parts;
+  }
 
-    /** A line a part, {@code name value}. */
-    public String table() {
-        StringBuilder lines = new StringBuilder();
-        parts().forEach((name, value) -> lines.append(String.format("%-9s %s%n", name, value)));
-        return lines.toString();
-    }
+  /** One line for people: long digests are cut. */
+  public String line() {
+    StringBuilder line = new StringBuilder();
+    parts()
+        .forEach(
+            (name, value) ->
+                line.append(line.length() == 0 ? "" : " ")
+                    .append(name)
+                    .append(' ')
+                    .append(
+                        value.length() > BRIEF && value.matches("[0-9a-f]+")
+                            ? value.substring(0, BRIEF)
+                            : value));
+    return line.toString();
+  }
+
+  /** A line a part, {@code name value}. */
+  public String table() {
+    StringBuilder lines = new StringBuilder();
+    parts().forEach((name, value) -> lines.append(String.format("%-9s %s%n", name, value)));
+    return lines.toString();
+  }
 }
