--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -38,288 +38,360 @@
 
 /** Stories of the operator: the console, the SNMP agent, and the file that turns them on. */
 class ApplianceTest {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private static Loopback site() throws Exception {
-        return new Loopback(Sites.site(),
-                new Config.Appliance(null, Loopback.any(), Loopback.any(), "desk", 24));
-    }
+  private static Loopback site() throws Exception {
+    return new Loopback(
+        Sites.site(), new Config.Appliance(null, Loopback.any(), Loopback.any(), "desk", 24));
+  }
 
-    private static String console(InetSocketAddress address, String typed, String command) throws Exception {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        PrintStream print = new PrintStream(out, true, "UTF-8");
-        int code = new Console(new ByteArrayInputStream(typed.getBytes("UTF-8")), print, print)
-                .attach(address, command);
-        return code + "\n" + out.toString("UTF-8");
-    }
+  private static String console(InetSocketAddress address, String typed, String command)
+      throws Exception {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    PrintStream print = new PrintStream(out, true, "UTF-8");
+    int code =
+        new Console(new ByteArrayInputStream(typed.getBytes("UTF-8")), print, print)
+            .attach(address, command);
+    return code + "\n" + out.toString("UTF-8");
+  }
 
-    private static void serveOne(Loopback site) throws Exception {
-        try (Caller caller = site.new Caller()) {
-            caller.ask(1, "read", null, "x");
-            site.finish(site.command().ref(), "good", 1, "fine");
-            caller.reply();
-        }
+  private static void serveOne(Loopback site) throws Exception {
+    try (Caller caller = site.new Caller()) {
+      caller.ask(1, "read", null, "x");
+      site.finish(site.command().ref(), "good", 1, "fine");
+      caller.reply();
     }
+  }
 
-    @Test
-    void theHeapFollowsTheMemoryLimitOfTheConfiguration() throws Exception {
-        Path java = Files.writeString(folder.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
-        assertTrue(java.toFile().setExecutable(true));
-        String spread = "{\"limits\": {\"cores\": 0.5,\n \"memory_mb\" : 64, \"sockets\":256}}";
-        assertTrue(started(spread).contains(" -Xmx19m "));
-        assertTrue(started("{\"limits\":{\"memory_mb\":32}}").contains(" -Xmx16m "));
-        assertTrue(started("{\"limits\":{\"memory_mb\":192.0}}").contains(" -Xmx40m "));
-        assertTrue(started("no configuration").endsWith(" serve --help"), "the program itself says what is wrong");
-    }
+  @Test
+  void theHeapFollowsTheMemoryLimitOfTheConfiguration() throws Exception {
+    Path java = Files.writeString(folder.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
+    assertTrue(java.toFile().setExecutable(true));
+    String spread = "{\"limits\": {\"cores\": 0.5,\n \"memory_mb\" : 64, \"sockets\":256}}";
+    assertTrue(started(spread).contains(" -Xmx19m "));
+    assertTrue(started("{\"limits\":{\"memory_mb\":32}}").contains(" -Xmx16m "));
+    assertTrue(started("{\"limits\":{\"memory_mb\":192.0}}").contains(" -Xmx40m "));
+    assertTrue(
+        started("no configuration").endsWith(" serve --help"),
+        "the program itself says what is wrong");
+  }
 
-    /** What deploy/run.sh would start. */
-    private String started(String config) throws Exception {
-        ProcessBuilder run = new ProcessBuilder("sh", "deploy/run.sh", "--help");
-        run.environment().put("PATH", folder + ":" + run.environment().get("PATH"));
-        run.environment().put("EDGE_CONFIG", Files.writeString(folder.resolve("config"), config).toString());
-        Process process = run.start();
-        String line = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
-        assertEquals(0, process.waitFor());
-        return line;
-    }
+  /** What deploy/run.sh would start. */
+  private String started(String config) throws Exception {
+    ProcessBuilder run = new ProcessBuilder("sh", "deploy/run.sh", "--help");
+    run.environment().put("PATH", folder + ":" + run.environment().get("PATH"));
+    run.environment()
+        .put("EDGE_CONFIG", Files.writeString(folder.resolve("config"), config).toString());
+    Process process = run.start();
+    String line =
+        new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
+    assertEquals(0, process.waitFor());
+    return line;
+  }
 
-    @Test
-    void theConsoleShowsAndDrains() throws Exception {
-        try (Loopback site = site()) {
-            serveOne(site);
-            InetSocketAddress control = site.life.doorAddress();
-            String shown = console(control, "help\nstatus\nnonsense\nquit\n", null);
-            assertTrue(shown.startsWith("0\n"), shown);
-            for (String part : new String[] {"drain", "state         serving", "worker pool   linked",
-                "health        good", "no such command"}) {
-                assertTrue(shown.contains(part), part + " in " + shown);
-            }
-            assertTrue(console(control, "", "counters").matches("(?s).* 1  answered: served\\R.*"));
-            assertEquals("0\nyes\n", console(control, "", "ready"));
-            assertTrue(console(control, "", "vars").contains("daemon.results.read.succeeded:1|c\n"));
-            assertEquals("0\nlame duck on\n", console(control, "", "lameduck on"));
-            assertTrue(console(control, "", "drain").contains("leaving"));
-            site.life.serveUntilStopped();   // would wait for ever without the notice
-            assertEquals(Lifecycle.State.STOPPED, site.life.state());
-            assertEquals("1\nno: stopped\n", console(control, "", "ready"));
-            assertEquals("1\nthe daemon is stopped\n", console(control, "", "lameduck off"));
-        }
-        try (ServerSocket gone = new ServerSocket(0)) {
-            InetSocketAddress nobody = new InetSocketAddress("127.0.0.1", gone.getLocalPort());
-            gone.close();
-            assertTrue(console(nobody, "", "status").startsWith("1\nwharftrestle: console at "));
-        }
+  @Test
+  void theConsoleShowsAndDrains() throws Exception {
+    try (Loopback site = site()) {
+      serveOne(site);
+      InetSocketAddress control = site.life.doorAddress();
+      String shown = console(control, "help\nstatus\nnonsense\nquit\n", null);
+      assertTrue(shown.startsWith("0\n"), shown);
+      for (String part :
+          new String[] {
+            "drain",
+            "state         serving",
+            "worker pool   linked",
+            "health        good",
+            "no such command"
+          }) {
+        assertTrue(shown.contains(part), part + " in " + shown);
+      }
+      assertTrue(console(control, "", "counters").matches("(?s).* 1  answered: served\\R.*"));
+      assertEquals("0\nyes\n", console(control, "", "ready"));
+      assertTrue(console(control, "", "vars").contains("daemon.results.read.succeeded:1|c\n"));
+      assertEquals("0\nlame duck on\n", console(control, "", "lameduck on"));
+      assertTrue(console(control, "", "drain").contains("leaving"));
+      site.life.serveUntilStopped(); // would wait for ever without the notice
+      assertEquals(Lifecycle.State.STOPPED, site.life.state());
+      assertEquals("1\nno: stopped\n", console(control, "", "ready"));
+      assertEquals("1\nthe daemon is stopped\n", console(control, "", "lameduck off"));
     }
-
-    @Test
-    void halfCallsHoldUpNoTrueOneAndErrorsAreAsHttpHasThem() throws Exception {
-        try (Loopback site = site()) {
-            List<Socket> half = new ArrayList<>();
-            for (int i = 0; i < 40; i++) {
-                Socket socket = new Socket();
-                half.add(socket);
-                socket.connect(site.life.doorAddress());
-                socket.setSoTimeout(2000);
-                socket.getOutputStream().write("GET /_rea".getBytes("UTF-8"), 0, i % 2 * 9);   // nothing, or half
-            }
-            long began = System.nanoTime();
-            assertTrue(site.get("/_ready").startsWith("HTTP/1.1 200 OK\r\n"));
-            assertTrue(System.nanoTime() - began < 600_000_000L, "before the half ones end");
-            assertTrue(Loopback.response(half.get(39)).startsWith("HTTP/1.1 408 "));
-            assertTrue(System.nanoTime() - began < 1_500_000_000L, "and these are not kept");
-            for (Socket each : half) {
-                each.close();
-            }
-            Map<String, String> wrong = Map.of("GET /none HTTP/1.1\r\n\r\n", "404", "GET /_lameduck/on HTTP/1.1\r\n\r\n",
-                    "405", "POST /_ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", "405", "nonsense\r\n\r\n", "400",
-                    "GET /_ready HTTP/3.0\r\n\r\n", "505", "POST /_lameduck/on HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
-                    "400", "POST /_lameduck/on HTTP/1.1\r\nContent-Length: 9999\r\n\r\n", "413",
-                    "GET /" + "x".repeat(2000), "400", "GET /_ready HTTP/1.1\r\nX: y\nZ\r\n\r\n", "400");
-            for (Map.Entry<String, String> call : wrong.entrySet()) {
-                assertTrue(site.call(call.getKey()).startsWith("HTTP/1.1 " + call.getValue() + " "), call.getKey());
-            }
-            assertTrue(site.life.healthy(), "none of these was carried out");
-        }
+    try (ServerSocket gone = new ServerSocket(0)) {
+      InetSocketAddress nobody = new InetSocketAddress("127.0.0.1", gone.getLocalPort());
+      gone.close();
+      assertTrue(console(nobody, "", "status").startsWith("1\nwharftrestle: console at "));
     }
+  }
 
-    /** The figures at the door, by name. */
-    private static Map<String, Integer> figures(Loopback site) throws Exception {
-        Map<String, Integer> figures = new TreeMap<>();
-        site.get("/_vars").lines().filter(line -> line.startsWith("daemon.")).forEach(line -> figures.put(
-                line.replaceAll("^daemon\\.|:.*", ""), Integer.valueOf(line.replaceAll(".*:|\\|[cg]$", ""))));
-        return figures;
+  @Test
+  void halfCallsHoldUpNoTrueOneAndErrorsAreAsHttpHasThem() throws Exception {
+    try (Loopback site = site()) {
+      List<Socket> half = new ArrayList<>();
+      for (int i = 0; i < 40; i++) {
+        Socket socket = new Socket();
+        half.add(socket);
+        socket.connect(site.life.doorAddress());
+        socket.setSoTimeout(2000);
+        socket
+            .getOutputStream()
+            .write("GET /_rea".getBytes("UTF-8"), 0, i % 2 * 9); // nothing, or half
+      }
+      long began = System.nanoTime();
+      assertTrue(site.get("/_ready").startsWith("HTTP/1.1 200 OK\r\n"));
+      assertTrue(System.nanoTime() - began < 600_000_000L, "before the half ones end");
+      assertTrue(Loopback.response(half.get(39)).startsWith("HTTP/1.1 408 "));
+      assertTrue(System.nanoTime() - began < 1_500_000_000L, "and these are not kept");
+      for (Socket each : half) {
+        each.close();
+      }
+      Map<String, String> wrong =
+          Map.of(
+              "GET /none HTTP/1.1\r\n\r\n",
+              "404",
+              "GET /_lameduck/on HTTP/1.1\r\n\r\n",
+              "405",
+              "POST /_ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
+              "405",
+              "nonsense\r\n\r\n",
+              "400",
+              "GET /_ready HTTP/3.0\r\n\r\n",
+              "505",
+              "POST /_lameduck/on HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+              "400",
+              "POST /_lameduck/on HTTP/1.1\r\nContent-Length: 9999\r\n\r\n",
+              "413",
+              "GET /" + "x".repeat(2000),
+              "400",
+              "GET /_ready HTTP/1.1\r\nX: y\nZ\r\n\r\n",
+              "400");
+      for (Map.Entry<String, String> call : wrong.entrySet()) {
+        assertTrue(
+            site.call(call.getKey()).startsWith("HTTP/1.1 " + call.getValue() + " "),
+            call.getKey());
+      }
+      assertTrue(site.life.healthy(), "none of these was carried out");
     }
+  }
 
-    @Test
-    void eachRequestIsCountedOnceWhateverItsEnd() throws Exception {
-        try (Loopback site = site(); Caller caller = site.new Caller(); Caller other = site.new Caller()) {
-            Map<String, Integer> seen = figures(site);
-            assertEquals(17, seen.size(), "all classes from the start: " + seen);
-            assertTrue(seen.values().stream().allMatch(count -> count == 0), seen.toString());
-            caller.ask(1, "keyed", "k", "x");
-            String run = site.command().ref();
-            other.ask(2, "keyed", "k", "x");   // rides on the first
-            other.send("STATUS", "3", "");
-            other.reply();
-            assertEquals(2, figures(site).get("outstanding"));
-            site.finish(run, "good", 1, "fine");
-            caller.reply();
-            other.reply();
-            caller.ask(4, "keyed", "k", "y");   // another body: failed
-            caller.reply();
-            caller.ask(5, "read", null, "x");
-            site.finish(site.command().ref(), "bad", 1, "");
-            caller.reply();
-            caller.ask(6, "read", null, "x");
-            site.command();
-            caller.send("NEVERMIND", "6");   // given up: no answer, no figure, not outstanding
-            assertEquals("suspend", site.command().verb());
-            seen = figures(site);
-            assertEquals(List.of(2, 0, 1, 0, 1, 3, 0), List.of(seen.get("results.keyed.succeeded"),
-                    seen.get("results.keyed.declined"), seen.get("results.keyed.aborted"),
-                    seen.get("results.read.succeeded"), seen.get("results.read.aborted"), seen.get("forwards"),
-                    seen.get("outstanding")), seen.toString());
-        }
+  /** The figures at the door, by name. */
+  private static Map<String, Integer> figures(Loopback site) throws Exception {
+    Map<String, Integer> figures = new TreeMap<>();
+    site.get("/_vars")
+        .lines()
+        .filter(line -> line.startsWith("daemon."))
+        .forEach(
+            line ->
+                figures.put(
+                    line.replaceAll("^daemon\\.|:.*", ""),
+                    Integer.valueOf(line.replaceAll(".*:|\\|[cg]$", ""))));
+    return figures;
+  }
+
+  @Test
+  void eachRequestIsCountedOnceWhateverItsEnd() throws Exception {
+    try (Loopback site = site();
+        Caller caller = site.new Caller();
+        Caller other = site.new Caller()) {
+      Map<String, Integer> seen = figures(site);
+      assertEquals(17, seen.size(), "all classes from the start: " + seen);
+      assertTrue(seen.values().stream().allMatch(count -> count == 0), seen.toString());
+      caller.ask(1, "keyed", "k", "x");
+      String run = site.command().ref();
+      other.ask(2, "keyed", "k", "x"); // rides on the first
+      other.send("STATUS", "3", "");
+      other.reply();
+      assertEquals(2, figures(site).get("outstanding"));
+      site.finish(run, "good", 1, "fine");
+      caller.reply();
+      other.reply();
+      caller.ask(4, "keyed", "k", "y"); // another body: failed
+      caller.reply();
+      caller.ask(5, "read", null, "x");
+      site.finish(site.command().ref(), "bad", 1, "");
+      caller.reply();
+      caller.ask(6, "read", null, "x");
+      site.command();
+      caller.send("NEVERMIND", "6"); // given up: no answer, no figure, not outstanding
+      assertEquals("suspend", site.command().verb());
+      seen = figures(site);
+      assertEquals(
+          List.of(2, 0, 1, 0, 1, 3, 0),
+          List.of(
+              seen.get("results.keyed.succeeded"),
+              seen.get("results.keyed.declined"),
+              seen.get("results.keyed.aborted"),
+              seen.get("results.read.succeeded"),
+              seen.get("results.read.aborted"),
+              seen.get("forwards"),
+              seen.get("outstanding")),
+          seen.toString());
     }
+  }
 
-    @Test
-    void aLameDuckLooksBadServesOnAndComesBack() throws Exception {
-        try (Loopback site = new Loopback(Sites.site(), new Config.Appliance(Loopback.any(), null, null, "x", 24));
-                Caller caller = site.new Caller(); Caller check = site.new Caller()) {
-            for (int i = 1; i <= 2; i++) {   // twice is harmless
-                assertTrue(site.post("/_lameduck/on").startsWith("HTTP/1.1 200 "));
-                check.send("STATUS", Integer.toString(i), "");
-                assertEquals("sick", check.reply().word());
-            }
-            assertTrue(Loopback.response(site.post("/health", "", "")).startsWith("HTTP/1.1 503 "));
-            for (String report = site.report(); !report.equals("renew n1 no"); report = site.report()) {
-                assertEquals("renew n1 yes", report);
-            }
-            caller.ask(1, "read", null, "x");   // whatever arrives is served as usual
-            site.finish(site.command().ref(), "good", 1, "fine");
-            assertEquals("fine", caller.reply().body());
-            assertTrue(site.post("/_lameduck/off").startsWith("HTTP/1.1 200 "));
-            check.send("STATUS", "3", "");
-            assertEquals("healthy", check.reply().word());
-            for (String report = site.report(); !report.equals("renew n1 yes"); report = site.report()) {
-                assertEquals("renew n1 no", report);
-            }
-            site.post("/_lameduck/on");   // the notice to leave while it is on: no more and no less than without
-            caller.ask(2, "read", null, "x");
-            String run = site.command().ref();
-            site.life.leave();
-            site.cores.schedule(() -> {
-                site.finish(run, "good", 1, "in time");
-                return null;
-            }, 100, java.util.concurrent.TimeUnit.MILLISECONDS);
-            site.life.serveUntilStopped();
-            assertEquals("in time", caller.reply().body());
-            assertEquals(Lifecycle.State.STOPPED, site.life.state());
-        }
+  @Test
+  void aLameDuckLooksBadServesOnAndComesBack() throws Exception {
+    try (Loopback site =
+            new Loopback(Sites.site(), new Config.Appliance(Loopback.any(), null, null, "x", 24));
+        Caller caller = site.new Caller();
+        Caller check = site.new Caller()) {
+      for (int i = 1; i <= 2; i++) { // twice is harmless
+        assertTrue(site.post("/_lameduck/on").startsWith("HTTP/1.1 200 "));
+        check.send("STATUS", Integer.toString(i), "");
+        assertEquals("sick", check.reply().word());
+      }
+      assertTrue(Loopback.response(site.post("/health", "", "")).startsWith("HTTP/1.1 503 "));
+      for (String report = site.report(); !report.equals("renew n1 no"); report = site.report()) {
+        assertEquals("renew n1 yes", report);
+      }
+      caller.ask(1, "read", null, "x"); // whatever arrives is served as usual
+      site.finish(site.command().ref(), "good", 1, "fine");
+      assertEquals("fine", caller.reply().body());
+      assertTrue(site.post("/_lameduck/off").startsWith("HTTP/1.1 200 "));
+      check.send("STATUS", "3", "");
+      assertEquals("healthy", check.reply().word());
+      for (String report = site.report(); !report.equals("renew n1 yes"); report = site.report()) {
+        assertEquals("renew n1 no", report);
+      }
+      site.post(
+          "/_lameduck/on"); // the notice to leave while it is on: no more and no less than without
+      caller.ask(2, "read", null, "x");
+      String run = site.command().ref();
+      site.life.leave();
+      site.cores.schedule(
+          () -> {
+            site.finish(run, "good", 1, "in time");
+            return null;
+          },
+          100,
+          java.util.concurrent.TimeUnit.MILLISECONDS);
+      site.life.serveUntilStopped();
+      assertEquals("in time", caller.reply().body());
+      assertEquals(Lifecycle.State.STOPPED, site.life.state());
     }
+  }
 
-    private static PDU ask(Snmp manager, InetSocketAddress agent, String community, int type, OID... oids)
-            throws Exception {
-        PDU request = new PDU();
-        request.setType(type);
-        if (type == PDU.GETBULK) {
-            request.setMaxRepetitions(10);
-        }
-        for (OID oid : oids) {
-            request.add(type == PDU.SET ? new VariableBinding(oid, new OctetString("x")) : new VariableBinding(oid));
-        }
-        CommunityTarget<UdpAddress> target = new CommunityTarget<>(
-                new UdpAddress(agent.getAddress(), agent.getPort()), new OctetString(community));
-        target.setVersion(SnmpConstants.version2c);
-        target.setTimeout(community.equals("desk") ? 5000 : 200);
-        return manager.send(request, target).getResponse();
+  private static PDU ask(
+      Snmp manager, InetSocketAddress agent, String community, int type, OID... oids)
+      throws Exception {
+    PDU request = new PDU();
+    request.setType(type);
+    if (type == PDU.GETBULK) {
+      request.setMaxRepetitions(10);
     }
+    for (OID oid : oids) {
+      request.add(
+          type == PDU.SET
+              ? new VariableBinding(oid, new OctetString("x"))
+              : new VariableBinding(oid));
+    }
+    CommunityTarget<UdpAddress> target =
+        new CommunityTarget<>(
+            new UdpAddress(agent.getAddress(), agent.getPort()), new OctetString(community));
+    target.setVersion(SnmpConstants.version2c);
+    target.setTimeout(community.equals("desk") ? 5000 : 200);
+    return manager.send(request, target).getResponse();
+  }
 
-    private static Map<OID, Variable> walk(Snmp manager, InetSocketAddress agent, int type, OID root)
-            throws Exception {
-        Map<OID, Variable> seen = new TreeMap<>();
-        for (OID at = root;;) {
-            for (VariableBinding next : ask(manager, agent, "desk", type, at).getVariableBindings()) {
-                if (next.isException() || !next.getOid().startsWith(root)) {
-                    return seen;
-                }
-                assertTrue(next.getOid().compareTo(at) > 0, "a walk goes on");
-                at = next.getOid();
-                seen.put(at, next.getVariable());
-            }
+  private static Map<OID, Variable> walk(Snmp manager, InetSocketAddress agent, int type, OID root)
+      throws Exception {
+    Map<OID, Variable> seen = new TreeMap<>();
+    for (OID at = root; ; ) {
+      for (VariableBinding next : ask(manager, agent, "desk", type, at).getVariableBindings()) {
+        if (next.isException() || !next.getOid().startsWith(root)) {
+          return seen;
         }
+        assertTrue(next.getOid().compareTo(at) > 0, "a walk goes on");
+        at = next.getOid();
+        seen.put(at, next.getVariable());
+      }
     }
+  }
 
-    /** The readable objects of the MIB file: their place and syntax. */
-    private static Map<OID, String> described() throws Exception {
-        String mib = Files.readString(Path.of("mib/WHARFTRESTLE-MIB.txt"));
-        Map<String, OID> places = new LinkedHashMap<>(Map.of("experimental", new OID("1.3.6.1.3")));
-        Map<OID, String> objects = new TreeMap<>();
-        Matcher all = Pattern.compile("^(\\w+) +(MODULE-IDENTITY|OBJECT IDENTIFIER|OBJECT-TYPE)(?:\\s+SYNTAX\\s+"
-                + "(\\w+))?.*?::= \\{ (\\w+) (\\d+) }", Pattern.MULTILINE | Pattern.DOTALL).matcher(mib);
-        while (all.find()) {
-            OID place = new OID(places.get(all.group(4)).toString() + "." + all.group(5));
-            places.put(all.group(1), place);
-            if (place.startsWith(new OID("1.3.6.1.3.29421.1.3.1"))) {
-                for (int row = 1; all.group(3) != null && place.last() > 1 && row <= 5; row++) {
-                    objects.put(new OID(place + "." + row), all.group(3));   // a class of the site each
-                }
-            } else if (all.group(3) != null && !all.group(3).matches("SEQUENCE|Wt\\w+")) {
-                objects.put(new OID(place + ".0"), all.group(3));
-            }
+  /** The readable objects of the MIB file: their place and syntax. */
+  private static Map<OID, String> described() throws Exception {
+    String mib = Files.readString(Path.of("mib/WHARFTRESTLE-MIB.txt"));
+    Map<String, OID> places = new LinkedHashMap<>(Map.of("experimental", new OID("1.3.6.1.3")));
+    Map<OID, String> objects = new TreeMap<>();
+    Matcher all =
+        Pattern.compile(
+                "^(\\w+) +(MODULE-IDENTITY|OBJECT IDENTIFIER|OBJECT-TYPE)(?:\\s+SYNTAX\\s+"
+                    + "(\\w+))?.*?::= \\{ (\\w+) (\\d+) }",
+                Pattern.MULTILINE | Pattern.DOTALL)
+            .matcher(mib);
+    while (all.find()) {
+      OID place = new OID(places.get(all.group(4)).toString() + "." + all.group(5));
+      places.put(all.group(1), place);
+      if (place.startsWith(new OID("1.3.6.1.3.29421.1.3.1"))) {
+        for (int row = 1; all.group(3) != null && place.last() > 1 && row <= 5; row++) {
+          objects.put(new OID(place + "." + row), all.group(3)); // a class of the site each
         }
-        return objects;
+      } else if (all.group(3) != null && !all.group(3).matches("SEQUENCE|Wt\\w+")) {
+        objects.put(new OID(place + ".0"), all.group(3));
+      }
     }
+    return objects;
+  }
 
-    private static String syntax(Variable value) {
-        return switch (value.getSyntax()) {
-            case SMIConstants.SYNTAX_COUNTER64 -> "Counter64";
-            case SMIConstants.SYNTAX_GAUGE32 -> "Gauge32";
-            case SMIConstants.SYNTAX_TIMETICKS -> "TimeTicks";
-            case SMIConstants.SYNTAX_INTEGER -> "INTEGER";
-            default -> value.getSyntaxString();
-        };
-    }
+  private static String syntax(Variable value) {
+    return switch (value.getSyntax()) {
+      case SMIConstants.SYNTAX_COUNTER64 -> "Counter64";
+      case SMIConstants.SYNTAX_GAUGE32 -> "Gauge32";
+      case SMIConstants.SYNTAX_TIMETICKS -> "TimeTicks";
+      case SMIConstants.SYNTAX_INTEGER -> "INTEGER";
+      default -> value.getSyntaxString();
+    };
+  }
 
-    @Test
-    void aWalkFindsWhatTheMibDescribes() throws Exception {
-        try (Loopback site = site(); DefaultUdpTransportMapping udp = new DefaultUdpTransportMapping();
-                Snmp manager = new Snmp(udp)) {
-            manager.listen();
-            serveOne(site);
-            InetSocketAddress agent = site.life.snmpAddress();
-            OID root = new OID("1.3.6.1.3.29421");
-            Map<OID, Variable> walked = walk(manager, agent, PDU.GETNEXT, root);
-            Map<OID, String> described = described();
-            assertEquals(List.copyOf(described.keySet()), List.copyOf(walked.keySet()));
-            List<String> wrong = new ArrayList<>();
-            described.forEach((oid, type) -> {
-                String known = type.equals("TruthValue") ? "INTEGER"
-                        : type.equals("DisplayString") ? "OCTET STRING" : type;
-                if (!known.equals(syntax(walked.get(oid)))) {
-                    wrong.add(oid + " " + type + " " + syntax(walked.get(oid)));
-                }
-            });
-            assertEquals(List.of(), wrong);
-            assertEquals(walked.keySet(), walk(manager, agent, PDU.GETBULK, root).keySet());
-            assertEquals("n1", walked.get(new OID(root + ".1.1.1.0")).toString());
-            assertEquals(2, walked.get(new OID(root + ".1.1.2.0")).toInt(), "serving");
-            assertEquals(1, walked.get(new OID(root + ".1.2.2.0")).toLong(), "one request served");
-            assertEquals("read", walked.get(new OID(root + ".1.3.1.2.1")).toString());
-            assertEquals(1, walked.get(new OID(root + ".1.3.1.3.1")).toLong(), "one of its class");
-            assertEquals(PDU.notWritable, ask(manager, agent, "desk", PDU.SET, new OID(root + ".1.1.1.0"))
-                    .getErrorStatus());
-            assertEquals(null, ask(manager, agent, "guess", PDU.GET, new OID(root + ".1.1.1.0")));
-            assertTrue(ask(manager, agent, "desk", PDU.GET, new OID("1.3.6.1.2.1.1.1.0")).get(0).getVariable()
-                    .toString().startsWith("wharftrestle"));
-        }
+  @Test
+  void aWalkFindsWhatTheMibDescribes() throws Exception {
+    try (Loopback site = site();
+        DefaultUdpTransportMapping udp = new DefaultUdpTransportMapping();
+        Snmp manager = new Snmp(udp)) {
+      manager.listen();
+      serveOne(site);
+      InetSocketAddress agent = site.life.snmpAddress();
+      OID root = new OID("1.3.6.1.3.29421");
+      Map<OID, Variable> walked = walk(manager, agent, PDU.GETNEXT, root);
+      Map<OID, String> described = described();
+      assertEquals(List.copyOf(described.keySet()), List.copyOf(walked.keySet()));
+      List<String> wrong = new ArrayList<>();
+      described.forEach(
+          (oid, type) -> {
+            String known =
+                type.equals("TruthValue")
+                    ? "INTEGER"
+                    : type.equals("DisplayString") ? "OCTET STRING" : type;
+            if (!known.equals(syntax(walked.get(oid)))) {
+              wrong.add(oid + " " + type + " " + syntax(walked.get(oid)));
+            }
+          });
+      assertEquals(List.of(), wrong);
+      assertEquals(walked.keySet(), walk(manager, agent, PDU.GETBULK, root).keySet());
+      assertEquals("n1", walked.get(new OID(root + ".1.1.1.0")).toString());
+      assertEquals(2, walked.get(new OID(root + ".1.1.2.0")).toInt(), "serving");
+      assertEquals(1, walked.get(new OID(root + ".1.2.2.0")).toLong(), "one request served");
+      assertEquals("read", walked.get(new OID(root + ".1.3.1.2.1")).toString());
+      assertEquals(1, walked.get(new OID(root + ".1.3.1.3.1")).toLong(), "one of its class");
+      assertEquals(
+          PDU.notWritable,
+          ask(manager, agent, "desk", PDU.SET, new OID(root + ".1.1.1.0")).getErrorStatus());
+      assertEquals(null, ask(manager, agent, "guess", PDU.GET, new OID(root + ".1.1.1.0")));
+      assertTrue(
+          ask(manager, agent, "desk", PDU.GET, new OID("1.3.6.1.2.1.1.1.0"))
+              .get(0)
+              .getVariable()
+              .toString()
+              .startsWith("wharftrestle"));
     }
+  }
 
-    @Test
-    void theBuildsRehearsalGoesFromEndToEnd() throws Exception {
-        Rehearsal.play();   // throws where any of its requests has no answer
-        assertTrue(Files.readString(Path.of("deploy/balancer.toml")).lines().filter(line -> line.startsWith("build"))
-                .allMatch(line -> line.contains("ArchiveClassesAtExit") && line.contains("rehearse")));
-    }
+  @Test
+  void theBuildsRehearsalGoesFromEndToEnd() throws Exception {
+    Rehearsal.play(); // throws where any of its requests has no answer
+    assertTrue(
+        Files.readString(Path.of("deploy/balancer.toml"))
+            .lines()
+            .filter(line -> line.startsWith("build"))
+            .allMatch(line -> line.contains("ArchiveClassesAtExit") && line.contains("rehearse")));
+  }
 }
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -10,45 +10,122 @@
 /** Decisions stand apart from sockets, files, threads and clocks. */
 @AnalyzeClasses(packages = "wharftrestle", importOptions = ImportOption.DoNotIncludeTests.class)
 class BordersTest {
-    private static final String[] DECISIONS = {"wharftrestle.policy..", "wharftrestle.keys..",
-        "wharftrestle.handover..", "wharftrestle.fleet..", "wharftrestle.lab.virtual.."};
-
-    @ArchTest
-    static final ArchRule decisionsTouchNoOutsideWorld = noClasses().that().resideInAnyPackage(DECISIONS)
-            .should().dependOnClassesThat().resideInAnyPackage("java.io..", "java.net..", "java.nio.channels..",
-                    "java.nio.file..", "java.time..", "java.util.concurrent..", "org.tinylog..");
-
-    @ArchTest
-    static final ArchRule decisionsReadNoClock = noClasses().that().resideInAnyPackage(DECISIONS)
-            .should().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-            .orShould().callMethod(Thread.class, "sleep", long.class);
-
-    @ArchTest
-    static final ArchRule onlyTheJournalMeetsTheDisk = noClasses().that().resideInAPackage("wharftrestle.durable..")
-            .and().haveNameNotMatching(".*\\.(Journal|FileDisk|Disk|UnusableException|Compaction|Results.*)(\\$.*)?")
-            .should().dependOnClassesThat().resideInAnyPackage("java.io..", "java.nio.channels..", "java.nio.file..",
-                    "java.util.concurrent..", "org.tinylog..", "wharftrestle.net..", "wharftrestle.core..");
-
-    @ArchTest
-    static final ArchRule theCoreKnowsNoDisk = noClasses().that().resideInAPackage("wharftrestle.core..")
-            .should().dependOnClassesThat().resideInAnyPackage("wharftrestle.durable..", "wharftrestle.settings..",
-                    "java.nio.file..", "java.nio.channels..", "java.net..");
-
-    @ArchTest
-    static final ArchRule thePolicyKnowsNobody = noClasses().that().resideInAPackage("wharftrestle.policy..")
-            .should().dependOnClassesThat().resideInAnyPackage("wharftrestle.core..", "wharftrestle.net..",
-                    "wharftrestle.keys..", "wharftrestle.front..", "wharftrestle.ops..");
-
-    @ArchTest
-    static final ArchRule theServingPathKnowsNoRigAndNoKeeper = noClasses().that()
-            .resideOutsideOfPackages("wharftrestle.lab..", "wharftrestle.box..", "wharftrestle.fleet..",
-                    "wharftrestle.drive..")
-            .and().doNotHaveSimpleName("Main")
-            .should().dependOnClassesThat().resideInAnyPackage("wharftrestle.lab..", "wharftrestle.box..",
-                    "wharftrestle.fleet..", "wharftrestle.drive..");
-
-    @ArchTest
-    static final ArchRule theKeeperDecidesWithoutIo = noClasses().that().haveFullyQualifiedName("wharftrestle.box.Keeper")
-            .or().haveFullyQualifiedName("wharftrestle.box.Found").should().dependOnClassesThat().resideInAnyPackage(
-                    "java.io..", "java.net..", "java.nio..", "java.time..", "java.util.concurrent..", "org.tinylog..");
+  private static final String[] DECISIONS = {
+    "wharftrestle.policy..",
+    "wharftrestle.keys..",
+    "wharftrestle.handover..",
+    "wharftrestle.fleet..",
+    "wharftrestle.lab.virtual.."
+  };
+
+  @ArchTest
+  static final ArchRule decisionsTouchNoOutsideWorld =
+      noClasses()
+          .that()
+          .resideInAnyPackage(DECISIONS)
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "java.io..",
+              "java.net..",
+              "java.nio.channels..",
+              "java.nio.file..",
+              "java.time..",
+              "java.util.concurrent..",
+              "org.tinylog..");
+
+  @ArchTest
+  static final ArchRule decisionsReadNoClock =
+      noClasses()
+          .that()
+          .resideInAnyPackage(DECISIONS)
+          .should()
+          .callMethod(System.class, "nanoTime")
+          .orShould()
+          .callMethod(System.class, "currentTimeMillis")
+          .orShould()
+          .callMethod(Thread.class, "sleep", long.class);
+
+  @ArchTest
+  static final ArchRule onlyTheJournalMeetsTheDisk =
+      noClasses()
+          .that()
+          .resideInAPackage("wharftrestle.durable..")
+          .and()
+          .haveNameNotMatching(
+              ".*\\.(Journal|FileDisk|Disk|UnusableException|Compaction|Results.*)(\\$.*)?")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "java.io..",
+              "java.nio.channels..",
+              "java.nio.file..",
+              "java.util.concurrent..",
+              "org.tinylog..",
+              "wharftrestle.net..",
+              "wharftrestle.core..");
+
+  @ArchTest
+  static final ArchRule theCoreKnowsNoDisk =
+      noClasses()
+          .that()
+          .resideInAPackage("wharftrestle.core..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "wharftrestle.durable..",
+              "wharftrestle.settings..",
+              "java.nio.file..",
+              "java.nio.channels..",
+              "java.net..");
+
+  @ArchTest
+  static final ArchRule thePolicyKnowsNobody =
+      noClasses()
+          .that()
+          .resideInAPackage("wharftrestle.policy..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "wharftrestle.core..",
+              "wharftrestle.net..",
+              "wharftrestle.keys..",
+              "wharftrestle.front..",
+              "wharftrestle.ops..");
+
+  @ArchTest
+  static final ArchRule theServingPathKnowsNoRigAndNoKeeper =
+      noClasses()
+          .that()
+          .resideOutsideOfPackages(
+              "wharftrestle.lab..",
+              "wharftrestle.box..",
+              "wharftrestle.fleet..",
+              "wharftrestle.drive..")
+          .and()
+          .doNotHaveSimpleName("Main")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "wharftrestle.lab..",
+              "wharftrestle.box..",
+              "wharftrestle.fleet..",
+              "wharftrestle.drive..");
+
+  @ArchTest
+  static final ArchRule theKeeperDecidesWithoutIo =
+      noClasses()
+          .that()
+          .haveFullyQualifiedName("wharftrestle.box.Keeper")
+          .or()
+          .haveFullyQualifiedName("wharftrestle.box.Found")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "java.io..",
+              "java.net..",
+              "java.nio..",
+              "java.time..",
+              "java.util.concurrent..",
+              "org.tinylog..");
 }
--- a/src/test/java/wharftrestle/ChangeTest.java
+++ b/src/test/java/wharftrestle/ChangeTest.java
@@ -21,169 +21,187 @@
 import wharftrestle.handover.HandOver;
 import wharftrestle.net.Config;
 
-/** Stories of a process that serves and is asked by others that cannot take over, stall, or talk nonsense. */
+/**
+ * Stories of a process that serves and is asked by others that cannot take over, stall, or talk
+ * nonsense.
+ */
 @Timeout(60)
 class ChangeTest {
-    private static final Config.Appliance NONE = new Config.Appliance(null, null, null, "x", 24);
+  private static final Config.Appliance NONE = new Config.Appliance(null, null, null, "x", 24);
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private Loopback first() throws Exception {
-        return new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), null);
-    }
-
-    /** A scripted peer at the place where processes of the box meet. */
-    private final class Peer implements AutoCloseable {
-        private final SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve("n1.sock")));
-        private final BufferedReader in = new BufferedReader(new InputStreamReader(Channels.newInputStream(channel),
-                StandardCharsets.ISO_8859_1));
-
-        Peer() throws IOException { }
-
-        void say(String text) throws IOException {
-            channel.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
-        }
+  private Loopback first() throws Exception {
+    return new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), null);
+  }
 
-        /** Reads to the line that begins so, and gives it back. */
-        String until(String start) throws IOException {
-            for (String line = in.readLine(); line != null; line = in.readLine()) {
-                if (line.startsWith(start)) {
-                    return line;
-                }
-            }
-            throw new IOException("ended before '" + start + "'");
-        }
+  /** A scripted peer at the place where processes of the box meet. */
+  private final class Peer implements AutoCloseable {
+    private final SocketChannel channel =
+        SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve("n1.sock")));
+    private final BufferedReader in =
+        new BufferedReader(
+            new InputStreamReader(Channels.newInputStream(channel), StandardCharsets.ISO_8859_1));
 
-        /** Asks, and agrees with the terms of the one that serves, which it says again. */
-        void asksAndAgrees() throws IOException {
-            say("take n1 over 1-2\r\n");
-            int length = Integer.parseInt(until("who ").split(" ")[1]);
-            char[] terms = new char[length];
-            for (int read = 0; read < length;) {
-                read += in.read(terms, read, length - read);
-            }
-            say("terms " + length + "\r\n" + new String(terms) + "\r\n");
-            until("agreed");
-        }
+    Peer() throws IOException {}
 
-        @Override
-        public void close() throws IOException {
-            channel.close();
-        }
+    void say(String text) throws IOException {
+      channel.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    private static void awaitStep(Loopback site, HandOver.State wanted) {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (!site.life.handover().startsWith(wanted.name().toLowerCase(Locale.ROOT))) {
-            assertTrue(System.nanoTime() < until, "it is " + site.life.handover());
-            Thread.onSpinWait();
+    /** Reads to the line that begins so, and gives it back. */
+    String until(String start) throws IOException {
+      for (String line = in.readLine(); line != null; line = in.readLine()) {
+        if (line.startsWith(start)) {
+          return line;
         }
+      }
+      throw new IOException("ended before '" + start + "'");
     }
 
-    private static void serves(Loopback site, Caller caller, int tag, String key) throws Exception {
-        caller.ask(tag, "keyed", key, "x");
-        site.finish(site.command().ref(), "good", 1, "fine " + tag);
-        assertEquals("fine " + tag, caller.reply().body());
+    /** Asks, and agrees with the terms of the one that serves, which it says again. */
+    void asksAndAgrees() throws IOException {
+      say("take n1 over 1-2\r\n");
+      int length = Integer.parseInt(until("who ").split(" ")[1]);
+      char[] terms = new char[length];
+      for (int read = 0; read < length; ) {
+        read += in.read(terms, read, length - read);
+      }
+      say("terms " + length + "\r\n" + new String(terms) + "\r\n");
+      until("agreed");
     }
 
-    @Test
-    void whoHasNoCommonGroundIsToldWhyAndTheOneThatServesGoesOnAsIfNeverAsked() throws Exception {
-        try (Loopback old = first(); Caller caller = old.new Caller()) {
-            serves(old, caller, 1, "before");
-            try (Loopback next = new Loopback(Sites.swapped(), NONE, 1024, folder.resolve("n1.sock"), old)) {
-                awaitStep(next, HandOver.State.REFUSED);
-                assertTrue(next.life.handover().contains("keys are known by their class's place"), next.life.handover());
-                assertTrue(next.get("/_status").contains("class 1 is"), "the door says why");
-                assertTrue(next.get("/_ready").startsWith("HTTP/1.1 503 "));
-                awaitStep(old, HandOver.State.ALONE);
-                serves(old, caller, 2, "meanwhile");
-                caller.ask(3, "keyed", "before", "x");
-                assertEquals("fine 1", caller.reply().body());
-                old.life.close();   // as by a kill: what it knew was not carried along
-                awaitStep(next, HandOver.State.ALONE);
-                next.awaitTaking();
-                try (Caller after = next.new Caller()) {
-                    after.ask(1, "keyed", "before", "x");
-                    assertEquals("error", after.reply().word(), "it may have run");
-                }
-            }
-        }
+    @Override
+    public void close() throws IOException {
+      channel.close();
     }
+  }
 
-    @Test
-    void anAskerThatStallsAfterAllWasToldOwnsNothingAndCostsNothing() throws Exception {
-        try (Loopback old = first(); Caller caller = old.new Caller(); Peer asker = new Peer()) {
-            serves(old, caller, 1, "before");
-            asker.asksAndAgrees();
-            assertTrue(asker.until("over ").contains(" "), "the settled key is told");
-            asker.until("told 1");
-            serves(old, caller, 2, "meanwhile");
-            asker.until("over ");   // what settles follows
-            assertTrue(old.get("/_ready").startsWith("HTTP/1.1 200 "));
-        }
+  private static void awaitStep(Loopback site, HandOver.State wanted) {
+    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+    while (!site.life.handover().startsWith(wanted.name().toLowerCase(Locale.ROOT))) {
+      assertTrue(System.nanoTime() < until, "it is " + site.life.handover());
+      Thread.onSpinWait();
     }
-
-    @Test
-    void ownershipPassesOnlyAfterTheAskerSaidThatItHasAll() throws Exception {
-        try (Loopback old = first(); Caller caller = old.new Caller()) {
-            caller.ask(1, "keyed", "open", "x");
-            Loopback.Command run = old.command();
-            try (Peer asker = new Peer()) {
-                asker.asksAndAgrees();
-                asker.until("told 0");
-                assertEquals("offered", old.life.handover());
-                asker.say("taken\r\n");
-                assertTrue(asker.until("key ").contains(" open "), "with what is open");
-                asker.until("yours 1");
-                assertEquals("given", old.life.handover());
-            }
-            awaitStep(old, HandOver.State.ALONE);   // it died before it listened
-            old.finish(run.ref(), "good", 1, "fine");
-            assertEquals("fine", caller.reply().body());
-            serves(old, caller, 2, "after");
+  }
+
+  private static void serves(Loopback site, Caller caller, int tag, String key) throws Exception {
+    caller.ask(tag, "keyed", key, "x");
+    site.finish(site.command().ref(), "good", 1, "fine " + tag);
+    assertEquals("fine " + tag, caller.reply().body());
+  }
+
+  @Test
+  void whoHasNoCommonGroundIsToldWhyAndTheOneThatServesGoesOnAsIfNeverAsked() throws Exception {
+    try (Loopback old = first();
+        Caller caller = old.new Caller()) {
+      serves(old, caller, 1, "before");
+      try (Loopback next =
+          new Loopback(Sites.swapped(), NONE, 1024, folder.resolve("n1.sock"), old)) {
+        awaitStep(next, HandOver.State.REFUSED);
+        assertTrue(
+            next.life.handover().contains("keys are known by their class's place"),
+            next.life.handover());
+        assertTrue(next.get("/_status").contains("class 1 is"), "the door says why");
+        assertTrue(next.get("/_ready").startsWith("HTTP/1.1 503 "));
+        awaitStep(old, HandOver.State.ALONE);
+        serves(old, caller, 2, "meanwhile");
+        caller.ask(3, "keyed", "before", "x");
+        assertEquals("fine 1", caller.reply().body());
+        old.life.close(); // as by a kill: what it knew was not carried along
+        awaitStep(next, HandOver.State.ALONE);
+        next.awaitTaking();
+        try (Caller after = next.new Caller()) {
+          after.ask(1, "keyed", "before", "x");
+          assertEquals("error", after.reply().word(), "it may have run");
         }
+      }
     }
-
-    @Test
-    void aBuildThatKnowsNoWordForSettledKeysWaitsAndIsNeverAnswered() throws Exception {
-        try (Loopback old = first(); Caller caller = old.new Caller(); Peer older = new Peer()) {
-            older.say("take n1\r\n");
-            serves(old, caller, 1, "k");
-            try (Loopback next = new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), old)) {
-                next.awaitTaking();   // and holds up nobody else
-                assertEquals("closing", caller.reply().word());
-            }
-        }
+  }
+
+  @Test
+  void anAskerThatStallsAfterAllWasToldOwnsNothingAndCostsNothing() throws Exception {
+    try (Loopback old = first();
+        Caller caller = old.new Caller();
+        Peer asker = new Peer()) {
+      serves(old, caller, 1, "before");
+      asker.asksAndAgrees();
+      assertTrue(asker.until("over ").contains(" "), "the settled key is told");
+      asker.until("told 1");
+      serves(old, caller, 2, "meanwhile");
+      asker.until("over "); // what settles follows
+      assertTrue(old.get("/_ready").startsWith("HTTP/1.1 200 "));
     }
-
-    @Test
-    void nonsenseMakesThisSideDeafAndEndsNoLink() throws Exception {
-        try (Loopback old = first(); Caller caller = old.new Caller(); Peer asker = new Peer()) {
-            asker.asksAndAgrees();
-            asker.until("told 0");
-            asker.say("taken\r\n");
-            asker.until("yours");
-            asker.say("gibberish\r\nlistens\r\n");
-            // It is given and stays so: the other may own the keys, and a closed link would say that this one is gone.
-            assertEquals("given", old.life.handover());
-            caller.ask(1, "read", null, "x");
-            old.finish(old.command().ref(), "good", 1, "fine");
-            assertEquals("fine", caller.reply().body(), "what needs no key is served on");
-            assertEquals("given", old.life.handover());
-        }
+  }
+
+  @Test
+  void ownershipPassesOnlyAfterTheAskerSaidThatItHasAll() throws Exception {
+    try (Loopback old = first();
+        Caller caller = old.new Caller()) {
+      caller.ask(1, "keyed", "open", "x");
+      Loopback.Command run = old.command();
+      try (Peer asker = new Peer()) {
+        asker.asksAndAgrees();
+        asker.until("told 0");
+        assertEquals("offered", old.life.handover());
+        asker.say("taken\r\n");
+        assertTrue(asker.until("key ").contains(" open "), "with what is open");
+        asker.until("yours 1");
+        assertEquals("given", old.life.handover());
+      }
+      awaitStep(old, HandOver.State.ALONE); // it died before it listened
+      old.finish(run.ref(), "good", 1, "fine");
+      assertEquals("fine", caller.reply().body());
+      serves(old, caller, 2, "after");
     }
-
-    @Test
-    void aBuildOfTheFormerFormatIsHandedOverInItsOwnWords() throws Exception {
-        try (Loopback old = first(); Caller caller = old.new Caller(); Peer former = new Peer()) {
-            serves(old, caller, 1, "k");
-            former.say("take n1 over\r\n");
-            former.until("over ");
-            former.until("handed 1");
-            former.say("listens\r\n");
-            former.until("ceded");
-            assertEquals("ceded", old.life.handover());
-        }
+  }
+
+  @Test
+  void aBuildThatKnowsNoWordForSettledKeysWaitsAndIsNeverAnswered() throws Exception {
+    try (Loopback old = first();
+        Caller caller = old.new Caller();
+        Peer older = new Peer()) {
+      older.say("take n1\r\n");
+      serves(old, caller, 1, "k");
+      try (Loopback next = new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), old)) {
+        next.awaitTaking(); // and holds up nobody else
+        assertEquals("closing", caller.reply().word());
+      }
+    }
+  }
+
+  @Test
+  void nonsenseMakesThisSideDeafAndEndsNoLink() throws Exception {
+    try (Loopback old = first();
+        Caller caller = old.new Caller();
+        Peer asker = new Peer()) {
+      asker.asksAndAgrees();
+      asker.until("told 0");
+      asker.say("taken\r\n");
+      asker.until("yours");
+      asker.say("gibberish\r\nlistens\r\n");
+      // It is given and stays so: the other may own the keys, and a closed link would say that this
+      // one is gone.
+      assertEquals("given", old.life.handover());
+      caller.ask(1, "read", null, "x");
+      old.finish(old.command().ref(), "good", 1, "fine");
+      assertEquals("fine", caller.reply().body(), "what needs no key is served on");
+      assertEquals("given", old.life.handover());
+    }
+  }
+
+  @Test
+  void aBuildOfTheFormerFormatIsHandedOverInItsOwnWords() throws Exception {
+    try (Loopback old = first();
+        Caller caller = old.new Caller();
+        Peer former = new Peer()) {
+      serves(old, caller, 1, "k");
+      former.say("take n1 over\r\n");
+      former.until("over ");
+      former.until("handed 1");
+      former.say("listens\r\n");
+      former.until("ceded");
+      assertEquals("ceded", old.life.handover());
     }
+  }
 }
--- a/src/test/java/wharftrestle/ConfigWatchTest.java
+++ b/src/test/java/wharftrestle/ConfigWatchTest.java
@@ -13,20 +13,23 @@
 
 /** The look at a configuration where hangups are not heard. */
 class ConfigWatchTest {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    @Test
-    void aWatchGoesOnAfterAnError() throws Exception {
-        Path file = Files.writeString(folder.resolve("config.json"), "0");
-        BlockingQueue<String> told = new LinkedBlockingQueue<>();
-        new ConfigWatch(file, () -> {
-            told.add("changed");
-            throw new StackOverflowError("made up");
-        }).start();
-        for (String text : new String[] {"1", "2"}) {
-            Files.move(Files.writeString(folder.resolve("next"), text), file, StandardCopyOption.ATOMIC_MOVE);
-            assertEquals("changed", told.poll(10, TimeUnit.SECONDS), text);
-        }
+  @Test
+  void aWatchGoesOnAfterAnError() throws Exception {
+    Path file = Files.writeString(folder.resolve("config.json"), "0");
+    BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    new ConfigWatch(
+            file,
+            () -> {
+              told.add("changed");
+              throw new StackOverflowError("made up");
+            })
+        .start();
+    for (String text : new String[] {"1", "2"}) {
+      Files.move(
+          Files.writeString(folder.resolve("next"), text), file, StandardCopyOption.ATOMIC_MOVE);
+      assertEquals("changed", told.poll(10, TimeUnit.SECONDS), text);
     }
+  }
 }
--- a/src/test/java/wharftrestle/CoreTest.java
+++ b/src/test/java/wharftrestle/CoreTest.java
@@ -10,126 +10,160 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
-import wharftrestle.policy.Admission.Outcome;
 import wharftrestle.core.Core;
 import wharftrestle.keys.KeyRoom;
 import wharftrestle.ops.Counters;
 import wharftrestle.policy.Admission;
+import wharftrestle.policy.Admission.Outcome;
 
 /** Stories of the core alone, with a module that starts what has a rank and refuses the rest. */
 class CoreTest {
-    private final AtomicInteger instants = new AtomicInteger();
-
-    private Core core(int most) {
-        return core(most, KeyRoom.of(1 << 20));
+  private final AtomicInteger instants = new AtomicInteger();
+
+  private Core core(int most) {
+    return core(most, KeyRoom.of(1 << 20));
+  }
+
+  private Core core(int most, KeyRoom room) {
+    Counters counters = new Counters(List.of("read", "save", "keyed", "unsafe", "long"));
+    Core core =
+        new Core(
+            Sites.site().build(),
+            7,
+            most,
+            room,
+            (now, seed, settings, actions) ->
+                new Admission.Events() {
+                  @Override
+                  public void arrived(double now, Admission.Request request) {
+                    if (request.rank() > 0) {
+                      actions.start(request.id());
+                    } else {
+                      actions.refuse(request.id(), false, 0);
+                    }
+                  }
+
+                  @Override
+                  public void settled(double now) {
+                    instants.incrementAndGet();
+                  }
+
+                  @Override
+                  public void ended(double now, long id, Outcome outcome, double elapsed) {}
+
+                  @Override
+                  public void standsAtCall(double now, long id) {}
+
+                  @Override
+                  public void callEnded(double now, long id, Outcome outcome, double elapsed) {}
+
+                  @Override
+                  public void callerLeft(double now, long id) {}
+
+                  @Override
+                  public void leaving(double now, double timeLeft) {}
+
+                  @Override
+                  public void timer(double now, long label, double[] gauges) {}
+                },
+            counters);
+    core.open(new SilentPool(), null, good -> {});
+    core.bound(false, 0);
+    return core;
+  }
+
+  private static Core.Arrival arrival(int number, double rank) {
+    return new Core.Arrival(
+        String.format("%016x", number),
+        false,
+        0,
+        0,
+        24,
+        1,
+        rank,
+        0,
+        null,
+        null,
+        System.currentTimeMillis(),
+        new byte[0]);
+  }
+
+  @Test
+  void whatIsRefusedAtOnceNeedsNoThreadOfItsOwn() {
+    Core core = core(64);
+    Thread[] answered = new Thread[1];
+    assertEquals(null, core.accept(arrival(1, 0), answer -> answered[0] = Thread.currentThread()));
+    assertEquals(Thread.currentThread(), answered[0]);
+  }
+
+  @Test
+  void withMuchInHandTheWordsOfAMomentAreOneInstant() throws InterruptedException {
+    Core core = core(400);
+    CountDownLatch answers = new CountDownLatch(300);
+    for (int i = 1; i <= 300; i++) {
+      core.accept(arrival(i, 0.5), answer -> answers.countDown());
     }
-
-    private Core core(int most, KeyRoom room) {
-        Counters counters = new Counters(List.of("read", "save", "keyed", "unsafe", "long"));
-        Core core = new Core(Sites.site().build(), 7, most, room,
-                (now, seed, settings, actions) -> new Admission.Events() {
-            @Override
-            public void arrived(double now, Admission.Request request) {
-                if (request.rank() > 0) {
-                    actions.start(request.id());
-                } else {
-                    actions.refuse(request.id(), false, 0);
-                }
-            }
-
-            @Override
-            public void settled(double now) {
-                instants.incrementAndGet();
-            }
-
-            @Override
-            public void ended(double now, long id, Outcome outcome, double elapsed) { }
-
-            @Override
-            public void standsAtCall(double now, long id) { }
-
-            @Override
-            public void callEnded(double now, long id, Outcome outcome, double elapsed) { }
-
-            @Override
-            public void callerLeft(double now, long id) { }
-
-            @Override
-            public void leaving(double now, double timeLeft) { }
-
-            @Override
-            public void timer(double now, long label, double[] gauges) { }
-        }, counters);
-        core.open(new SilentPool(), null, good -> { });
-        core.bound(false, 0);
-        return core;
+    instants.set(0);
+    for (int i = 1; i <= 300; i++) {
+      core.finished(String.format("%016x", i), Outcome.SUCCESS, 0.01, new byte[0]);
     }
-
-    private static Core.Arrival arrival(int number, double rank) {
-        return new Core.Arrival(String.format("%016x", number), false, 0, 0, 24, 1, rank, 0, null, null,
-                System.currentTimeMillis(), new byte[0]);
+    assertTrue(instants.get() < 290, instants + " looks at all in hand for 300 words");
+    assertTrue(answers.await(10, TimeUnit.SECONDS), "and none is forgotten");
+  }
+
+  private static Core.Arrival keyed(int number, String key) {
+    return new Core.Arrival(
+        String.format("%016x", number),
+        false,
+        2,
+        0,
+        24,
+        1,
+        0.5,
+        0,
+        key,
+        null,
+        System.currentTimeMillis(),
+        new byte[] {1});
+  }
+
+  @Test
+  void aKeyedRequestHasItsRoomBeforeItRunsAndComesInWhenThereIsSome() throws InterruptedException {
+    Core core = core(64, KeyRoom.of(100 << 10)); // 15 of the largest results
+    List<Core.Answer> answers = Collections.synchronizedList(new ArrayList<>());
+    for (int i = 1; i <= 30; i++) {
+      core.accept(keyed(i, "k" + i), answers::add);
     }
-
-    @Test
-    void whatIsRefusedAtOnceNeedsNoThreadOfItsOwn() {
-        Core core = core(64);
-        Thread[] answered = new Thread[1];
-        assertEquals(null, core.accept(arrival(1, 0), answer -> answered[0] = Thread.currentThread()));
-        assertEquals(Thread.currentThread(), answered[0]);
+    assertEquals(
+        15,
+        answers.size(),
+        "those without room are answered at once, on the thread that read them");
+    for (Core.Answer answer : answers) {
+      assertEquals(Core.Answer.Kind.REFUSED, answer.kind());
+      assertTrue(answer.retryAfter() > 0, "with a time");
     }
-
-    @Test
-    void withMuchInHandTheWordsOfAMomentAreOneInstant() throws InterruptedException {
-        Core core = core(400);
-        CountDownLatch answers = new CountDownLatch(300);
-        for (int i = 1; i <= 300; i++) {
-            core.accept(arrival(i, 0.5), answer -> answers.countDown());
-        }
-        instants.set(0);
-        for (int i = 1; i <= 300; i++) {
-            core.finished(String.format("%016x", i), Outcome.SUCCESS, 0.01, new byte[0]);
-        }
-        assertTrue(instants.get() < 290, instants + " looks at all in hand for 300 words");
-        assertTrue(answers.await(10, TimeUnit.SECONDS), "and none is forgotten");
+    for (int i = 1; i <= 15; i++) {
+      core.finished(String.format("%016x", i), Outcome.SUCCESS, 0.01, new byte[] {9});
     }
-
-    private static Core.Arrival keyed(int number, String key) {
-        return new Core.Arrival(String.format("%016x", number), false, 2, 0, 24, 1, 0.5, 0, key, null,
-                System.currentTimeMillis(), new byte[] {1});
+    while (answers.size() < 30) {
+      Thread.onSpinWait();
     }
-
-    @Test
-    void aKeyedRequestHasItsRoomBeforeItRunsAndComesInWhenThereIsSome() throws InterruptedException {
-        Core core = core(64, KeyRoom.of(100 << 10));   // 15 of the largest results
-        List<Core.Answer> answers = Collections.synchronizedList(new ArrayList<>());
-        for (int i = 1; i <= 30; i++) {
-            core.accept(keyed(i, "k" + i), answers::add);
-        }
-        assertEquals(15, answers.size(), "those without room are answered at once, on the thread that read them");
-        for (Core.Answer answer : answers) {
-            assertEquals(Core.Answer.Kind.REFUSED, answer.kind());
-            assertTrue(answer.retryAfter() > 0, "with a time");
-        }
-        for (int i = 1; i <= 15; i++) {
-            core.finished(String.format("%016x", i), Outcome.SUCCESS, 0.01, new byte[] {9});
-        }
-        while (answers.size() < 30) {
-            Thread.onSpinWait();
-        }
-        assertTrue(core.awaitDrained(10), "each promise is over with its request");
-        core.accept(keyed(100, "k1"), answers::add);
-        while (answers.size() < 31) {
-            Thread.onSpinWait();
-        }
-        assertEquals(Core.Answer.Kind.SERVED, answers.get(30).kind(), "a repeat needs no room");
-        for (int i = 16; i <= 30; i++) {
-            core.accept(keyed(200 + i, "k" + i), answers::add);
-        }
-        for (int i = 16; i <= 30; i++) {
-            core.finished(String.format("%016x", 200 + i), Outcome.SUCCESS, 0.01, new byte[] {9});
-        }
-        assertTrue(core.awaitDrained(10));
-        assertEquals(30, answers.stream().filter(each -> each.kind() == Core.Answer.Kind.SERVED).count() - 1,
-                "what was refused came again and ran");
+    assertTrue(core.awaitDrained(10), "each promise is over with its request");
+    core.accept(keyed(100, "k1"), answers::add);
+    while (answers.size() < 31) {
+      Thread.onSpinWait();
+    }
+    assertEquals(Core.Answer.Kind.SERVED, answers.get(30).kind(), "a repeat needs no room");
+    for (int i = 16; i <= 30; i++) {
+      core.accept(keyed(200 + i, "k" + i), answers::add);
+    }
+    for (int i = 16; i <= 30; i++) {
+      core.finished(String.format("%016x", 200 + i), Outcome.SUCCESS, 0.01, new byte[] {9});
     }
+    assertTrue(core.awaitDrained(10));
+    assertEquals(
+        30,
+        answers.stream().filter(each -> each.kind() == Core.Answer.Kind.SERVED).count() - 1,
+        "what was refused came again and ran");
+  }
 }
--- a/src/test/java/wharftrestle/EmbeddingExample.java
+++ b/src/test/java/wharftrestle/EmbeddingExample.java
@@ -6,25 +6,55 @@
 
 /** The example of the README, compiled here. */
 final class EmbeddingExample {
-    private EmbeddingExample() { }
+  private EmbeddingExample() {}
 
-    // README-BEGIN
-    static Admission.Events embed(Admission.Actions server, double now, long seed) {
-        var lookup = new Admission.RequestClass("lookup", 0.5, 0, 2.0, 1, 0, Admission.Repeat.SAFE, 0, false, 0);
-        var settings = new Admission.Settings(List.of(lookup), List.of(), 10, 3, 8, 65_536, 4, 1, 0,
-                Admission.Preemption.NONE, Admission.Downstream.NONE, 0, 0, 0, true, false, true, 0.05, 1,
-                4, 2, false, 1, 0, 1, false, 1, false, 0.001, List.of("cpu_busy", "runnable"));
-        return new GroupEdfScheduler(now, seed, settings, server);
-    }
+  // README-BEGIN
+  static Admission.Events embed(Admission.Actions server, double now, long seed) {
+    var lookup =
+        new Admission.RequestClass("lookup", 0.5, 0, 2.0, 1, 0, Admission.Repeat.SAFE, 0, false, 0);
+    var settings =
+        new Admission.Settings(
+            List.of(lookup),
+            List.of(),
+            10,
+            3,
+            8,
+            65_536,
+            4,
+            1,
+            0,
+            Admission.Preemption.NONE,
+            Admission.Downstream.NONE,
+            0,
+            0,
+            0,
+            true,
+            false,
+            true,
+            0.05,
+            1,
+            4,
+            2,
+            false,
+            1,
+            0,
+            1,
+            false,
+            1,
+            false,
+            0.001,
+            List.of("cpu_busy", "runnable"));
+    return new GroupEdfScheduler(now, seed, settings, server);
+  }
 
-    static void onRequest(Admission.Events control, double now, long id, double waitsFor) {
-        control.arrived(now, new Admission.Request(id, false, 0, 0, 0, 16, 0, 0, null, 0, waitsFor, 0));
-        control.settled(now);   // calls server.start(id), server.refuse(id, ...) or leaves it held
-    }
+  static void onRequest(Admission.Events control, double now, long id, double waitsFor) {
+    control.arrived(now, new Admission.Request(id, false, 0, 0, 0, 16, 0, 0, null, 0, waitsFor, 0));
+    control.settled(now); // calls server.start(id), server.refuse(id, ...) or leaves it held
+  }
 
-    static void onDone(Admission.Events control, double now, long id, double ranFor) {
-        control.ended(now, id, Admission.Outcome.SUCCESS, ranFor);
-        control.settled(now);
-    }
-    // README-END
+  static void onDone(Admission.Events control, double now, long id, double ranFor) {
+    control.ended(now, id, Admission.Outcome.SUCCESS, ranFor);
+    control.settled(now);
+  }
+  // README-END
 }
--- a/src/test/java/wharftrestle/FullTableTest.java
+++ b/src/test/java/wharftrestle/FullTableTest.java
@@ -18,106 +18,115 @@
 
 /** Stories of a box whose room for what it knows of keys is full. */
 class FullTableTest {
-    private static final Config.Appliance NONE = new Config.Appliance(null, null, null, "x", 24);
-    private static final String LARGE = "r".repeat(KeyRoom.LONGEST_RESULT);
+  private static final Config.Appliance NONE = new Config.Appliance(null, null, null, "x", 24);
+  private static final String LARGE = "r".repeat(KeyRoom.LONGEST_RESULT);
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private Loopback box(Loopback elder, long bytes) throws Exception {
-        return new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), elder, KeyRoom.of(bytes));
-    }
+  private Loopback box(Loopback elder, long bytes) throws Exception {
+    return new Loopback(
+        Sites.site(), NONE, 1024, folder.resolve("n1.sock"), elder, KeyRoom.of(bytes));
+  }
 
-    private static void ask(Caller caller, int tag, String key) throws IOException {
-        caller.ask(tag, tag, System.currentTimeMillis(), "keyed", key, "body of " + key);
-    }
+  private static void ask(Caller caller, int tag, String key) throws IOException {
+    caller.ask(tag, tag, System.currentTimeMillis(), "keyed", key, "body of " + key);
+  }
 
-    /** Asks new keys, one by one and with the largest results, until one is refused; how many ran. */
-    private static int fill(Loopback box, Caller caller) throws Exception {
-        for (int key = 1;; key++) {
-            ask(caller, key, "k" + key);
-            Command run = box.commands.poll(50, java.util.concurrent.TimeUnit.MILLISECONDS);
-            if (run == null) {
-                Reply refused = caller.reply();
-                assertEquals("later", refused.word());
-                assertTrue(refused.fields().matches(".*later=[1-9][0-9]*.*"), "with a time to come back: " + refused);
-                return key - 1;
-            }
-            box.finish(run.ref(), "good", 1, LARGE.substring(4) + String.format("%04d", key));
-            assertEquals("done", caller.reply().word());
-            assertTrue(key < 1000, "nothing bounds the table");
-        }
+  /** Asks new keys, one by one and with the largest results, until one is refused; how many ran. */
+  private static int fill(Loopback box, Caller caller) throws Exception {
+    for (int key = 1; ; key++) {
+      ask(caller, key, "k" + key);
+      Command run = box.commands.poll(50, java.util.concurrent.TimeUnit.MILLISECONDS);
+      if (run == null) {
+        Reply refused = caller.reply();
+        assertEquals("later", refused.word());
+        assertTrue(
+            refused.fields().matches(".*later=[1-9][0-9]*.*"),
+            "with a time to come back: " + refused);
+        return key - 1;
+      }
+      box.finish(run.ref(), "good", 1, LARGE.substring(4) + String.format("%04d", key));
+      assertEquals("done", caller.reply().word());
+      assertTrue(key < 1000, "nothing bounds the table");
     }
+  }
 
-    @Test
-    void aNewKeyIsRefusedAtOnceAndAllElseGoesOn() throws Exception {
-        try (Loopback box = box(null, 300 << 10); Caller caller = box.new Caller()) {
-            int ran = fill(box, caller);
-            assertTrue(ran >= 20 && ran < 75, ran + " results of 4 kB in 300 kB");
-            assertEquals(1, box.life.counters().get(Count.NO_ROOM));
-            for (int key = 1; key <= ran; key++) {
-                ask(caller, 1000 + key, "k" + key);
-                assertTrue(caller.reply().body().endsWith(String.format("%04d", key)), "each repeat has its result");
-            }
-            caller.ask(2000, 2000, System.currentTimeMillis(), "keyed", "k1", "another body");
-            assertEquals("error", caller.reply().word(), "its body is not kept, but still told apart");
-            caller.ask(2001, "read", null, "x");
-            box.finish(box.command().ref(), "good", 1, "fine");
-            assertEquals("fine", caller.reply().body(), "unkeyed work goes on");
-            for (int i = 0; i < 5; i++) {   // they come again, together
-                ask(caller, 3000 + i, "new " + i);
-            }
-            for (int i = 0; i < 5; i++) {
-                assertEquals("later", caller.reply().word());
-            }
-            assertNull(box.commands.poll(), "and nothing of them ran");
-            String status = box.get("/_status");
-            assertTrue(status.matches("(?s).*kept +[0-9]+ of [0-9]+ keys, [0-9]+ of 300 kB, 6 refused for want of room.*"),
-                    status);
-        }
+  @Test
+  void aNewKeyIsRefusedAtOnceAndAllElseGoesOn() throws Exception {
+    try (Loopback box = box(null, 300 << 10);
+        Caller caller = box.new Caller()) {
+      int ran = fill(box, caller);
+      assertTrue(ran >= 20 && ran < 75, ran + " results of 4 kB in 300 kB");
+      assertEquals(1, box.life.counters().get(Count.NO_ROOM));
+      for (int key = 1; key <= ran; key++) {
+        ask(caller, 1000 + key, "k" + key);
+        assertTrue(
+            caller.reply().body().endsWith(String.format("%04d", key)),
+            "each repeat has its result");
+      }
+      caller.ask(2000, 2000, System.currentTimeMillis(), "keyed", "k1", "another body");
+      assertEquals("error", caller.reply().word(), "its body is not kept, but still told apart");
+      caller.ask(2001, "read", null, "x");
+      box.finish(box.command().ref(), "good", 1, "fine");
+      assertEquals("fine", caller.reply().body(), "unkeyed work goes on");
+      for (int i = 0; i < 5; i++) { // they come again, together
+        ask(caller, 3000 + i, "new " + i);
+      }
+      for (int i = 0; i < 5; i++) {
+        assertEquals("later", caller.reply().word());
+      }
+      assertNull(box.commands.poll(), "and nothing of them ran");
+      String status = box.get("/_status");
+      assertTrue(
+          status.matches(
+              "(?s).*kept +[0-9]+ of [0-9]+ keys, [0-9]+ of 300 kB, 6 refused for want of room.*"),
+          status);
     }
+  }
 
-    @Test
-    void aFullTableGoesAlongInAnUpgrade() throws Exception {
-        Files.writeString(folder.resolve("n1.sock"), "stale");
-        try (Loopback old = box(null, 300 << 10); Caller before = old.new Caller()) {
-            int ran = fill(old, before);
-            try (Loopback next = box(old, 300 << 10)) {
-                next.awaitTaking();
-                try (Caller after = next.new Caller()) {
-                    for (int key = 1; key <= ran; key++) {
-                        ask(after, key, "k" + key);
-                        assertTrue(after.reply().body().endsWith(String.format("%04d", key)), "k" + key);
-                    }
-                    ask(after, 500, "new");
-                    assertEquals("later", after.reply().word(), "no room here either");
-                    after.ask(501, 501, System.currentTimeMillis(), "keyed", "k2", "another body");
-                    assertEquals("error", after.reply().word(), "what was asked came along");
-                    assertNull(next.commands.poll(), "nothing ran again");
-                }
-            }
+  @Test
+  void aFullTableGoesAlongInAnUpgrade() throws Exception {
+    Files.writeString(folder.resolve("n1.sock"), "stale");
+    try (Loopback old = box(null, 300 << 10);
+        Caller before = old.new Caller()) {
+      int ran = fill(old, before);
+      try (Loopback next = box(old, 300 << 10)) {
+        next.awaitTaking();
+        try (Caller after = next.new Caller()) {
+          for (int key = 1; key <= ran; key++) {
+            ask(after, key, "k" + key);
+            assertTrue(after.reply().body().endsWith(String.format("%04d", key)), "k" + key);
+          }
+          ask(after, 500, "new");
+          assertEquals("later", after.reply().word(), "no room here either");
+          after.ask(501, 501, System.currentTimeMillis(), "keyed", "k2", "another body");
+          assertEquals("error", after.reply().word(), "what was asked came along");
+          assertNull(next.commands.poll(), "nothing ran again");
         }
+      }
     }
+  }
 
-    @Test
-    void aProcessWithLessMemoryForgetsResultsButNoKey() throws Exception {
-        Files.writeString(folder.resolve("n1.sock"), "stale");
-        try (Loopback old = box(null, 300 << 10); Caller before = old.new Caller()) {
-            int ran = fill(old, before);
-            try (Loopback next = box(old, 120 << 10)) {
-                next.awaitTaking();
-                try (Caller after = next.new Caller()) {
-                    int served = 0;
-                    for (int key = 1; key <= ran; key++) {
-                        ask(after, key, "k" + key);
-                        Reply reply = after.reply();
-                        served += reply.word().equals("done") ? 1 : 0;
-                        assertTrue(!reply.word().equals("later"), "never refused after its run: " + reply);
-                    }
-                    assertTrue(served > 5 && served < ran, served + " of " + ran + " results came along");
-                    assertNull(next.commands.poll(), "nothing ran again");
-                }
-            }
+  @Test
+  void aProcessWithLessMemoryForgetsResultsButNoKey() throws Exception {
+    Files.writeString(folder.resolve("n1.sock"), "stale");
+    try (Loopback old = box(null, 300 << 10);
+        Caller before = old.new Caller()) {
+      int ran = fill(old, before);
+      try (Loopback next = box(old, 120 << 10)) {
+        next.awaitTaking();
+        try (Caller after = next.new Caller()) {
+          int served = 0;
+          for (int key = 1; key <= ran; key++) {
+            ask(after, key, "k" + key);
+            Reply reply = after.reply();
+            served += reply.word().equals("done") ? 1 : 0;
+            assertTrue(!reply.word().equals("later"), "never refused after its run: " + reply);
+          }
+          assertTrue(served > 5 && served < ran, served + " of " + ran + " results came along");
+          assertNull(next.commands.poll(), "nothing ran again");
         }
+      }
     }
+  }
 }
--- a/src/test/java/wharftrestle/drive/DriverTest.java
+++ b/src/test/java/wharftrestle/drive/DriverTest.java
@@ -38,184 +38,233 @@
 /** Stories of drivers and the keepers' doors, with boxes that do as they are told at once. */
 @Timeout(60)
 class DriverTest {
-    private static final PrintStream NOWHERE = new PrintStream(OutputStream.nullOutputStream());
-    private static final HttpClient CLIENT = HttpClient.newHttpClient();
-
-    @TempDir
-    private Path folder;
-    private final List<Keeper> keepers = new ArrayList<>();
-    private final List<String> obeyed = new CopyOnWriteArrayList<>();
-    private Releases releases;
-
-    /** A keeper's door, and a box that has every release at once. */
-    private final class Keeper {
-        private final String name;
-        private final int port;
-        private FleetDoor door;
-        private volatile String acts = "one";
-        private volatile String told = "";
-        private volatile int attempt;
-
-        Keeper(String name) throws IOException {
-            this.name = name;
-            port = Address.freePort();
-            open();
-        }
-
-        void open() throws IOException {
-            door = new FleetDoor(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), name,
-                    Files.createDirectories(folder.resolve(name)), releases, this::obey, () -> Map.of("state", "serving",
-                    "release", acts, "settled", true, "acts", acts, "told", told, "attempt", attempt, "failed", ""),
-                    (program, settings) -> true);
-        }
-
-        private String obey(String order) {
-            String[] words = order.split(" ");
-            if (words[0].equals("go")) {
-                obeyed.add(name + " " + words[2]);
-                attempt = Integer.parseInt(words[1]);
-                told = words[2];
-                acts = words[2];
-            }
-            return "ok";
-        }
-
-        JsonNode call(String path, String body) throws Exception {
-            HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path));
-            HttpResponse<String> answer = CLIENT.send(body == null ? request.build()
-                    : request.POST(HttpRequest.BodyPublishers.ofString(body)).build(), HttpResponse.BodyHandlers.ofString());
-            return ((com.fasterxml.jackson.databind.node.ObjectNode) new ObjectMapper().readTree(answer.body()))
-                    .put("status", answer.statusCode());
-        }
-    }
+  private static final PrintStream NOWHERE = new PrintStream(OutputStream.nullOutputStream());
+  private static final HttpClient CLIENT = HttpClient.newHttpClient();
 
-    @BeforeEach
-    void fleet() throws IOException {
-        releases = new Releases(folder.resolve("releases"));
-        Path jar = Files.writeString(folder.resolve("any.jar"), "a program");
-        releases.pack(jar, null, "one");
-        releases.pack(jar, null, "two");
-        for (int i = 1; i <= 3; i++) {
-            keepers.add(new Keeper("b" + i));
-        }
-    }
+  @TempDir private Path folder;
+  private final List<Keeper> keepers = new ArrayList<>();
+  private final List<String> obeyed = new CopyOnWriteArrayList<>();
+  private Releases releases;
+
+  /** A keeper's door, and a box that has every release at once. */
+  private final class Keeper {
+    private final String name;
+    private final int port;
+    private FleetDoor door;
+    private volatile String acts = "one";
+    private volatile String told = "";
+    private volatile int attempt;
 
-    @AfterEach
-    void close() throws IOException {
-        for (Keeper each : keepers) {
-            each.door.close();
-        }
+    Keeper(String name) throws IOException {
+      this.name = name;
+      port = Address.freePort();
+      open();
     }
 
-    private PlanScript plan(String to, double hold) throws Exception {
-        StringBuilder text = new StringBuilder();
-        keepers.forEach(each -> text.append("box(\"" + each.name + "\", keeper = \"127.0.0.1:" + each.port + "\")\n"));
-        return PlanScript.parse("p.star", text + "change(to = \"" + to + "\", stages = [stage(boxes = 1, hold = " + hold
-                + "), stage(share = 1, hold = 0)], worse = [], watch = 0, window = 0.5, patience = 86400)\n");
+    void open() throws IOException {
+      door =
+          new FleetDoor(
+              new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+              name,
+              Files.createDirectories(folder.resolve(name)),
+              releases,
+              this::obey,
+              () ->
+                  Map.of(
+                      "state", "serving", "release", acts, "settled", true, "acts", acts, "told",
+                      told, "attempt", attempt, "failed", ""),
+              (program, settings) -> true);
     }
 
-    private Driver driver(String dir, PlanScript script, String name) throws Exception {
-        return new Driver(folder.resolve(dir), script, name, new Events(NOWHERE, true));
+    private String obey(String order) {
+      String[] words = order.split(" ");
+      if (words[0].equals("go")) {
+        obeyed.add(name + " " + words[2]);
+        attempt = Integer.parseInt(words[1]);
+        told = words[2];
+        acts = words[2];
+      }
+      return "ok";
     }
 
-    private static FutureTask<Driver.End> run(Driver driver) {
-        FutureTask<Driver.End> end = new FutureTask<>((Callable<Driver.End>) driver::run);
-        new Thread(end).start();
-        return end;
+    JsonNode call(String path, String body) throws Exception {
+      HttpRequest.Builder request =
+          HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path));
+      HttpResponse<String> answer =
+          CLIENT.send(
+              body == null
+                  ? request.build()
+                  : request.POST(HttpRequest.BodyPublishers.ofString(body)).build(),
+              HttpResponse.BodyHandlers.ofString());
+      return ((com.fasterxml.jackson.databind.node.ObjectNode)
+              new ObjectMapper().readTree(answer.body()))
+          .put("status", answer.statusCode());
     }
+  }
 
-    private String order(String dir, String text) {
-        return OrderSocket.order(folder.resolve(dir).resolve(Driver.SOCKET), text);
+  @BeforeEach
+  void fleet() throws IOException {
+    releases = new Releases(folder.resolve("releases"));
+    Path jar = Files.writeString(folder.resolve("any.jar"), "a program");
+    releases.pack(jar, null, "one");
+    releases.pack(jar, null, "two");
+    for (int i = 1; i <= 3; i++) {
+      keepers.add(new Keeper("b" + i));
     }
+  }
 
-    @Test
-    void aSecondDriverIsRefusedUntilItTakesOverAndThenTheFirstIsFenced() throws Exception {
-        try (Driver first = driver("d1", plan("two", 600), "ann")) {
-            first.check(false);
-            FutureTask<Driver.End> end = run(first);
-            while (obeyed.isEmpty()) {
-                TimeUnit.MILLISECONDS.sleep(20);
-            }
-            assertEquals(List.of("b1 two"), obeyed, "one box, and the hold goes on");
-            try (Driver second = driver("d2", plan("two", 0), "bob")) {
-                String why = assertThrows(Driver.RefusedException.class, () -> second.check(false)).getMessage();
-                assertTrue(why.contains("ann steers in epoch 1"), why);
-                second.check(true);
-                FutureTask<Driver.End> next = run(second);
-                assertEquals(Driver.End.FENCED, end.get(20, TimeUnit.SECONDS));
-                assertTrue(order("d2", "status").contains("\"driver\":\"bob\""));
-                assertEquals(Driver.End.DONE, next.get(30, TimeUnit.SECONDS));
-                assertEquals(List.of("b1 two", "b2 two", "b3 two"), obeyed, "and b1 was not told again");
-            }
-        }
+  @AfterEach
+  void close() throws IOException {
+    for (Keeper each : keepers) {
+      each.door.close();
     }
+  }
+
+  private PlanScript plan(String to, double hold) throws Exception {
+    StringBuilder text = new StringBuilder();
+    keepers.forEach(
+        each ->
+            text.append("box(\"" + each.name + "\", keeper = \"127.0.0.1:" + each.port + "\")\n"));
+    return PlanScript.parse(
+        "p.star",
+        text
+            + "change(to = \""
+            + to
+            + "\", stages = [stage(boxes = 1, hold = "
+            + hold
+            + "), stage(share = 1, hold = 0)], worse = [], watch = 0, window = 0.5, patience = 86400)\n");
+  }
+
+  private Driver driver(String dir, PlanScript script, String name) throws Exception {
+    return new Driver(folder.resolve(dir), script, name, new Events(NOWHERE, true));
+  }
 
-    @Test
-    void whatCannotBeIsRefusedBeforeAnythingMoves() throws Exception {
-        try (Driver driver = driver("d1", plan("three", 0), "ann")) {
-            String why = assertThrows(Driver.RefusedException.class, () -> driver.check(false)).getMessage();
-            assertTrue(why.startsWith("b1: there is no release 'three'"), why);
-        }
-        keepers.get(0).door.close();
-        keepers.get(1).door.close();
-        try (Driver driver = driver("d2", plan("two", 0), "ann")) {
-            String why = assertThrows(Driver.RefusedException.class, () -> driver.check(false)).getMessage();
-            assertEquals("1 of 3 keepers answer, which is not more than half", why);
-        }
-        assertTrue(obeyed.isEmpty());
+  private static FutureTask<Driver.End> run(Driver driver) {
+    FutureTask<Driver.End> end = new FutureTask<>((Callable<Driver.End>) driver::run);
+    new Thread(end).start();
+    return end;
+  }
+
+  private String order(String dir, String text) {
+    return OrderSocket.order(folder.resolve(dir).resolve(Driver.SOCKET), text);
+  }
+
+  @Test
+  void aSecondDriverIsRefusedUntilItTakesOverAndThenTheFirstIsFenced() throws Exception {
+    try (Driver first = driver("d1", plan("two", 600), "ann")) {
+      first.check(false);
+      FutureTask<Driver.End> end = run(first);
+      while (obeyed.isEmpty()) {
+        TimeUnit.MILLISECONDS.sleep(20);
+      }
+      assertEquals(List.of("b1 two"), obeyed, "one box, and the hold goes on");
+      try (Driver second = driver("d2", plan("two", 0), "bob")) {
+        String why =
+            assertThrows(Driver.RefusedException.class, () -> second.check(false)).getMessage();
+        assertTrue(why.contains("ann steers in epoch 1"), why);
+        second.check(true);
+        FutureTask<Driver.End> next = run(second);
+        assertEquals(Driver.End.FENCED, end.get(20, TimeUnit.SECONDS));
+        assertTrue(order("d2", "status").contains("\"driver\":\"bob\""));
+        assertEquals(Driver.End.DONE, next.get(30, TimeUnit.SECONDS));
+        assertEquals(List.of("b1 two", "b2 two", "b3 two"), obeyed, "and b1 was not told again");
+      }
     }
+  }
 
-    @Test
-    void aChangeUnderWayGoesOnWithItsOwnPlanAndTheFolderHasOneDriver() throws Exception {
-        PlanScript plan = plan("two", 600);
-        try (Driver first = driver("d1", plan, "ann")) {
-            assertThrows(Driver.RefusedException.class, () -> driver("d1", plan, "bob"));
-            FutureTask<Driver.End> end = run(first);
-            while (obeyed.isEmpty()) {
-                TimeUnit.MILLISECONDS.sleep(20);
-            }
-            first.stop();
-            assertEquals(Driver.End.STOPPED, end.get(5, TimeUnit.SECONDS));
-        }
-        String why = assertThrows(Driver.RefusedException.class, () -> driver("d1", plan("one", 0), "ann")).getMessage();
-        assertTrue(why.startsWith("another change is under way in "), why);
-        try (Driver next = driver("d1", plan, "bob")) {
-            next.check(false);   // whoever steered from this folder has ended
-            FutureTask<Driver.End> end = run(next);
-            while (!order("d1", "status").contains("\"steering\":\"steering\"")) {
-                TimeUnit.MILLISECONDS.sleep(50);
-            }
-            assertEquals("no name a box of the plan, and what it broke", order("d1", "broken b9 x"));
-            assertTrue(order("d1", "broken b1 a key ran twice").startsWith("ok "));
-            assertEquals(Driver.End.UNDONE, end.get(20, TimeUnit.SECONDS));
-            assertEquals(List.of("b1 two", "b1 one"), obeyed, "a broken rule is worse at once");
-        }
+  @Test
+  void whatCannotBeIsRefusedBeforeAnythingMoves() throws Exception {
+    try (Driver driver = driver("d1", plan("three", 0), "ann")) {
+      String why =
+          assertThrows(Driver.RefusedException.class, () -> driver.check(false)).getMessage();
+      assertTrue(why.startsWith("b1: there is no release 'three'"), why);
+    }
+    keepers.get(0).door.close();
+    keepers.get(1).door.close();
+    try (Driver driver = driver("d2", plan("two", 0), "ann")) {
+      String why =
+          assertThrows(Driver.RefusedException.class, () -> driver.check(false)).getMessage();
+      assertEquals("1 of 3 keepers answer, which is not more than half", why);
     }
+    assertTrue(obeyed.isEmpty());
+  }
 
-    @Test
-    void aDoorKeepsItsEpochOverRestartsAndAnswersNonsenseWithItsError() throws Exception {
-        Keeper keeper = keepers.get(0);
-        JsonNode granted = keeper.call("/claim", "{\"epoch\":7,\"driver\":\"ann\"}");
-        assertEquals("GRANTED", granted.path("answer").asText());
-        keeper.door.close();
-        keeper.open();
-        assertEquals("FENCED", keeper.call("/claim", "{\"epoch\":7,\"driver\":\"bob\"}").path("answer").asText());
-        assertEquals("FENCED", keeper.call("/ask", "{\"epoch\":6,\"driver\":\"ann\"}").path("answer").asText());
-        String order = "{\"epoch\":7,\"driver\":\"ann\",\"to\":\"two\",\"stamp\":";
-        assertEquals("STALE", keeper.call("/order", order + granted.path("stamp").asLong() + "}").path("answer").asText(),
-                "a stamp of the start before");
-        long stamp = keeper.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
-        assertEquals("OBEYED", keeper.call("/order", order + stamp + "}").path("answer").asText());
-        stamp = keeper.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
-        assertEquals("TWO_TARGETS", keeper.call("/order", order.replace("two", "one") + stamp
-                + "}").path("answer").asText());
-        assertEquals(400, keeper.call("/claim", "nonsense").path("status").asInt());
-        assertEquals(400, keeper.call("/order", "{\"epoch\":7,\"driver\":\"ann\",\"to\":\"../x\"}").path("status").asInt());
-        assertEquals(400, keeper.call("/claim", "{\"epoch\":8,\"driver\":\"" + "x".repeat(5000)
-                + "\"}").path("status").asInt());
-        assertEquals(404, keeper.call("/moon", null).path("status").asInt());
-        assertTrue(keeper.call("/look?keeper=127.0.0.1:" + keepers.get(1).port, null).path("heard").asBoolean());
-        keepers.get(1).door.close();
-        assertFalse(keeper.call("/look?keeper=127.0.0.1:" + keepers.get(1).port, null).path("heard").asBoolean());
+  @Test
+  void aChangeUnderWayGoesOnWithItsOwnPlanAndTheFolderHasOneDriver() throws Exception {
+    PlanScript plan = plan("two", 600);
+    try (Driver first = driver("d1", plan, "ann")) {
+      assertThrows(Driver.RefusedException.class, () -> driver("d1", plan, "bob"));
+      FutureTask<Driver.End> end = run(first);
+      while (obeyed.isEmpty()) {
+        TimeUnit.MILLISECONDS.sleep(20);
+      }
+      first.stop();
+      assertEquals(Driver.End.STOPPED, end.get(5, TimeUnit.SECONDS));
     }
+    String why =
+        assertThrows(Driver.RefusedException.class, () -> driver("d1", plan("one", 0), "ann"))
+            .getMessage();
+    assertTrue(why.startsWith("another change is under way in "), why);
+    try (Driver next = driver("d1", plan, "bob")) {
+      next.check(false); // whoever steered from this folder has ended
+      FutureTask<Driver.End> end = run(next);
+      while (!order("d1", "status").contains("\"steering\":\"steering\"")) {
+        TimeUnit.MILLISECONDS.sleep(50);
+      }
+      assertEquals("no name a box of the plan, and what it broke", order("d1", "broken b9 x"));
+      assertTrue(order("d1", "broken b1 a key ran twice").startsWith("ok "));
+      assertEquals(Driver.End.UNDONE, end.get(20, TimeUnit.SECONDS));
+      assertEquals(List.of("b1 two", "b1 one"), obeyed, "a broken rule is worse at once");
+    }
+  }
+
+  @Test
+  void aDoorKeepsItsEpochOverRestartsAndAnswersNonsenseWithItsError() throws Exception {
+    Keeper keeper = keepers.get(0);
+    JsonNode granted = keeper.call("/claim", "{\"epoch\":7,\"driver\":\"ann\"}");
+    assertEquals("GRANTED", granted.path("answer").asText());
+    keeper.door.close();
+    keeper.open();
+    assertEquals(
+        "FENCED",
+        keeper.call("/claim", "{\"epoch\":7,\"driver\":\"bob\"}").path("answer").asText());
+    assertEquals(
+        "FENCED", keeper.call("/ask", "{\"epoch\":6,\"driver\":\"ann\"}").path("answer").asText());
+    String order = "{\"epoch\":7,\"driver\":\"ann\",\"to\":\"two\",\"stamp\":";
+    assertEquals(
+        "STALE",
+        keeper.call("/order", order + granted.path("stamp").asLong() + "}").path("answer").asText(),
+        "a stamp of the start before");
+    long stamp = keeper.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
+    assertEquals("OBEYED", keeper.call("/order", order + stamp + "}").path("answer").asText());
+    stamp = keeper.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
+    assertEquals(
+        "TWO_TARGETS",
+        keeper.call("/order", order.replace("two", "one") + stamp + "}").path("answer").asText());
+    assertEquals(400, keeper.call("/claim", "nonsense").path("status").asInt());
+    assertEquals(
+        400,
+        keeper
+            .call("/order", "{\"epoch\":7,\"driver\":\"ann\",\"to\":\"../x\"}")
+            .path("status")
+            .asInt());
+    assertEquals(
+        400,
+        keeper
+            .call("/claim", "{\"epoch\":8,\"driver\":\"" + "x".repeat(5000) + "\"}")
+            .path("status")
+            .asInt());
+    assertEquals(404, keeper.call("/moon", null).path("status").asInt());
+    assertTrue(
+        keeper
+            .call("/look?keeper=127.0.0.1:" + keepers.get(1).port, null)
+            .path("heard")
+            .asBoolean());
+    keepers.get(1).door.close();
+    assertFalse(
+        keeper
+            .call("/look?keeper=127.0.0.1:" + keepers.get(1).port, null)
+            .path("heard")
+            .asBoolean());
+  }
 }
--- a/src/test/java/wharftrestle/drive/PlanScriptTest.java
+++ b/src/test/java/wharftrestle/drive/PlanScriptTest.java
@@ -14,71 +14,105 @@
 
 /** A plan's script: what it may say, and where it is told that it is wrong. */
 class PlanScriptTest {
-    private static final String BOX = "box(\"b1\", zone = \"a\", keeper = \"127.0.0.1:7501\")\n";
+  private static final String BOX = "box(\"b1\", zone = \"a\", keeper = \"127.0.0.1:7501\")\n";
 
-    @Test
-    void aPlanIsReadWithItsDefaults() throws Exception {
-        PlanScript script = PlanScript.parse("p.star", BOX + """
+  @Test
+  void aPlanIsReadWithItsDefaults() throws Exception {
+    PlanScript script =
+        PlanScript.parse(
+            "p.star",
+            BOX
+                + """
                 box("b2", zone = "b", keeper = "127.0.0.1:7502", tenants = ["omaruru"], front = "127.0.0.1:9002")
                 change(to = "2026-12-08", stages = [stage(boxes = 1, hold = 120), stage(share = 1, spread = "zone")],
                        worse = [worth(0.02), cpu()], most_away = 2, when_cut = "go", when_worse = "hold")
                 """);
-        Plan plan = script.plan();
-        assertEquals(List.of(new Plan.Stage(1, 0, false, 120), new Plan.Stage(0, 1, true, 60)), plan.stages());
-        assertEquals(Map.of(Measure.WORTH, 0.02, Measure.CPU, 0.5), plan.limits());
-        assertEquals(List.of("omaruru"), plan.box("b2").tenants());
-        assertEquals(Map.of("b2", "127.0.0.1:9002"), script.fronts());
-        assertEquals(Plan.WhenCut.GO, plan.whenCut());
-        assertEquals(Plan.WhenWorse.HOLD, plan.whenWorse());
-        assertEquals(100, script.watch(), "eight windows and some");
-        assertTrue(script.warnings(150).get(0).startsWith("stage 1 holds 120 s, less than the longest window"));
-    }
+    Plan plan = script.plan();
+    assertEquals(
+        List.of(new Plan.Stage(1, 0, false, 120), new Plan.Stage(0, 1, true, 60)), plan.stages());
+    assertEquals(Map.of(Measure.WORTH, 0.02, Measure.CPU, 0.5), plan.limits());
+    assertEquals(List.of("omaruru"), plan.box("b2").tenants());
+    assertEquals(Map.of("b2", "127.0.0.1:9002"), script.fronts());
+    assertEquals(Plan.WhenCut.GO, plan.whenCut());
+    assertEquals(Plan.WhenWorse.HOLD, plan.whenWorse());
+    assertEquals(100, script.watch(), "eight windows and some");
+    assertTrue(
+        script
+            .warnings(150)
+            .get(0)
+            .startsWith("stage 1 holds 120 s, less than the longest window"));
+  }
 
-    @Test
-    void withoutMeasuresAllAreLookedAt() throws Exception {
-        Plan plan = PlanScript.parse("p.star", BOX + "change(to = \"x\", stages = [stage(boxes = 1)])").plan();
-        assertEquals(Measure.values().length, plan.limits().size());
-    }
+  @Test
+  void withoutMeasuresAllAreLookedAt() throws Exception {
+    Plan plan =
+        PlanScript.parse("p.star", BOX + "change(to = \"x\", stages = [stage(boxes = 1)])").plan();
+    assertEquals(Measure.values().length, plan.limits().size());
+  }
 
-    @Test
-    void whatIsWrongIsToldWithItsPlace() {
-        String[][] wrongs = {
-            {"", "p.star: has no change(to = ..., stages = [...])"},
-            {"change(to = \"x\", stages = [stage(boxes = 1)])",
-            "p.star:1:1: there is no box: name each with box(name, zone, "
-                + "keeper)"},
-            {BOX + "change(stages = [stage(boxes = 1)])", "p.star:2:1: change needs to"},
-            {BOX + "change(to = \"x\", stages = [])", "p.star:2:27: change.stages: expected one at least"},
-            {BOX + "change(to = \"x\", stages = [1])",
-                "p.star:2:27: change.stages: expected stages, such as stage(boxes = 1, hold = 120), got 1"},
-            {BOX + "change(to = \"x\", stages = [stage()])", "p.star:2:28: stage needs boxes or share, and not both"},
-            {BOX + "change(to = \"x\", stages = [stage(share = 1.5)])",
-                "p.star:2:42: stage.share: expected a number from 1.0E-6 to 1.0, got 1.5"},
-            {BOX + "change(to = \"x\", stages = [stage(boxes = 1), stage(share = 0.5)])",
-                "p.star:2:27: change.stages: a stage of 1 boxes comes after one of 1, expected more"},
-            {BOX + "change(to = \"x\", stages = [stage(boxes = 1)], worse = [failed(2)])",
-                "p.star:2:63: failed.limit: expected a number from 1.0E-4 to 1.0, got 2"},
-            {BOX + "change(to = \"x\", stages = [stage(boxes = 1)], when_cut = \"stop\")",
-                "p.star:2:58: change.when_cut: expected \"hold\" or \"go\", got stop"},
-            {BOX + "change(to = \"x\", stages = [stage(boxes = 1)], watch = 3)",
-                "p.star:2:55: change.watch: expected 8 windows at least, or nothing can be compared: 80.0 s"},
-            {BOX + BOX, "p.star:2:1: box b1 stands twice"},
-            {BOX + "box(\"b2\", keeper = \"127.0.0.1:7501\")", "p.star:2:20: the keeper at 127.0.0.1:7501 has another box"},
-            {"box(\"b1\", keeper = \"keeper.example.org:1\")",
-            "p.star:1:20: box.keeper: expected an address as \"HOST:PORT\", "
-                + "with a numeric host, got keeper.example.org:1"},
-        };
-        for (String[] wrong : wrongs) {
-            BadSettingsException e = assertThrows(BadSettingsException.class, () -> PlanScript.parse("p.star", wrong[0]),
-                    wrong[0]);
-            assertEquals(wrong[1], e.getMessage());
-        }
+  @Test
+  void whatIsWrongIsToldWithItsPlace() {
+    String[][] wrongs = {
+      {"", "p.star: has no change(to = ..., stages = [...])"},
+      {
+        "change(to = \"x\", stages = [stage(boxes = 1)])",
+        "p.star:1:1: there is no box: name each with box(name, zone, " + "keeper)"
+      },
+      {BOX + "change(stages = [stage(boxes = 1)])", "p.star:2:1: change needs to"},
+      {
+        BOX + "change(to = \"x\", stages = [])", "p.star:2:27: change.stages: expected one at least"
+      },
+      {
+        BOX + "change(to = \"x\", stages = [1])",
+        "p.star:2:27: change.stages: expected stages, such as stage(boxes = 1, hold = 120), got 1"
+      },
+      {
+        BOX + "change(to = \"x\", stages = [stage()])",
+        "p.star:2:28: stage needs boxes or share, and not both"
+      },
+      {
+        BOX + "change(to = \"x\", stages = [stage(share = 1.5)])",
+        "p.star:2:42: stage.share: expected a number from 1.0E-6 to 1.0, got 1.5"
+      },
+      {
+        BOX + "change(to = \"x\", stages = [stage(boxes = 1), stage(share = 0.5)])",
+        "p.star:2:27: change.stages: a stage of 1 boxes comes after one of 1, expected more"
+      },
+      {
+        BOX + "change(to = \"x\", stages = [stage(boxes = 1)], worse = [failed(2)])",
+        "p.star:2:63: failed.limit: expected a number from 1.0E-4 to 1.0, got 2"
+      },
+      {
+        BOX + "change(to = \"x\", stages = [stage(boxes = 1)], when_cut = \"stop\")",
+        "p.star:2:58: change.when_cut: expected \"hold\" or \"go\", got stop"
+      },
+      {
+        BOX + "change(to = \"x\", stages = [stage(boxes = 1)], watch = 3)",
+        "p.star:2:55: change.watch: expected 8 windows at least, or nothing can be compared: 80.0 s"
+      },
+      {BOX + BOX, "p.star:2:1: box b1 stands twice"},
+      {
+        BOX + "box(\"b2\", keeper = \"127.0.0.1:7501\")",
+        "p.star:2:20: the keeper at 127.0.0.1:7501 has another box"
+      },
+      {
+        "box(\"b1\", keeper = \"keeper.example.org:1\")",
+        "p.star:1:20: box.keeper: expected an address as \"HOST:PORT\", "
+            + "with a numeric host, got keeper.example.org:1"
+      },
+    };
+    for (String[] wrong : wrongs) {
+      BadSettingsException e =
+          assertThrows(
+              BadSettingsException.class, () -> PlanScript.parse("p.star", wrong[0]), wrong[0]);
+      assertEquals(wrong[1], e.getMessage());
     }
+  }
 
-    @Test
-    void thePlanThatShipsCanBeReadAndMet() throws Exception {
-        Plan.Order order = PlanScript.read(Path.of("docs/examples/roll.star")).plan().order();
-        assertEquals(List.of(), order.unmet());
-        assertEquals(6, order.turns().size());
-    }
+  @Test
+  void thePlanThatShipsCanBeReadAndMet() throws Exception {
+    Plan.Order order = PlanScript.read(Path.of("docs/examples/roll.star")).plan().order();
+    assertEquals(List.of(), order.unmet());
+    assertEquals(6, order.turns().size());
+  }
 }
--- a/src/test/java/wharftrestle/durable/CoreRecordsTest.java
+++ b/src/test/java/wharftrestle/durable/CoreRecordsTest.java
@@ -20,185 +20,244 @@
 import wharftrestle.policy.Admission;
 import wharftrestle.policy.GroupEdfScheduler;
 
-/** The core with a journal on a disk that fails, stalls and fills: what a keyed request gets, and what an unkeyed one. */
+/**
+ * The core with a journal on a disk that fails, stalls and fills: what a keyed request gets, and
+ * what an unkeyed one.
+ */
 class CoreRecordsTest {
-    private final MemoryDisk disk = new MemoryDisk();
-    private final Journal journal = new Journal(LogTest.settings(4, "group"), () -> disk);
-    private final BlockingQueue<String> spawned = new LinkedBlockingQueue<>();
-    private final Core core = new Core(settings(), 7, 64, KeyRoom.of(1 << 20),
-            GroupEdfScheduler::new, new Counters(List.of("read", "keyed")));
-    private int references;
-
-    CoreRecordsTest() throws Exception {
-        core.record(journal);
-        core.recovered(journal.open(20));
-        core.open(new SilentPool() {
-            @Override
-            public void spawn(String ref, String className, byte[] body) {
-                spawned.add(ref);
-            }
-        }, null, good -> { });
-        core.bound(false, 100);
-    }
+  private final MemoryDisk disk = new MemoryDisk();
+  private final Journal journal = new Journal(LogTest.settings(4, "group"), () -> disk);
+  private final BlockingQueue<String> spawned = new LinkedBlockingQueue<>();
+  private final Core core =
+      new Core(
+          settings(),
+          7,
+          64,
+          KeyRoom.of(1 << 20),
+          GroupEdfScheduler::new,
+          new Counters(List.of("read", "keyed")));
+  private int references;
 
-    private static Admission.Settings settings() {
-        Admission.RequestClass read = new Admission.RequestClass("read", 2, 0, 6, 1, 0, Admission.Repeat.SAFE, 12, false, 0);
-        Admission.RequestClass keyed = new Admission.RequestClass("keyed", 2, 0, 3, 3, 0, Admission.Repeat.KEYED, 12, false,
-                0);
-        return new Admission.Settings(List.of(read, keyed), List.of(), 1, 3, 2, 100_000, 4, 10, 0, Admission.Preemption.DROP,
-                Admission.Downstream.NONE, 0, 5, 0.2, true, false, true, 0.08, 2, 6, 2, false, 0.25, 10, 1, false, 1, false,
-                0.004, List.of());
-    }
+  CoreRecordsTest() throws Exception {
+    core.record(journal);
+    core.recovered(journal.open(20));
+    core.open(
+        new SilentPool() {
+          @Override
+          public void spawn(String ref, String className, byte[] body) {
+            spawned.add(ref);
+          }
+        },
+        null,
+        good -> {});
+    core.bound(false, 100);
+  }
 
-    private final class Asked {
-        private final BlockingQueue<Answer> answers = new LinkedBlockingQueue<>();
-        private final String ref = String.format("%016x", ++references);
-        private final long at = System.nanoTime();
-        private double took;
-
-        Asked(String key, String body) {
-            core.accept(new Core.Arrival(ref, false, key == null ? 0 : 1, 0, 24, 1, 0.5, 0, key, null,
-                    System.currentTimeMillis(), body.getBytes()), answer -> {
-                        took = (System.nanoTime() - at) / 1e9;
-                        answers.add(answer);
-                    });
-        }
-
-        Answer answer() throws InterruptedException {
-            Answer answer = answers.poll(10, TimeUnit.SECONDS);
-            assertNotNull(answer, "no answer to " + ref);
-            return answer;
-        }
-
-        void runs() throws InterruptedException {
-            assertEquals(ref, spawned.poll(10, TimeUnit.SECONDS));
-        }
-
-        void ends(String result) {
-            core.finished(ref, Admission.Outcome.SUCCESS, 0.01, result.getBytes());
-        }
-    }
+  private static Admission.Settings settings() {
+    Admission.RequestClass read =
+        new Admission.RequestClass("read", 2, 0, 6, 1, 0, Admission.Repeat.SAFE, 12, false, 0);
+    Admission.RequestClass keyed =
+        new Admission.RequestClass("keyed", 2, 0, 3, 3, 0, Admission.Repeat.KEYED, 12, false, 0);
+    return new Admission.Settings(
+        List.of(read, keyed),
+        List.of(),
+        1,
+        3,
+        2,
+        100_000,
+        4,
+        10,
+        0,
+        Admission.Preemption.DROP,
+        Admission.Downstream.NONE,
+        0,
+        5,
+        0.2,
+        true,
+        false,
+        true,
+        0.08,
+        2,
+        6,
+        2,
+        false,
+        0.25,
+        10,
+        1,
+        false,
+        1,
+        false,
+        0.004,
+        List.of());
+  }
 
-    private void awaitRefusal(Records.Refusal wanted) {
-        while (journal.refusal() != wanted) {
-            Thread.onSpinWait();
-        }
-    }
+  private final class Asked {
+    private final BlockingQueue<Answer> answers = new LinkedBlockingQueue<>();
+    private final String ref = String.format("%016x", ++references);
+    private final long at = System.nanoTime();
+    private double took;
 
-    @Test
-    void aResultGoesOutWhenItIsOnDiskAndNotBefore() throws Exception {
-        Asked one = new Asked("k", "x");
-        one.runs();
-        disk.stall();
-        one.ends("saved");
-        disk.awaitStalled();
-        Asked repeat = new Asked("k", "x");
-        assertTrue(one.answers.isEmpty() && repeat.answers.isEmpty(), "it is not on disk");
-        disk.wake();
-        assertEquals("saved", new String(one.answer().result()));
-        assertEquals("saved", new String(repeat.answer().result()));
+    Asked(String key, String body) {
+      core.accept(
+          new Core.Arrival(
+              ref,
+              false,
+              key == null ? 0 : 1,
+              0,
+              24,
+              1,
+              0.5,
+              0,
+              key,
+              null,
+              System.currentTimeMillis(),
+              body.getBytes()),
+          answer -> {
+            took = (System.nanoTime() - at) / 1e9;
+            answers.add(answer);
+          });
     }
 
-    @Test
-    void aStalledDiskRefusesKeyedWorkAtOnceAndNothingElse() throws Exception {
-        disk.stall();
-        Asked first = new Asked("a", "x");
-        disk.awaitStalled();
-        Answer refused = first.answer();
-        assertEquals(Answer.Kind.REFUSED, refused.kind());
-        assertTrue(refused.retryAfter() > 0, "with a time to come back");
-        assertTrue(first.took < 1.5, "its patience is 0.3 s: " + first.took);
-        awaitRefusal(Records.Refusal.DISK_STALLED);
-        Asked second = new Asked("b", "x");
-        assertEquals(Answer.Kind.REFUSED, second.answer().kind());
-        assertTrue(second.took < 1, "not held to near its due time of 3 s: " + second.took);
-        Asked read = new Asked(null, "x");
-        read.runs();
-        read.ends("fine");
-        assertEquals("fine", new String(read.answer().result()));
-        assertEquals(null, spawned.poll(), "what could not be recorded never ran");
-        disk.wake();
-        awaitRefusal(null);
-        Asked again = new Asked("a", "x");
-        again.runs();
-        again.ends("now");
-        assertEquals("now", new String(again.answer().result()));
+    Answer answer() throws InterruptedException {
+      Answer answer = answers.poll(10, TimeUnit.SECONDS);
+      assertNotNull(answer, "no answer to " + ref);
+      return answer;
     }
 
-    @Test
-    void aDiskThatIsSilentForTwoSecondsUnderLoadLeavesNobodyWithoutAnAnswer() throws Exception {
-        Asked first = new Asked("first", "x");
-        first.runs();
-        disk.stall();
-        first.ends("saved");
-        disk.awaitStalled();
-        long until = System.nanoTime() + 2_000_000_000L;
-        List<Asked> keyed = new ArrayList<>();
-        int reads = 0;
-        while (System.nanoTime() < until) {
-            Asked refused = new Asked("k" + keyed.size(), "x");
-            keyed.add(refused);
-            assertEquals(Answer.Kind.REFUSED, refused.answer().kind());
-            assertTrue(refused.took < 1, "given up is answered at once: " + refused.took);
-            Asked read = new Asked(null, "x");
-            read.runs();   // and nothing keyed: that would come first
-            read.ends("fine");
-            assertEquals(Answer.Kind.SERVED, read.answer().kind());
-            reads++;
-        }
-        disk.wake();
-        assertEquals("saved", new String(first.answer().result()), "in time, once the disk is back");
-        assertTrue(keyed.size() > 50 && reads > 50, keyed.size() + " keyed and " + reads + " unkeyed in 2 s");
-        awaitRefusal(null);
-        Asked again = new Asked("k0", "x");
-        again.runs();
+    void runs() throws InterruptedException {
+      assertEquals(ref, spawned.poll(10, TimeUnit.SECONDS));
     }
 
-    @Test
-    void aResultThatTheDiskDoesNotTakeIsStillAnsweredAndNeverRunsAgain() throws Exception {
-        Asked one = new Asked("k", "x");
-        one.runs();
-        disk.fail(1, 1);
-        one.ends("saved");
-        assertEquals("saved", new String(one.answer().result()));
-        assertEquals(1L, journal.figures().get(ResultFigure.UNSAVED));
-        assertEquals("saved", new String(new Asked("k", "x").answer().result()), "from memory");
-        assertEquals(1L, journal.figures().get(ResultFigure.ERRORS));
+    void ends(String result) {
+      core.finished(ref, Admission.Outcome.SUCCESS, 0.01, result.getBytes());
     }
+  }
 
-    @Test
-    void aResultThatWaitsForTheDiskPastItsDueTimeFailsAndIsThereLater() throws Exception {
-        Asked one = new Asked("k", "x");
-        one.runs();
-        disk.stall();
-        one.ends("saved");
-        assertEquals(Answer.Kind.LATE, one.answer().kind(), "the due time holds whatever the disk does");
-        disk.wake();
-        assertEquals("saved", new String(new Asked("k", "x").answer().result()));
+  private void awaitRefusal(Records.Refusal wanted) {
+    while (journal.refusal() != wanted) {
+      Thread.onSpinWait();
     }
+  }
 
-    @Test
-    void aDiskThatFailsAnIntentRefusesItAndTheKeyMayRunLater() throws Exception {
-        disk.fail(1, 1);
-        Asked one = new Asked("k", "x");
-        assertEquals(Answer.Kind.REFUSED, one.answer().kind());
-        Asked meanwhile = new Asked("k", "x");
-        assertEquals(Answer.Kind.REFUSED, meanwhile.answer().kind());
-        assertEquals(null, spawned.poll());
-        awaitRefusal(null);
-        Asked again = new Asked("k", "x");
-        again.runs();
-    }
+  @Test
+  void aResultGoesOutWhenItIsOnDiskAndNotBefore() throws Exception {
+    Asked one = new Asked("k", "x");
+    one.runs();
+    disk.stall();
+    one.ends("saved");
+    disk.awaitStalled();
+    Asked repeat = new Asked("k", "x");
+    assertTrue(one.answers.isEmpty() && repeat.answers.isEmpty(), "it is not on disk");
+    disk.wake();
+    assertEquals("saved", new String(one.answer().result()));
+    assertEquals("saved", new String(repeat.answer().result()));
+  }
 
-    @Test
-    void aDamagedLogLetsNoUnknownKeyRunForAWindow() throws Exception {
-        MemoryDisk other = disk.afterKill();
-        other.lose(other.numbers().get(0));
-        Journal next = new Journal(LogTest.settings(4, "group"), () -> other);
-        core.recovered(next.open(20));
-        Asked unknown = new Asked("k", "x");
-        assertEquals(Answer.Kind.FAILED, unknown.answer().kind(), "it may have run: it fails, and is not refused");
-        Asked read = new Asked(null, "x");
-        read.runs();
+  @Test
+  void aStalledDiskRefusesKeyedWorkAtOnceAndNothingElse() throws Exception {
+    disk.stall();
+    Asked first = new Asked("a", "x");
+    disk.awaitStalled();
+    Answer refused = first.answer();
+    assertEquals(Answer.Kind.REFUSED, refused.kind());
+    assertTrue(refused.retryAfter() > 0, "with a time to come back");
+    assertTrue(first.took < 1.5, "its patience is 0.3 s: " + first.took);
+    awaitRefusal(Records.Refusal.DISK_STALLED);
+    Asked second = new Asked("b", "x");
+    assertEquals(Answer.Kind.REFUSED, second.answer().kind());
+    assertTrue(second.took < 1, "not held to near its due time of 3 s: " + second.took);
+    Asked read = new Asked(null, "x");
+    read.runs();
+    read.ends("fine");
+    assertEquals("fine", new String(read.answer().result()));
+    assertEquals(null, spawned.poll(), "what could not be recorded never ran");
+    disk.wake();
+    awaitRefusal(null);
+    Asked again = new Asked("a", "x");
+    again.runs();
+    again.ends("now");
+    assertEquals("now", new String(again.answer().result()));
+  }
+
+  @Test
+  void aDiskThatIsSilentForTwoSecondsUnderLoadLeavesNobodyWithoutAnAnswer() throws Exception {
+    Asked first = new Asked("first", "x");
+    first.runs();
+    disk.stall();
+    first.ends("saved");
+    disk.awaitStalled();
+    long until = System.nanoTime() + 2_000_000_000L;
+    List<Asked> keyed = new ArrayList<>();
+    int reads = 0;
+    while (System.nanoTime() < until) {
+      Asked refused = new Asked("k" + keyed.size(), "x");
+      keyed.add(refused);
+      assertEquals(Answer.Kind.REFUSED, refused.answer().kind());
+      assertTrue(refused.took < 1, "given up is answered at once: " + refused.took);
+      Asked read = new Asked(null, "x");
+      read.runs(); // and nothing keyed: that would come first
+      read.ends("fine");
+      assertEquals(Answer.Kind.SERVED, read.answer().kind());
+      reads++;
     }
+    disk.wake();
+    assertEquals("saved", new String(first.answer().result()), "in time, once the disk is back");
+    assertTrue(
+        keyed.size() > 50 && reads > 50, keyed.size() + " keyed and " + reads + " unkeyed in 2 s");
+    awaitRefusal(null);
+    Asked again = new Asked("k0", "x");
+    again.runs();
+  }
+
+  @Test
+  void aResultThatTheDiskDoesNotTakeIsStillAnsweredAndNeverRunsAgain() throws Exception {
+    Asked one = new Asked("k", "x");
+    one.runs();
+    disk.fail(1, 1);
+    one.ends("saved");
+    assertEquals("saved", new String(one.answer().result()));
+    assertEquals(1L, journal.figures().get(ResultFigure.UNSAVED));
+    assertEquals("saved", new String(new Asked("k", "x").answer().result()), "from memory");
+    assertEquals(1L, journal.figures().get(ResultFigure.ERRORS));
+  }
+
+  @Test
+  void aResultThatWaitsForTheDiskPastItsDueTimeFailsAndIsThereLater() throws Exception {
+    Asked one = new Asked("k", "x");
+    one.runs();
+    disk.stall();
+    one.ends("saved");
+    assertEquals(
+        Answer.Kind.LATE, one.answer().kind(), "the due time holds whatever the disk does");
+    disk.wake();
+    assertEquals("saved", new String(new Asked("k", "x").answer().result()));
+  }
+
+  @Test
+  void aDiskThatFailsAnIntentRefusesItAndTheKeyMayRunLater() throws Exception {
+    disk.fail(1, 1);
+    Asked one = new Asked("k", "x");
+    assertEquals(Answer.Kind.REFUSED, one.answer().kind());
+    Asked meanwhile = new Asked("k", "x");
+    assertEquals(Answer.Kind.REFUSED, meanwhile.answer().kind());
+    assertEquals(null, spawned.poll());
+    awaitRefusal(null);
+    Asked again = new Asked("k", "x");
+    again.runs();
+  }
+
+  @Test
+  void aDamagedLogLetsNoUnknownKeyRunForAWindow() throws Exception {
+    MemoryDisk other = disk.afterKill();
+    other.lose(other.numbers().get(0));
+    Journal next = new Journal(LogTest.settings(4, "group"), () -> other);
+    core.recovered(next.open(20));
+    Asked unknown = new Asked("k", "x");
+    assertEquals(
+        Answer.Kind.FAILED,
+        unknown.answer().kind(),
+        "it may have run: it fails, and is not refused");
+    Asked read = new Asked(null, "x");
+    read.runs();
+  }
 }
--- a/src/test/java/wharftrestle/durable/GatherTest.java
+++ b/src/test/java/wharftrestle/durable/GatherTest.java
@@ -1,59 +1,70 @@
 package wharftrestle.durable;
 
 import java.util.List;
+import org.jetbrains.lincheck.datastructures.IntGen;
 import org.jetbrains.lincheck.datastructures.ModelCheckingOptions;
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.jetbrains.lincheck.datastructures.Param;
-import org.jetbrains.lincheck.datastructures.IntGen;
 import org.jetbrains.lincheck.datastructures.StressOptions;
 import org.junit.jupiter.api.Test;
 
-/** Lincheck on the queue of the group commit: under every interleaving it is as one queue with one writer. */
+/**
+ * Lincheck on the queue of the group commit: under every interleaving it is as one queue with one
+ * writer.
+ */
 @Param(name = "entry", gen = IntGen.class, conf = "1:3")
 public class GatherTest {
-    private static final Integer[] ENTRIES = {null, 1000, 2000, 3000};   // told apart by identity
-
-    private final Gather<Integer> gather = new Gather<>(2);
-
-    @Operation
-    public boolean add(@Param(name = "entry") int entry) {
-        return gather.add(ENTRIES[entry], 1, false);
-    }
-
-    @Operation
-    public boolean must(@Param(name = "entry") int entry) {
-        return gather.add(ENTRIES[entry], 1, true);
-    }
-
-    @Operation
-    public boolean withdraw(@Param(name = "entry") int entry) {
-        return gather.withdraw(ENTRIES[entry], 1);
-    }
-
-    @Operation(nonParallelGroup = "writer")
-    public List<Integer> drain() {
-        return gather.drain();
-    }
-
-    @Operation
-    public long bytes() {
-        return gather.bytes();
-    }
-
-    @Operation
-    public void close() {
-        gather.close();
-    }
-
-    @Test
-    void everyInterleavingIsAsOneQueue() {
-        new ModelCheckingOptions().threads(3).actorsPerThread(3).iterations(15).invocationsPerIteration(300)
-                .check(GatherTest.class);
-    }
-
-    @Test
-    void alsoUnderStress() {
-        new StressOptions().threads(3).actorsPerThread(3).iterations(10).invocationsPerIteration(1000)
-                .check(GatherTest.class);
-    }
+  private static final Integer[] ENTRIES = {null, 1000, 2000, 3000}; // told apart by identity
+
+  private final Gather<Integer> gather = new Gather<>(2);
+
+  @Operation
+  public boolean add(@Param(name = "entry") int entry) {
+    return gather.add(ENTRIES[entry], 1, false);
+  }
+
+  @Operation
+  public boolean must(@Param(name = "entry") int entry) {
+    return gather.add(ENTRIES[entry], 1, true);
+  }
+
+  @Operation
+  public boolean withdraw(@Param(name = "entry") int entry) {
+    return gather.withdraw(ENTRIES[entry], 1);
+  }
+
+  @Operation(nonParallelGroup = "writer")
+  public List<Integer> drain() {
+    return gather.drain();
+  }
+
+  @Operation
+  public long bytes() {
+    return gather.bytes();
+  }
+
+  @Operation
+  public void close() {
+    gather.close();
+  }
+
+  @Test
+  void everyInterleavingIsAsOneQueue() {
+    new ModelCheckingOptions()
+        .threads(3)
+        .actorsPerThread(3)
+        .iterations(15)
+        .invocationsPerIteration(300)
+        .check(GatherTest.class);
+  }
+
+  @Test
+  void alsoUnderStress() {
+    new StressOptions()
+        .threads(3)
+        .actorsPerThread(3)
+        .iterations(10)
+        .invocationsPerIteration(1000)
+        .check(GatherTest.class);
+  }
 }
--- a/src/test/java/wharftrestle/durable/LogTest.java
+++ b/src/test/java/wharftrestle/durable/LogTest.java
@@ -32,525 +32,591 @@
 
 /** The log alone: crashes at every byte and every operation, damage, bounds. */
 class LogTest {
-    private static final double WINDOW = 20;
+  private static final double WINDOW = 20;
 
-    static Config.Durable settings(long mb, String sync) {
-        return new Config.Durable(Path.of("unused"), mb << 20, 1000, 1 << 20, 0.3, sync);
-    }
-
-    private static Records.Keyed keyed(String key) {
-        return new Records.Keyed(key, System.currentTimeMillis() + 20_000, WINDOW, 5);
-    }
+  static Config.Durable settings(long mb, String sync) {
+    return new Config.Durable(Path.of("unused"), mb << 20, 1000, 1 << 20, 0.3, sync);
+  }
 
-    /** Where a record came to lie; waits for the word. */
-    private static final class Word implements Records.Written {
-        private final CountDownLatch said = new CountDownLatch(1);
-        private volatile long place;
+  private static Records.Keyed keyed(String key) {
+    return new Records.Keyed(key, System.currentTimeMillis() + 20_000, WINDOW, 5);
+  }
 
-        @Override
-        public void written(long at) {
-            place = at;
-            said.countDown();
-        }
+  /** Where a record came to lie; waits for the word. */
+  private static final class Word implements Records.Written {
+    private final CountDownLatch said = new CountDownLatch(1);
+    private volatile long place;
 
-        long await() throws InterruptedException {
-            assertTrue(said.await(10, TimeUnit.SECONDS), "no word from the disk");
-            return place;
-        }
+    @Override
+    public void written(long at) {
+      place = at;
+      said.countDown();
     }
 
-    private static byte[] result(int seed) {
-        byte[] bytes = new byte[20 + seed % 200];
-        new Random(seed).nextBytes(bytes);
-        return bytes;
+    long await() throws InterruptedException {
+      assertTrue(said.await(10, TimeUnit.SECONDS), "no word from the disk");
+      return place;
     }
-
-    /** Runs one key from intent to result; where the result lies, below 0 where any of it was not written. */
-    private static long run(Journal journal, String key, byte[] result) throws InterruptedException {
-        Word intent = new Word();
-        if (journal.intend(keyed(key), intent) == null || intent.await() < 0) {
-            return -2;
-        }
-        Word end = new Word();
-        journal.ended(keyed(key), result, end);
-        return end.await();
+  }
+
+  private static byte[] result(int seed) {
+    byte[] bytes = new byte[20 + seed % 200];
+    new Random(seed).nextBytes(bytes);
+    return bytes;
+  }
+
+  /**
+   * Runs one key from intent to result; where the result lies, below 0 where any of it was not
+   * written.
+   */
+  private static long run(Journal journal, String key, byte[] result) throws InterruptedException {
+    Word intent = new Word();
+    if (journal.intend(keyed(key), intent) == null || intent.await() < 0) {
+      return -2;
     }
-
-    private static Map<String, Records.Remembered> byKey(Records.Recovered recovered) {
-        Map<String, Records.Remembered> all = new HashMap<>();
-        recovered.keys().forEach(key -> all.put(key.key(), key));
-        return all;
+    Word end = new Word();
+    journal.ended(keyed(key), result, end);
+    return end.await();
+  }
+
+  private static Map<String, Records.Remembered> byKey(Records.Recovered recovered) {
+    Map<String, Records.Remembered> all = new HashMap<>();
+    recovered.keys().forEach(key -> all.put(key.key(), key));
+    return all;
+  }
+
+  private static boolean blind(Records.Recovered recovered) {
+    return recovered.blindUntil() > System.nanoTime() / 1e9;
+  }
+
+  @Example
+  void whatWasRecordedIsKnownAfterAKillByteForByte() throws Exception {
+    MemoryDisk disk = new MemoryDisk();
+    try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
+      assertTrue(byKey(journal.open(WINDOW)).isEmpty());
+      assertTrue(run(journal, "2/0/good", result(3)) >= 0);
+      Word intent = new Word();
+      assertNotNull(journal.intend(keyed("2/0/open"), intent));
+      intent.await();
+      Word failed = new Word();
+      journal.intend(keyed("2/0/bad"), new Word());
+      journal.ended(keyed("2/0/bad"), null, failed);
+      failed.await();
+      Object given = journal.intend(keyed("2/0/void"), intent);
+      journal.withdraw(given, keyed("2/0/void"));
+      assertTrue(run(journal, "2/0/last", result(4)) >= 0);
     }
-
-    private static boolean blind(Records.Recovered recovered) {
-        return recovered.blindUntil() > System.nanoTime() / 1e9;
+    try (Journal next = new Journal(settings(4, "group"), () -> disk.afterKill())) {
+      Map<String, Records.Remembered> known = byKey(next.open(WINDOW));
+      assertEquals(Set.of("2/0/good", "2/0/open", "2/0/bad", "2/0/last"), known.keySet());
+      assertArrayEquals(result(3), next.read("2/0/good", known.get("2/0/good").place()));
+      assertEquals(-1, known.get("2/0/open").place());
+      assertEquals(-1, known.get("2/0/bad").place());
+      assertThrows(IOException.class, () -> next.read("2/0/other", known.get("2/0/good").place()));
+      assertTrue(
+          known.get("2/0/good").lastDoor() >= System.currentTimeMillis() + 15_000,
+          "whatever the clock did");
     }
-
-    @Example
-    void whatWasRecordedIsKnownAfterAKillByteForByte() throws Exception {
-        MemoryDisk disk = new MemoryDisk();
-        try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
-            assertTrue(byKey(journal.open(WINDOW)).isEmpty());
-            assertTrue(run(journal, "2/0/good", result(3)) >= 0);
-            Word intent = new Word();
-            assertNotNull(journal.intend(keyed("2/0/open"), intent));
-            intent.await();
-            Word failed = new Word();
-            journal.intend(keyed("2/0/bad"), new Word());
-            journal.ended(keyed("2/0/bad"), null, failed);
-            failed.await();
-            Object given = journal.intend(keyed("2/0/void"), intent);
-            journal.withdraw(given, keyed("2/0/void"));
-            assertTrue(run(journal, "2/0/last", result(4)) >= 0);
-        }
-        try (Journal next = new Journal(settings(4, "group"), () -> disk.afterKill())) {
-            Map<String, Records.Remembered> known = byKey(next.open(WINDOW));
-            assertEquals(Set.of("2/0/good", "2/0/open", "2/0/bad", "2/0/last"), known.keySet());
-            assertArrayEquals(result(3), next.read("2/0/good", known.get("2/0/good").place()));
-            assertEquals(-1, known.get("2/0/open").place());
-            assertEquals(-1, known.get("2/0/bad").place());
-            assertThrows(IOException.class, () -> next.read("2/0/other", known.get("2/0/good").place()));
-            assertTrue(known.get("2/0/good").lastDoor() >= System.currentTimeMillis() + 15_000, "whatever the clock did");
-        }
+  }
+
+  @Example
+  void anotherProcessAnotherFormatAndANewerVersionAreToldInOneLine() throws Exception {
+    MemoryDisk foreign = new MemoryDisk();
+    foreign.replace(
+        1,
+        "PK: the packed papers of somebody else, in a file of this name and long enough"
+            .getBytes());
+    assertThrows(
+        UnusableException.class,
+        () -> new Journal(settings(4, "group"), () -> foreign).open(WINDOW));
+    MemoryDisk newer = new MemoryDisk();
+    newer.list("wharftrestle-results 2\nend 0\n".getBytes());
+    byte[] list = Listing.of(List.of(1L));
+    String text = new String(list).replace("results 1", "results 9");
+    assertNull(Listing.parse(text.getBytes()), "its check is of another text");
+    ByteBuffer head = Segment.head(1, 1, 7, 1024);
+    head.putInt(8, 9);
+    java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
+    crc.update(head.array(), 0, 40);
+    head.putInt(40, (int) crc.getValue());
+    newer.create(1, head, 1024);
+    UnusableException e =
+        assertThrows(
+            UnusableException.class,
+            () -> new Journal(settings(4, "group"), () -> newer).open(WINDOW));
+    assertTrue(
+        e.getMessage().contains("version 9") && e.getMessage().lines().count() == 1,
+        e.getMessage());
+  }
+
+  /** A log of three batches, with the places where its records begin. */
+  private static byte[] written(List<Record> records, List<Integer> begins) {
+    ByteBuffer file = ByteBuffer.allocate(4096);
+    file.put(Segment.head(1, 3, 7, 4096));
+    for (int i = 0; i < 9; i++) {
+      Record.Kind kind =
+          i % 3 == 0 ? Record.Kind.INTENT : i % 3 == 1 ? Record.Kind.RESULT : Record.Kind.INTENT;
+      Record record =
+          new Record(
+              kind,
+              i % 3 == 2,
+              1 + i / 3,
+              1000,
+              1000,
+              9000,
+              20_000,
+              i,
+              "2/0/k" + (i % 3 == 1 ? i - 1 : i),
+              kind == Record.Kind.RESULT ? result(i) : new byte[0]);
+      begins.add(file.position());
+      record.put(file);
+      records.add(record);
     }
-
-    @Example
-    void anotherProcessAnotherFormatAndANewerVersionAreToldInOneLine() throws Exception {
-        MemoryDisk foreign = new MemoryDisk();
-        foreign.replace(1, "PK: the packed papers of somebody else, in a file of this name and long enough".getBytes());
-        assertThrows(UnusableException.class, () -> new Journal(settings(4, "group"), () -> foreign).open(WINDOW));
-        MemoryDisk newer = new MemoryDisk();
-        newer.list("wharftrestle-results 2\nend 0\n".getBytes());
-        byte[] list = Listing.of(List.of(1L));
-        String text = new String(list).replace("results 1", "results 9");
-        assertNull(Listing.parse(text.getBytes()), "its check is of another text");
-        ByteBuffer head = Segment.head(1, 1, 7, 1024);
-        head.putInt(8, 9);
-        java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
-        crc.update(head.array(), 0, 40);
-        head.putInt(40, (int) crc.getValue());
-        newer.create(1, head, 1024);
-        UnusableException e = assertThrows(UnusableException.class,
-                () -> new Journal(settings(4, "group"), () -> newer).open(WINDOW));
-        assertTrue(e.getMessage().contains("version 9") && e.getMessage().lines().count() == 1, e.getMessage());
+    begins.add(file.position());
+    return file.array();
+  }
+
+  @Example
+  void aFileCutAtAnyByteNeverLosesAKeyUnseen() throws Exception {
+    List<Record> records = new ArrayList<>();
+    List<Integer> begins = new ArrayList<>();
+    byte[] whole = written(records, begins);
+    for (int cut = 0; cut <= whole.length; cut++) {
+      Set<String> known = new HashSet<>();
+      Segment.Seen seen =
+          Segment.scan(
+              ByteBuffer.wrap(Arrays.copyOf(whole, cut)), (record, at) -> known.add(record.key()));
+      int last = cut;
+      long lost =
+          records.stream().filter(record -> begins.get(records.indexOf(record) + 1) > last).count();
+      assertTrue(
+          lost == 0 || seen.damaged(), "cut at " + cut + ": records are gone and nobody says so");
+      assertEquals(cut < whole.length, seen.damaged(), "cut at " + cut);
     }
-
-    /** A log of three batches, with the places where its records begin. */
-    private static byte[] written(List<Record> records, List<Integer> begins) {
-        ByteBuffer file = ByteBuffer.allocate(4096);
-        file.put(Segment.head(1, 3, 7, 4096));
-        for (int i = 0; i < 9; i++) {
-            Record.Kind kind = i % 3 == 0 ? Record.Kind.INTENT : i % 3 == 1 ? Record.Kind.RESULT : Record.Kind.INTENT;
-            Record record = new Record(kind, i % 3 == 2, 1 + i / 3, 1000, 1000, 9000, 20_000, i, "2/0/k" + (i % 3 == 1
-                    ? i - 1 : i), kind == Record.Kind.RESULT ? result(i) : new byte[0]);
-            begins.add(file.position());
-            record.put(file);
-            records.add(record);
+  }
+
+  @Example
+  void zerosFromAnyByteOnAreATornEndAndLoseNothingBefore() throws Exception {
+    List<Record> records = new ArrayList<>();
+    List<Integer> begins = new ArrayList<>();
+    byte[] whole = written(records, begins);
+    for (int cut = begins.get(0); cut <= begins.get(9); cut++) {
+      byte[] torn = whole.clone();
+      Arrays.fill(torn, cut, torn.length, (byte) 0);
+      List<Record> known = new ArrayList<>();
+      Segment.Seen seen = Segment.scan(ByteBuffer.wrap(torn), (record, at) -> known.add(record));
+      assertFalse(seen.damaged(), "a write that was never synced is no damage: " + cut);
+      for (int i = 0; i < records.size(); i++) {
+        if (begins.get(i + 1) <= cut) {
+          assertEquals(records.get(i).key(), known.get(i).key());
+          assertArrayEquals(records.get(i).result(), known.get(i).result());
         }
-        begins.add(file.position());
-        return file.array();
+      }
     }
-
-    @Example
-    void aFileCutAtAnyByteNeverLosesAKeyUnseen() throws Exception {
-        List<Record> records = new ArrayList<>();
-        List<Integer> begins = new ArrayList<>();
-        byte[] whole = written(records, begins);
-        for (int cut = 0; cut <= whole.length; cut++) {
-            Set<String> known = new HashSet<>();
-            Segment.Seen seen = Segment.scan(ByteBuffer.wrap(Arrays.copyOf(whole, cut)),
-                    (record, at) -> known.add(record.key()));
-            int last = cut;
-            long lost = records.stream().filter(record -> begins.get(records.indexOf(record) + 1) > last).count();
-            assertTrue(lost == 0 || seen.damaged(), "cut at " + cut + ": records are gone and nobody says so");
-            assertEquals(cut < whole.length, seen.damaged(), "cut at " + cut);
-        }
+  }
+
+  @Example
+  void aGarbledByteInWhatWasSyncedIsDamage() throws Exception {
+    List<Integer> begins = new ArrayList<>();
+    byte[] whole = written(new ArrayList<>(), begins);
+    for (int at = Segment.HEAD; at < begins.get(9); at++) {
+      byte[] bad = whole.clone();
+      bad[at] ^= 0x41;
+      int[] seen = {0};
+      Segment.Seen scan = Segment.scan(ByteBuffer.wrap(bad), (record, offset) -> seen[0]++);
+      boolean padding = seen[0] == 9; // between two records nothing is said
+      boolean lastBatch = at >= begins.get(6);
+      assertTrue(padding || seen[0] == 8, "one byte harms one record");
+      assertTrue(padding || lastBatch || scan.damaged(), "byte " + at + " of a synced batch");
+      assertTrue(padding || scan.torn() || scan.damaged(), "byte " + at);
     }
-
-    @Example
-    void zerosFromAnyByteOnAreATornEndAndLoseNothingBefore() throws Exception {
-        List<Record> records = new ArrayList<>();
-        List<Integer> begins = new ArrayList<>();
-        byte[] whole = written(records, begins);
-        for (int cut = begins.get(0); cut <= begins.get(9); cut++) {
-            byte[] torn = whole.clone();
-            Arrays.fill(torn, cut, torn.length, (byte) 0);
-            List<Record> known = new ArrayList<>();
-            Segment.Seen seen = Segment.scan(ByteBuffer.wrap(torn), (record, at) -> known.add(record));
-            assertFalse(seen.damaged(), "a write that was never synced is no damage: " + cut);
-            for (int i = 0; i < records.size(); i++) {
-                if (begins.get(i + 1) <= cut) {
-                    assertEquals(records.get(i).key(), known.get(i).key());
-                    assertArrayEquals(records.get(i).result(), known.get(i).result());
-                }
-            }
-        }
+  }
+
+  /**
+   * Any log, cut at every byte: by zeros, as a crash tears it, and by its length, as a fault of the
+   * disk cuts it. The model says of each key what its whole records before the cut mean; none that
+   * ran may be free.
+   */
+  @Property(tries = 60, seed = "29421")
+  void whereverALogIsCutNoKeyThatRanIsFree(@ForAll long seed) throws Exception {
+    Random random = new Random(seed);
+    ByteBuffer file = ByteBuffer.allocate(2048);
+    file.put(Segment.head(1, 3, 7, 2048));
+    List<Record> records = new ArrayList<>();
+    List<Integer> ends = new ArrayList<>();
+    for (int batch = 1; file.remaining() > 400; batch++) {
+      int size = 1 + random.nextInt(3);
+      for (int i = 0; i < size && file.remaining() > 200; i++) {
+        Record.Kind kind = Record.Kind.values()[random.nextInt(4)];
+        Record record =
+            new Record(
+                kind,
+                i == size - 1 || file.remaining() <= 400,
+                batch,
+                0,
+                1000,
+                9,
+                20_000,
+                5,
+                "k" + random.nextInt(5),
+                kind == Record.Kind.RESULT ? result(random.nextInt(100)) : new byte[0]);
+        int begin = file.position();
+        record.put(file);
+        records.add(record);
+        ends.add(begin + Record.HEAD + file.getInt(begin)); // the zeros behind it say nothing
+      }
     }
-
-    @Example
-    void aGarbledByteInWhatWasSyncedIsDamage() throws Exception {
-        List<Integer> begins = new ArrayList<>();
-        byte[] whole = written(new ArrayList<>(), begins);
-        for (int at = Segment.HEAD; at < begins.get(9); at++) {
-            byte[] bad = whole.clone();
-            bad[at] ^= 0x41;
-            int[] seen = {0};
-            Segment.Seen scan = Segment.scan(ByteBuffer.wrap(bad), (record, offset) -> seen[0]++);
-            boolean padding = seen[0] == 9;   // between two records nothing is said
-            boolean lastBatch = at >= begins.get(6);
-            assertTrue(padding || seen[0] == 8, "one byte harms one record");
-            assertTrue(padding || lastBatch || scan.damaged(), "byte " + at + " of a synced batch");
-            assertTrue(padding || scan.torn() || scan.damaged(), "byte " + at);
+    for (int cut = Segment.HEAD; cut <= 2048; cut++) {
+      byte[] torn = file.array().clone();
+      Arrays.fill(torn, cut, torn.length, (byte) 0);
+      Map<String, Record> whole = new HashMap<>();
+      Map<String, Record> unharmed = new HashMap<>(); // also those of which only zeros were cut
+      for (int i = 0; i < records.size(); i++) {
+        if (ends.get(i) <= cut) {
+          whole.put(records.get(i).key(), records.get(i));
         }
-    }
-
-    /**
-     * Any log, cut at every byte: by zeros, as a crash tears it, and by its length, as a fault of the disk cuts it. The
-     * model says of each key what its whole records before the cut mean; none that ran may be free.
-     */
-    @Property(tries = 60, seed = "29421")
-    void whereverALogIsCutNoKeyThatRanIsFree(@ForAll long seed) throws Exception {
-        Random random = new Random(seed);
-        ByteBuffer file = ByteBuffer.allocate(2048);
-        file.put(Segment.head(1, 3, 7, 2048));
-        List<Record> records = new ArrayList<>();
-        List<Integer> ends = new ArrayList<>();
-        for (int batch = 1; file.remaining() > 400; batch++) {
-            int size = 1 + random.nextInt(3);
-            for (int i = 0; i < size && file.remaining() > 200; i++) {
-                Record.Kind kind = Record.Kind.values()[random.nextInt(4)];
-                Record record = new Record(kind, i == size - 1 || file.remaining() <= 400, batch, 0, 1000, 9, 20_000, 5,
-                        "k" + random.nextInt(5), kind == Record.Kind.RESULT ? result(random.nextInt(100)) : new byte[0]);
-                int begin = file.position();
-                record.put(file);
-                records.add(record);
-                ends.add(begin + Record.HEAD + file.getInt(begin));   // the zeros behind it say nothing
-            }
-        }
-        for (int cut = Segment.HEAD; cut <= 2048; cut++) {
-            byte[] torn = file.array().clone();
-            Arrays.fill(torn, cut, torn.length, (byte) 0);
-            Map<String, Record> whole = new HashMap<>();
-            Map<String, Record> unharmed = new HashMap<>();   // also those of which only zeros were cut
-            for (int i = 0; i < records.size(); i++) {
-                if (ends.get(i) <= cut) {
-                    whole.put(records.get(i).key(), records.get(i));
-                }
-                if (Arrays.equals(torn, 0, ends.get(i), file.array(), 0, ends.get(i))) {
-                    unharmed.put(records.get(i).key(), records.get(i));
-                }
-            }
-            recovers(torn, unharmed, false, cut);
-            if (cut < 2048) {
-                recovers(Arrays.copyOf(file.array(), cut), whole, true, cut);
-            }
+        if (Arrays.equals(torn, 0, ends.get(i), file.array(), 0, ends.get(i))) {
+          unharmed.put(records.get(i).key(), records.get(i));
         }
+      }
+      recovers(torn, unharmed, false, cut);
+      if (cut < 2048) {
+        recovers(Arrays.copyOf(file.array(), cut), whole, true, cut);
+      }
     }
-
-    private static void recovers(byte[] bytes, Map<String, Record> model, boolean damaged, int cut) throws Exception {
-        Recovery recovery = new Recovery(System.currentTimeMillis(), 1000);
-        Segment.Seen seen = Segment.scan(ByteBuffer.wrap(bytes), (record, at) -> recovery.take(record, at, true));
-        assertEquals(damaged, seen.damaged(), "cut at " + cut + ": where keys may be lost none that is unknown runs");
-        Map<String, Recovery.Known> known = new HashMap<>();
-        recovery.keys().forEach(key -> known.put(key.key(), key));
-        for (Record last : model.values()) {
-            Recovery.Known key = known.remove(last.key());
-            if (last.kind() == Record.Kind.VOID) {
-                assertNull(key, "cut at " + cut);
-                continue;
-            }
-            assertNotNull(key, "cut at " + cut + ": " + last.key() + " ran and is free");
-            byte[] found = key.place() < 0 ? new byte[0] : Record.at(ByteBuffer.wrap(bytes), (int) key.place()).result();
-            assertEquals(last.kind() == Record.Kind.RESULT, key.place() >= 0);
-            assertArrayEquals(last.result(), found);
-        }
+  }
+
+  private static void recovers(byte[] bytes, Map<String, Record> model, boolean damaged, int cut)
+      throws Exception {
+    Recovery recovery = new Recovery(System.currentTimeMillis(), 1000);
+    Segment.Seen seen =
+        Segment.scan(ByteBuffer.wrap(bytes), (record, at) -> recovery.take(record, at, true));
+    assertEquals(
+        damaged,
+        seen.damaged(),
+        "cut at " + cut + ": where keys may be lost none that is unknown runs");
+    Map<String, Recovery.Known> known = new HashMap<>();
+    recovery.keys().forEach(key -> known.put(key.key(), key));
+    for (Record last : model.values()) {
+      Recovery.Known key = known.remove(last.key());
+      if (last.kind() == Record.Kind.VOID) {
+        assertNull(key, "cut at " + cut);
+        continue;
+      }
+      assertNotNull(key, "cut at " + cut + ": " + last.key() + " ran and is free");
+      byte[] found =
+          key.place() < 0
+              ? new byte[0]
+              : Record.at(ByteBuffer.wrap(bytes), (int) key.place()).result();
+      assertEquals(last.kind() == Record.Kind.RESULT, key.place() >= 0);
+      assertArrayEquals(last.result(), found);
     }
-
-    @Property(tries = 300, seed = "29421")
-    void noBytesEndAScan(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int changes) throws Exception {
-        byte[] bytes = written(new ArrayList<>(), new ArrayList<>());
-        Random random = new Random(seed);
-        for (int i = 0; i < changes; i++) {
-            int at = Segment.HEAD + random.nextInt(bytes.length - Segment.HEAD);
-            bytes[at] = (byte) random.nextInt();
-        }
-        Segment.scan(ByteBuffer.wrap(bytes), (record, at) -> assertNotNull(record.key()));
+  }
+
+  @Property(tries = 300, seed = "29421")
+  void noBytesEndAScan(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int changes)
+      throws Exception {
+    byte[] bytes = written(new ArrayList<>(), new ArrayList<>());
+    Random random = new Random(seed);
+    for (int i = 0; i < changes; i++) {
+      int at = Segment.HEAD + random.nextInt(bytes.length - Segment.HEAD);
+      bytes[at] = (byte) random.nextInt();
     }
-
-    @Example
-    void aMissingFileOrListIsDamageAndUnknownKeysStayOut() throws Exception {
-        MemoryDisk disk = new MemoryDisk();
-        try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
-            journal.open(WINDOW);
-            run(journal, "2/0/a", result(1));
-        }
-        MemoryDisk without = disk.afterKill();
-        without.lose(without.numbers().get(0));
-        MemoryDisk again = without;
-        for (int i = 0; i < 2; i++) {   // and also where the process that found it dies as well
-            MemoryDisk found = again;
-            try (Journal next = new Journal(settings(4, "group"), () -> found)) {
-                assertTrue(blind(next.open(WINDOW)));
-            }
-            again = found.afterKill();
-        }
-        MemoryDisk short1 = disk.afterKill();
-        short1.replace(short1.numbers().get(0), Arrays.copyOf(short1.bytes(short1.numbers().get(0)), 100));
-        try (Journal next = new Journal(settings(4, "group"), () -> short1)) {
-            assertTrue(blind(next.open(WINDOW)), "a file that was cut");
-        }
-        MemoryDisk unlisted = disk.afterKill();
-        unlisted.list("rubbish".getBytes());
-        try (Journal next = new Journal(settings(4, "group"), () -> unlisted)) {
-            assertTrue(blind(next.open(WINDOW)), "a list that says nothing");
-        }
+    Segment.scan(ByteBuffer.wrap(bytes), (record, at) -> assertNotNull(record.key()));
+  }
+
+  @Example
+  void aMissingFileOrListIsDamageAndUnknownKeysStayOut() throws Exception {
+    MemoryDisk disk = new MemoryDisk();
+    try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
+      journal.open(WINDOW);
+      run(journal, "2/0/a", result(1));
     }
-
-    /**
-     * The promise of the log: whatever was told to be on disk before the power went is known after it, and a result is
-     * never another one. The power goes before each operation in turn.
-     */
-    @Example
-    void afterALossOfPowerAtAnyOperationWhatWasToldIsKnown() throws Exception {
-        int operations = Integer.MAX_VALUE;
-        for (int dieAt = 1; dieAt < operations; dieAt++) {
-            MemoryDisk disk = new MemoryDisk();
-            Set<String> intended = new HashSet<>();
-            Map<String, byte[]> ended = new HashMap<>();
-            Journal journal = new Journal(settings(4, "group"), () -> disk);
-            disk.die(dieAt);
-            try {
-                journal.open(WINDOW);
-            } catch (UnusableException e) {
-                continue;   // nothing was told yet
-            }
-            for (int i = 0; i < 6; i++) {
-                String key = "2/0/k" + i;
-                Word intent = new Word();
-                if (journal.intend(keyed(key), intent) == null || intent.await() < 0) {
-                    break;
-                }
-                intended.add(key);
-                Word end = new Word();
-                journal.ended(keyed(key), result(i), end);
-                if (end.await() >= 0) {
-                    ended.put(key, result(i));
-                }
-            }
-            operations = disk.dead() ? operations : dieAt;
-            MemoryDisk left = disk.afterPowerLoss(dieAt);
-            journal.close();
-            try (Journal next = new Journal(settings(4, "group"), () -> left)) {
-                Records.Recovered recovered = next.open(WINDOW);
-                Map<String, Records.Remembered> known = byKey(recovered);
-                assertTrue(known.keySet().containsAll(intended), "power lost at " + dieAt + ": " + known.keySet());
-                assertFalse(blind(recovered), "power lost at " + dieAt);
-                for (String key : ended.keySet()) {
-                    assertArrayEquals(ended.get(key), next.read(key, known.get(key).place()));
-                }
-            }
-        }
-        assertTrue(operations > 20 && operations < 100, operations + " operations were cut");
+    MemoryDisk without = disk.afterKill();
+    without.lose(without.numbers().get(0));
+    MemoryDisk again = without;
+    for (int i = 0; i < 2; i++) { // and also where the process that found it dies as well
+      MemoryDisk found = again;
+      try (Journal next = new Journal(settings(4, "group"), () -> found)) {
+        assertTrue(blind(next.open(WINDOW)));
+      }
+      again = found.afterKill();
     }
-
-    /** The next write goes well and its sync does not: that is told, and a fresh file goes on. */
-    private static void goesOnAfter(Consumer<MemoryDisk> fault) throws Exception {
-        MemoryDisk disk = new MemoryDisk();
-        try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
-            journal.open(WINDOW);
-            run(journal, "2/0/before", result(1));
-            fault.accept(disk);
-            Word intent = new Word();
-            journal.intend(keyed("2/0/at"), intent);
-            assertEquals(-1, intent.await());
-            assertEquals(Records.Refusal.DISK_FAILED, journal.refusal());
-            assertNull(journal.intend(keyed("2/0/while"), intent), "nothing is recorded meanwhile");
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-            while (journal.refusal() != null && System.nanoTime() < until) {
-                Thread.onSpinWait();
-            }
-            assertTrue(run(journal, "2/0/after", result(2)) >= 0);
-            assertEquals(2, disk.numbers().size(), "in a fresh file");
-        }
+    MemoryDisk short1 = disk.afterKill();
+    short1.replace(
+        short1.numbers().get(0), Arrays.copyOf(short1.bytes(short1.numbers().get(0)), 100));
+    try (Journal next = new Journal(settings(4, "group"), () -> short1)) {
+      assertTrue(blind(next.open(WINDOW)), "a file that was cut");
     }
-
-    @Example
-    void aFaultOfTheDiskIsToldAndAFreshFileGoesOn() throws Exception {
-        goesOnAfter(disk -> disk.fail(2, 1));
+    MemoryDisk unlisted = disk.afterKill();
+    unlisted.list("rubbish".getBytes());
+    try (Journal next = new Journal(settings(4, "group"), () -> unlisted)) {
+      assertTrue(blind(next.open(WINDOW)), "a list that says nothing");
     }
-
-    @Example
-    void anErrorOfAnyKindIsToldAndAFreshFileGoesOn() throws Exception {
-        goesOnAfter(disk -> disk.failBadly(2, 1));
-    }
-
-    @Example
-    void aFaultInWhoIsToldEndsNoWriter() throws Exception {
-        try (Journal journal = new Journal(settings(4, "group"), MemoryDisk::new)) {
-            journal.open(WINDOW);
-            journal.intend(keyed("2/0/bad"), place -> {
-                throw new StackOverflowError("made up");
-            });
-            assertTrue(run(journal, "2/0/good", result(1)) >= 0);
+  }
+
+  /**
+   * The promise of the log: whatever was told to be on disk before the power went is known after
+   * it, and a result is never another one. The power goes before each operation in turn.
+   */
+  @Example
+  void afterALossOfPowerAtAnyOperationWhatWasToldIsKnown() throws Exception {
+    int operations = Integer.MAX_VALUE;
+    for (int dieAt = 1; dieAt < operations; dieAt++) {
+      MemoryDisk disk = new MemoryDisk();
+      Set<String> intended = new HashSet<>();
+      Map<String, byte[]> ended = new HashMap<>();
+      Journal journal = new Journal(settings(4, "group"), () -> disk);
+      disk.die(dieAt);
+      try {
+        journal.open(WINDOW);
+      } catch (UnusableException e) {
+        continue; // nothing was told yet
+      }
+      for (int i = 0; i < 6; i++) {
+        String key = "2/0/k" + i;
+        Word intent = new Word();
+        if (journal.intend(keyed(key), intent) == null || intent.await() < 0) {
+          break;
         }
-    }
-
-    @Example
-    void aStalledDiskIsSeenAndWhatWaitsCanBeTakenBack() throws Exception {
-        MemoryDisk disk = new MemoryDisk();
-        try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
-            journal.open(WINDOW);
-            disk.stall();
-            Word first = new Word();
-            Object given = journal.intend(keyed("2/0/a"), first);
-            disk.awaitStalled();
-            Object waits = journal.intend(keyed("2/0/b"), new Word());
-            while (journal.refusal() == null) {
-                Thread.onSpinWait();
-            }
-            assertEquals(Records.Refusal.DISK_STALLED, journal.refusal());
-            journal.withdraw(waits, keyed("2/0/b"));   // was never on its way
-            journal.withdraw(given, keyed("2/0/a"));   // is on disk without a run: a record says so
-            disk.wake();
-            first.await();
-            run(journal, "2/0/c", result(1));
+        intended.add(key);
+        Word end = new Word();
+        journal.ended(keyed(key), result(i), end);
+        if (end.await() >= 0) {
+          ended.put(key, result(i));
         }
-        try (Journal next = new Journal(settings(4, "group"), () -> disk.afterKill())) {
-            assertEquals(Set.of("2/0/c"), byKey(next.open(WINDOW)).keySet());
+      }
+      operations = disk.dead() ? operations : dieAt;
+      MemoryDisk left = disk.afterPowerLoss(dieAt);
+      journal.close();
+      try (Journal next = new Journal(settings(4, "group"), () -> left)) {
+        Records.Recovered recovered = next.open(WINDOW);
+        Map<String, Records.Remembered> known = byKey(recovered);
+        assertTrue(
+            known.keySet().containsAll(intended), "power lost at " + dieAt + ": " + known.keySet());
+        assertFalse(blind(recovered), "power lost at " + dieAt);
+        for (String key : ended.keySet()) {
+          assertArrayEquals(ended.get(key), next.read(key, known.get(key).place()));
         }
+      }
     }
-
-    @Example
-    void aFullStoreTakesNoIntentWhoseResultWouldNotFit() throws Exception {
-        MemoryDisk disk = new MemoryDisk();
-        Config.Durable small = settings(4, "none");
-        AtomicLong lost = new AtomicLong();
-        try (Journal journal = new Journal(small, () -> disk)) {
-            journal.open(WINDOW);
-            int taken = 0;
-            byte[] longest = new byte[4096];
-            for (int i = 0; i < 5000; i++) {
-                String key = "2/0/k" + i;
-                Word intent = new Word();
-                if (journal.intend(keyed(key), intent) == null) {
-                    assertEquals(Records.Refusal.STORE_FULL, journal.refusal());
-                    break;
-                }
-                intent.await();
-                taken++;
-                Word end = new Word();
-                journal.ended(keyed(key), longest, end);
-                lost.addAndGet(end.await() < 0 ? 1 : 0);
-            }
-            assertTrue(taken > 700 && taken < 5000, taken + " keys in 4 MB");
-            assertEquals(0, lost.get(), "every intent that was taken has its result on disk");
-            assertTrue(disk.numbers().stream().mapToLong(n -> disk.bytes(n).length).sum() <= 4 << 20, "bounded");
-            assertTrue(journal.again(Records.Refusal.STORE_FULL) > 1, "and says when it is worth while to come again");
-        }
+    assertTrue(operations > 20 && operations < 100, operations + " operations were cut");
+  }
+
+  /** The next write goes well and its sync does not: that is told, and a fresh file goes on. */
+  private static void goesOnAfter(Consumer<MemoryDisk> fault) throws Exception {
+    MemoryDisk disk = new MemoryDisk();
+    try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
+      journal.open(WINDOW);
+      run(journal, "2/0/before", result(1));
+      fault.accept(disk);
+      Word intent = new Word();
+      journal.intend(keyed("2/0/at"), intent);
+      assertEquals(-1, intent.await());
+      assertEquals(Records.Refusal.DISK_FAILED, journal.refusal());
+      assertNull(journal.intend(keyed("2/0/while"), intent), "nothing is recorded meanwhile");
+      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+      while (journal.refusal() != null && System.nanoTime() < until) {
+        Thread.onSpinWait();
+      }
+      assertTrue(run(journal, "2/0/after", result(2)) >= 0);
+      assertEquals(2, disk.numbers().size(), "in a fresh file");
     }
-
-    @Example
-    void startsOneAfterAnotherDoNotFillTheFolder() throws Exception {
-        MemoryDisk disk = new MemoryDisk();
-        for (int start = 0; start < 40; start++) {
-            MemoryDisk found = disk;
-            try (Journal journal = new Journal(settings(4, "group"), () -> found)) {
-                Map<String, Records.Remembered> known = byKey(journal.open(WINDOW));
-                assertEquals(start, known.size(), "start " + start);
-                assertNull(journal.refusal(), "start " + start);
-                for (int i = 0; i < start; i++) {
-                    Records.Remembered key = known.get("2/0/k" + i);
-                    if (i % 3 == 0) {
-                        assertEquals(-1, key.place());
-                    } else {
-                        assertArrayEquals(result(i), journal.read(key.key(), key.place()));
-                    }
-                }
-                String key = "2/0/k" + start;
-                if (start % 3 == 0) {
-                    Word intent = new Word();
-                    journal.intend(keyed(key), intent);
-                    assertTrue(intent.await() >= 0);
-                } else {
-                    assertTrue(run(journal, key, result(start)) >= 0);
-                }
-            }
-            disk = disk.afterKill();
-            assertTrue(disk.numbers().size() <= 10, disk.numbers() + " files");
+  }
+
+  @Example
+  void aFaultOfTheDiskIsToldAndAFreshFileGoesOn() throws Exception {
+    goesOnAfter(disk -> disk.fail(2, 1));
+  }
+
+  @Example
+  void anErrorOfAnyKindIsToldAndAFreshFileGoesOn() throws Exception {
+    goesOnAfter(disk -> disk.failBadly(2, 1));
+  }
+
+  @Example
+  void aFaultInWhoIsToldEndsNoWriter() throws Exception {
+    try (Journal journal = new Journal(settings(4, "group"), MemoryDisk::new)) {
+      journal.open(WINDOW);
+      journal.intend(
+          keyed("2/0/bad"),
+          place -> {
+            throw new StackOverflowError("made up");
+          });
+      assertTrue(run(journal, "2/0/good", result(1)) >= 0);
+    }
+  }
+
+  @Example
+  void aStalledDiskIsSeenAndWhatWaitsCanBeTakenBack() throws Exception {
+    MemoryDisk disk = new MemoryDisk();
+    try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
+      journal.open(WINDOW);
+      disk.stall();
+      Word first = new Word();
+      Object given = journal.intend(keyed("2/0/a"), first);
+      disk.awaitStalled();
+      Object waits = journal.intend(keyed("2/0/b"), new Word());
+      while (journal.refusal() == null) {
+        Thread.onSpinWait();
+      }
+      assertEquals(Records.Refusal.DISK_STALLED, journal.refusal());
+      journal.withdraw(waits, keyed("2/0/b")); // was never on its way
+      journal.withdraw(given, keyed("2/0/a")); // is on disk without a run: a record says so
+      disk.wake();
+      first.await();
+      run(journal, "2/0/c", result(1));
+    }
+    try (Journal next = new Journal(settings(4, "group"), () -> disk.afterKill())) {
+      assertEquals(Set.of("2/0/c"), byKey(next.open(WINDOW)).keySet());
+    }
+  }
+
+  @Example
+  void aFullStoreTakesNoIntentWhoseResultWouldNotFit() throws Exception {
+    MemoryDisk disk = new MemoryDisk();
+    Config.Durable small = settings(4, "none");
+    AtomicLong lost = new AtomicLong();
+    try (Journal journal = new Journal(small, () -> disk)) {
+      journal.open(WINDOW);
+      int taken = 0;
+      byte[] longest = new byte[4096];
+      for (int i = 0; i < 5000; i++) {
+        String key = "2/0/k" + i;
+        Word intent = new Word();
+        if (journal.intend(keyed(key), intent) == null) {
+          assertEquals(Records.Refusal.STORE_FULL, journal.refusal());
+          break;
         }
+        intent.await();
+        taken++;
+        Word end = new Word();
+        journal.ended(keyed(key), longest, end);
+        lost.addAndGet(end.await() < 0 ? 1 : 0);
+      }
+      assertTrue(taken > 700 && taken < 5000, taken + " keys in 4 MB");
+      assertEquals(0, lost.get(), "every intent that was taken has its result on disk");
+      assertTrue(
+          disk.numbers().stream().mapToLong(n -> disk.bytes(n).length).sum() <= 4 << 20, "bounded");
+      assertTrue(
+          journal.again(Records.Refusal.STORE_FULL) > 1,
+          "and says when it is worth while to come again");
     }
-
-    @Example
-    void aCompactionThatDiesAnywhereLeavesALogThatSaysTheSame() throws Exception {
-        MemoryDisk full = new MemoryDisk();
-        Map<String, byte[]> results = new HashMap<>();
-        for (int start = 0; start < 5; start++) {
-            MemoryDisk found = full;
-            try (Journal journal = new Journal(settings(4, "group"), () -> found)) {
-                journal.open(WINDOW);
-                results.put("2/0/k" + start, result(start));
-                run(journal, "2/0/k" + start, result(start));
-            }
-            full = full.afterKill();
+  }
+
+  @Example
+  void startsOneAfterAnotherDoNotFillTheFolder() throws Exception {
+    MemoryDisk disk = new MemoryDisk();
+    for (int start = 0; start < 40; start++) {
+      MemoryDisk found = disk;
+      try (Journal journal = new Journal(settings(4, "group"), () -> found)) {
+        Map<String, Records.Remembered> known = byKey(journal.open(WINDOW));
+        assertEquals(start, known.size(), "start " + start);
+        assertNull(journal.refusal(), "start " + start);
+        for (int i = 0; i < start; i++) {
+          Records.Remembered key = known.get("2/0/k" + i);
+          if (i % 3 == 0) {
+            assertEquals(-1, key.place());
+          } else {
+            assertArrayEquals(result(i), journal.read(key.key(), key.place()));
+          }
         }
-        boolean died = true;
-        for (int dieAt = 1; died; dieAt++) {
-            MemoryDisk disk = full.afterKill();
-            disk.die(dieAt);
-            try {
-                assertTrue(Compaction.run(disk, 256 * 1024, 16));
-                died = false;
-            } catch (IOException power) {
-                died = true;
-            }
-            MemoryDisk left = disk.afterPowerLoss(dieAt);
-            try (Journal next = new Journal(settings(4, "group"), () -> left)) {
-                Records.Recovered recovered = next.open(WINDOW);
-                assertFalse(blind(recovered), "died at " + dieAt);
-                Map<String, Records.Remembered> known = byKey(recovered);
-                assertEquals(results.keySet(), known.keySet());
-                for (String key : results.keySet()) {
-                    assertArrayEquals(results.get(key), next.read(key, known.get(key).place()));
-                }
-            }
-            assertTrue(died || disk.numbers().size() == 1, "one file is left of five");
+        String key = "2/0/k" + start;
+        if (start % 3 == 0) {
+          Word intent = new Word();
+          journal.intend(keyed(key), intent);
+          assertTrue(intent.await() >= 0);
+        } else {
+          assertTrue(run(journal, key, result(start)) >= 0);
         }
+      }
+      disk = disk.afterKill();
+      assertTrue(disk.numbers().size() <= 10, disk.numbers() + " files");
     }
-
-    @Example
-    void oldFilesGoAndTheirRoomComesBack() {
-        Room room = new Room(4 << 20);
-        room.add(1, Segment.HEAD, 0);
-        for (int i = 0; room.promise(200); i++) {
-            room.settle(200);
-            if (room.full(5000)) {
-                room.add(room.current() + 1, Segment.HEAD, Double.NEGATIVE_INFINITY);
-            }
-            room.put(5000, 30 + i * 0.01);
+  }
+
+  @Example
+  void aCompactionThatDiesAnywhereLeavesALogThatSaysTheSame() throws Exception {
+    MemoryDisk full = new MemoryDisk();
+    Map<String, byte[]> results = new HashMap<>();
+    for (int start = 0; start < 5; start++) {
+      MemoryDisk found = full;
+      try (Journal journal = new Journal(settings(4, "group"), () -> found)) {
+        journal.open(WINDOW);
+        results.put("2/0/k" + start, result(start));
+        run(journal, "2/0/k" + start, result(start));
+      }
+      full = full.afterKill();
+    }
+    boolean died = true;
+    for (int dieAt = 1; died; dieAt++) {
+      MemoryDisk disk = full.afterKill();
+      disk.die(dieAt);
+      try {
+        assertTrue(Compaction.run(disk, 256 * 1024, 16));
+        died = false;
+      } catch (IOException power) {
+        died = true;
+      }
+      MemoryDisk left = disk.afterPowerLoss(dieAt);
+      try (Journal next = new Journal(settings(4, "group"), () -> left)) {
+        Records.Recovered recovered = next.open(WINDOW);
+        assertFalse(blind(recovered), "died at " + dieAt);
+        Map<String, Records.Remembered> known = byKey(recovered);
+        assertEquals(results.keySet(), known.keySet());
+        for (String key : results.keySet()) {
+          assertArrayEquals(results.get(key), next.read(key, known.get(key).place()));
         }
-        assertEquals(16, room.segments());
-        assertEquals(-1, room.over(29));
-        assertEquals(1, room.over(60));
-        room.drop();
-        assertTrue(room.promise(200), "whole files come back");
-        assertEquals(2, room.over(1000), "the one that is written stays");
+      }
+      assertTrue(died || disk.numbers().size() == 1, "one file is left of five");
     }
-
-    @Example
-    void recordsOfAnEarlierBootOrOfACrashLoopAreAgedByTheSteadyClock() {
-        long now = 1_000_000;
-        Recovery recovery = new Recovery(System.currentTimeMillis(), now);
-        Record old = new Record(Record.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/old", new byte[1]);
-        Record young = new Record(Record.Kind.RESULT, true, 1, 0, now - 29_000, 1, 20_000, 5, "2/0/young", new byte[1]);
-        Record before = new Record(Record.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/boot", new byte[1]);
-        recovery.take(old, 1, true);
-        recovery.take(young, 2, true);
-        recovery.take(before, 3, false);
-        Set<String> keys = new HashSet<>();
-        recovery.keys().forEach(known -> {
-            keys.add(known.key());
-            assertTrue(known.lastDoor() >= System.currentTimeMillis() + 19_000, "stamps are of a clock that may step");
-        });
-        assertEquals(Set.of("2/0/young", "2/0/boot"), keys);
+  }
+
+  @Example
+  void oldFilesGoAndTheirRoomComesBack() {
+    Room room = new Room(4 << 20);
+    room.add(1, Segment.HEAD, 0);
+    for (int i = 0; room.promise(200); i++) {
+      room.settle(200);
+      if (room.full(5000)) {
+        room.add(room.current() + 1, Segment.HEAD, Double.NEGATIVE_INFINITY);
+      }
+      room.put(5000, 30 + i * 0.01);
     }
+    assertEquals(16, room.segments());
+    assertEquals(-1, room.over(29));
+    assertEquals(1, room.over(60));
+    room.drop();
+    assertTrue(room.promise(200), "whole files come back");
+    assertEquals(2, room.over(1000), "the one that is written stays");
+  }
+
+  @Example
+  void recordsOfAnEarlierBootOrOfACrashLoopAreAgedByTheSteadyClock() {
+    long now = 1_000_000;
+    Recovery recovery = new Recovery(System.currentTimeMillis(), now);
+    Record old =
+        new Record(
+            Record.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/old", new byte[1]);
+    Record young =
+        new Record(
+            Record.Kind.RESULT, true, 1, 0, now - 29_000, 1, 20_000, 5, "2/0/young", new byte[1]);
+    Record before =
+        new Record(
+            Record.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/boot", new byte[1]);
+    recovery.take(old, 1, true);
+    recovery.take(young, 2, true);
+    recovery.take(before, 3, false);
+    Set<String> keys = new HashSet<>();
+    recovery
+        .keys()
+        .forEach(
+            known -> {
+              keys.add(known.key());
+              assertTrue(
+                  known.lastDoor() >= System.currentTimeMillis() + 19_000,
+                  "stamps are of a clock that may step");
+            });
+    assertEquals(Set.of("2/0/young", "2/0/boot"), keys);
+  }
 }
--- a/src/test/java/wharftrestle/durable/ResultsFolderTest.java
+++ b/src/test/java/wharftrestle/durable/ResultsFolderTest.java
@@ -25,102 +25,114 @@
 
 /** What operators see of a folder that no daemon has. */
 class ResultsFolderTest {
-    private static final byte[] RESULT = {'s', 'a', 'v', 'e', 'd', 0, (byte) 200};
+  private static final byte[] RESULT = {'s', 'a', 'v', 'e', 'd', 0, (byte) 200};
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private interface Act {
-        Object on(ResultsFolder results, PrintStream out) throws IOException;
-    }
+  private interface Act {
+    Object on(ResultsFolder results, PrintStream out) throws IOException;
+  }
 
-    private Object answer;
+  private Object answer;
 
-    private String said(Act act) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (ResultsFolder results = new ResultsFolder(folder)) {
-            answer = act.on(results, new PrintStream(bytes, true));
-        }
-        return bytes.toString();
+  private String said(Act act) throws IOException {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    try (ResultsFolder results = new ResultsFolder(folder)) {
+      answer = act.on(results, new PrintStream(bytes, true));
     }
+    return bytes.toString();
+  }
 
-    private Config.Durable settings() {
-        return new Config.Durable(folder, 4 << 20, 100, 1 << 20, 0.3, "group");
-    }
+  private Config.Durable settings() {
+    return new Config.Durable(folder, 4 << 20, 100, 1 << 20, 0.3, "group");
+  }
 
-    private static Records.Keyed keyed(String key) {
-        return new Records.Keyed(key, System.currentTimeMillis() + 20_000, 20, 5);
-    }
+  private static Records.Keyed keyed(String key) {
+    return new Records.Keyed(key, System.currentTimeMillis() + 20_000, 20, 5);
+  }
 
-    @BeforeEach
-    void threeKeysOverThreeStarts() throws Exception {
-        for (String key : new String[] {"2/0/first", "2/0/second", "2/1/third"}) {
-            try (Journal journal = new Journal(settings())) {
-                journal.open(20);
-                CountDownLatch written = new CountDownLatch(1);
-                journal.intend(keyed(key), place -> written.countDown());
-                written.await();
-                assertThrows(UnusableException.class, () -> new ResultsFolder(folder), "a daemon has it");
-                if (!key.contains("third")) {
-                    CountDownLatch ended = new CountDownLatch(1);
-                    journal.ended(keyed(key), RESULT, place -> ended.countDown());
-                    ended.await();
-                }
-            }
+  @BeforeEach
+  void threeKeysOverThreeStarts() throws Exception {
+    for (String key : new String[] {"2/0/first", "2/0/second", "2/1/third"}) {
+      try (Journal journal = new Journal(settings())) {
+        journal.open(20);
+        CountDownLatch written = new CountDownLatch(1);
+        journal.intend(keyed(key), place -> written.countDown());
+        written.await();
+        assertThrows(UnusableException.class, () -> new ResultsFolder(folder), "a daemon has it");
+        if (!key.contains("third")) {
+          CountDownLatch ended = new CountDownLatch(1);
+          journal.ended(keyed(key), RESULT, place -> ended.countDown());
+          ended.await();
         }
+      }
     }
+  }
 
-    @Test
-    void keysAreListedShownAndExported() throws Exception {
-        List<String> lines = said((results, out) -> {
-            results.list(out, false);
-            return null;
-        }).lines().toList();
-        assertEquals(5, lines.size());
-        assertTrue(lines.get(1).startsWith("known") && lines.get(1).endsWith("2/0/first"), lines.get(1));
-        assertTrue(lines.get(3).startsWith("unknown") && lines.get(3).endsWith("2/1/third"), lines.get(3));
-        String shown = said((results, out) -> results.show(out, "second"));
-        assertTrue((boolean) answer && shown.contains("key       2/0/second") && shown.contains("7 bytes"), shown);
-        said((results, out) -> results.show(out, "fourth"));
-        assertFalse((boolean) answer);
-        List<String> exported = said((results, out) -> {
-            results.export(out);
-            return null;
-        }).lines().toList();
-        JsonNode first = new ObjectMapper().readTree(exported.get(0));
-        assertArrayEquals(RESULT, Base64.getDecoder().decode(first.get("result_base64").asText()));
-        assertEquals("unknown", new ObjectMapper().readTree(exported.get(2)).get("state").asText());
-    }
+  @Test
+  void keysAreListedShownAndExported() throws Exception {
+    List<String> lines =
+        said((results, out) -> {
+              results.list(out, false);
+              return null;
+            })
+            .lines()
+            .toList();
+    assertEquals(5, lines.size());
+    assertTrue(
+        lines.get(1).startsWith("known") && lines.get(1).endsWith("2/0/first"), lines.get(1));
+    assertTrue(
+        lines.get(3).startsWith("unknown") && lines.get(3).endsWith("2/1/third"), lines.get(3));
+    String shown = said((results, out) -> results.show(out, "second"));
+    assertTrue(
+        (boolean) answer && shown.contains("key       2/0/second") && shown.contains("7 bytes"),
+        shown);
+    said((results, out) -> results.show(out, "fourth"));
+    assertFalse((boolean) answer);
+    List<String> exported =
+        said((results, out) -> {
+              results.export(out);
+              return null;
+            })
+            .lines()
+            .toList();
+    JsonNode first = new ObjectMapper().readTree(exported.get(0));
+    assertArrayEquals(RESULT, Base64.getDecoder().decode(first.get("result_base64").asText()));
+    assertEquals("unknown", new ObjectMapper().readTree(exported.get(2)).get("state").asText());
+  }
 
-    @Test
-    void aCompactedFolderSaysTheSame() throws Exception {
-        assertTrue(said((results, out) -> results.compact(out)).startsWith("1 files, 256 kB; before: 3 files, 768 kB"));
-        assertTrue((boolean) answer);
-        said((results, out) -> results.compact(out));
-        assertFalse((boolean) answer, "nothing more to gain");
-        try (Journal next = new Journal(settings())) {
-            Records.Recovered recovered = next.open(20);
-            assertEquals(3, recovered.keys().size());
-            assertArrayEquals(RESULT, next.read("2/0/first", recovered.keys().get(0).place()));
-        }
+  @Test
+  void aCompactedFolderSaysTheSame() throws Exception {
+    assertTrue(
+        said((results, out) -> results.compact(out))
+            .startsWith("1 files, 256 kB; before: 3 files, 768 kB"));
+    assertTrue((boolean) answer);
+    said((results, out) -> results.compact(out));
+    assertFalse((boolean) answer, "nothing more to gain");
+    try (Journal next = new Journal(settings())) {
+      Records.Recovered recovered = next.open(20);
+      assertEquals(3, recovered.keys().size());
+      assertArrayEquals(RESULT, next.read("2/0/first", recovered.keys().get(0).place()));
     }
+  }
 
-    @Test
-    void damageIsFoundAndNotCompactedAway() throws Exception {
-        String whole = said((results, out) -> results.verify(out));
-        assertTrue((boolean) answer && whole.endsWith("whole\n"), whole);
-        Path first;
-        try (Stream<Path> all = Files.list(folder)) {
-            first = all.filter(file -> file.toString().endsWith(".log")).sorted().findFirst().orElseThrow();
-        }
-        byte[] bytes = Files.readAllBytes(first);
-        bytes[Segment.HEAD + 20] ^= 1;
-        Files.write(first, bytes);
-        String hurt = said((results, out) -> results.verify(out));
-        assertTrue(!(boolean) answer && hurt.contains("DAMAGED"), hurt);
-        assertThrows(UnusableException.class, () -> said((results, out) -> results.compact(out)));
-        Files.delete(first);
-        assertTrue(said((results, out) -> results.verify(out)).contains("missing"));
-        assertThrows(UnusableException.class, () -> new ResultsFolder(folder.resolve("none")));
+  @Test
+  void damageIsFoundAndNotCompactedAway() throws Exception {
+    String whole = said((results, out) -> results.verify(out));
+    assertTrue((boolean) answer && whole.endsWith("whole\n"), whole);
+    Path first;
+    try (Stream<Path> all = Files.list(folder)) {
+      first =
+          all.filter(file -> file.toString().endsWith(".log")).sorted().findFirst().orElseThrow();
     }
+    byte[] bytes = Files.readAllBytes(first);
+    bytes[Segment.HEAD + 20] ^= 1;
+    Files.write(first, bytes);
+    String hurt = said((results, out) -> results.verify(out));
+    assertTrue(!(boolean) answer && hurt.contains("DAMAGED"), hurt);
+    assertThrows(UnusableException.class, () -> said((results, out) -> results.compact(out)));
+    Files.delete(first);
+    assertTrue(said((results, out) -> results.verify(out)).contains("missing"));
+    assertThrows(UnusableException.class, () -> new ResultsFolder(folder.resolve("none")));
+  }
 }
--- a/src/test/java/wharftrestle/fleet/JudgeTest.java
+++ b/src/test/java/wharftrestle/fleet/JudgeTest.java
@@ -11,139 +11,161 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import wharftrestle.fleet.Judge.Word;
+import wharftrestle.lab.virtual.RollPlay;
 import wharftrestle.lab.virtual.RollPlay.Judging;
 import wharftrestle.lab.virtual.RollPlay.Release;
 import wharftrestle.lab.virtual.RollPlay.Trouble;
-import wharftrestle.lab.virtual.RollPlay;
 
 /** What the judge says, of made-up windows and of whole rolls in virtual time. */
 class JudgeTest {
-    private static final int BOXES = 6;
-    private final SplittableRandom random = new SplittableRandom(5);
-    private final Judge judge = new Judge(Map.of(Measure.WORTH, 0.03, Measure.FAILED, 0.03), List.of("save"), 2, 0.05);
+  private static final int BOXES = 6;
+  private final SplittableRandom random = new SplittableRandom(5);
+  private final Judge judge =
+      new Judge(Map.of(Measure.WORTH, 0.03, Measure.FAILED, 0.03), List.of("save"), 2, 0.05);
 
-    /** So many of 200 requests of each box fail; the first {@code changed} boxes have the new release. */
-    private void windows(int many, int changed, double oldFails, double newFails, double firstBoxMore) {
-        for (int w = 0; w < many; w++) {
-            List<Sample> all = new ArrayList<>();
-            for (int b = 0; b < BOXES; b++) {
-                double part = (b < changed ? newFails : oldFails) + (b == 0 ? firstBoxMore : 0);
-                long failed = 0;
-                for (int i = 0; i < 200; i++) {
-                    failed += random.nextDouble() < part ? 1 : 0;
-                }
-                all.add(new Sample("b" + b, "z" + b % 2, b < changed, true, List.of(new Sample.Counts("save", 200,
-                        200 - failed, 0, 0, failed, 1, 0.2)), 0, 0, 1, 50, 0));
-            }
-            judge.window(all);
+  /**
+   * So many of 200 requests of each box fail; the first {@code changed} boxes have the new release.
+   */
+  private void windows(
+      int many, int changed, double oldFails, double newFails, double firstBoxMore) {
+    for (int w = 0; w < many; w++) {
+      List<Sample> all = new ArrayList<>();
+      for (int b = 0; b < BOXES; b++) {
+        double part = (b < changed ? newFails : oldFails) + (b == 0 ? firstBoxMore : 0);
+        long failed = 0;
+        for (int i = 0; i < 200; i++) {
+          failed += random.nextDouble() < part ? 1 : 0;
         }
+        all.add(
+            new Sample(
+                "b" + b,
+                "z" + b % 2,
+                b < changed,
+                true,
+                List.of(new Sample.Counts("save", 200, 200 - failed, 0, 0, failed, 1, 0.2)),
+                0,
+                0,
+                1,
+                50,
+                0));
+      }
+      judge.window(all);
     }
+  }
 
-    @Test
-    void nothingIsSaidBeforeAnythingWasSeen() {
-        windows(20, 0, 0.02, 0, 0);
-        judge.stage();
-        assertEquals(Word.CANNOT_TELL, judge.verdict().word());
-        windows(2, 1, 0.02, 0.02, 0);
-        assertEquals(Word.CANNOT_TELL, judge.verdict().word());
-    }
+  @Test
+  void nothingIsSaidBeforeAnythingWasSeen() {
+    windows(20, 0, 0.02, 0, 0);
+    judge.stage();
+    assertEquals(Word.CANNOT_TELL, judge.verdict().word());
+    windows(2, 1, 0.02, 0.02, 0);
+    assertEquals(Word.CANNOT_TELL, judge.verdict().word());
+  }
 
-    @Test
-    void theSameIsSaidOnceItIsSureAndWorseWhereItIs() {
-        windows(20, 0, 0.02, 0, 0);
-        judge.stage();
-        windows(40, 1, 0.02, 0.02, 0);
-        assertEquals(Word.SAME, judge.verdict().word(), judge.verdict().why());
-        judge.stage();
-        windows(60, 2, 0.02, 0.07, 0);
-        assertEquals(Word.WORSE, judge.verdict().word(), "in the second stage alone: " + judge.verdict().why());
-        assertTrue(judge.verdict().why().contains("beyond the old release, surely from"), judge.verdict().why());
-    }
+  @Test
+  void theSameIsSaidOnceItIsSureAndWorseWhereItIs() {
+    windows(20, 0, 0.02, 0, 0);
+    judge.stage();
+    windows(40, 1, 0.02, 0.02, 0);
+    assertEquals(Word.SAME, judge.verdict().word(), judge.verdict().why());
+    judge.stage();
+    windows(60, 2, 0.02, 0.07, 0);
+    assertEquals(
+        Word.WORSE, judge.verdict().word(), "in the second stage alone: " + judge.verdict().why());
+    assertTrue(
+        judge.verdict().why().contains("beyond the old release, surely from"),
+        judge.verdict().why());
+  }
 
-    @Test
-    void aBoxThatIsWorseInAnyCaseIsNoFaultOfTheRelease() {
-        windows(150, 0, 0.02, 0, 0.2);
-        judge.stage();
-        windows(150, 1, 0.02, 0.02, 0.2);
-        assertEquals(Word.SAME, judge.verdict().word(), judge.verdict().why());
-    }
+  @Test
+  void aBoxThatIsWorseInAnyCaseIsNoFaultOfTheRelease() {
+    windows(150, 0, 0.02, 0, 0.2);
+    judge.stage();
+    windows(150, 1, 0.02, 0.02, 0.2);
+    assertEquals(Word.SAME, judge.verdict().word(), judge.verdict().why());
+  }
 
-    @Test
-    void aDriverThatFollowsNeverSawWhatIsUsualOfAChangedBoxAndTakesWhatBoxesDifferBy() {
-        judge.stage();
-        windows(60, 1, 0.02, 0.02, 0);
-        assertEquals(Word.SAME, judge.verdict().word(), judge.verdict().why());
-        judge.stage();
-        windows(80, 1, 0.02, 0.1, 0);
-        assertEquals(Word.WORSE, judge.verdict().word(), judge.verdict().why());
-    }
+  @Test
+  void aDriverThatFollowsNeverSawWhatIsUsualOfAChangedBoxAndTakesWhatBoxesDifferBy() {
+    judge.stage();
+    windows(60, 1, 0.02, 0.02, 0);
+    assertEquals(Word.SAME, judge.verdict().word(), judge.verdict().why());
+    judge.stage();
+    windows(80, 1, 0.02, 0.1, 0);
+    assertEquals(Word.WORSE, judge.verdict().word(), judge.verdict().why());
+  }
 
-    @Test
-    void aBoxThatTakesItBackByItselfTwiceSaysEnough() {
-        judge.takenBack("b1", "it died in its probation");
-        judge.takenBack("b2", "it died in its probation");
-        assertEquals(Word.CANNOT_TELL, judge.verdict().word(), judge.verdict().why());
-        judge.takenBack("b1", "30% failed, 1% before");
-        assertEquals("b1 took it back by itself 2 times: 30% failed, 1% before", judge.verdict().why());
-    }
+  @Test
+  void aBoxThatTakesItBackByItselfTwiceSaysEnough() {
+    judge.takenBack("b1", "it died in its probation");
+    judge.takenBack("b2", "it died in its probation");
+    assertEquals(Word.CANNOT_TELL, judge.verdict().word(), judge.verdict().why());
+    judge.takenBack("b1", "30% failed, 1% before");
+    assertEquals("b1 took it back by itself 2 times: 30% failed, 1% before", judge.verdict().why());
+  }
 
-    @Test
-    void twoDeathsAtOneBoxAreALoopAndDeathsOfAllBoxesAreNone() {
-        judge.stage();
-        windows(10, 3, 0.02, 0.02, 0);
-        judge.died("b0", true);
-        judge.died("b1", true);
-        judge.died("b4", false);
-        judge.died("b2", true);
-        judge.died("b5", false);
-        assertEquals(Word.CANNOT_TELL, judge.verdict().word(), judge.verdict().why());
-        judge.died("b1", true);
-        assertEquals("the new release died 2 times at b1", judge.verdict().why());
-        assertEquals(Word.WORSE, judge.verdict().word());
-    }
+  @Test
+  void twoDeathsAtOneBoxAreALoopAndDeathsOfAllBoxesAreNone() {
+    judge.stage();
+    windows(10, 3, 0.02, 0.02, 0);
+    judge.died("b0", true);
+    judge.died("b1", true);
+    judge.died("b4", false);
+    judge.died("b2", true);
+    judge.died("b5", false);
+    assertEquals(Word.CANNOT_TELL, judge.verdict().word(), judge.verdict().why());
+    judge.died("b1", true);
+    assertEquals("the new release died 2 times at b1", judge.verdict().why());
+    assertEquals(Word.WORSE, judge.verdict().word());
+  }
 
-    @Test
-    void deathsOfTheNewReleaseAloneAreNoAccident() {
-        windows(10, 1, 0.02, 0.02, 0);
-        for (int i = 0; i < 5; i++) {
-            judge.died("b" + i, true);
-        }
-        assertEquals(Word.WORSE, judge.verdict().word());
+  @Test
+  void deathsOfTheNewReleaseAloneAreNoAccident() {
+    windows(10, 1, 0.02, 0.02, 0);
+    for (int i = 0; i < 5; i++) {
+      judge.died("b" + i, true);
     }
+    assertEquals(Word.WORSE, judge.verdict().word());
+  }
 
-    /** The bounds hold at every moment: a walk of no drift leaves them in no more walks than the error allows. */
-    @ParameterizedTest
-    @ValueSource(doubles = {0, 0.6})
-    void theBoundsHoldAtEveryMoment(double tied) {
-        int left = 0;
-        for (int walk = 0; walk < 1000; walk++) {
-            Drift drift = new Drift();
-            double noise = 0;
-            boolean out = false;
-            for (int i = 0; i < 300; i++) {
-                noise = tied * noise + gauss() * Math.sqrt(1 - tied * tied);
-                drift.add(noise);
-                out |= drift.mean() - drift.width(0.025) > 0;
-            }
-            left += out ? 1 : 0;
-        }
-        // The variance is estimated, from eight values on: so the error is kept to within a factor where values are tied.
-        assertTrue(left < (tied == 0 ? 25 : 90), left + " of 1000 walks");
+  /**
+   * The bounds hold at every moment: a walk of no drift leaves them in no more walks than the error
+   * allows.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {0, 0.6})
+  void theBoundsHoldAtEveryMoment(double tied) {
+    int left = 0;
+    for (int walk = 0; walk < 1000; walk++) {
+      Drift drift = new Drift();
+      double noise = 0;
+      boolean out = false;
+      for (int i = 0; i < 300; i++) {
+        noise = tied * noise + gauss() * Math.sqrt(1 - tied * tied);
+        drift.add(noise);
+        out |= drift.mean() - drift.width(0.025) > 0;
+      }
+      left += out ? 1 : 0;
     }
+    // The variance is estimated, from eight values on: so the error is kept to within a factor
+    // where values are tied.
+    assertTrue(left < (tied == 0 ? 25 : 90), left + " of 1000 walks");
+  }
 
-    private double gauss() {
-        return Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
-    }
+  private double gauss() {
+    return Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
+        * Math.cos(2 * Math.PI * random.nextDouble());
+  }
 
-    @Test
-    void rollsInVirtualTimeGoThroughOrAreStoppedAndTheSameSeedIsTheSamePlay() {
-        RollPlay.Result good = RollPlay.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3);
-        assertEquals(Roll.State.DONE, good.state(), good.why());
-        assertEquals(good, RollPlay.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3));
-        RollPlay.Result bad = RollPlay.play(Release.LOSES_10, Trouble.NONE, Judging.SEQUENTIAL, 3);
-        assertEquals(Roll.State.UNDONE, bad.state(), bad.why());
-        assertEquals(1, bad.most(), "stopped at the first box");
-        RollPlay.Result slow = RollPlay.play(Release.GOOD, Trouble.SLOW_MACHINE, Judging.PLAIN, 3);
-        assertTrue(slow.stopped(), "a plain comparison takes a slow machine for a bad release");
-    }
+  @Test
+  void rollsInVirtualTimeGoThroughOrAreStoppedAndTheSameSeedIsTheSamePlay() {
+    RollPlay.Result good = RollPlay.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3);
+    assertEquals(Roll.State.DONE, good.state(), good.why());
+    assertEquals(good, RollPlay.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3));
+    RollPlay.Result bad = RollPlay.play(Release.LOSES_10, Trouble.NONE, Judging.SEQUENTIAL, 3);
+    assertEquals(Roll.State.UNDONE, bad.state(), bad.why());
+    assertEquals(1, bad.most(), "stopped at the first box");
+    RollPlay.Result slow = RollPlay.play(Release.GOOD, Trouble.SLOW_MACHINE, Judging.PLAIN, 3);
+    assertTrue(slow.stopped(), "a plain comparison takes a slow machine for a bad release");
+  }
 }
