--- a/src/test/java/wharftrestle/fleet/PlanTest.java
+++ b/src/test/java/wharftrestle/fleet/PlanTest.java
@@ -16,69 +16,114 @@
 
 /** Which box goes when, and who may be away together. */
 class PlanTest {
-    static Plan plan(List<Plan.Box> boxes, int mostAway, Plan.Stage... stages) {
-        return new Plan("new", boxes, List.of(stages), Map.of(Measure.WORTH, 0.03), 0.05, mostAway, 2, 10, 60,
-                Plan.WhenCut.HOLD, Plan.WhenWorse.BACK);
-    }
+  static Plan plan(List<Plan.Box> boxes, int mostAway, Plan.Stage... stages) {
+    return new Plan(
+        "new",
+        boxes,
+        List.of(stages),
+        Map.of(Measure.WORTH, 0.03),
+        0.05,
+        mostAway,
+        2,
+        10,
+        60,
+        Plan.WhenCut.HOLD,
+        Plan.WhenWorse.BACK);
+  }
 
-    static Plan.Box box(String name, String zone, String... tenants) {
-        return new Plan.Box(name, zone, "127.0.0.1:1", List.of(tenants));
-    }
+  static Plan.Box box(String name, String zone, String... tenants) {
+    return new Plan.Box(name, zone, "127.0.0.1:1", List.of(tenants));
+  }
 
-    private static List<String> names(Plan plan) {
-        return plan.order().turns().stream().map(turn -> turn.stage() + "." + turn.round() + " " + turn.box().name())
-                .toList();
-    }
+  private static List<String> names(Plan plan) {
+    return plan.order().turns().stream()
+        .map(turn -> turn.stage() + "." + turn.round() + " " + turn.box().name())
+        .toList();
+  }
 
-    @Test
-    void stagesGoOnFromEachOtherAndSpreadOverZones() {
-        Plan plan = plan(List.of(box("a1", "a"), box("a2", "a"), box("b1", "b"), box("b2", "b")), 2,
-                new Plan.Stage(1, 0, false, 1), new Plan.Stage(0, 0.5, true, 1), new Plan.Stage(0, 1, true, 1));
-        assertEquals(List.of("0.0 a1", "1.0 b1", "2.0 a2", "2.0 b2"), names(plan));
-        assertEquals(List.of(), plan.order().unmet());
-    }
+  @Test
+  void stagesGoOnFromEachOtherAndSpreadOverZones() {
+    Plan plan =
+        plan(
+            List.of(box("a1", "a"), box("a2", "a"), box("b1", "b"), box("b2", "b")),
+            2,
+            new Plan.Stage(1, 0, false, 1),
+            new Plan.Stage(0, 0.5, true, 1),
+            new Plan.Stage(0, 1, true, 1));
+    assertEquals(List.of("0.0 a1", "1.0 b1", "2.0 a2", "2.0 b2"), names(plan));
+    assertEquals(List.of(), plan.order().unmet());
+  }
 
-    @Test
-    void twoOfASmallZoneNeverGoTogether() {
-        Plan plan = plan(List.of(box("a1", "a"), box("a2", "a"), box("b1", "b")), 2, new Plan.Stage(0, 1, false, 1));
-        assertEquals(List.of("0.0 a1", "0.0 b1", "0.1 a2"), names(plan));
-    }
+  @Test
+  void twoOfASmallZoneNeverGoTogether() {
+    Plan plan =
+        plan(
+            List.of(box("a1", "a"), box("a2", "a"), box("b1", "b")),
+            2,
+            new Plan.Stage(0, 1, false, 1));
+    assertEquals(List.of("0.0 a1", "0.0 b1", "0.1 a2"), names(plan));
+  }
 
-    @Test
-    void theLastOwnerOfATenantStaysAsItIsAndThePlanSaysSo() {
-        Plan plan = plan(List.of(box("a", "", "alone"), box("b", "", "both"), box("c", "", "both")), 2,
-                new Plan.Stage(0, 1, false, 1));
-        assertEquals(List.of("0.0 b", "0.1 c"), names(plan), "and the two owners of one tenant go one after the other");
-        assertEquals(List.of("a stays as it is: no other box owns alone", "stage 1 reaches 2 of 3 boxes"),
-                plan.order().unmet());
-    }
+  @Test
+  void theLastOwnerOfATenantStaysAsItIsAndThePlanSaysSo() {
+    Plan plan =
+        plan(
+            List.of(box("a", "", "alone"), box("b", "", "both"), box("c", "", "both")),
+            2,
+            new Plan.Stage(0, 1, false, 1));
+    assertEquals(
+        List.of("0.0 b", "0.1 c"),
+        names(plan),
+        "and the two owners of one tenant go one after the other");
+    assertEquals(
+        List.of("a stays as it is: no other box owns alone", "stage 1 reaches 2 of 3 boxes"),
+        plan.order().unmet());
+  }
 
-    /** Whatever the fleet, every round keeps the rules, and every box that may go goes once. */
-    @Property(tries = 500)
-    void everyRoundKeepsTheRules(@ForAll @Size(min = 1, max = 24) List<@IntRange(max = 4) Integer> zones,
-            @ForAll @IntRange(min = 1, max = 5) int mostAway, @ForAll @IntRange(max = 3) int tenants,
-            @ForAll boolean spread) {
-        List<Plan.Box> boxes = new ArrayList<>();
-        for (int i = 0; i < zones.size(); i++) {
-            boxes.add(box("b" + i, zones.get(i) == 0 ? "" : "z" + zones.get(i),
-                    tenants == 0 ? new String[0] : new String[] {"t" + i % tenants}));
-        }
-        Plan plan = plan(boxes, mostAway, new Plan.Stage(1, 0, spread, 1), new Plan.Stage(0, 0.3, spread, 1),
-                new Plan.Stage(0, 1, spread, 1));
-        Plan.Order order = plan.order();
-        assertEquals(plan.movable(), order.turns().stream().map(turn -> turn.box().name()).distinct().count());
-        assertEquals(plan.movable(), order.turns().size());
-        Map<String, List<Plan.Turn>> rounds = order.turns().stream().collect(Collectors.groupingBy(
-                turn -> turn.stage() + "." + turn.round()));
-        for (List<Plan.Turn> round : rounds.values()) {
-            assertTrue(round.size() <= mostAway);
-            for (Plan.Turn turn : round) {
-                Set<String> others = round.stream().filter(each -> each != turn).map(each -> each.box().name())
-                        .collect(Collectors.toSet());
-                assertTrue(others.size() >= mostAway || plan.against(turn.box(), others).isEmpty()
-                        || others.size() + 1 <= mostAway && plan.against(turn.box(), others).contains("which is the most"),
-                        turn.box().name() + ": " + plan.against(turn.box(), others));
-            }
-        }
+  /** Whatever the fleet, every round keeps the rules, and every box that may go goes once. */
+  @Property(tries = 500)
+  void everyRoundKeepsTheRules(
+      @ForAll @Size(min = 1, max = 24) List<@IntRange(max = 4) Integer> zones,
+      @ForAll @IntRange(min = 1, max = 5) int mostAway,
+      @ForAll @IntRange(max = 3) int tenants,
+      @ForAll boolean spread) {
+    List<Plan.Box> boxes = new ArrayList<>();
+    for (int i = 0; i < zones.size(); i++) {
+      boxes.add(
+          box(
+              "b" + i,
+              zones.get(i) == 0 ? "" : "z" + zones.get(i),
+              tenants == 0 ? new String[0] : new String[] {"t" + i % tenants}));
+    }
+    Plan plan =
+        plan(
+            boxes,
+            mostAway,
+            new Plan.Stage(1, 0, spread, 1),
+            new Plan.Stage(0, 0.3, spread, 1),
+            new Plan.Stage(0, 1, spread, 1));
+    Plan.Order order = plan.order();
+    assertEquals(
+        plan.movable(), order.turns().stream().map(turn -> turn.box().name()).distinct().count());
+    assertEquals(plan.movable(), order.turns().size());
+    Map<String, List<Plan.Turn>> rounds =
+        order.turns().stream()
+            .collect(Collectors.groupingBy(turn -> turn.stage() + "." + turn.round()));
+    for (List<Plan.Turn> round : rounds.values()) {
+      assertTrue(round.size() <= mostAway);
+      for (Plan.Turn turn : round) {
+        Set<String> others =
+            round.stream()
+                .filter(each -> each != turn)
+                .map(each -> each.box().name())
+                .collect(Collectors.toSet());
+        assertTrue(
+            others.size() >= mostAway
+                || plan.against(turn.box(), others).isEmpty()
+                || others.size() + 1 <= mostAway
+                    && plan.against(turn.box(), others).contains("which is the most"),
+            turn.box().name() + ": " + plan.against(turn.box(), others));
+      }
     }
+  }
 }
--- a/src/test/java/wharftrestle/fleet/RollTest.java
+++ b/src/test/java/wharftrestle/fleet/RollTest.java
@@ -20,264 +20,294 @@
 
 /** What a roll does next, told event by event in made-up time over made-up keepers. */
 class RollTest {
-    private static final Verdict SAME = new Verdict(Word.SAME, "all the same");
-    private static final Verdict WORSE = new Verdict(Word.WORSE, "it loses");
-    private static final Verdict OPEN = new Verdict(Word.CANNOT_TELL, "too little was seen");
+  private static final Verdict SAME = new Verdict(Word.SAME, "all the same");
+  private static final Verdict WORSE = new Verdict(Word.WORSE, "it loses");
+  private static final Verdict OPEN = new Verdict(Word.CANNOT_TELL, "too little was seen");
 
-    /** A keeper and its daemon, as far as a roll sees them. */
-    private static final class Box {
-        private String acts = "old";
-        private String target = "";
-        private int attempt;
-        private String failed = "";
-        private double until = Double.NEGATIVE_INFINITY;
-        private boolean contact = true;
+  /** A keeper and its daemon, as far as a roll sees them. */
+  private static final class Box {
+    private String acts = "old";
+    private String target = "";
+    private int attempt;
+    private String failed = "";
+    private double until = Double.NEGATIVE_INFINITY;
+    private boolean contact = true;
 
-        boolean changing(double now) {
-            return now < until;
-        }
+    boolean changing(double now) {
+      return now < until;
     }
+  }
 
-    private static final class World {
-        private final Plan plan;
-        private final Map<String, Box> boxes = new LinkedHashMap<>();
-        private final Set<String> toldInEpoch = new HashSet<>();
-        private Roll roll;
-        private double now;
-        private int epochs = 1;
-        private boolean loses;       // orders on their way
-        private boolean fails;       // the next change
-        private final List<String> entered = new ArrayList<>();
-        private final Map<String, Integer> told = new HashMap<>();
-
-        World(Plan plan) {
-            this.plan = plan;
-            plan.boxes().forEach(each -> boxes.put(each.name(), new Box()));
-            roll = new Roll(plan, now);
-        }
-
-        Map<String, Roll.Shows> shows() {
-            Map<String, Roll.Shows> all = new LinkedHashMap<>();
-            boxes.forEach((name, each) -> all.put(name, new Roll.Shows(each.contact, each.acts, !each.changing(now),
-                    each.target, each.attempt, each.failed)));
-            return all;
-        }
+  private static final class World {
+    private final Plan plan;
+    private final Map<String, Box> boxes = new LinkedHashMap<>();
+    private final Set<String> toldInEpoch = new HashSet<>();
+    private Roll roll;
+    private double now;
+    private int epochs = 1;
+    private boolean loses; // orders on their way
+    private boolean fails; // the next change
+    private final List<String> entered = new ArrayList<>();
+    private final Map<String, Integer> told = new HashMap<>();
 
-        void look(Verdict verdict) {
-            carryOut(roll.look(shows(), verdict, true, now));
-            long away = boxes.values().stream().filter(each -> each.changing(now)).count();
-            assertTrue(away <= plan.mostAway(), away + " are away");
-        }
-
-        void carryOut(List<Roll.Act> acts) {
-            for (Roll.Act act : acts) {
-                if (act instanceof Roll.Act.Claim) {
-                    epochs++;
-                    toldInEpoch.clear();
-                    roll.claimed();
-                    boxes.values().forEach(each -> {
-                        each.target = "";
-                        each.attempt = 0;
-                    });
-                } else if (act instanceof Roll.Act.Order order) {
-                    obey(order);
-                } else if (act instanceof Roll.Act.Enter enter) {
-                    entered.add(enter.state().name());
-                }
-            }
-        }
+    World(Plan plan) {
+      this.plan = plan;
+      plan.boxes().forEach(each -> boxes.put(each.name(), new Box()));
+      roll = new Roll(plan, now);
+    }
 
-        private void obey(Roll.Act.Order order) {
-            Box box = boxes.get(order.box());
-            told.merge(order.box(), 1, Integer::sum);
-            toldInEpoch.add(order.box() + " " + order.to());
-            long targets = toldInEpoch.stream().filter(each -> each.startsWith(order.box() + " ")).count();
-            assertEquals(1, targets, order.box() + " is told two releases in one epoch");
-            assertTrue(box.contact, "told though it cannot be reached");
-            for (Plan.Box other : plan.boxes()) {
-                boolean away = other != plan.box(order.box()) && boxes.get(other.name()).changing(now);
-                boolean sameZone = other.zone().equals(plan.box(order.box()).zone()) && !other.zone().isEmpty();
-                assertTrue(!(away && sameZone && plan.zone(other.zone()) < Plan.SMALL_ZONE), "two of a small zone");
-            }
-            if (loses) {
-                return;
-            }
-            box.target = order.to();
-            box.attempt++;
-            box.failed = "";
-            box.until = now + 3;
-            if (fails) {
-                box.failed = "it died before it served";
-                fails = false;
-            } else {
-                box.acts = order.to();
-            }
-        }
+    Map<String, Roll.Shows> shows() {
+      Map<String, Roll.Shows> all = new LinkedHashMap<>();
+      boxes.forEach(
+          (name, each) ->
+              all.put(
+                  name,
+                  new Roll.Shows(
+                      each.contact,
+                      each.acts,
+                      !each.changing(now),
+                      each.target,
+                      each.attempt,
+                      each.failed)));
+      return all;
+    }
 
-        void pass(double seconds, Verdict verdict) {
-            for (double end = now + seconds; now < end;) {
-                now += 1;
-                look(verdict);
-            }
-        }
+    void look(Verdict verdict) {
+      carryOut(roll.look(shows(), verdict, true, now));
+      long away = boxes.values().stream().filter(each -> each.changing(now)).count();
+      assertTrue(away <= plan.mostAway(), away + " are away");
     }
 
-    private static Plan plan(int boxes, int mostAway) {
-        List<Plan.Box> all = new ArrayList<>();
-        for (int i = 0; i < boxes; i++) {
-            all.add(PlanTest.box("b" + i, "z" + i % 2));
+    void carryOut(List<Roll.Act> acts) {
+      for (Roll.Act act : acts) {
+        if (act instanceof Roll.Act.Claim) {
+          epochs++;
+          toldInEpoch.clear();
+          roll.claimed();
+          boxes
+              .values()
+              .forEach(
+                  each -> {
+                    each.target = "";
+                    each.attempt = 0;
+                  });
+        } else if (act instanceof Roll.Act.Order order) {
+          obey(order);
+        } else if (act instanceof Roll.Act.Enter enter) {
+          entered.add(enter.state().name());
         }
-        return PlanTest.plan(all, mostAway, new Plan.Stage(1, 0, false, 10), new Plan.Stage(0, 0.5, true, 10),
-                new Plan.Stage(0, 1, true, 10));
+      }
     }
 
-    private static long have(World world, String release) {
-        return world.boxes.values().stream().filter(each -> each.acts.equals(release)).count();
+    private void obey(Roll.Act.Order order) {
+      Box box = boxes.get(order.box());
+      told.merge(order.box(), 1, Integer::sum);
+      toldInEpoch.add(order.box() + " " + order.to());
+      long targets =
+          toldInEpoch.stream().filter(each -> each.startsWith(order.box() + " ")).count();
+      assertEquals(1, targets, order.box() + " is told two releases in one epoch");
+      assertTrue(box.contact, "told though it cannot be reached");
+      for (Plan.Box other : plan.boxes()) {
+        boolean away = other != plan.box(order.box()) && boxes.get(other.name()).changing(now);
+        boolean sameZone =
+            other.zone().equals(plan.box(order.box()).zone()) && !other.zone().isEmpty();
+        assertTrue(
+            !(away && sameZone && plan.zone(other.zone()) < Plan.SMALL_ZONE),
+            "two of a small zone");
+      }
+      if (loses) {
+        return;
+      }
+      box.target = order.to();
+      box.attempt++;
+      box.failed = "";
+      box.until = now + 3;
+      if (fails) {
+        box.failed = "it died before it served";
+        fails = false;
+      } else {
+        box.acts = order.to();
+      }
     }
 
-    @Test
-    void aGoodReleaseArrivesEverywhereStageByStage() {
-        World world = new World(plan(6, 1));
-        world.pass(8, SAME);
-        assertEquals(1, have(world, "new"), "the first stage is watched");
-        world.pass(100, SAME);
-        assertEquals(Roll.State.DONE, world.roll.state());
-        assertEquals(6, have(world, "new"));
+    void pass(double seconds, Verdict verdict) {
+      for (double end = now + seconds; now < end; ) {
+        now += 1;
+        look(verdict);
+      }
     }
+  }
 
-    @Test
-    void withoutAVerdictNothingGoesOnAndAnOperatorDecides() {
-        World world = new World(plan(6, 1));
-        world.pass(200, OPEN);
-        assertEquals(Roll.State.HELD, world.roll.state());
-        assertTrue(world.roll.why().startsWith("nobody can tell"), world.roll.why());
-        assertEquals(1, have(world, "new"));
-        world.carryOut(world.roll.go(world.shows(), world.now));
-        world.pass(100, SAME);
-        assertEquals(Roll.State.DONE, world.roll.state());
+  private static Plan plan(int boxes, int mostAway) {
+    List<Plan.Box> all = new ArrayList<>();
+    for (int i = 0; i < boxes; i++) {
+      all.add(PlanTest.box("b" + i, "z" + i % 2));
     }
+    return PlanTest.plan(
+        all,
+        mostAway,
+        new Plan.Stage(1, 0, false, 10),
+        new Plan.Stage(0, 0.5, true, 10),
+        new Plan.Stage(0, 1, true, 10));
+  }
 
-    @Test
-    void whatDoesWorseIsTakenBackInANewEpoch() {
-        World world = new World(plan(6, 1));
-        world.pass(30, SAME);
-        assertTrue(have(world, "new") > 1);
-        world.pass(40, WORSE);
-        assertEquals(Roll.State.UNDONE, world.roll.state());
-        assertEquals(6, have(world, "old"));
-        assertEquals(2, world.epochs);
-        assertTrue(world.roll.why().contains("does worse: it loses"));
-    }
+  private static long have(World world, String release) {
+    return world.boxes.values().stream().filter(each -> each.acts.equals(release)).count();
+  }
 
-    @Test
-    void aBoxThatFailsIsTriedAgainAndThenTheChangeIsHeld() {
-        World world = new World(plan(4, 1));
-        for (int i = 0; i < 3; i++) {
-            world.fails = true;
-            world.pass(5, OPEN);
-        }
-        world.fails = true;
-        world.pass(100, OPEN);
-        assertTrue(world.told.get("b0") <= 2, "a budget of tries: " + world.told);
-    }
+  @Test
+  void aGoodReleaseArrivesEverywhereStageByStage() {
+    World world = new World(plan(6, 1));
+    world.pass(8, SAME);
+    assertEquals(1, have(world, "new"), "the first stage is watched");
+    world.pass(100, SAME);
+    assertEquals(Roll.State.DONE, world.roll.state());
+    assertEquals(6, have(world, "new"));
+  }
 
-    @Test
-    void aBoxThatCameBackWithTheOldReleaseIsBehindAgain() {
-        World world = new World(plan(4, 1));
-        world.pass(8, SAME);
-        world.boxes.get("b0").acts = "old";
-        world.pass(6, OPEN);
-        assertEquals("new", world.boxes.get("b0").acts);
-        assertTrue(world.entered.contains("CHANGING"));
-    }
+  @Test
+  void withoutAVerdictNothingGoesOnAndAnOperatorDecides() {
+    World world = new World(plan(6, 1));
+    world.pass(200, OPEN);
+    assertEquals(Roll.State.HELD, world.roll.state());
+    assertTrue(world.roll.why().startsWith("nobody can tell"), world.roll.why());
+    assertEquals(1, have(world, "new"));
+    world.carryOut(world.roll.go(world.shows(), world.now));
+    world.pass(100, SAME);
+    assertEquals(Roll.State.DONE, world.roll.state());
+  }
 
-    @Test
-    void aBoxThatCannotBeReachedHoldsTheChangeAndIsTakenBackWhenItIsHeard() {
-        World world = new World(plan(4, 1));
-        world.pass(8, SAME);
-        world.boxes.get("b0").contact = false;
-        world.pass(3, WORSE);
-        assertEquals(Roll.State.RETURNING, world.roll.state());
-        world.pass(300, OPEN);
-        assertTrue(world.roll.why().contains("b0 cannot be reached, and is taken back when it is heard"), world.roll.why());
-        world.boxes.get("b0").contact = true;
-        world.pass(10, OPEN);
-        assertEquals(Roll.State.UNDONE, world.roll.state());
-        assertEquals(4, have(world, "old"));
-    }
+  @Test
+  void whatDoesWorseIsTakenBackInANewEpoch() {
+    World world = new World(plan(6, 1));
+    world.pass(30, SAME);
+    assertTrue(have(world, "new") > 1);
+    world.pass(40, WORSE);
+    assertEquals(Roll.State.UNDONE, world.roll.state());
+    assertEquals(6, have(world, "old"));
+    assertEquals(2, world.epochs);
+    assertTrue(world.roll.why().contains("does worse: it loses"));
+  }
 
-    @Test
-    void aDriverThatFollowsGoesOnFromTheJournal() {
-        World world = new World(plan(6, 1));
-        world.pass(30, SAME);
-        Roll.Kept kept = world.roll.kept();
-        world.roll = new Roll(world.plan, kept, world.now);
-        world.epochs++;
-        world.toldInEpoch.clear();
-        world.boxes.values().forEach(each -> each.attempt = 0);
-        world.pass(100, SAME);
-        assertEquals(Roll.State.DONE, world.roll.state());
+  @Test
+  void aBoxThatFailsIsTriedAgainAndThenTheChangeIsHeld() {
+    World world = new World(plan(4, 1));
+    for (int i = 0; i < 3; i++) {
+      world.fails = true;
+      world.pass(5, OPEN);
     }
+    world.fails = true;
+    world.pass(100, OPEN);
+    assertTrue(world.told.get("b0") <= 2, "a budget of tries: " + world.told);
+  }
 
-    @Test
-    void aPauseIsKeptByTheJournalToo() {
-        World world = new World(plan(4, 1));
-        world.pass(2, OPEN);
-        world.carryOut(world.roll.pause(world.now));
-        world.roll = new Roll(world.plan, world.roll.kept(), world.now);
-        world.pass(50, SAME);
-        assertEquals(Roll.State.PAUSED, world.roll.state());
-        world.carryOut(world.roll.go(world.shows(), world.now));
-        world.pass(100, SAME);
-        assertEquals(Roll.State.DONE, world.roll.state());
-    }
+  @Test
+  void aBoxThatCameBackWithTheOldReleaseIsBehindAgain() {
+    World world = new World(plan(4, 1));
+    world.pass(8, SAME);
+    world.boxes.get("b0").acts = "old";
+    world.pass(6, OPEN);
+    assertEquals("new", world.boxes.get("b0").acts);
+    assertTrue(world.entered.contains("CHANGING"));
+  }
+
+  @Test
+  void aBoxThatCannotBeReachedHoldsTheChangeAndIsTakenBackWhenItIsHeard() {
+    World world = new World(plan(4, 1));
+    world.pass(8, SAME);
+    world.boxes.get("b0").contact = false;
+    world.pass(3, WORSE);
+    assertEquals(Roll.State.RETURNING, world.roll.state());
+    world.pass(300, OPEN);
+    assertTrue(
+        world.roll.why().contains("b0 cannot be reached, and is taken back when it is heard"),
+        world.roll.why());
+    world.boxes.get("b0").contact = true;
+    world.pass(10, OPEN);
+    assertEquals(Roll.State.UNDONE, world.roll.state());
+    assertEquals(4, have(world, "old"));
+  }
+
+  @Test
+  void aDriverThatFollowsGoesOnFromTheJournal() {
+    World world = new World(plan(6, 1));
+    world.pass(30, SAME);
+    Roll.Kept kept = world.roll.kept();
+    world.roll = new Roll(world.plan, kept, world.now);
+    world.epochs++;
+    world.toldInEpoch.clear();
+    world.boxes.values().forEach(each -> each.attempt = 0);
+    world.pass(100, SAME);
+    assertEquals(Roll.State.DONE, world.roll.state());
+  }
 
-    /** Whatever happens in whatever order, the rules hold; and once all is well, every change ends. */
-    @Property(tries = 1500)
-    void rulesHoldWhateverHappensAndEveryChangeEnds(@ForAll @IntRange(min = 2, max = 9) int boxes,
-            @ForAll @IntRange(min = 1, max = 3) int mostAway,
-            @ForAll @Size(max = 80) List<@IntRange(max = 13) Integer> events, @ForAll @IntRange(max = 100) int which) {
-        World world = new World(plan(boxes, mostAway));
-        int at = which;
-        for (int event : events) {
-            at += 7;
-            Box box = world.boxes.get("b" + at % boxes);
-            switch (event) {
-                case 0 -> box.contact = false;
-                case 1 -> box.contact = true;
-                case 2 -> world.fails = true;
-                case 3 -> world.loses = !world.loses;
-                case 4 -> box.acts = world.roll.state().over() ? box.acts : "old";   // it came back cold
-                case 5 -> world.carryOut(world.roll.pause(world.now));
-                case 6 -> world.carryOut(world.roll.go(world.shows(), world.now));
-                case 7 -> {
-                    if (at % 3 == 0) {
-                        world.carryOut(world.roll.back("asked for", world.now));
-                    }
-                }
-                case 8 -> {
-                    // The driver dies, and the next one steers in another epoch.
-                    world.roll = new Roll(world.plan, world.roll.kept(), world.now);
-                    world.epochs++;
-                    world.toldInEpoch.clear();
-                    world.boxes.values().forEach(each -> {
-                        each.target = "";
-                        each.attempt = 0;
-                    });
-                }
-                case 9 -> world.pass(1, at % 5 == 0 ? WORSE : OPEN);
-                case 10 -> world.pass(12, SAME);
-                default -> world.pass(2, SAME);
-            }
+  @Test
+  void aPauseIsKeptByTheJournalToo() {
+    World world = new World(plan(4, 1));
+    world.pass(2, OPEN);
+    world.carryOut(world.roll.pause(world.now));
+    world.roll = new Roll(world.plan, world.roll.kept(), world.now);
+    world.pass(50, SAME);
+    assertEquals(Roll.State.PAUSED, world.roll.state());
+    world.carryOut(world.roll.go(world.shows(), world.now));
+    world.pass(100, SAME);
+    assertEquals(Roll.State.DONE, world.roll.state());
+  }
+
+  /**
+   * Whatever happens in whatever order, the rules hold; and once all is well, every change ends.
+   */
+  @Property(tries = 1500)
+  void rulesHoldWhateverHappensAndEveryChangeEnds(
+      @ForAll @IntRange(min = 2, max = 9) int boxes,
+      @ForAll @IntRange(min = 1, max = 3) int mostAway,
+      @ForAll @Size(max = 80) List<@IntRange(max = 13) Integer> events,
+      @ForAll @IntRange(max = 100) int which) {
+    World world = new World(plan(boxes, mostAway));
+    int at = which;
+    for (int event : events) {
+      at += 7;
+      Box box = world.boxes.get("b" + at % boxes);
+      switch (event) {
+        case 0 -> box.contact = false;
+        case 1 -> box.contact = true;
+        case 2 -> world.fails = true;
+        case 3 -> world.loses = !world.loses;
+        case 4 -> box.acts = world.roll.state().over() ? box.acts : "old"; // it came back cold
+        case 5 -> world.carryOut(world.roll.pause(world.now));
+        case 6 -> world.carryOut(world.roll.go(world.shows(), world.now));
+        case 7 -> {
+          if (at % 3 == 0) {
+            world.carryOut(world.roll.back("asked for", world.now));
+          }
         }
-        world.loses = false;
-        world.fails = false;
-        world.boxes.values().forEach(each -> each.contact = true);
-        for (int i = 0; i < 40 && !world.roll.state().over(); i++) {
-            world.carryOut(world.roll.go(world.shows(), world.now));
-            world.pass(30, SAME);
+        case 8 -> {
+          // The driver dies, and the next one steers in another epoch.
+          world.roll = new Roll(world.plan, world.roll.kept(), world.now);
+          world.epochs++;
+          world.toldInEpoch.clear();
+          world
+              .boxes
+              .values()
+              .forEach(
+                  each -> {
+                    each.target = "";
+                    each.attempt = 0;
+                  });
         }
-        assertTrue(world.roll.state().over(), world.roll.state() + " " + world.roll.why());
-        assertEquals(boxes, have(world, world.roll.state() == Roll.State.DONE ? "new" : "old"));
+        case 9 -> world.pass(1, at % 5 == 0 ? WORSE : OPEN);
+        case 10 -> world.pass(12, SAME);
+        default -> world.pass(2, SAME);
+      }
+    }
+    world.loses = false;
+    world.fails = false;
+    world.boxes.values().forEach(each -> each.contact = true);
+    for (int i = 0; i < 40 && !world.roll.state().over(); i++) {
+      world.carryOut(world.roll.go(world.shows(), world.now));
+      world.pass(30, SAME);
     }
+    assertTrue(world.roll.state().over(), world.roll.state() + " " + world.roll.why());
+    assertEquals(boxes, have(world, world.roll.state() == Roll.State.DONE ? "new" : "old"));
+  }
 }
--- a/src/test/java/wharftrestle/handover/BetweenTest.java
+++ b/src/test/java/wharftrestle/handover/BetweenTest.java
@@ -12,58 +12,62 @@
 
 /** What one process makes of the keys that another tells it. */
 class BetweenTest {
-    private final KeyRoom room = KeyRoom.of(64 << 10);
-    private final KeyTable<String> keys = new KeyTable<>((rider, entry) -> { }, room);
-    private final Between<String> between = new Between<>(keys, new Between.Host<>() {
-        @Override
-        public long door(String holder) {
-            return 0;
-        }
+  private final KeyRoom room = KeyRoom.of(64 << 10);
+  private final KeyTable<String> keys = new KeyTable<>((rider, entry) -> {}, room);
+  private final Between<String> between =
+      new Between<>(
+          keys,
+          new Between.Host<>() {
+            @Override
+            public long door(String holder) {
+              return 0;
+            }
 
-        @Override
-        public double window(String key) {
-            return 20;
-        }
+            @Override
+            public double window(String key) {
+              return 20;
+            }
 
-        @Override
-        public void finished(KeyTable.Entry<String> entry, byte[] result) { }
+            @Override
+            public void finished(KeyTable.Entry<String> entry, byte[] result) {}
 
-        @Override
-        public void voided(KeyTable.Entry<String> entry) { }
+            @Override
+            public void voided(KeyTable.Entry<String> entry) {}
 
-        @Override
-        public void wake(String key, boolean granted) { }
-    });
+            @Override
+            public void wake(String key, boolean granted) {}
+          });
 
-    private boolean hear(String name, double secondsLeft, double now) {
-        return between.heard(new Other.Over(Digest.of("1/0/" + name), 50_000, secondsLeft, 3, new byte[] {1}), now);
-    }
+  private boolean hear(String name, double secondsLeft, double now) {
+    return between.heard(
+        new Other.Over(Digest.of("1/0/" + name), 50_000, secondsLeft, 3, new byte[] {1}), now);
+  }
 
-    @Test
-    void aFullTableThatIsToldSlowlyFitsAsItsOldestKeysGo() {
-        int most = room.mostKeys();
-        for (int i = 0; i < most; i++) {
-            assertTrue(hear("first " + i, 1, 100), "the table of the other one fits");
-        }
-        assertTrue(room.mostKeys() > 20);
-        for (int i = 0; i < most; i++) {
-            assertTrue(hear("second " + i, 20, 104), "what is over by now takes no room");
-        }
-        assertNull(keys.find("1/0/new"), "so a key that is not known is new");
-        assertNotNull(keys.find("1/0/second 0"));
+  @Test
+  void aFullTableThatIsToldSlowlyFitsAsItsOldestKeysGo() {
+    int most = room.mostKeys();
+    for (int i = 0; i < most; i++) {
+      assertTrue(hear("first " + i, 1, 100), "the table of the other one fits");
+    }
+    assertTrue(room.mostKeys() > 20);
+    for (int i = 0; i < most; i++) {
+      assertTrue(hear("second " + i, 20, 104), "what is over by now takes no room");
     }
+    assertNull(keys.find("1/0/new"), "so a key that is not known is new");
+    assertNotNull(keys.find("1/0/second 0"));
+  }
 
-    @Test
-    void whereOneDoesNotFitNoUnknownKeyRunsUntilItsWindowIsOver() {
-        int most = room.mostKeys();
-        for (int i = 0; i < most; i++) {
-            assertTrue(hear("key " + i, 20, 100));
-        }
-        assertFalse(hear("one more", 5, 100));
-        assertNotNull(keys.find("1/0/new"), "it may be the one that is not known");
-        keys.expire(104);
-        assertNotNull(keys.find("1/0/new"));
-        keys.expire(106);
-        assertNull(keys.find("1/0/new"));
+  @Test
+  void whereOneDoesNotFitNoUnknownKeyRunsUntilItsWindowIsOver() {
+    int most = room.mostKeys();
+    for (int i = 0; i < most; i++) {
+      assertTrue(hear("key " + i, 20, 100));
     }
+    assertFalse(hear("one more", 5, 100));
+    assertNotNull(keys.find("1/0/new"), "it may be the one that is not known");
+    keys.expire(104);
+    assertNotNull(keys.find("1/0/new"));
+    keys.expire(106);
+    assertNull(keys.find("1/0/new"));
+  }
 }
--- a/src/test/java/wharftrestle/handover/StandstillTest.java
+++ b/src/test/java/wharftrestle/handover/StandstillTest.java
@@ -7,32 +7,32 @@
 
 /** When a process may have missed what the other one could not say. */
 class StandstillTest {
-    private final Standstill still = new Standstill(0);
+  private final Standstill still = new Standstill(0);
 
-    private void awake(double from, double to) {
-        for (double now = from; now < to; now += Standstill.LOOK) {
-            still.look(now);
-        }
+  private void awake(double from, double to) {
+    for (double now = from; now < to; now += Standstill.LOOK) {
+      still.look(now);
     }
+  }
 
-    @Test
-    void whoWasAwakeMissedNothing() {
-        awake(0, 30);
-        assertFalse(still.lately(30));
-    }
+  @Test
+  void whoWasAwakeMissedNothing() {
+    awake(0, 30);
+    assertFalse(still.lately(30));
+  }
 
-    @Test
-    void whoWakesUpToAnEndMayHaveMissedWhatWasSaidLast() {
-        awake(0, 5);
-        assertTrue(still.lately(6), "also before its first look");
-        awake(6, 6.8);
-        assertTrue(still.lately(6.9), "the other one may have been writing what waited");
-    }
+  @Test
+  void whoWakesUpToAnEndMayHaveMissedWhatWasSaidLast() {
+    awake(0, 5);
+    assertTrue(still.lately(6), "also before its first look");
+    awake(6, 6.8);
+    assertTrue(still.lately(6.9), "the other one may have been writing what waited");
+  }
 
-    @Test
-    void whoLivedOnWithTheOtherHeardWhatWaited() {
-        awake(0, 5);
-        awake(6, 8);
-        assertFalse(still.lately(8));
-    }
+  @Test
+  void whoLivedOnWithTheOtherHeardWhatWaited() {
+    awake(0, 5);
+    awake(6, 8);
+    assertFalse(still.lately(8));
+  }
 }
--- a/src/test/java/wharftrestle/keys/KeyTableTest.java
+++ b/src/test/java/wharftrestle/keys/KeyTableTest.java
@@ -22,195 +22,221 @@
 import wharftrestle.keys.KeyState.Step;
 import wharftrestle.keys.KeyTable.Entry;
 
-/** The state machine of keys against a model of what may run, and the steps that the table must not have. */
+/**
+ * The state machine of keys against a model of what may run, and the steps that the table must not
+ * have.
+ */
 class KeyTableTest {
-    private static final double WINDOW = 20;
-    private static final byte[] BODY = {1};
+  private static final double WINDOW = 20;
+  private static final byte[] BODY = {1};
 
-    private final List<String> ended = new ArrayList<>();
-    private final KeyTable<String> keys = new KeyTable<>((rider, entry) -> ended.add(rider + " " + entry.state()),
-            KeyRoom.of(1 << 20));
+  private final List<String> ended = new ArrayList<>();
+  private final KeyTable<String> keys =
+      new KeyTable<>((rider, entry) -> ended.add(rider + " " + entry.state()), KeyRoom.of(1 << 20));
 
-    @Example
-    void aStepThatIsNotInTheTableThrows() {
-        assertThrows(IllegalStateException.class, () -> KeyState.SERVED.after(Step.START));
-        assertThrows(IllegalStateException.class, () -> KeyState.UNKNOWN.after(Step.START));
-        assertThrows(IllegalStateException.class, () -> KeyState.RUNNING.after(Step.RELEASE));
-        for (KeyState state : KeyState.values()) {
-            boolean mayRun = state.allows(Step.START) || state.allows(Step.INTEND);
-            assertEquals(!state.ran(), mayRun, state + ": what ran may not run, what did not may");
-        }
+  @Example
+  void aStepThatIsNotInTheTableThrows() {
+    assertThrows(IllegalStateException.class, () -> KeyState.SERVED.after(Step.START));
+    assertThrows(IllegalStateException.class, () -> KeyState.UNKNOWN.after(Step.START));
+    assertThrows(IllegalStateException.class, () -> KeyState.RUNNING.after(Step.RELEASE));
+    for (KeyState state : KeyState.values()) {
+      boolean mayRun = state.allows(Step.START) || state.allows(Step.INTEND);
+      assertEquals(!state.ran(), mayRun, state + ": what ran may not run, what did not may");
     }
+  }
 
-    @Example
-    void ridersEndAsTheRunDoes() {
-        keys.hold("k", BODY, 1000, "first");
-        Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
-        assertTrue(keys.ride(keys.meet("k", 1500), "second"));
-        assertFalse(keys.ran(entry, new byte[] {9}));
-        assertEquals(List.of("second SERVED"), ended);
-        assertFalse(keys.ride(keys.meet("k", 1600), "third"), "it is over: answered at once");
-        assertArrayEquals(new byte[] {9}, keys.result(keys.meet("k", 1600)));
-    }
+  @Example
+  void ridersEndAsTheRunDoes() {
+    keys.hold("k", BODY, 1000, "first");
+    Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    assertTrue(keys.ride(keys.meet("k", 1500), "second"));
+    assertFalse(keys.ran(entry, new byte[] {9}));
+    assertEquals(List.of("second SERVED"), ended);
+    assertFalse(keys.ride(keys.meet("k", 1600), "third"), "it is over: answered at once");
+    assertArrayEquals(new byte[] {9}, keys.result(keys.meet("k", 1600)));
+  }
 
-    @Example
-    void whereRunsAreRecordedNothingIsServedBeforeItIsOnDisk() {
-        keys.record(10);
-        Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
-        assertEquals(KeyState.RECORDING, entry.state());
-        keys.ride(entry, "second");
-        keys.recorded(entry);
-        assertTrue(keys.ran(entry, new byte[] {9}), "not final yet");
-        assertEquals(List.of(), ended);
-        keys.saved(entry, 77);
-        assertEquals(List.of("second SERVED"), ended);
-        Entry<String> later = keys.meet("k", 2000);
-        assertEquals(77, later.place());
-        assertNull(keys.result(later), "its bytes lie on disk");
-        assertTrue(later.asked().same(BODY));
-        assertFalse(later.asked().same(new byte[] {2}));
-        assertSame(later.state(), keys.start("k", BODY, 2000, WINDOW, 2, "third").state(), "and it does not run");
-    }
+  @Example
+  void whereRunsAreRecordedNothingIsServedBeforeItIsOnDisk() {
+    keys.record(10);
+    Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    assertEquals(KeyState.RECORDING, entry.state());
+    keys.ride(entry, "second");
+    keys.recorded(entry);
+    assertTrue(keys.ran(entry, new byte[] {9}), "not final yet");
+    assertEquals(List.of(), ended);
+    keys.saved(entry, 77);
+    assertEquals(List.of("second SERVED"), ended);
+    Entry<String> later = keys.meet("k", 2000);
+    assertEquals(77, later.place());
+    assertNull(keys.result(later), "its bytes lie on disk");
+    assertTrue(later.asked().same(BODY));
+    assertFalse(later.asked().same(new byte[] {2}));
+    assertSame(
+        later.state(),
+        keys.start("k", BODY, 2000, WINDOW, 2, "third").state(),
+        "and it does not run");
+  }
 
-    @Example
-    void aResultThatCouldNotBeWrittenIsStillGivenFromMemory() {
-        keys.record(10);
-        Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
-        keys.recorded(entry);
-        keys.ran(entry, new byte[] {9});
-        keys.saved(entry, CompactIndex.NO_PLACE);
-        assertArrayEquals(new byte[] {9}, keys.result(keys.meet("k", 2000)));
-    }
+  @Example
+  void aResultThatCouldNotBeWrittenIsStillGivenFromMemory() {
+    keys.record(10);
+    Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    keys.recorded(entry);
+    keys.ran(entry, new byte[] {9});
+    keys.saved(entry, CompactIndex.NO_PLACE);
+    assertArrayEquals(new byte[] {9}, keys.result(keys.meet("k", 2000)));
+  }
 
-    @Example
-    void aRunThatCouldNotBeRecordedLeavesItsKeyFree() {
-        keys.record(10);
-        Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
-        keys.ride(entry, "second");
-        keys.neverRan(entry);
-        assertEquals(List.of("second ABSENT"), ended);
-        assertNull(keys.meet("k", 1001));
-        keys.saved(entry, 3);   // a word from the disk that comes too late
-        assertNull(keys.meet("k", 1001));
-    }
+  @Example
+  void aRunThatCouldNotBeRecordedLeavesItsKeyFree() {
+    keys.record(10);
+    Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    keys.ride(entry, "second");
+    keys.neverRan(entry);
+    assertEquals(List.of("second ABSENT"), ended);
+    assertNull(keys.meet("k", 1001));
+    keys.saved(entry, 3); // a word from the disk that comes too late
+    assertNull(keys.meet("k", 1001));
+  }
 
-    @Example
-    void whatADeadProcessLeftNeverRunsInItsWindow() {
-        keys.record(10);
-        assertTrue(keys.recover("known", 5, 30_000, Digest.check(BODY), 50));
-        assertTrue(keys.recover("open", CompactIndex.NO_PLACE, 30_000, Digest.check(BODY), 50));
-        assertEquals(KeyState.SERVED, keys.meet("known", 29_999).state());
-        assertEquals(KeyState.UNKNOWN, keys.meet("open", 29_999).state());
-        assertFalse(keys.ride(keys.meet("open", 29_999), "x"), "over: it fails at once");
-        assertNull(keys.meet("open", 30_001), "its window is over");
-        keys.expire(51);
-        assertEquals(0, keys.size());
-    }
+  @Example
+  void whatADeadProcessLeftNeverRunsInItsWindow() {
+    keys.record(10);
+    assertTrue(keys.recover("known", 5, 30_000, Digest.check(BODY), 50));
+    assertTrue(keys.recover("open", CompactIndex.NO_PLACE, 30_000, Digest.check(BODY), 50));
+    assertEquals(KeyState.SERVED, keys.meet("known", 29_999).state());
+    assertEquals(KeyState.UNKNOWN, keys.meet("open", 29_999).state());
+    assertFalse(keys.ride(keys.meet("open", 29_999), "x"), "over: it fails at once");
+    assertNull(keys.meet("open", 30_001), "its window is over");
+    keys.expire(51);
+    assertEquals(0, keys.size());
+  }
 
-    /** What happens to one of four keys; the stamp lies so many ms after the clock's time. */
-    record Act(String what, int key, int late) { }
+  /** What happens to one of four keys; the stamp lies so many ms after the clock's time. */
+  record Act(String what, int key, int late) {}
 
-    @Provide
-    Arbitrary<List<Act>> acts() {
-        return Combinators.combine(Arbitraries.of("hold", "start", "start", "recorded", "void", "good", "good", "bad",
-                "saved", "unsaved", "release", "hear", "freed", "gone", "time", "time"),
-                Arbitraries.integers().between(0, 3), Arbitraries.integers().between(-3000, 200))
-                .as(Act::new).list().ofMaxSize(120);
-    }
+  @Provide
+  Arbitrary<List<Act>> acts() {
+    return Combinators.combine(
+            Arbitraries.of(
+                "hold",
+                "start",
+                "start",
+                "recorded",
+                "void",
+                "good",
+                "good",
+                "bad",
+                "saved",
+                "unsaved",
+                "release",
+                "hear",
+                "freed",
+                "gone",
+                "time",
+                "time"),
+            Arbitraries.integers().between(0, 3),
+            Arbitraries.integers().between(-3000, 200))
+        .as(Act::new)
+        .list()
+        .ofMaxSize(120);
+  }
 
-    @Property(tries = 1500, seed = "29421")
-    void noKeyRunsTwiceInItsWindow(@ForAll("acts") List<Act> acts, @ForAll boolean recorded) {
-        KeyTable<String> keys = new KeyTable<>((rider, entry) -> { }, KeyRoom.of(1 << 20));
-        if (recorded) {
-            keys.record(3);   // fewer than keys: one always stays in memory
+  @Property(tries = 1500, seed = "29421")
+  void noKeyRunsTwiceInItsWindow(@ForAll("acts") List<Act> acts, @ForAll boolean recorded) {
+    KeyTable<String> keys = new KeyTable<>((rider, entry) -> {}, KeyRoom.of(1 << 20));
+    if (recorded) {
+      keys.record(3); // fewer than keys: one always stays in memory
+    }
+    Map<String, Long> coveredTo = new HashMap<>(); // the model: no try stamped up to here may run
+    Map<String, Entry<String>> running = new HashMap<>();
+    Map<String, byte[]> results = new HashMap<>();
+    double now = 100;
+    int holder = 0;
+    for (Act act : acts) {
+      String key = "k" + act.key();
+      long door = Math.round(now * 1000) + act.late();
+      Entry<String> mine = running.get(key);
+      switch (act.what()) {
+        case "hold" -> {
+          Entry<String> entry = keys.hold(key, BODY, door, "h" + ++holder);
+          Long covered = coveredTo.get(key);
+          assertTrue(entry == null || covered == null || door > covered, "held within its window");
+          if (entry != null) {
+            coveredTo.remove(key); // a stamp past the window ends it, though the clock lags behind
+          }
+        }
+        case "start" -> {
+          Entry<String> entry = keys.start(key, BODY, door, WINDOW, now, "s" + ++holder);
+          if (("s" + holder).equals(entry.holder())) {
+            assertTrue(
+                door > coveredTo.getOrDefault(key, Long.MIN_VALUE), "a second run of " + key);
+            coveredTo.put(key, door + Math.round(WINDOW * 1000));
+            running.put(key, entry);
+            results.remove(key);
+          }
+        }
+        case "recorded" -> {
+          if (mine != null && mine.state() == KeyState.RECORDING) {
+            keys.recorded(mine);
+          }
+        }
+        case "void" -> {
+          if (mine != null && mine.state().allows(Step.VOID) && keys.current(mine)) {
+            keys.neverRan(mine);
+            coveredTo.remove(key);
+            running.remove(key);
+          }
+        }
+        case "good", "bad" -> {
+          if (mine != null && mine.state() == KeyState.RUNNING) {
+            byte[] result = act.what().equals("good") ? new byte[] {(byte) holder} : null;
+            boolean waits = keys.ran(mine, result);
+            assertEquals(recorded && result != null, waits);
+            results.put(key, result);
+          }
+        }
+        case "saved", "unsaved" -> {
+          if (mine != null && mine.state() == KeyState.SAVING) {
+            keys.saved(mine, act.what().equals("saved") ? 8 : CompactIndex.NO_PLACE);
+          }
+        }
+        case "release" -> {
+          Entry<String> entry = keys.find(key);
+          if (entry != null && entry.holder() != null) {
+            keys.release(entry, entry.holder());
+          }
+        }
+        case "hear" -> {
+          Entry<String> heard = keys.hear(key, KeyTable.Asked.of(BODY), door + 20_000, now + 31);
+          if (heard != null) {
+            coveredTo.put(key, door + 20_000);
+            running.remove(key);
+            results.remove(key);
+          }
+        }
+        case "freed" -> {
+          Entry<String> entry = keys.find(key);
+          if (keys.elsewhere(entry)) {
+            keys.freed(entry);
+            coveredTo.remove(key);
+          }
+        }
+        case "gone" -> keys.otherGone();
+        default -> {
+          now += 1 + act.key() * 2;
+          keys.expire(now);
         }
-        Map<String, Long> coveredTo = new HashMap<>();   // the model: no try stamped up to here may run
-        Map<String, Entry<String>> running = new HashMap<>();
-        Map<String, byte[]> results = new HashMap<>();
-        double now = 100;
-        int holder = 0;
-        for (Act act : acts) {
-            String key = "k" + act.key();
-            long door = Math.round(now * 1000) + act.late();
-            Entry<String> mine = running.get(key);
-            switch (act.what()) {
-                case "hold" -> {
-                    Entry<String> entry = keys.hold(key, BODY, door, "h" + ++holder);
-                    Long covered = coveredTo.get(key);
-                    assertTrue(entry == null || covered == null || door > covered, "held within its window");
-                    if (entry != null) {
-                        coveredTo.remove(key);   // a stamp past the window ends it, though the clock lags behind
-                    }
-                }
-                case "start" -> {
-                    Entry<String> entry = keys.start(key, BODY, door, WINDOW, now, "s" + ++holder);
-                    if (("s" + holder).equals(entry.holder())) {
-                        assertTrue(door > coveredTo.getOrDefault(key, Long.MIN_VALUE), "a second run of " + key);
-                        coveredTo.put(key, door + Math.round(WINDOW * 1000));
-                        running.put(key, entry);
-                        results.remove(key);
-                    }
-                }
-                case "recorded" -> {
-                    if (mine != null && mine.state() == KeyState.RECORDING) {
-                        keys.recorded(mine);
-                    }
-                }
-                case "void" -> {
-                    if (mine != null && mine.state().allows(Step.VOID) && keys.current(mine)) {
-                        keys.neverRan(mine);
-                        coveredTo.remove(key);
-                        running.remove(key);
-                    }
-                }
-                case "good", "bad" -> {
-                    if (mine != null && mine.state() == KeyState.RUNNING) {
-                        byte[] result = act.what().equals("good") ? new byte[] {(byte) holder} : null;
-                        boolean waits = keys.ran(mine, result);
-                        assertEquals(recorded && result != null, waits);
-                        results.put(key, result);
-                    }
-                }
-                case "saved", "unsaved" -> {
-                    if (mine != null && mine.state() == KeyState.SAVING) {
-                        keys.saved(mine, act.what().equals("saved") ? 8 : CompactIndex.NO_PLACE);
-                    }
-                }
-                case "release" -> {
-                    Entry<String> entry = keys.find(key);
-                    if (entry != null && entry.holder() != null) {
-                        keys.release(entry, entry.holder());
-                    }
-                }
-                case "hear" -> {
-                    Entry<String> heard = keys.hear(key, KeyTable.Asked.of(BODY), door + 20_000, now + 31);
-                    if (heard != null) {
-                        coveredTo.put(key, door + 20_000);
-                        running.remove(key);
-                        results.remove(key);
-                    }
-                }
-                case "freed" -> {
-                    Entry<String> entry = keys.find(key);
-                    if (keys.elsewhere(entry)) {
-                        keys.freed(entry);
-                        coveredTo.remove(key);
-                    }
-                }
-                case "gone" -> keys.otherGone();
-                default -> {
-                    now += 1 + act.key() * 2;
-                    keys.expire(now);
-                }
-            }
-            Entry<String> known = keys.find(key);
-            Long covered = coveredTo.get(key);
-            if (covered != null && Math.round(now * 1000) <= covered) {
-                assertTrue(known != null && known.ran(), "forgotten within its window: " + key);
-                if (known.state() == KeyState.SERVED && known.place() == CompactIndex.NO_PLACE) {
-                    assertArrayEquals(results.get(key), keys.result(known));
-                }
-            }
+      }
+      Entry<String> known = keys.find(key);
+      Long covered = coveredTo.get(key);
+      if (covered != null && Math.round(now * 1000) <= covered) {
+        assertTrue(known != null && known.ran(), "forgotten within its window: " + key);
+        if (known.state() == KeyState.SERVED && known.place() == CompactIndex.NO_PLACE) {
+          assertArrayEquals(results.get(key), keys.result(known));
         }
+      }
     }
+  }
 }
--- a/src/test/java/wharftrestle/lab/LabTest.java
+++ b/src/test/java/wharftrestle/lab/LabTest.java
@@ -36,397 +36,511 @@
 import wharftrestle.net.Bytes;
 import wharftrestle.settings.BadSettingsException;
 
-/** The rig itself: links that fail as told, scripts that are refused with their place, checkers that see what is wrong. */
+/**
+ * The rig itself: links that fail as told, scripts that are refused with their place, checkers that
+ * see what is wrong.
+ */
 @Timeout(60)
 class LabTest {
-    private static final InetAddress HOST = InetAddress.getLoopbackAddress();
-
-    // ---- What a link decides ----
-
-    @Property(tries = 200)
-    void aStreamKeepsItsOrderWhateverItsDelayAndRate(@ForAll long seed, @ForAll @IntRange(max = 200) int jitter,
-            @ForAll @IntRange(min = 1, max = 1000) int rate) {
-        Wire wire = new Wire(seed);
-        wire.trouble(Wire.Trouble.DELAY, 10, jitter);
-        wire.trouble(Wire.Trouble.RATE, rate, 0);
-        Random random = new Random(seed);
-        double now = 0;
-        double last = 0;
-        long sent = 0;
-        for (int i = 0; i < 100; i++) {
-            int bytes = 1 + random.nextInt(5000);
-            sent += bytes;
-            double at = wire.passes(bytes, now);
-            assertTrue(at >= last && at >= now + 10, "in order, and not before its delay");
-            assertTrue(at >= (double) sent / rate - 1e-6, "not faster than its rate");
-            last = at;
-            now += random.nextDouble() * 5;
-        }
+  private static final InetAddress HOST = InetAddress.getLoopbackAddress();
+
+  // ---- What a link decides ----
+
+  @Property(tries = 200)
+  void aStreamKeepsItsOrderWhateverItsDelayAndRate(
+      @ForAll long seed,
+      @ForAll @IntRange(max = 200) int jitter,
+      @ForAll @IntRange(min = 1, max = 1000) int rate) {
+    Wire wire = new Wire(seed);
+    wire.trouble(Wire.Trouble.DELAY, 10, jitter);
+    wire.trouble(Wire.Trouble.RATE, rate, 0);
+    Random random = new Random(seed);
+    double now = 0;
+    double last = 0;
+    long sent = 0;
+    for (int i = 0; i < 100; i++) {
+      int bytes = 1 + random.nextInt(5000);
+      sent += bytes;
+      double at = wire.passes(bytes, now);
+      assertTrue(at >= last && at >= now + 10, "in order, and not before its delay");
+      assertTrue(at >= (double) sent / rate - 1e-6, "not faster than its rate");
+      last = at;
+      now += random.nextDouble() * 5;
     }
-
-    @Test
-    void theSameSeedLosesTheSameDatagrams() {
-        Wire one = new Wire(7);
-        Wire two = new Wire(7);
-        int lost = 0;
-        int twice = 0;
-        for (Wire wire : new Wire[] {one, two}) {
-            wire.trouble(Wire.Trouble.DROP, 0.3, 0);
-            wire.trouble(Wire.Trouble.DOUBLE, 0.2, 0);
-            wire.trouble(Wire.Trouble.REORDER, 0.1, 0);
-        }
-        for (int i = 0; i < 1000; i++) {
-            double[] copies = one.datagram(i);
-            assertArrayEquals(copies, two.datagram(i));
-            lost += copies.length == 0 ? 1 : 0;
-            twice += copies.length == 2 ? 1 : 0;
-        }
-        assertTrue(lost > 250 && lost < 350, "lost " + lost);
-        assertTrue(twice > 100 && twice < 180, "doubled " + twice);
-        one.heal();
-        assertEquals(1, one.datagram(5000).length);
+  }
+
+  @Test
+  void theSameSeedLosesTheSameDatagrams() {
+    Wire one = new Wire(7);
+    Wire two = new Wire(7);
+    int lost = 0;
+    int twice = 0;
+    for (Wire wire : new Wire[] {one, two}) {
+      wire.trouble(Wire.Trouble.DROP, 0.3, 0);
+      wire.trouble(Wire.Trouble.DOUBLE, 0.2, 0);
+      wire.trouble(Wire.Trouble.REORDER, 0.1, 0);
     }
-
-    // ---- Links ----
-
-    private interface Story {
-        void tell(Link link, Socket caller, InputStream in) throws Exception;
+    for (int i = 0; i < 1000; i++) {
+      double[] copies = one.datagram(i);
+      assertArrayEquals(copies, two.datagram(i));
+      lost += copies.length == 0 ? 1 : 0;
+      twice += copies.length == 2 ? 1 : 0;
     }
-
-    /** A caller's connection through a link to a server that sends back what it reads. */
-    private static void withEcho(Story story) throws Exception {
-        try (ServerSocket server = new ServerSocket(0, 50, HOST);
-                Link link = new Link((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
-            Thread echo = new Thread(() -> {
+    assertTrue(lost > 250 && lost < 350, "lost " + lost);
+    assertTrue(twice > 100 && twice < 180, "doubled " + twice);
+    one.heal();
+    assertEquals(1, one.datagram(5000).length);
+  }
+
+  // ---- Links ----
+
+  private interface Story {
+    void tell(Link link, Socket caller, InputStream in) throws Exception;
+  }
+
+  /** A caller's connection through a link to a server that sends back what it reads. */
+  private static void withEcho(Story story) throws Exception {
+    try (ServerSocket server = new ServerSocket(0, 50, HOST);
+        Link link = new Link((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
+      Thread echo =
+          new Thread(
+              () -> {
                 try {
-                    for (;;) {
-                        Socket socket = server.accept();
-                        new Thread(() -> {
-                            try (socket) {
+                  for (; ; ) {
+                    Socket socket = server.accept();
+                    new Thread(
+                            () -> {
+                              try (socket) {
                                 socket.getInputStream().transferTo(socket.getOutputStream());
-                            } catch (IOException ended) {
+                              } catch (IOException ended) {
                                 return;
-                            }
-                        }).start();
-                    }
+                              }
+                            })
+                        .start();
+                  }
                 } catch (IOException closed) {
-                    return;
+                  return;
                 }
-            });
-            echo.start();
-            try (Socket caller = new Socket(HOST, link.address().getPort())) {
-                caller.setSoTimeout(10_000);
-                caller.setTcpNoDelay(true);
-                story.tell(link, caller, caller.getInputStream());
-            }
-        }
+              });
+      echo.start();
+      try (Socket caller = new Socket(HOST, link.address().getPort())) {
+        caller.setSoTimeout(10_000);
+        caller.setTcpNoDelay(true);
+        story.tell(link, caller, caller.getInputStream());
+      }
     }
-
-    @Test
-    void aHoleInOneDirectionHoldsWhatWasSentUntilItIsHealed() throws Exception {
-        withEcho((link, caller, in) -> {
-            caller.getOutputStream().write('a');
-            assertEquals('a', in.read());
-            link.trouble(Wire.Trouble.HOLE, 0, 0, false, true);
-            caller.getOutputStream().write('b');
-            caller.setSoTimeout(200);
-            assertThrows(SocketTimeoutException.class, in::read);
-            link.heal();
-            caller.setSoTimeout(10_000);
-            assertEquals('b', in.read(), "nothing was lost");
+  }
+
+  @Test
+  void aHoleInOneDirectionHoldsWhatWasSentUntilItIsHealed() throws Exception {
+    withEcho(
+        (link, caller, in) -> {
+          caller.getOutputStream().write('a');
+          assertEquals('a', in.read());
+          link.trouble(Wire.Trouble.HOLE, 0, 0, false, true);
+          caller.getOutputStream().write('b');
+          caller.setSoTimeout(200);
+          assertThrows(SocketTimeoutException.class, in::read);
+          link.heal();
+          caller.setSoTimeout(10_000);
+          assertEquals('b', in.read(), "nothing was lost");
         });
-    }
-
-    @Test
-    void aCutEndsConnectionsAndRefusesFurtherOnesUntilItIsHealed() throws Exception {
-        withEcho((link, caller, in) -> {
-            caller.getOutputStream().write('a');
-            assertEquals('a', in.read());
-            link.cut();
-            assertThrows(IOException.class, () -> {
+  }
+
+  @Test
+  void aCutEndsConnectionsAndRefusesFurtherOnesUntilItIsHealed() throws Exception {
+    withEcho(
+        (link, caller, in) -> {
+          caller.getOutputStream().write('a');
+          assertEquals('a', in.read());
+          link.cut();
+          assertThrows(
+              IOException.class,
+              () -> {
                 if (in.read() < 0) {
-                    throw new IOException("ended");
+                  throw new IOException("ended");
                 }
-            });
-            try (Socket again = new Socket(HOST, link.address().getPort())) {
-                again.setSoTimeout(5000);
-                assertThrows(IOException.class, () -> {
-                    again.getOutputStream().write('x');
-                    if (again.getInputStream().read() < 0) {
-                        throw new IOException("ended");
-                    }
+              });
+          try (Socket again = new Socket(HOST, link.address().getPort())) {
+            again.setSoTimeout(5000);
+            assertThrows(
+                IOException.class,
+                () -> {
+                  again.getOutputStream().write('x');
+                  if (again.getInputStream().read() < 0) {
+                    throw new IOException("ended");
+                  }
                 });
-            }
-            link.heal();
-            try (Socket again = new Socket(HOST, link.address().getPort())) {
-                again.getOutputStream().write('c');
-                assertEquals('c', again.getInputStream().read());
-            }
+          }
+          link.heal();
+          try (Socket again = new Socket(HOST, link.address().getPort())) {
+            again.getOutputStream().write('c');
+            assertEquals('c', again.getInputStream().read());
+          }
         });
-    }
-
-    @Test
-    void aDelayIsKeptAndAHalfCloseEndsOneWayAlone() throws Exception {
-        withEcho((link, caller, in) -> {
-            link.trouble(Wire.Trouble.DELAY, 60, 0, true, true);
-            long began = System.nanoTime();
-            caller.getOutputStream().write('a');
-            assertEquals('a', in.read());
-            assertTrue(System.nanoTime() - began >= TimeUnit.MILLISECONDS.toNanos(119), "there and back");
-            link.heal();
-            link.halfClose();
-            assertEquals(-1, in.read(), "the server saw an end, and ended in turn");
+  }
+
+  @Test
+  void aDelayIsKeptAndAHalfCloseEndsOneWayAlone() throws Exception {
+    withEcho(
+        (link, caller, in) -> {
+          link.trouble(Wire.Trouble.DELAY, 60, 0, true, true);
+          long began = System.nanoTime();
+          caller.getOutputStream().write('a');
+          assertEquals('a', in.read());
+          assertTrue(
+              System.nanoTime() - began >= TimeUnit.MILLISECONDS.toNanos(119), "there and back");
+          link.heal();
+          link.halfClose();
+          assertEquals(-1, in.read(), "the server saw an end, and ended in turn");
         });
+  }
+
+  @Test
+  void datagramsGoThereAndBackAndAHoleLosesThem() throws Exception {
+    try (DatagramSocket server = new DatagramSocket(0, HOST);
+        DatagramSocket caller = new DatagramSocket(0, HOST);
+        Link link = new Link((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
+      server.setSoTimeout(5000);
+      DatagramPacket told = new DatagramPacket(new byte[10], 10);
+      caller.send(new DatagramPacket(Bytes.ascii("one"), 3, link.address()));
+      server.receive(told);
+      assertEquals(3, told.getLength());
+      server.send(new DatagramPacket(Bytes.ascii("back"), 4, told.getSocketAddress()));
+      caller.setSoTimeout(5000);
+      caller.receive(told);
+      assertEquals(4, told.getLength());
+      link.trouble(Wire.Trouble.HOLE, 0, 0, true, false);
+      caller.send(new DatagramPacket(Bytes.ascii("lost"), 4, link.address()));
+      server.setSoTimeout(200);
+      assertThrows(SocketTimeoutException.class, () -> server.receive(told));
     }
+  }
 
-    @Test
-    void datagramsGoThereAndBackAndAHoleLosesThem() throws Exception {
-        try (DatagramSocket server = new DatagramSocket(0, HOST); DatagramSocket caller = new DatagramSocket(0, HOST);
-                Link link = new Link((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
-            server.setSoTimeout(5000);
-            DatagramPacket told = new DatagramPacket(new byte[10], 10);
-            caller.send(new DatagramPacket(Bytes.ascii("one"), 3, link.address()));
-            server.receive(told);
-            assertEquals(3, told.getLength());
-            server.send(new DatagramPacket(Bytes.ascii("back"), 4, told.getSocketAddress()));
-            caller.setSoTimeout(5000);
-            caller.receive(told);
-            assertEquals(4, told.getLength());
-            link.trouble(Wire.Trouble.HOLE, 0, 0, true, false);
-            caller.send(new DatagramPacket(Bytes.ascii("lost"), 4, link.address()));
-            server.setSoTimeout(200);
-            assertThrows(SocketTimeoutException.class, () -> server.receive(told));
-        }
-    }
-
-    @Test
-    void aLinkLeadsToLoopbackAlone() {
-        assertThrows(IOException.class, () -> new Link(new InetSocketAddress("192.0.2.1", 80), 1));
-    }
+  @Test
+  void aLinkLeadsToLoopbackAlone() {
+    assertThrows(IOException.class, () -> new Link(new InetSocketAddress("192.0.2.1", 80), 1));
+  }
 
-    // ---- Scripts ----
+  // ---- Scripts ----
 
-    @Test
-    void aScriptIsReadInTheOrderOfItsTimes() throws Exception {
-        FaultScript script = FaultScript.parse("f.star", """
+  @Test
+  void aScriptIsReadInTheOrderOfItsTimes() throws Exception {
+    FaultScript script =
+        FaultScript.parse(
+            "f.star",
+            """
                 play(seconds = 5, boxes = 2, seed = 9)
                 for box in ["b1", "b2"]:
                     at(2, cut(box, "pool"))
                 at(1, delay("b1", "front", 40, jitter = 5, way = "there"))
                 """);
-        assertEquals(9, script.play().seed());
-        assertEquals(3, script.steps().size());
-        assertEquals(new FaultScript.Step(1, new FaultScript.Fault(FaultScript.Kind.DELAY, "b1", "front", 40, 5, "there")),
-                script.steps().get(0));
-    }
-
-    @Test
-    void whatIsWrongIsToldWithItsPlaceBeforeAnythingStarts() {
-        String[][] wrongs = {
-            {"at(1, cut(\"b1\"))", "f.star:1:7: cut needs path"},
-            {"at(1, cut(\"b1\", \"moon\"))", "f.star:1:17: cut.path: expected one of front, pool, store, names, got moon"},
-            {"at(1, cut(\"b2\", \"pool\"))", "f.star:1:1: there is no b2: 1 boxes are played"},
-            {"at(1, 2)", "f.star:1:7: at takes a fault, such as cut(\"b1\", \"front\")"},
-            {"at(99, kill(\"b1\"))", "f.star:1:1: nothing happens after 10.0 s, which is when the play ends"},
-            {"at(1, delay(\"b1\", \"pool\", -4))", "f.star:1:27: delay.ms: expected a number from 0.0 to 60000.0, got -4"},
-            {"at(1, drop(\"b1\", \"pool\", 0.5))",
-                "f.star:1:1: datagrams cross the path \"names\" alone; use hole or delay"},
-            {"explode(\"b1\")", "f.star:1:1: nothing is named 'explode'"},
-            {"play(boxes = 2, boxs = 1)",
-                "f.star:1:24: play has no 'boxs', expected one of seconds, boxes, callers, kept, seed"},
-            {"at(1, kill(\"b1\"), 3)", "f.star:1:19: at takes 2 values: time, fault"},
-        };
-        for (String[] wrong : wrongs) {
-            BadSettingsException e = assertThrows(BadSettingsException.class, () -> FaultScript.parse("f.star", wrong[0]));
-            assertEquals(wrong[1], e.getMessage());
-        }
+    assertEquals(9, script.play().seed());
+    assertEquals(3, script.steps().size());
+    assertEquals(
+        new FaultScript.Step(
+            1, new FaultScript.Fault(FaultScript.Kind.DELAY, "b1", "front", 40, 5, "there")),
+        script.steps().get(0));
+  }
+
+  @Test
+  void whatIsWrongIsToldWithItsPlaceBeforeAnythingStarts() {
+    String[][] wrongs = {
+      {"at(1, cut(\"b1\"))", "f.star:1:7: cut needs path"},
+      {
+        "at(1, cut(\"b1\", \"moon\"))",
+        "f.star:1:17: cut.path: expected one of front, pool, store, names, got moon"
+      },
+      {"at(1, cut(\"b2\", \"pool\"))", "f.star:1:1: there is no b2: 1 boxes are played"},
+      {"at(1, 2)", "f.star:1:7: at takes a fault, such as cut(\"b1\", \"front\")"},
+      {
+        "at(99, kill(\"b1\"))",
+        "f.star:1:1: nothing happens after 10.0 s, which is when the play ends"
+      },
+      {
+        "at(1, delay(\"b1\", \"pool\", -4))",
+        "f.star:1:27: delay.ms: expected a number from 0.0 to 60000.0, got -4"
+      },
+      {
+        "at(1, drop(\"b1\", \"pool\", 0.5))",
+        "f.star:1:1: datagrams cross the path \"names\" alone; use hole or delay"
+      },
+      {"explode(\"b1\")", "f.star:1:1: nothing is named 'explode'"},
+      {
+        "play(boxes = 2, boxs = 1)",
+        "f.star:1:24: play has no 'boxs', expected one of seconds, boxes, callers, kept, seed"
+      },
+      {"at(1, kill(\"b1\"), 3)", "f.star:1:19: at takes 2 values: time, fault"},
+    };
+    for (String[] wrong : wrongs) {
+      BadSettingsException e =
+          assertThrows(BadSettingsException.class, () -> FaultScript.parse("f.star", wrong[0]));
+      assertEquals(wrong[1], e.getMessage());
     }
-
-    @Test
-    void theScriptThatShipsCanBeRead() throws Exception {
-        assertEquals(3, FaultScript.read(Path.of("docs/examples/faults.star")).play().boxes());
-    }
-
-    // ---- Checkers: each is seen to fail on a daemon that breaks its rule ----
-
-    private enum Mutant { NONE, RUNS_TWICE, REFUSES_AFTER_RUN, GIVES_OTHER_BYTES, LOSES, SAYS_WHAT_NOBODY_KNOWS,
-            ANSWERS_TWICE, RUNS_AFTER_ITS_NOTICE, ANSWERS_WHEN_OVERDUE }
-
-    /** Milliseconds in which the daemon of the checkers' stories owes an answer, and those after which one answers late. */
-    private static final long DUE_MS = 1000;
-    private static final long LATE_MS = 1700;
-
-    /** A daemon in one thread that knows each key's result, and breaks one rule where it is told to. */
-    private static Callers.Tally play(Mutant mutant) throws Exception {
-        try (WorkerPool pool = new WorkerPool(null, new Random(3), 5, 20);
-                ServerSocket front = new ServerSocket(0, 50, HOST)) {
-            Thread daemon = new Thread(() -> {
+  }
+
+  @Test
+  void theScriptThatShipsCanBeRead() throws Exception {
+    assertEquals(3, FaultScript.read(Path.of("docs/examples/faults.star")).play().boxes());
+  }
+
+  // ---- Checkers: each is seen to fail on a daemon that breaks its rule ----
+
+  private enum Mutant {
+    NONE,
+    RUNS_TWICE,
+    REFUSES_AFTER_RUN,
+    GIVES_OTHER_BYTES,
+    LOSES,
+    SAYS_WHAT_NOBODY_KNOWS,
+    ANSWERS_TWICE,
+    RUNS_AFTER_ITS_NOTICE,
+    ANSWERS_WHEN_OVERDUE
+  }
+
+  /**
+   * Milliseconds in which the daemon of the checkers' stories owes an answer, and those after which
+   * one answers late.
+   */
+  private static final long DUE_MS = 1000;
+
+  private static final long LATE_MS = 1700;
+
+  /**
+   * A daemon in one thread that knows each key's result, and breaks one rule where it is told to.
+   */
+  private static Callers.Tally play(Mutant mutant) throws Exception {
+    try (WorkerPool pool = new WorkerPool(null, new Random(3), 5, 20);
+        ServerSocket front = new ServerSocket(0, 50, HOST)) {
+      Thread daemon =
+          new Thread(
+              () -> {
                 try {
-                    for (;;) {
-                        Socket caller = front.accept();
-                        new Thread(() -> serve(caller, pool, mutant)).start();
-                    }
+                  for (; ; ) {
+                    Socket caller = front.accept();
+                    new Thread(() -> serve(caller, pool, mutant)).start();
+                  }
                 } catch (IOException closed) {
-                    return;
+                  return;
                 }
-            });
-            daemon.start();
-            Callers callers = new Callers((InetSocketAddress) front.getLocalSocketAddress(), pool, System::currentTimeMillis,
-                    Callers.Habit.of(1, 9000), DUE_MS, 11, () -> false);
-            if (mutant == Mutant.RUNS_AFTER_ITS_NOTICE) {
-                callers.noticed(System.nanoTime() - TimeUnit.SECONDS.toNanos(3));
-            }
-            callers.start();
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-            while (callers.served() < 60 && System.nanoTime() < until
-                    && (mutant == Mutant.NONE || callers.tally().holds())) {
-                LockSupport.parkNanos(5_000_000);
-            }
-            callers.stop();
-            return callers.tally();
-        }
+              });
+      daemon.start();
+      Callers callers =
+          new Callers(
+              (InetSocketAddress) front.getLocalSocketAddress(),
+              pool,
+              System::currentTimeMillis,
+              Callers.Habit.of(1, 9000),
+              DUE_MS,
+              11,
+              () -> false);
+      if (mutant == Mutant.RUNS_AFTER_ITS_NOTICE) {
+        callers.noticed(System.nanoTime() - TimeUnit.SECONDS.toNanos(3));
+      }
+      callers.start();
+      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+      while (callers.served() < 60
+          && System.nanoTime() < until
+          && (mutant == Mutant.NONE || callers.tally().holds())) {
+        LockSupport.parkNanos(5_000_000);
+      }
+      callers.stop();
+      return callers.tally();
     }
-
-    private static void serve(Socket caller, WorkerPool pool, Mutant mutant) {
-        Map<String, byte[]> known = new HashMap<>();
-        try (caller; Socket workers = new Socket(HOST, pool.address().getPort())) {
-            InputStream in = new BufferedInputStream(caller.getInputStream());
-            InputStream runs = new BufferedInputStream(workers.getInputStream());
-            OutputStream out = caller.getOutputStream();
-            workers.getOutputStream().write(Bytes.ascii("bind 0\r\n"));
-            Bytes.line(runs, 100);
-            for (int request = 1;; request++) {
-                String[] words = new String[Integer.parseInt(Bytes.line(in, 20).substring(1))];
-                for (int i = 0; i < words.length; i++) {
-                    int length = Integer.parseInt(Bytes.line(in, 20).substring(1));
-                    words[i] = new String(Bytes.exactly(in, length), "ISO-8859-1");
-                    Bytes.crlf(in);
-                }
-                byte[] result = known.get(words[4]);
-                boolean again = result != null;
-                if (mutant == Mutant.LOSES && request == 9) {
-                    return;
-                }
-                if (mutant == Mutant.ANSWERS_WHEN_OVERDUE && request == 9) {
-                    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LATE_MS));
-                }
-                if (again && mutant == Mutant.REFUSES_AFTER_RUN) {
-                    out.write(reply(words[1], "later", new byte[0]));
-                    continue;
-                }
-                if (!again || mutant == Mutant.RUNS_TWICE) {
-                    workers.getOutputStream().write(Bytes.join(Bytes.ascii("spawn " + request + " save "
-                            + words[4].length() + "\r\n" + words[4] + "\r\n")));
-                    String[] end = Bytes.line(runs, 400).split(" ");
-                    result = Bytes.exactly(runs, Integer.parseInt(end[5]));
-                    Bytes.crlf(runs);
-                    known.put(words[4], result);
-                }
-                byte[] told = again && mutant == Mutant.GIVES_OTHER_BYTES
-                        ? Bytes.join(result, Bytes.ascii("!")) : result;
-                if (mutant == Mutant.ANSWERS_TWICE && request == 9) {
-                    out.write(reply(words[1], "done", told));
-                }
-                out.write(reply(words[1], mutant == Mutant.SAYS_WHAT_NOBODY_KNOWS ? "perhaps" : "done", told));
-            }
-        } catch (IOException ended) {
-            return;
+  }
+
+  private static void serve(Socket caller, WorkerPool pool, Mutant mutant) {
+    Map<String, byte[]> known = new HashMap<>();
+    try (caller;
+        Socket workers = new Socket(HOST, pool.address().getPort())) {
+      InputStream in = new BufferedInputStream(caller.getInputStream());
+      InputStream runs = new BufferedInputStream(workers.getInputStream());
+      OutputStream out = caller.getOutputStream();
+      workers.getOutputStream().write(Bytes.ascii("bind 0\r\n"));
+      Bytes.line(runs, 100);
+      for (int request = 1; ; request++) {
+        String[] words = new String[Integer.parseInt(Bytes.line(in, 20).substring(1))];
+        for (int i = 0; i < words.length; i++) {
+          int length = Integer.parseInt(Bytes.line(in, 20).substring(1));
+          words[i] = new String(Bytes.exactly(in, length), "ISO-8859-1");
+          Bytes.crlf(in);
         }
-    }
-
-    private static byte[] reply(String tag, String word, byte[] body) {
-        return Bytes.join(Bytes.ascii("*4\r\n$" + tag.length() + "\r\n" + tag + "\r\n$" + word.length() + "\r\n" + word
-                + "\r\n$0\r\n\r\n$" + body.length + "\r\n"), body, Bytes.ascii("\r\n"));
-    }
-
-    @Test
-    void eachCheckerFailsOnADaemonThatBreaksItsRuleAndOnNoOther() throws Exception {
-        Callers.Tally good = play(Mutant.NONE);
-        assertTrue(good.holds() && good.again() > 5, good.toString());
-        assertTrue(play(Mutant.RUNS_TWICE).runTwice() > 0);
-        assertTrue(play(Mutant.REFUSES_AFTER_RUN).refusedAfterRun() > 0);
-        assertTrue(play(Mutant.GIVES_OTHER_BYTES).otherBytes() > 0);
-        assertTrue(play(Mutant.LOSES).lost() > 0);
-        assertTrue(play(Mutant.SAYS_WHAT_NOBODY_KNOWS).unknown() > 0);
-        assertTrue(play(Mutant.ANSWERS_TWICE).doubled() > 0);
-        assertTrue(play(Mutant.RUNS_AFTER_ITS_NOTICE).ranLate() > 0);
-        assertTrue(play(Mutant.ANSWERS_WHEN_OVERDUE).overdue() > 0);
-    }
-
-    private static void takesAnotherThan(int held) throws Exception {
-        Link.Ports pair = Link.ports(held);
-        try (ServerSocket streams = pair.streams(); DatagramSocket datagrams = pair.datagrams()) {
-            assertEquals(streams.getLocalPort(), datagrams.getLocalPort());
-            assertTrue(streams.getLocalPort() != held);
+        byte[] result = known.get(words[4]);
+        boolean again = result != null;
+        if (mutant == Mutant.LOSES && request == 9) {
+          return;
         }
-    }
-
-    @Test
-    void aLinkTakesAnotherPortWhereSomebodyElseHasTheFirst() throws Exception {
-        try (DatagramSocket datagrams = new DatagramSocket(0, HOST); ServerSocket streams = new ServerSocket(0, 1, HOST)) {
-            takesAnotherThan(datagrams.getLocalPort());
-            takesAnotherThan(streams.getLocalPort());
+        if (mutant == Mutant.ANSWERS_WHEN_OVERDUE && request == 9) {
+          LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LATE_MS));
         }
-    }
-
-    @Test
-    void theStandInPoolRunsARequestOnceHoweverOftenItIsAskedFor() throws Exception {
-        byte[] spawn = Bytes.ascii("spawn 0000000000000001 save 4\r\nnote\r\n");
-        try (WorkerPool pool = new WorkerPool(null, new Random(3), 50, 20)) {
-            String first;
-            try (Socket link = new Socket(HOST, pool.address().getPort())) {
-                link.setSoTimeout(5000);
-                InputStream in = new BufferedInputStream(link.getInputStream());
-                link.getOutputStream().write(Bytes.join(Bytes.ascii("bind 0\r\n"), spawn, spawn));
-                assertTrue(Bytes.line(in, 100).matches("bound old 6\\d{4}"), "up for a minute, and this story");
-                first = Bytes.line(in, 100);
-                assertTrue(first.startsWith("finished 1 0000000000000001 good "), first);
-            }
-            try (Socket link = new Socket(HOST, pool.address().getPort())) {
-                link.setSoTimeout(5000);
-                InputStream in = new BufferedInputStream(link.getInputStream());
-                link.getOutputStream().write(Bytes.join(Bytes.ascii("bind 7\r\n"), spawn));
-                assertTrue(Bytes.line(in, 100).matches("bound old 6\\d{4}"), "up for a minute, and this story");
-                assertEquals(first.replace("finished 1 ", "finished 8 "), Bytes.line(in, 100), "its end, told again");
-            }
-            assertEquals(1, pool.begun("note").size());
+        if (again && mutant == Mutant.REFUSES_AFTER_RUN) {
+          out.write(reply(words[1], "later", new byte[0]));
+          continue;
+        }
+        if (!again || mutant == Mutant.RUNS_TWICE) {
+          workers
+              .getOutputStream()
+              .write(
+                  Bytes.join(
+                      Bytes.ascii(
+                          "spawn "
+                              + request
+                              + " save "
+                              + words[4].length()
+                              + "\r\n"
+                              + words[4]
+                              + "\r\n")));
+          String[] end = Bytes.line(runs, 400).split(" ");
+          result = Bytes.exactly(runs, Integer.parseInt(end[5]));
+          Bytes.crlf(runs);
+          known.put(words[4], result);
+        }
+        byte[] told =
+            again && mutant == Mutant.GIVES_OTHER_BYTES
+                ? Bytes.join(result, Bytes.ascii("!"))
+                : result;
+        if (mutant == Mutant.ANSWERS_TWICE && request == 9) {
+          out.write(reply(words[1], "done", told));
         }
+        out.write(
+            reply(words[1], mutant == Mutant.SAYS_WHAT_NOBODY_KNOWS ? "perhaps" : "done", told));
+      }
+    } catch (IOException ended) {
+      return;
     }
-
-    // ---- A play ----
-
-    /** Stamps are of the machine's clock: where it steps, windows of keys and due times may not move. */
-    @ParameterizedTest
-    @ValueSource(strings = {"True", "False"})
-    void aClockThatStepsWithinAWindowRunsNoKeyTwice(String kept) throws Exception {
-        FaultScript script = FaultScript.parse("f.star", """
+  }
+
+  private static byte[] reply(String tag, String word, byte[] body) {
+    return Bytes.join(
+        Bytes.ascii(
+            "*4\r\n$"
+                + tag.length()
+                + "\r\n"
+                + tag
+                + "\r\n$"
+                + word.length()
+                + "\r\n"
+                + word
+                + "\r\n$0\r\n\r\n$"
+                + body.length
+                + "\r\n"),
+        body,
+        Bytes.ascii("\r\n"));
+  }
+
+  @Test
+  void eachCheckerFailsOnADaemonThatBreaksItsRuleAndOnNoOther() throws Exception {
+    Callers.Tally good = play(Mutant.NONE);
+    assertTrue(good.holds() && good.again() > 5, good.toString());
+    assertTrue(play(Mutant.RUNS_TWICE).runTwice() > 0);
+    assertTrue(play(Mutant.REFUSES_AFTER_RUN).refusedAfterRun() > 0);
+    assertTrue(play(Mutant.GIVES_OTHER_BYTES).otherBytes() > 0);
+    assertTrue(play(Mutant.LOSES).lost() > 0);
+    assertTrue(play(Mutant.SAYS_WHAT_NOBODY_KNOWS).unknown() > 0);
+    assertTrue(play(Mutant.ANSWERS_TWICE).doubled() > 0);
+    assertTrue(play(Mutant.RUNS_AFTER_ITS_NOTICE).ranLate() > 0);
+    assertTrue(play(Mutant.ANSWERS_WHEN_OVERDUE).overdue() > 0);
+  }
+
+  private static void takesAnotherThan(int held) throws Exception {
+    Link.Ports pair = Link.ports(held);
+    try (ServerSocket streams = pair.streams();
+        DatagramSocket datagrams = pair.datagrams()) {
+      assertEquals(streams.getLocalPort(), datagrams.getLocalPort());
+      assertTrue(streams.getLocalPort() != held);
+    }
+  }
+
+  @Test
+  void aLinkTakesAnotherPortWhereSomebodyElseHasTheFirst() throws Exception {
+    try (DatagramSocket datagrams = new DatagramSocket(0, HOST);
+        ServerSocket streams = new ServerSocket(0, 1, HOST)) {
+      takesAnotherThan(datagrams.getLocalPort());
+      takesAnotherThan(streams.getLocalPort());
+    }
+  }
+
+  @Test
+  void theStandInPoolRunsARequestOnceHoweverOftenItIsAskedFor() throws Exception {
+    byte[] spawn = Bytes.ascii("spawn 0000000000000001 save 4\r\nnote\r\n");
+    try (WorkerPool pool = new WorkerPool(null, new Random(3), 50, 20)) {
+      String first;
+      try (Socket link = new Socket(HOST, pool.address().getPort())) {
+        link.setSoTimeout(5000);
+        InputStream in = new BufferedInputStream(link.getInputStream());
+        link.getOutputStream().write(Bytes.join(Bytes.ascii("bind 0\r\n"), spawn, spawn));
+        assertTrue(
+            Bytes.line(in, 100).matches("bound old 6\\d{4}"), "up for a minute, and this story");
+        first = Bytes.line(in, 100);
+        assertTrue(first.startsWith("finished 1 0000000000000001 good "), first);
+      }
+      try (Socket link = new Socket(HOST, pool.address().getPort())) {
+        link.setSoTimeout(5000);
+        InputStream in = new BufferedInputStream(link.getInputStream());
+        link.getOutputStream().write(Bytes.join(Bytes.ascii("bind 7\r\n"), spawn));
+        assertTrue(
+            Bytes.line(in, 100).matches("bound old 6\\d{4}"), "up for a minute, and this story");
+        assertEquals(
+            first.replace("finished 1 ", "finished 8 "),
+            Bytes.line(in, 100),
+            "its end, told again");
+      }
+      assertEquals(1, pool.begun("note").size());
+    }
+  }
+
+  // ---- A play ----
+
+  /**
+   * Stamps are of the machine's clock: where it steps, windows of keys and due times may not move.
+   */
+  @ParameterizedTest
+  @ValueSource(strings = {"True", "False"})
+  void aClockThatStepsWithinAWindowRunsNoKeyTwice(String kept) throws Exception {
+    FaultScript script =
+        FaultScript.parse(
+            "f.star",
+            """
                 play(seconds = 7, boxes = 1, callers = 4, seed = 6, kept = KEPT)
                 at(1.5, clock("b1", 3600000))
                 at(2.5, change("b1"))
                 at(4.5, clock("b1", -3600000))
                 at(5.5, change("b1"))
-                """.replace("KEPT", kept));
-        ByteArrayOutputStream results = new ByteArrayOutputStream();
-        assertTrue(new Scenario(script, null, System.out, new PrintStream(results)).play(), results.toString());
-        JsonNode tally = new ObjectMapper().readTree(results.toString().split("\n")[4]).path("tally");
-        assertTrue(tally.path("again").asInt() > 50, "keys were repeated throughout: " + tally);
-        assertTrue(tally.path("failed").asInt() + tally.path("refused").asInt() < 20, "it served on: " + tally);
-    }
-
-    @Test
-    void aBoxThatIsToldToLeaveRunsNothingThatCameTooLateAndStartsAgain() throws Exception {
-        FaultScript script = FaultScript.parse("f.star", """
+                """
+                .replace("KEPT", kept));
+    ByteArrayOutputStream results = new ByteArrayOutputStream();
+    assertTrue(
+        new Scenario(script, null, System.out, new PrintStream(results)).play(),
+        results.toString());
+    JsonNode tally = new ObjectMapper().readTree(results.toString().split("\n")[4]).path("tally");
+    assertTrue(tally.path("again").asInt() > 50, "keys were repeated throughout: " + tally);
+    assertTrue(
+        tally.path("failed").asInt() + tally.path("refused").asInt() < 20,
+        "it served on: " + tally);
+  }
+
+  @Test
+  void aBoxThatIsToldToLeaveRunsNothingThatCameTooLateAndStartsAgain() throws Exception {
+    FaultScript script =
+        FaultScript.parse(
+            "f.star",
+            """
                 play(seconds = 9, boxes = 1, callers = 3, seed = 8, kept = True)
                 at(1.5, leave("b1"))
                 at(5.5, start("b1"))
                 """);
-        ByteArrayOutputStream results = new ByteArrayOutputStream();
-        assertTrue(new Scenario(script, null, System.out, new PrintStream(results)).play(), results.toString());
-    }
-
-    @Test
-    void aPlayWithFaultsBetweenRealProcessesKeepsTheRules() throws Exception {
-        FaultScript script = FaultScript.parse("f.star", """
+    ByteArrayOutputStream results = new ByteArrayOutputStream();
+    assertTrue(
+        new Scenario(script, null, System.out, new PrintStream(results)).play(),
+        results.toString());
+  }
+
+  @Test
+  void aPlayWithFaultsBetweenRealProcessesKeepsTheRules() throws Exception {
+    FaultScript script =
+        FaultScript.parse(
+            "f.star",
+            """
                 play(seconds = 6, boxes = 2, callers = 2, seed = 5)
                 at(0.5, delay("b1", "front", 20, 10))
                 at(1, change("b2"))
@@ -437,10 +551,10 @@
                 at(4, stop("b2"))
                 at(4.5, go("b2"))
                 """);
-        ByteArrayOutputStream results = new ByteArrayOutputStream();
-        assertTrue(new Scenario(script, null, System.out, new PrintStream(results)).play());
-        String[] lines = results.toString().split("\n");
-        assertEquals(8 + 2 + 1, lines.length, results.toString());
-        assertTrue(lines[lines.length - 1].contains("\"holds\":true"));
-    }
+    ByteArrayOutputStream results = new ByteArrayOutputStream();
+    assertTrue(new Scenario(script, null, System.out, new PrintStream(results)).play());
+    String[] lines = results.toString().split("\n");
+    assertEquals(8 + 2 + 1, lines.length, results.toString());
+    assertTrue(lines[lines.length - 1].contains("\"holds\":true"));
+  }
 }
--- a/src/test/java/wharftrestle/net/BoxLinkTest.java
+++ b/src/test/java/wharftrestle/net/BoxLinkTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.nio.ByteBuffer;
 import java.net.UnixDomainSocketAddress;
+import java.nio.ByteBuffer;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import java.nio.file.Path;
@@ -19,40 +19,42 @@
 /** The link between two processes of a box, where one of them has a fault of its own. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class BoxLinkTest {
-    /** More than the system holds for one connection. */
-    private static final int MUCH = 4 << 20;
-    /** More links, one after the other, than there may be at once. */
-    private static final int LINKS = 6;
+  /** More than the system holds for one connection. */
+  private static final int MUCH = 4 << 20;
 
-    @TempDir
-    private Path folder;
-    private final BlockingQueue<Word> heard = new LinkedBlockingQueue<>();
+  /** More links, one after the other, than there may be at once. */
+  private static final int LINKS = 6;
 
-    private Word next() throws InterruptedException {
-        return heard.poll(10, TimeUnit.SECONDS);
-    }
+  @TempDir private Path folder;
+  private final BlockingQueue<Word> heard = new LinkedBlockingQueue<>();
+
+  private Word next() throws InterruptedException {
+    return heard.poll(10, TimeUnit.SECONDS);
+  }
 
-    @Test
-    void anErrorWhileHearingMakesDeafButNeitherEndsTheLinkNorKeepsItsPlace() throws Exception {
-        Path at = folder.resolve("n1");
-        BoxLink.Side side = (link, word, detail) -> {
-            heard.add(word);
-            throw new OutOfMemoryError("made up");
+  @Test
+  void anErrorWhileHearingMakesDeafButNeitherEndsTheLinkNorKeepsItsPlace() throws Exception {
+    Path at = folder.resolve("n1");
+    BoxLink.Side side =
+        (link, word, detail) -> {
+          heard.add(word);
+          throw new OutOfMemoryError("made up");
         };
-        try (ServerSocketChannel server = BoxLink.await(at, null, side)) {
-            assertTrue(server.isOpen());
-            for (int i = 0; i < LINKS; i++) {
-                try (SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(at))) {
-                    other.write(ByteBuffer.wrap(Bytes.ascii("taken\r\n")));
-                    assertEquals(Word.TAKEN, next(), "link " + i);
-                    ByteBuffer more = ByteBuffer.allocate(MUCH);
-                    while (more.hasRemaining()) {
-                        other.write(more);   // would break off at a closed link: its end says that a process has ended
-                    }
-                    assertTrue(heard.isEmpty());
-                }
-                assertEquals(Word.LOST, next(), "the end of the other side alone");
-            }
+    try (ServerSocketChannel server = BoxLink.await(at, null, side)) {
+      assertTrue(server.isOpen());
+      for (int i = 0; i < LINKS; i++) {
+        try (SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(at))) {
+          other.write(ByteBuffer.wrap(Bytes.ascii("taken\r\n")));
+          assertEquals(Word.TAKEN, next(), "link " + i);
+          ByteBuffer more = ByteBuffer.allocate(MUCH);
+          while (more.hasRemaining()) {
+            other.write(
+                more); // would break off at a closed link: its end says that a process has ended
+          }
+          assertTrue(heard.isEmpty());
         }
+        assertEquals(Word.LOST, next(), "the end of the other side alone");
+      }
     }
+  }
 }
--- a/src/test/java/wharftrestle/net/LogLimiterTest.java
+++ b/src/test/java/wharftrestle/net/LogLimiterTest.java
@@ -3,28 +3,29 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
-import java.util.List;
 
 /** However often something fails, a second has one line. */
 class LogLimiterTest {
-    private static final long SECOND = 1_000_000_000L;
+  private static final long SECOND = 1_000_000_000L;
 
-    @Property(tries = 200)
-    void noTwoLinesWithinASecondAndTheFirstAtOnce(@ForAll long start,
-            @ForAll @Size(min = 1, max = 200) List<@LongRange(min = 0, max = 300_000_000L) Long> gaps) {
-        LogLimiter lines = new LogLimiter(start);
-        long now = start;
-        assertTrue(lines.may(now));
-        long last = now;
-        for (long gap : gaps) {
-            now += gap;
-            boolean due = now - last > SECOND;
-            assertEquals(due, lines.may(now));
-            last = due ? now : last;
-        }
+  @Property(tries = 200)
+  void noTwoLinesWithinASecondAndTheFirstAtOnce(
+      @ForAll long start,
+      @ForAll @Size(min = 1, max = 200) List<@LongRange(min = 0, max = 300_000_000L) Long> gaps) {
+    LogLimiter lines = new LogLimiter(start);
+    long now = start;
+    assertTrue(lines.may(now));
+    long last = now;
+    for (long gap : gaps) {
+      now += gap;
+      boolean due = now - last > SECOND;
+      assertEquals(due, lines.may(now));
+      last = due ? now : last;
     }
+  }
 }
--- a/src/test/java/wharftrestle/prove/BenchChange.java
+++ b/src/test/java/wharftrestle/prove/BenchChange.java
@@ -15,153 +15,180 @@
 import wharftrestle.lab.Holder;
 
 /**
- * What a change and the way back cost: answers by the second with none, with a change, and with the way back, in one run;
- * time until ready, and the memory of both processes. Played with callers that think, and again at 110% of what the box
- * can do when it is held to a share of a core.
+ * What a change and the way back cost: answers by the second with none, with a change, and with the
+ * way back, in one run; time until ready, and the memory of both processes. Played with callers
+ * that think, and again at 110% of what the box can do when it is held to a share of a core.
  */
 public final class BenchChange {
-    private static final int CALLERS = 12;
-    private static final int SECONDS = 8;
-    private static final long READY_MS = 30_000;
-    /** Seconds that a change is waited for, and that are told after it. */
-    private static final int MOST_SECONDS = 30;
-    private static final int MORE_SECONDS = 4;
-    /**
-     * Cores that the box is held to where it is overloaded; twice as many while it has two processes, as the platform has
-     * it.
-     */
-    private static final double SHARE = 0.15;
-    private static final int CROWD = 64;
-    private static final double OVER = 1.1;
-
-    private final Floor floor;
-    private volatile Daemon serves;
-    private volatile Daemon comes;
-    private Holder holder;                // null where it is held to nothing
-
-    private BenchChange(Floor floor) {
-        this.floor = floor;
-    }
+  private static final int CALLERS = 12;
+  private static final int SECONDS = 8;
+  private static final long READY_MS = 30_000;
 
-    public static void main(String[] args) throws Exception {
-        long seed = args.length > 0 ? Long.parseLong(args[0]) : 7;
-        boolean[] plays = args.length > 1 ? new boolean[] {args[1].equals("over")} : new boolean[] {false, true};
-        for (boolean over : plays) {
-            Path folder = Files.createTempDirectory("bench-change");
-            try (Floor floor = new Floor(folder, "", seed, Floor.Play.of(192))) {
-                new BenchChange(floor).play(over, seed);
-            } finally {
-                Floor.delete(folder);
-            }
-        }
-    }
+  /** Seconds that a change is waited for, and that are told after it. */
+  private static final int MOST_SECONDS = 30;
 
-    private List<Daemon> processes() {
-        return Stream.of(serves, comes).filter(Objects::nonNull).toList();
-    }
+  private static final int MORE_SECONDS = 4;
 
-    private void play(boolean over, long seed) throws Exception {
-        Floor.Version one = new Floor.Version(null, "wharftrestle.Main", floor.settings(), "");
-        Floor.Version two = new Floor.Version(null, "wharftrestle.Main",
-                new Floor.Settings(floor.settings().memoryMb(), floor.settings().window() + 10, false, false), "");
-        serves = floor.begin(one);
-        if (!serves.awaitReady(READY_MS)) {
-            throw new IllegalStateException("it did not start:\n" + serves.log());
-        }
-        hold(over, SHARE);
-        try {
-            Callers.Habit habit = Callers.Habit.of(CALLERS, 9000);
-            if (over) {
-                Callers all = new Callers(floor, new Callers.Habit(CROWD, 9000, 0.4, 1), seed, () -> false);
-                all.start();
-                seconds(all, 4);
-                double most = seconds(all, 4).stream().mapToInt(each -> each[0]).average().orElse(0);
-                all.stop();
-                habit = Callers.Habit.paced(CROWD, 9000, OVER * most);
-                System.out.printf(Locale.ROOT, "bench-change: held to %.2f cores it answers %.0f a second, asked for %.0f%n",
-                        SHARE, most, OVER * most);
-            }
-            Callers callers = new Callers(floor, habit, seed + 1, () -> false);
-            callers.start();
-            seconds(callers, 4);   // its code is compiled by then
-            System.out.printf(Locale.ROOT, "bench-change: seed %d, %d callers, results a second (refused, failed)%n", seed,
-                    habit.many());
-            System.out.println("  no change:    " + shown(seconds(callers, SECONDS)));
-            change(callers, two, "  change:       ");
-            change(callers, one, "  and back:     ");
-            System.out.println("  after:        " + shown(seconds(callers, 4)));
-            callers.stop();
-            System.out.println("  " + callers.tally());
-        } finally {
-            hold(false, 0);
-        }
-    }
+  /**
+   * Cores that the box is held to where it is overloaded; twice as many while it has two processes,
+   * as the platform has it.
+   */
+  private static final double SHARE = 0.15;
 
-    private void hold(boolean held, double cores) throws Exception {
-        if (holder != null) {
-            holder.close();
-        }
-        holder = held ? new Holder(this::processes, cores) : null;
+  private static final int CROWD = 64;
+  private static final double OVER = 1.1;
+
+  private final Floor floor;
+  private volatile Daemon serves;
+  private volatile Daemon comes;
+  private Holder holder; // null where it is held to nothing
+
+  private BenchChange(Floor floor) {
+    this.floor = floor;
+  }
+
+  public static void main(String[] args) throws Exception {
+    long seed = args.length > 0 ? Long.parseLong(args[0]) : 7;
+    boolean[] plays =
+        args.length > 1 ? new boolean[] {args[1].equals("over")} : new boolean[] {false, true};
+    for (boolean over : plays) {
+      Path folder = Files.createTempDirectory("bench-change");
+      try (Floor floor = new Floor(folder, "", seed, Floor.Play.of(192))) {
+        new BenchChange(floor).play(over, seed);
+      } finally {
+        Floor.delete(folder);
+      }
     }
+  }
 
-    private void change(Callers callers, Floor.Version to, String name) throws Exception {
-        long began = System.nanoTime();
-        boolean held = holder != null;
-        comes = floor.begin(to);
-        hold(held, 2 * SHARE);
-        List<int[]> answers = new ArrayList<>();
-        long ready = -1;
-        String memory = "";
-        Daemon old = serves;
-        int more = MORE_SECONDS;
-        for (int i = 0; i < MOST_SECONDS && more > 0; i++) {
-            more -= ready < 0 ? 0 : 1;
-            int[] before = counts(callers);
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
-            while (System.nanoTime() < until) {
-                if (ready < 0 && comes.ready()) {
-                    ready = (System.nanoTime() - began) / 1_000_000;
-                    memory = old.memoryKb("RssAnon") / 1024 + " and " + comes.memoryKb("RssAnon") / 1024 + " MB";
-                    old.term();
-                }
-                LockSupport.parkNanos(2_000_000);
-            }
-            answers.add(since(callers, before));
-        }
-        if (ready < 0) {
-            throw new IllegalStateException("it was not ready in " + MOST_SECONDS + " s:\n" + comes.log());
-        }
-        old.awaitEnd(READY_MS);
-        serves = comes;
-        comes = null;
-        hold(held, SHARE);
-        System.out.println(name + shown(answers) + ", ready after " + ready + " ms, own memory of both " + memory);
+  private List<Daemon> processes() {
+    return Stream.of(serves, comes).filter(Objects::nonNull).toList();
+  }
+
+  private void play(boolean over, long seed) throws Exception {
+    Floor.Version one = new Floor.Version(null, "wharftrestle.Main", floor.settings(), "");
+    Floor.Version two =
+        new Floor.Version(
+            null,
+            "wharftrestle.Main",
+            new Floor.Settings(
+                floor.settings().memoryMb(), floor.settings().window() + 10, false, false),
+            "");
+    serves = floor.begin(one);
+    if (!serves.awaitReady(READY_MS)) {
+      throw new IllegalStateException("it did not start:\n" + serves.log());
+    }
+    hold(over, SHARE);
+    try {
+      Callers.Habit habit = Callers.Habit.of(CALLERS, 9000);
+      if (over) {
+        Callers all = new Callers(floor, new Callers.Habit(CROWD, 9000, 0.4, 1), seed, () -> false);
+        all.start();
+        seconds(all, 4);
+        double most = seconds(all, 4).stream().mapToInt(each -> each[0]).average().orElse(0);
+        all.stop();
+        habit = Callers.Habit.paced(CROWD, 9000, OVER * most);
+        System.out.printf(
+            Locale.ROOT,
+            "bench-change: held to %.2f cores it answers %.0f a second, asked for %.0f%n",
+            SHARE,
+            most,
+            OVER * most);
+      }
+      Callers callers = new Callers(floor, habit, seed + 1, () -> false);
+      callers.start();
+      seconds(callers, 4); // its code is compiled by then
+      System.out.printf(
+          Locale.ROOT,
+          "bench-change: seed %d, %d callers, results a second (refused, failed)%n",
+          seed,
+          habit.many());
+      System.out.println("  no change:    " + shown(seconds(callers, SECONDS)));
+      change(callers, two, "  change:       ");
+      change(callers, one, "  and back:     ");
+      System.out.println("  after:        " + shown(seconds(callers, 4)));
+      callers.stop();
+      System.out.println("  " + callers.tally());
+    } finally {
+      hold(false, 0);
     }
+  }
 
-    private static int[] counts(Callers callers) {
-        return new int[] {callers.served(), callers.refused(), callers.failed()};
+  private void hold(boolean held, double cores) throws Exception {
+    if (holder != null) {
+      holder.close();
     }
+    holder = held ? new Holder(this::processes, cores) : null;
+  }
 
-    private static int[] since(Callers callers, int[] before) {
-        int[] now = counts(callers);
-        for (int i = 0; i < now.length; i++) {
-            now[i] -= before[i];
+  private void change(Callers callers, Floor.Version to, String name) throws Exception {
+    long began = System.nanoTime();
+    boolean held = holder != null;
+    comes = floor.begin(to);
+    hold(held, 2 * SHARE);
+    List<int[]> answers = new ArrayList<>();
+    long ready = -1;
+    String memory = "";
+    Daemon old = serves;
+    int more = MORE_SECONDS;
+    for (int i = 0; i < MOST_SECONDS && more > 0; i++) {
+      more -= ready < 0 ? 0 : 1;
+      int[] before = counts(callers);
+      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
+      while (System.nanoTime() < until) {
+        if (ready < 0 && comes.ready()) {
+          ready = (System.nanoTime() - began) / 1_000_000;
+          memory =
+              old.memoryKb("RssAnon") / 1024 + " and " + comes.memoryKb("RssAnon") / 1024 + " MB";
+          old.term();
         }
-        return now;
+        LockSupport.parkNanos(2_000_000);
+      }
+      answers.add(since(callers, before));
     }
+    if (ready < 0) {
+      throw new IllegalStateException(
+          "it was not ready in " + MOST_SECONDS + " s:\n" + comes.log());
+    }
+    old.awaitEnd(READY_MS);
+    serves = comes;
+    comes = null;
+    hold(held, SHARE);
+    System.out.println(
+        name + shown(answers) + ", ready after " + ready + " ms, own memory of both " + memory);
+  }
 
-    private static List<int[]> seconds(Callers callers, int many) {
-        List<int[]> answers = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
-            int[] before = counts(callers);
-            LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1));
-            answers.add(since(callers, before));
-        }
-        return answers;
+  private static int[] counts(Callers callers) {
+    return new int[] {callers.served(), callers.refused(), callers.failed()};
+  }
+
+  private static int[] since(Callers callers, int[] before) {
+    int[] now = counts(callers);
+    for (int i = 0; i < now.length; i++) {
+      now[i] -= before[i];
     }
+    return now;
+  }
 
-    private static String shown(List<int[]> seconds) {
-        return String.join(" ", seconds.stream().map(each -> each[1] + each[2] == 0 ? Integer.toString(each[0])
-                : each[0] + "(" + each[1] + "," + each[2] + ")").toList());
+  private static List<int[]> seconds(Callers callers, int many) {
+    List<int[]> answers = new ArrayList<>();
+    for (int i = 0; i < many; i++) {
+      int[] before = counts(callers);
+      LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1));
+      answers.add(since(callers, before));
     }
+    return answers;
+  }
+
+  private static String shown(List<int[]> seconds) {
+    return String.join(
+        " ",
+        seconds.stream()
+            .map(
+                each ->
+                    each[1] + each[2] == 0
+                        ? Integer.toString(each[0])
+                        : each[0] + "(" + each[1] + "," + each[2] + ")")
+            .toList());
+  }
 }
--- a/src/test/java/wharftrestle/prove/Crashes.java
+++ b/src/test/java/wharftrestle/prove/Crashes.java
@@ -2,9 +2,9 @@
 
 /** A program that starts and crashes before it serves: a bad release. */
 public final class Crashes {
-    private Crashes() { }
+  private Crashes() {}
 
-    public static void main(String[] args) {
-        throw new IllegalStateException("a bad release");
-    }
+  public static void main(String[] args) {
+    throw new IllegalStateException("a bad release");
+  }
 }
--- a/src/test/java/wharftrestle/prove/HangupTest.java
+++ b/src/test/java/wharftrestle/prove/HangupTest.java
@@ -12,23 +12,24 @@
 
 /** A daemon that was started where hangups are ignored, as by nohup, and whose parties move. */
 class HangupTest {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    @Test
-    void aDaemonThatCannotHearAHangupStillTakesOverANewConfiguration() throws Exception {
-        try (Floor floor = new Floor(folder, "", 29421, Floor.Play.of(192))) {
-            floor.ignoreHangups();
-            floor.start();
-            try (Desk desk = new Desk(floor.address())) {
-                assertEquals("done", desk.ask("save", 1, "before", "a").word());
-                floor.movePool();
-                assertEquals("done", desk.ask("save", 2, "after", "b").word(), "its worker pool was found again");
-            }
-            String log = Files.readString(folder.resolve("daemon.log"));
-            assertTrue(log.contains("SIGHUP is ignored by whoever started this process"), log);
-            assertTrue(log.contains("n1 has a new configuration"), log);
-            assertEquals(1, log.lines().filter(line -> line.contains("has a new configuration")).count(), "once");
-        }
+  @Test
+  void aDaemonThatCannotHearAHangupStillTakesOverANewConfiguration() throws Exception {
+    try (Floor floor = new Floor(folder, "", 29421, Floor.Play.of(192))) {
+      floor.ignoreHangups();
+      floor.start();
+      try (Desk desk = new Desk(floor.address())) {
+        assertEquals("done", desk.ask("save", 1, "before", "a").word());
+        floor.movePool();
+        assertEquals(
+            "done", desk.ask("save", 2, "after", "b").word(), "its worker pool was found again");
+      }
+      String log = Files.readString(folder.resolve("daemon.log"));
+      assertTrue(log.contains("SIGHUP is ignored by whoever started this process"), log);
+      assertTrue(log.contains("n1 has a new configuration"), log);
+      assertEquals(
+          1, log.lines().filter(line -> line.contains("has a new configuration")).count(), "once");
     }
+  }
 }
--- a/src/test/java/wharftrestle/prove/LinkFlapTest.java
+++ b/src/test/java/wharftrestle/prove/LinkFlapTest.java
@@ -16,40 +16,39 @@
 /** A worker pool whose address takes connections and ends each at once, for seconds. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LinkFlapTest {
-    private static final Pattern LINKS = Pattern.compile("(\\d+)\\s+worker pool links made");
-    private static final int TRIES = 60;   // of 50 ms each, at the least
+  private static final Pattern LINKS = Pattern.compile("(\\d+)\\s+worker pool links made");
+  private static final int TRIES = 60; // of 50 ms each, at the least
 
-    private static final long MOST_NANOS = 30_000_000_000L;
+  private static final long MOST_NANOS = 30_000_000_000L;
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private static int links(Daemon daemon) throws Exception {
-        Matcher said = LINKS.matcher(daemon.get("/_counters"));
-        assertTrue(said.find(), "the door tells the links made");
-        return Integer.parseInt(said.group(1));
-    }
+  private static int links(Daemon daemon) throws Exception {
+    Matcher said = LINKS.matcher(daemon.get("/_counters"));
+    assertTrue(said.find(), "the door tells the links made");
+    return Integer.parseInt(said.group(1));
+  }
 
-    @Test
-    void itIsOneLineASecondAndItComesBack() throws Exception {
-        try (Floor floor = new Floor(folder, "", 29421, Floor.Play.of(192), true)) {
-            floor.start();
-            Daemon daemon = floor.daemon();
-            int before = links(daemon);
-            long began = System.nanoTime();
-            floor.link("pool").refuse();
-            floor.link("pool").cut();
-            while (links(daemon) < before + TRIES && System.nanoTime() - began < MOST_NANOS) {
-                Thread.onSpinWait();
-            }
-            assertTrue(links(daemon) >= before + TRIES, "it tries again");
-            double seconds = (System.nanoTime() - began) / 1e9;
-            long lines = daemon.log().lines().filter(line -> line.contains("worker pool link")).count();
-            assertTrue(lines >= 1 && lines <= 2 + seconds, lines + " lines in " + seconds + " s");
-            floor.link("pool").heal();
-            try (Desk desk = new Desk(floor.address())) {
-                assertEquals("done", desk.ask("save", 1, "key", "body").word());
-            }
-        }
+  @Test
+  void itIsOneLineASecondAndItComesBack() throws Exception {
+    try (Floor floor = new Floor(folder, "", 29421, Floor.Play.of(192), true)) {
+      floor.start();
+      Daemon daemon = floor.daemon();
+      int before = links(daemon);
+      long began = System.nanoTime();
+      floor.link("pool").refuse();
+      floor.link("pool").cut();
+      while (links(daemon) < before + TRIES && System.nanoTime() - began < MOST_NANOS) {
+        Thread.onSpinWait();
+      }
+      assertTrue(links(daemon) >= before + TRIES, "it tries again");
+      double seconds = (System.nanoTime() - began) / 1e9;
+      long lines = daemon.log().lines().filter(line -> line.contains("worker pool link")).count();
+      assertTrue(lines >= 1 && lines <= 2 + seconds, lines + " lines in " + seconds + " s");
+      floor.link("pool").heal();
+      try (Desk desk = new Desk(floor.address())) {
+        assertEquals("done", desk.ask("save", 1, "key", "body").word());
+      }
     }
+  }
 }
--- a/src/test/java/wharftrestle/prove/Unagreed.java
+++ b/src/test/java/wharftrestle/prove/Unagreed.java
@@ -5,16 +5,23 @@
 import wharftrestle.keys.KeyRoom;
 import wharftrestle.net.Config;
 
-/** The daemon that hands over to whoever asks: what a proof plays beside the real one, and never more. */
+/**
+ * The daemon that hands over to whoever asks: what a proof plays beside the real one, and never
+ * more.
+ */
 public final class Unagreed {
-    private Unagreed() { }
+  private Unagreed() {}
 
-    public static void main(String[] args) throws Exception {
-        Lifecycle life = new Lifecycle(Config.read(System.getenv()), Config.Appliance.none(),
-                KeyRoom.ofHeap(Runtime.getRuntime().maxMemory()), (serves, next) -> null);
-        Signal.handle(new Signal("TERM"), signal -> life.leave());
-        life.start();
-        life.serveUntilStopped();
-        System.exit(0);
-    }
+  public static void main(String[] args) throws Exception {
+    Lifecycle life =
+        new Lifecycle(
+            Config.read(System.getenv()),
+            Config.Appliance.none(),
+            KeyRoom.ofHeap(Runtime.getRuntime().maxMemory()),
+            (serves, next) -> null);
+    Signal.handle(new Signal("TERM"), signal -> life.leave());
+    life.start();
+    life.serveUntilStopped();
+    System.exit(0);
+  }
 }
--- a/src/test/java/wharftrestle/prove/Unbounded.java
+++ b/src/test/java/wharftrestle/prove/Unbounded.java
@@ -4,13 +4,17 @@
 import wharftrestle.keys.KeyRoom;
 import wharftrestle.net.Config;
 
-/** The daemon with no bound on what it knows of keys: what a proof plays beside the real one, and never more. */
+/**
+ * The daemon with no bound on what it knows of keys: what a proof plays beside the real one, and
+ * never more.
+ */
 public final class Unbounded {
-    private Unbounded() { }
+  private Unbounded() {}
 
-    public static void main(String[] args) throws Exception {
-        Lifecycle life = new Lifecycle(Config.read(System.getenv()), Config.Appliance.none(), KeyRoom.unbounded());
-        life.start();
-        life.serveUntilStopped();
-    }
+  public static void main(String[] args) throws Exception {
+    Lifecycle life =
+        new Lifecycle(Config.read(System.getenv()), Config.Appliance.none(), KeyRoom.unbounded());
+    life.start();
+    life.serveUntilStopped();
+  }
 }
--- a/src/test/java/wharftrestle/version/VersionTest.java
+++ b/src/test/java/wharftrestle/version/VersionTest.java
@@ -19,76 +19,94 @@
 /** What a version is: its ranges, its digests, and which settings tell two apart. */
 class VersionTest {
 
-    @Test
-    void rangesHaveTheNewestVersionInCommonOrNone() {
-        assertEquals(2, Range.of("1-2").common(Range.of("2-5")));
-        assertEquals(-1, Range.of("1-2").common(Range.of("3")));
-        assertEquals("1-2", Range.of("1-2").toString());
-        for (String bad : new String[] {"", "2-1", "1-2-3", "x", "-1", "1-"}) {
-            assertThrows(IllegalArgumentException.class, () -> Range.of(bad), bad);
-        }
+  @Test
+  void rangesHaveTheNewestVersionInCommonOrNone() {
+    assertEquals(2, Range.of("1-2").common(Range.of("2-5")));
+    assertEquals(-1, Range.of("1-2").common(Range.of("3")));
+    assertEquals("1-2", Range.of("1-2").toString());
+    for (String bad : new String[] {"", "2-1", "1-2-3", "x", "-1", "1-"}) {
+      assertThrows(IllegalArgumentException.class, () -> Range.of(bad), bad);
     }
+  }
 
-    @Test
-    void whatIsBesideTheJarIsReadAndWhatIsNoDigestIsNotBelieved(@TempDir Path folder) throws Exception {
-        Path jar = Files.writeString(folder.resolve("a.jar"), "bytes");
-        assertEquals("unknown", Build.beside(jar));
-        Files.writeString(folder.resolve("a.jar.sha256"), Build.digest(jar) + "  a.jar\n");
-        assertEquals(Build.digest(jar), Build.beside(jar));
-        assertEquals("277089d91c0bdf4f2e6862ba7e4a07605119431f5d13f726dd352b06f1b206a9", Build.beside(jar));
-        Files.writeString(folder.resolve("a.jar.sha256"), "half");
-        assertEquals("unknown", Build.beside(jar));
-    }
+  @Test
+  void whatIsBesideTheJarIsReadAndWhatIsNoDigestIsNotBelieved(@TempDir Path folder)
+      throws Exception {
+    Path jar = Files.writeString(folder.resolve("a.jar"), "bytes");
+    assertEquals("unknown", Build.beside(jar));
+    Files.writeString(folder.resolve("a.jar.sha256"), Build.digest(jar) + "  a.jar\n");
+    assertEquals(Build.digest(jar), Build.beside(jar));
+    assertEquals(
+        "277089d91c0bdf4f2e6862ba7e4a07605119431f5d13f726dd352b06f1b206a9", Build.beside(jar));
+    Files.writeString(folder.resolve("a.jar.sha256"), "half");
+    assertEquals("unknown", Build.beside(jar));
+  }
 
-    private static String canonical(Admission.Settings settings, int port, Config.Appliance appliance) {
-        InetSocketAddress at = new InetSocketAddress("127.0.0.1", port);
-        return new Config("n", at, at, at, at, null, port, 3, 1, 1024, 192, null, settings).canonical(appliance);
-    }
+  private static String canonical(
+      Admission.Settings settings, int port, Config.Appliance appliance) {
+    InetSocketAddress at = new InetSocketAddress("127.0.0.1", port);
+    return new Config("n", at, at, at, at, null, port, 3, 1, 1024, 192, null, settings)
+        .canonical(appliance);
+  }
 
-    @Test
-    void everySettingTellsTwoVersionsApartAndNoAddressOrSeedDoes() throws Exception {
-        Admission.Settings plain = Sites.site().build();
-        Config.Appliance none = Config.Appliance.none();
-        String before = canonical(plain, 1000, none);
-        assertEquals(before, canonical(plain, 2000, none));
-        RecordComponent[] parts = Admission.Settings.class.getRecordComponents();
-        // Whether a process has just started is no setting of the operators.
-        Set<String> left = Set.of("justStarted");
-        for (int i = 0; i < parts.length; i++) {
-            Object[] values = new Object[parts.length];
-            Class<?>[] types = new Class<?>[parts.length];
-            for (int j = 0; j < parts.length; j++) {
-                values[j] = parts[j].getAccessor().invoke(plain);
-                types[j] = parts[j].getType();
-            }
-            values[i] = other(values[i], parts[i].getName());
-            String changed = canonical(Admission.Settings.class.getDeclaredConstructor(types).newInstance(values), 1000,
-                    none);
-            if (left.contains(parts[i].getName())) {
-                assertEquals(before, changed);
-            } else {
-                assertNotEquals(before, changed, parts[i].getName());
-            }
-        }
-        assertNotEquals(before, canonical(plain, 1000, new Config.Appliance(null, null, null, "public", 25)));
-        assertNotEquals(before, canonical(plain, 1000, new Config.Appliance(null, null, null, "public", Config.HELD_KB,
-                new Config.Durable(Path.of("/a"), 1, 2, 3, 4, "group"))));
+  @Test
+  void everySettingTellsTwoVersionsApartAndNoAddressOrSeedDoes() throws Exception {
+    Admission.Settings plain = Sites.site().build();
+    Config.Appliance none = Config.Appliance.none();
+    String before = canonical(plain, 1000, none);
+    assertEquals(before, canonical(plain, 2000, none));
+    RecordComponent[] parts = Admission.Settings.class.getRecordComponents();
+    // Whether a process has just started is no setting of the operators.
+    Set<String> left = Set.of("justStarted");
+    for (int i = 0; i < parts.length; i++) {
+      Object[] values = new Object[parts.length];
+      Class<?>[] types = new Class<?>[parts.length];
+      for (int j = 0; j < parts.length; j++) {
+        values[j] = parts[j].getAccessor().invoke(plain);
+        types[j] = parts[j].getType();
+      }
+      values[i] = other(values[i], parts[i].getName());
+      String changed =
+          canonical(
+              Admission.Settings.class.getDeclaredConstructor(types).newInstance(values),
+              1000,
+              none);
+      if (left.contains(parts[i].getName())) {
+        assertEquals(before, changed);
+      } else {
+        assertNotEquals(before, changed, parts[i].getName());
+      }
     }
+    assertNotEquals(
+        before, canonical(plain, 1000, new Config.Appliance(null, null, null, "public", 25)));
+    assertNotEquals(
+        before,
+        canonical(
+            plain,
+            1000,
+            new Config.Appliance(
+                null,
+                null,
+                null,
+                "public",
+                Config.HELD_KB,
+                new Config.Durable(Path.of("/a"), 1, 2, 3, 4, "group"))));
+  }
 
-    private static Object other(Object value, String name) {
-        if (value instanceof Integer number) {
-            return number + 1;
-        }
-        if (value instanceof Double number) {
-            return number + 1;
-        }
-        if (value instanceof Boolean flag) {
-            return !flag;
-        }
-        if (value instanceof Enum<?> word) {
-            Object[] all = word.getDeclaringClass().getEnumConstants();
-            return all[(word.ordinal() + 1) % all.length];
-        }
-        return name.equals("tenants") ? List.of(new Admission.Tenant("t", 1, 1)) : List.of();
+  private static Object other(Object value, String name) {
+    if (value instanceof Integer number) {
+      return number + 1;
+    }
+    if (value instanceof Double number) {
+      return number + 1;
+    }
+    if (value instanceof Boolean flag) {
+      return !flag;
+    }
+    if (value instanceof Enum<?> word) {
+      Object[] all = word.getDeclaringClass().getEnumConstants();
+      return all[(word.ordinal() + 1) % all.length];
     }
+    return name.equals("tenants") ? List.of(new Admission.Tenant("t", 1, 1)) : List.of();
+  }
 }
