--- a/src/main/java/wharftrestle/box/BoxKeeper.java
+++ b/src/main/java/wharftrestle/box/BoxKeeper.java
@@ -340,8 +340,8 @@
       return "no " + against;
     }
     boolean undoes =
-        keeper.state() == Keeper.State.CHANGING && keeper.release().equals(to)
-            || keeper.state() == Keeper.State.PROBATION && keeper.good().equals(to);
+        (keeper.state() == Keeper.State.CHANGING && keeper.release().equals(to))
+            || (keeper.state() == Keeper.State.PROBATION && keeper.good().equals(to));
     if (undoes) {
       carryOut(keeper.back(now()));
       return "ok going back to " + to;
--- a/src/main/java/wharftrestle/core/Core.java
+++ b/src/main/java/wharftrestle/core/Core.java
@@ -475,7 +475,8 @@
         return;
       }
       KeyTable.Entry<Task> known = task.key == null ? null : keys.find(task.key);
-      boolean ran = known != null && known.ran() || task.key != null && !partner.between().owner();
+      boolean ran =
+          (known != null && known.ran()) || (task.key != null && !partner.between().owner());
       if (byId.size() >= most) {
         // Guards against threads filling the memory in a flood: what finds none is turned away
         // unread by
--- a/src/main/java/wharftrestle/durable/Gather.java
+++ b/src/main/java/wharftrestle/durable/Gather.java
@@ -25,7 +25,7 @@
 
   /** Adds it; false where it is closed, or too much waits and this one need not be taken. */
   public synchronized boolean add(T entry, int size, boolean must) {
-    if (closed || !must && bytes + size > most) {
+    if (closed || (!must && bytes + size > most)) {
       return false;
     }
     waiting.add(entry);
--- a/src/main/java/wharftrestle/durable/Journal.java
+++ b/src/main/java/wharftrestle/durable/Journal.java
@@ -178,7 +178,7 @@
       long[] files = opened.files();
       byte[] list = opened.list();
       List<Long> listed = list == null ? null : Listing.parse(list);
-      hurt = files.length > 0 && listed == null || list != null && listed == null;
+      hurt = (files.length > 0 && listed == null) || (list != null && listed == null);
       ghosts.clear();
       for (long number : listed == null ? List.<Long>of() : listed) {
         if (Arrays.binarySearch(files, number) < 0) {
@@ -201,7 +201,7 @@
                     until[0] = Math.max(until[0], now + record.window() / 1000.0 + Recovery.LINGER);
                   }
                 });
-        hurt |= seen.damaged() || seen.torn() && i < files.length - 1;
+        hurt |= seen.damaged() || (seen.torn() && i < files.length - 1);
         batch = Math.max(batch, seen.lastBatch() + 1);
         synchronized (room) {
           room.add(number, Math.max(Segment.HEAD, seen.end()), until[0]);
@@ -345,7 +345,7 @@
 
   private void end(Record.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
     Ticket ticket = ticket(kind, keyed, result, told);
-    if (result != null && result.length > Record.LONGEST_RESULT
+    if ((result != null && result.length > Record.LONGEST_RESULT)
         || state == State.SHUT
         || !gather.add(ticket, ticket.size, true)) {
       settle(keyed.key());
@@ -456,7 +456,7 @@
     for (Ticket ticket : all) {
       boolean end =
           ticket.record.kind() == Record.Kind.RESULT || ticket.record.kind() == Record.Kind.FAILED;
-      if (end || ticket.record.kind() == Record.Kind.INTENT && ticket.place < 0) {
+      if (end || (ticket.record.kind() == Record.Kind.INTENT && ticket.place < 0)) {
         settle(ticket.record.key());
       }
       unsaved += end && ticket.place < 0 ? 1 : 0;
--- a/src/main/java/wharftrestle/durable/ResultsFolder.java
+++ b/src/main/java/wharftrestle/durable/ResultsFolder.java
@@ -100,8 +100,8 @@
     for (Line line : lines().values()) {
       Record record = line.record();
       if (record.key().equals(key)
-          || record.key().matches("[0-9]+/[0-9]+/.*")
-              && record.key().replaceFirst("[0-9]+/[0-9]+/", "").equals(key)) {
+          || (record.key().matches("[0-9]+/[0-9]+/.*")
+              && record.key().replaceFirst("[0-9]+/[0-9]+/", "").equals(key))) {
         found = true;
         out.printf(
             Locale.ROOT,
@@ -160,7 +160,7 @@
       ByteBuffer bytes = disk.read(files[i]);
       Segment.Seen seen = Compaction.scan(bytes, (record, offset) -> {});
       boolean last = i == files.length - 1;
-      boolean damaged = seen.damaged() || seen.torn() && !last;
+      boolean damaged = seen.damaged() || (seen.torn() && !last);
       whole &= !damaged;
       out.printf(
           Locale.ROOT,
--- a/src/main/java/wharftrestle/durable/Segment.java
+++ b/src/main/java/wharftrestle/durable/Segment.java
@@ -142,7 +142,7 @@
       at += record.size();
       end = at;
     }
-    boolean torn = hole < Integer.MAX_VALUE || records > 0 && !ended || !zeros(bytes, end);
+    boolean torn = hole < Integer.MAX_VALUE || (records > 0 && !ended) || !zeros(bytes, end);
     return new Seen(head, end, records, batch, torn, damaged);
   }
 
--- a/src/main/java/wharftrestle/fleet/Roll.java
+++ b/src/main/java/wharftrestle/fleet/Roll.java
@@ -300,7 +300,7 @@
                   && shows.attempt() >= told.getOrDefault(box.name(), 0)
                   && !shows.failed().isEmpty());
       boolean cutAway = !contact && (plan.whenCut() == Plan.WhenCut.HOLD || ago < CUT_AWAY);
-      if (open && (ago < ORDER_AWAY || cutAway) || contact && !shows.settled()) {
+      if ((open && (ago < ORDER_AWAY || cutAway)) || (contact && !shows.settled())) {
         all.add(box.name());
       }
     }
@@ -329,7 +329,7 @@
       // back unasked.
       Shows shows = boxes.get(box.name());
       if (has(plan.to(), shows)
-          || shows != null && !shows.contact() && plan.to().equals(shows.acts())) {
+          || (shows != null && !shows.contact() && plan.to().equals(shows.acts()))) {
         all.add(box.name());
       }
     }
--- a/src/main/java/wharftrestle/fleet/Steering.java
+++ b/src/main/java/wharftrestle/fleet/Steering.java
@@ -133,7 +133,7 @@
     }
     if (said.answer() == Fence.Answer.FENCED) {
       if (said.kept().epoch() > epoch
-          || said.kept().epoch() == epoch && !said.kept().driver().equals(driver)) {
+          || (said.kept().epoch() == epoch && !said.kept().driver().equals(driver))) {
         state = State.LOST;
         lostTo = said.kept().driver();
       }
--- a/src/main/java/wharftrestle/front/Resp.java
+++ b/src/main/java/wharftrestle/front/Resp.java
@@ -211,8 +211,8 @@
     boolean keyed = core.settings().classes().get(type).repeat() == Admission.Repeat.KEYED;
     String key = keyed ? fields.getOrDefault("unique", "") : null;
     String item = fields.get("item");
-    if (keyed && (key.isEmpty() || key.length() > LONGEST_KEY)
-        || item != null && item.length() > LONGEST_KEY) {
+    if ((keyed && (key.isEmpty() || key.length() > LONGEST_KEY))
+        || (item != null && item.length() > LONGEST_KEY)) {
       throw new InvalidException("no key, or one too long");
     }
     double ram;
@@ -355,7 +355,7 @@
       } catch (SocketTimeoutException quiet) {
         double limit = core.idleLimit();
         boolean idle = limit > 0 && System.nanoTime() - connection.heardAt() > limit * 1e9;
-        if (silent || idle && connection.owed() == 0) {
+        if (silent || (idle && connection.owed() == 0)) {
           // Guards against losing a request that crosses the close: its peer hears first, and may
           // still ask.
           connection.goAway();
--- a/src/main/java/wharftrestle/front/Uwsgi.java
+++ b/src/main/java/wharftrestle/front/Uwsgi.java
@@ -136,7 +136,7 @@
   /** The request; null where the path asks for this box's health. */
   private Core.Arrival read(InputStream in) throws IOException {
     byte[] head = Bytes.exactly(in, 4);
-    int size = head[1] & 0xff | (head[2] & 0xff) << 8;
+    int size = (head[1] & 0xff) | (head[2] & 0xff) << 8;
     if (head[0] != 0 || head[3] != 0 || size > LONGEST_VARS) {
       throw new MalformedException("no uwsgi request, or too many variables");
     }
@@ -195,7 +195,9 @@
       String[] pair = new String[2];
       for (int i = 0; i < 2; i++) {
         int size =
-            at + 2 <= block.length ? block[at] & 0xff | (block[at + 1] & 0xff) << 8 : block.length;
+            at + 2 <= block.length
+                ? (block[at] & 0xff) | (block[at + 1] & 0xff) << 8
+                : block.length;
         if (at + 2 + size > block.length) {
           throw new MalformedException("a variable past its packet's end");
         }
--- a/src/main/java/wharftrestle/handover/Between.java
+++ b/src/main/java/wharftrestle/handover/Between.java
@@ -112,7 +112,7 @@
    */
   public Over settled(Digest key, boolean onDisk, double now) {
     KeyTable.Settled known = keys.settled(key);
-    return known == null || onDisk && known.result() == null
+    return known == null || (onDisk && known.result() == null)
         ? null
         : new Over(key, known.lastDoor(), known.until() - now, known.check(), known.result());
   }
--- a/src/main/java/wharftrestle/keys/KeyTable.java
+++ b/src/main/java/wharftrestle/keys/KeyTable.java
@@ -606,7 +606,7 @@
       return true;
     }
     CompactIndex.Found found = settled.size() == 0 ? null : settled.find(digest(key));
-    return found != null && inMemory(found.place())
+    return (found != null && inMemory(found.place()))
         || settled.put(digest(key), place, lastDoor, check, until);
   }
 
--- a/src/main/java/wharftrestle/lab/Callers.java
+++ b/src/main/java/wharftrestle/lab/Callers.java
@@ -211,7 +211,7 @@
     this.habit = habit;
     this.excused = excused;
     Random random = new Random(seed);
-    references = new AtomicLong(1 + (seed & 0xffff) << 32);
+    references = new AtomicLong((1 + (seed & 0xffff)) << 32);
     for (int i = 0; i < habit.many(); i++) {
       long mine = random.nextLong();
       Thread desk =
@@ -353,7 +353,7 @@
     long due = System.nanoTime() + (long) (random.nextDouble() * habit.everyMs() * 1e6);
     while (!over) {
       keys.removeIf(key -> System.currentTimeMillis() - key.since > habit.keyMs());
-      boolean repeat = lostKey != null || !keys.isEmpty() && random.nextDouble() < habit.again();
+      boolean repeat = lostKey != null || (!keys.isEmpty() && random.nextDouble() < habit.again());
       if (!repeat) {
         keys.add(
             new Key(Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong())));
@@ -425,9 +425,9 @@
         boolean own = reply.body().startsWith(key.body + " run ");
         // Where it ran again, which is counted, the bytes are others.
         if (!own
-            || key.result != null
+            || (key.result != null
                 && !Arrays.equals(key.result, reply.bytes())
-                && begun.size() < 2) {
+                && begun.size() < 2)) {
           otherBytes.incrementAndGet();
         }
         key.result = reply.bytes();
--- a/src/main/java/wharftrestle/lab/virtual/RollPlay.java
+++ b/src/main/java/wharftrestle/lab/virtual/RollPlay.java
@@ -223,7 +223,7 @@
     double windowAt = 0;
     double verdictAt = -1;
     while (now < MOST
-        && (roll == null || !roll.state().over() && roll.state() != Roll.State.HELD)) {
+        && (roll == null || (!roll.state().over() && roll.state() != Roll.State.HELD))) {
       now += 1;
       fleet.agenda.runTo(now);
       keepers(now);
@@ -404,10 +404,10 @@
     }
     double gone = now - troubledAt;
     if (troubledAt > 0
-        && (trouble == Trouble.ZONE_LOST && gone == 20
-            || trouble == Trouble.SLOWED && gone == 60
-            || trouble == Trouble.STORE_SLOW && gone == 60
-            || trouble == Trouble.BURST && gone == 40)) {
+        && ((trouble == Trouble.ZONE_LOST && gone == 20)
+            || (trouble == Trouble.SLOWED && gone == 60)
+            || (trouble == Trouble.STORE_SLOW && gone == 60)
+            || (trouble == Trouble.BURST && gone == 40))) {
       end();
     }
   }
--- a/src/main/java/wharftrestle/net/Server.java
+++ b/src/main/java/wharftrestle/net/Server.java
@@ -358,7 +358,7 @@
             && !kept.contains(each)
             && (least == null
                 || use(each, now) < use(least, now)
-                || use(each, now) == use(least, now) && each.heardAt() < least.heardAt())) {
+                || (use(each, now) == use(least, now) && each.heardAt() < least.heardAt()))) {
           least = each;
         }
       }
--- a/src/main/java/wharftrestle/net/StoreClient.java
+++ b/src/main/java/wharftrestle/net/StoreClient.java
@@ -321,14 +321,14 @@
       }
       int code = Integer.parseInt(status.substring(9, 12));
       Map<String, String> headers = headers(in, room);
-      if (code > 101 && code < 200 || code == 100) {
+      if ((code > 101 && code < 200) || code == 100) {
         continue; // ahead of the reply proper
       }
       String length = headers.get("content-length");
       String never = headers.getOrDefault("never-started", "0");
       if (length == null
           || headers.containsKey("transfer-encoding")
-          || !never.equals("0") && !never.equals("1")) {
+          || (!never.equals("0") && !never.equals("1"))) {
         throw new Server.MalformedException("store reply without a plain length");
       }
       byte[] body = Bytes.exactly(in, (int) Bytes.number(length, LONGEST_REPLY));
--- a/src/main/java/wharftrestle/policy/GroupEdfScheduler.java
+++ b/src/main/java/wharftrestle/policy/GroupEdfScheduler.java
@@ -693,7 +693,7 @@
       // busier times. Without a hint the mean is all there is: a slow machine would try in vain.
       boolean idle = onCores + i < settings.cores() && op.request.cost() > 0;
       double need = run(op) * (idle ? ON_IDLE : 1);
-      if (now + need > usefulBy(now, op) || failures > ILL_FAILURES && onCores + i > 0) {
+      if (now + need > usefulBy(now, op) || (failures > ILL_FAILURES && onCores + i > 0)) {
         order.remove(i--);
         refuse(now, op);
       } else if (now + wait + need > usefulBy(now, op)) {
@@ -749,7 +749,7 @@
     }
     refusedShare += started(op) ? 0 : LEARN;
     act.refuse(
-        op.request.id(), storm || marked && room <= 0, Math.min(settings.maxRetryAfter(), away));
+        op.request.id(), storm || (marked && room <= 0), Math.min(settings.maxRetryAfter(), away));
   }
 
   private static boolean mayNotRefuse(Op op) {
@@ -921,7 +921,7 @@
   private boolean skipped(double now, double again, Op op) {
     if (op.answered
         || op.type.skipWorth() <= 0
-        || again < skipAt(op) && !jammed(op)
+        || (again < skipAt(op) && !jammed(op))
         || now > op.aimBy) {
       return false;
     }
@@ -956,7 +956,7 @@
   /** So many stand at calls, or for so long, that no further run which needs its call is begun. */
   private boolean jammed(Op op) {
     return atCall.size() >= settings.cores()
-        || bounded() && callWait(atCall.size() + callsInHand) > own(op);
+        || (bounded() && callWait(atCall.size() + callsInHand) > own(op));
   }
 
   private void makeCalls(double now) {
@@ -1173,14 +1173,14 @@
     if (healthy
         && now >= illUntil + ILL_SPAN
         && (failures > ILL_FAILURES
-            || strain > ILL_STRAIN
+            || (strain > ILL_STRAIN
                 && (drag > SOME_DRAG * crowded
-                    || now - lastEnd > Math.max(NO_END, NO_END_RUNS * meanOwn))
+                    || now - lastEnd > Math.max(NO_END, NO_END_RUNS * meanOwn)))
             || drag > ILL_DRAG * crowded
-            || unread > ILL_UNREAD
+            || (unread > ILL_UNREAD
                 && refusedShare > ILL_REFUSED
                 && settings.marksRetry()
-                && furtherShare < RETRY_STORM / 2)) {
+                && furtherShare < RETRY_STORM / 2))) {
       illUntil = now + ILL_SPAN * (0.75 + random.nextDouble() / 2);
       healthy = false;
       act.health(false, true);
--- a/src/main/java/wharftrestle/settings/Arithmetic.java
+++ b/src/main/java/wharftrestle/settings/Arithmetic.java
@@ -28,7 +28,7 @@
       return all;
     }
     if (op.equals("*") && left instanceof String text && right instanceof Long times) {
-      if (times > 0 && times * (long) text.length() > MOST_REPEATS || times > MOST_REPEATS) {
+      if ((times > 0 && times * (long) text.length() > MOST_REPEATS) || times > MOST_REPEATS) {
         throw new Script.Fault(at, "this grows beyond " + MOST_REPEATS + " characters");
       }
       return text.repeat((int) Math.max(0, times));
@@ -67,7 +67,7 @@
   }
 
   static boolean same(Object left, Object right) {
-    return left instanceof Number a && right instanceof Number b
+    return (left instanceof Number a && right instanceof Number b)
         ? a.doubleValue() == b.doubleValue()
         : left.equals(right);
   }
--- a/src/main/java/wharftrestle/settings/Schema.java
+++ b/src/main/java/wharftrestle/settings/Schema.java
@@ -193,7 +193,7 @@
         (loopback ? "a loopback address" : "an address") + " as \"HOST:PORT\", with a numeric host",
         given -> {
           InetSocketAddress address = given instanceof String text ? Address.of(text) : null;
-          return address == null || loopback && !address.getAddress().isLoopbackAddress()
+          return address == null || (loopback && !address.getAddress().isLoopbackAddress())
               ? null
               : address;
         });
--- a/src/main/java/wharftrestle/settings/Script.java
+++ b/src/main/java/wharftrestle/settings/Script.java
@@ -667,8 +667,8 @@
         || Objects.equals(value, 0L)
         || Objects.equals(value, 0.0)
         || Objects.equals(value, "")
-        || value instanceof List<?> list && list.isEmpty()
-        || value instanceof Map<?, ?> map && map.isEmpty());
+        || (value instanceof List<?> list && list.isEmpty())
+        || (value instanceof Map<?, ?> map && map.isEmpty()));
   }
 
   /** A value as a fault names it. */
