--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -336,7 +336,7 @@
   }
 
   private boolean leaves() {
-    return state.ordinal() > State.CEDED.ordinal();
+    return state.compareTo(State.CEDED) > 0;
   }
 
   @Override
@@ -555,7 +555,7 @@
 
   @Override
   public boolean lameDuck(boolean on) {
-    if (!on && state.ordinal() > State.CEDED.ordinal()) {
+    if (!on && state.compareTo(State.CEDED) > 0) {
       return false; // it leaves for good
     }
     core.lameDuck(on);
--- a/src/main/java/wharftrestle/durable/Journal.java
+++ b/src/main/java/wharftrestle/durable/Journal.java
@@ -298,9 +298,14 @@
     }
   }
 
+  @SuppressWarnings("EnumOrdinal") // a place in refused, never stored or sent
+  private static int index(Records.Refusal why) {
+    return why.ordinal();
+  }
+
   @Override
   public double again(Records.Refusal why) {
-    refused.incrementAndGet(why.ordinal());
+    refused.incrementAndGet(index(why));
     synchronized (room) {
       return why == Records.Refusal.STORE_FULL ? room.again(seconds()) : SOON;
     }
@@ -612,7 +617,9 @@
   @Override
   public Map<ResultFigure, Long> figures() {
     Map<ResultFigure, Long> all = new EnumMap<>(ResultFigure.class);
-    all.put(ResultFigure.STATE, state.ordinal() + 1L);
+    @SuppressWarnings("EnumOrdinal") // the MIB counts states in the order of declaration
+    long number = state.ordinal() + 1L;
+    all.put(ResultFigure.STATE, number);
     all.put(ResultFigure.RECORDS, records);
     synchronized (room) {
       all.put(ResultFigure.KB, room.bytes() >> 10);
@@ -635,7 +642,7 @@
     all.put(ResultFigure.ERRORS, errors);
     all.put(ResultFigure.UNSAVED, unsaved);
     for (Records.Refusal why : Records.Refusal.values()) {
-      all.put(ResultFigure.valueOf("REFUSED_" + why.name()), refused.get(why.ordinal()));
+      all.put(ResultFigure.valueOf("REFUSED_" + why.name()), refused.get(index(why)));
     }
     return all;
   }
--- a/src/main/java/wharftrestle/durable/Record.java
+++ b/src/main/java/wharftrestle/durable/Record.java
@@ -88,9 +88,11 @@
     int begin = to.position();
     byte[] name = key.getBytes(StandardCharsets.UTF_8);
     int length = FIXED + name.length + result.length;
+    @SuppressWarnings("EnumOrdinal") // stored: the format counts kinds in the order of declaration
+    int number = kind.ordinal() + 1;
     to.putInt(length)
         .putInt(0)
-        .put((byte) (kind.ordinal() + 1 | (ends ? LAST : 0)))
+        .put((byte) (number | (ends ? LAST : 0)))
         .putInt(batch)
         .putLong(wall)
         .putLong(steady)
--- a/src/main/java/wharftrestle/net/ConnectionState.java
+++ b/src/main/java/wharftrestle/net/ConnectionState.java
@@ -83,7 +83,7 @@
 
   /** True once no request is taken any more. */
   synchronized boolean deaf() {
-    return phase.ordinal() >= Phase.CLOSING.ordinal();
+    return phase.compareTo(Phase.CLOSING) >= 0;
   }
 
   private void move(Phase next, long now) {
@@ -137,7 +137,7 @@
    * read.
    */
   synchronized Act offer(byte[] message) {
-    if (phase.ordinal() >= Phase.HALF_CLOSED.ordinal()) {
+    if (phase.compareTo(Phase.HALF_CLOSED) >= 0) {
       return Act.NOTHING; // all that was owed is written, or the peer is gone
     }
     if (waiting + message.length > MOST_WAITING) {
--- a/src/main/java/wharftrestle/net/Server.java
+++ b/src/main/java/wharftrestle/net/Server.java
@@ -327,6 +327,7 @@
   }
 
   /** The least goes first, and among equals who was silent longest. */
+  @SuppressWarnings("EnumOrdinal") // a rank within this process: merits are declared from the least
   private static int use(Connection each, long now) {
     long quiet = now - each.heardAt();
     boolean silent = each.merit() == Merit.SILENT;
--- a/src/main/java/wharftrestle/ops/Counters.java
+++ b/src/main/java/wharftrestle/ops/Counters.java
@@ -98,12 +98,17 @@
     }
   }
 
+  @SuppressWarnings("EnumOrdinal") // a place in the arrays above, never stored or sent
+  private static int index(Enum<?> value) {
+    return value.ordinal();
+  }
+
   public void add(Count count) {
-    adders[count.ordinal()].increment();
+    adders[index(count)].increment();
   }
 
   public long get(Count count) {
-    return adders[count.ordinal()].sum();
+    return adders[index(count)].sum();
   }
 
   /** A request was taken; its one answer, or its caller's end, is told by one of the two below. */
@@ -115,7 +120,7 @@
   /** The one answer of a request is fixed. */
   public void answered(int classIndex, Result result) {
     outstanding.decrementAndGet();
-    results[classIndex][result.ordinal()].increment();
+    results[classIndex][index(result)].increment();
     add(result.total);
   }
 
@@ -164,7 +169,7 @@
   }
 
   public long get(int classIndex, Result result) {
-    return results[classIndex][result.ordinal()].sum();
+    return results[classIndex][index(result)].sum();
   }
 
   /**
--- a/src/main/java/wharftrestle/ops/SnmpAgent.java
+++ b/src/main/java/wharftrestle/ops/SnmpAgent.java
@@ -88,7 +88,7 @@
     put(objects, state, 9, new Gauge32(Math.min(kept.bytes() >> 10, MOST_GAUGE)));
     put(objects, state, 10, new Gauge32(Math.min(kept.mostBytes() >> 10, MOST_GAUGE)));
     for (Count count : Count.values()) {
-      put(objects, below(ROOT, 1, 2), count.ordinal() + 1, new Counter64(counters.get(count)));
+      put(objects, below(ROOT, 1, 2), number(count), new Counter64(counters.get(count)));
     }
     Map<ResultFigure, Long> results = daemon.results();
     for (ResultFigure figure : ResultFigure.values()) {
@@ -96,7 +96,7 @@
       put(
           objects,
           below(ROOT, 1, 4),
-          figure.ordinal() + 1,
+          number(figure),
           figure.counts() ? new Counter64(value) : new Gauge32(Math.min(value, MOST_GAUGE)));
     }
     int part = 0;
@@ -112,13 +112,17 @@
     for (int i = 0; i < counters.classes().size(); i++) {
       objects.put(below(row, 2, i + 1), text(counters.classes().get(i)));
       for (Counters.Result result : Counters.Result.values()) {
-        objects.put(
-            below(row, 3 + result.ordinal(), i + 1), new Counter64(counters.get(i, result)));
+        objects.put(below(row, 2 + number(result), i + 1), new Counter64(counters.get(i, result)));
       }
     }
     return objects;
   }
 
+  @SuppressWarnings("EnumOrdinal") // the MIB counts from 1 in the order of declaration
+  private static int number(Enum<?> value) {
+    return value.ordinal() + 1;
+  }
+
   private static void put(Map<OID, Variable> objects, OID group, int number, Variable value) {
     objects.put(below(group, number, 0), value);
   }
