--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -329,6 +329,8 @@
     /** Writes all. */
     @Command(name = "export", description = "all keys whose time is not over")
     static final class Export extends Folder {
+      @SuppressWarnings(
+          "UnusedVariable") // picocli sets it: the only form there is, asked for by name
       @Option(names = "--json", required = true, description = "a JSON object a line")
       private boolean json;
 
--- a/src/main/java/wharftrestle/drive/Driver.java
+++ b/src/main/java/wharftrestle/drive/Driver.java
@@ -104,7 +104,6 @@
 
   private record Pending(String to, boolean back, double since) {}
 
-  private final Path folder;
   private final PlanScript script;
   private final Plan plan;
   private final String digest;
@@ -138,7 +137,6 @@
    */
   public Driver(Path folder, PlanScript script, String name, Events events)
       throws IOException, RefusedException {
-    this.folder = folder;
     this.script = script;
     this.events = events;
     plan = script.plan();
@@ -596,6 +594,8 @@
       }
       for (String name : silent) {
         for (int i = 0; i < Math.min(WITNESSES, witnesses.size()); i++) {
+          // Fails for a name whose hash code is Integer.MIN_VALUE.
+          @SuppressWarnings("MathAbsoluteNegative")
           String witness =
               witnesses.get((Math.abs(name.hashCode()) % witnesses.size() + i) % witnesses.size());
           try {
--- a/src/main/java/wharftrestle/lab/virtual/VirtualFleet.java
+++ b/src/main/java/wharftrestle/lab/virtual/VirtualFleet.java
@@ -142,10 +142,10 @@
       draw -= SHARES[type++];
     }
     double work = meanWork * (0.4 + 1.2 * random.nextDouble());
-    ask(now, type, work, random.nextDouble() < CALLING_PART ? 0.5 : 0, 1, null);
+    ask(type, work, random.nextDouble() < CALLING_PART ? 0.5 : 0, 1, null);
   }
 
-  private void ask(double now, int type, double work, double call, int tries, VirtualBox not) {
+  private void ask(int type, double work, double call, int tries, VirtualBox not) {
     VirtualBox to = choose(not);
     if (to == null) {
       return;
@@ -158,7 +158,7 @@
           if (outcome == VirtualBox.Outcome.REFUSED
               && tries < MOST_TRIES
               && random.nextDouble() < site.retry()) {
-            agenda.at(then + 0.01, later -> ask(later, type, work, call, tries + 1, to));
+            agenda.at(then + 0.01, later -> ask(type, work, call, tries + 1, to));
           }
         });
   }
--- a/src/main/java/wharftrestle/policy/GroupEdfScheduler.java
+++ b/src/main/java/wharftrestle/policy/GroupEdfScheduler.java
@@ -266,7 +266,6 @@
     double started;
     double offCores; // time spent standing at calls
     double callSince; // when it came to stand at the present call
-    double callIssued;
     double callAgain; // no repeat of the call before this
     int callTries;
     int calls; // calls stood at so far
@@ -978,7 +977,6 @@
       }
       atCall.remove(op);
       op.state = State.CALLING;
-      op.callIssued = now;
       callsInHand++;
       act.call(op.request.id(), callUntil(now, op));
     }
--- a/src/main/java/wharftrestle/wire/WireActions.java
+++ b/src/main/java/wharftrestle/wire/WireActions.java
@@ -6,16 +6,11 @@
 final class WireActions implements Admission.Actions {
   private final int instance;
   private final StringBuilder lines = new StringBuilder();
-  private double now;
 
   WireActions(int instance) {
     this.instance = instance;
   }
 
-  void at(double time) {
-    now = time;
-  }
-
   /** Moves what was written to the reply, or drops it where that is null. */
   void drainTo(StringBuilder reply) {
     if (reply != null && lines.length() > 0) {
--- a/src/main/java/wharftrestle/wire/WireAdapter.java
+++ b/src/main/java/wharftrestle/wire/WireAdapter.java
@@ -102,7 +102,6 @@
       }
       case "spawn" -> {
         Instance instance = addressed();
-        instance.actions.at(now);
         instance.events =
             factory.create(
                 now, line.id("prng"), SettingsReader.read(line.text("facts")), instance.actions);
@@ -167,7 +166,6 @@
     if (instance.events == null) {
       throw new MalformedLineException("the instance has not been started by 'spawn'");
     }
-    instance.actions.at(now);
     return instance.events;
   }
 
