--- a/src/main/java/wharftrestle/box/FleetDoor.java
+++ b/src/main/java/wharftrestle/box/FleetDoor.java
@@ -219,6 +219,7 @@
   }
 
   /** The box's daemon hears where the change stands, when that is another place than before. */
+  @SuppressWarnings("ReturnValueIgnored") // the order is obeyed; nobody asked for its answer
   private void stand(long epoch, int stage, String verdict) {
     String query = "epoch=" + epoch + "&stage=" + stage + "&verdict=" + verdict;
     synchronized (this) {
