--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -329,8 +329,8 @@
     /** Writes all. */
     @Command(name = "export", description = "all keys whose time is not over")
     static final class Export extends Folder {
-      @SuppressWarnings(
-          "UnusedVariable") // picocli sets it: the only form there is, asked for by name
+      // picocli sets it: the one form there is must be asked for by name.
+      @SuppressWarnings("UnusedVariable")
       @Option(names = "--json", required = true, description = "a JSON object a line")
       private boolean json;
 
--- a/src/main/java/wharftrestle/box/BoxCommand.java
+++ b/src/main/java/wharftrestle/box/BoxCommand.java
@@ -90,6 +90,7 @@
     private String first;
 
     @Override
+    @SuppressWarnings("ClosingStandardOutputStreams") // a keeper closes what is its own
     public Integer call() throws Exception {
       String config = System.getenv("EDGE_CONFIG");
       if (config == null || config.isBlank()) {
--- a/src/main/java/wharftrestle/drive/Events.java
+++ b/src/main/java/wharftrestle/drive/Events.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.PrintStream;
 import java.time.LocalTime;
+import java.time.ZoneId;
 import java.time.temporal.ChronoUnit;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -30,7 +31,7 @@
   synchronized void tell(long epoch, int stage, String what, String box, String why) {
     if (!json) {
       out.println(
-          LocalTime.now().truncatedTo(ChronoUnit.SECONDS)
+          LocalTime.now(ZoneId.systemDefault()).truncatedTo(ChronoUnit.SECONDS)
               + "  epoch "
               + epoch
               + " stage "
--- a/src/main/java/wharftrestle/drive/FleetCommand.java
+++ b/src/main/java/wharftrestle/drive/FleetCommand.java
@@ -170,6 +170,7 @@
     private boolean json;
 
     @Override
+    @SuppressWarnings("ClosingStandardOutputStreams") // a driver closes its own
     public Integer call() throws Exception {
       PlanScript script = PlanScript.read(file);
       if (name != null && !name.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
--- a/src/main/java/wharftrestle/durable/Compaction.java
+++ b/src/main/java/wharftrestle/durable/Compaction.java
@@ -26,6 +26,8 @@
   private record Kept(long file, int offset, int size, boolean sameBoot) {}
 
   /**
+   * Writes anew, in the fewest files that hold it, what still matters.
+   *
    * @param segment bytes of a file
    * @param most files at most, the old ones and the new ones together
    * @return false where it would not fit; then nothing has changed
--- a/src/main/java/wharftrestle/durable/Gather.java
+++ b/src/main/java/wharftrestle/durable/Gather.java
@@ -57,6 +57,7 @@
   /**
    * Waits until something is there, it is closed, or so many ms are over; then as {@link #drain}.
    */
+  @SuppressWarnings("WaitNotInLoop") // woken early it gives out nothing, and its caller asks again
   public synchronized List<T> take(long millis) throws InterruptedException {
     if (waiting.isEmpty() && !closed) {
       wait(millis);
--- a/src/main/java/wharftrestle/durable/Journal.java
+++ b/src/main/java/wharftrestle/durable/Journal.java
@@ -348,6 +348,9 @@
     end(result == null ? Record.Kind.FAILED : Record.Kind.RESULT, keyed, result, told);
   }
 
+  // The writer counts unsaved as well: of two at once one is lost; nothing is decided by the
+  // figure.
+  @SuppressWarnings("NonAtomicVolatileUpdate")
   private void end(Record.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
     Ticket ticket = ticket(kind, keyed, result, told);
     if ((result != null && result.length > Record.LONGEST_RESULT)
@@ -439,6 +442,7 @@
     }
   }
 
+  @SuppressWarnings("NonAtomicVolatileUpdate") // unsaved: see end
   private void commit(List<Ticket> all) {
     if (state == State.OPEN) {
       batchBegan = System.nanoTime();
@@ -479,6 +483,7 @@
   }
 
   /** Writes one batch and syncs it; a ticket has its place only when it is on disk. */
+  @SuppressWarnings("NonAtomicVolatileUpdate") // records: the writer alone counts them
   private void put(List<Ticket> all) throws IOException {
     batch++;
     long wall = Wall.now();
@@ -547,6 +552,7 @@
    * Guards against trusting a file after its sync failed: the kernel may have thrown its pages
    * away.
    */
+  @SuppressWarnings("NonAtomicVolatileUpdate") // errors: the writer alone counts them
   private void fail(Throwable e) {
     errors++;
     failedAt = System.nanoTime();
--- a/src/main/java/wharftrestle/durable/Record.java
+++ b/src/main/java/wharftrestle/durable/Record.java
@@ -29,6 +29,7 @@
  * @param wall Unix ms
  * @param steady ms
  */
+@SuppressWarnings("JavaLangClash") // what the log of results is made of; the other is never named
 public record Record(
     Kind kind,
     boolean ends,
--- a/src/main/java/wharftrestle/fleet/Drift.java
+++ b/src/main/java/wharftrestle/fleet/Drift.java
@@ -81,7 +81,7 @@
     if (count < LEAST) {
       return Double.POSITIVE_INFINITY;
     }
-    return width(error, count, variance());
+    return width(error, (double) count, variance());
   }
 
   static double width(double error, double count, double variance) {
--- a/src/main/java/wharftrestle/fleet/Plan.java
+++ b/src/main/java/wharftrestle/fleet/Plan.java
@@ -117,6 +117,7 @@
       }
     }
     for (String tenant : box.tenants()) {
+      @SuppressWarnings("ReferenceEquality") // box is one of these very objects
       boolean served =
           boxes.stream()
               .anyMatch(
--- a/src/main/java/wharftrestle/fleet/Roll.java
+++ b/src/main/java/wharftrestle/fleet/Roll.java
@@ -468,6 +468,7 @@
       return against;
     }
     for (String tenant : box.tenants()) {
+      @SuppressWarnings("ReferenceEquality") // box is one of these very objects
       boolean served =
           plan.boxes().stream()
               .anyMatch(
--- a/src/main/java/wharftrestle/keys/KeyRoom.java
+++ b/src/main/java/wharftrestle/keys/KeyRoom.java
@@ -34,6 +34,9 @@
    */
   private static final double KEYS_SHARE = 0.25;
 
+  /** Keys, and blocks, at most. */
+  private static final int MOST = Integer.MAX_VALUE / 8;
+
   /** Blocks of a promise. */
   private static final int PROMISE = Blocks.of(LONGEST_RESULT);
 
@@ -51,8 +54,8 @@
   /** Room for keys and results that take so many bytes at most. */
   public static KeyRoom of(long bytes) {
     double grows = Math.max(0, bytes - FIXED);
-    int keys = (int) Math.min(Integer.MAX_VALUE / 8, grows * KEYS_SHARE / KEY_COST);
-    int blocks = (int) Math.min(Integer.MAX_VALUE / 8, grows * (1 - KEYS_SHARE) / Blocks.COST);
+    int keys = (int) Math.min(MOST, grows * KEYS_SHARE / KEY_COST);
+    int blocks = (int) Math.min(MOST, grows * (1 - KEYS_SHARE) / Blocks.COST);
     return new KeyRoom(bytes, Math.max(1, keys), Math.max(PROMISE, blocks));
   }
 
@@ -63,7 +66,7 @@
 
   /** No bound worth the name: only a proof that the bound is needed has a use for it. */
   public static KeyRoom unbounded() {
-    return new KeyRoom(Long.MAX_VALUE, Integer.MAX_VALUE / 8, Integer.MAX_VALUE / 8);
+    return new KeyRoom(Long.MAX_VALUE, MOST, MOST);
   }
 
   /** The bound itself. */
@@ -78,7 +81,7 @@
 
   /** Keys known at once where all results lie on disk: they have the whole of the bound. */
   public int mostKeysOnDisk() {
-    return (int) Math.min(Integer.MAX_VALUE / 8, Math.max(1, (bytes - FIXED) / KEY_COST));
+    return (int) Math.min(MOST, Math.max(1, (bytes - FIXED) / KEY_COST));
   }
 
   /** Blocks of results at once. */
--- a/src/main/java/wharftrestle/keys/KeyTable.java
+++ b/src/main/java/wharftrestle/keys/KeyTable.java
@@ -45,6 +45,7 @@
     }
 
     /** True where a try with this body asks the same. */
+    @SuppressWarnings("ReferenceEquality") // another one with a check of 0 is not that one
     public boolean same(byte[] other) {
       return this == ANY
           || (body != null ? Arrays.equals(body, other) : check == Digest.check(other));
--- a/src/main/java/wharftrestle/net/Config.java
+++ b/src/main/java/wharftrestle/net/Config.java
@@ -148,7 +148,7 @@
     Durable durable = appliance.durable();
     if (durable != null) {
       text.append('\n').append(durable.folder()).append(' ').append(durable.sync()).append(' ');
-      put(text, durable.most(), durable.keys(), durable.queue(), durable.patience());
+      put(text, (double) durable.most(), durable.keys(), durable.queue(), durable.patience());
     }
     return text.toString();
   }
--- a/src/main/java/wharftrestle/net/Server.java
+++ b/src/main/java/wharftrestle/net/Server.java
@@ -264,7 +264,7 @@
         Logger.warn("{}: no descriptor is left: {} connections at most from now on", name, less);
       }
       sendAway(less);
-      for (long go = open.size() - less; go > 0 && cutFirst(); go--) {
+      for (int go = open.size() - less; go > 0 && cutFirst(); go--) {
         continue;
       }
     }
