--- a/src/main/java/wharftrestle/durable/Gather.java
+++ b/src/main/java/wharftrestle/durable/Gather.java
@@ -25,7 +25,7 @@
 
   /** Adds it; false where it is closed, or too much waits and this one need not be taken. */
   public synchronized boolean add(T entry, int size, boolean must) {
-    if (closed || !must && bytes + size > most) {
+    if (closed || (!must && bytes + size > most)) {
       return false;
     }
     waiting.add(entry);
@@ -57,6 +57,7 @@
   /**
    * Waits until something is there, it is closed, or so many ms are over; then as {@link #drain}.
    */
+  @SuppressWarnings("WaitNotInLoop") // woken early it gives out nothing, and its caller asks again
   public synchronized List<T> take(long millis) throws InterruptedException {
     if (waiting.isEmpty() && !closed) {
       wait(millis);
--- a/src/main/java/wharftrestle/durable/Journal.java
+++ b/src/main/java/wharftrestle/durable/Journal.java
@@ -178,7 +178,7 @@
       long[] files = opened.files();
       byte[] list = opened.list();
       List<Long> listed = list == null ? null : Listing.parse(list);
-      hurt = files.length > 0 && listed == null || list != null && listed == null;
+      hurt = (files.length > 0 && listed == null) || (list != null && listed == null);
       ghosts.clear();
       for (long number : listed == null ? List.<Long>of() : listed) {
         if (Arrays.binarySearch(files, number) < 0) {
@@ -201,7 +201,7 @@
                     until[0] = Math.max(until[0], now + record.window() / 1000.0 + Recovery.LINGER);
                   }
                 });
-        hurt |= seen.damaged() || seen.torn() && i < files.length - 1;
+        hurt |= seen.damaged() || (seen.torn() && i < files.length - 1);
         batch = Math.max(batch, seen.lastBatch() + 1);
         synchronized (room) {
           room.add(number, Math.max(Segment.HEAD, seen.end()), until[0]);
@@ -298,9 +298,14 @@
     }
   }
 
+  @SuppressWarnings("EnumOrdinal") // a place in refused, never stored or sent
+  private static int index(Records.Refusal why) {
+    return why.ordinal();
+  }
+
   @Override
   public double again(Records.Refusal why) {
-    refused.incrementAndGet(why.ordinal());
+    refused.incrementAndGet(index(why));
     synchronized (room) {
       return why == Records.Refusal.STORE_FULL ? room.again(seconds()) : SOON;
     }
@@ -343,9 +348,12 @@
     end(result == null ? Record.Kind.FAILED : Record.Kind.RESULT, keyed, result, told);
   }
 
+  // The writer counts unsaved as well: of two at once one is lost; nothing is decided by the
+  // figure.
+  @SuppressWarnings("NonAtomicVolatileUpdate")
   private void end(Record.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
     Ticket ticket = ticket(kind, keyed, result, told);
-    if (result != null && result.length > Record.LONGEST_RESULT
+    if ((result != null && result.length > Record.LONGEST_RESULT)
         || state == State.SHUT
         || !gather.add(ticket, ticket.size, true)) {
       settle(keyed.key());
@@ -434,6 +442,7 @@
     }
   }
 
+  @SuppressWarnings("NonAtomicVolatileUpdate") // unsaved: see end
   private void commit(List<Ticket> all) {
     if (state == State.OPEN) {
       batchBegan = System.nanoTime();
@@ -456,7 +465,7 @@
     for (Ticket ticket : all) {
       boolean end =
           ticket.record.kind() == Record.Kind.RESULT || ticket.record.kind() == Record.Kind.FAILED;
-      if (end || ticket.record.kind() == Record.Kind.INTENT && ticket.place < 0) {
+      if (end || (ticket.record.kind() == Record.Kind.INTENT && ticket.place < 0)) {
         settle(ticket.record.key());
       }
       unsaved += end && ticket.place < 0 ? 1 : 0;
@@ -474,6 +483,7 @@
   }
 
   /** Writes one batch and syncs it; a ticket has its place only when it is on disk. */
+  @SuppressWarnings("NonAtomicVolatileUpdate") // records: the writer alone counts them
   private void put(List<Ticket> all) throws IOException {
     batch++;
     long wall = Wall.now();
@@ -542,6 +552,7 @@
    * Guards against trusting a file after its sync failed: the kernel may have thrown its pages
    * away.
    */
+  @SuppressWarnings("NonAtomicVolatileUpdate") // errors: the writer alone counts them
   private void fail(Throwable e) {
     errors++;
     failedAt = System.nanoTime();
@@ -612,7 +623,9 @@
   @Override
   public Map<ResultFigure, Long> figures() {
     Map<ResultFigure, Long> all = new EnumMap<>(ResultFigure.class);
-    all.put(ResultFigure.STATE, state.ordinal() + 1L);
+    @SuppressWarnings("EnumOrdinal") // the MIB counts states in the order of declaration
+    long number = state.ordinal() + 1L;
+    all.put(ResultFigure.STATE, number);
     all.put(ResultFigure.RECORDS, records);
     synchronized (room) {
       all.put(ResultFigure.KB, room.bytes() >> 10);
@@ -635,7 +648,7 @@
     all.put(ResultFigure.ERRORS, errors);
     all.put(ResultFigure.UNSAVED, unsaved);
     for (Records.Refusal why : Records.Refusal.values()) {
-      all.put(ResultFigure.valueOf("REFUSED_" + why.name()), refused.get(why.ordinal()));
+      all.put(ResultFigure.valueOf("REFUSED_" + why.name()), refused.get(index(why)));
     }
     return all;
   }
--- a/src/main/java/wharftrestle/durable/Record.java
+++ b/src/main/java/wharftrestle/durable/Record.java
@@ -29,6 +29,7 @@
  * @param wall Unix ms
  * @param steady ms
  */
+@SuppressWarnings("JavaLangClash") // what the log of results is made of; the other is never named
 public record Record(
     Kind kind,
     boolean ends,
@@ -88,9 +89,11 @@
     int begin = to.position();
     byte[] name = key.getBytes(StandardCharsets.UTF_8);
     int length = FIXED + name.length + result.length;
+    @SuppressWarnings("EnumOrdinal") // stored: the format counts kinds in the order of declaration
+    int number = kind.ordinal() + 1;
     to.putInt(length)
         .putInt(0)
-        .put((byte) (kind.ordinal() + 1 | (ends ? LAST : 0)))
+        .put((byte) (number | (ends ? LAST : 0)))
         .putInt(batch)
         .putLong(wall)
         .putLong(steady)
--- a/src/main/java/wharftrestle/keys/KeyTable.java
+++ b/src/main/java/wharftrestle/keys/KeyTable.java
@@ -45,6 +45,7 @@
     }
 
     /** True where a try with this body asks the same. */
+    @SuppressWarnings("ReferenceEquality") // another one with a check of 0 is not that one
     public boolean same(byte[] other) {
       return this == ANY
           || (body != null ? Arrays.equals(body, other) : check == Digest.check(other));
@@ -606,7 +607,7 @@
       return true;
     }
     CompactIndex.Found found = settled.size() == 0 ? null : settled.find(digest(key));
-    return found != null && inMemory(found.place())
+    return (found != null && inMemory(found.place()))
         || settled.put(digest(key), place, lastDoor, check, until);
   }
 
--- a/src/main/java/wharftrestle/net/Server.java
+++ b/src/main/java/wharftrestle/net/Server.java
@@ -264,7 +264,7 @@
         Logger.warn("{}: no descriptor is left: {} connections at most from now on", name, less);
       }
       sendAway(less);
-      for (long go = open.size() - less; go > 0 && cutFirst(); go--) {
+      for (int go = open.size() - less; go > 0 && cutFirst(); go--) {
         continue;
       }
     }
@@ -327,6 +327,7 @@
   }
 
   /** The least goes first, and among equals who was silent longest. */
+  @SuppressWarnings("EnumOrdinal") // a rank within this process: merits are declared from the least
   private static int use(Connection each, long now) {
     long quiet = now - each.heardAt();
     boolean silent = each.merit() == Merit.SILENT;
@@ -358,7 +359,7 @@
             && !kept.contains(each)
             && (least == null
                 || use(each, now) < use(least, now)
-                || use(each, now) == use(least, now) && each.heardAt() < least.heardAt())) {
+                || (use(each, now) == use(least, now) && each.heardAt() < least.heardAt()))) {
           least = each;
         }
       }
