--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -48,11 +48,11 @@
   private static String console(InetSocketAddress address, String typed, String command)
       throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    PrintStream print = new PrintStream(out, true, "UTF-8");
+    PrintStream print = new PrintStream(out, true, StandardCharsets.UTF_8);
     int code =
-        new Console(new ByteArrayInputStream(typed.getBytes("UTF-8")), print, print)
+        new Console(new ByteArrayInputStream(typed.getBytes(StandardCharsets.UTF_8)), print, print)
             .attach(address, command);
-    return code + "\n" + out.toString("UTF-8");
+    return code + "\n" + out.toString(StandardCharsets.UTF_8);
   }
 
   private static void serveOne(Loopback site) throws Exception {
@@ -134,7 +134,7 @@
         socket.setSoTimeout(2000);
         socket
             .getOutputStream()
-            .write("GET /_rea".getBytes("UTF-8"), 0, i % 2 * 9); // nothing, or half
+            .write("GET /_rea".getBytes(StandardCharsets.UTF_8), 0, i % 2 * 9); // nothing, or half
       }
       long began = System.nanoTime();
       assertTrue(site.get("/_ready").startsWith("HTTP/1.1 200 OK\r\n"));
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -401,7 +402,9 @@
       }
       Caller slow = site.new Caller();
       stay.add(slow);
-      slow.socket.getOutputStream().write("*5\r\n$3\r\nASK\r\n".getBytes("ISO-8859-1"));
+      slow.socket
+          .getOutputStream()
+          .write("*5\r\n$3\r\nASK\r\n".getBytes(StandardCharsets.ISO_8859_1));
       for (int i = 0; i < 30; i++) {
         stay.add(site.new Caller());
         stay.get(stay.size() - 1).send("STATUS", "1", "");
@@ -413,7 +416,7 @@
           .getOutputStream()
           .write(
               ("$1\r\n7\r\n$4\r\nread\r\n$" + fields.length() + "\r\n" + fields + "\r\n$1\r\nx\r\n")
-                  .getBytes("ISO-8859-1"));
+                  .getBytes(StandardCharsets.ISO_8859_1));
       site.finish(site.command().ref(), "good", 1, "fine");
       assertEquals("fine", slow.reply().body());
     } finally {
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -15,6 +15,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -402,7 +403,7 @@
                         ? Integer.parseInt(line.substring(16))
                         : length;
               }
-              calls.add(head + new String(Bytes.exactly(in, length), "ISO-8859-1"));
+              calls.add(head + new String(Bytes.exactly(in, length), StandardCharsets.ISO_8859_1));
               String reply = storeReplies.take();
               if (reply.isEmpty()) {
                 socket.close();
@@ -477,7 +478,7 @@
     DatagramPacket packet = new DatagramPacket(new byte[100], 100);
     naming.setSoTimeout((int) WAIT_S * 1000);
     naming.receive(packet);
-    return new String(packet.getData(), 0, packet.getLength(), "ISO-8859-1");
+    return new String(packet.getData(), 0, packet.getLength(), StandardCharsets.ISO_8859_1);
   }
 
   // ---- Callers ----
@@ -548,7 +549,7 @@
 
   /** The whole HTTP response, to the end of the connection. */
   static String response(Socket socket) throws IOException {
-    return new String(socket.getInputStream().readAllBytes(), "ISO-8859-1");
+    return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
   }
 
   @Override
--- a/src/test/java/wharftrestle/RunScriptTest.java
+++ b/src/test/java/wharftrestle/RunScriptTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.PosixFilePermissions;
@@ -42,7 +43,7 @@
     script.environment().put("EDGE_CONFIG", file.toString());
     script.environment().put("SEEN", seen.toString());
     Process process = script.redirectErrorStream(true).start();
-    String said = new String(process.getInputStream().readAllBytes());
+    String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(process.waitFor(10, TimeUnit.SECONDS), "the script never ended");
     assertEquals(0, process.exitValue(), said);
     assertEquals("", said, "the script said something");
--- a/src/test/java/wharftrestle/bench/ResultStructures.java
+++ b/src/test/java/wharftrestle/bench/ResultStructures.java
@@ -2,6 +2,7 @@
 
 import java.lang.management.GarbageCollectorMXBean;
 import java.lang.management.ManagementFactory;
+import java.nio.charset.Charset;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Locale;
@@ -84,7 +85,7 @@
                       Integer.toString(window))
                   .redirectErrorStream(true)
                   .start();
-          String said = new String(one.getInputStream().readAllBytes());
+          String said = new String(one.getInputStream().readAllBytes(), Charset.defaultCharset());
           System.out.print(
               one.waitFor() == 0
                   ? said
--- a/src/test/java/wharftrestle/box/BoxTest.java
+++ b/src/test/java/wharftrestle/box/BoxTest.java
@@ -380,7 +380,7 @@
         assertEquals(length * 2 / whole.length, steps.entries().size(), "cut at " + length);
       }
     }
-    Files.writeString(file, "garbage\n" + new String(whole));
+    Files.writeString(file, "garbage\n" + new String(whole, StandardCharsets.UTF_8));
     assertThrows(IOException.class, () -> new StepLog(file));
   }
 }
--- a/src/test/java/wharftrestle/durable/CoreRecordsTest.java
+++ b/src/test/java/wharftrestle/durable/CoreRecordsTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
@@ -111,7 +112,7 @@
               key,
               null,
               System.currentTimeMillis(),
-              body.getBytes()),
+              body.getBytes(StandardCharsets.UTF_8)),
           answer -> {
             took = (System.nanoTime() - at) / 1e9;
             answers.add(answer);
@@ -129,7 +130,7 @@
     }
 
     void ends(String result) {
-      core.finished(ref, Admission.Outcome.SUCCESS, 0.01, result.getBytes());
+      core.finished(ref, Admission.Outcome.SUCCESS, 0.01, result.getBytes(StandardCharsets.UTF_8));
     }
   }
 
@@ -149,8 +150,8 @@
     Asked repeat = new Asked("k", "x");
     assertTrue(one.answers.isEmpty() && repeat.answers.isEmpty(), "it is not on disk");
     disk.wake();
-    assertEquals("saved", new String(one.answer().result()));
-    assertEquals("saved", new String(repeat.answer().result()));
+    assertEquals("saved", new String(one.answer().result(), StandardCharsets.UTF_8));
+    assertEquals("saved", new String(repeat.answer().result(), StandardCharsets.UTF_8));
   }
 
   @Test
@@ -169,14 +170,14 @@
     Asked read = new Asked(null, "x");
     read.runs();
     read.ends("fine");
-    assertEquals("fine", new String(read.answer().result()));
+    assertEquals("fine", new String(read.answer().result(), StandardCharsets.UTF_8));
     assertEquals(null, spawned.poll(), "what could not be recorded never ran");
     disk.wake();
     awaitRefusal(null);
     Asked again = new Asked("a", "x");
     again.runs();
     again.ends("now");
-    assertEquals("now", new String(again.answer().result()));
+    assertEquals("now", new String(again.answer().result(), StandardCharsets.UTF_8));
   }
 
   @Test
@@ -201,7 +202,10 @@
       reads++;
     }
     disk.wake();
-    assertEquals("saved", new String(first.answer().result()), "in time, once the disk is back");
+    assertEquals(
+        "saved",
+        new String(first.answer().result(), StandardCharsets.UTF_8),
+        "in time, once the disk is back");
     assertTrue(
         keyed.size() > 50 && reads > 50, keyed.size() + " keyed and " + reads + " unkeyed in 2 s");
     awaitRefusal(null);
@@ -215,9 +219,12 @@
     one.runs();
     disk.fail(1, 1);
     one.ends("saved");
-    assertEquals("saved", new String(one.answer().result()));
+    assertEquals("saved", new String(one.answer().result(), StandardCharsets.UTF_8));
     assertEquals(1L, journal.figures().get(ResultFigure.UNSAVED));
-    assertEquals("saved", new String(new Asked("k", "x").answer().result()), "from memory");
+    assertEquals(
+        "saved",
+        new String(new Asked("k", "x").answer().result(), StandardCharsets.UTF_8),
+        "from memory");
     assertEquals(1L, journal.figures().get(ResultFigure.ERRORS));
   }
 
@@ -230,7 +237,8 @@
     assertEquals(
         Answer.Kind.LATE, one.answer().kind(), "the due time holds whatever the disk does");
     disk.wake();
-    assertEquals("saved", new String(new Asked("k", "x").answer().result()));
+    assertEquals(
+        "saved", new String(new Asked("k", "x").answer().result(), StandardCharsets.UTF_8));
   }
 
   @Test
--- a/src/test/java/wharftrestle/durable/LogTest.java
+++ b/src/test/java/wharftrestle/durable/LogTest.java
@@ -10,6 +10,7 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -125,15 +126,16 @@
     foreign.replace(
         1,
         "PK: the packed papers of somebody else, in a file of this name and long enough"
-            .getBytes());
+            .getBytes(StandardCharsets.UTF_8));
     assertThrows(
         UnusableException.class,
         () -> new Journal(settings(4, "group"), () -> foreign).open(WINDOW));
     MemoryDisk newer = new MemoryDisk();
-    newer.list("wharftrestle-results 2\nend 0\n".getBytes());
+    newer.list("wharftrestle-results 2\nend 0\n".getBytes(StandardCharsets.UTF_8));
     byte[] list = Listing.of(List.of(1L));
-    String text = new String(list).replace("results 1", "results 9");
-    assertNull(Listing.parse(text.getBytes()), "its check is of another text");
+    String text = new String(list, StandardCharsets.UTF_8).replace("results 1", "results 9");
+    assertNull(
+        Listing.parse(text.getBytes(StandardCharsets.UTF_8)), "its check is of another text");
     ByteBuffer head = Segment.head(1, 1, 7, 1024);
     head.putInt(8, 9);
     java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
@@ -349,7 +351,7 @@
       assertTrue(blind(next.open(WINDOW)), "a file that was cut");
     }
     MemoryDisk unlisted = disk.afterKill();
-    unlisted.list("rubbish".getBytes());
+    unlisted.list("rubbish".getBytes(StandardCharsets.UTF_8));
     try (Journal next = new Journal(settings(4, "group"), () -> unlisted)) {
       assertTrue(blind(next.open(WINDOW)), "a list that says nothing");
     }
--- a/src/test/java/wharftrestle/durable/ResultsFolderTest.java
+++ b/src/test/java/wharftrestle/durable/ResultsFolderTest.java
@@ -11,6 +11,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Base64;
@@ -38,9 +39,9 @@
   private String said(Act act) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (ResultsFolder results = new ResultsFolder(folder)) {
-      answer = act.on(results, new PrintStream(bytes, true));
+      answer = act.on(results, new PrintStream(bytes, true, StandardCharsets.UTF_8));
     }
-    return bytes.toString();
+    return bytes.toString(StandardCharsets.UTF_8);
   }
 
   private Config.Durable settings() {
--- a/src/test/java/wharftrestle/lab/LabTest.java
+++ b/src/test/java/wharftrestle/lab/LabTest.java
@@ -20,6 +20,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
@@ -362,7 +363,7 @@
         String[] words = new String[Integer.parseInt(Bytes.line(in, 20).substring(1))];
         for (int i = 0; i < words.length; i++) {
           int length = Integer.parseInt(Bytes.line(in, 20).substring(1));
-          words[i] = new String(Bytes.exactly(in, length), "ISO-8859-1");
+          words[i] = new String(Bytes.exactly(in, length), StandardCharsets.ISO_8859_1);
           Bytes.crlf(in);
         }
         byte[] result = known.get(words[4]);
@@ -510,9 +511,14 @@
                 .replace("KEPT", kept));
     ByteArrayOutputStream results = new ByteArrayOutputStream();
     assertTrue(
-        new Scenario(script, null, System.out, new PrintStream(results)).play(),
-        results.toString());
-    JsonNode tally = new ObjectMapper().readTree(results.toString().split("\n")[4]).path("tally");
+        new Scenario(
+                script, null, System.out, new PrintStream(results, false, StandardCharsets.UTF_8))
+            .play(),
+        results.toString(StandardCharsets.UTF_8));
+    JsonNode tally =
+        new ObjectMapper()
+            .readTree(results.toString(StandardCharsets.UTF_8).split("\n")[4])
+            .path("tally");
     assertTrue(tally.path("again").asInt() > 50, "keys were repeated throughout: " + tally);
     assertTrue(
         tally.path("failed").asInt() + tally.path("refused").asInt() < 20,
@@ -531,8 +537,10 @@
                 """);
     ByteArrayOutputStream results = new ByteArrayOutputStream();
     assertTrue(
-        new Scenario(script, null, System.out, new PrintStream(results)).play(),
-        results.toString());
+        new Scenario(
+                script, null, System.out, new PrintStream(results, false, StandardCharsets.UTF_8))
+            .play(),
+        results.toString(StandardCharsets.UTF_8));
   }
 
   @Test
@@ -552,9 +560,12 @@
                 at(4.5, go("b2"))
                 """);
     ByteArrayOutputStream results = new ByteArrayOutputStream();
-    assertTrue(new Scenario(script, null, System.out, new PrintStream(results)).play());
-    String[] lines = results.toString().split("\n");
-    assertEquals(8 + 2 + 1, lines.length, results.toString());
+    assertTrue(
+        new Scenario(
+                script, null, System.out, new PrintStream(results, false, StandardCharsets.UTF_8))
+            .play());
+    String[] lines = results.toString(StandardCharsets.UTF_8).split("\n");
+    assertEquals(8 + 2 + 1, lines.length, results.toString(StandardCharsets.UTF_8));
     assertTrue(lines[lines.length - 1].contains("\"holds\":true"));
   }
 }
--- a/src/test/java/wharftrestle/net/ServerTest.java
+++ b/src/test/java/wharftrestle/net/ServerTest.java
@@ -7,6 +7,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
@@ -133,11 +134,11 @@
   }
 
   private static String read(Socket socket, int bytes) throws IOException {
-    return new String(socket.getInputStream().readNBytes(bytes), "ISO-8859-1");
+    return new String(socket.getInputStream().readNBytes(bytes), StandardCharsets.ISO_8859_1);
   }
 
   private static String rest(Socket socket) throws IOException {
-    return new String(socket.getInputStream().readAllBytes(), "ISO-8859-1");
+    return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
   }
 
   private static void write(Socket socket, String text) throws IOException {
