--- a/src/test/java/wharftrestle/ChangeTest.java
+++ b/src/test/java/wharftrestle/ChangeTest.java
@@ -62,7 +62,7 @@
     /** Asks, and agrees with the terms of the one that serves, which it says again. */
     void asksAndAgrees() throws IOException {
       say("take n1 over 1-2\r\n");
-      int length = Integer.parseInt(until("who ").split(" ")[1]);
+      int length = Integer.parseInt(until("who ").split(" ", 0)[1]);
       char[] terms = new char[length];
       for (int read = 0; read < length; ) {
         read += in.read(terms, read, length - read);
--- a/src/test/java/wharftrestle/WireAdapterTest.java
+++ b/src/test/java/wharftrestle/WireAdapterTest.java
@@ -39,7 +39,7 @@
     String said =
         serve("clock\tnow=1", spawn(3), "commit", "clock\tnow=2", "at\tinstance=3", line, "commit");
     assertTrue(said.endsWith("\nok\n"), said);
-    String[] parts = said.split("\n");
+    String[] parts = said.split("\n", 0);
     assertTrue(parts[parts.length - 2].startsWith("crash\tline="), said);
     assertFalse(said.contains("\tat "), said);
     return parts[parts.length - 2];
--- a/src/test/java/wharftrestle/drive/DriverTest.java
+++ b/src/test/java/wharftrestle/drive/DriverTest.java
@@ -77,7 +77,7 @@
     }
 
     private String obey(String order) {
-      String[] words = order.split(" ");
+      String[] words = order.split(" ", 0);
       if (words[0].equals("go")) {
         obeyed.add(name + " " + words[2]);
         attempt = Integer.parseInt(words[1]);
--- a/src/test/java/wharftrestle/lab/LabTest.java
+++ b/src/test/java/wharftrestle/lab/LabTest.java
@@ -391,7 +391,7 @@
                               + "\r\n"
                               + words[4]
                               + "\r\n")));
-          String[] end = Bytes.line(runs, 400).split(" ");
+          String[] end = Bytes.line(runs, 400).split(" ", 0);
           result = Bytes.exactly(runs, Integer.parseInt(end[5]));
           Bytes.crlf(runs);
           known.put(words[4], result);
@@ -517,7 +517,7 @@
         results.toString(StandardCharsets.UTF_8));
     JsonNode tally =
         new ObjectMapper()
-            .readTree(results.toString(StandardCharsets.UTF_8).split("\n")[4])
+            .readTree(results.toString(StandardCharsets.UTF_8).split("\n", 0)[4])
             .path("tally");
     assertTrue(tally.path("again").asInt() > 50, "keys were repeated throughout: " + tally);
     assertTrue(
@@ -564,7 +564,7 @@
         new Scenario(
                 script, null, System.out, new PrintStream(results, false, StandardCharsets.UTF_8))
             .play());
-    String[] lines = results.toString(StandardCharsets.UTF_8).split("\n");
+    String[] lines = results.toString(StandardCharsets.UTF_8).split("\n", 0);
     assertEquals(8 + 2 + 1, lines.length, results.toString(StandardCharsets.UTF_8));
     assertTrue(lines[lines.length - 1].contains("\"holds\":true"));
   }
--- a/src/test/java/wharftrestle/prove/BadRelease.java
+++ b/src/test/java/wharftrestle/prove/BadRelease.java
@@ -134,7 +134,7 @@
       OutputStream out = new BufferedOutputStream(daemon.getOutputStream());
       for (int i = 0; ; i++) {
         String line = Bytes.line(in, 1000);
-        String[] words = line.split(" ");
+        String[] words = line.split(" ", 0);
         if (words[0].equals("finished")) {
           byte[] body = Bytes.exactly(in, Integer.parseInt(words[5]));
           Bytes.crlf(in);
--- a/src/test/java/wharftrestle/prove/BenchResults.java
+++ b/src/test/java/wharftrestle/prove/BenchResults.java
@@ -86,9 +86,9 @@
                   .filter(line -> line.startsWith("sync") || line.startsWith("records"))
                   .map(
                       line ->
-                          line.replaceAll(" +", " ").split(" ")[0]
+                          line.replaceAll(" +", " ").split(" ", 0)[0]
                               + " "
-                              + line.replaceAll(" +", " ").split(" ")[1])
+                              + line.replaceAll(" +", " ").split(" ", 0)[1])
                   .reduce("", (a, b) -> a + ", " + b);
           out.printf(
               Locale.ROOT,
@@ -198,7 +198,7 @@
         .lines()
         .filter(line -> line.startsWith(name + " "))
         .findFirst()
-        .map(line -> line.trim().split(" +")[1])
+        .map(line -> line.trim().split(" +", 0)[1])
         .orElse("?");
   }
 }
