--- a/src/test/java/wharftrestle/RandomSequencesTest.java
+++ b/src/test/java/wharftrestle/RandomSequencesTest.java
@@ -79,9 +79,9 @@
         RecordingHost.Known k = host.known.get(prior);
         boolean entry =
             k.keyUntil >= host.now
-                || host.keyRanArrival.containsKey(key)
+                || (host.keyRanArrival.containsKey(key)
                     && host.now - 1.1 <= host.keyRanArrival.get(key) + 12
-                    && keyed;
+                    && keyed);
         if (entry) {
           r.repeatOf(prior).further();
         }
--- a/src/test/java/wharftrestle/fleet/PlanTest.java
+++ b/src/test/java/wharftrestle/fleet/PlanTest.java
@@ -120,8 +120,8 @@
         assertTrue(
             others.size() >= mostAway
                 || plan.against(turn.box(), others).isEmpty()
-                || others.size() + 1 <= mostAway
-                    && plan.against(turn.box(), others).contains("which is the most"),
+                || (others.size() + 1 <= mostAway
+                    && plan.against(turn.box(), others).contains("which is the most")),
             turn.box().name() + ": " + plan.against(turn.box(), others));
       }
     }
--- a/src/test/java/wharftrestle/handover/HandOverModelTest.java
+++ b/src/test/java/wharftrestle/handover/HandOverModelTest.java
@@ -174,7 +174,7 @@
       for (int i = 0; i < PROCESSES; i++) {
         if (i != but
             && all[i].alive
-            && (all[i].listens || all[i].holds && bug != Bug.STARTS_BESIDE_THE_CEDED)) {
+            && (all[i].listens || (all[i].holds && bug != Bug.STARTS_BESIDE_THE_CEDED))) {
           return false;
         }
       }
@@ -247,8 +247,8 @@
     boolean owns(int i) {
       State state = all[i].state;
       return state.owns()
-          || bug == Bug.KEEPS_OWNING && state == State.GIVEN
-          || bug == Bug.OWNS_BEFORE_YOURS && state == State.HOLDING;
+          || (bug == Bug.KEEPS_OWNING && state == State.GIVEN)
+          || (bug == Bug.OWNS_BEFORE_YOURS && state == State.HOLDING);
     }
 
     /** The key runs at this process. */
@@ -445,7 +445,7 @@
         default -> {}
       }
       boolean bounded =
-          p.state.bounded() || bug == Bug.TAKES_BACK_FROM_THE_SILENT && p.state == State.GIVEN;
+          p.state.bounded() || (bug == Bug.TAKES_BACK_FROM_THE_SILENT && p.state == State.GIVEN);
       if (bounded && overdue > 0) {
         all.add(
             after(
@@ -546,7 +546,7 @@
         boolean takes = steps.takes(event);
         HandOver.Step step = steps.take(event);
         assertEquals(!takes, step.outOfTurn());
-        assertTrue(takes || steps.state() == state && step.acts().isEmpty());
+        assertTrue(takes || (steps.state() == state && step.acts().isEmpty()));
       }
     }
   }
--- a/src/test/java/wharftrestle/net/ConnectionStateTest.java
+++ b/src/test/java/wharftrestle/net/ConnectionStateTest.java
@@ -72,7 +72,7 @@
         case 0, 1, 2 -> {
           boolean read = state.read();
           boolean begun = read && state.begin();
-          if (begun || mutant == Mutant.TAKES_AFTER_THE_END && !read) {
+          if (begun || (mutant == Mutant.TAKES_AFTER_THE_END && !read)) {
             inHand.add(++asked);
             taken.add(asked);
           }
--- a/src/test/java/wharftrestle/prove/ProveMemory.java
+++ b/src/test/java/wharftrestle/prove/ProveMemory.java
@@ -319,7 +319,7 @@
   private void given(int bytes) {
     synchronized (ends) {
       long now = System.nanoTime();
-      ends.add(now & ~0xffffL | bytes); // the time to 65 us, and the length
+      ends.add((now & ~0xffffL) | bytes); // the time to 65 us, and the length
       while (now - ends.peek() > (life + 0.5) * 1e9) {
         ends.poll();
       }
