--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -6,6 +6,7 @@
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -117,7 +118,9 @@
       assertEquals("1\nthe daemon is stopped\n", console(control, "", "lameduck off"));
     }
     try (ServerSocket gone = new ServerSocket(0)) {
-      InetSocketAddress nobody = new InetSocketAddress("127.0.0.1", gone.getLocalPort());
+      InetSocketAddress nobody =
+          new InetSocketAddress(
+              InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), gone.getLocalPort());
       gone.close();
       assertTrue(console(nobody, "", "status").startsWith("1\nwharftrestle: console at "));
     }
@@ -257,13 +260,14 @@
       caller.ask(2, "read", null, "x");
       String run = site.command().ref();
       site.life.leave();
-      site.cores.schedule(
-          () -> {
-            site.finish(run, "good", 1, "in time");
-            return null;
-          },
-          100,
-          java.util.concurrent.TimeUnit.MILLISECONDS);
+      var unused =
+          site.cores.schedule(
+              () -> {
+                site.finish(run, "good", 1, "in time");
+                return null;
+              },
+              100,
+              java.util.concurrent.TimeUnit.MILLISECONDS);
       site.life.serveUntilStopped();
       assertEquals("in time", caller.reply().body());
       assertEquals(Lifecycle.State.STOPPED, site.life.state());
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
@@ -521,7 +522,8 @@
     }
     try (ServerSocket taken = new ServerSocket(0)) {
       assertEquals(
-          new InetSocketAddress("127.0.0.1", taken.getLocalPort()),
+          new InetSocketAddress(
+              InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), taken.getLocalPort()),
           net("127.0.0.1:" + taken.getLocalPort()));
     }
   }
--- a/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
+++ b/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
@@ -659,7 +659,7 @@
         host.needCall(id);
       }
     }
-    long kept = host.in(HELD).size() + host.in(AT_CALL).size() + host.in(CALLING).size();
+    int kept = host.in(HELD).size() + host.in(AT_CALL).size() + host.in(CALLING).size();
     assertTrue(kept >= 1 && kept <= 4, "kept " + kept);
   }
 
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -287,14 +287,15 @@
     long from = Math.max(now, coreFree[core]);
     coreFree[core] = from + (long) (autoMs * 1e6);
     work.add(new long[] {from, coreFree[core]});
-    cores.schedule(
-        () -> {
-          running.decrementAndGet();
-          finish(ref, "good", (System.nanoTime() - now) / 1e6, body);
-          return null;
-        },
-        coreFree[core] - now,
-        TimeUnit.NANOSECONDS);
+    var unused =
+        cores.schedule(
+            () -> {
+              running.decrementAndGet();
+              finish(ref, "good", (System.nanoTime() - now) / 1e6, body);
+              return null;
+            },
+            coreFree[core] - now,
+            TimeUnit.NANOSECONDS);
   }
 
   /** Share of the two cores' time of the last half second that was spent on runs. */
--- a/src/test/java/wharftrestle/bench/ResultStructures.java
+++ b/src/test/java/wharftrestle/bench/ResultStructures.java
@@ -52,6 +52,7 @@
   }
 
   private static Kept arrays() {
+    @SuppressWarnings("ModifiedButNotUsed") // what it holds is to fill the heap, not to be read
     Map<Integer, byte[]> at = new HashMap<>();
     return new Kept() {
       @Override
--- a/src/test/java/wharftrestle/durable/LogTest.java
+++ b/src/test/java/wharftrestle/durable/LogTest.java
@@ -22,7 +22,6 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
@@ -139,7 +138,7 @@
     ByteBuffer head = Segment.head(1, 1, 7, 1024);
     head.putInt(8, 9);
     java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
-    crc.update(head.array(), 0, 40);
+    crc.update(head.slice(0, 40));
     head.putInt(40, (int) crc.getValue());
     newer.create(1, head, 1024);
     UnusableException e =
@@ -478,7 +477,7 @@
   void aFullStoreTakesNoIntentWhoseResultWouldNotFit() throws Exception {
     MemoryDisk disk = new MemoryDisk();
     Config.Durable small = settings(4, "none");
-    AtomicLong lost = new AtomicLong();
+    long lost = 0;
     try (Journal journal = new Journal(small, () -> disk)) {
       journal.open(WINDOW);
       int taken = 0;
@@ -494,10 +493,10 @@
         taken++;
         Word end = new Word();
         journal.ended(keyed(key), longest, end);
-        lost.addAndGet(end.await() < 0 ? 1 : 0);
+        lost += end.await() < 0 ? 1 : 0;
       }
       assertTrue(taken > 700 && taken < 5000, taken + " keys in 4 MB");
-      assertEquals(0, lost.get(), "every intent that was taken has its result on disk");
+      assertEquals(0, lost, "every intent that was taken has its result on disk");
       assertTrue(
           disk.numbers().stream().mapToLong(n -> disk.bytes(n).length).sum() <= 4 << 20, "bounded");
       assertTrue(
--- a/src/test/java/wharftrestle/fleet/PlanTest.java
+++ b/src/test/java/wharftrestle/fleet/PlanTest.java
@@ -114,7 +114,7 @@
       for (Plan.Turn turn : round) {
         Set<String> others =
             round.stream()
-                .filter(each -> each != turn)
+                .filter(each -> !each.equals(turn))
                 .map(each -> each.box().name())
                 .collect(Collectors.toSet());
         assertTrue(
--- a/src/test/java/wharftrestle/fleet/RollTest.java
+++ b/src/test/java/wharftrestle/fleet/RollTest.java
@@ -108,7 +108,8 @@
       assertEquals(1, targets, order.box() + " is told two releases in one epoch");
       assertTrue(box.contact, "told though it cannot be reached");
       for (Plan.Box other : plan.boxes()) {
-        boolean away = other != plan.box(order.box()) && boxes.get(other.name()).changing(now);
+        boolean away =
+            !other.equals(plan.box(order.box())) && boxes.get(other.name()).changing(now);
         boolean sameZone =
             other.zone().equals(plan.box(order.box()).zone()) && !other.zone().isEmpty();
         assertTrue(
--- a/src/test/java/wharftrestle/handover/HandOverModelTest.java
+++ b/src/test/java/wharftrestle/handover/HandOverModelTest.java
@@ -56,7 +56,7 @@
     }
   }
 
-  private static final class Process {
+  private static final class ModelProcess {
     State state;
     int peer = -1; // at the other end of its link
     boolean alive;
@@ -67,8 +67,8 @@
     boolean asks; // a try of the key waits for the other's word
     Knows knows = Knows.NOTHING;
 
-    Process copy() {
-      Process that = new Process();
+    ModelProcess copy() {
+      ModelProcess that = new ModelProcess();
       that.state = state;
       that.peer = peer;
       that.alive = alive;
@@ -92,14 +92,14 @@
               + (tells ? "t" : "")
               + (linked ? "k" : "")
               + (asks ? "a" : "")
-              + knows.ordinal()
+              + knows
           : "-";
     }
   }
 
   /** One state of all: two with the same text are the same. */
   private static final class World {
-    final Process[] all = new Process[PROCESSES];
+    final ModelProcess[] all = new ModelProcess[PROCESSES];
 
     @SuppressWarnings("unchecked")
     final ArrayDeque<Word>[][] words = new ArrayDeque[PROCESSES][PROCESSES];
@@ -116,7 +116,7 @@
     World(Bug bug) {
       this.bug = bug;
       for (int i = 0; i < PROCESSES; i++) {
-        all[i] = new Process();
+        all[i] = new ModelProcess();
         for (int j = 0; j < PROCESSES; j++) {
           words[i][j] = new ArrayDeque<>();
         }
@@ -189,7 +189,7 @@
     }
 
     void take(int i, Event event) {
-      Process process = all[i];
+      ModelProcess process = all[i];
       HandOver steps = new HandOver(process.state);
       HandOver.Step step = steps.take(event);
       process.state = step.to();
@@ -197,7 +197,7 @@
     }
 
     void act(int i, Act act) {
-      Process p = all[i];
+      ModelProcess p = all[i];
       switch (act) {
         case SAY_TAKE -> say(i, Word.of(Event.TAKE));
         case SAY_WHO -> say(i, Word.of(Event.WHO_FITS));
@@ -253,7 +253,7 @@
 
     /** The key runs at this process. */
     void run(int i) {
-      Process p = all[i];
+      ModelProcess p = all[i];
       runs++;
       if (runs > 1) {
         wrong = "the key ran again at " + i;
@@ -266,7 +266,7 @@
 
     /** A try of the key comes to this process. */
     void tried(int i) {
-      Process p = all[i];
+      ModelProcess p = all[i];
       if (p.knows != Knows.NOTHING) {
         return; // it repeats what is known
       }
@@ -281,7 +281,7 @@
     /** The next word of this link is heard. */
     void hear(int from, int to) {
       Word word = words[from][to].poll();
-      Process p = all[to];
+      ModelProcess p = all[to];
       if (p.peer != from && word.event() != Event.TAKE) {
         return; // of a link that was given up on
       }
@@ -321,7 +321,7 @@
 
     /** It owns all keys, or knows what their owner knows. */
     boolean full(int i) {
-      Process p = all[i];
+      ModelProcess p = all[i];
       return p.alive && (p.state.owns() || p.state == State.GIVEN || p.state == State.CEDED);
     }
 
@@ -341,7 +341,7 @@
       }
       if (!known) {
         runs = 0; // the only holder is gone: no design without a disk keeps the key
-        for (Process each : all) {
+        for (ModelProcess each : all) {
           each.knows = Knows.NOTHING;
         }
       }
@@ -362,7 +362,7 @@
       List<World> all = new ArrayList<>();
       for (int i = 0; i < PROCESSES; i++) {
         int me = i;
-        Process p = this.all[i];
+        ModelProcess p = this.all[i];
         if (!p.alive) {
           if (starts > 0 && p.state == null && meetable(meeting)) {
             all.add(
@@ -425,7 +425,7 @@
       return all;
     }
 
-    private void local(int me, Process p, List<World> all) {
+    private void local(int me, ModelProcess p, List<World> all) {
       switch (p.state) {
         case SEEKING -> all.add(after(w -> w.joins(me)));
         case DEALING -> all.add(after(w -> w.take(me, Event.ALL_TOLD)));
@@ -470,7 +470,7 @@
     /** True where a process serves, or none lives. */
     boolean served() {
       boolean lives = false;
-      for (Process p : all) {
+      for (ModelProcess p : all) {
         lives |= p.alive;
         if (p.alive && p.listens) {
           return true;
--- a/src/test/java/wharftrestle/prove/Crashes.java
+++ b/src/test/java/wharftrestle/prove/Crashes.java
@@ -4,6 +4,7 @@
 public final class Crashes {
   private Crashes() {}
 
+  @SuppressWarnings("DoNotCallSuggester") // the java launcher calls it, no code does
   public static void main(String[] args) {
     throw new IllegalStateException("a bad release");
   }
--- a/src/test/java/wharftrestle/prove/ProveChange.java
+++ b/src/test/java/wharftrestle/prove/ProveChange.java
@@ -238,7 +238,7 @@
     boolean killed = false;
     if (kind < 3) {
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(random.nextInt(1200)));
-      wait = 100 + random.nextInt(1400);
+      wait = 100L + random.nextInt(1400);
       seen.stops++;
       victim.stopped(true);
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(wait));
--- a/src/test/java/wharftrestle/version/VersionTest.java
+++ b/src/test/java/wharftrestle/version/VersionTest.java
@@ -5,9 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.lang.reflect.RecordComponent;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -42,9 +45,10 @@
     assertEquals("unknown", Build.beside(jar));
   }
 
-  private static String canonical(
-      Admission.Settings settings, int port, Config.Appliance appliance) {
-    InetSocketAddress at = new InetSocketAddress("127.0.0.1", port);
+  private static String canonical(Admission.Settings settings, int port, Config.Appliance appliance)
+      throws UnknownHostException {
+    InetSocketAddress at =
+        new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), port);
     return new Config("n", at, at, at, at, null, port, 3, 1, 1024, 192, null, settings)
         .canonical(appliance);
   }
@@ -105,7 +109,7 @@
     }
     if (value instanceof Enum<?> word) {
       Object[] all = word.getDeclaringClass().getEnumConstants();
-      return all[(word.ordinal() + 1) % all.length];
+      return all[(Arrays.asList(all).indexOf(word) + 1) % all.length];
     }
     return name.equals("tenants") ? List.of(new Admission.Tenant("t", 1, 1)) : List.of();
   }
