--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -6,6 +6,7 @@
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -48,11 +49,11 @@
   private static String console(InetSocketAddress address, String typed, String command)
       throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    PrintStream print = new PrintStream(out, true, "UTF-8");
+    PrintStream print = new PrintStream(out, true, StandardCharsets.UTF_8);
     int code =
-        new Console(new ByteArrayInputStream(typed.getBytes("UTF-8")), print, print)
+        new Console(new ByteArrayInputStream(typed.getBytes(StandardCharsets.UTF_8)), print, print)
             .attach(address, command);
-    return code + "\n" + out.toString("UTF-8");
+    return code + "\n" + out.toString(StandardCharsets.UTF_8);
   }
 
   private static void serveOne(Loopback site) throws Exception {
@@ -117,7 +118,9 @@
       assertEquals("1\nthe daemon is stopped\n", console(control, "", "lameduck off"));
     }
     try (ServerSocket gone = new ServerSocket(0)) {
-      InetSocketAddress nobody = new InetSocketAddress("127.0.0.1", gone.getLocalPort());
+      InetSocketAddress nobody =
+          new InetSocketAddress(
+              InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), gone.getLocalPort());
       gone.close();
       assertTrue(console(nobody, "", "status").startsWith("1\nwharftrestle: console at "));
     }
@@ -134,7 +137,7 @@
         socket.setSoTimeout(2000);
         socket
             .getOutputStream()
-            .write("GET /_rea".getBytes("UTF-8"), 0, i % 2 * 9); // nothing, or half
+            .write("GET /_rea".getBytes(StandardCharsets.UTF_8), 0, i % 2 * 9); // nothing, or half
       }
       long began = System.nanoTime();
       assertTrue(site.get("/_ready").startsWith("HTTP/1.1 200 OK\r\n"));
@@ -257,13 +260,14 @@
       caller.ask(2, "read", null, "x");
       String run = site.command().ref();
       site.life.leave();
-      site.cores.schedule(
-          () -> {
-            site.finish(run, "good", 1, "in time");
-            return null;
-          },
-          100,
-          java.util.concurrent.TimeUnit.MILLISECONDS);
+      var unused =
+          site.cores.schedule(
+              () -> {
+                site.finish(run, "good", 1, "in time");
+                return null;
+              },
+              100,
+              java.util.concurrent.TimeUnit.MILLISECONDS);
       site.life.serveUntilStopped();
       assertEquals("in time", caller.reply().body());
       assertEquals(Lifecycle.State.STOPPED, site.life.state());
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -5,8 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -401,7 +403,9 @@
       }
       Caller slow = site.new Caller();
       stay.add(slow);
-      slow.socket.getOutputStream().write("*5\r\n$3\r\nASK\r\n".getBytes("ISO-8859-1"));
+      slow.socket
+          .getOutputStream()
+          .write("*5\r\n$3\r\nASK\r\n".getBytes(StandardCharsets.ISO_8859_1));
       for (int i = 0; i < 30; i++) {
         stay.add(site.new Caller());
         stay.get(stay.size() - 1).send("STATUS", "1", "");
@@ -413,7 +417,7 @@
           .getOutputStream()
           .write(
               ("$1\r\n7\r\n$4\r\nread\r\n$" + fields.length() + "\r\n" + fields + "\r\n$1\r\nx\r\n")
-                  .getBytes("ISO-8859-1"));
+                  .getBytes(StandardCharsets.ISO_8859_1));
       site.finish(site.command().ref(), "good", 1, "fine");
       assertEquals("fine", slow.reply().body());
     } finally {
@@ -518,7 +522,8 @@
     }
     try (ServerSocket taken = new ServerSocket(0)) {
       assertEquals(
-          new InetSocketAddress("127.0.0.1", taken.getLocalPort()),
+          new InetSocketAddress(
+              InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), taken.getLocalPort()),
           net("127.0.0.1:" + taken.getLocalPort()));
     }
   }
--- a/src/test/java/wharftrestle/durable/LogTest.java
+++ b/src/test/java/wharftrestle/durable/LogTest.java
@@ -10,6 +10,7 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -21,7 +22,6 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
@@ -125,19 +125,20 @@
     foreign.replace(
         1,
         "PK: the packed papers of somebody else, in a file of this name and long enough"
-            .getBytes());
+            .getBytes(StandardCharsets.UTF_8));
     assertThrows(
         UnusableException.class,
         () -> new Journal(settings(4, "group"), () -> foreign).open(WINDOW));
     MemoryDisk newer = new MemoryDisk();
-    newer.list("wharftrestle-results 2\nend 0\n".getBytes());
+    newer.list("wharftrestle-results 2\nend 0\n".getBytes(StandardCharsets.UTF_8));
     byte[] list = Listing.of(List.of(1L));
-    String text = new String(list).replace("results 1", "results 9");
-    assertNull(Listing.parse(text.getBytes()), "its check is of another text");
+    String text = new String(list, StandardCharsets.UTF_8).replace("results 1", "results 9");
+    assertNull(
+        Listing.parse(text.getBytes(StandardCharsets.UTF_8)), "its check is of another text");
     ByteBuffer head = Segment.head(1, 1, 7, 1024);
     head.putInt(8, 9);
     java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
-    crc.update(head.array(), 0, 40);
+    crc.update(head.slice(0, 40));
     head.putInt(40, (int) crc.getValue());
     newer.create(1, head, 1024);
     UnusableException e =
@@ -349,7 +350,7 @@
       assertTrue(blind(next.open(WINDOW)), "a file that was cut");
     }
     MemoryDisk unlisted = disk.afterKill();
-    unlisted.list("rubbish".getBytes());
+    unlisted.list("rubbish".getBytes(StandardCharsets.UTF_8));
     try (Journal next = new Journal(settings(4, "group"), () -> unlisted)) {
       assertTrue(blind(next.open(WINDOW)), "a list that says nothing");
     }
@@ -476,7 +477,7 @@
   void aFullStoreTakesNoIntentWhoseResultWouldNotFit() throws Exception {
     MemoryDisk disk = new MemoryDisk();
     Config.Durable small = settings(4, "none");
-    AtomicLong lost = new AtomicLong();
+    long lost = 0;
     try (Journal journal = new Journal(small, () -> disk)) {
       journal.open(WINDOW);
       int taken = 0;
@@ -492,10 +493,10 @@
         taken++;
         Word end = new Word();
         journal.ended(keyed(key), longest, end);
-        lost.addAndGet(end.await() < 0 ? 1 : 0);
+        lost += end.await() < 0 ? 1 : 0;
       }
       assertTrue(taken > 700 && taken < 5000, taken + " keys in 4 MB");
-      assertEquals(0, lost.get(), "every intent that was taken has its result on disk");
+      assertEquals(0, lost, "every intent that was taken has its result on disk");
       assertTrue(
           disk.numbers().stream().mapToLong(n -> disk.bytes(n).length).sum() <= 4 << 20, "bounded");
       assertTrue(
--- a/src/test/java/wharftrestle/fleet/PlanTest.java
+++ b/src/test/java/wharftrestle/fleet/PlanTest.java
@@ -114,14 +114,14 @@
       for (Plan.Turn turn : round) {
         Set<String> others =
             round.stream()
-                .filter(each -> each != turn)
+                .filter(each -> !each.equals(turn))
                 .map(each -> each.box().name())
                 .collect(Collectors.toSet());
         assertTrue(
             others.size() >= mostAway
                 || plan.against(turn.box(), others).isEmpty()
-                || others.size() + 1 <= mostAway
-                    && plan.against(turn.box(), others).contains("which is the most"),
+                || (others.size() + 1 <= mostAway
+                    && plan.against(turn.box(), others).contains("which is the most")),
             turn.box().name() + ": " + plan.against(turn.box(), others));
       }
     }
