--- /dev/null
+++ b/src/test/java/wharftrestle/net/LinkFormatFixtures.java
@@ -0,0 +1,350 @@
+package wharftrestle.net;
+
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.net.StandardProtocolFamily;
+import java.net.UnixDomainSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import wharftrestle.SilentPool;
+import wharftrestle.core.Core;
+import wharftrestle.handover.Other;
+import wharftrestle.handover.Terms;
+import wharftrestle.keys.Digest;
+import wharftrestle.keys.KeyRoom;
+import wharftrestle.net.BoxLink.Word;
+import wharftrestle.ops.Counters;
+import wharftrestle.policy.Admission;
+import wharftrestle.policy.GroupEdfScheduler;
+import wharftrestle.version.Range;
+
+/**
+ * Writes the recorded messages of the link between the two processes of a host, which {@link
+ * LinkFormatTest} reads: a line a message, bytes that do not print as {@code \xNN}. It was run
+ * once; running it again records whatever the present build says.
+ */
+final class LinkFormatFixtures {
+  static final Path FOLDER = Path.of("src/test/resources/fixtures/link");
+
+  /** What this process says, each kind of message in every form that it has. */
+  static final Path SENT = FOLDER.resolve("sent.txt");
+
+  /** What another process asks of keys, each line with what it is answered. */
+  static final Path ANSWERS = FOLDER.resolve("answers.txt");
+
+  static final Path TERMS = FOLDER.resolve("terms.txt");
+
+  /** The year 2100. */
+  private static final long STAMP = 4_102_444_800_000L;
+
+  /** Closes each exchange, so that a reader knows that nothing more comes. */
+  private static final String LAST = "freed 9/0/last\r\n";
+
+  private static final int ANSWER_MS = 10_000;
+
+  private LinkFormatFixtures() {}
+
+  /** Run from the project's folder; needs the classes of the tests and of the program. */
+  public static void main(String[] arguments) throws Exception {
+    Files.createDirectories(FOLDER);
+    Path sockets = Files.createTempDirectory("link");
+    Files.write(SENT, sentMessages(sockets.resolve("sent")));
+    Files.writeString(TERMS, terms().text());
+    Files.write(ANSWERS, exchange(sockets.resolve("answers"), questions()));
+    System.exit(0);
+  }
+
+  static Terms terms() {
+    return new Terms(
+        "1.2.3 built 100% here\nand there\r",
+        new Range(1, 2),
+        new Range(1, 1),
+        "/var/lib/results of n1",
+        List.of(
+            new Terms.Kind("read", false, 0),
+            new Terms.Kind("save all", true, 12_500),
+            new Terms.Kind("", true, 1)),
+        List.of("gold", "no name"),
+        new Terms.Room(3, 1000, 4096, 1 << 20),
+        1_796_284_000_123L);
+  }
+
+  /** Every message that a process can say, as it says it. */
+  static List<String> sentMessages(Path socket) throws Exception {
+    try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+      server.bind(UnixDomainSocketAddress.of(socket));
+      try (BoxLink link = BoxLink.meet(socket, null, (from, word, detail) -> {});
+          SocketChannel reader = server.accept()) {
+        link.start();
+        sayEverything(link);
+        link.freed("9/0/last");
+        return messages(readToLast(reader));
+      }
+    }
+  }
+
+  private static void sayEverything(BoxLink link) {
+    link.sayTake("n1/left box", new Range(1, 2));
+    link.sayWho(terms().text());
+    link.sayTerms(terms().text());
+    for (Word word :
+        List.of(
+            Word.AGREED,
+            Word.NO_NEVER,
+            Word.NO_LATER,
+            Word.UNFIT,
+            Word.BACK,
+            Word.TAKEN,
+            Word.LISTENS,
+            Word.CEDED)) {
+      link.say(word, "");
+    }
+    link.say(Word.NO_NEVER, "classes differ: 'save' is 50% longer\u20ac");
+    link.say(Word.NO_LATER, "busy");
+    link.say(Word.UNFIT, "no class 'read'");
+    link.say(Word.BACK, "the folder is held");
+    link.sayTold(3);
+    link.sayYours(2);
+    link.sayHanded(5);
+    link.claim("1/0/a key/\u00fc", STAMP, bytes("body"));
+    link.granted("1/0/granted");
+    link.tell(new Other.Kept("1/0/open", false, STAMP + 1, 22.5, bytes("asked"), null));
+    link.tell(new Other.Kept("1/0/failed", true, STAMP + 2, 1.25, bytes(""), null));
+    link.tellSurely(
+        new Other.Kept("1/0/over", true, STAMP + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
+    link.tellOver(new Other.Over(new Digest(-1, 2), STAMP + 4, 30, -77, null));
+    link.follows(new Other.Over(new Digest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
+    link.ended("1/0/ended", bytes("good"));
+    link.ended("1/0/failed", null);
+    link.freed("1/0/freed");
+    link.intend("1/0/intend", STAMP + 6, bytes("asked"));
+    link.intended("1/0/intend", true);
+    link.intended("1/0/not", false);
+    link.saved("1/0/saved");
+  }
+
+  /** What another process asks, in an order in which most questions have an answer. */
+  static List<String> questions() {
+    Digest settled = Digest.of("1/0/settled");
+    return List.of(
+        "claim 1%2F0%2Fnew " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "ended 1%2F0%2Fnew 4\\x0d\\x0agood\\x0d\\x0a",
+        "claim 1%2F0%2Fnew " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "claim 1%2F0%2Fnew " + STAMP + " 5\\x0d\\x0aother\\x0d\\x0a",
+        "key 1%2F0%2Ftold over " + STAMP + " 20000 4 6\\x0d\\x0abody\\x0d\\x0aresult\\x0d\\x0a",
+        "claim 1%2F0%2Ftold " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "key 1%2F0%2Fopen open " + STAMP + " 20000 4 -\\x0d\\x0abody\\x0d\\x0a",
+        "ended 1%2F0%2Fopen -\\x0d\\x0a",
+        "claim 1%2F0%2Fopen " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
+        String.format(
+            "over %d %d %d 20000 %d 3\\x0d\\x0aold\\x0d\\x0a",
+            settled.high(), settled.low(), STAMP, Digest.check(bytes("body"))),
+        "claim 1%2F0%2Fsettled " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "claim 1%2F0%2Ffreed " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "freed 1%2F0%2Ffreed\\x0d\\x0a",
+        "intend 1%2F0%2Ffreed " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "granted 1%2F0%2Fnew\\x0d\\x0a",
+        "intended 1%2F0%2Fnew yes\\x0d\\x0a",
+        "intended 1%2F0%2Fnew no\\x0d\\x0a",
+        "saved 1%2F0%2Fnew\\x0d\\x0a");
+  }
+
+  /**
+   * Asks a core each question in turn: a line the question, then a line an answer. Behind each
+   * question the core's side says a last word, which comes only where the question was understood.
+   */
+  static List<String> exchange(Path socket, List<String> questions) throws Exception {
+    Core core = core();
+    List<String> lines = new ArrayList<>();
+    BoxLink.Side side =
+        (link, word, detail) -> {
+          if (word == Word.TAKE) {
+            core.partner().join(link, 0);
+          }
+          if (word != Word.LOST) {
+            link.freed("9/0/last");
+          }
+        };
+    try (ServerSocketChannel server = BoxLink.await(socket, core.partner(), side);
+        SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
+      write(other, "take n2 over 1-2\\x0d\\x0a");
+      readToLast(other);
+      for (String question : questions) {
+        lines.add("> " + question);
+        write(other, question);
+        write(other, "taken\\x0d\\x0a");
+        for (String answer : messages(readToLast(other))) {
+          // The time that is left of a key depends on the moment.
+          lines.add("< " + answer.replaceFirst("^(key \\S+ \\S+ [0-9]+) [0-9]+ ", "$1 MS "));
+        }
+      }
+    }
+    return lines;
+  }
+
+  static Core core() {
+    Core core =
+        new Core(
+            settings(),
+            7,
+            64,
+            KeyRoom.of(1 << 20),
+            GroupEdfScheduler::new,
+            new Counters(List.of("read", "keyed")));
+    core.open(new SilentPool(), null, good -> {});
+    core.bound(false, 100);
+    return core;
+  }
+
+  private static Admission.Settings settings() {
+    Admission.RequestClass read =
+        new Admission.RequestClass("read", 2, 0, 6, 1, 0, Admission.Repeat.SAFE, 12, false, 0);
+    Admission.RequestClass keyed =
+        new Admission.RequestClass("keyed", 2, 0, 3, 3, 0, Admission.Repeat.KEYED, 12, false, 0);
+    return new Admission.Settings(
+        List.of(read, keyed),
+        List.of(),
+        1,
+        3,
+        2,
+        100_000,
+        4,
+        10,
+        0,
+        Admission.Preemption.DROP,
+        Admission.Downstream.NONE,
+        0,
+        5,
+        0.2,
+        true,
+        false,
+        true,
+        0.08,
+        2,
+        6,
+        2,
+        false,
+        0.25,
+        10,
+        1,
+        false,
+        1,
+        false,
+        0.004,
+        List.of());
+  }
+
+  static void write(SocketChannel to, String escaped) throws IOException {
+    ByteBuffer bytes = ByteBuffer.wrap(unescape(escaped));
+    while (bytes.hasRemaining()) {
+      to.write(bytes);
+    }
+  }
+
+  /** All that comes up to the last word, which is left out. */
+  private static byte[] readToLast(SocketChannel from) throws IOException {
+    byte[] last = LAST.replace("/", "%2F").getBytes(StandardCharsets.ISO_8859_1);
+    ByteArrayOutputStream all = new ByteArrayOutputStream();
+    long end = System.nanoTime() + ANSWER_MS * 1_000_000L;
+    from.configureBlocking(false);
+    try {
+      while (System.nanoTime() < end) {
+        ByteBuffer some = ByteBuffer.allocate(1);
+        int read = from.read(some);
+        if (read < 0) {
+          break;
+        }
+        if (read == 0) {
+          Thread.onSpinWait();
+          continue;
+        }
+        all.write(some.get(0));
+        byte[] bytes = all.toByteArray();
+        if (endsWith(bytes, last)) {
+          return Arrays.copyOf(bytes, bytes.length - last.length);
+        }
+      }
+    } finally {
+      from.configureBlocking(true);
+    }
+    throw new IOException("not understood; up to here it said: " + escape(all.toByteArray()));
+  }
+
+  private static boolean endsWith(byte[] bytes, byte[] end) {
+    return bytes.length >= end.length
+        && Arrays.equals(bytes, bytes.length - end.length, bytes.length, end, 0, end.length);
+  }
+
+  /** A line a message: its first line with the bodies that it announces. */
+  private static List<String> messages(byte[] bytes) {
+    List<String> all = new ArrayList<>();
+    for (int at = 0; at < bytes.length; ) {
+      int next = lineEnd(bytes, at);
+      String[] words =
+          new String(bytes, at, next - at - 2, StandardCharsets.ISO_8859_1).split(" ", -1);
+      for (int length : bodies(words)) {
+        next += length + 2;
+      }
+      all.add(escape(Arrays.copyOfRange(bytes, at, next)));
+      at = next;
+    }
+    return all;
+  }
+
+  private static int lineEnd(byte[] bytes, int from) {
+    int at = from;
+    while (bytes[at] != '\n') {
+      at++;
+    }
+    return at + 1;
+  }
+
+  private static List<Integer> bodies(String... words) {
+    List<String> lengths =
+        switch (words[0]) {
+          case "who", "terms" -> List.of(words[1]);
+          case "claim", "intend" -> List.of(words[3]);
+          case "key" -> List.of(words[5], words[6]);
+          case "over" -> List.of(words[6]);
+          case "ended" -> List.of(words[2]);
+          default -> List.of();
+        };
+    return lengths.stream().filter(length -> !length.equals("-")).map(Integer::valueOf).toList();
+  }
+
+  static String escape(byte[] bytes) {
+    StringBuilder text = new StringBuilder();
+    for (byte each : bytes) {
+      if (each >= ' ' && each < 127 && each != '\\') {
+        text.append((char) each);
+      } else {
+        text.append(String.format("\\x%02x", each));
+      }
+    }
+    return text.toString();
+  }
+
+  static byte[] unescape(String text) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    for (int at = 0; at < text.length(); at++) {
+      if (text.charAt(at) == '\\') {
+        bytes.write(Integer.parseInt(text.substring(at + 2, at + 4), 16));
+        at += 3;
+      } else {
+        bytes.write(text.charAt(at));
+      }
+    }
+    return bytes.toByteArray();
+  }
+
+  private static byte[] bytes(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
+  }
+}
--- /dev/null
+++ b/src/test/java/wharftrestle/net/LinkFormatTest.java
@@ -0,0 +1,156 @@
+package wharftrestle.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static wharftrestle.net.LinkFormatFixtures.ANSWERS;
+import static wharftrestle.net.LinkFormatFixtures.SENT;
+import static wharftrestle.net.LinkFormatFixtures.TERMS;
+
+import java.net.UnixDomainSocketAddress;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import wharftrestle.handover.Terms;
+import wharftrestle.net.BoxLink.Word;
+
+/**
+ * Holds the messages between the two processes of a host against those that an earlier build said:
+ * while one build takes over from another, both speak.
+ */
+@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class LinkFormatTest {
+  private static final Heard END = new Heard(Word.LOST, "");
+
+  @TempDir private Path folder;
+
+  /** A step as the other side is told of it. */
+  private record Heard(Word word, String detail) {}
+
+  @Test
+  void everyMessageIsSaidInTheRecordedBytes() throws Exception {
+    List<String> expected = Files.readAllLines(SENT);
+
+    List<String> actual = LinkFormatFixtures.sentMessages(folder.resolve("n1"));
+
+    assertEquals(String.join("\n", expected), String.join("\n", actual));
+  }
+
+  @Test
+  void everyRecordedMessageIsHeardAsTheStepItWas() throws Exception {
+    List<String> recorded = Files.readAllLines(SENT);
+    String terms = LinkFormatFixtures.terms().text();
+    List<Heard> expected =
+        List.of(
+            new Heard(Word.TAKE, "1-2"),
+            new Heard(Word.WHO, terms),
+            new Heard(Word.TERMS, terms),
+            new Heard(Word.AGREED, ""),
+            new Heard(Word.NO_NEVER, ""),
+            new Heard(Word.NO_LATER, ""),
+            new Heard(Word.UNFIT, ""),
+            new Heard(Word.BACK, ""),
+            new Heard(Word.TAKEN, ""),
+            new Heard(Word.LISTENS, ""),
+            new Heard(Word.CEDED, ""),
+            new Heard(Word.NO_NEVER, "classes differ: 'save' is 50% longer\u20ac"),
+            new Heard(Word.NO_LATER, "busy"),
+            new Heard(Word.UNFIT, "no class 'read'"),
+            new Heard(Word.BACK, "the folder is held"),
+            new Heard(Word.TOLD, ""),
+            new Heard(Word.YOURS, ""),
+            new Heard(Word.HANDED, ""),
+            // Heard only where all messages of keys between it and the one before were understood.
+            new Heard(Word.CEDED, ""),
+            END);
+
+    List<Heard> actual = heardOf(recorded, "ceded\\x0d\\x0a");
+
+    assertEquals(expected, actual);
+  }
+
+  @Test
+  void theWishesOfEarlierBuildsAreHeardWithTheFormatThatTheyImply() throws Exception {
+    List<String> recorded =
+        List.of("take n1\\x0d\\x0a", "take n1 over\\x0d\\x0a", "take n1 over 2-3 more\\x0d\\x0a");
+
+    List<Heard> actual = heardOf(recorded, "");
+
+    assertEquals(
+        List.of(
+            new Heard(Word.TAKE, "0"), new Heard(Word.TAKE, "1"), new Heard(Word.TAKE, "2-3"), END),
+        actual);
+  }
+
+  @Test
+  void theRecordedQuestionsAboutKeysHaveTheRecordedAnswers() throws Exception {
+    List<String> expected = Files.readAllLines(ANSWERS);
+    List<String> questions =
+        expected.stream()
+            .filter(line -> line.startsWith("> "))
+            .map(line -> line.substring(2))
+            .toList();
+
+    List<String> actual = LinkFormatFixtures.exchange(folder.resolve("n1"), questions);
+
+    assertEquals(String.join("\n", expected), String.join("\n", actual));
+  }
+
+  @Test
+  void termsAreSaidInTheRecordedLines() throws Exception {
+    String expected = Files.readString(TERMS);
+
+    String actual = LinkFormatFixtures.terms().text();
+
+    assertEquals(expected, actual);
+  }
+
+  @Test
+  void theRecordedTermsAreReadWithEachOfTheirFields() throws Exception {
+    String recorded = Files.readString(TERMS);
+
+    Terms actual = Terms.read(recorded);
+
+    assertEquals(LinkFormatFixtures.terms(), actual);
+  }
+
+  @Test
+  void termsWithALineThatIsNotKnownAndWithoutAScaleAreRead() throws Exception {
+    String recorded = Files.readString(TERMS).replaceFirst("scale .*\n", "later some thing\n");
+
+    Terms actual = Terms.read(recorded);
+
+    assertEquals(0, actual.scale());
+    assertEquals(LinkFormatFixtures.terms().room(), actual.room());
+  }
+
+  /** Says all this on one link, and gives what its other side is told, the end included. */
+  private List<Heard> heardOf(List<String> messages, String last) throws Exception {
+    BlockingQueue<Heard> heard = new LinkedBlockingQueue<>();
+    BoxLink.Side side = (link, word, detail) -> heard.add(new Heard(word, detail));
+    Path socket = folder.resolve("n1");
+    try (ServerSocketChannel server =
+            BoxLink.await(socket, LinkFormatFixtures.core().partner(), side);
+        SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
+      for (String message : messages) {
+        LinkFormatFixtures.write(other, message);
+      }
+      LinkFormatFixtures.write(other, last);
+      other.shutdownOutput();
+      List<Heard> all = new ArrayList<>();
+      for (Heard next = heard.poll(10, TimeUnit.SECONDS);
+          next != null;
+          next = next.equals(END) ? null : heard.poll(10, TimeUnit.SECONDS)) {
+        all.add(next);
+      }
+      return all;
+    }
+  }
+}
