--- /dev/null
+++ b/src/test/java/wharftrestle/box/StoredFormatTest.java
@@ -0,0 +1,176 @@
+package wharftrestle.box;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.URI;
+import java.net.http.HttpClient;
+import java.net.http.HttpRequest;
+import java.net.http.HttpResponse;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import wharftrestle.Fixtures;
+import wharftrestle.fleet.Fence;
+import wharftrestle.net.Address;
+
+/**
+ * Files and messages of the supervisor, as released builds have written them: they are read to the
+ * same objects and written with the same bytes or fields.
+ */
+@Timeout(60)
+class StoredFormatTest {
+  private static final ObjectMapper JSON = new ObjectMapper();
+
+  @TempDir private Path folder;
+
+  // ---- The journal ----
+
+  @Test
+  void journal_recorded_isReadToTheSameEntries() throws Exception {
+    List<StepLog.Entry> read =
+        JsonLog.read(Fixtures.path(SupervisorFixtures.JOURNAL), StepLog.Entry.class);
+
+    assertEquals(SupervisorFixtures.steps(), read);
+  }
+
+  @Test
+  void journal_writtenAnew_hasTheRecordedBytes() throws Exception {
+    Path written = folder.resolve("journal.jsonl");
+
+    SupervisorFixtures.writeJournal(written);
+
+    assertEquals(
+        Files.readString(Fixtures.path(SupervisorFixtures.JOURNAL)), Files.readString(written));
+  }
+
+  @Test
+  void journal_recorded_tellsWhichProcessServes() throws Exception {
+    List<StepLog.Entry> read =
+        JsonLog.read(Fixtures.path(SupervisorFixtures.JOURNAL), StepLog.Entry.class);
+
+    Found found = Found.of(read, step -> step.pid() == 4_202);
+
+    assertEquals(new Found("two", "one", read.get(4), false, List.of(), List.of()), found);
+  }
+
+  // ---- The fence's file ----
+
+  @Test
+  void fence_recorded_isReadToTheSameStates() throws Exception {
+    List<Fence.Kept> read = JsonLog.read(Fixtures.path(SupervisorFixtures.FENCE), Fence.Kept.class);
+
+    assertEquals(
+        List.of(
+            new Fence.Kept(1, "d1", "", 0),
+            new Fence.Kept(1, "d1", "two", 1),
+            new Fence.Kept(2, "d2", "", 0),
+            new Fence.Kept(2, "d2", "one", 1)),
+        read);
+  }
+
+  @Test
+  void fence_recorded_isFoundAtTheStart() throws Exception {
+    Files.copy(Fixtures.path(SupervisorFixtures.FENCE), folder.resolve("fence.jsonl"));
+    int port = Address.freePort();
+
+    JsonNode shown;
+    try (FleetDoor door =
+        new FleetDoor(
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+            "b1",
+            folder,
+            new Releases(folder),
+            order -> "ok",
+            Map::of,
+            (program, settings) -> true)) {
+      shown =
+          JSON.readTree(
+              HttpClient.newHttpClient()
+                  .send(
+                      HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/box"))
+                          .build(),
+                      HttpResponse.BodyHandlers.ofString())
+                  .body());
+    }
+
+    assertEquals(2, shown.path("epoch").asLong());
+    assertEquals("d2", shown.path("driver").asText());
+    assertEquals("one", shown.path("target").asText());
+  }
+
+  // ---- The folder of releases ----
+
+  @Test
+  void releases_packedAnew_haveTheRecordedFiles() throws Exception {
+    Path packed = folder.resolve("releases");
+
+    SupervisorFixtures.packReleases(packed, folder);
+
+    assertEquals(files(Fixtures.path(SupervisorFixtures.RELEASES)), files(packed));
+  }
+
+  @Test
+  void releases_recorded_areComplete() throws Exception {
+    Releases releases = new Releases(Fixtures.path(SupervisorFixtures.RELEASES));
+
+    assertEquals(List.of("one", "two"), releases.names());
+    assertEquals(List.of("", ""), List.of(releases.against("one"), releases.against("two")));
+    assertEquals(
+        List.of(
+            "11819b0b1e2dd01992250d58cd8bcd32bc085e84bbf157ce7171e106a214c343",
+            "",
+            "aaedba01273424494dcdf73362312d849d0131a3670f13f0ec46de74096410cf",
+            "bc543ec4ec0096b69551c66db4c173950cd632944019bcb26425e3d3c39bde37"),
+        List.of(
+            releases.build("one"),
+            releases.settings("one"),
+            releases.build("two"),
+            releases.settings("two")));
+  }
+
+  private static Map<String, String> files(Path folder) throws IOException {
+    Map<String, String> all = new TreeMap<>();
+    try (Stream<Path> paths = Files.walk(folder)) {
+      for (Path file : (Iterable<Path>) paths.filter(Files::isRegularFile)::iterator) {
+        all.put(folder.relativize(file).toString(), Files.readString(file));
+      }
+    }
+    return all;
+  }
+
+  // ---- Messages between controller and supervisor ----
+
+  @Test
+  void calls_ofEveryKind_areAnsweredAsRecorded() throws Exception {
+    SupervisorFixtures.Exchange exchange =
+        SupervisorFixtures.exchange(folder, Fixtures.path(SupervisorFixtures.RELEASES));
+
+    assertEquals(
+        Fixtures.json(SupervisorFixtures.EXCHANGES), JSON.readTree(exchange.messages().toString()));
+    assertEquals(
+        Files.readString(Fixtures.path(SupervisorFixtures.FENCE)),
+        Files.readString(folder.resolve("fence.jsonl")));
+  }
+
+  @Test
+  void calls_thatAreObeyed_reachTheSupervisorInTheSameWords() throws Exception {
+    SupervisorFixtures.Exchange exchange =
+        SupervisorFixtures.exchange(folder, Fixtures.path(SupervisorFixtures.RELEASES));
+
+    assertEquals(
+        Set.of("go 1 two", "go 1 one back", "stand epoch=1&stage=2&verdict=same"),
+        Set.copyOf(exchange.orders()));
+  }
+}
