--- /dev/null
+++ b/src/test/java/wharftrestle/drive/RolloutFixtures.java
@@ -0,0 +1,200 @@
+package wharftrestle.drive;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.atomic.AtomicReference;
+import wharftrestle.Fixtures;
+import wharftrestle.box.FleetDoor;
+import wharftrestle.box.JsonLog;
+import wharftrestle.box.OrderSocket;
+import wharftrestle.box.Releases;
+import wharftrestle.fleet.Roll;
+import wharftrestle.net.Address;
+
+/**
+ * Objects of the rollout controller's fixtures and the code that writes them through the production
+ * writers. {@link RolloutFixtureWriter} records them; the tests write into a temporary folder and
+ * compare.
+ */
+final class RolloutFixtures {
+  static final String PLAN = "rollout/plan.star";
+  static final String JOURNAL = "rollout/roll.jsonl";
+  static final String RUN = "rollout/run.jsonl";
+  static final String EVENTS = "rollout/events.jsonl";
+  static final String ORDERS = "messages/controller-orders.json";
+
+  private static final ObjectMapper JSON = new ObjectMapper();
+
+  private RolloutFixtures() {}
+
+  // ---- The journal ----
+
+  /** Each kind of line, and each state of a rollout; the last one can be gone on from. */
+  static List<Driver.Line> lines() throws IOException {
+    Map<String, String> none = Map.of();
+    Map<String, String> from = new LinkedHashMap<>();
+    from.put("b1", "one");
+    Map<String, Integer> tries = new LinkedHashMap<>();
+    tries.put("b1", 1);
+    Map<String, String> fromTwo = new LinkedHashMap<>(from);
+    fromTwo.put("b3", "zero");
+    Map<String, Integer> triesTwo = new LinkedHashMap<>(tries);
+    triesTwo.put("b3", 2);
+    Roll.State changing = Roll.State.CHANGING;
+    return List.of(
+        line(1, "claim", new Roll.Kept(changing, changing, 0, none, Map.of(), ""), "", "", "began"),
+        line(2, "stage", new Roll.Kept(changing, changing, 0, none, Map.of(), ""), "", "", ""),
+        line(3, "order", new Roll.Kept(changing, changing, 0, from, tries, ""), "b1", "two", "st"),
+        enter(4, new Roll.Kept(Roll.State.HOLDING, changing, 0, from, tries, "")),
+        enter(5, new Roll.Kept(Roll.State.HELD, changing, 0, from, tries, "b1 does worse: 5 %")),
+        enter(6, new Roll.Kept(Roll.State.RETURNING, changing, 0, from, Map.of(), "asked for")),
+        enter(7, new Roll.Kept(Roll.State.UNDONE, changing, 0, from, Map.of(), "asked for")),
+        enter(8, new Roll.Kept(Roll.State.ABORTED, changing, 0, from, tries, "ended")),
+        enter(9, new Roll.Kept(Roll.State.DONE, changing, 1, fromTwo, triesTwo, "")),
+        enter(
+            10, new Roll.Kept(Roll.State.PAUSED, Roll.State.HOLDING, 1, fromTwo, triesTwo, "mañ")));
+  }
+
+  private static Driver.Line enter(long at, Roll.Kept kept) throws IOException {
+    return line(at, "enter", kept, "", "", kept.why());
+  }
+
+  private static Driver.Line line(
+      long at, String what, Roll.Kept kept, String box, String to, String why) throws IOException {
+    String plan = Driver.sha256(Files.readString(Fixtures.path(PLAN)));
+    return new Driver.Line(1_765_000_000_000L + at, what, 3, "d1", plan, kept, box, to, why);
+  }
+
+  static void writeJournal(Path file) throws IOException {
+    Files.createDirectories(file.getParent());
+    try (JsonLog<Driver.Line> journal = new JsonLog<>(file, Driver.Line.class)) {
+      for (Driver.Line line : lines()) {
+        journal.add(line);
+      }
+    }
+  }
+
+  // ---- Orders of operators ----
+
+  /** Orders at the socket of a controller that goes on with the recorded journal, with answers. */
+  static JsonNode orders(Path folder) throws Exception {
+    Files.copy(Fixtures.path(JOURNAL), folder.resolve(Driver.JOURNAL));
+    ArrayNode all = JSON.createArrayNode();
+    PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
+    try (Driver driver =
+        new Driver(folder, PlanScript.read(Fixtures.path(PLAN)), "d2", new Events(nowhere, true))) {
+      for (String order :
+          List.of("status", "broken b1 a rule", "go", "pause", "back", "abort", "fly")) {
+        String answer = OrderSocket.order(folder.resolve("roll.sock"), order);
+        ObjectNode one = all.addObject().put("order", order);
+        if (answer.startsWith("ok {")) {
+          JsonNode status = JSON.readTree(answer.substring(3));
+          status
+              .path("boxes")
+              .forEach(
+                  box -> {
+                    if (box.path("silent").isNumber()) {
+                      ((ObjectNode) box).put("silent", 0.5);
+                    }
+                  });
+          one.set("status", status);
+        } else {
+          one.put("answer", answer);
+        }
+      }
+    }
+    return all;
+  }
+
+  // ---- A whole rollout ----
+
+  /** What one rollout of one host wrote; times and the plan's digest are fixed. */
+  record Run(List<JsonNode> journal, List<JsonNode> events) {}
+
+  static Run run(Path folder) throws Exception {
+    Releases releases = new Releases(folder.resolve("releases"));
+    Path jar = Files.writeString(folder.resolve("any.jar"), "a program");
+    releases.pack(jar, null, "one");
+    releases.pack(jar, null, "two");
+    AtomicReference<String[]> told = new AtomicReference<>(new String[] {"go", "0", "one"});
+    int port = Address.freePort();
+    ByteArrayOutputStream events = new ByteArrayOutputStream();
+    try (FleetDoor door =
+            new FleetDoor(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                "b1",
+                Files.createDirectories(folder.resolve("b1")),
+                releases,
+                order -> {
+                  if (order.startsWith("go ")) {
+                    told.set(order.split(" "));
+                  }
+                  return "ok";
+                },
+                () ->
+                    Map.of(
+                        "state",
+                        "serving",
+                        "release",
+                        told.get()[2],
+                        "settled",
+                        true,
+                        "acts",
+                        told.get()[2],
+                        "told",
+                        told.get()[2],
+                        "attempt",
+                        Integer.parseInt(told.get()[1]),
+                        "failed",
+                        ""),
+                (program, settings) -> true);
+        Driver driver =
+            new Driver(
+                folder.resolve("rollout"),
+                PlanScript.parse(
+                    "p.star",
+                    "box(\"b1\", keeper = \"127.0.0.1:"
+                        + port
+                        + "\")\nchange(to = \"two\", stages = [stage(boxes = 1, hold = 0)],"
+                        + " worse = [], watch = 0, window = 0.5)\n"),
+                "d1",
+                new Events(new PrintStream(events, true, StandardCharsets.UTF_8), true))) {
+      driver.check(false);
+      driver.run();
+    }
+    Path said = Files.write(folder.resolve("events"), events.toByteArray());
+    return new Run(
+        fixed(Fixtures.jsonLines(folder.resolve("rollout").resolve(Driver.JOURNAL))),
+        fixed(Fixtures.jsonLines(said)));
+  }
+
+  private static List<JsonNode> fixed(List<JsonNode> lines) {
+    for (JsonNode line : lines) {
+      ((ObjectNode) line).put("at", 1_765_000_000_000L);
+      if (line.has("plan")) {
+        ((ObjectNode) line).put("plan", "00");
+      }
+    }
+    return lines;
+  }
+
+  static void writeLines(Path file, List<JsonNode> lines) throws IOException {
+    StringBuilder text = new StringBuilder();
+    lines.forEach(line -> text.append(line).append('\n'));
+    Files.writeString(file, text);
+  }
+}
--- /dev/null
+++ b/src/test/java/wharftrestle/drive/StoredFormatTest.java
@@ -0,0 +1,351 @@
+package wharftrestle.drive;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.MissingNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import com.sun.net.httpserver.HttpServer;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import wharftrestle.Fixtures;
+import wharftrestle.box.JsonLog;
+import wharftrestle.fleet.Fence;
+import wharftrestle.fleet.Measure;
+import wharftrestle.fleet.Plan;
+import wharftrestle.fleet.Roll;
+import wharftrestle.fleet.Sample;
+
+/**
+ * Files and messages of the rollout controller, as released builds have written them: they are read
+ * to the same objects and written with the same bytes or fields.
+ */
+@Timeout(60)
+class StoredFormatTest {
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final long STAMP = 7_000_000_001L;
+
+  @TempDir private Path folder;
+
+  // ---- The journal ----
+
+  @Test
+  void journal_recorded_isReadToTheSameLines() throws Exception {
+    List<Driver.Line> read =
+        JsonLog.read(Fixtures.path(RolloutFixtures.JOURNAL), Driver.Line.class);
+
+    assertEquals(RolloutFixtures.lines(), read);
+  }
+
+  @Test
+  void journal_writtenAnew_hasTheRecordedBytes() throws Exception {
+    Path written = folder.resolve("roll.jsonl");
+
+    RolloutFixtures.writeJournal(written);
+
+    assertEquals(
+        Files.readString(Fixtures.path(RolloutFixtures.JOURNAL)), Files.readString(written));
+  }
+
+  @Test
+  void rollout_ofOneHost_writesTheRecordedJournalAndEvents() throws Exception {
+    List<JsonNode> journal = Fixtures.jsonLines(Fixtures.path(RolloutFixtures.RUN));
+    List<JsonNode> events = Fixtures.jsonLines(Fixtures.path(RolloutFixtures.EVENTS));
+
+    RolloutFixtures.Run run = RolloutFixtures.run(folder);
+
+    // An order that was not obeyed in time is given again, in the same words.
+    assertEquals(journal, run.journal().stream().distinct().toList());
+    assertTrue(run.events().containsAll(events), run.events().toString());
+    assertEquals(fields(events), fields(run.events()));
+  }
+
+  private static Set<String> fields(List<JsonNode> lines) {
+    Set<String> all = new HashSet<>();
+    lines.forEach(line -> all.addAll(Fixtures.fields(line)));
+    return all;
+  }
+
+  // ---- The plan ----
+
+  @Test
+  void plan_recorded_isReadToTheSamePlan() throws Exception {
+    PlanScript read = PlanScript.read(Fixtures.path(RolloutFixtures.PLAN));
+
+    assertEquals(
+        new Plan(
+            "two",
+            List.of(
+                new Plan.Box("b1", "north", "127.0.0.1:7501", List.of("omaruru", "swakop")),
+                new Plan.Box("b2", "north", "127.0.0.1:7502", List.of("omaruru")),
+                new Plan.Box("b3", "south", "127.0.0.1:7503", List.of("swakop"))),
+            List.of(new Plan.Stage(1, 0, false, 120), new Plan.Stage(0, 1, true, 60)),
+            Map.of(
+                Measure.WORTH, 0.02,
+                Measure.FAILED, 0.04,
+                Measure.REFUSED, 0.2,
+                Measure.LATE, 0.3,
+                Measure.STORE, 0.06,
+                Measure.CPU, 0.7,
+                Measure.MEMORY, 0.8,
+                Measure.GROWTH, 9.0),
+            0.01,
+            2,
+            3,
+            45,
+            600,
+            Plan.WhenCut.GO,
+            Plan.WhenWorse.HOLD),
+        read.plan());
+    assertEquals(Map.of("b1", "127.0.0.1:9001"), read.fronts());
+    assertEquals(5, read.window());
+    assertEquals(50, read.watch());
+  }
+
+  @Test
+  void plan_ofARolloutUnderWay_isKeptBesideItsJournalUnderItsDigest() throws Exception {
+    RolloutFixtures.orders(folder);
+
+    assertEquals(
+        Files.readString(Fixtures.path(RolloutFixtures.PLAN)),
+        Files.readString(folder.resolve("plan-1cac7deef149.star")));
+  }
+
+  // ---- Orders of operators ----
+
+  @Test
+  void orders_toAControllerThatGoesOn_areAnsweredAsRecorded() throws Exception {
+    JsonNode recorded = Fixtures.json(RolloutFixtures.ORDERS);
+
+    JsonNode answered = RolloutFixtures.orders(folder);
+
+    assertEquals(recorded, JSON.readTree(answered.toString()));
+  }
+
+  // ---- Messages between controller and supervisor ----
+
+  /** Answers each request with the next recorded answer, and keeps what was asked. */
+  private static final class RecordedSupervisor implements AutoCloseable {
+    private final HttpServer server;
+    private final List<JsonNode> asked = new ArrayList<>();
+    private volatile JsonNode next = MissingNode.getInstance();
+
+    RecordedSupervisor() throws IOException {
+      server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 8);
+      server.createContext(
+          "/",
+          call -> {
+            try (call) {
+              String body =
+                  new String(call.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
+              ObjectNode request = JSON.createObjectNode();
+              request.put("method", call.getRequestMethod());
+              request.put("path", call.getRequestURI().toString());
+              if (!body.isEmpty()) {
+                request.set("request", JSON.readTree(body));
+              }
+              asked.add(request);
+              byte[] answer = JSON.writeValueAsBytes(next.path("answer"));
+              call.sendResponseHeaders(next.path("status").asInt(), answer.length);
+              call.getResponseBody().write(answer);
+            }
+          });
+      server.start();
+    }
+
+    String address() {
+      return "127.0.0.1:" + server.getAddress().getPort();
+    }
+
+    @Override
+    public void close() {
+      server.stop(0);
+    }
+  }
+
+  private static List<JsonNode> exchanges(boolean answered, String method) throws IOException {
+    List<JsonNode> all = new ArrayList<>();
+    for (JsonNode each : Fixtures.json("messages/supervisor-exchanges.json")) {
+      if (each.path("method").asText().equals(method)
+          && (each.path("status").asInt() == 200) == answered) {
+        all.add(each);
+      }
+    }
+    assertFalse(all.isEmpty());
+    return all;
+  }
+
+  private static JsonNode asked(JsonNode exchange) {
+    ObjectNode request = exchange.deepCopy();
+    request.remove(List.of("status", "answer"));
+    return request;
+  }
+
+  private static KeeperCall.Heard post(String at, JsonNode exchange) throws IOException {
+    KeeperCall calls = new KeeperCall();
+    JsonNode request = exchange.path("request");
+    long epoch = request.path("epoch").asLong();
+    String driver = request.path("driver").asText();
+    return switch (exchange.path("path").asText()) {
+      case "/claim" -> calls.claim(at, epoch, driver);
+      case "/ask" ->
+          calls.ask(
+              at, epoch, driver, request.path("stage").asInt(), request.path("verdict").asText());
+      default ->
+          calls.order(
+              at,
+              epoch,
+              driver,
+              request.path("stamp").asLong(),
+              request.path("to").asText(),
+              request.path("back").asBoolean());
+    };
+  }
+
+  @Test
+  void posts_ofEveryKind_areSentAsRecordedAndTheirAnswersAreRead() throws Exception {
+    List<JsonNode> recorded = exchanges(true, "POST");
+    List<Fence.Said> said = new ArrayList<>();
+    List<String> obeyed = new ArrayList<>();
+
+    try (RecordedSupervisor supervisor = new RecordedSupervisor()) {
+      for (JsonNode each : recorded) {
+        supervisor.next = each;
+        KeeperCall.Heard heard = post(supervisor.address(), each);
+        said.add(heard.said());
+        obeyed.add(heard.obeyed());
+      }
+      assertEquals(
+          recorded.stream().map(StoredFormatTest::asked).toList(), List.copyOf(supervisor.asked));
+    }
+
+    Fence.Kept first = new Fence.Kept(1, "d1", "", 0);
+    Fence.Kept toTwo = new Fence.Kept(1, "d1", "two", 1);
+    assertEquals(
+        List.of(
+            new Fence.Said(Fence.Answer.GRANTED, STAMP, first),
+            new Fence.Said(Fence.Answer.FENCED, 0, first),
+            new Fence.Said(Fence.Answer.STAMPED, STAMP, first),
+            new Fence.Said(Fence.Answer.FENCED, 0, first),
+            new Fence.Said(Fence.Answer.STALE, 0, first),
+            new Fence.Said(Fence.Answer.FENCED, 0, first),
+            new Fence.Said(Fence.Answer.OBEYED, 0, toTwo),
+            new Fence.Said(Fence.Answer.TWO_TARGETS, 0, toTwo),
+            new Fence.Said(Fence.Answer.GRANTED, STAMP, new Fence.Kept(2, "d2", "", 0)),
+            new Fence.Said(Fence.Answer.OBEYED, 0, new Fence.Kept(2, "d2", "one", 1))),
+        said);
+    assertEquals(List.of("", "", "", "", "", "", "ok obeyed", "", "", "ok obeyed"), obeyed);
+  }
+
+  @Test
+  void gets_ofEveryKind_areSentAsRecorded() throws Exception {
+    List<JsonNode> recorded = exchanges(true, "GET");
+    KeeperCall calls = new KeeperCall();
+
+    try (RecordedSupervisor supervisor = new RecordedSupervisor()) {
+      for (JsonNode each : recorded) {
+        supervisor.next = each;
+        String path = each.path("path").asText();
+        String other = "127.0.0.1:7501";
+        JsonNode answer;
+        if (path.equals("/box")) {
+          answer = calls.box(supervisor.address());
+        } else if (path.startsWith("/release")) {
+          answer = calls.release(supervisor.address(), path.substring("/release?name=".length()));
+        } else {
+          answer = calls.look(supervisor.address(), other, path.contains("front") ? other : "");
+        }
+        assertEquals(each.path("answer"), answer);
+      }
+      assertEquals(
+          recorded.stream().map(StoredFormatTest::asked).toList(), List.copyOf(supervisor.asked));
+    }
+  }
+
+  @Test
+  void answers_thatRefuseACall_areReadWithTheirReason() throws Exception {
+    List<JsonNode> recorded = exchanges(false, "GET");
+
+    try (RecordedSupervisor supervisor = new RecordedSupervisor()) {
+      for (JsonNode each : recorded) {
+        supervisor.next = each;
+        String reason =
+            assertThrows(IOException.class, () -> new KeeperCall().box(supervisor.address()))
+                .getMessage();
+        assertEquals(
+            each.path("status").asInt() + ": " + each.path("answer").path("why").asText(), reason);
+      }
+    }
+  }
+
+  private static KeeperCall.Heard obeyed(JsonNode answer) {
+    return new KeeperCall.Heard(
+        new Fence.Said(Fence.Answer.OBEYED, 0, new Fence.Kept(1, "d1", "two", 1)), "", answer);
+  }
+
+  private static JsonNode answerToTheOrder() throws IOException {
+    return exchanges(true, "POST").get(6).path("answer");
+  }
+
+  @Test
+  void host_inARecordedAnswer_isShownToTheRollout() throws Exception {
+    BoxView view = new BoxView(new Plan.Box("b1", "north", "127.0.0.1:7501", List.of()));
+
+    List<String> deaths = view.take(obeyed(answerToTheOrder()));
+
+    assertEquals(List.of(), deaths, "those before the first answer are no news");
+    assertEquals(
+        new Roll.Shows(true, "one", true, "two", 1, "it died before it served"),
+        view.shows(true, 1));
+    assertEquals("1f2e3d4c", view.incarnation());
+    assertEquals("serving", view.state());
+    assertEquals(List.of("batch work"), view.classes());
+  }
+
+  @Test
+  void host_inTwoRecordedAnswers_givesTheCountsBetweenThem() throws Exception {
+    BoxView view = new BoxView(new Plan.Box("b1", "north", "127.0.0.1:7501", List.of()));
+    JsonNode later = answerToTheOrder().deepCopy();
+    ObjectNode host = (ObjectNode) later.path("box");
+    ObjectNode counts = (ObjectNode) host.path("classes").path(0);
+    counts.put("asked", 150).put("served", 110).put("late", 9).put("refused", 25).put("failed", 15);
+    host.put("calls", 20).put("badCalls", 4).put("cpu", 2.0).put("ownMb", 23.5);
+    ((ObjectNode) host.path("deaths")).put("two", 3);
+    view.take(obeyed(answerToTheOrder()));
+    view.window(true, "two", 30, 100);
+
+    List<String> deaths = view.take(obeyed(later));
+    Sample sample = view.window(true, "two", 30, 110);
+
+    assertEquals(List.of("two", "two"), deaths);
+    assertEquals(
+        new Sample(
+            "b1",
+            "north",
+            false,
+            true,
+            List.of(new Sample.Counts("batch work", 50, 30, 2, 10, 10, 61.5, 4.25)),
+            8,
+            1,
+            0.25,
+            23.5,
+            6),
+        sample);
+  }
+}
