--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -16,8 +16,8 @@
 import wharftrestle.front.Uwsgi;
 import wharftrestle.handover.Agreement;
 import wharftrestle.handover.Terms;
-import wharftrestle.keys.KeyRoom;
-import wharftrestle.keys.KeyTable;
+import wharftrestle.idempotency.KeyMemoryBudget;
+import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.net.Config;
 import wharftrestle.net.Descriptors;
 import wharftrestle.net.PoolLink;
@@ -152,16 +152,16 @@
    * that one has ended.
    */
   public Lifecycle(Config config, Config.Appliance appliance) throws IOException {
-    this(config, appliance, KeyRoom.ofHeap(Runtime.getRuntime().maxMemory()));
+    this(config, appliance, KeyMemoryBudget.ofHeap(Runtime.getRuntime().maxMemory()));
   }
 
   /** The same with a room for keys that is not the heap's share. */
-  public Lifecycle(Config config, Config.Appliance appliance, KeyRoom room) throws IOException {
+  public Lifecycle(Config config, Config.Appliance appliance, KeyMemoryBudget room) throws IOException {
     this(config, appliance, room, Agreement.STANDING);
   }
 
   /** The same with another rule of who may take over from whom. */
-  public Lifecycle(Config config, Config.Appliance appliance, KeyRoom room, Agreement agreement)
+  public Lifecycle(Config config, Config.Appliance appliance, KeyMemoryBudget room, Agreement agreement)
       throws IOException {
     this.config = config;
     this.appliance = appliance;
@@ -236,7 +236,7 @@
 
   /** Seconds in which a key of any class may come again, with the slack of the table. */
   private double longestWindow() {
-    return KeyTable.SLACK
+    return IdempotencyTable.SLACK
         + config.settings().classes().stream()
             .mapToDouble(Admission.RequestClass::window)
             .max()
--- a/src/main/java/wharftrestle/core/Core.java
+++ b/src/main/java/wharftrestle/core/Core.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.locks.ReentrantLock;
 import org.tinylog.Logger;
 import wharftrestle.clock.Wall;
-import wharftrestle.keys.KeyRoom;
-import wharftrestle.keys.KeyState;
-import wharftrestle.keys.KeyTable;
+import wharftrestle.idempotency.KeyMemoryBudget;
+import wharftrestle.idempotency.KeyState;
+import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.Counters.Count;
 import wharftrestle.ops.Counters.Result;
@@ -183,8 +183,8 @@
   private final Counters counters;
   private final Map<Long, Task> byId = new HashMap<>();
   private final Map<String, Task> byRef = new HashMap<>();
-  private final KeyRoom room;
-  private final KeyTable<Task> keys;
+  private final KeyMemoryBudget room;
+  private final IdempotencyTable<Task> keys;
   private final PriorityQueue<Wake> wakes =
       new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
   private final ArrayDeque<Runnable> pending = new ArrayDeque<>();
@@ -220,11 +220,11 @@
       Admission.Settings settings,
       long seed,
       int mostInHand,
-      KeyRoom room,
+      KeyMemoryBudget room,
       Factory factory,
       Counters counters) {
     this.room = room;
-    keys = new KeyTable<>(this::endsWith, room);
+    keys = new IdempotencyTable<>(this::endsWith, room);
     partner = new Partner(this, keys);
     recorder = new Recorder(this, keys, room, partner.between());
     partner.records(recorder);
@@ -474,7 +474,7 @@
       if (task.answered) {
         return;
       }
-      KeyTable.Entry<Task> known = task.key == null ? null : keys.find(task.key);
+      IdempotencyTable.Entry<Task> known = task.key == null ? null : keys.find(task.key);
       boolean ran =
           (known != null && known.ran()) || (task.key != null && !partner.between().owner());
       if (byId.size() >= most) {
@@ -514,7 +514,7 @@
       byId.put(task.id, task);
       byRef.put(a.ref(), task);
       sweepKeys(now);
-      KeyTable.Entry<Task> prior = task.key == null ? null : keys.meet(task.key, a.door());
+      IdempotencyTable.Entry<Task> prior = task.key == null ? null : keys.meet(task.key, a.door());
       boolean repeat = prior != null;
       if (task.key != null && !repeat && partner.unasked(task)) {
         // Guards against a second run of a key, or its refusal after one: the process that owns it
@@ -959,7 +959,7 @@
    * A run of this key is over; the result is null unless it ended well. True where its answer waits
    * for the disk.
    */
-  boolean finish(KeyTable.Entry<Task> entry, byte[] result) {
+  boolean finish(IdempotencyTable.Entry<Task> entry, byte[] result) {
     partner.between().tellEnd(entry, result);
     boolean ran = entry.state() == KeyState.RUNNING || entry.state() == KeyState.ELSEWHERE;
     keys.ran(entry, result);
@@ -991,12 +991,12 @@
     }
   }
 
-  private void endsWith(Task rider, KeyTable.Entry<Task> entry) {
+  private void endsWith(Task rider, IdempotencyTable.Entry<Task> entry) {
     pending.add(() -> endAttached(rider, entry));
   }
 
   /** An attached try ends as the one it repeats did. */
-  private void endAttached(Task task, KeyTable.Entry<Task> entry) {
+  private void endAttached(Task task, IdempotencyTable.Entry<Task> entry) {
     if (!task.answered && entry != null && entry.onDisk() && keys.result(entry) == null) {
       task.entry = entry;
       task.step(Task.Step.of(Task.Kind.REPLAY)); // it lies on disk: no reading here, under the lock
@@ -1021,7 +1021,7 @@
   }
 
   private void join(Task task) {
-    KeyTable.Entry<Task> entry = task.entry;
+    IdempotencyTable.Entry<Task> entry = task.entry;
     task.attached = true;
     task.since = now();
     if (entry == null || !keys.ride(entry, task)) {
@@ -1103,7 +1103,7 @@
     Arrival a = task.arrival;
     task.since = now();
     if (task.key != null) {
-      KeyTable.Entry<Task> known = keys.find(task.key);
+      IdempotencyTable.Entry<Task> known = keys.find(task.key);
       if (!(known != null && known.ran() && known.covers(a.door())) && !promise(task)) {
         // It came as a repeat of a try that never ran, so no room was asked for before.
         task.spawned = true;
@@ -1118,7 +1118,7 @@
             });
         return;
       }
-      KeyTable.Entry<Task> entry =
+      IdempotencyTable.Entry<Task> entry =
           keys.start(task.key, a.body(), a.door(), window(a.classIndex()), now(), task);
       task.entry = entry;
       if (entry.holder() != task) {
@@ -1191,7 +1191,7 @@
     if (task == null || task.key == null) {
       return;
     }
-    KeyTable.Entry<Task> entry =
+    IdempotencyTable.Entry<Task> entry =
         keys.hold(task.key, task.arrival.body(), task.arrival.door(), task);
     if (entry != null) {
       task.entry = entry;
--- a/src/main/java/wharftrestle/core/Partner.java
+++ b/src/main/java/wharftrestle/core/Partner.java
@@ -9,8 +9,8 @@
 import wharftrestle.handover.Other.Kept;
 import wharftrestle.handover.Other.Over;
 import wharftrestle.handover.Terms;
-import wharftrestle.keys.Digest;
-import wharftrestle.keys.KeyTable;
+import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.idempotency.IdempotencyTable;
 
 /**
  * The core's face for the other process of its box: each word of that process enters here, under
@@ -19,13 +19,13 @@
  */
 public final class Partner implements Between.Host<Task> {
   private final Core core;
-  private final KeyTable<Task> keys;
+  private final IdempotencyTable<Task> keys;
   private final Between<Task> between;
   private final Set<Task> asking = new HashSet<>();
   private Recorder recorder;
   private double roomlessUntil = Double.NEGATIVE_INFINITY;
 
-  Partner(Core core, KeyTable<Task> keys) {
+  Partner(Core core, IdempotencyTable<Task> keys) {
     this.core = core;
     this.keys = keys;
     between = new Between<>(keys, this);
@@ -60,7 +60,7 @@
    * @return how many, or -1 where the other side did not take them, or nobody wants them any more
    */
   public int tellSettled(Other to) {
-    List<Digest> all;
+    List<KeyDigest> all;
     core.lock();
     try {
       all = between.tellsSettled(to);
@@ -72,7 +72,7 @@
 
   /** The same for a process of format 1, which has been handed all by now. */
   public int tellSettledAfter(Other to) {
-    List<Digest> all;
+    List<KeyDigest> all;
     core.lock();
     try {
       all = keys.settled();
@@ -82,9 +82,9 @@
     return tell(to, all);
   }
 
-  private int tell(Other to, List<Digest> all) {
+  private int tell(Other to, List<KeyDigest> all) {
     int told = 0;
-    for (Digest key : all) {
+    for (KeyDigest key : all) {
       Over over;
       core.lock();
       try {
@@ -272,7 +272,7 @@
   public void intendedElsewhere(String key, boolean written) {
     core.lock();
     try {
-      KeyTable.Entry<Task> entry = keys.find(key);
+      IdempotencyTable.Entry<Task> entry = keys.find(key);
       if (entry != null && entry.holder() != null) {
         recorder.intended(entry.holder(), written);
         core.settleIfUp();
@@ -285,7 +285,7 @@
   public void savedElsewhere(String key) {
     core.lock();
     try {
-      KeyTable.Entry<Task> entry = keys.find(key);
+      IdempotencyTable.Entry<Task> entry = keys.find(key);
       if (entry != null) {
         recorder.saved(entry, -1);
       }
@@ -394,16 +394,16 @@
 
   @Override
   public double window(String key) {
-    return core.window(Task.classOf(key)) + KeyTable.SLACK;
+    return core.window(Task.classOf(key)) + IdempotencyTable.SLACK;
   }
 
   @Override
-  public void finished(KeyTable.Entry<Task> entry, byte[] result) {
+  public void finished(IdempotencyTable.Entry<Task> entry, byte[] result) {
     core.finish(entry, result);
   }
 
   @Override
-  public void voided(KeyTable.Entry<Task> entry) {
+  public void voided(IdempotencyTable.Entry<Task> entry) {
     recorder.voided(entry);
   }
 
--- a/src/main/java/wharftrestle/core/Recorder.java
+++ b/src/main/java/wharftrestle/core/Recorder.java
@@ -6,9 +6,9 @@
 import wharftrestle.core.Core.Answer;
 import wharftrestle.handover.Between;
 import wharftrestle.handover.Other;
-import wharftrestle.keys.KeyRoom;
-import wharftrestle.keys.KeyState;
-import wharftrestle.keys.KeyTable;
+import wharftrestle.idempotency.KeyMemoryBudget;
+import wharftrestle.idempotency.KeyState;
+import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.ops.Counters.Count;
 import wharftrestle.ops.ResultFigure;
 import wharftrestle.policy.Admission.Outcome;
@@ -17,18 +17,18 @@
  * Intents and results of keyed runs on their way to the disk and back: what the request in hand
  * does for it, step by step. It owns which records there are; none of them, and then it does
  * nothing. It must never let a run begin before its intent is kept, or a result go out before it
- * is; the {@link KeyTable} decides what a key may do. Guarded by the core's lock, but for what says
+ * is; the {@link IdempotencyTable} decides what a key may do. Guarded by the core's lock, but for what says
  * otherwise.
  */
 final class Recorder {
   private final Core core;
-  private final KeyTable<Task> keys;
-  private final KeyRoom room;
+  private final IdempotencyTable<Task> keys;
+  private final KeyMemoryBudget room;
   private final Between<Task> between;
   private volatile Records records; // null where no results are kept
   private int most;
 
-  Recorder(Core core, KeyTable<Task> keys, KeyRoom room, Between<Task> between) {
+  Recorder(Core core, IdempotencyTable<Task> keys, KeyMemoryBudget room, Between<Task> between) {
     this.core = core;
     this.keys = keys;
     this.room = room;
@@ -80,11 +80,11 @@
     return Answer.refused(Math.min(core.settings().maxRetryAfter(), records.again(why)), false);
   }
 
-  private Records.Keyed keyed(KeyTable.Entry<Task> entry) {
+  private Records.Keyed keyed(IdempotencyTable.Entry<Task> entry) {
     return new Records.Keyed(
         entry.key(),
         entry.lastDoor(),
-        core.window(Task.classOf(entry.key())) + KeyTable.SLACK,
+        core.window(Task.classOf(entry.key())) + IdempotencyTable.SLACK,
         entry.asked().brief());
   }
 
@@ -155,7 +155,7 @@
   }
 
   /** A run of this key was never begun. */
-  void voided(KeyTable.Entry<Task> entry) {
+  void voided(IdempotencyTable.Entry<Task> entry) {
     if (records != null && between.owner()) {
       records.voided(keyed(entry));
     }
@@ -164,13 +164,13 @@
   /**
    * A run of this key is over, and the key knows it; the result is null where it has none to give.
    */
-  void ended(KeyTable.Entry<Task> entry, byte[] result) {
+  void ended(IdempotencyTable.Entry<Task> entry, byte[] result) {
     if (records != null && between.owner()) {
       save(entry, result);
     }
   }
 
-  private void save(KeyTable.Entry<Task> entry, byte[] result) {
+  private void save(IdempotencyTable.Entry<Task> entry, byte[] result) {
     records.ended(
         keyed(entry),
         result,
@@ -195,7 +195,7 @@
    * A result is on disk, or with a place below 0 cannot be: its intent is, so it never runs again,
    * and is answered.
    */
-  void saved(KeyTable.Entry<Task> entry, long place) {
+  void saved(IdempotencyTable.Entry<Task> entry, long place) {
     if (entry.state() != KeyState.SAVING) {
       return;
     }
@@ -215,7 +215,7 @@
 
   /** The other process is about to run a key that it has in hand: its intent is written here. */
   void intendElsewhere(String key) {
-    KeyTable.Entry<Task> entry = keys.find(key);
+    IdempotencyTable.Entry<Task> entry = keys.find(key);
     Other asks = between.other();
     if (asks == null) {
       return;
--- a/src/main/java/wharftrestle/durable/FileDisk.java
+++ b/src/main/java/wharftrestle/durable/FileDisk.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.stream.LongStream;
 import org.tinylog.Logger;
-import wharftrestle.keys.Digest;
+import wharftrestle.idempotency.KeyDigest;
 
 /**
  * A folder on a real disk, held by a lock that the kernel gives back when the process dies. It must
@@ -64,7 +64,7 @@
   public long boot() {
     try {
       String id = Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).trim();
-      return Digest.of(id).high();
+      return KeyDigest.of(id).high();
     } catch (IOException e) {
       return 0; // never the same boot: nothing is left out for its age
     }
--- a/src/main/java/wharftrestle/durable/Listing.java
+++ b/src/main/java/wharftrestle/durable/Listing.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import wharftrestle.keys.Digest;
+import wharftrestle.idempotency.KeyDigest;
 
 /**
  * The list of the log's files, as text: the version, a number a line, a check. It is what a missing
@@ -24,7 +24,7 @@
   }
 
   private static String end(CharSequence text) {
-    return "end " + Long.toHexString(Digest.of(text.toString()).high()) + "\n";
+    return "end " + Long.toHexString(KeyDigest.of(text.toString()).high()) + "\n";
   }
 
   /** The numbers; null where it is garbled. */
--- a/src/main/java/wharftrestle/durable/Recovery.java
+++ b/src/main/java/wharftrestle/durable/Recovery.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import wharftrestle.keys.KeyTable;
+import wharftrestle.idempotency.IdempotencyTable;
 
 /**
  * What the records of a dead process mean. Result known: repeats get it. Intent without a result:
@@ -21,7 +21,7 @@
  */
 public final class Recovery {
   /** Seconds kept beyond a window, as of the keys in memory. */
-  static final double LINGER = KeyTable.LINGER;
+  static final double LINGER = IdempotencyTable.LINGER;
 
   /**
    * What is known of one key.
--- a/src/main/java/wharftrestle/handover/Between.java
+++ b/src/main/java/wharftrestle/handover/Between.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import wharftrestle.handover.Other.Kept;
 import wharftrestle.handover.Other.Over;
-import wharftrestle.keys.Digest;
-import wharftrestle.keys.KeyTable;
+import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.idempotency.IdempotencyTable;
 
 /**
  * What becomes of each key while two processes serve one box: the one owns all keys, the other ends
@@ -35,10 +35,10 @@
     double window(String key);
 
     /** The run of a key at the other process is over; the result is null unless it ended well. */
-    void finished(KeyTable.Entry<T> entry, byte[] result);
+    void finished(IdempotencyTable.Entry<T> entry, byte[] result);
 
     /** A key that the other process had in hand never ran. */
-    void voided(KeyTable.Entry<T> entry);
+    void voided(IdempotencyTable.Entry<T> entry);
 
     /** Tries that wait for word of this key look again. */
     void wake(String key, boolean granted);
@@ -48,7 +48,7 @@
   public record Reread<T>(
       Other asks,
       String key,
-      KeyTable.Entry<T> entry,
+      IdempotencyTable.Entry<T> entry,
       byte[] inMemory,
       double window,
       byte[] body) {
@@ -57,11 +57,11 @@
     public void tell(byte[] result) {
       // A try with another body must be told apart there too: it is told a body that differs.
       byte[] asked = entry.asked().same(body) ? body : Arrays.copyOf(body, body.length + 1);
-      asks.tell(new Kept(key, true, entry.lastDoor(), window + KeyTable.LINGER, asked, result));
+      asks.tell(new Kept(key, true, entry.lastDoor(), window + IdempotencyTable.LINGER, asked, result));
     }
   }
 
-  private final KeyTable<T> keys;
+  private final IdempotencyTable<T> keys;
   private final Host<T> host;
   private Other other;
   private Other told; // asked to take over, and is told what settles
@@ -69,7 +69,7 @@
   private boolean owner = true;
   private double stretch;
 
-  public Between(KeyTable<T> keys, Host<T> host) {
+  public Between(IdempotencyTable<T> keys, Host<T> host) {
     this.keys = keys;
     this.host = host;
   }
@@ -90,7 +90,7 @@
    * A process asked: from now on it is told what settles. All that are settled now come back, to be
    * told one by one.
    */
-  public List<Digest> tellsSettled(Other to) {
+  public List<KeyDigest> tellsSettled(Other to) {
     told = to;
     lagged = false;
     return keys.settled();
@@ -110,8 +110,8 @@
    * One settled key as it is told; null where it is known no more, or its result lies on a disk
    * that both read.
    */
-  public Over settled(Digest key, boolean onDisk, double now) {
-    KeyTable.Settled known = keys.settled(key);
+  public Over settled(KeyDigest key, boolean onDisk, double now) {
+    IdempotencyTable.Settled known = keys.settled(key);
     return known == null || (onDisk && known.result() == null)
         ? null
         : new Over(key, known.lastDoor(), known.until() - now, known.check(), known.result());
@@ -122,7 +122,7 @@
     if (told == null || lagged) {
       return;
     }
-    Over over = settled(Digest.of(key), onDisk, now);
+    Over over = settled(KeyDigest.of(key), onDisk, now);
     if (over != null) {
       lagged = !told.follows(over);
     }
@@ -144,7 +144,7 @@
             // Over, and still open as the index is full: its body is not kept any more.
             to.follows(
                 new Over(
-                    Digest.of(entry.key()),
+                    KeyDigest.of(entry.key()),
                     entry.lastDoor(),
                     entry.until() - now,
                     entry.asked().brief(),
@@ -194,7 +194,7 @@
     keys.expire(now);
     double until = now + over.secondsLeft() + stretch;
     if (!keys.hear(
-        new KeyTable.Settled(
+        new IdempotencyTable.Settled(
             over.key().high(),
             over.key().low(),
             stretched(over.lastDoor()),
@@ -213,10 +213,10 @@
   public void heard(Kept kept, double now) {
     keys.hear(
         kept.key(),
-        KeyTable.Asked.of(kept.body()),
+        IdempotencyTable.Asked.of(kept.body()),
         stretched(kept.lastDoor()),
         now + kept.secondsLeft() + stretch);
-    KeyTable.Entry<T> known = keys.find(kept.key());
+    IdempotencyTable.Entry<T> known = keys.find(kept.key());
     if (kept.finished() && keys.elsewhere(known)) {
       host.finished(known, kept.result());
     }
@@ -228,14 +228,14 @@
   }
 
   public void ended(String key, byte[] result) {
-    KeyTable.Entry<T> entry = keys.find(key);
+    IdempotencyTable.Entry<T> entry = keys.find(key);
     if (keys.elsewhere(entry)) {
       host.finished(entry, result);
     }
   }
 
   public void freed(String key) {
-    KeyTable.Entry<T> entry = keys.find(key);
+    IdempotencyTable.Entry<T> entry = keys.find(key);
     if (keys.elsewhere(entry)) {
       host.voided(entry);
       keys.freed(entry);
@@ -247,7 +247,7 @@
    * disk has the answer.
    */
   public Reread<T> claimed(String key, long door, byte[] body, double now) {
-    KeyTable.Entry<T> entry = keys.meet(key, door);
+    IdempotencyTable.Entry<T> entry = keys.meet(key, door);
     if (other == null) {
       return null;
     }
@@ -256,9 +256,9 @@
       if (entry == null) {
         keys.hear(
             key,
-            KeyTable.Asked.of(body),
+            IdempotencyTable.Asked.of(body),
             door + Math.round(window * 1000),
-            now + window + KeyTable.LINGER);
+            now + window + IdempotencyTable.LINGER);
       }
       other.granted(key);
       return null;
@@ -278,17 +278,17 @@
   }
 
   public boolean known(String key, long door) {
-    KeyTable.Entry<T> entry = keys.find(key);
+    IdempotencyTable.Entry<T> entry = keys.find(key);
     return entry != null && entry.covers(door);
   }
 
   /** What the other process has to know before a run of this key begins; null for nothing. */
-  public Kept beforeRun(KeyTable.Entry<T> entry, double now) {
+  public Kept beforeRun(IdempotencyTable.Entry<T> entry, double now) {
     return other == null || !owner || entry == null ? null : kept(entry, now);
   }
 
   /** A run of this process is over. */
-  public void tellEnd(KeyTable.Entry<T> entry, byte[] result) {
+  public void tellEnd(IdempotencyTable.Entry<T> entry, byte[] result) {
     if (other != null && entry.holder() != null && keys.current(entry)) {
       other.ended(entry.key(), result);
     }
@@ -301,7 +301,7 @@
     }
   }
 
-  private Kept kept(KeyTable.Entry<T> entry, double now) {
+  private Kept kept(IdempotencyTable.Entry<T> entry, double now) {
     if (entry.ran()) {
       return new Kept(
           entry.key(),
@@ -316,7 +316,7 @@
         entry.key(),
         false,
         host.door(entry.holder()) + Math.round(window * 1000),
-        window + KeyTable.LINGER,
+        window + IdempotencyTable.LINGER,
         entry.asked().body(),
         null);
   }
--- a/src/main/java/wharftrestle/handover/Other.java
+++ b/src/main/java/wharftrestle/handover/Other.java
@@ -1,6 +1,6 @@
 package wharftrestle.handover;
 
-import wharftrestle.keys.Digest;
+import wharftrestle.idempotency.KeyDigest;
 
 /**
  * The other process of this box, as one tells it of keys. Only {@link #tellSurely} and {@link
@@ -24,7 +24,7 @@
   /**
    * A key that is over, as one process tells it the other: by its digest, as its text is not kept.
    */
-  record Over(Digest key, long lastDoor, double secondsLeft, long check, byte[] result) {}
+  record Over(KeyDigest key, long lastDoor, double secondsLeft, long check, byte[] result) {}
 
   /**
    * Tells a key that is over; returns once few such words wait, false where the other side takes
--- a/src/main/java/wharftrestle/keys/Blocks.java
+++ b/src/main/java/wharftrestle/idempotency/BlockStore.java
@@ -1,4 +1,4 @@
-package wharftrestle.keys;
+package wharftrestle.idempotency;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
@@ -10,7 +10,7 @@
  * time. To put, get and free cost O(blocks of the result); a result of n bytes takes {@link #of} n
  * blocks, half a block more than it weighs on the mean.
  */
-public final class Blocks {
+public final class BlockStore {
   /** Bytes of a block. */
   static final int BLOCK = 64;
 
@@ -38,7 +38,7 @@
   /**
    * @param most blocks at once
    */
-  public Blocks(int most) {
+  public BlockStore(int most) {
     this.most = most;
   }
 
--- a/src/main/java/wharftrestle/keys/CompactIndex.java
+++ b/src/main/java/wharftrestle/idempotency/CompactIndex.java
@@ -1,4 +1,4 @@
-package wharftrestle.keys;
+package wharftrestle.idempotency;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -65,7 +65,7 @@
   }
 
   /** What is known of this key; null for nothing. */
-  public Found find(Digest key) {
+  public Found find(KeyDigest key) {
     int slot = slot(key);
     int row = slot < 0 ? EMPTY : table[slot];
     return row == EMPTY ? null : new Found(row, places[row], doors[row], checks[row]);
@@ -76,11 +76,11 @@
    *
    * @param place of its result, 0 or more, or {@link #NO_PLACE}
    * @param lastDoor no try stamped up to here may run, Unix ms
-   * @param check {@link Digest#check} of its body
+   * @param check {@link KeyDigest#check} of its body
    * @param until seconds on the caller's clock
    * @return false where it is full
    */
-  public boolean put(Digest key, long place, long lastDoor, long check, double until) {
+  public boolean put(KeyDigest key, long place, long lastDoor, long check, double until) {
     int slot = slot(key);
     int row = slot < 0 ? EMPTY : table[slot];
     if (row == EMPTY) {
@@ -102,7 +102,7 @@
   }
 
   /** Forgets a key; false where it is not known. */
-  public boolean remove(Digest key) {
+  public boolean remove(KeyDigest key) {
     int slot = slot(key);
     if (slot < 0 || table[slot] == EMPTY) {
       return false;
@@ -114,7 +114,7 @@
 
   /** Forgets all whose time is over; how many. */
   public int expire(double now) {
-    return wheel.advance(now, row -> drop(slot(new Digest(highs[row], lows[row]))));
+    return wheel.advance(now, row -> drop(slot(new KeyDigest(highs[row], lows[row]))));
   }
 
   /** Tells keys in the order in which they are forgotten, up to one turn of the wheel ahead. */
@@ -128,11 +128,11 @@
   }
 
   /** The digests of all keys. */
-  List<Digest> all() {
-    List<Digest> all = new ArrayList<>(size());
+  List<KeyDigest> all() {
+    List<KeyDigest> all = new ArrayList<>(size());
     for (int row : table) {
       if (row != EMPTY) {
-        all.add(new Digest(highs[row], lows[row]));
+        all.add(new KeyDigest(highs[row], lows[row]));
       }
     }
     return all;
@@ -144,7 +144,7 @@
   }
 
   /** Where this key stands, or would; -1 where there is no table yet. */
-  private int slot(Digest key) {
+  private int slot(KeyDigest key) {
     if (table.length == 0) {
       return -1;
     }
@@ -199,7 +199,7 @@
       }
       for (int row = 0; row < rows; row++) {
         if (!idle[row]) {
-          table[slot(new Digest(highs[row], lows[row]))] = row;
+          table[slot(new KeyDigest(highs[row], lows[row]))] = row;
         }
       }
     }
--- a/src/main/java/wharftrestle/keys/KeyTable.java
+++ b/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
@@ -1,4 +1,4 @@
-package wharftrestle.keys;
+package wharftrestle.idempotency;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import wharftrestle.keys.KeyState.Step;
+import wharftrestle.idempotency.KeyState.Step;
 
 /**
  * Every decision on a key of this box: whether a try may be held, may run, joins another or fails,
@@ -17,13 +17,13 @@
  * ms. Not thread-safe: its caller's lock guards it.
  *
  * <p>An entry that is over is settled: its try, its text and its body go, the {@link CompactIndex}
- * knows it by its digest, and its result lies in {@link Blocks} or, where results are kept, on
- * disk. {@link KeyRoom} says whether a further key fits: who starts a run asks for its {@link
+ * knows it by its digest, and its result lies in {@link BlockStore} or, where results are kept, on
+ * disk. {@link KeyMemoryBudget} says whether a further key fits: who starts a run asks for its {@link
  * #promise} first.
  *
  * @param <T> a try, as the caller knows it
  */
-public final class KeyTable<T> {
+public final class IdempotencyTable<T> {
   /** Seconds by which a key's window is stretched: clocks round, and a try may be stamped early. */
   public static final double SLACK = 0.5;
 
@@ -48,12 +48,12 @@
     @SuppressWarnings("ReferenceEquality") // another one with a check of 0 is not that one
     public boolean same(byte[] other) {
       return this == ANY
-          || (body != null ? Arrays.equals(body, other) : check == Digest.check(other));
+          || (body != null ? Arrays.equals(body, other) : check == KeyDigest.check(other));
     }
 
     /** What stands for it in 64 bits. */
     public long brief() {
-      return body != null ? Digest.check(body) : check;
+      return body != null ? KeyDigest.check(body) : check;
     }
   }
 
@@ -146,23 +146,23 @@
   private final List<Entry<T>> rows = new ArrayList<>();
   private final TimingWheel wheel = new TimingWheel(TICK, SLOTS);
   private final Ends<T> ends;
-  private final KeyRoom room;
-  private final Blocks blocks;
+  private final KeyMemoryBudget room;
+  private final BlockStore blocks;
   private CompactIndex settled;
   private boolean recorded; // results are kept on disk
   private int elsewhere; // keys that the other process has in hand
   private String
       lastKey; // the digest of the key that was looked for last, as it is looked for again
-  private Digest lastDigest;
+  private KeyDigest lastDigest;
   private double blindUntil = Double.NEGATIVE_INFINITY;
   private boolean blind;
   private int[] free = new int[16];
   private int frees;
 
-  public KeyTable(Ends<T> ends, KeyRoom room) {
+  public IdempotencyTable(Ends<T> ends, KeyMemoryBudget room) {
     this.ends = ends;
     this.room = room;
-    blocks = new Blocks(room.mostBlocks());
+    blocks = new BlockStore(room.mostBlocks());
     settled = index(room.mostKeys());
   }
 
@@ -203,7 +203,7 @@
 
   /** Bytes of results in memory, whole blocks. */
   public long resultBytes() {
-    return (long) blocks.used() * Blocks.COST;
+    return (long) blocks.used() * BlockStore.COST;
   }
 
   // ---- Room ----
@@ -257,12 +257,12 @@
   }
 
   private static long place(int block) {
-    return block == Blocks.NONE ? CompactIndex.NO_PLACE : CompactIndex.NO_PLACE - 1 - block;
+    return block == BlockStore.NONE ? CompactIndex.NO_PLACE : CompactIndex.NO_PLACE - 1 - block;
   }
 
-  private Digest digest(String key) {
+  private KeyDigest digest(String key) {
     if (!key.equals(lastKey)) {
-      lastDigest = Digest.of(key);
+      lastDigest = KeyDigest.of(key);
       lastKey = key;
     }
     return lastDigest;
@@ -540,12 +540,12 @@
       long high, long low, long lastDoor, long check, double until, byte[] result) {}
 
   /** The digests of all keys that are settled now. */
-  public List<Digest> settled() {
+  public List<KeyDigest> settled() {
     return settled.all();
   }
 
   /** What is known of a settled key; null where it is known no more. */
-  public Settled settled(Digest key) {
+  public Settled settled(KeyDigest key) {
     CompactIndex.Found found = settled.find(key);
     return found == null
         ? null
@@ -563,7 +563,7 @@
    * the key stays; false where even that has none.
    */
   public boolean hear(Settled key) {
-    Digest digest = new Digest(key.high(), key.low());
+    KeyDigest digest = new KeyDigest(key.high(), key.low());
     long at = key.result() == null ? CompactIndex.NO_PLACE : place(blocks.put(key.result()));
     boolean known = settled.put(digest, at, key.lastDoor(), key.check(), key.until());
     if (!known && inMemory(at)) {
--- a/src/main/java/wharftrestle/keys/Digest.java
+++ b/src/main/java/wharftrestle/idempotency/KeyDigest.java
@@ -1,4 +1,4 @@
-package wharftrestle.keys;
+package wharftrestle.idempotency;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -10,12 +10,12 @@
  * not kept. SHA-256 cut short (FIPS 180-4): callers choose keys, so no weaker hash may tell two
  * apart.
  */
-public record Digest(long high, long low) {
+public record KeyDigest(long high, long low) {
 
   /** Of a key's text. */
-  public static Digest of(String key) {
+  public static KeyDigest of(String key) {
     ByteBuffer bytes = ByteBuffer.wrap(sha(key.getBytes(StandardCharsets.UTF_8)));
-    return new Digest(bytes.getLong(), bytes.getLong());
+    return new KeyDigest(bytes.getLong(), bytes.getLong());
   }
 
   /** Of a body. */
--- a/src/main/java/wharftrestle/keys/KeyRoom.java
+++ b/src/main/java/wharftrestle/idempotency/KeyMemoryBudget.java
@@ -1,11 +1,11 @@
-package wharftrestle.keys;
+package wharftrestle.idempotency;
 
 /**
  * How much a box may know of its keys in memory, and whether one more keyed request fits: it owns
  * the split of the bound and the promises made to what is in hand. It must never promise what the
  * bound does not hold. No clock, and no bytes: the table tells it what is in use.
  */
-public final class KeyRoom {
+public final class KeyMemoryBudget {
   /** Bytes of the largest result a run may end with (PROTOCOL). */
   public static final int LONGEST_RESULT = 4096;
 
@@ -38,35 +38,35 @@
   private static final int MOST = Integer.MAX_VALUE / 8;
 
   /** Blocks of a promise. */
-  private static final int PROMISE = Blocks.of(LONGEST_RESULT);
+  private static final int PROMISE = BlockStore.of(LONGEST_RESULT);
 
   private final long bytes;
   private final int mostKeys;
   private final int mostBlocks;
   private int promises;
 
-  private KeyRoom(long bytes, int mostKeys, int mostBlocks) {
+  private KeyMemoryBudget(long bytes, int mostKeys, int mostBlocks) {
     this.bytes = bytes;
     this.mostKeys = mostKeys;
     this.mostBlocks = mostBlocks;
   }
 
   /** Room for keys and results that take so many bytes at most. */
-  public static KeyRoom of(long bytes) {
+  public static KeyMemoryBudget of(long bytes) {
     double grows = Math.max(0, bytes - FIXED);
     int keys = (int) Math.min(MOST, grows * KEYS_SHARE / KEY_COST);
-    int blocks = (int) Math.min(MOST, grows * (1 - KEYS_SHARE) / Blocks.COST);
-    return new KeyRoom(bytes, Math.max(1, keys), Math.max(PROMISE, blocks));
+    int blocks = (int) Math.min(MOST, grows * (1 - KEYS_SHARE) / BlockStore.COST);
+    return new KeyMemoryBudget(bytes, Math.max(1, keys), Math.max(PROMISE, blocks));
   }
 
   /** The part of a heap of so many bytes that keys may have. */
-  public static KeyRoom ofHeap(long heap) {
+  public static KeyMemoryBudget ofHeap(long heap) {
     return of((long) (heap * HEAP_SHARE));
   }
 
   /** No bound worth the name: only a proof that the bound is needed has a use for it. */
-  public static KeyRoom unbounded() {
-    return new KeyRoom(Long.MAX_VALUE, MOST, MOST);
+  public static KeyMemoryBudget unbounded() {
+    return new KeyMemoryBudget(Long.MAX_VALUE, MOST, MOST);
   }
 
   /** The bound itself. */
@@ -91,7 +91,7 @@
 
   /** Bytes of results at once, whole blocks. */
   public long mostResultBytes() {
-    return (long) mostBlocks * Blocks.COST;
+    return (long) mostBlocks * BlockStore.COST;
   }
 
   /** Requests in hand that have a promise. */
--- a/src/main/java/wharftrestle/keys/KeyState.java
+++ b/src/main/java/wharftrestle/idempotency/KeyState.java
@@ -1,4 +1,4 @@
-package wharftrestle.keys;
+package wharftrestle.idempotency;
 
 import java.util.EnumMap;
 import java.util.Map;
--- a/src/main/java/wharftrestle/keys/TimingWheel.java
+++ b/src/main/java/wharftrestle/idempotency/TimingWheel.java
@@ -1,4 +1,4 @@
-package wharftrestle.keys;
+package wharftrestle.idempotency;
 
 import java.util.Arrays;
 import java.util.function.IntConsumer;
--- a/src/main/java/wharftrestle/keys/package-info.java
+++ b/src/main/java/wharftrestle/idempotency/package-info.java
@@ -5,4 +5,4 @@
  * must never touch a socket, a file, a thread or a clock: time is passed in, and whoever calls
  * guards it by a lock of his own.
  */
-package wharftrestle.keys;
+package wharftrestle.idempotency;
--- a/src/main/java/wharftrestle/net/BoxLink.java
+++ b/src/main/java/wharftrestle/net/BoxLink.java
@@ -21,7 +21,7 @@
 import wharftrestle.core.Partner;
 import wharftrestle.core.Threads;
 import wharftrestle.handover.Other;
-import wharftrestle.keys.Digest;
+import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.version.Range;
 
 /**
@@ -308,7 +308,7 @@
         need(words, 7);
         core.heard(
             new Over(
-                new Digest(Long.parseLong(words[1]), Long.parseLong(words[2])),
+                new KeyDigest(Long.parseLong(words[1]), Long.parseLong(words[2])),
                 Long.parseLong(words[3]),
                 Bytes.duration(words[4]),
                 Long.parseLong(words[5]),
--- a/src/main/java/wharftrestle/version/Build.java
+++ b/src/main/java/wharftrestle/version/Build.java
@@ -9,7 +9,7 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
-import wharftrestle.keys.Digest;
+import wharftrestle.idempotency.KeyDigest;
 
 /**
  * Which build this is, and what it speaks. It owns the ranges of formats: who adds a version of one
@@ -88,7 +88,7 @@
 
   /** 128 bits of a text, in hex. */
   public static String digest(String text) {
-    Digest digest = Digest.of(text);
+    KeyDigest digest = KeyDigest.of(text);
     return HexFormat.of().toHexDigits(digest.high()) + HexFormat.of().toHexDigits(digest.low());
   }
 }
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -12,7 +12,7 @@
 class BordersTest {
   private static final String[] DECISIONS = {
     "wharftrestle.policy..",
-    "wharftrestle.keys..",
+    "wharftrestle.idempotency..",
     "wharftrestle.handover..",
     "wharftrestle.fleet..",
     "wharftrestle.lab.virtual.."
@@ -89,7 +89,7 @@
           .resideInAnyPackage(
               "wharftrestle.core..",
               "wharftrestle.net..",
-              "wharftrestle.keys..",
+              "wharftrestle.idempotency..",
               "wharftrestle.front..",
               "wharftrestle.ops..");
 
--- a/src/test/java/wharftrestle/CoreTest.java
+++ b/src/test/java/wharftrestle/CoreTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import wharftrestle.core.Core;
-import wharftrestle.keys.KeyRoom;
+import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.ops.Counters;
 import wharftrestle.policy.Admission;
 import wharftrestle.policy.Admission.Outcome;
@@ -21,10 +21,10 @@
   private final AtomicInteger instants = new AtomicInteger();
 
   private Core core(int most) {
-    return core(most, KeyRoom.of(1 << 20));
+    return core(most, KeyMemoryBudget.of(1 << 20));
   }
 
-  private Core core(int most, KeyRoom room) {
+  private Core core(int most, KeyMemoryBudget room) {
     Counters counters = new Counters(List.of("read", "save", "keyed", "unsafe", "long"));
     Core core =
         new Core(
@@ -129,7 +129,7 @@
 
   @Test
   void aKeyedRequestHasItsRoomBeforeItRunsAndComesInWhenThereIsSome() throws InterruptedException {
-    Core core = core(64, KeyRoom.of(100 << 10)); // 15 of the largest results
+    Core core = core(64, KeyMemoryBudget.of(100 << 10)); // 15 of the largest results
     List<Core.Answer> answers = Collections.synchronizedList(new ArrayList<>());
     for (int i = 1; i <= 30; i++) {
       core.accept(keyed(i, "k" + i), answers::add);
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -25,7 +25,7 @@
 import wharftrestle.Loopback.Command;
 import wharftrestle.core.Core;
 import wharftrestle.core.Threads;
-import wharftrestle.keys.KeyRoom;
+import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.lab.RespPeer.Reply;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.Counters.Count;
@@ -256,7 +256,7 @@
             Sites.site().build(),
             7,
             64,
-            KeyRoom.of(1 << 20),
+            KeyMemoryBudget.of(1 << 20),
             factory,
             new Counters(List.of("read", "save", "keyed", "unsafe", "long")));
     core.open(pool, null, good -> {});
--- a/src/test/java/wharftrestle/FullTableTest.java
+++ b/src/test/java/wharftrestle/FullTableTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.keys.KeyRoom;
+import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.lab.RespPeer.Reply;
 import wharftrestle.net.Config;
 import wharftrestle.ops.Counters.Count;
@@ -19,13 +19,13 @@
 /** Stories of a box whose room for what it knows of keys is full. */
 class FullTableTest {
   private static final Config.Appliance NONE = new Config.Appliance(null, null, null, "x", 24);
-  private static final String LARGE = "r".repeat(KeyRoom.LONGEST_RESULT);
+  private static final String LARGE = "r".repeat(KeyMemoryBudget.LONGEST_RESULT);
 
   @TempDir private Path folder;
 
   private Loopback box(Loopback elder, long bytes) throws Exception {
     return new Loopback(
-        Sites.site(), NONE, 1024, folder.resolve("n1.sock"), elder, KeyRoom.of(bytes));
+        Sites.site(), NONE, 1024, folder.resolve("n1.sock"), elder, KeyMemoryBudget.of(bytes));
   }
 
   private static void ask(Caller caller, int tag, String key) throws IOException {
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -29,7 +29,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import wharftrestle.keys.KeyRoom;
+import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.lab.PoolPeer;
 import wharftrestle.lab.RespPeer;
 import wharftrestle.net.Bytes;
@@ -113,7 +113,7 @@
   Loopback(
       Sites.Builder site, Config.Appliance appliance, int sockets, Path meeting, Loopback elder)
       throws Exception {
-    this(site, appliance, sockets, meeting, elder, KeyRoom.of(64 << 20));
+    this(site, appliance, sockets, meeting, elder, KeyMemoryBudget.of(64 << 20));
   }
 
   /** A daemon with so much room for what it knows of keys. */
@@ -123,7 +123,7 @@
       int sockets,
       Path meeting,
       Loopback elder,
-      KeyRoom room)
+      KeyMemoryBudget room)
       throws Exception {
     this.sockets = sockets;
     this.meeting = meeting;
--- a/src/test/java/wharftrestle/bench/KeyStructures.java
+++ b/src/test/java/wharftrestle/bench/KeyStructures.java
@@ -15,8 +15,8 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import wharftrestle.keys.CompactIndex;
-import wharftrestle.keys.Digest;
+import wharftrestle.idempotency.CompactIndex;
+import wharftrestle.idempotency.KeyDigest;
 
 /**
  * The compact index on its timing wheel against a plain HashMap that is swept: a look-up, and one
@@ -37,7 +37,7 @@
   @Param({"1000", "100000", "1000000"})
   private int keys;
 
-  private Digest[] digests;
+  private KeyDigest[] digests;
   private String[] names;
   private CompactIndex index;
   private Map<String, Plain> map;
@@ -47,11 +47,11 @@
 
   @Setup
   public void fill() {
-    digests = new Digest[2 * keys];
+    digests = new KeyDigest[2 * keys];
     names = new String[2 * keys];
     for (int i = 0; i < digests.length; i++) {
       names[i] = String.format("2/0/%032x", i * 0x9E3779B97F4A7C15L);
-      digests[i] = Digest.of(names[i]);
+      digests[i] = KeyDigest.of(names[i]);
     }
     index = new CompactIndex(2 * keys);
     map = new HashMap<>();
@@ -111,7 +111,7 @@
       long before = used();
       CompactIndex index = new CompactIndex(keys);
       for (int i = 0; i < keys; i++) {
-        index.put(Digest.of("2/0/" + i), i, i, i, 30);
+        index.put(KeyDigest.of("2/0/" + i), i, i, i, 30);
       }
       long flat = used() - before;
       before = used();
--- a/src/test/java/wharftrestle/bench/ResultStructures.java
+++ b/src/test/java/wharftrestle/bench/ResultStructures.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Random;
-import wharftrestle.keys.Blocks;
+import wharftrestle.idempotency.BlockStore;
 
 /**
  * Results in blocks against a map of arrays, both at the life of a box: results come, stay for a
@@ -34,7 +34,7 @@
   }
 
   private static Kept blocks(int most) {
-    Blocks blocks = new Blocks(most);
+    BlockStore blocks = new BlockStore(most);
     Map<Integer, Integer> at = new HashMap<>();
     return new Kept() {
       @Override
--- a/src/test/java/wharftrestle/durable/CoreRecordsTest.java
+++ b/src/test/java/wharftrestle/durable/CoreRecordsTest.java
@@ -15,7 +15,7 @@
 import wharftrestle.core.Core;
 import wharftrestle.core.Core.Answer;
 import wharftrestle.core.Records;
-import wharftrestle.keys.KeyRoom;
+import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.ResultFigure;
 import wharftrestle.policy.Admission;
@@ -34,7 +34,7 @@
           settings(),
           7,
           64,
-          KeyRoom.of(1 << 20),
+          KeyMemoryBudget.of(1 << 20),
           GroupEdfScheduler::new,
           new Counters(List.of("read", "keyed")));
   private int references;
--- a/src/test/java/wharftrestle/handover/BetweenTest.java
+++ b/src/test/java/wharftrestle/handover/BetweenTest.java
@@ -6,14 +6,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import wharftrestle.keys.Digest;
-import wharftrestle.keys.KeyRoom;
-import wharftrestle.keys.KeyTable;
+import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.idempotency.KeyMemoryBudget;
+import wharftrestle.idempotency.IdempotencyTable;
 
 /** What one process makes of the keys that another tells it. */
 class BetweenTest {
-  private final KeyRoom room = KeyRoom.of(64 << 10);
-  private final KeyTable<String> keys = new KeyTable<>((rider, entry) -> {}, room);
+  private final KeyMemoryBudget room = KeyMemoryBudget.of(64 << 10);
+  private final IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, room);
   private final Between<String> between =
       new Between<>(
           keys,
@@ -29,10 +29,10 @@
             }
 
             @Override
-            public void finished(KeyTable.Entry<String> entry, byte[] result) {}
+            public void finished(IdempotencyTable.Entry<String> entry, byte[] result) {}
 
             @Override
-            public void voided(KeyTable.Entry<String> entry) {}
+            public void voided(IdempotencyTable.Entry<String> entry) {}
 
             @Override
             public void wake(String key, boolean granted) {}
@@ -40,7 +40,7 @@
 
   private boolean hear(String name, double secondsLeft, double now) {
     return between.heard(
-        new Other.Over(Digest.of("1/0/" + name), 50_000, secondsLeft, 3, new byte[] {1}), now);
+        new Other.Over(KeyDigest.of("1/0/" + name), 50_000, secondsLeft, 3, new byte[] {1}), now);
   }
 
   @Test
--- a/src/test/java/wharftrestle/keys/KeyTableTest.java
+++ b/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.keys;
+package wharftrestle.idempotency;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,20 +19,20 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import wharftrestle.keys.KeyState.Step;
-import wharftrestle.keys.KeyTable.Entry;
+import wharftrestle.idempotency.KeyState.Step;
+import wharftrestle.idempotency.IdempotencyTable.Entry;
 
 /**
  * The state machine of keys against a model of what may run, and the steps that the table must not
  * have.
  */
-class KeyTableTest {
+class IdempotencyTableTest {
   private static final double WINDOW = 20;
   private static final byte[] BODY = {1};
 
   private final List<String> ended = new ArrayList<>();
-  private final KeyTable<String> keys =
-      new KeyTable<>((rider, entry) -> ended.add(rider + " " + entry.state()), KeyRoom.of(1 << 20));
+  private final IdempotencyTable<String> keys =
+      new IdempotencyTable<>((rider, entry) -> ended.add(rider + " " + entry.state()), KeyMemoryBudget.of(1 << 20));
 
   @Example
   void aStepThatIsNotInTheTableThrows() {
@@ -103,8 +103,8 @@
   @Example
   void whatADeadProcessLeftNeverRunsInItsWindow() {
     keys.record(10);
-    assertTrue(keys.recover("known", 5, 30_000, Digest.check(BODY), 50));
-    assertTrue(keys.recover("open", CompactIndex.NO_PLACE, 30_000, Digest.check(BODY), 50));
+    assertTrue(keys.recover("known", 5, 30_000, KeyDigest.check(BODY), 50));
+    assertTrue(keys.recover("open", CompactIndex.NO_PLACE, 30_000, KeyDigest.check(BODY), 50));
     assertEquals(KeyState.SERVED, keys.meet("known", 29_999).state());
     assertEquals(KeyState.UNKNOWN, keys.meet("open", 29_999).state());
     assertFalse(keys.ride(keys.meet("open", 29_999), "x"), "over: it fails at once");
@@ -145,7 +145,7 @@
 
   @Property(tries = 1500, seed = "29421")
   void noKeyRunsTwiceInItsWindow(@ForAll("acts") List<Act> acts, @ForAll boolean recorded) {
-    KeyTable<String> keys = new KeyTable<>((rider, entry) -> {}, KeyRoom.of(1 << 20));
+    IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(1 << 20));
     if (recorded) {
       keys.record(3); // fewer than keys: one always stays in memory
     }
@@ -209,7 +209,7 @@
           }
         }
         case "hear" -> {
-          Entry<String> heard = keys.hear(key, KeyTable.Asked.of(BODY), door + 20_000, now + 31);
+          Entry<String> heard = keys.hear(key, IdempotencyTable.Asked.of(BODY), door + 20_000, now + 31);
           if (heard != null) {
             coveredTo.put(key, door + 20_000);
             running.remove(key);
--- a/src/test/java/wharftrestle/keys/KeyRoomTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.keys;
+package wharftrestle.idempotency;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,13 +19,13 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.Tuple;
-import wharftrestle.keys.KeyTable.Entry;
+import wharftrestle.idempotency.IdempotencyTable.Entry;
 
 /**
  * What is known of keys in memory stays within its bound, and nothing that is owed to a key is
  * given up for it.
  */
-class KeyRoomTest {
+class KeyMemoryBudgetTest {
   private static final double WINDOW = 23.547;
   private static final byte[] BODY = new byte[2048];
 
@@ -33,7 +33,7 @@
 
   @Property(tries = 400, seed = "29421")
   void blocksGiveBackTheBytesThatWerePut(@ForAll("sizes") List<Integer> sizes) {
-    Blocks blocks = new Blocks(1500);
+    BlockStore blocks = new BlockStore(1500);
     ArrayDeque<Integer> at = new ArrayDeque<>();
     ArrayDeque<byte[]> plain = new ArrayDeque<>();
     int inUse = 0;
@@ -41,20 +41,20 @@
       byte[] result = new byte[Math.abs(size)];
       Arrays.fill(result, (byte) size);
       if (size < 0 && !at.isEmpty()) {
-        inUse -= Blocks.of(plain.peekFirst().length);
+        inUse -= BlockStore.of(plain.peekFirst().length);
         assertArrayEquals(plain.pollFirst(), blocks.get(at.peekFirst()), "what was put first");
         blocks.free(at.pollFirst());
       }
       int first = blocks.put(result);
-      assertEquals(inUse + Blocks.of(result.length) <= 1500, first != Blocks.NONE);
-      if (first != Blocks.NONE) {
-        inUse += Blocks.of(result.length);
+      assertEquals(inUse + BlockStore.of(result.length) <= 1500, first != BlockStore.NONE);
+      if (first != BlockStore.NONE) {
+        inUse += BlockStore.of(result.length);
         at.addLast(first);
         plain.addLast(result);
-        assertEquals(Blocks.of(result.length), blocks.count(first));
+        assertEquals(BlockStore.of(result.length), blocks.count(first));
       }
       assertEquals(inUse, blocks.used());
-      assertTrue(blocks.bytes() <= 1500L * Blocks.COST, blocks.bytes() + " bytes");
+      assertTrue(blocks.bytes() <= 1500L * BlockStore.COST, blocks.bytes() + " bytes");
     }
     while (!at.isEmpty()) {
       assertArrayEquals(plain.pollFirst(), blocks.get(at.pollFirst()));
@@ -73,12 +73,12 @@
 
   @Example
   void aResultThatDoesNotFitLeavesNothingBehind() {
-    Blocks blocks = new Blocks(3);
-    assertEquals(Blocks.NONE, blocks.put(new byte[200]));
+    BlockStore blocks = new BlockStore(3);
+    assertEquals(BlockStore.NONE, blocks.put(new byte[200]));
     assertEquals(0, blocks.used());
     int first = blocks.put(new byte[188]);
     assertEquals(3, blocks.used());
-    assertEquals(Blocks.NONE, blocks.put(new byte[0]));
+    assertEquals(BlockStore.NONE, blocks.put(new byte[0]));
     blocks.free(first);
     assertEquals(3, blocks.count(blocks.put(new byte[150])));
   }
@@ -112,8 +112,8 @@
   @Property(tries = 300, seed = "29421")
   void bytesHeldStayWithinTheBoundAndNoKeyIsForgottenInItsWindow(
       @ForAll("acts") List<Act> acts, @ForAll boolean clockSteps) {
-    KeyRoom room = KeyRoom.of(96 << 10);
-    KeyTable<String> keys = new KeyTable<>((rider, entry) -> {}, room);
+    KeyMemoryBudget room = KeyMemoryBudget.of(96 << 10);
+    IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, room);
     Map<String, Owed> owed = new HashMap<>();
     ArrayDeque<Entry<String>> inHand = new ArrayDeque<>();
     double now = 500;
@@ -159,7 +159,7 @@
         }
       }
       assertTrue(
-          keys.bytes() + (long) KeyRoom.POLICY_COST * keys.size()
+          keys.bytes() + (long) KeyMemoryBudget.POLICY_COST * keys.size()
               <= room.bytes() + 400L * inHand.size(),
           keys.bytes() + " bytes of " + room.bytes());
       double at = now;
@@ -177,7 +177,7 @@
 
   @Property(tries = 200, seed = "29421")
   void whoIsToldToComeAgainFindsRoomThenAndNotBefore(@ForAll("acts") List<Act> acts) {
-    KeyTable<String> keys = new KeyTable<>((rider, entry) -> {}, KeyRoom.of(64 << 10));
+    IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(64 << 10));
     double now = 500;
     int number = 0;
     for (Act act : acts) {
@@ -192,7 +192,7 @@
       }
       double in = keys.roomIn(now);
       assertTrue(
-          in > 0 && in <= WINDOW + KeyTable.SLACK + KeyTable.LINGER + 0.5, "come again in " + in);
+          in > 0 && in <= WINDOW + IdempotencyTable.SLACK + IdempotencyTable.LINGER + 0.5, "come again in " + in);
       if (in > 0.5) {
         keys.expire(now + in - 0.5);
         assertFalse(keys.promise(), "there was room before the time that was told");
@@ -215,7 +215,7 @@
 
   @Example
   void aKeyOfTheOtherProcessHasItsRoomAndAFullTableKeepsTheKeyWithoutItsResult() {
-    KeyTable<String> keys = new KeyTable<>((rider, entry) -> {}, KeyRoom.of(64 << 10));
+    IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(64 << 10));
     int promised = 0;
     while (keys.promise()) {
       promised++;
@@ -224,17 +224,17 @@
       keys.unpromise();
     }
     for (int i = 0; i < promised; i++) {
-      keys.hear("1/0/" + i, KeyTable.Asked.of(BODY), 50_000, 60);
+      keys.hear("1/0/" + i, IdempotencyTable.Asked.of(BODY), 50_000, 60);
     }
     assertFalse(keys.promise(), "the other process may end each with the largest result");
     for (int i = 0; i < promised; i++) {
-      keys.ran(keys.find("1/0/" + i), new byte[KeyRoom.LONGEST_RESULT]);
-      assertEquals(KeyRoom.LONGEST_RESULT, keys.result(keys.find("1/0/" + i)).length);
+      keys.ran(keys.find("1/0/" + i), new byte[KeyMemoryBudget.LONGEST_RESULT]);
+      assertEquals(KeyMemoryBudget.LONGEST_RESULT, keys.result(keys.find("1/0/" + i)).length);
     }
     for (int i = 0; i < 20; i++) {
-      keys.hear(new KeyTable.Settled(7, i, 50_000, 3, 60, new byte[4096]));
+      keys.hear(new IdempotencyTable.Settled(7, i, 50_000, 3, 60, new byte[4096]));
     }
-    KeyTable.Settled last = keys.settled(new Digest(7, 19));
+    IdempotencyTable.Settled last = keys.settled(new KeyDigest(7, 19));
     assertNull(last.result(), "no room for it");
     assertEquals(50_000, last.lastDoor(), "but its key is known");
     keys.expire(61);
--- a/src/test/java/wharftrestle/keys/StructuresTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyStructuresTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.keys;
+package wharftrestle.idempotency;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,7 +19,7 @@
 import net.jqwik.api.Provide;
 
 /** The wheel and the index against the plain structures that they stand for. */
-class StructuresTest {
+class KeyStructuresTest {
 
   /** What is done to both: 0 puts or schedules, 1 removes or cancels, 2 lets time pass. */
   record Act(int kind, int number, double seconds) {}
@@ -79,7 +79,7 @@
     long place = 0;
     for (Act act : acts) {
       // Keys that share their home slot, so that every chain and every wrap is met.
-      Digest key = new Digest(act.number(), 64L * 3 - act.number() % 3);
+      KeyDigest key = new KeyDigest(act.number(), 64L * 3 - act.number() % 3);
       switch (act.kind()) {
         case 0 -> {
           boolean room = plain.containsKey(act.number()) || plain.size() < 30;
@@ -98,7 +98,7 @@
           index.expire(now);
           Set<Integer> all = new HashSet<>(plain.keySet());
           for (int number : all) {
-            CompactIndex.Found found = index.find(new Digest(number, 64L * 3 - number % 3));
+            CompactIndex.Found found = index.find(new KeyDigest(number, 64L * 3 - number % 3));
             if (found == null) {
               assertTrue(due.remove(number) <= now, "forgotten early");
               plain.remove(number);
@@ -119,13 +119,13 @@
   void theIndexGrowsToItsBoundAndIsSmall() {
     CompactIndex index = new CompactIndex(100_000);
     for (int i = 0; i < 100_000; i++) {
-      assertTrue(index.put(Digest.of("2/0/" + i), i, i, i, 30 + i % 7));
+      assertTrue(index.put(KeyDigest.of("2/0/" + i), i, i, i, 30 + i % 7));
     }
-    assertFalse(index.put(Digest.of("one more"), 1, 1, 1, 30));
-    assertEquals(77, index.find(Digest.of("2/0/77")).place());
+    assertFalse(index.put(KeyDigest.of("one more"), 1, 1, 1, 30));
+    assertEquals(77, index.find(KeyDigest.of("2/0/77")).place());
     assertTrue(index.bytes() < 100 * 100_000, index.bytes() + " bytes");
     index.expire(40);
     assertEquals(0, index.size());
-    assertNull(index.find(Digest.of("2/0/77")));
+    assertNull(index.find(KeyDigest.of("2/0/77")));
   }
 }
--- a/src/test/java/wharftrestle/net/LinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/net/LinkFormatFixtures.java
@@ -17,8 +17,8 @@
 import wharftrestle.core.Core;
 import wharftrestle.handover.Other;
 import wharftrestle.handover.Terms;
-import wharftrestle.keys.Digest;
-import wharftrestle.keys.KeyRoom;
+import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.net.BoxLink.Word;
 import wharftrestle.ops.Counters;
 import wharftrestle.policy.Admission;
@@ -119,8 +119,8 @@
     link.tell(new Other.Kept("1/0/failed", true, STAMP + 2, 1.25, bytes(""), null));
     link.tellSurely(
         new Other.Kept("1/0/over", true, STAMP + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
-    link.tellOver(new Other.Over(new Digest(-1, 2), STAMP + 4, 30, -77, null));
-    link.follows(new Other.Over(new Digest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
+    link.tellOver(new Other.Over(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
+    link.follows(new Other.Over(new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
     link.ended("1/0/ended", bytes("good"));
     link.ended("1/0/failed", null);
     link.freed("1/0/freed");
@@ -132,7 +132,7 @@
 
   /** What another process asks, in an order in which most questions have an answer. */
   static List<String> questions() {
-    Digest settled = Digest.of("1/0/settled");
+    KeyDigest settled = KeyDigest.of("1/0/settled");
     return List.of(
         "claim 1%2F0%2Fnew " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
         "ended 1%2F0%2Fnew 4\\x0d\\x0agood\\x0d\\x0a",
@@ -145,7 +145,7 @@
         "claim 1%2F0%2Fopen " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
         String.format(
             "over %d %d %d 20000 %d 3\\x0d\\x0aold\\x0d\\x0a",
-            settled.high(), settled.low(), STAMP, Digest.check(bytes("body"))),
+            settled.high(), settled.low(), STAMP, KeyDigest.check(bytes("body"))),
         "claim 1%2F0%2Fsettled " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
         "claim 1%2F0%2Ffreed " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
         "freed 1%2F0%2Ffreed\\x0d\\x0a",
@@ -195,7 +195,7 @@
             settings(),
             7,
             64,
-            KeyRoom.of(1 << 20),
+            KeyMemoryBudget.of(1 << 20),
             GroupEdfScheduler::new,
             new Counters(List.of("read", "keyed")));
     core.open(new SilentPool(), null, good -> {});
--- a/src/test/java/wharftrestle/prove/Unagreed.java
+++ b/src/test/java/wharftrestle/prove/Unagreed.java
@@ -2,7 +2,7 @@
 
 import sun.misc.Signal;
 import wharftrestle.Lifecycle;
-import wharftrestle.keys.KeyRoom;
+import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.net.Config;
 
 /**
@@ -17,7 +17,7 @@
         new Lifecycle(
             Config.read(System.getenv()),
             Config.Appliance.none(),
-            KeyRoom.ofHeap(Runtime.getRuntime().maxMemory()),
+            KeyMemoryBudget.ofHeap(Runtime.getRuntime().maxMemory()),
             (serves, next) -> null);
     Signal.handle(new Signal("TERM"), signal -> life.leave());
     life.start();
--- a/src/test/java/wharftrestle/prove/Unbounded.java
+++ b/src/test/java/wharftrestle/prove/Unbounded.java
@@ -1,7 +1,7 @@
 package wharftrestle.prove;
 
 import wharftrestle.Lifecycle;
-import wharftrestle.keys.KeyRoom;
+import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.net.Config;
 
 /**
@@ -13,7 +13,7 @@
 
   public static void main(String[] args) throws Exception {
     Lifecycle life =
-        new Lifecycle(Config.read(System.getenv()), Config.Appliance.none(), KeyRoom.unbounded());
+        new Lifecycle(Config.read(System.getenv()), Config.Appliance.none(), KeyMemoryBudget.unbounded());
     life.start();
     life.serveUntilStopped();
   }
