--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -11,7 +11,7 @@
 import org.tinylog.Logger;
 import wharftrestle.core.Core;
 import wharftrestle.core.Threads;
-import wharftrestle.durable.Journal;
+import wharftrestle.storage.WriteAheadLog;
 import wharftrestle.front.Resp;
 import wharftrestle.front.Uwsgi;
 import wharftrestle.handover.Agreement;
@@ -132,7 +132,7 @@
   private volatile SnmpAgent snmp;
   private final StoreClient store;
   private final Reporter reporter;
-  private final Journal journal; // null where no results are kept
+  private final WriteAheadLog journal; // null where no results are kept
   private final CountDownLatch notice = new CountDownLatch(1);
   private volatile State state = State.STARTING;
   private volatile long noticedAt;
@@ -213,7 +213,7 @@
                 descriptors.operatorsLeaving(),
                 new Door(this),
                 counters);
-    journal = appliance.durable() == null ? null : new Journal(appliance.durable());
+    journal = appliance.durable() == null ? null : new WriteAheadLog(appliance.durable());
     if (journal != null) {
       core.record(journal);
     }
@@ -381,7 +381,7 @@
 
   @Override
   public boolean openRecords(int tries) {
-    if (journal == null || journal.state() != Journal.State.SHUT) {
+    if (journal == null || journal.state() != WriteAheadLog.State.SHUT) {
       return true;
     }
     for (int i = 0; i < tries; i++) {
--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Option;
 import wharftrestle.box.BoxCommand;
 import wharftrestle.drive.FleetCommand;
-import wharftrestle.durable.ResultsFolder;
-import wharftrestle.durable.UnusableException;
+import wharftrestle.storage.ResultLogTool;
+import wharftrestle.storage.UnusableStorageException;
 import wharftrestle.lab.LabCommand;
 import wharftrestle.net.Config;
 import wharftrestle.ops.Console;
@@ -105,7 +105,7 @@
       Lifecycle life;
       try {
         life = new Lifecycle(config, extras);
-      } catch (UnusableException e) {
+      } catch (UnusableStorageException e) {
         throw new Config.BadConfigException("durable: " + e.getMessage());
       } catch (IOException e) {
         throw new Config.BadConfigException("cannot listen: " + e.getMessage());
@@ -257,7 +257,7 @@
           description = "the operators' settings, for durable.dir")
       private Path appliance;
 
-      abstract boolean act(ResultsFolder results) throws IOException;
+      abstract boolean act(ResultLogTool results) throws IOException;
 
       @Override
       public Integer call() throws Exception {
@@ -270,9 +270,9 @@
           throw new Config.BadConfigException(
               "say which folder: --dir DIR, or --appliance FILE with durable");
         }
-        try (ResultsFolder results = new ResultsFolder(named)) {
+        try (ResultLogTool results = new ResultLogTool(named)) {
           return act(results) ? 0 : 1;
-        } catch (UnusableException e) {
+        } catch (UnusableStorageException e) {
           throw new Config.BadConfigException(e.getMessage());
         }
       }
@@ -285,7 +285,7 @@
       private boolean all;
 
       @Override
-      boolean act(ResultsFolder results) throws IOException {
+      boolean act(ResultLogTool results) throws IOException {
         results.list(System.out, all);
         return true;
       }
@@ -298,7 +298,7 @@
       private String key;
 
       @Override
-      boolean act(ResultsFolder results) throws IOException {
+      boolean act(ResultLogTool results) throws IOException {
         boolean found = results.show(System.out, key);
         if (!found) {
           System.err.println("wharftrestle: nothing is known of " + key);
@@ -311,7 +311,7 @@
     @Command(name = "verify", description = "read every byte; exit 1 where something is lost")
     static final class Verify extends Folder {
       @Override
-      boolean act(ResultsFolder results) throws IOException {
+      boolean act(ResultLogTool results) throws IOException {
         return results.verify(System.out);
       }
     }
@@ -320,7 +320,7 @@
     @Command(name = "compact", description = "keep what still matters in as few files as hold it")
     static final class Compact extends Folder {
       @Override
-      boolean act(ResultsFolder results) throws IOException {
+      boolean act(ResultLogTool results) throws IOException {
         results.compact(System.out);
         return true;
       }
@@ -335,7 +335,7 @@
       private boolean json;
 
       @Override
-      boolean act(ResultsFolder results) throws IOException {
+      boolean act(ResultLogTool results) throws IOException {
         results.export(System.out);
         return true;
       }
--- a/src/main/java/wharftrestle/durable/Compaction.java
+++ b/src/main/java/wharftrestle/storage/Compaction.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -18,7 +18,7 @@
   private Compaction() {}
 
   /** True where a start finds so many files that a few more would leave no room. */
-  static boolean worthWhile(Room room) {
+  static boolean worthWhile(SpaceBudget room) {
     return room.segments() > room.files() / 2;
   }
 
@@ -32,7 +32,7 @@
    * @param most files at most, the old ones and the new ones together
    * @return false where it would not fit; then nothing has changed
    */
-  static boolean run(Disk disk, int segment, int most) throws IOException {
+  static boolean run(SegmentStore disk, int segment, int most) throws IOException {
     long steady = System.nanoTime() / 1_000_000;
     long boot = disk.boot();
     long[] files = disk.files();
@@ -79,7 +79,7 @@
         disk.create(number, Segment.head(1, number, boot, segment), segment);
         made.add(number);
       }
-      Record record = Record.at(disk.read(kept.file(), kept.offset(), kept.size()), 0);
+      LogRecord record = LogRecord.at(disk.read(kept.file(), kept.offset(), kept.size()), 0);
       if (record == null) {
         throw new IOException("a record is not where it was");
       }
@@ -96,7 +96,7 @@
           .put(out);
     }
     flush(disk, made, out);
-    disk.list(Listing.of(made));
+    disk.list(Manifest.of(made));
     for (long file : files) {
       disk.delete(file);
     }
@@ -119,7 +119,7 @@
     }
   }
 
-  private static void flush(Disk disk, List<Long> made, ByteBuffer out) throws IOException {
+  private static void flush(SegmentStore disk, List<Long> made, ByteBuffer out) throws IOException {
     if (out != null) {
       long file = made.get(made.size() - 1);
       disk.write(file, Segment.HEAD, out.flip());
--- a/src/main/java/wharftrestle/durable/FileDisk.java
+++ b/src/main/java/wharftrestle/storage/FileSegmentStore.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -23,7 +23,7 @@
  * A folder on a real disk, held by a lock that the kernel gives back when the process dies. It must
  * never share the folder, nor leave a file half made under a name that counts.
  */
-final class FileDisk implements Disk {
+final class FileSegmentStore implements SegmentStore {
   private static final String PREFIX = "results-";
   private static final String SUFFIX = ".log";
   private static final int ZEROS = 256 * 1024;
@@ -36,7 +36,7 @@
   /**
    * @throws UnusableException in one line, where the folder cannot be used or is another's
    */
-  FileDisk(Path folder) throws IOException {
+  FileSegmentStore(Path folder) throws IOException {
     this.folder = folder;
     try {
       Files.createDirectories(folder);
@@ -44,7 +44,7 @@
           FileChannel.open(
               folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     } catch (FileSystemException e) {
-      throw new UnusableException(
+      throw new UnusableStorageException(
           folder + " cannot be written (" + e.getClass().getSimpleName() + ")");
     }
     FileLock held = null;
@@ -55,7 +55,7 @@
     }
     if (held == null) {
       lockFile.close();
-      throw new UnusableException(folder + " is held by another process");
+      throw new UnusableStorageException(folder + " is held by another process");
     }
     lock = held;
   }
@@ -112,7 +112,7 @@
     try {
       Files.move(fresh, folder.resolve("list"), StandardCopyOption.ATOMIC_MOVE);
     } catch (AtomicMoveNotSupportedException e) {
-      throw new UnusableException(folder + " cannot replace a file in one step");
+      throw new UnusableStorageException(folder + " cannot replace a file in one step");
     }
     syncFolder();
   }
@@ -131,7 +131,7 @@
         String name = each.getFileName().toString();
         String digits = name.substring(PREFIX.length(), name.length() - SUFFIX.length());
         if (!digits.matches("[0-9]{8,15}")) {
-          throw new UnusableException(folder + ": " + name + " is no file of kept results");
+          throw new UnusableStorageException(folder + ": " + name + " is no file of kept results");
         }
         numbers.add(Long.parseLong(digits));
       }
--- a/src/main/java/wharftrestle/durable/Gather.java
+++ b/src/main/java/wharftrestle/storage/GroupCommitQueue.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
  *
  * @param <T> what waits; told apart by identity
  */
-public final class Gather<T> {
+public final class GroupCommitQueue<T> {
   private final int most;
   private List<T> waiting = new ArrayList<>();
   private long bytes;
@@ -19,7 +19,7 @@
   /**
    * @param most bytes that wait at most, but for what must be taken
    */
-  public Gather(int most) {
+  public GroupCommitQueue(int most) {
     this.most = most;
   }
 
--- a/src/main/java/wharftrestle/durable/Record.java
+++ b/src/main/java/wharftrestle/storage/LogRecord.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -30,7 +30,7 @@
  * @param steady ms
  */
 @SuppressWarnings("JavaLangClash") // what the log of results is made of; the other is never named
-public record Record(
+public record LogRecord(
     Kind kind,
     boolean ends,
     int batch,
@@ -68,8 +68,8 @@
   static final int ALIGN = 8;
   private static final int FIXED = 1 + 4 + 8 + 8 + 8 + 4 + 8 + 2 + 4;
 
-  Record written(boolean last, int inBatch, long atWall, long atSteady) {
-    return new Record(kind, last, inBatch, atWall, atSteady, lastDoor, window, check, key, result);
+  LogRecord written(boolean last, int inBatch, long atWall, long atSteady) {
+    return new LogRecord(kind, last, inBatch, atWall, atSteady, lastDoor, window, check, key, result);
   }
 
   /** Bytes on disk, the gap to the next record included. */
@@ -119,7 +119,7 @@
   }
 
   /** The whole record that begins there; null where there is none. */
-  static Record at(ByteBuffer bytes, int begin) {
+  static LogRecord at(ByteBuffer bytes, int begin) {
     if (begin < 0 || bytes.limit() - begin < HEAD + FIXED) {
       return null;
     }
@@ -152,7 +152,7 @@
       return null;
     }
     in.get(result);
-    return new Record(
+    return new LogRecord(
         Kind.values()[kind],
         ends,
         batch,
--- a/src/main/java/wharftrestle/durable/Listing.java
+++ b/src/main/java/wharftrestle/storage/Manifest.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -10,10 +10,10 @@
  * file is known by. A number is on it before its file is used, and off it before its file is
  * deleted.
  */
-final class Listing {
+final class Manifest {
   private static final String WORD = "wharftrestle-results ";
 
-  private Listing() {}
+  private Manifest() {}
 
   static byte[] of(Iterable<Long> numbers) {
     StringBuilder text = new StringBuilder(WORD + Segment.VERSION + "\n");
--- a/src/main/java/wharftrestle/durable/Recovery.java
+++ b/src/main/java/wharftrestle/storage/Recovery.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -47,16 +47,16 @@
    * Takes the next record of the log, which lies there; same boot where its steady clock is the
    * present one. False where nothing of it need be kept.
    */
-  public boolean take(Record record, long place, boolean sameBoot) {
+  public boolean take(LogRecord record, long place, boolean sameBoot) {
     keys.remove(record.key());
-    if (record.kind() == Record.Kind.VOID) {
+    if (record.kind() == LogRecord.Kind.VOID) {
       return false;
     }
     if (sameBoot && steadyNow - record.steady() > record.window() + LINGER * 1000) {
       over++; // a process that dies again and again must not carry it for ever
       return false;
     }
-    boolean known = record.kind() == Record.Kind.RESULT;
+    boolean known = record.kind() == LogRecord.Kind.RESULT;
     // Stamps are of a clock that may have stepped meanwhile: any try read within a window from now
     // is covered.
     keys.put(
--- a/src/main/java/wharftrestle/durable/ResultsFolder.java
+++ b/src/main/java/wharftrestle/storage/ResultLogTool.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -24,24 +24,24 @@
  * compact, export. It holds the folder's lock meanwhile and changes nothing but in {@link
  * #compact}. It must never be used by a daemon.
  */
-public final class ResultsFolder implements AutoCloseable {
+public final class ResultLogTool implements AutoCloseable {
   /** Characters of a result that are shown. */
   private static final int LONGEST_TEXT = 400;
 
   private final Path folder;
-  private final Disk disk;
+  private final SegmentStore disk;
 
   /** Takes the folder; one that is missing is not made. */
-  public ResultsFolder(Path folder) throws IOException {
+  public ResultLogTool(Path folder) throws IOException {
     if (!Files.isDirectory(folder)) {
-      throw new UnusableException(folder + " is no folder");
+      throw new UnusableStorageException(folder + " is no folder");
     }
     this.folder = folder;
-    disk = new FileDisk(folder);
+    disk = new FileSegmentStore(folder);
   }
 
   /** The last record of a key with what it means. */
-  private record Line(Record record, String state, boolean over) {}
+  private record Line(LogRecord record, String state, boolean over) {}
 
   /** All lines of the log, by key: the last record of each. */
   private Map<String, Line> lines() throws IOException {
@@ -98,7 +98,7 @@
   public boolean show(PrintStream out, String key) throws IOException {
     boolean found = false;
     for (Line line : lines().values()) {
-      Record record = line.record();
+      LogRecord record = line.record();
       if (record.key().equals(key)
           || (record.key().matches("[0-9]+/[0-9]+/.*")
               && record.key().replaceFirst("[0-9]+/[0-9]+/", "").equals(key))) {
@@ -142,9 +142,9 @@
     byte[] list = disk.list();
     List<Long> listed;
     try {
-      listed = list == null ? null : Listing.parse(list);
+      listed = list == null ? null : Manifest.parse(list);
     } catch (Segment.ForeignException e) {
-      throw new UnusableException(folder + " " + e.getMessage());
+      throw new UnusableStorageException(folder + " " + e.getMessage());
     }
     if (listed == null && files.length > 0) {
       out.println("list: missing or garbled");
@@ -184,7 +184,7 @@
   public boolean compact(PrintStream out) throws IOException {
     PrintStream none = new PrintStream(OutputStream.nullOutputStream());
     if (!verify(none)) {
-      throw new UnusableException(
+      throw new UnusableStorageException(
           folder + " is damaged, and is left as it is: see 'results verify'");
     }
     long[] files = disk.files();
@@ -214,7 +214,7 @@
       if (line.over()) {
         continue;
       }
-      Record record = line.record();
+      LogRecord record = line.record();
       ObjectNode node = mapper.createObjectNode();
       node.put("key", record.key())
           .put("state", line.state())
@@ -222,7 +222,7 @@
           .put("last_door_ms", record.lastDoor())
           .put("window_ms", record.window())
           .put("body_check", String.format("%016x", record.check()));
-      if (record.kind() == Record.Kind.RESULT) {
+      if (record.kind() == LogRecord.Kind.RESULT) {
         node.put("result_base64", Base64.getEncoder().encodeToString(record.result()));
       }
       out.println(mapper.writeValueAsString(node));
--- a/src/main/java/wharftrestle/durable/Segment.java
+++ b/src/main/java/wharftrestle/storage/Segment.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
@@ -27,7 +27,7 @@
 
   /** Told of each whole record in turn. */
   interface Each {
-    void record(Record record, int offset);
+    void record(LogRecord record, int offset);
   }
 
   /**
@@ -122,13 +122,13 @@
     int at = HEAD;
     int end = HEAD;
     while (at < bytes.limit()) {
-      Record record = Record.at(bytes, at);
+      LogRecord record = LogRecord.at(bytes, at);
       if (record == null) {
         int next = next(bytes, at);
         if (next < 0) {
           break;
         }
-        int behind = Record.at(bytes, next).batch();
+        int behind = LogRecord.at(bytes, next).batch();
         hole = Math.min(hole, ended ? batch + 1 : batch);
         damaged |= behind > hole;
         at = next;
@@ -148,8 +148,8 @@
 
   /** Where the next whole record begins behind this place; -1 for none. */
   private static int next(ByteBuffer bytes, int after) {
-    for (int at = after + Record.ALIGN; at < bytes.limit(); at += Record.ALIGN) {
-      if (bytes.limit() - at >= 4 && bytes.getInt(at) != 0 && Record.at(bytes, at) != null) {
+    for (int at = after + LogRecord.ALIGN; at < bytes.limit(); at += LogRecord.ALIGN) {
+      if (bytes.limit() - at >= 4 && bytes.getInt(at) != 0 && LogRecord.at(bytes, at) != null) {
         return at;
       }
     }
--- a/src/main/java/wharftrestle/durable/Disk.java
+++ b/src/main/java/wharftrestle/storage/SegmentStore.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -8,7 +8,7 @@
  * behind which files are; tests put faults here. Every call may wait for the disk, and none is made
  * under a lock.
  */
-interface Disk extends AutoCloseable {
+interface SegmentStore extends AutoCloseable {
 
   /**
    * What this boot of the machine is called: its steady clock goes on over restarts of a process.
--- a/src/main/java/wharftrestle/durable/Room.java
+++ b/src/main/java/wharftrestle/storage/SpaceBudget.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.util.ArrayDeque;
 import java.util.List;
@@ -8,10 +8,10 @@
  * and when a segment's time is over; it must never let an intent in whose result would not fit. No
  * files: the journal tells it. Sizes in bytes, times in seconds on one clock.
  */
-public final class Room {
+public final class SpaceBudget {
   /** Promised to the result of each intent: PROTOCOL's 4 kB with its head, and a void beside it. */
   static final int PROMISE =
-      Record.size(Record.LONGEST_KEY, 4096) + Record.size(Record.LONGEST_KEY, 0);
+      LogRecord.size(LogRecord.LONGEST_KEY, 4096) + LogRecord.size(LogRecord.LONGEST_KEY, 0);
 
   private static final int SEGMENTS = 16;
   private static final int LEAST_SEGMENT = 256 * 1024;
@@ -36,9 +36,9 @@
   /**
    * @param bytes on disk at most
    */
-  public Room(long bytes) {
+  public SpaceBudget(long bytes) {
     segment =
-        (int) Math.max(LEAST_SEGMENT, Math.min(LARGEST_SEGMENT, bytes / SEGMENTS)) & -Record.ALIGN;
+        (int) Math.max(LEAST_SEGMENT, Math.min(LARGEST_SEGMENT, bytes / SEGMENTS)) & -LogRecord.ALIGN;
     most = (int) Math.max(2, bytes / segment);
   }
 
--- a/src/main/java/wharftrestle/durable/UnusableException.java
+++ b/src/main/java/wharftrestle/storage/UnusableStorageException.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.io.IOException;
 
@@ -6,10 +6,10 @@
  * A folder of kept results that is another process's, foreign, of a newer version or not to be
  * written: one line.
  */
-public final class UnusableException extends IOException {
+public final class UnusableStorageException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  UnusableException(String message) {
+  UnusableStorageException(String message) {
     super(message);
   }
 }
--- a/src/main/java/wharftrestle/durable/Journal.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -31,7 +31,7 @@
  * FAILED  nothing is written, all is refused     OPEN (a fresh file could be made), SHUT (close)
  * </pre>
  */
-public final class Journal implements Records, AutoCloseable {
+public final class WriteAheadLog implements Records, AutoCloseable {
 
   /** How far it has come. */
   public enum State {
@@ -42,7 +42,7 @@
 
   /** Makes the folder's lock and files; told apart so that tests put faults in. */
   interface Opener {
-    Disk open() throws IOException;
+    SegmentStore open() throws IOException;
   }
 
   /**
@@ -68,13 +68,13 @@
 
   /** One record on its way. */
   private static final class Ticket {
-    private final Record record;
+    private final LogRecord record;
     private final int size;
     private final double until;
     private final Records.Written told;
     private long place = -1;
 
-    Ticket(Record record, double until, Records.Written told) {
+    Ticket(LogRecord record, double until, Records.Written told) {
       this.record = record;
       this.size = record.size();
       this.until = until;
@@ -84,11 +84,11 @@
 
   private final Config.Durable settings;
   private final Opener opener;
-  private final Room room; // also the lock of what stands below it
+  private final SpaceBudget room; // also the lock of what stands below it
   private final Map<String, Integer> promises = new HashMap<>();
-  private volatile Gather<Ticket> gather;
+  private volatile GroupCommitQueue<Ticket> gather;
   private volatile State state = State.SHUT;
-  private volatile Disk disk;
+  private volatile SegmentStore disk;
   private Thread writer;
   private int batch;
   private volatile long batchBegan; // System.nanoTime; 0 while nothing is written
@@ -107,14 +107,14 @@
   private volatile boolean damaged;
   private volatile double recoveryMs;
 
-  public Journal(Config.Durable settings) {
-    this(settings, () -> new FileDisk(settings.folder()));
+  public WriteAheadLog(Config.Durable settings) {
+    this(settings, () -> new FileSegmentStore(settings.folder()));
   }
 
-  Journal(Config.Durable settings, Opener opener) {
+  WriteAheadLog(Config.Durable settings, Opener opener) {
     this.settings = settings;
     this.opener = opener;
-    room = new Room(settings.most());
+    room = new SpaceBudget(settings.most());
   }
 
   // ---- Opening: what a dead process left ----
@@ -132,7 +132,7 @@
       throw new IllegalStateException("kept results are " + state);
     }
     long began = System.nanoTime();
-    Disk opened = opener.open();
+    SegmentStore opened = opener.open();
     try {
       Records.Recovered recovered = recover(opened, longest);
       if (!damaged
@@ -142,7 +142,7 @@
             recover(opened, longest); // so that starts one after another do not fill the folder
       }
       disk = opened;
-      gather = new Gather<>(settings.queue());
+      gather = new GroupCommitQueue<>(settings.queue());
       if (mayGrow()) {
         begin();
         state = State.OPEN;
@@ -156,16 +156,16 @@
       writer.start();
       recoveryMs = (System.nanoTime() - began) / 1e6;
       return recovered;
-    } catch (UnusableException e) {
+    } catch (UnusableStorageException e) {
       opened.close();
       throw e;
     } catch (IOException | RuntimeException e) {
       opened.close();
-      throw new UnusableException(settings.folder() + " cannot be used (" + e + ")");
+      throw new UnusableStorageException(settings.folder() + " cannot be used (" + e + ")");
     }
   }
 
-  private Records.Recovered recover(Disk opened, double longest) throws IOException {
+  private Records.Recovered recover(SegmentStore opened, double longest) throws IOException {
     Recovery recovery = new Recovery(Wall.even(), steady());
     long boot = opened.boot();
     double now = seconds();
@@ -177,7 +177,7 @@
     try {
       long[] files = opened.files();
       byte[] list = opened.list();
-      List<Long> listed = list == null ? null : Listing.parse(list);
+      List<Long> listed = list == null ? null : Manifest.parse(list);
       hurt = (files.length > 0 && listed == null) || (list != null && listed == null);
       ghosts.clear();
       for (long number : listed == null ? List.<Long>of() : listed) {
@@ -208,7 +208,7 @@
         }
       }
     } catch (Segment.ForeignException e) {
-      throw new UnusableException(settings.folder() + " " + e.getMessage());
+      throw new UnusableStorageException(settings.folder() + " " + e.getMessage());
     }
     damaged = hurt;
     recoveredKnown = recovery.known();
@@ -266,7 +266,7 @@
     synchronized (room) {
       all.addAll(room.numbers());
     }
-    disk.list(Listing.of(all));
+    disk.list(Manifest.of(all));
   }
 
   // ---- What the core tells; none of it waits ----
@@ -294,7 +294,7 @@
       return Records.Refusal.DISK_BUSY;
     }
     synchronized (room) {
-      return room.fits(Room.PROMISE) ? null : Records.Refusal.STORE_FULL;
+      return room.fits(SpaceBudget.PROMISE) ? null : Records.Refusal.STORE_FULL;
     }
   }
 
@@ -313,7 +313,7 @@
 
   @Override
   public Object intend(Records.Keyed keyed, Records.Written told) {
-    Ticket ticket = ticket(Record.Kind.INTENT, keyed, null, told);
+    Ticket ticket = ticket(LogRecord.Kind.INTENT, keyed, null, told);
     synchronized (room) {
       if (state != State.OPEN || promises.containsKey(keyed.key()) || !room.promise(ticket.size)) {
         return null;
@@ -340,33 +340,33 @@
   @Override
   public void voided(Records.Keyed keyed) {
     settle(keyed.key());
-    end(Record.Kind.VOID, keyed, null, place -> {});
+    end(LogRecord.Kind.VOID, keyed, null, place -> {});
   }
 
   @Override
   public void ended(Records.Keyed keyed, byte[] result, Records.Written told) {
-    end(result == null ? Record.Kind.FAILED : Record.Kind.RESULT, keyed, result, told);
+    end(result == null ? LogRecord.Kind.FAILED : LogRecord.Kind.RESULT, keyed, result, told);
   }
 
   // The writer counts unsaved as well: of two at once one is lost; nothing is decided by the
   // figure.
   @SuppressWarnings("NonAtomicVolatileUpdate")
-  private void end(Record.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
+  private void end(LogRecord.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
     Ticket ticket = ticket(kind, keyed, result, told);
-    if ((result != null && result.length > Record.LONGEST_RESULT)
+    if ((result != null && result.length > LogRecord.LONGEST_RESULT)
         || state == State.SHUT
         || !gather.add(ticket, ticket.size, true)) {
       settle(keyed.key());
-      unsaved += kind == Record.Kind.VOID ? 0 : 1;
+      unsaved += kind == LogRecord.Kind.VOID ? 0 : 1;
       told.written(-1);
     }
   }
 
   private static Ticket ticket(
-      Record.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
+      LogRecord.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
     int window = (int) Math.ceil(keyed.window() * 1000);
     return new Ticket(
-        new Record(
+        new LogRecord(
             kind,
             false,
             0,
@@ -393,7 +393,7 @@
   /** A result of a settled key, from disk; not under any lock. */
   @Override
   public byte[] read(String key, long place) throws IOException {
-    Disk from = disk;
+    SegmentStore from = disk;
     if (from == null) {
       throw new IOException("kept results are shut");
     }
@@ -401,12 +401,12 @@
     int at = (int) place;
     ByteBuffer bytes = from.read(number, at, LOOK);
     if (bytes.limit() >= 4
-        && bytes.getInt(0) > LOOK - Record.HEAD
-        && bytes.getInt(0) <= Record.MOST) {
-      bytes = from.read(number, at, bytes.getInt(0) + Record.HEAD);
+        && bytes.getInt(0) > LOOK - LogRecord.HEAD
+        && bytes.getInt(0) <= LogRecord.MOST) {
+      bytes = from.read(number, at, bytes.getInt(0) + LogRecord.HEAD);
     }
-    Record record = Record.at(bytes, 0);
-    if (record == null || record.kind() != Record.Kind.RESULT || !record.key().equals(key)) {
+    LogRecord record = LogRecord.at(bytes, 0);
+    if (record == null || record.kind() != LogRecord.Kind.RESULT || !record.key().equals(key)) {
       throw new IOException("the result of a key is not where it was written");
     }
     return record.result();
@@ -464,8 +464,8 @@
     }
     for (Ticket ticket : all) {
       boolean end =
-          ticket.record.kind() == Record.Kind.RESULT || ticket.record.kind() == Record.Kind.FAILED;
-      if (end || (ticket.record.kind() == Record.Kind.INTENT && ticket.place < 0)) {
+          ticket.record.kind() == LogRecord.Kind.RESULT || ticket.record.kind() == LogRecord.Kind.FAILED;
+      if (end || (ticket.record.kind() == LogRecord.Kind.INTENT && ticket.place < 0)) {
         settle(ticket.record.key());
       }
       unsaved += end && ticket.place < 0 ? 1 : 0;
@@ -633,7 +633,7 @@
       all.put(ResultFigure.PROMISED_KB, room.promised() >> 10);
       all.put(ResultFigure.FILES, (long) room.segments());
     }
-    Gather<Ticket> waiting = gather;
+    GroupCommitQueue<Ticket> waiting = gather;
     all.put(ResultFigure.WAITING_BYTES, waiting == null ? 0 : waiting.bytes());
     synchronized (syncs) {
       all.put(ResultFigure.SYNCS, syncs.getTotalCount());
--- a/src/main/java/wharftrestle/durable/package-info.java
+++ b/src/main/java/wharftrestle/storage/package-info.java
@@ -7,4 +7,4 @@
  * which alone does I/O, through {@link wharftrestle.durable.Disk}. It must never let a caller wait
  * for the disk under a lock, decide who may run, or grow past its bounds.
  */
-package wharftrestle.durable;
+package wharftrestle.storage;
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -50,10 +50,10 @@
   static final ArchRule onlyTheJournalMeetsTheDisk =
       noClasses()
           .that()
-          .resideInAPackage("wharftrestle.durable..")
+          .resideInAPackage("wharftrestle.storage..")
           .and()
           .haveNameNotMatching(
-              ".*\\.(Journal|FileDisk|Disk|UnusableException|Compaction|Results.*)(\\$.*)?")
+              ".*\\.(WriteAheadLog|FileSegmentStore|SegmentStore|UnusableStorageException|Compaction|ResultLogTool)(\\$.*)?")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
@@ -73,7 +73,7 @@
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
-              "wharftrestle.durable..",
+              "wharftrestle.storage..",
               "wharftrestle.settings..",
               "java.nio.file..",
               "java.nio.channels..",
--- a/src/test/java/wharftrestle/ResultsTest.java
+++ b/src/test/java/wharftrestle/ResultsTest.java
@@ -21,8 +21,8 @@
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
 import wharftrestle.core.Records;
-import wharftrestle.durable.Journal;
-import wharftrestle.durable.UnusableException;
+import wharftrestle.storage.WriteAheadLog;
+import wharftrestle.storage.UnusableStorageException;
 import wharftrestle.lab.RespPeer.Reply;
 import wharftrestle.net.Config;
 
@@ -135,13 +135,13 @@
     Path first = folder.resolve("first");
     try (Loopback site = new Loopback(Sites.site(), keeping(first))) {
       assertTrue(site.life.core().ready());
-      UnusableException held =
-          assertThrows(UnusableException.class, () -> new Loopback(Sites.site(), keeping(first)));
+      UnusableStorageException held =
+          assertThrows(UnusableStorageException.class, () -> new Loopback(Sites.site(), keeping(first)));
       assertTrue(held.getMessage().endsWith("is held by another process"), held.getMessage());
     }
     Path file = Files.createFile(folder.resolve("file"));
     assertTrue(
-        assertThrows(UnusableException.class, () -> new Loopback(Sites.site(), keeping(file)))
+        assertThrows(UnusableStorageException.class, () -> new Loopback(Sites.site(), keeping(file)))
             .getMessage()
             .contains("cannot be written"));
   }
@@ -210,7 +210,7 @@
     }
     assertTrue(moments.size() > 5, moments.size() + " moments");
     for (Moment moment : moments) {
-      try (Journal journal = new Journal(keeping(moment.left()).durable())) {
+      try (WriteAheadLog journal = new WriteAheadLog(keeping(moment.left()).durable())) {
         Records.Recovered recovered = journal.open(wide.window);
         Set<String> known = new HashSet<>();
         recovered.keys().forEach(key -> known.add(key.key().replaceFirst("2/0/", "")));
--- a/src/test/java/wharftrestle/durable/GatherTest.java
+++ b/src/test/java/wharftrestle/storage/GroupCommitQueueTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.util.List;
 import org.jetbrains.lincheck.datastructures.IntGen;
@@ -13,10 +13,10 @@
  * writer.
  */
 @Param(name = "entry", gen = IntGen.class, conf = "1:3")
-public class GatherTest {
+public class GroupCommitQueueTest {
   private static final Integer[] ENTRIES = {null, 1000, 2000, 3000}; // told apart by identity
 
-  private final Gather<Integer> gather = new Gather<>(2);
+  private final GroupCommitQueue<Integer> gather = new GroupCommitQueue<>(2);
 
   @Operation
   public boolean add(@Param(name = "entry") int entry) {
@@ -55,7 +55,7 @@
         .actorsPerThread(3)
         .iterations(15)
         .invocationsPerIteration(300)
-        .check(GatherTest.class);
+        .check(GroupCommitQueueTest.class);
   }
 
   @Test
@@ -65,6 +65,6 @@
         .actorsPerThread(3)
         .iterations(10)
         .invocationsPerIteration(1000)
-        .check(GatherTest.class);
+        .check(GroupCommitQueueTest.class);
   }
 }
--- a/src/test/java/wharftrestle/durable/MemoryDisk.java
+++ b/src/test/java/wharftrestle/storage/MemorySegmentStore.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -14,7 +14,7 @@
  * n-th fails, stalls, or is where the machine loses power; then each unsynced block of 512 bytes is
  * there or not, as a seed says.
  */
-final class MemoryDisk implements Disk {
+final class MemorySegmentStore implements SegmentStore {
   private static final int BLOCK = 512;
 
   /** What is on the platter, and what a process sees. */
@@ -78,9 +78,9 @@
   }
 
   /** What a process finds after the power came back. */
-  synchronized MemoryDisk afterPowerLoss(long seed) {
+  synchronized MemorySegmentStore afterPowerLoss(long seed) {
     Random random = new Random(seed);
-    MemoryDisk next = new MemoryDisk();
+    MemorySegmentStore next = new MemorySegmentStore();
     next.boot = boot + 1;
     next.list = list == null ? null : list.clone();
     files.forEach(
@@ -100,8 +100,8 @@
   }
 
   /** What the next process finds after this one was killed: all that it wrote. */
-  synchronized MemoryDisk afterKill() {
-    MemoryDisk next = new MemoryDisk();
+  synchronized MemorySegmentStore afterKill() {
+    MemorySegmentStore next = new MemorySegmentStore();
     next.boot = boot;
     next.list = list == null ? null : list.clone();
     files.forEach(
--- a/src/test/java/wharftrestle/durable/ResultsFolderTest.java
+++ b/src/test/java/wharftrestle/storage/ResultLogToolTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -25,20 +25,20 @@
 import wharftrestle.net.Config;
 
 /** What operators see of a folder that no daemon has. */
-class ResultsFolderTest {
+class ResultLogToolTest {
   private static final byte[] RESULT = {'s', 'a', 'v', 'e', 'd', 0, (byte) 200};
 
   @TempDir private Path folder;
 
   private interface Act {
-    Object on(ResultsFolder results, PrintStream out) throws IOException;
+    Object on(ResultLogTool results, PrintStream out) throws IOException;
   }
 
   private Object answer;
 
   private String said(Act act) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (ResultsFolder results = new ResultsFolder(folder)) {
+    try (ResultLogTool results = new ResultLogTool(folder)) {
       answer = act.on(results, new PrintStream(bytes, true, StandardCharsets.UTF_8));
     }
     return bytes.toString(StandardCharsets.UTF_8);
@@ -55,12 +55,12 @@
   @BeforeEach
   void threeKeysOverThreeStarts() throws Exception {
     for (String key : new String[] {"2/0/first", "2/0/second", "2/1/third"}) {
-      try (Journal journal = new Journal(settings())) {
+      try (WriteAheadLog journal = new WriteAheadLog(settings())) {
         journal.open(20);
         CountDownLatch written = new CountDownLatch(1);
         journal.intend(keyed(key), place -> written.countDown());
         written.await();
-        assertThrows(UnusableException.class, () -> new ResultsFolder(folder), "a daemon has it");
+        assertThrows(UnusableStorageException.class, () -> new ResultLogTool(folder), "a daemon has it");
         if (!key.contains("third")) {
           CountDownLatch ended = new CountDownLatch(1);
           journal.ended(keyed(key), RESULT, place -> ended.countDown());
@@ -110,7 +110,7 @@
     assertTrue((boolean) answer);
     said((results, out) -> results.compact(out));
     assertFalse((boolean) answer, "nothing more to gain");
-    try (Journal next = new Journal(settings())) {
+    try (WriteAheadLog next = new WriteAheadLog(settings())) {
       Records.Recovered recovered = next.open(20);
       assertEquals(3, recovered.keys().size());
       assertArrayEquals(RESULT, next.read("2/0/first", recovered.keys().get(0).place()));
@@ -131,9 +131,9 @@
     Files.write(first, bytes);
     String hurt = said((results, out) -> results.verify(out));
     assertTrue(!(boolean) answer && hurt.contains("DAMAGED"), hurt);
-    assertThrows(UnusableException.class, () -> said((results, out) -> results.compact(out)));
+    assertThrows(UnusableStorageException.class, () -> said((results, out) -> results.compact(out)));
     Files.delete(first);
     assertTrue(said((results, out) -> results.verify(out)).contains("missing"));
-    assertThrows(UnusableException.class, () -> new ResultsFolder(folder.resolve("none")));
+    assertThrows(UnusableStorageException.class, () -> new ResultLogTool(folder.resolve("none")));
   }
 }
--- a/src/test/java/wharftrestle/durable/CoreRecordsTest.java
+++ b/src/test/java/wharftrestle/storage/ResultRecorderTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -25,9 +25,9 @@
  * The core with a journal on a disk that fails, stalls and fills: what a keyed request gets, and
  * what an unkeyed one.
  */
-class CoreRecordsTest {
-  private final MemoryDisk disk = new MemoryDisk();
-  private final Journal journal = new Journal(LogTest.settings(4, "group"), () -> disk);
+class ResultRecorderTest {
+  private final MemorySegmentStore disk = new MemorySegmentStore();
+  private final WriteAheadLog journal = new WriteAheadLog(WriteAheadLogTest.settings(4, "group"), () -> disk);
   private final BlockingQueue<String> spawned = new LinkedBlockingQueue<>();
   private final Core core =
       new Core(
@@ -39,7 +39,7 @@
           new Counters(List.of("read", "keyed")));
   private int references;
 
-  CoreRecordsTest() throws Exception {
+  ResultRecorderTest() throws Exception {
     core.record(journal);
     core.recovered(journal.open(20));
     core.open(
@@ -256,9 +256,9 @@
 
   @Test
   void aDamagedLogLetsNoUnknownKeyRunForAWindow() throws Exception {
-    MemoryDisk other = disk.afterKill();
+    MemorySegmentStore other = disk.afterKill();
     other.lose(other.numbers().get(0));
-    Journal next = new Journal(LogTest.settings(4, "group"), () -> other);
+    WriteAheadLog next = new WriteAheadLog(WriteAheadLogTest.settings(4, "group"), () -> other);
     core.recovered(next.open(20));
     Asked unknown = new Asked("k", "x");
     assertEquals(
--- a/src/test/java/wharftrestle/durable/StoredFormatFixtures.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -79,7 +79,7 @@
 
   static String export(Path folder) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (ResultsFolder results = new ResultsFolder(folder)) {
+    try (ResultLogTool results = new ResultLogTool(folder)) {
       results.export(new PrintStream(bytes, true, StandardCharsets.UTF_8));
     }
     return bytes.toString(StandardCharsets.UTF_8);
@@ -91,12 +91,12 @@
 
   /** Three starts, each of which begins a segment; one record a batch, and one batch of two. */
   static void writeSequence(Path folder) throws Exception {
-    try (Journal journal = open(folder)) {
+    try (WriteAheadLog journal = open(folder)) {
       writeIntent(journal, key("2/0/first", 1));
       writeEnd(journal, key("2/0/first", 1), new byte[] {'s', 'a', 'v', 'e', 'd', 0, (byte) 200});
       writeIntent(journal, key("2/0/second", 2));
     }
-    try (Journal journal = open(folder)) {
+    try (WriteAheadLog journal = open(folder)) {
       writeEnd(journal, key("2/0/second", 2), new byte[0]);
       writeIntent(journal, key("2/1/r\u00fcck/\u20ac", 3));
       writeEnd(journal, key("2/1/r\u00fcck/\u20ac", 3), null);
@@ -104,7 +104,7 @@
       journal.voided(key("3/0/never begun", 4));
     }
     FixedBootDisk disk = new FixedBootDisk(folder, BOOT);
-    try (Journal journal = open(folder, disk)) {
+    try (WriteAheadLog journal = open(folder, disk)) {
       disk.holdSyncs();
       CountDownLatch three = new CountDownLatch(3);
       journal.intend(key("3/0/alone", 7), place -> three.countDown());
@@ -123,12 +123,12 @@
     }
   }
 
-  private static Journal open(Path folder) throws IOException {
+  private static WriteAheadLog open(Path folder) throws IOException {
     return open(folder, new FixedBootDisk(folder, BOOT));
   }
 
-  private static Journal open(Path folder, Disk disk) throws IOException {
-    Journal journal = new Journal(settings(folder), () -> disk);
+  private static WriteAheadLog open(Path folder, SegmentStore disk) throws IOException {
+    WriteAheadLog journal = new WriteAheadLog(settings(folder), () -> disk);
     journal.open(LONGEST_WINDOW_SECONDS);
     return journal;
   }
@@ -137,7 +137,7 @@
     return new Records.Keyed(key, LAST_DOOR + number, WINDOW_SECONDS + number, CHECK + number);
   }
 
-  private static void writeIntent(Journal journal, Records.Keyed keyed) throws Exception {
+  private static void writeIntent(WriteAheadLog journal, Records.Keyed keyed) throws Exception {
     CountDownLatch written = new CountDownLatch(1);
     if (journal.intend(keyed, place -> written.countDown()) == null) {
       throw new IllegalStateException("no intent could be written");
@@ -145,7 +145,7 @@
     await(written);
   }
 
-  private static void writeEnd(Journal journal, Records.Keyed keyed, byte[] result)
+  private static void writeEnd(WriteAheadLog journal, Records.Keyed keyed, byte[] result)
       throws Exception {
     CountDownLatch written = new CountDownLatch(1);
     journal.ended(keyed, result, place -> written.countDown());
@@ -162,9 +162,9 @@
   private static void tearTail(Path segment) throws Exception {
     byte[] bytes = Files.readAllBytes(segment);
     Segment.Seen seen = Segment.scan(ByteBuffer.wrap(bytes), (record, offset) -> {});
-    Record cut =
-        new Record(
-            Record.Kind.INTENT,
+    LogRecord cut =
+        new LogRecord(
+            LogRecord.Kind.INTENT,
             true,
             seen.lastBatch() + 1,
             LAST_DOOR,
@@ -184,7 +184,7 @@
   static String describeRecords(Path folder) throws Exception {
     StringBuilder text = new StringBuilder();
     byte[] manifest = Files.readAllBytes(folder.resolve(MANIFEST));
-    text.append("manifest numbers=").append(Listing.parse(manifest)).append('\n');
+    text.append("manifest numbers=").append(Manifest.parse(manifest)).append('\n');
     for (String name : SEGMENTS) {
       byte[] bytes = Files.readAllBytes(folder.resolve(name));
       StringBuilder records = new StringBuilder();
@@ -219,7 +219,7 @@
     return text.toString();
   }
 
-  private static String describe(Record record, int offset) {
+  private static String describe(LogRecord record, int offset) {
     return String.format(
         "record offset=%d kind=%d ends=%b batch=%d wall=%d steady=%d lastDoor=%d window=%d"
             + " check=%016x result=%s key=%s",
@@ -247,7 +247,7 @@
   /** What a daemon that starts on the folder knows: a line a key, results as it reads them. */
   static String describeRecovered(Path folder) throws IOException {
     StringJoiner lines = new StringJoiner("\n", "", "\n");
-    Journal journal = new Journal(settings(folder), () -> new FixedBootDisk(folder, BOOT + 1));
+    WriteAheadLog journal = new WriteAheadLog(settings(folder), () -> new FixedBootDisk(folder, BOOT + 1));
     try {
       Records.Recovered recovered = journal.open(LONGEST_WINDOW_SECONDS);
       lines.add("blind=" + (recovered.blindUntil() > Double.NEGATIVE_INFINITY));
@@ -270,13 +270,13 @@
   }
 
   /** Real files under a fixed boot; a sync can be held up, so that records gather behind it. */
-  private static final class FixedBootDisk implements Disk {
-    private final FileDisk files;
+  private static final class FixedBootDisk implements SegmentStore {
+    private final FileSegmentStore files;
     private final long boot;
     private final Semaphore syncs = new Semaphore(Integer.MAX_VALUE);
 
     FixedBootDisk(Path folder, long boot) throws IOException {
-      files = new FileDisk(folder);
+      files = new FileSegmentStore(folder);
       this.boot = boot;
     }
 
--- a/src/test/java/wharftrestle/durable/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatTest.java
@@ -1,14 +1,14 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static wharftrestle.durable.StoredFormatFixtures.EXPORT;
-import static wharftrestle.durable.StoredFormatFixtures.MANIFEST;
-import static wharftrestle.durable.StoredFormatFixtures.RECORDS;
-import static wharftrestle.durable.StoredFormatFixtures.RECOVERED;
-import static wharftrestle.durable.StoredFormatFixtures.SEGMENTS;
-import static wharftrestle.durable.StoredFormatFixtures.STORE;
+import static wharftrestle.storage.StoredFormatFixtures.EXPORT;
+import static wharftrestle.storage.StoredFormatFixtures.MANIFEST;
+import static wharftrestle.storage.StoredFormatFixtures.RECORDS;
+import static wharftrestle.storage.StoredFormatFixtures.RECOVERED;
+import static wharftrestle.storage.StoredFormatFixtures.SEGMENTS;
+import static wharftrestle.storage.StoredFormatFixtures.STORE;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -108,7 +108,7 @@
 
   /** Writes segments, records with their recorded times, torn bytes and manifest. */
   private void writeFolder(List<String> lines) throws IOException {
-    FileDisk disk = new FileDisk(folder);
+    FileSegmentStore disk = new FileSegmentStore(folder);
     try {
       List<Long> numbers = new ArrayList<>();
       for (String line : lines) {
@@ -116,7 +116,7 @@
           numbers.add(Long.parseLong(field(line, "number")));
           disk.create(numbers.get(numbers.size() - 1), head(line), integer(line, "capacity"));
         } else if (line.startsWith("record ")) {
-          Record record = record(line);
+          LogRecord record = record(line);
           ByteBuffer bytes = ByteBuffer.allocate(record.size());
           record.put(bytes);
           disk.write(numbers.get(numbers.size() - 1), integer(line, "offset"), bytes.flip());
@@ -125,7 +125,7 @@
           disk.write(numbers.get(numbers.size() - 1), integer(line, "offset"), bytes);
         }
       }
-      disk.list(Listing.of(numbers));
+      disk.list(Manifest.of(numbers));
     } finally {
       disk.close();
     }
@@ -139,9 +139,9 @@
         integer(line, "capacity"));
   }
 
-  private static Record record(String line) {
-    return new Record(
-        Record.Kind.values()[integer(line, "kind") - 1],
+  private static LogRecord record(String line) {
+    return new LogRecord(
+        LogRecord.Kind.values()[integer(line, "kind") - 1],
         Boolean.parseBoolean(field(line, "ends")),
         integer(line, "batch"),
         Long.parseLong(field(line, "wall")),
@@ -174,14 +174,14 @@
     while (isComplete(segment, at)) {
       Arrays.fill(bytes, at + RECORD_CRC_AT, at + RECORD_CRC_AT + Integer.BYTES, (byte) 0);
       Arrays.fill(bytes, at + RECORD_TIMES_AT, at + RECORD_TIMES_END, (byte) 0);
-      at += Record.aligned(Record.HEAD + segment.getInt(at));
+      at += LogRecord.aligned(LogRecord.HEAD + segment.getInt(at));
     }
     Arrays.fill(bytes, at, bytes.length, (byte) 0);
     return bytes;
   }
 
   private static boolean isComplete(ByteBuffer segment, int at) {
-    return segment.limit() - at >= Record.HEAD && Record.at(segment, at) != null;
+    return segment.limit() - at >= LogRecord.HEAD && LogRecord.at(segment, at) != null;
   }
 
   private static String differenceOf(Path expected, Path actual) {
--- a/src/test/java/wharftrestle/durable/LogTest.java
+++ b/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.durable;
+package wharftrestle.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -31,7 +31,7 @@
 import wharftrestle.net.Config;
 
 /** The log alone: crashes at every byte and every operation, damage, bounds. */
-class LogTest {
+class WriteAheadLogTest {
   private static final double WINDOW = 20;
 
   static Config.Durable settings(long mb, String sync) {
@@ -69,7 +69,7 @@
    * Runs one key from intent to result; where the result lies, below 0 where any of it was not
    * written.
    */
-  private static long run(Journal journal, String key, byte[] result) throws InterruptedException {
+  private static long run(WriteAheadLog journal, String key, byte[] result) throws InterruptedException {
     Word intent = new Word();
     if (journal.intend(keyed(key), intent) == null || intent.await() < 0) {
       return -2;
@@ -91,8 +91,8 @@
 
   @Example
   void whatWasRecordedIsKnownAfterAKillByteForByte() throws Exception {
-    MemoryDisk disk = new MemoryDisk();
-    try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
+    MemorySegmentStore disk = new MemorySegmentStore();
+    try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> disk)) {
       assertTrue(byKey(journal.open(WINDOW)).isEmpty());
       assertTrue(run(journal, "2/0/good", result(3)) >= 0);
       Word intent = new Word();
@@ -106,7 +106,7 @@
       journal.withdraw(given, keyed("2/0/void"));
       assertTrue(run(journal, "2/0/last", result(4)) >= 0);
     }
-    try (Journal next = new Journal(settings(4, "group"), () -> disk.afterKill())) {
+    try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> disk.afterKill())) {
       Map<String, Records.Remembered> known = byKey(next.open(WINDOW));
       assertEquals(Set.of("2/0/good", "2/0/open", "2/0/bad", "2/0/last"), known.keySet());
       assertArrayEquals(result(3), next.read("2/0/good", known.get("2/0/good").place()));
@@ -121,44 +121,44 @@
 
   @Example
   void anotherProcessAnotherFormatAndANewerVersionAreToldInOneLine() throws Exception {
-    MemoryDisk foreign = new MemoryDisk();
+    MemorySegmentStore foreign = new MemorySegmentStore();
     foreign.replace(
         1,
         "PK: the packed papers of somebody else, in a file of this name and long enough"
             .getBytes(StandardCharsets.UTF_8));
     assertThrows(
-        UnusableException.class,
-        () -> new Journal(settings(4, "group"), () -> foreign).open(WINDOW));
-    MemoryDisk newer = new MemoryDisk();
+        UnusableStorageException.class,
+        () -> new WriteAheadLog(settings(4, "group"), () -> foreign).open(WINDOW));
+    MemorySegmentStore newer = new MemorySegmentStore();
     newer.list("wharftrestle-results 2\nend 0\n".getBytes(StandardCharsets.UTF_8));
-    byte[] list = Listing.of(List.of(1L));
+    byte[] list = Manifest.of(List.of(1L));
     String text = new String(list, StandardCharsets.UTF_8).replace("results 1", "results 9");
     assertNull(
-        Listing.parse(text.getBytes(StandardCharsets.UTF_8)), "its check is of another text");
+        Manifest.parse(text.getBytes(StandardCharsets.UTF_8)), "its check is of another text");
     ByteBuffer head = Segment.head(1, 1, 7, 1024);
     head.putInt(8, 9);
     java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
     crc.update(head.slice(0, 40));
     head.putInt(40, (int) crc.getValue());
     newer.create(1, head, 1024);
-    UnusableException e =
+    UnusableStorageException e =
         assertThrows(
-            UnusableException.class,
-            () -> new Journal(settings(4, "group"), () -> newer).open(WINDOW));
+            UnusableStorageException.class,
+            () -> new WriteAheadLog(settings(4, "group"), () -> newer).open(WINDOW));
     assertTrue(
         e.getMessage().contains("version 9") && e.getMessage().lines().count() == 1,
         e.getMessage());
   }
 
   /** A log of three batches, with the places where its records begin. */
-  private static byte[] written(List<Record> records, List<Integer> begins) {
+  private static byte[] written(List<LogRecord> records, List<Integer> begins) {
     ByteBuffer file = ByteBuffer.allocate(4096);
     file.put(Segment.head(1, 3, 7, 4096));
     for (int i = 0; i < 9; i++) {
-      Record.Kind kind =
-          i % 3 == 0 ? Record.Kind.INTENT : i % 3 == 1 ? Record.Kind.RESULT : Record.Kind.INTENT;
-      Record record =
-          new Record(
+      LogRecord.Kind kind =
+          i % 3 == 0 ? LogRecord.Kind.INTENT : i % 3 == 1 ? LogRecord.Kind.RESULT : LogRecord.Kind.INTENT;
+      LogRecord record =
+          new LogRecord(
               kind,
               i % 3 == 2,
               1 + i / 3,
@@ -168,7 +168,7 @@
               20_000,
               i,
               "2/0/k" + (i % 3 == 1 ? i - 1 : i),
-              kind == Record.Kind.RESULT ? result(i) : new byte[0]);
+              kind == LogRecord.Kind.RESULT ? result(i) : new byte[0]);
       begins.add(file.position());
       record.put(file);
       records.add(record);
@@ -179,7 +179,7 @@
 
   @Example
   void aFileCutAtAnyByteNeverLosesAKeyUnseen() throws Exception {
-    List<Record> records = new ArrayList<>();
+    List<LogRecord> records = new ArrayList<>();
     List<Integer> begins = new ArrayList<>();
     byte[] whole = written(records, begins);
     for (int cut = 0; cut <= whole.length; cut++) {
@@ -198,13 +198,13 @@
 
   @Example
   void zerosFromAnyByteOnAreATornEndAndLoseNothingBefore() throws Exception {
-    List<Record> records = new ArrayList<>();
+    List<LogRecord> records = new ArrayList<>();
     List<Integer> begins = new ArrayList<>();
     byte[] whole = written(records, begins);
     for (int cut = begins.get(0); cut <= begins.get(9); cut++) {
       byte[] torn = whole.clone();
       Arrays.fill(torn, cut, torn.length, (byte) 0);
-      List<Record> known = new ArrayList<>();
+      List<LogRecord> known = new ArrayList<>();
       Segment.Seen seen = Segment.scan(ByteBuffer.wrap(torn), (record, at) -> known.add(record));
       assertFalse(seen.damaged(), "a write that was never synced is no damage: " + cut);
       for (int i = 0; i < records.size(); i++) {
@@ -243,14 +243,14 @@
     Random random = new Random(seed);
     ByteBuffer file = ByteBuffer.allocate(2048);
     file.put(Segment.head(1, 3, 7, 2048));
-    List<Record> records = new ArrayList<>();
+    List<LogRecord> records = new ArrayList<>();
     List<Integer> ends = new ArrayList<>();
     for (int batch = 1; file.remaining() > 400; batch++) {
       int size = 1 + random.nextInt(3);
       for (int i = 0; i < size && file.remaining() > 200; i++) {
-        Record.Kind kind = Record.Kind.values()[random.nextInt(4)];
-        Record record =
-            new Record(
+        LogRecord.Kind kind = LogRecord.Kind.values()[random.nextInt(4)];
+        LogRecord record =
+            new LogRecord(
                 kind,
                 i == size - 1 || file.remaining() <= 400,
                 batch,
@@ -260,18 +260,18 @@
                 20_000,
                 5,
                 "k" + random.nextInt(5),
-                kind == Record.Kind.RESULT ? result(random.nextInt(100)) : new byte[0]);
+                kind == LogRecord.Kind.RESULT ? result(random.nextInt(100)) : new byte[0]);
         int begin = file.position();
         record.put(file);
         records.add(record);
-        ends.add(begin + Record.HEAD + file.getInt(begin)); // the zeros behind it say nothing
+        ends.add(begin + LogRecord.HEAD + file.getInt(begin)); // the zeros behind it say nothing
       }
     }
     for (int cut = Segment.HEAD; cut <= 2048; cut++) {
       byte[] torn = file.array().clone();
       Arrays.fill(torn, cut, torn.length, (byte) 0);
-      Map<String, Record> whole = new HashMap<>();
-      Map<String, Record> unharmed = new HashMap<>(); // also those of which only zeros were cut
+      Map<String, LogRecord> whole = new HashMap<>();
+      Map<String, LogRecord> unharmed = new HashMap<>(); // also those of which only zeros were cut
       for (int i = 0; i < records.size(); i++) {
         if (ends.get(i) <= cut) {
           whole.put(records.get(i).key(), records.get(i));
@@ -287,7 +287,7 @@
     }
   }
 
-  private static void recovers(byte[] bytes, Map<String, Record> model, boolean damaged, int cut)
+  private static void recovers(byte[] bytes, Map<String, LogRecord> model, boolean damaged, int cut)
       throws Exception {
     Recovery recovery = new Recovery(System.currentTimeMillis(), 1000);
     Segment.Seen seen =
@@ -298,9 +298,9 @@
         "cut at " + cut + ": where keys may be lost none that is unknown runs");
     Map<String, Recovery.Known> known = new HashMap<>();
     recovery.keys().forEach(key -> known.put(key.key(), key));
-    for (Record last : model.values()) {
+    for (LogRecord last : model.values()) {
       Recovery.Known key = known.remove(last.key());
-      if (last.kind() == Record.Kind.VOID) {
+      if (last.kind() == LogRecord.Kind.VOID) {
         assertNull(key, "cut at " + cut);
         continue;
       }
@@ -308,8 +308,8 @@
       byte[] found =
           key.place() < 0
               ? new byte[0]
-              : Record.at(ByteBuffer.wrap(bytes), (int) key.place()).result();
-      assertEquals(last.kind() == Record.Kind.RESULT, key.place() >= 0);
+              : LogRecord.at(ByteBuffer.wrap(bytes), (int) key.place()).result();
+      assertEquals(last.kind() == LogRecord.Kind.RESULT, key.place() >= 0);
       assertArrayEquals(last.result(), found);
     }
   }
@@ -328,30 +328,30 @@
 
   @Example
   void aMissingFileOrListIsDamageAndUnknownKeysStayOut() throws Exception {
-    MemoryDisk disk = new MemoryDisk();
-    try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
+    MemorySegmentStore disk = new MemorySegmentStore();
+    try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> disk)) {
       journal.open(WINDOW);
       run(journal, "2/0/a", result(1));
     }
-    MemoryDisk without = disk.afterKill();
+    MemorySegmentStore without = disk.afterKill();
     without.lose(without.numbers().get(0));
-    MemoryDisk again = without;
+    MemorySegmentStore again = without;
     for (int i = 0; i < 2; i++) { // and also where the process that found it dies as well
-      MemoryDisk found = again;
-      try (Journal next = new Journal(settings(4, "group"), () -> found)) {
+      MemorySegmentStore found = again;
+      try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> found)) {
         assertTrue(blind(next.open(WINDOW)));
       }
       again = found.afterKill();
     }
-    MemoryDisk short1 = disk.afterKill();
+    MemorySegmentStore short1 = disk.afterKill();
     short1.replace(
         short1.numbers().get(0), Arrays.copyOf(short1.bytes(short1.numbers().get(0)), 100));
-    try (Journal next = new Journal(settings(4, "group"), () -> short1)) {
+    try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> short1)) {
       assertTrue(blind(next.open(WINDOW)), "a file that was cut");
     }
-    MemoryDisk unlisted = disk.afterKill();
+    MemorySegmentStore unlisted = disk.afterKill();
     unlisted.list("rubbish".getBytes(StandardCharsets.UTF_8));
-    try (Journal next = new Journal(settings(4, "group"), () -> unlisted)) {
+    try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> unlisted)) {
       assertTrue(blind(next.open(WINDOW)), "a list that says nothing");
     }
   }
@@ -364,14 +364,14 @@
   void afterALossOfPowerAtAnyOperationWhatWasToldIsKnown() throws Exception {
     int operations = Integer.MAX_VALUE;
     for (int dieAt = 1; dieAt < operations; dieAt++) {
-      MemoryDisk disk = new MemoryDisk();
+      MemorySegmentStore disk = new MemorySegmentStore();
       Set<String> intended = new HashSet<>();
       Map<String, byte[]> ended = new HashMap<>();
-      Journal journal = new Journal(settings(4, "group"), () -> disk);
+      WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> disk);
       disk.die(dieAt);
       try {
         journal.open(WINDOW);
-      } catch (UnusableException e) {
+      } catch (UnusableStorageException e) {
         continue; // nothing was told yet
       }
       for (int i = 0; i < 6; i++) {
@@ -388,9 +388,9 @@
         }
       }
       operations = disk.dead() ? operations : dieAt;
-      MemoryDisk left = disk.afterPowerLoss(dieAt);
+      MemorySegmentStore left = disk.afterPowerLoss(dieAt);
       journal.close();
-      try (Journal next = new Journal(settings(4, "group"), () -> left)) {
+      try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> left)) {
         Records.Recovered recovered = next.open(WINDOW);
         Map<String, Records.Remembered> known = byKey(recovered);
         assertTrue(
@@ -405,9 +405,9 @@
   }
 
   /** The next write goes well and its sync does not: that is told, and a fresh file goes on. */
-  private static void goesOnAfter(Consumer<MemoryDisk> fault) throws Exception {
-    MemoryDisk disk = new MemoryDisk();
-    try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
+  private static void goesOnAfter(Consumer<MemorySegmentStore> fault) throws Exception {
+    MemorySegmentStore disk = new MemorySegmentStore();
+    try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> disk)) {
       journal.open(WINDOW);
       run(journal, "2/0/before", result(1));
       fault.accept(disk);
@@ -437,7 +437,7 @@
 
   @Example
   void aFaultInWhoIsToldEndsNoWriter() throws Exception {
-    try (Journal journal = new Journal(settings(4, "group"), MemoryDisk::new)) {
+    try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), MemorySegmentStore::new)) {
       journal.open(WINDOW);
       journal.intend(
           keyed("2/0/bad"),
@@ -450,8 +450,8 @@
 
   @Example
   void aStalledDiskIsSeenAndWhatWaitsCanBeTakenBack() throws Exception {
-    MemoryDisk disk = new MemoryDisk();
-    try (Journal journal = new Journal(settings(4, "group"), () -> disk)) {
+    MemorySegmentStore disk = new MemorySegmentStore();
+    try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> disk)) {
       journal.open(WINDOW);
       disk.stall();
       Word first = new Word();
@@ -468,17 +468,17 @@
       first.await();
       run(journal, "2/0/c", result(1));
     }
-    try (Journal next = new Journal(settings(4, "group"), () -> disk.afterKill())) {
+    try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> disk.afterKill())) {
       assertEquals(Set.of("2/0/c"), byKey(next.open(WINDOW)).keySet());
     }
   }
 
   @Example
   void aFullStoreTakesNoIntentWhoseResultWouldNotFit() throws Exception {
-    MemoryDisk disk = new MemoryDisk();
+    MemorySegmentStore disk = new MemorySegmentStore();
     Config.Durable small = settings(4, "none");
     long lost = 0;
-    try (Journal journal = new Journal(small, () -> disk)) {
+    try (WriteAheadLog journal = new WriteAheadLog(small, () -> disk)) {
       journal.open(WINDOW);
       int taken = 0;
       byte[] longest = new byte[4096];
@@ -507,10 +507,10 @@
 
   @Example
   void startsOneAfterAnotherDoNotFillTheFolder() throws Exception {
-    MemoryDisk disk = new MemoryDisk();
+    MemorySegmentStore disk = new MemorySegmentStore();
     for (int start = 0; start < 40; start++) {
-      MemoryDisk found = disk;
-      try (Journal journal = new Journal(settings(4, "group"), () -> found)) {
+      MemorySegmentStore found = disk;
+      try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> found)) {
         Map<String, Records.Remembered> known = byKey(journal.open(WINDOW));
         assertEquals(start, known.size(), "start " + start);
         assertNull(journal.refusal(), "start " + start);
@@ -538,11 +538,11 @@
 
   @Example
   void aCompactionThatDiesAnywhereLeavesALogThatSaysTheSame() throws Exception {
-    MemoryDisk full = new MemoryDisk();
+    MemorySegmentStore full = new MemorySegmentStore();
     Map<String, byte[]> results = new HashMap<>();
     for (int start = 0; start < 5; start++) {
-      MemoryDisk found = full;
-      try (Journal journal = new Journal(settings(4, "group"), () -> found)) {
+      MemorySegmentStore found = full;
+      try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> found)) {
         journal.open(WINDOW);
         results.put("2/0/k" + start, result(start));
         run(journal, "2/0/k" + start, result(start));
@@ -551,7 +551,7 @@
     }
     boolean died = true;
     for (int dieAt = 1; died; dieAt++) {
-      MemoryDisk disk = full.afterKill();
+      MemorySegmentStore disk = full.afterKill();
       disk.die(dieAt);
       try {
         assertTrue(Compaction.run(disk, 256 * 1024, 16));
@@ -559,8 +559,8 @@
       } catch (IOException power) {
         died = true;
       }
-      MemoryDisk left = disk.afterPowerLoss(dieAt);
-      try (Journal next = new Journal(settings(4, "group"), () -> left)) {
+      MemorySegmentStore left = disk.afterPowerLoss(dieAt);
+      try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> left)) {
         Records.Recovered recovered = next.open(WINDOW);
         assertFalse(blind(recovered), "died at " + dieAt);
         Map<String, Records.Remembered> known = byKey(recovered);
@@ -575,7 +575,7 @@
 
   @Example
   void oldFilesGoAndTheirRoomComesBack() {
-    Room room = new Room(4 << 20);
+    SpaceBudget room = new SpaceBudget(4 << 20);
     room.add(1, Segment.HEAD, 0);
     for (int i = 0; room.promise(200); i++) {
       room.settle(200);
@@ -596,15 +596,15 @@
   void recordsOfAnEarlierBootOrOfACrashLoopAreAgedByTheSteadyClock() {
     long now = 1_000_000;
     Recovery recovery = new Recovery(System.currentTimeMillis(), now);
-    Record old =
-        new Record(
-            Record.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/old", new byte[1]);
-    Record young =
-        new Record(
-            Record.Kind.RESULT, true, 1, 0, now - 29_000, 1, 20_000, 5, "2/0/young", new byte[1]);
-    Record before =
-        new Record(
-            Record.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/boot", new byte[1]);
+    LogRecord old =
+        new LogRecord(
+            LogRecord.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/old", new byte[1]);
+    LogRecord young =
+        new LogRecord(
+            LogRecord.Kind.RESULT, true, 1, 0, now - 29_000, 1, 20_000, 5, "2/0/young", new byte[1]);
+    LogRecord before =
+        new LogRecord(
+            LogRecord.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/boot", new byte[1]);
     recovery.take(old, 1, true);
     recovery.take(young, 2, true);
     recovery.take(before, 3, false);
