--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -14,8 +14,8 @@
 import wharftrestle.storage.WriteAheadLog;
 import wharftrestle.front.Resp;
 import wharftrestle.front.Uwsgi;
-import wharftrestle.handover.Agreement;
-import wharftrestle.handover.Terms;
+import wharftrestle.handover.CompatibilityCheck;
+import wharftrestle.handover.Capabilities;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.net.Config;
@@ -157,11 +157,11 @@
 
   /** The same with a room for keys that is not the heap's share. */
   public Lifecycle(Config config, Config.Appliance appliance, KeyMemoryBudget room) throws IOException {
-    this(config, appliance, room, Agreement.STANDING);
+    this(config, appliance, room, CompatibilityCheck.STANDING);
   }
 
   /** The same with another rule of who may take over from whom. */
-  public Lifecycle(Config config, Config.Appliance appliance, KeyMemoryBudget room, Agreement agreement)
+  public Lifecycle(Config config, Config.Appliance appliance, KeyMemoryBudget room, CompatibilityCheck agreement)
       throws IOException {
     this.config = config;
     this.appliance = appliance;
@@ -310,8 +310,8 @@
   // ---- What a hand-over does to this process ----
 
   @Override
-  public Terms terms() {
-    return new Terms(
+  public Capabilities terms() {
+    return new Capabilities(
         version.line(),
         version.handover(),
         version.log(),
@@ -322,12 +322,12 @@
             .map(
                 each -> {
                   boolean keyed = each.repeat() == Admission.Repeat.KEYED;
-                  return new Terms.Kind(
+                  return new Capabilities.Kind(
                       each.name(), keyed, keyed ? Math.round(each.window() * 1000) : 0);
                 })
             .toList(),
         config.settings().tenants().stream().map(Admission.Tenant::name).toList(),
-        new Terms.Room(0, 0, 0, 0),
+        new Capabilities.Room(0, 0, 0, 0),
         0);
   }
 
--- a/src/main/java/wharftrestle/Succession.java
+++ b/src/main/java/wharftrestle/Succession.java
@@ -7,13 +7,13 @@
 import wharftrestle.clock.Wall;
 import wharftrestle.core.Partner;
 import wharftrestle.core.Threads;
-import wharftrestle.handover.Agreement;
-import wharftrestle.handover.HandOver;
-import wharftrestle.handover.HandOver.Act;
-import wharftrestle.handover.HandOver.Event;
-import wharftrestle.handover.HandOver.State;
-import wharftrestle.handover.Standstill;
-import wharftrestle.handover.Terms;
+import wharftrestle.handover.CompatibilityCheck;
+import wharftrestle.handover.HandoverStateMachine;
+import wharftrestle.handover.HandoverStateMachine.Act;
+import wharftrestle.handover.HandoverStateMachine.Event;
+import wharftrestle.handover.HandoverStateMachine.State;
+import wharftrestle.handover.ProcessPauseDetector;
+import wharftrestle.handover.Capabilities;
 import wharftrestle.net.BoxLink;
 import wharftrestle.net.BoxLink.Word;
 import wharftrestle.net.Bytes;
@@ -21,7 +21,7 @@
 import wharftrestle.version.Build;
 
 /**
- * Carries out the hand-over between the processes of one box: it gives {@link HandOver} what was
+ * Carries out the hand-over between the processes of one box: it gives {@link HandoverStateMachine} what was
  * heard, and does what that asks for. It owns the links to the other processes, the place where
  * they meet, and the waiting. It must never decide a step itself, or wait for the other side while
  * its own lock is held.
@@ -31,7 +31,7 @@
   /** What is done to the process itself; none of it waits for the other process. */
   interface Box {
     /** What this process says of itself, but for the room that its keys have. */
-    Terms terms();
+    Capabilities terms();
 
     /**
      * Has the clients' addresses, beside the other process or alone; false where the platform's
@@ -97,8 +97,8 @@
   private final Path meeting; // null where there is no hand-over
   private final Partner partner;
   private final Box box;
-  private final Agreement agreement;
-  private final HandOver steps;
+  private final CompatibilityCheck agreement;
+  private final HandoverStateMachine steps;
   private final Seat seat; // null where there is no hand-over
   private BoxLink link; // to the other process of the hand-over under way
   private BoxLink next; // asked meanwhile: its turn comes after
@@ -106,7 +106,7 @@
   private String reason = ""; // of the last no
   private boolean refusedBefore; // what is known could not be carried
   private volatile boolean closed;
-  private volatile Standstill standstill; // since this process handed over; null where it has not
+  private volatile ProcessPauseDetector standstill; // since this process handed over; null where it has not
   private boolean lostHeir; // the one that took over has died, and this process leaves
   private int told; // settled keys
   private int given; // open keys
@@ -114,7 +114,7 @@
   private int rounds; // of hand-overs asked for here, so that a late look knows its own
   private ServerSocketChannel successors;
 
-  Succession(String name, Path meeting, Partner partner, Box box, Agreement agreement) {
+  Succession(String name, Path meeting, Partner partner, Box box, CompatibilityCheck agreement) {
     this.name = name;
     this.meeting = meeting;
     this.partner = partner;
@@ -125,7 +125,7 @@
     // Guards against serving without the keys of a process that is stopped, or lives on after its
     // successor died.
     boolean waits = link == null && seat != null && !seat.alone();
-    steps = waits ? new HandOver(State.LOOKING) : new HandOver(link != null);
+    steps = waits ? new HandoverStateMachine(State.LOOKING) : new HandoverStateMachine(link != null);
   }
 
   /** True where this process came second and has yet to serve. */
@@ -279,27 +279,27 @@
 
   private boolean weigh(String said, boolean comes) {
     try {
-      Terms theirs = Terms.read(said);
-      Terms mine = terms();
+      Capabilities theirs = Capabilities.read(said);
+      Capabilities mine = terms();
       String against = comes ? agreement.against(theirs, mine) : agreement.against(mine, theirs);
       if (against == null && comes) {
         if (theirs.scale() != 0) {
           Wall.adopt(
               theirs.scale()); // stamps of keys are compared with those of requests read here
         }
-        partner.join(link, Agreement.stretch(theirs, mine));
+        partner.join(link, CompatibilityCheck.stretch(theirs, mine));
       }
       reason = against == null ? "" : against;
       return against == null;
-    } catch (Terms.UnreadableException e) {
+    } catch (Capabilities.UnreadableException e) {
       reason = e.getMessage();
       return false;
     }
   }
 
-  private Terms terms() {
-    Terms own = box.terms();
-    return new Terms(
+  private Capabilities terms() {
+    Capabilities own = box.terms();
+    return new Capabilities(
         own.build(),
         own.speaks(),
         own.log(),
@@ -313,7 +313,7 @@
   // ---- What is done ----
 
   private void take(Event event) {
-    HandOver.Step step = steps.take(event);
+    HandoverStateMachine.Step step = steps.take(event);
     if (step.outOfTurn()) {
       Logger.debug("{}: {} while {} changes nothing", name, event, step.from());
       return;
@@ -447,7 +447,7 @@
     box.halve(true);
     int open = partner.handOver(to);
     box.closeRecords(); // only the owner of the keys writes, and it reads what is on disk by now
-    Standstill mine = new Standstill(seconds());
+    ProcessPauseDetector mine = new ProcessPauseDetector(seconds());
     standstill = mine;
     Threads.thread("box-awake", () -> lookFor(mine)).start();
     return open;
@@ -476,17 +476,17 @@
   }
 
   /** Not under this lock, which may be held for longer than a look. */
-  private void lookFor(Standstill mine) {
+  private void lookFor(ProcessPauseDetector mine) {
     while (standstill == mine && !closed) {
       synchronized (mine) {
         mine.look(seconds());
       }
-      LockSupport.parkNanos((long) (Standstill.LOOK * 1e9));
+      LockSupport.parkNanos((long) (ProcessPauseDetector.LOOK * 1e9));
     }
   }
 
   private boolean stoodStill() {
-    Standstill mine = standstill;
+    ProcessPauseDetector mine = standstill;
     if (mine == null) {
       return false;
     }
--- a/src/main/java/wharftrestle/core/Partner.java
+++ b/src/main/java/wharftrestle/core/Partner.java
@@ -4,23 +4,23 @@
 import java.util.List;
 import java.util.Set;
 import org.tinylog.Logger;
-import wharftrestle.handover.Between;
-import wharftrestle.handover.Other;
-import wharftrestle.handover.Other.Kept;
-import wharftrestle.handover.Other.Over;
-import wharftrestle.handover.Terms;
+import wharftrestle.handover.KeyOwnershipTransfer;
+import wharftrestle.handover.PeerProcess;
+import wharftrestle.handover.PeerProcess.Kept;
+import wharftrestle.handover.PeerProcess.Over;
+import wharftrestle.handover.Capabilities;
 import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.idempotency.IdempotencyTable;
 
 /**
  * The core's face for the other process of its box: each word of that process enters here, under
- * the core's lock, and {@link Between} decides what it means. It owns the tries that wait for that
+ * the core's lock, and {@link KeyOwnershipTransfer} decides what it means. It owns the tries that wait for that
  * process's word. It must never hold the lock while it waits for the other side.
  */
-public final class Partner implements Between.Host<Task> {
+public final class Partner implements KeyOwnershipTransfer.Host<Task> {
   private final Core core;
   private final IdempotencyTable<Task> keys;
-  private final Between<Task> between;
+  private final KeyOwnershipTransfer<Task> between;
   private final Set<Task> asking = new HashSet<>();
   private Recorder recorder;
   private double roomlessUntil = Double.NEGATIVE_INFINITY;
@@ -28,7 +28,7 @@
   Partner(Core core, IdempotencyTable<Task> keys) {
     this.core = core;
     this.keys = keys;
-    between = new Between<>(keys, this);
+    between = new KeyOwnershipTransfer<>(keys, this);
   }
 
   /** Before the first request. */
@@ -36,17 +36,17 @@
     recorder = records;
   }
 
-  Between<Task> between() {
+  KeyOwnershipTransfer<Task> between() {
     return between;
   }
 
   // ---- The steps of a hand-over ----
 
   /** What is known of keys now, and what there is room for. */
-  public Terms.Room room() {
+  public Capabilities.Room room() {
     core.lock();
     try {
-      return new Terms.Room(
+      return new Capabilities.Room(
           keys.size(), recorder.mostKeys(), keys.resultBytes(), core.mostResultBytes());
     } finally {
       core.unlock();
@@ -59,7 +59,7 @@
    *
    * @return how many, or -1 where the other side did not take them, or nobody wants them any more
    */
-  public int tellSettled(Other to) {
+  public int tellSettled(PeerProcess to) {
     List<KeyDigest> all;
     core.lock();
     try {
@@ -71,7 +71,7 @@
   }
 
   /** The same for a process of format 1, which has been handed all by now. */
-  public int tellSettledAfter(Other to) {
+  public int tellSettledAfter(PeerProcess to) {
     List<KeyDigest> all;
     core.lock();
     try {
@@ -82,7 +82,7 @@
     return tell(to, all);
   }
 
-  private int tell(Other to, List<KeyDigest> all) {
+  private int tell(PeerProcess to, List<KeyDigest> all) {
     int told = 0;
     for (KeyDigest key : all) {
       Over over;
@@ -125,7 +125,7 @@
    * In one step hands all keys over, and with them the say about every further one. What is held or
    * runs here stays here; its end is told.
    */
-  public int handOver(Other to) {
+  public int handOver(PeerProcess to) {
     core.lock();
     try {
       int handed = between.handOver(to, core.now());
@@ -140,7 +140,7 @@
    * From here on the other process of this box is known; its keys follow, and this one is to own
    * them all.
    */
-  public void join(Other from, double stretch) {
+  public void join(PeerProcess from, double stretch) {
     core.lock();
     try {
       between.join(from, stretch);
@@ -246,7 +246,7 @@
   }
 
   public void claimed(String key, long door, byte[] body) {
-    Between.Reread<Task> reread;
+    KeyOwnershipTransfer.Reread<Task> reread;
     core.lock();
     try {
       reread = between.claimed(key, door, body, core.now());
@@ -359,7 +359,7 @@
    * before it begins.
    */
   void tellBeforeRun(Task task) {
-    Other told;
+    PeerProcess told;
     Kept kept;
     core.lock();
     try {
--- a/src/main/java/wharftrestle/core/Recorder.java
+++ b/src/main/java/wharftrestle/core/Recorder.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import org.tinylog.Logger;
 import wharftrestle.core.Core.Answer;
-import wharftrestle.handover.Between;
-import wharftrestle.handover.Other;
+import wharftrestle.handover.KeyOwnershipTransfer;
+import wharftrestle.handover.PeerProcess;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
 import wharftrestle.idempotency.IdempotencyTable;
@@ -24,11 +24,11 @@
   private final Core core;
   private final IdempotencyTable<Task> keys;
   private final KeyMemoryBudget room;
-  private final Between<Task> between;
+  private final KeyOwnershipTransfer<Task> between;
   private volatile Records records; // null where no results are kept
   private int most;
 
-  Recorder(Core core, IdempotencyTable<Task> keys, KeyMemoryBudget room, Between<Task> between) {
+  Recorder(Core core, IdempotencyTable<Task> keys, KeyMemoryBudget room, KeyOwnershipTransfer<Task> between) {
     this.core = core;
     this.keys = keys;
     this.room = room;
@@ -216,7 +216,7 @@
   /** The other process is about to run a key that it has in hand: its intent is written here. */
   void intendElsewhere(String key) {
     IdempotencyTable.Entry<Task> entry = keys.find(key);
-    Other asks = between.other();
+    PeerProcess asks = between.other();
     if (asks == null) {
       return;
     }
--- a/src/main/java/wharftrestle/handover/Terms.java
+++ b/src/main/java/wharftrestle/handover/Capabilities.java
@@ -21,7 +21,7 @@
  * @param scale where its scale of stamps begins, ms; 0 where it does not say, as builds before this
  *     line do not
  */
-public record Terms(
+public record Capabilities(
     String build,
     Range speaks,
     Range log,
@@ -97,7 +97,7 @@
    *
    * @throws UnreadableException in one line
    */
-  public static Terms read(String text) throws UnreadableException {
+  public static Capabilities read(String text) throws UnreadableException {
     String[] lines = text.split("\n");
     if (lines.length > MOST_LINES) {
       throw new UnreadableException("more than " + MOST_LINES + " lines of terms");
@@ -125,7 +125,7 @@
       for (int i = 0; i < room.length; i++) {
         room[i] = Long.parseLong(figures[i]);
       }
-      return new Terms(
+      return new Capabilities(
           need(once, "build"),
           Range.of(need(once, "speaks")),
           Range.of(need(once, "log")),
--- a/src/main/java/wharftrestle/handover/Agreement.java
+++ b/src/main/java/wharftrestle/handover/CompatibilityCheck.java
@@ -8,7 +8,7 @@
  * ask it, so that a later build can know of a reason that an earlier one does not. It must never
  * let through what would be lost: what cannot be carried is a reason here.
  */
-public interface Agreement {
+public interface CompatibilityCheck {
 
   /**
    * Why it cannot be; null where it can.
@@ -16,15 +16,15 @@
    * @param serves the process that serves
    * @param next the one that would take over
    */
-  String against(Terms serves, Terms next);
+  String against(Capabilities serves, Capabilities next);
 
   /** One key in so many may come on top of what is known now until all is handed over. */
   int GROWTH = 10;
 
   /** What holds. */
-  Agreement STANDING = Agreement::standing;
+  CompatibilityCheck STANDING = CompatibilityCheck::standing;
 
-  private static String standing(Terms serves, Terms next) {
+  private static String standing(Capabilities serves, Capabilities next) {
     if (serves.speaks().common(next.speaks()) < 2) {
       return "the hand-over's words have no version in common: "
           + serves.speaks()
@@ -37,8 +37,8 @@
       return folders;
     }
     for (int i = 0; i < Math.min(serves.classes().size(), next.classes().size()); i++) {
-      Terms.Kind here = serves.classes().get(i);
-      Terms.Kind there = next.classes().get(i);
+      Capabilities.Kind here = serves.classes().get(i);
+      Capabilities.Kind there = next.classes().get(i);
       if (!here.name().equals(there.name())) {
         return "class "
             + (i + 1)
@@ -67,9 +67,9 @@
    * Keys must fit; where their results do not, those are let go, the key stays and its tries fail.
    * Where there is as much room there as here, all that can come to be known goes along.
    */
-  private static String room(Terms serves, Terms next) {
-    Terms.Room here = serves.room();
-    Terms.Room there = next.room();
+  private static String room(Capabilities serves, Capabilities next) {
+    Capabilities.Room here = serves.room();
+    Capabilities.Room there = next.room();
     if (there.mostKeys() < here.mostKeys()
         && here.keys() + here.keys() / GROWTH > there.mostKeys()) {
       return here.keys()
@@ -80,7 +80,7 @@
     return null;
   }
 
-  private static String folders(Terms serves, Terms next) {
+  private static String folders(Capabilities serves, Capabilities next) {
     if (serves.folder().isEmpty()) {
       return null;
     }
@@ -128,7 +128,7 @@
    * Seconds by which what is known is stretched: the longest that a window there is longer than
    * here.
    */
-  static double stretch(Terms serves, Terms next) {
+  static double stretch(Capabilities serves, Capabilities next) {
     double most = 0;
     for (int i = 0; i < Math.min(serves.classes().size(), next.classes().size()); i++) {
       most =
--- a/src/main/java/wharftrestle/handover/HandOver.java
+++ b/src/main/java/wharftrestle/handover/HandoverStateMachine.java
@@ -69,7 +69,7 @@
  * CEDED     owns nothing, ends what it has            LOST           ALONE     TAKE_BACK SERVE READY
  * </pre>
  */
-public final class HandOver {
+public final class HandoverStateMachine {
 
   /** How far it has come; the table says what each means. */
   public enum State {
@@ -264,12 +264,12 @@
   /**
    * @param meets true where another process serves this box
    */
-  public HandOver(boolean meets) {
+  public HandoverStateMachine(boolean meets) {
     this(meets ? State.SEEKING : State.ALONE);
   }
 
   /** In any state, for the search through all of them. */
-  public HandOver(State state) {
+  public HandoverStateMachine(State state) {
     this.state = state;
   }
 
--- a/src/main/java/wharftrestle/handover/Between.java
+++ b/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
@@ -2,8 +2,8 @@
 
 import java.util.Arrays;
 import java.util.List;
-import wharftrestle.handover.Other.Kept;
-import wharftrestle.handover.Other.Over;
+import wharftrestle.handover.PeerProcess.Kept;
+import wharftrestle.handover.PeerProcess.Over;
 import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.idempotency.IdempotencyTable;
 
@@ -24,7 +24,7 @@
  *
  * @param <T> a try, as the caller knows it
  */
-public final class Between<T> {
+public final class KeyOwnershipTransfer<T> {
 
   /** What the caller does with the tries concerned. */
   public interface Host<T> {
@@ -46,7 +46,7 @@
 
   /** A claim whose answer lies on disk: it is read without the lock, then told. */
   public record Reread<T>(
-      Other asks,
+      PeerProcess asks,
       String key,
       IdempotencyTable.Entry<T> entry,
       byte[] inMemory,
@@ -63,19 +63,19 @@
 
   private final IdempotencyTable<T> keys;
   private final Host<T> host;
-  private Other other;
-  private Other told; // asked to take over, and is told what settles
+  private PeerProcess other;
+  private PeerProcess told; // asked to take over, and is told what settles
   private boolean lagged; // what settled could not all be told
   private boolean owner = true;
   private double stretch;
 
-  public Between(IdempotencyTable<T> keys, Host<T> host) {
+  public KeyOwnershipTransfer(IdempotencyTable<T> keys, Host<T> host) {
     this.keys = keys;
     this.host = host;
   }
 
   /** The other process; null for none. */
-  public Other other() {
+  public PeerProcess other() {
     return other;
   }
 
@@ -90,7 +90,7 @@
    * A process asked: from now on it is told what settles. All that are settled now come back, to be
    * told one by one.
    */
-  public List<KeyDigest> tellsSettled(Other to) {
+  public List<KeyDigest> tellsSettled(PeerProcess to) {
     told = to;
     lagged = false;
     return keys.settled();
@@ -132,7 +132,7 @@
    * In one step hands all keys over, with what is open; their number. What is held or runs here
    * stays here.
    */
-  public int handOver(Other to, double now) {
+  public int handOver(PeerProcess to, double now) {
     told = null;
     other = to;
     owner = false;
@@ -160,7 +160,7 @@
    * This process takes over from that one, whose keys follow; what it hears of is stretched by so
    * many seconds.
    */
-  public void join(Other from, double longer) {
+  public void join(PeerProcess from, double longer) {
     other = from;
     stretch = longer;
   }
--- a/src/main/java/wharftrestle/handover/Other.java
+++ b/src/main/java/wharftrestle/handover/PeerProcess.java
@@ -7,7 +7,7 @@
  * #tellOver} may wait; all others return at once and may be called under the core's lock, and what
  * they tell arrives in that order.
  */
-public interface Other {
+public interface PeerProcess {
 
   /**
    * What one process tells the other of a key while two serve one box; the body tells what it was
--- a/src/main/java/wharftrestle/handover/Standstill.java
+++ b/src/main/java/wharftrestle/handover/ProcessPauseDetector.java
@@ -7,7 +7,7 @@
  * other one gone, cannot know what ran. Time is passed in, seconds on a clock that goes on while a
  * process is stopped.
  */
-public final class Standstill {
+public final class ProcessPauseDetector {
   /** Seconds between two looks. */
   public static final double LOOK = 0.1;
 
@@ -22,7 +22,7 @@
   private double last;
   private double woke = Double.NEGATIVE_INFINITY;
 
-  public Standstill(double now) {
+  public ProcessPauseDetector(double now) {
     last = now;
   }
 
--- a/src/main/java/wharftrestle/net/BoxLink.java
+++ b/src/main/java/wharftrestle/net/BoxLink.java
@@ -20,7 +20,7 @@
 import org.tinylog.Logger;
 import wharftrestle.core.Partner;
 import wharftrestle.core.Threads;
-import wharftrestle.handover.Other;
+import wharftrestle.handover.PeerProcess;
 import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.version.Range;
 
@@ -32,7 +32,7 @@
  * talk: the end of a link means that a process has ended. What cannot be understood makes it deaf
  * and dumb instead.
  */
-public final class BoxLink implements Other, Closeable {
+public final class BoxLink implements PeerProcess, Closeable {
 
   /** The steps of a hand-over, as the other process says them. */
   public enum Word {
--- a/src/test/java/wharftrestle/ChangeTest.java
+++ b/src/test/java/wharftrestle/ChangeTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Loopback.Caller;
-import wharftrestle.handover.HandOver;
+import wharftrestle.handover.HandoverStateMachine;
 import wharftrestle.net.Config;
 
 /**
@@ -77,7 +77,7 @@
     }
   }
 
-  private static void awaitStep(Loopback site, HandOver.State wanted) {
+  private static void awaitStep(Loopback site, HandoverStateMachine.State wanted) {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     while (!site.life.handover().startsWith(wanted.name().toLowerCase(Locale.ROOT))) {
       assertTrue(System.nanoTime() < until, "it is " + site.life.handover());
@@ -98,18 +98,18 @@
       serves(old, caller, 1, "before");
       try (Loopback next =
           new Loopback(Sites.swapped(), NONE, 1024, folder.resolve("n1.sock"), old)) {
-        awaitStep(next, HandOver.State.REFUSED);
+        awaitStep(next, HandoverStateMachine.State.REFUSED);
         assertTrue(
             next.life.handover().contains("keys are known by their class's place"),
             next.life.handover());
         assertTrue(next.get("/_status").contains("class 1 is"), "the door says why");
         assertTrue(next.get("/_ready").startsWith("HTTP/1.1 503 "));
-        awaitStep(old, HandOver.State.ALONE);
+        awaitStep(old, HandoverStateMachine.State.ALONE);
         serves(old, caller, 2, "meanwhile");
         caller.ask(3, "keyed", "before", "x");
         assertEquals("fine 1", caller.reply().body());
         old.life.close(); // as by a kill: what it knew was not carried along
-        awaitStep(next, HandOver.State.ALONE);
+        awaitStep(next, HandoverStateMachine.State.ALONE);
         next.awaitTaking();
         try (Caller after = next.new Caller()) {
           after.ask(1, "keyed", "before", "x");
@@ -149,7 +149,7 @@
         asker.until("yours 1");
         assertEquals("given", old.life.handover());
       }
-      awaitStep(old, HandOver.State.ALONE); // it died before it listened
+      awaitStep(old, HandoverStateMachine.State.ALONE); // it died before it listened
       old.finish(run.ref(), "good", 1, "fine");
       assertEquals("fine", caller.reply().body());
       serves(old, caller, 2, "after");
--- a/src/test/java/wharftrestle/handover/AgreementTest.java
+++ b/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
@@ -15,36 +15,36 @@
 import wharftrestle.version.Range;
 
 /** Who may take over from whom, and what is said where it may not be. */
-class AgreementTest {
-  private static final Terms.Kind READ = new Terms.Kind("read", false, 0);
-  private static final Terms.Kind SAVE = new Terms.Kind("save", true, 12_000);
-  private static final Terms.Room ROOM = new Terms.Room(100, 1000, 5000, 50_000);
+class CompatibilityCheckTest {
+  private static final Capabilities.Kind READ = new Capabilities.Kind("read", false, 0);
+  private static final Capabilities.Kind SAVE = new Capabilities.Kind("save", true, 12_000);
+  private static final Capabilities.Room ROOM = new Capabilities.Room(100, 1000, 5000, 50_000);
 
-  private static Terms terms(
+  private static Capabilities terms(
       Range speaks,
       String folder,
-      List<Terms.Kind> classes,
+      List<Capabilities.Kind> classes,
       List<String> tenants,
-      Terms.Room room) {
-    return new Terms("a build", speaks, new Range(1, 1), folder, classes, tenants, room, 0);
+      Capabilities.Room room) {
+    return new Capabilities("a build", speaks, new Range(1, 1), folder, classes, tenants, room, 0);
   }
 
-  private static Terms plain(Terms.Kind... classes) {
+  private static Capabilities plain(Capabilities.Kind... classes) {
     return terms(new Range(1, 2), "", List.of(classes), List.of(), ROOM);
   }
 
-  private static Terms kept(String folder, Range log) {
-    return new Terms(
+  private static Capabilities kept(String folder, Range log) {
+    return new Capabilities(
         "a build", new Range(1, 2), log, folder, List.of(READ, SAVE), List.of(), ROOM, 0);
   }
 
-  private static String against(Terms serves, Terms next) {
-    return Agreement.STANDING.against(serves, next);
+  private static String against(Capabilities serves, Capabilities next) {
+    return CompatibilityCheck.STANDING.against(serves, next);
   }
 
   @Test
   void aClassMoreOrLessAtTheEndIsTakenAndOneMovedIsNot() {
-    Terms more = plain(READ, SAVE, new Terms.Kind("new", true, 5000));
+    Capabilities more = plain(READ, SAVE, new Capabilities.Kind("new", true, 5000));
     assertNull(against(plain(READ, SAVE), more));
     assertNull(against(more, plain(READ, SAVE)));
     assertEquals(
@@ -52,12 +52,12 @@
         against(plain(READ, SAVE), plain(SAVE, READ)));
     assertEquals(
         "class 'save' has keys here only",
-        against(plain(READ, SAVE), plain(READ, new Terms.Kind("save", false, 0))));
+        against(plain(READ, SAVE), plain(READ, new Capabilities.Kind("save", false, 0))));
   }
 
   @Test
   void tenantsAreKnownByTheirPlaceToo() {
-    Terms two = terms(new Range(1, 2), "", List.of(SAVE), List.of("a", "b"), ROOM);
+    Capabilities two = terms(new Range(1, 2), "", List.of(SAVE), List.of("a", "b"), ROOM);
     assertNull(
         against(two, terms(new Range(1, 2), "", List.of(SAVE), List.of("a", "b", "c"), ROOM)));
     assertEquals(
@@ -82,24 +82,24 @@
 
   @Test
   void aSmallerRoomIsTakenAsLongAsAllKeysFit() {
-    Terms serves = plain(SAVE);
+    Capabilities serves = plain(SAVE);
     assertNull(
         against(
             serves,
-            terms(new Range(1, 2), "", List.of(SAVE), List.of(), new Terms.Room(0, 110, 0, 0))));
+            terms(new Range(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(0, 110, 0, 0))));
     assertEquals(
         "100 keys are known here, and there is room for 109 there",
         against(
             serves,
-            terms(new Range(1, 2), "", List.of(SAVE), List.of(), new Terms.Room(0, 109, 0, 0))));
-    Terms full =
-        terms(new Range(1, 2), "", List.of(SAVE), List.of(), new Terms.Room(1000, 1000, 0, 0));
+            terms(new Range(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(0, 109, 0, 0))));
+    Capabilities full =
+        terms(new Range(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(1000, 1000, 0, 0));
     assertNull(against(full, full), "a full table goes along");
   }
 
   @Test
   void aLaterFormatAloneHasNoGroundWithThisOne() {
-    Terms later = terms(new Range(3, 4), "", List.of(SAVE), List.of(), ROOM);
+    Capabilities later = terms(new Range(3, 4), "", List.of(SAVE), List.of(), ROOM);
     assertEquals(
         "the hand-over's words have no version in common: 1-2 here, 3-4 there",
         against(plain(SAVE), later));
@@ -107,21 +107,21 @@
 
   @Test
   void whatIsKnownIsStretchedByTheLongestDifference() {
-    Terms longer = plain(READ, new Terms.Kind("save", true, 20_500));
-    assertEquals(8.5, Agreement.stretch(plain(READ, SAVE), longer));
-    assertEquals(0, Agreement.stretch(longer, plain(READ, SAVE)));
+    Capabilities longer = plain(READ, new Capabilities.Kind("save", true, 20_500));
+    assertEquals(8.5, CompatibilityCheck.stretch(plain(READ, SAVE), longer));
+    assertEquals(0, CompatibilityCheck.stretch(longer, plain(READ, SAVE)));
   }
 
   @Property(tries = 200)
   void termsComeThroughAsTheyWereSaid(
       @ForAll @Size(max = 5) List<String> names, @ForAll @IntRange(min = 0) int figure)
       throws Exception {
-    List<Terms.Kind> kinds = new ArrayList<>();
-    names.forEach(name -> kinds.add(new Terms.Kind(name, figure % 2 == 0, figure)));
-    Terms said = terms(new Range(1, 2), "/a b\n%0A", kinds, names, new Terms.Room(figure, 1, 2, 3));
-    assertEquals(said, Terms.read(said.text()));
+    List<Capabilities.Kind> kinds = new ArrayList<>();
+    names.forEach(name -> kinds.add(new Capabilities.Kind(name, figure % 2 == 0, figure)));
+    Capabilities said = terms(new Range(1, 2), "/a b\n%0A", kinds, names, new Capabilities.Room(figure, 1, 2, 3));
+    assertEquals(said, Capabilities.read(said.text()));
     assertEquals(
-        said, Terms.read(said.text() + "later says more\n"), "what is not known is passed over");
+        said, Capabilities.read(said.text() + "later says more\n"), "what is not known is passed over");
   }
 
   @Test
@@ -135,8 +135,8 @@
           plain(SAVE).text().replace("keyed 12000", "locked 12000"),
           "build x\n".repeat(3000)
         }) {
-      Terms.UnreadableException e =
-          assertThrows(Terms.UnreadableException.class, () -> Terms.read(bad));
+      Capabilities.UnreadableException e =
+          assertThrows(Capabilities.UnreadableException.class, () -> Capabilities.read(bad));
       assertTrue(!e.getMessage().contains("\n"), e.getMessage());
     }
   }
--- a/src/test/java/wharftrestle/handover/HandOverModelTest.java
+++ b/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import wharftrestle.handover.HandOver.Act;
-import wharftrestle.handover.HandOver.Event;
-import wharftrestle.handover.HandOver.State;
+import wharftrestle.handover.HandoverStateMachine.Act;
+import wharftrestle.handover.HandoverStateMachine.Event;
+import wharftrestle.handover.HandoverStateMachine.State;
 
 /**
  * Explores the shipped table of a hand-over over all interleavings: three processes of one box, one
@@ -26,7 +26,7 @@
  * lives that knew of its run, one process owns at most, and where nothing can happen any more
  * somebody serves. Each seeded bug has to be found by it.
  */
-class HandOverModelTest {
+class HandoverStateMachineModelTest {
   private static final int PROCESSES = 3;
 
   /** What goes wrong in a seeded bug. */
@@ -190,8 +190,8 @@
 
     void take(int i, Event event) {
       ModelProcess process = all[i];
-      HandOver steps = new HandOver(process.state);
-      HandOver.Step step = steps.take(event);
+      HandoverStateMachine steps = new HandoverStateMachine(process.state);
+      HandoverStateMachine.Step step = steps.take(event);
       process.state = step.to();
       step.acts().forEach(act -> act(i, act));
     }
@@ -542,9 +542,9 @@
   void anEventWithoutARowChangesNothing() {
     for (State state : State.values()) {
       for (Event event : Event.values()) {
-        HandOver steps = new HandOver(state);
+        HandoverStateMachine steps = new HandoverStateMachine(state);
         boolean takes = steps.takes(event);
-        HandOver.Step step = steps.take(event);
+        HandoverStateMachine.Step step = steps.take(event);
         assertEquals(!takes, step.outOfTurn());
         assertTrue(takes || (steps.state() == state && step.acts().isEmpty()));
       }
--- a/src/test/java/wharftrestle/handover/BetweenTest.java
+++ b/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
@@ -11,13 +11,13 @@
 import wharftrestle.idempotency.IdempotencyTable;
 
 /** What one process makes of the keys that another tells it. */
-class BetweenTest {
+class KeyOwnershipTransferTest {
   private final KeyMemoryBudget room = KeyMemoryBudget.of(64 << 10);
   private final IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, room);
-  private final Between<String> between =
-      new Between<>(
+  private final KeyOwnershipTransfer<String> between =
+      new KeyOwnershipTransfer<>(
           keys,
-          new Between.Host<>() {
+          new KeyOwnershipTransfer.Host<>() {
             @Override
             public long door(String holder) {
               return 0;
@@ -40,7 +40,7 @@
 
   private boolean hear(String name, double secondsLeft, double now) {
     return between.heard(
-        new Other.Over(KeyDigest.of("1/0/" + name), 50_000, secondsLeft, 3, new byte[] {1}), now);
+        new PeerProcess.Over(KeyDigest.of("1/0/" + name), 50_000, secondsLeft, 3, new byte[] {1}), now);
   }
 
   @Test
--- a/src/test/java/wharftrestle/handover/StandstillTest.java
+++ b/src/test/java/wharftrestle/handover/ProcessPauseDetectorTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test;
 
 /** When a process may have missed what the other one could not say. */
-class StandstillTest {
-  private final Standstill still = new Standstill(0);
+class ProcessPauseDetectorTest {
+  private final ProcessPauseDetector still = new ProcessPauseDetector(0);
 
   private void awake(double from, double to) {
-    for (double now = from; now < to; now += Standstill.LOOK) {
+    for (double now = from; now < to; now += ProcessPauseDetector.LOOK) {
       still.look(now);
     }
   }
--- a/src/test/java/wharftrestle/net/LinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/net/LinkFormatFixtures.java
@@ -15,8 +15,8 @@
 import java.util.List;
 import wharftrestle.SilentPool;
 import wharftrestle.core.Core;
-import wharftrestle.handover.Other;
-import wharftrestle.handover.Terms;
+import wharftrestle.handover.PeerProcess;
+import wharftrestle.handover.Capabilities;
 import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.net.BoxLink.Word;
@@ -61,18 +61,18 @@
     System.exit(0);
   }
 
-  static Terms terms() {
-    return new Terms(
+  static Capabilities terms() {
+    return new Capabilities(
         "1.2.3 built 100% here\nand there\r",
         new Range(1, 2),
         new Range(1, 1),
         "/var/lib/results of n1",
         List.of(
-            new Terms.Kind("read", false, 0),
-            new Terms.Kind("save all", true, 12_500),
-            new Terms.Kind("", true, 1)),
+            new Capabilities.Kind("read", false, 0),
+            new Capabilities.Kind("save all", true, 12_500),
+            new Capabilities.Kind("", true, 1)),
         List.of("gold", "no name"),
-        new Terms.Room(3, 1000, 4096, 1 << 20),
+        new Capabilities.Room(3, 1000, 4096, 1 << 20),
         1_796_284_000_123L);
   }
 
@@ -115,12 +115,12 @@
     link.sayHanded(5);
     link.claim("1/0/a key/\u00fc", STAMP, bytes("body"));
     link.granted("1/0/granted");
-    link.tell(new Other.Kept("1/0/open", false, STAMP + 1, 22.5, bytes("asked"), null));
-    link.tell(new Other.Kept("1/0/failed", true, STAMP + 2, 1.25, bytes(""), null));
+    link.tell(new PeerProcess.Kept("1/0/open", false, STAMP + 1, 22.5, bytes("asked"), null));
+    link.tell(new PeerProcess.Kept("1/0/failed", true, STAMP + 2, 1.25, bytes(""), null));
     link.tellSurely(
-        new Other.Kept("1/0/over", true, STAMP + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
-    link.tellOver(new Other.Over(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
-    link.follows(new Other.Over(new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
+        new PeerProcess.Kept("1/0/over", true, STAMP + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
+    link.tellOver(new PeerProcess.Over(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
+    link.follows(new PeerProcess.Over(new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
     link.ended("1/0/ended", bytes("good"));
     link.ended("1/0/failed", null);
     link.freed("1/0/freed");
--- a/src/test/java/wharftrestle/net/LinkFormatTest.java
+++ b/src/test/java/wharftrestle/net/LinkFormatTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.handover.Terms;
+import wharftrestle.handover.Capabilities;
 import wharftrestle.net.BoxLink.Word;
 
 /**
@@ -116,7 +116,7 @@
   void theRecordedTermsAreReadWithEachOfTheirFields() throws Exception {
     String recorded = Files.readString(TERMS);
 
-    Terms actual = Terms.read(recorded);
+    Capabilities actual = Capabilities.read(recorded);
 
     assertEquals(LinkFormatFixtures.terms(), actual);
   }
@@ -125,7 +125,7 @@
   void termsWithALineThatIsNotKnownAndWithoutAScaleAreRead() throws Exception {
     String recorded = Files.readString(TERMS).replaceFirst("scale .*\n", "later some thing\n");
 
-    Terms actual = Terms.read(recorded);
+    Capabilities actual = Capabilities.read(recorded);
 
     assertEquals(0, actual.scale());
     assertEquals(LinkFormatFixtures.terms().room(), actual.room());
