--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -31,7 +31,7 @@
 import wharftrestle.ops.SnmpAgent;
 import wharftrestle.policy.Admission;
 import wharftrestle.policy.GroupEdfScheduler;
-import wharftrestle.version.Build;
+import wharftrestle.version.BuildInfo;
 import wharftrestle.version.Version;
 
 /**
@@ -217,7 +217,7 @@
     if (journal != null) {
       core.record(journal);
     }
-    version = Build.version(config.canonical(appliance));
+    version = BuildInfo.version(config.canonical(appliance));
     succession = new Succession(config.name(), config.meeting(), core.partner(), this, agreement);
     if (!succession.comes()) {
       if (journal != null) {
--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -23,7 +23,7 @@
 import wharftrestle.policy.GroupEdfScheduler;
 import wharftrestle.settings.BadSettingsException;
 import wharftrestle.settings.Settings;
-import wharftrestle.version.Build;
+import wharftrestle.version.BuildInfo;
 import wharftrestle.wire.WireAdapter;
 
 /**
@@ -359,15 +359,15 @@
     @Override
     public Integer call() throws Exception {
       String settings = appliance == null ? null : Settings.read(appliance).table();
-      wharftrestle.version.Version version = Build.version(settings);
+      wharftrestle.version.Version version = BuildInfo.version(settings);
       if (!json) {
         System.out.println("wharftrestle " + version.line());
         return 0;
       }
       Map<String, Object> all = new LinkedHashMap<>(version.parts());
-      Path jar = Build.jar();
+      Path jar = BuildInfo.jar();
       if (jar != null) {
-        String digest = Build.digest(jar);
+        String digest = BuildInfo.digest(jar);
         all.put("jar", digest);
         if (!digest.equals(version.build())) {
           System.err.println("wharftrestle: the jar's digest is not the one beside it");
--- a/src/main/java/wharftrestle/Succession.java
+++ b/src/main/java/wharftrestle/Succession.java
@@ -18,7 +18,7 @@
 import wharftrestle.net.BoxLink.Word;
 import wharftrestle.net.Bytes;
 import wharftrestle.net.Seat;
-import wharftrestle.version.Build;
+import wharftrestle.version.BuildInfo;
 
 /**
  * Carries out the hand-over between the processes of one box: it gives {@link HandoverStateMachine} what was
@@ -331,7 +331,7 @@
     switch (act) {
       case SAY_TAKE -> {
         partner.join(link, 0);
-        link.sayTake(name, Build.HANDOVER);
+        link.sayTake(name, BuildInfo.HANDOVER);
       }
       case SAY_WHO -> link.sayWho(terms().text());
       case SAY_TERMS -> link.sayTerms(terms().text());
--- a/src/main/java/wharftrestle/box/Releases.java
+++ b/src/main/java/wharftrestle/box/Releases.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
-import wharftrestle.version.Build;
+import wharftrestle.version.BuildInfo;
 
 /**
  * The folder of releases: a folder each, with the jar, what else it is run with, and the digests of
@@ -72,7 +72,7 @@
         if (!Files.isRegularFile(file)) {
           return "release '" + name + "' is not whole: " + each.getKey() + " is missing";
         }
-        if (!Build.digest(file).equals(each.getValue())) {
+        if (!BuildInfo.digest(file).equals(each.getValue())) {
           return "release '"
               + name
               + "' is not what was packed: the digest of "
@@ -132,14 +132,14 @@
     Path made = Files.createTempDirectory(folder, ".pack-");
     Files.copy(jar, made.resolve(JAR), StandardCopyOption.REPLACE_EXISTING);
     Files.writeString(
-        made.resolve(JAR + ".sha256"), Build.digest(made.resolve(JAR)) + "  " + JAR + "\n");
+        made.resolve(JAR + ".sha256"), BuildInfo.digest(made.resolve(JAR)) + "  " + JAR + "\n");
     if (settings != null) {
       Files.copy(settings, made.resolve(SETTINGS));
     }
     StringBuilder sums = new StringBuilder();
     try (Stream<Path> all = Files.list(made)) {
       for (Path file : (Iterable<Path>) all.sorted()::iterator) {
-        sums.append(Build.digest(file)).append("  ").append(file.getFileName()).append('\n');
+        sums.append(BuildInfo.digest(file)).append("  ").append(file.getFileName()).append('\n');
       }
     }
     Files.writeString(made.resolve(SUMS), sums);
--- a/src/main/java/wharftrestle/handover/Capabilities.java
+++ b/src/main/java/wharftrestle/handover/Capabilities.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wharftrestle.version.Range;
+import wharftrestle.version.VersionRange;
 
 /**
  * What a process says of itself before anything moves. It owns the text form: a line a part, {@code
@@ -23,8 +23,8 @@
  */
 public record Capabilities(
     String build,
-    Range speaks,
-    Range log,
+    VersionRange speaks,
+    VersionRange log,
     String folder,
     List<Kind> classes,
     List<String> tenants,
@@ -127,8 +127,8 @@
       }
       return new Capabilities(
           need(once, "build"),
-          Range.of(need(once, "speaks")),
-          Range.of(need(once, "log")),
+          VersionRange.of(need(once, "speaks")),
+          VersionRange.of(need(once, "log")),
           need(once, "folder"),
           List.copyOf(classes),
           List.copyOf(tenants),
--- a/src/main/java/wharftrestle/lab/FleetFloor.java
+++ b/src/main/java/wharftrestle/lab/FleetFloor.java
@@ -30,7 +30,7 @@
 import java.util.stream.Stream;
 import wharftrestle.box.Releases;
 import wharftrestle.net.Address;
-import wharftrestle.version.Build;
+import wharftrestle.version.BuildInfo;
 
 /**
  * A fleet on loopback: each box a real keeper with its real daemon, stand-ins and callers, and a
@@ -42,7 +42,7 @@
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int PATIENCE_MS = 900;
   private static final int LOG_END = 600;
-  private static final String BUILD = Build.class.getName().replace('.', '/') + ".class";
+  private static final String BUILD = BuildInfo.class.getName().replace('.', '/') + ".class";
 
   /** Milliseconds after a fault at a box in which a connection to it may end without its answer. */
   private static final long EXCUSE_MS = 4000;
@@ -201,7 +201,7 @@
       out.closeEntry();
       // A build is known by the jar that this class is from.
       out.putNextEntry(new JarEntry(BUILD));
-      try (InputStream in = Build.class.getResourceAsStream("/" + BUILD)) {
+      try (InputStream in = BuildInfo.class.getResourceAsStream("/" + BUILD)) {
         in.transferTo(out);
       }
       out.closeEntry();
--- a/src/main/java/wharftrestle/net/BoxLink.java
+++ b/src/main/java/wharftrestle/net/BoxLink.java
@@ -22,7 +22,7 @@
 import wharftrestle.core.Threads;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.idempotency.KeyDigest;
-import wharftrestle.version.Range;
+import wharftrestle.version.VersionRange;
 
 /**
  * Owns the Unix socket over which the two processes of a box talk: lines of words, bounded, with
@@ -186,7 +186,7 @@
   // ---- The steps, as this side says them ----
 
   /** Asks to take over; a build of format 1 reads the first words alone. */
-  public void sayTake(String name, Range speaks) {
+  public void sayTake(String name, VersionRange speaks) {
     say(
         "take "
             + URLEncoder.encode(name, StandardCharsets.ISO_8859_1)
--- a/src/main/java/wharftrestle/version/Build.java
+++ b/src/main/java/wharftrestle/version/BuildInfo.java
@@ -16,15 +16,15 @@
  * changes it here. The figure beside the jar is read, the jar is not, unless {@link #digest} is
  * asked.
  */
-public final class Build {
+public final class BuildInfo {
   /** Words between two processes: 1 hands over at once, 2 agrees first. */
-  public static final Range HANDOVER = new Range(1, 2);
+  public static final VersionRange HANDOVER = new VersionRange(1, 2);
 
   /** Files of kept results ({@code durable.Segment}). */
-  public static final Range LOG = new Range(1, 1);
+  public static final VersionRange LOG = new VersionRange(1, 1);
 
   /** The operators' settings. */
-  public static final Range LANGUAGE = new Range(1, 1);
+  public static final VersionRange LANGUAGE = new VersionRange(1, 1);
 
   /** What is written beside a jar, as sha256sum has it: the digest, two blanks, the file's name. */
   private static final String BESIDE = ".sha256";
@@ -32,11 +32,11 @@
   private static final int DIGITS = 64;
   private static final int CHUNK = 64 * 1024;
 
-  private Build() {}
+  private BuildInfo() {}
 
   /** This build, with these effective settings in their canonical form; null for none. */
   public static Version version(String settings) {
-    String said = Build.class.getPackage().getImplementationVersion();
+    String said = BuildInfo.class.getPackage().getImplementationVersion();
     int plus = said == null ? -1 : said.indexOf('+');
     Path jar = jar();
     return new Version(
@@ -52,7 +52,7 @@
   /** The jar that this program is run from; null where it is run from classes. */
   public static Path jar() {
     try {
-      Path from = Path.of(Build.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+      Path from = Path.of(BuildInfo.class.getProtectionDomain().getCodeSource().getLocation().toURI());
       return Files.isRegularFile(from) ? from : null;
     } catch (URISyntaxException | RuntimeException e) {
       return null; // no file: nothing is known of it
--- a/src/main/java/wharftrestle/version/Version.java
+++ b/src/main/java/wharftrestle/version/Version.java
@@ -21,9 +21,9 @@
     String commit,
     String build,
     String settings,
-    Range handover,
-    Range log,
-    Range language) {
+    VersionRange handover,
+    VersionRange log,
+    VersionRange language) {
 
   /** What is not known. */
   public static final String UNKNOWN = "unknown";
--- a/src/main/java/wharftrestle/version/Range.java
+++ b/src/main/java/wharftrestle/version/VersionRange.java
@@ -4,9 +4,9 @@
  * The versions of one format that a program speaks, both ends included; written {@code 1-2}, or
  * {@code 1}.
  */
-public record Range(int least, int most) {
+public record VersionRange(int least, int most) {
 
-  public Range {
+  public VersionRange {
     if (least < 0 || most < least) {
       throw new IllegalArgumentException("no range: " + least + " to " + most);
     }
@@ -17,16 +17,16 @@
    *
    * @throws IllegalArgumentException for anything else
    */
-  public static Range of(String text) {
+  public static VersionRange of(String text) {
     String[] ends = text.split("-", -1);
     if (ends.length > 2 || !text.matches("[0-9]{1,6}(-[0-9]{1,6})?")) {
       throw new IllegalArgumentException("no range: '" + text + "'");
     }
-    return new Range(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]));
+    return new VersionRange(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]));
   }
 
   /** The newest version that both speak; -1 for none. */
-  public int common(Range other) {
+  public int common(VersionRange other) {
     int best = Math.min(most, other.most);
     return best >= Math.max(least, other.least) ? best : -1;
   }
--- a/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
+++ b/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import wharftrestle.version.Range;
+import wharftrestle.version.VersionRange;
 
 /** Who may take over from whom, and what is said where it may not be. */
 class CompatibilityCheckTest {
@@ -21,21 +21,21 @@
   private static final Capabilities.Room ROOM = new Capabilities.Room(100, 1000, 5000, 50_000);
 
   private static Capabilities terms(
-      Range speaks,
+      VersionRange speaks,
       String folder,
       List<Capabilities.Kind> classes,
       List<String> tenants,
       Capabilities.Room room) {
-    return new Capabilities("a build", speaks, new Range(1, 1), folder, classes, tenants, room, 0);
+    return new Capabilities("a build", speaks, new VersionRange(1, 1), folder, classes, tenants, room, 0);
   }
 
   private static Capabilities plain(Capabilities.Kind... classes) {
-    return terms(new Range(1, 2), "", List.of(classes), List.of(), ROOM);
+    return terms(new VersionRange(1, 2), "", List.of(classes), List.of(), ROOM);
   }
 
-  private static Capabilities kept(String folder, Range log) {
+  private static Capabilities kept(String folder, VersionRange log) {
     return new Capabilities(
-        "a build", new Range(1, 2), log, folder, List.of(READ, SAVE), List.of(), ROOM, 0);
+        "a build", new VersionRange(1, 2), log, folder, List.of(READ, SAVE), List.of(), ROOM, 0);
   }
 
   private static String against(Capabilities serves, Capabilities next) {
@@ -57,18 +57,18 @@
 
   @Test
   void tenantsAreKnownByTheirPlaceToo() {
-    Capabilities two = terms(new Range(1, 2), "", List.of(SAVE), List.of("a", "b"), ROOM);
+    Capabilities two = terms(new VersionRange(1, 2), "", List.of(SAVE), List.of("a", "b"), ROOM);
     assertNull(
-        against(two, terms(new Range(1, 2), "", List.of(SAVE), List.of("a", "b", "c"), ROOM)));
+        against(two, terms(new VersionRange(1, 2), "", List.of(SAVE), List.of("a", "b", "c"), ROOM)));
     assertEquals(
         "tenant 1 is 'a' here and 'b' there: keys are known by their tenant's place",
-        against(two, terms(new Range(1, 2), "", List.of(SAVE), List.of("b", "a"), ROOM)));
+        against(two, terms(new VersionRange(1, 2), "", List.of(SAVE), List.of("b", "a"), ROOM)));
     assertEquals("only one of both has tenants", against(two, plain(SAVE)));
   }
 
   @Test
   void resultsOnDiskAreHandedOverWithTheirFolderOrNotAtAll() {
-    Range one = new Range(1, 1);
+    VersionRange one = new VersionRange(1, 1);
     assertNull(against(kept("/a", one), kept("/a", one)));
     assertNull(against(plain(READ, SAVE), kept("/a", one)), "switched on");
     assertEquals(
@@ -76,8 +76,8 @@
         against(kept("/a", one), plain(READ, SAVE)));
     assertEquals(
         "results are kept in /a here, and in /b there", against(kept("/a", one), kept("/b", one)));
-    assertTrue(against(kept("/a", new Range(1, 2)), kept("/a", one)).contains("is not read there"));
-    assertTrue(against(kept("/a", one), kept("/a", new Range(1, 2))).contains("no way back"));
+    assertTrue(against(kept("/a", new VersionRange(1, 2)), kept("/a", one)).contains("is not read there"));
+    assertTrue(against(kept("/a", one), kept("/a", new VersionRange(1, 2))).contains("no way back"));
   }
 
   @Test
@@ -86,20 +86,20 @@
     assertNull(
         against(
             serves,
-            terms(new Range(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(0, 110, 0, 0))));
+            terms(new VersionRange(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(0, 110, 0, 0))));
     assertEquals(
         "100 keys are known here, and there is room for 109 there",
         against(
             serves,
-            terms(new Range(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(0, 109, 0, 0))));
+            terms(new VersionRange(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(0, 109, 0, 0))));
     Capabilities full =
-        terms(new Range(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(1000, 1000, 0, 0));
+        terms(new VersionRange(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(1000, 1000, 0, 0));
     assertNull(against(full, full), "a full table goes along");
   }
 
   @Test
   void aLaterFormatAloneHasNoGroundWithThisOne() {
-    Capabilities later = terms(new Range(3, 4), "", List.of(SAVE), List.of(), ROOM);
+    Capabilities later = terms(new VersionRange(3, 4), "", List.of(SAVE), List.of(), ROOM);
     assertEquals(
         "the hand-over's words have no version in common: 1-2 here, 3-4 there",
         against(plain(SAVE), later));
@@ -118,7 +118,7 @@
       throws Exception {
     List<Capabilities.Kind> kinds = new ArrayList<>();
     names.forEach(name -> kinds.add(new Capabilities.Kind(name, figure % 2 == 0, figure)));
-    Capabilities said = terms(new Range(1, 2), "/a b\n%0A", kinds, names, new Capabilities.Room(figure, 1, 2, 3));
+    Capabilities said = terms(new VersionRange(1, 2), "/a b\n%0A", kinds, names, new Capabilities.Room(figure, 1, 2, 3));
     assertEquals(said, Capabilities.read(said.text()));
     assertEquals(
         said, Capabilities.read(said.text() + "later says more\n"), "what is not known is passed over");
--- a/src/test/java/wharftrestle/net/LinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/net/LinkFormatFixtures.java
@@ -23,7 +23,7 @@
 import wharftrestle.ops.Counters;
 import wharftrestle.policy.Admission;
 import wharftrestle.policy.GroupEdfScheduler;
-import wharftrestle.version.Range;
+import wharftrestle.version.VersionRange;
 
 /**
  * Writes the recorded messages of the link between the two processes of a host, which {@link
@@ -64,8 +64,8 @@
   static Capabilities terms() {
     return new Capabilities(
         "1.2.3 built 100% here\nand there\r",
-        new Range(1, 2),
-        new Range(1, 1),
+        new VersionRange(1, 2),
+        new VersionRange(1, 1),
         "/var/lib/results of n1",
         List.of(
             new Capabilities.Kind("read", false, 0),
@@ -91,7 +91,7 @@
   }
 
   private static void sayEverything(BoxLink link) {
-    link.sayTake("n1/left box", new Range(1, 2));
+    link.sayTake("n1/left box", new VersionRange(1, 2));
     link.sayWho(terms().text());
     link.sayTerms(terms().text());
     for (Word word :
--- a/src/test/java/wharftrestle/ops/AdminFormatFixtures.java
+++ b/src/test/java/wharftrestle/ops/AdminFormatFixtures.java
@@ -25,7 +25,7 @@
 import org.snmp4j.transport.DefaultUdpTransportMapping;
 import wharftrestle.net.Server;
 import wharftrestle.policy.Admission;
-import wharftrestle.version.Range;
+import wharftrestle.version.VersionRange;
 import wharftrestle.version.Version;
 
 /**
@@ -266,9 +266,9 @@
           "0123456789abcdef0123456789abcdef01234567",
           "ab".repeat(32),
           "cd".repeat(32),
-          new Range(1, 2),
-          new Range(1, 1),
-          new Range(1, 3));
+          new VersionRange(1, 2),
+          new VersionRange(1, 1),
+          new VersionRange(1, 3));
     }
 
     @Override
