--- a/src/main/java/wharftrestle/Rehearsal.java
+++ b/src/main/java/wharftrestle/Rehearsal.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.Map;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 import wharftrestle.net.Bytes;
 import wharftrestle.net.Config;
 import wharftrestle.policy.Admission.Outcome;
@@ -53,7 +53,7 @@
         "txn="
             + ref
             + ",door="
-            + Wall.now()
+            + SteadyWallClock.now()
             + ",lb=1,team=one,ram=24.5,standing=0.5"
             + (tag % 2 == 0 ? ",unique=k" + tag : "");
     StringBuilder text = new StringBuilder("*5\r\n");
--- a/src/main/java/wharftrestle/Succession.java
+++ b/src/main/java/wharftrestle/Succession.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 import wharftrestle.core.Partner;
 import wharftrestle.core.Threads;
 import wharftrestle.handover.CompatibilityCheck;
@@ -284,7 +284,7 @@
       String against = comes ? agreement.against(theirs, mine) : agreement.against(mine, theirs);
       if (against == null && comes) {
         if (theirs.scale() != 0) {
-          Wall.adopt(
+          SteadyWallClock.adopt(
               theirs.scale()); // stamps of keys are compared with those of requests read here
         }
         partner.join(link, CompatibilityCheck.stretch(theirs, mine));
@@ -307,7 +307,7 @@
         own.classes(),
         own.tenants(),
         partner.room(),
-        Wall.base());
+        SteadyWallClock.base());
   }
 
   // ---- What is done ----
--- a/src/main/java/wharftrestle/box/BoxKeeper.java
+++ b/src/main/java/wharftrestle/box/BoxKeeper.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.tinylog.Logger;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 import wharftrestle.net.Address;
 
 /**
@@ -221,7 +221,7 @@
       if (environment(each).contains(door)) {
         journal.add(
             new StepLog.Entry(
-                Wall.now(),
+                SteadyWallClock.now(),
                 "started",
                 last.role(),
                 last.release(),
@@ -568,7 +568,7 @@
       command.addAll(List.of("--appliance", settings.toString()));
     }
     int door = Address.freePort();
-    Path log = places.state().resolve("daemon-" + Wall.now() + "-" + ++logs + ".log");
+    Path log = places.state().resolve("daemon-" + SteadyWallClock.now() + "-" + ++logs + ".log");
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
@@ -590,7 +590,7 @@
       throws IOException {
     StepLog.Entry entry =
         new StepLog.Entry(
-            Wall.now(), what, role.name(), release, keeper.good(), pid, began, door, why);
+            SteadyWallClock.now(), what, role.name(), release, keeper.good(), pid, began, door, why);
     before.accept(entry);
     try {
       journal.add(entry);
--- a/src/main/java/wharftrestle/core/Core.java
+++ b/src/main/java/wharftrestle/core/Core.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
 import org.tinylog.Logger;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
 import wharftrestle.idempotency.IdempotencyTable;
@@ -35,7 +35,7 @@
 public final class Core implements Admission.Actions {
 
   /**
-   * One try as a front read it; {@code door} is ms on {@link Wall}'s even scale, {@code key} is
+   * One try as a front read it; {@code door} is ms on {@link SteadyWallClock}'s even scale, {@code key} is
    * null where there is none.
    *
    * @param further its sender marked it as a further try, or a second copy
@@ -565,7 +565,7 @@
   }
 
   private static double lay(Arrival a) {
-    return Math.max(0, (Wall.even() - a.door()) / 1000.0);
+    return Math.max(0, (SteadyWallClock.even() - a.door()) / 1000.0);
   }
 
   double due(Arrival a, double now) {
--- a/src/main/java/wharftrestle/drive/Driver.java
+++ b/src/main/java/wharftrestle/drive/Driver.java
@@ -25,7 +25,7 @@
 import wharftrestle.box.FolderLock;
 import wharftrestle.box.JsonLog;
 import wharftrestle.box.OrderSocket;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 import wharftrestle.fleet.Fence;
 import wharftrestle.fleet.Judge;
 import wharftrestle.fleet.Members;
@@ -331,7 +331,7 @@
   private void write(String what, String box, String to, String why) throws IOException {
     journal.add(
         new Line(
-            Wall.now(),
+            SteadyWallClock.now(),
             what,
             steering.epoch(),
             steering.driver(),
--- a/src/main/java/wharftrestle/drive/Events.java
+++ b/src/main/java/wharftrestle/drive/Events.java
@@ -8,7 +8,7 @@
 import java.time.temporal.ChronoUnit;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 
 /**
  * What a driver tells: a line an event, for people or as a JSON object; each names the epoch and
@@ -42,7 +42,7 @@
               + (why.isEmpty() ? "" : ": " + why));
     } else {
       Map<String, Object> all = new LinkedHashMap<>();
-      all.put("at", Wall.now());
+      all.put("at", SteadyWallClock.now());
       all.put("epoch", epoch);
       all.put("stage", stage);
       all.put("what", what);
--- a/src/main/java/wharftrestle/front/Resp.java
+++ b/src/main/java/wharftrestle/front/Resp.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.locks.LockSupport;
 import java.util.regex.Pattern;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 import wharftrestle.core.Core;
 import wharftrestle.net.Bytes;
 import wharftrestle.net.Connection;
@@ -231,7 +231,7 @@
     } catch (IOException e) {
       throw new InvalidException(e.getMessage());
     }
-    long now = Wall.now();
+    long now = SteadyWallClock.now();
     if (ram <= 0
         || ram >= MOST_RAM
         || standing < 0
@@ -253,7 +253,7 @@
         cpu / 1000,
         key,
         item,
-        Wall.even(door),
+        SteadyWallClock.even(door),
         words.length > 4 ? words[4] : new byte[0]);
   }
 
--- a/src/main/java/wharftrestle/front/Uwsgi.java
+++ b/src/main/java/wharftrestle/front/Uwsgi.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 import wharftrestle.core.Core;
 import wharftrestle.net.Bytes;
 import wharftrestle.net.Connection;
@@ -184,7 +184,7 @@
         0,
         keyed ? key : null,
         null,
-        Wall.even(),
+        SteadyWallClock.even(),
         body);
   }
 
--- a/src/main/java/wharftrestle/lab/OffClock.java
+++ b/src/main/java/wharftrestle/lab/OffClock.java
@@ -6,7 +6,7 @@
 import java.nio.channels.FileChannel;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 
 /**
  * The time of day of one machine of the rig, which may be off and step. It owns a file that the
@@ -38,7 +38,7 @@
 
   /** What a process of this machine is started with. */
   String option() {
-    return "-D" + Wall.OFF + "=" + file;
+    return "-D" + SteadyWallClock.OFF + "=" + file;
   }
 
   @Override
--- a/src/main/java/wharftrestle/storage/Compaction.java
+++ b/src/main/java/wharftrestle/storage/Compaction.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 
 /**
  * Writes what still matters of a closed log into as few files as hold it. It owns the order of
@@ -37,7 +37,7 @@
     long boot = disk.boot();
     long[] files = disk.files();
     Map<String, Kept> last = new LinkedHashMap<>();
-    Recovery recovery = new Recovery(Wall.even(), steady);
+    Recovery recovery = new Recovery(SteadyWallClock.even(), steady);
     for (long file : files) {
       ByteBuffer bytes = disk.read(file);
       boolean same = sameBoot(bytes, boot);
@@ -69,7 +69,7 @@
     long number = files.length == 0 ? 0 : files[files.length - 1];
     List<Long> made = new ArrayList<>();
     ByteBuffer out = null;
-    long wall = Wall.now();
+    long wall = SteadyWallClock.now();
     for (int i = 0; i < order.size(); i++) {
       Kept kept = order.get(i).getValue();
       if (out == null || out.remaining() < kept.size()) {
--- a/src/main/java/wharftrestle/storage/ResultLogTool.java
+++ b/src/main/java/wharftrestle/storage/ResultLogTool.java
@@ -17,7 +17,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 
 /**
  * What operators see and do of a folder of kept results while no daemon has it: list, show, verify,
@@ -48,7 +48,7 @@
     Map<String, Line> all = new TreeMap<>();
     long boot = disk.boot();
     long steady = System.nanoTime() / 1_000_000;
-    Recovery recovery = new Recovery(Wall.even(), steady);
+    Recovery recovery = new Recovery(SteadyWallClock.even(), steady);
     for (long file : disk.files()) {
       ByteBuffer bytes = disk.read(file);
       boolean same = Compaction.sameBoot(bytes, boot);
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import org.HdrHistogram.Histogram;
 import org.tinylog.Logger;
-import wharftrestle.clock.Wall;
+import wharftrestle.time.SteadyWallClock;
 import wharftrestle.core.Records;
 import wharftrestle.core.Threads;
 import wharftrestle.net.Config;
@@ -166,7 +166,7 @@
   }
 
   private Records.Recovered recover(SegmentStore opened, double longest) throws IOException {
-    Recovery recovery = new Recovery(Wall.even(), steady());
+    Recovery recovery = new Recovery(SteadyWallClock.even(), steady());
     long boot = opened.boot();
     double now = seconds();
     boolean hurt = false;
@@ -486,7 +486,7 @@
   @SuppressWarnings("NonAtomicVolatileUpdate") // records: the writer alone counts them
   private void put(List<Ticket> all) throws IOException {
     batch++;
-    long wall = Wall.now();
+    long wall = SteadyWallClock.now();
     long steady = steady();
     long[] places = new long[all.size()];
     int from = -1;
--- a/src/main/java/wharftrestle/clock/Wall.java
+++ b/src/main/java/wharftrestle/time/SteadyWallClock.java
@@ -1,4 +1,4 @@
-package wharftrestle.clock;
+package wharftrestle.time;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -13,7 +13,7 @@
  * of a key nor a due time. Two processes of one box agree on the scale by {@link #adopt}: the one
  * that takes over goes on with that of the one before.
  */
-public final class Wall {
+public final class SteadyWallClock {
   /**
    * Names a file of eight bytes, ms by which this process's time of day is off; the rig alone sets
    * it.
@@ -23,7 +23,7 @@
   private static final LongBuffer BY = off(System.getProperty(OFF));
   private static volatile long base = now() - steady();
 
-  private Wall() {}
+  private SteadyWallClock() {}
 
   private static LongBuffer off(String file) {
     if (file == null) {
--- a/src/main/java/wharftrestle/clock/package-info.java
+++ b/src/main/java/wharftrestle/time/package-info.java
@@ -3,4 +3,4 @@
  * of requests are compared. It must never be stepped by the machine's clock while a process lives:
  * windows of keys and due times hang on it.
  */
-package wharftrestle.clock;
+package wharftrestle.time;
