--- a/src/main/java/wharftrestle/box/FleetDoor.java
+++ b/src/main/java/wharftrestle/box/FleetDoor.java
@@ -28,13 +28,13 @@
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 import org.tinylog.Logger;
-import wharftrestle.fleet.Fence;
+import wharftrestle.rollout.EpochFence;
 import wharftrestle.net.Address;
 
 /**
  * Where drivers of the fleet call a keeper: JSON over HTTP, {@code POST /claim}, {@code /ask} and
  * {@code /order}, {@code GET /box} for anybody, {@code GET /look} to ask this keeper for another.
- * It owns the fence's file and the keeper's incarnation. It decides nothing: {@link Fence} does. It
+ * It owns the fence's file and the keeper's incarnation. It decides nothing: {@link EpochFence} does. It
  * must never wait for a daemon, or answer before what it grants is on disk.
  */
 public final class FleetDoor implements Closeable {
@@ -62,8 +62,8 @@
           .build();
   private final String name;
   private final String incarnation = Long.toHexString(new SecureRandom().nextLong());
-  private final JsonLog<Fence.Kept> file;
-  private final Fence fence;
+  private final JsonLog<EpochFence.Kept> file;
+  private final EpochFence fence;
   private final UnaryOperator<String> orders;
   private final Supplier<Map<String, Object>> shown;
   private final Releases releases;
@@ -90,12 +90,12 @@
     this.name = name;
     this.orders = orders;
     this.shown = shown;
-    file = new JsonLog<>(state.resolve("fence.jsonl"), Fence.Kept.class);
-    Fence.Kept last = file.last();
+    file = new JsonLog<>(state.resolve("fence.jsonl"), EpochFence.Kept.class);
+    EpochFence.Kept last = file.last();
     // Stamps of an earlier start are never given again: they begin at a place drawn anew.
     fence =
-        new Fence(
-            last == null ? Fence.Kept.NONE : last,
+        new EpochFence(
+            last == null ? EpochFence.Kept.NONE : last,
             new SecureRandom().nextLong() >>> 16 << 8,
             this::write);
     server = HttpServer.create(at, 16);
@@ -105,7 +105,7 @@
     Logger.info("{}: drivers of the fleet may call at {}", name, server.getAddress());
   }
 
-  private boolean write(Fence.Kept kept) {
+  private boolean write(EpochFence.Kept kept) {
     try {
       file.add(kept);
       return true;
@@ -182,8 +182,8 @@
         return said(fenced(() -> fence.claim(epoch, driver, now())), "");
       }
       case "/ask" -> {
-        Fence.Said said = fenced(() -> fence.ask(epoch, driver, now()));
-        if (said.answer() == Fence.Answer.STAMPED) {
+        EpochFence.Said said = fenced(() -> fence.ask(epoch, driver, now()));
+        if (said.answer() == EpochFence.Answer.STAMPED) {
           stand(epoch, asked.path("stage").asInt(), asked.path("verdict").asText("none"));
         }
         return said(said, "");
@@ -193,11 +193,11 @@
         if (!to.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
           throw new IllegalArgumentException("needs the name of a release");
         }
-        Fence.Said said =
+        EpochFence.Said said =
             fenced(() -> fence.order(epoch, driver, asked.path("stamp").asLong(), to, now()));
         return said(
             said,
-            said.answer() == Fence.Answer.OBEYED
+            said.answer() == EpochFence.Answer.OBEYED
                 ? orders.apply(
                     "go "
                         + said.kept().attempt()
@@ -212,7 +212,7 @@
     }
   }
 
-  private Fence.Said fenced(Supplier<Fence.Said> asked) {
+  private EpochFence.Said fenced(Supplier<EpochFence.Said> asked) {
     synchronized (fence) {
       return asked.get();
     }
@@ -231,7 +231,7 @@
     threads.execute(() -> orders.apply("stand " + query));
   }
 
-  private Map<String, Object> said(Fence.Said said, String obeyed) {
+  private Map<String, Object> said(EpochFence.Said said, String obeyed) {
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("answer", said.answer().name());
     all.put("stamp", said.stamp());
--- a/src/main/java/wharftrestle/drive/BoxView.java
+++ b/src/main/java/wharftrestle/drive/BoxView.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 import java.util.ArrayList;
 import java.util.List;
-import wharftrestle.fleet.Fence;
-import wharftrestle.fleet.Plan;
-import wharftrestle.fleet.Roll;
-import wharftrestle.fleet.Sample;
+import wharftrestle.rollout.EpochFence;
+import wharftrestle.rollout.RolloutPlan;
+import wharftrestle.rollout.Rollout;
+import wharftrestle.rollout.HostSample;
 
 /**
  * What a driver last heard of one box: it reads the keeper's words and gives them as the decisions
@@ -17,14 +17,14 @@
   /** A box at the edge of a window. */
   private record Edge(JsonNode box, double at) {}
 
-  private final Plan.Box box;
+  private final RolloutPlan.Box box;
   private JsonNode shown = MissingNode.getInstance();
-  private Fence.Kept fence = Fence.Kept.NONE;
+  private EpochFence.Kept fence = EpochFence.Kept.NONE;
   private String incarnation = "";
   private Edge edge;
   private JsonNode deaths = MissingNode.getInstance();
 
-  BoxView(Plan.Box box) {
+  BoxView(RolloutPlan.Box box) {
     this.box = box;
   }
 
@@ -71,7 +71,7 @@
   }
 
   /** As a roll sees it, in this epoch. */
-  Roll.Shows shows(boolean contact, long epoch) {
+  Rollout.Shows shows(boolean contact, long epoch) {
     boolean ours = fence.epoch() == epoch && !fence.target().isEmpty();
     // A keeper writes an order down before it carries it out: until then nothing that it shows is
     // an answer to it.
@@ -79,7 +79,7 @@
         ours
             && shown.path("told").asText().equals(fence.target())
             && shown.path("attempt").asInt() == fence.attempt();
-    return new Roll.Shows(
+    return new Rollout.Shows(
         contact,
         acts(),
         shown.path("settled").asBoolean(),
@@ -93,7 +93,7 @@
    *
    * @param warm seconds of a daemon's life that do not count
    */
-  Sample window(boolean contact, String to, double warm, double now) {
+  HostSample window(boolean contact, String to, double warm, double now) {
     Edge last = edge;
     edge = new Edge(shown, now);
     if (last == null || !shown.has("pid") || !last.box().has("pid")) {
@@ -110,12 +110,12 @@
             && shown.path("settled").asBoolean()
             && before.path("settled").asBoolean()
             && shown.path("up").asDouble() - span >= warm;
-    List<Sample.Counts> classes = new ArrayList<>();
+    List<HostSample.Counts> classes = new ArrayList<>();
     for (int i = 0; same && i < shown.path("classes").size(); i++) {
       JsonNode a = before.path("classes").path(i);
       JsonNode b = shown.path("classes").path(i);
       classes.add(
-          new Sample.Counts(
+          new HostSample.Counts(
               b.path("name").asText(),
               grown(a, b, "asked"),
               grown(a, b, "served"),
@@ -125,7 +125,7 @@
               b.path("worth").asDouble(),
               b.path("lateWorth").asDouble()));
     }
-    return new Sample(
+    return new HostSample(
         box.name(),
         box.zone(),
         acts().equals(to),
--- a/src/main/java/wharftrestle/drive/Driver.java
+++ b/src/main/java/wharftrestle/drive/Driver.java
@@ -26,19 +26,19 @@
 import wharftrestle.box.JsonLog;
 import wharftrestle.box.OrderSocket;
 import wharftrestle.time.SteadyWallClock;
-import wharftrestle.fleet.Fence;
-import wharftrestle.fleet.Judge;
-import wharftrestle.fleet.Members;
-import wharftrestle.fleet.Plan;
-import wharftrestle.fleet.Roll;
-import wharftrestle.fleet.Steering;
+import wharftrestle.rollout.EpochFence;
+import wharftrestle.rollout.CanaryAnalysis;
+import wharftrestle.rollout.MembershipView;
+import wharftrestle.rollout.RolloutPlan;
+import wharftrestle.rollout.Rollout;
+import wharftrestle.rollout.ControllerLease;
 
 /**
  * Drives one rolling change: it asks every keeper how its box is, several times within a lease,
- * tells {@link Roll} what it sees, and carries out what that says. It owns its folder: the journal,
+ * tells {@link Rollout} what it sees, and carries out what that says. It owns its folder: the journal,
  * the copy of the plan, the socket for operators' words. A driver that ends leaves the fleet as it
  * is; the next one of the folder goes on from the journal. It must never give an order that is not
- * in the journal, nor one that {@link Steering} does not let out at that moment.
+ * in the journal, nor one that {@link ControllerLease} does not let out at that moment.
  */
 public final class Driver implements Closeable {
 
@@ -64,7 +64,7 @@
       long epoch,
       String driver,
       String plan,
-      Roll.Kept roll,
+      Rollout.Kept roll,
       String box,
       String to,
       String why) {}
@@ -105,23 +105,23 @@
   private record Pending(String to, boolean back, double since) {}
 
   private final PlanScript script;
-  private final Plan plan;
+  private final RolloutPlan plan;
   private final String digest;
   private final Events events;
   private final KeeperCall calls = new KeeperCall();
   private final FolderLock lock;
   private final JsonLog<Line> journal;
   private final OrderSocket socket;
-  private final Steering steering;
-  private final Members members;
+  private final ControllerLease steering;
+  private final MembershipView members;
   private final Map<String, BoxView> views = new LinkedHashMap<>();
   private final Map<String, Pending> orders = new HashMap<>();
-  private Roll roll;
-  private Judge judge; // null until classes are known
+  private Rollout roll;
+  private CanaryAnalysis judge; // null until classes are known
   private final Set<String> ours =
       new HashSet<>(); // drivers of this folder: whoever steered from here has ended
-  private Judge.Verdict verdict =
-      new Judge.Verdict(Judge.Word.CANNOT_TELL, "nothing can be compared yet");
+  private CanaryAnalysis.Verdict verdict =
+      new CanaryAnalysis.Verdict(CanaryAnalysis.Word.CANNOT_TELL, "nothing can be compared yet");
   private final boolean goesOn; // a change that is under way
   private double watchedFrom;
   private double edgeAt;
@@ -162,10 +162,10 @@
     double now = now();
     long highest = journal.entries().stream().mapToLong(Line::epoch).max().orElse(0);
     journal.entries().forEach(line -> ours.add(line.driver()));
-    steering = new Steering(name, plan.boxes().size(), highest);
-    members = new Members(plan.boxes().stream().map(Plan.Box::name).toList(), now);
+    steering = new ControllerLease(name, plan.boxes().size(), highest);
+    members = new MembershipView(plan.boxes().stream().map(RolloutPlan.Box::name).toList(), now);
     plan.boxes().forEach(box -> views.put(box.name(), new BoxView(box)));
-    roll = goesOn ? new Roll(plan, last.roll(), now) : new Roll(plan, now);
+    roll = goesOn ? new Rollout(plan, last.roll(), now) : new Rollout(plan, now);
     socket = new OrderSocket(folder.resolve(SOCKET), this::obey);
   }
 
@@ -207,7 +207,7 @@
     Map<String, JsonNode> releases = new LinkedHashMap<>();
     Map<String, JsonNode> boxes = new LinkedHashMap<>();
     CountDownLatch asked = new CountDownLatch(plan.boxes().size());
-    for (Plan.Box box : plan.boxes()) {
+    for (RolloutPlan.Box box : plan.boxes()) {
       thread(
           "check",
           () -> {
@@ -235,7 +235,7 @@
               + " keepers answer, which is not more than half");
     }
     String build = "";
-    for (Plan.Box box : plan.boxes()) {
+    for (RolloutPlan.Box box : plan.boxes()) {
       JsonNode is = boxes.get(box.name());
       if (is == null) {
         continue;
@@ -282,7 +282,7 @@
                 + plan.to()
                 + "' has another program than the first box's");
       }
-      if (!can.path("back").asText().isEmpty() && plan.whenWorse() == Plan.WhenWorse.BACK) {
+      if (!can.path("back").asText().isEmpty() && plan.whenWorse() == RolloutPlan.WhenWorse.BACK) {
         against.add(box.name() + " could not be taken back: " + can.path("back").asText());
       }
     }
@@ -302,7 +302,7 @@
       watchedFrom = now();
       edgeAt = watchedFrom;
     }
-    for (Plan.Box box : plan.boxes()) {
+    for (RolloutPlan.Box box : plan.boxes()) {
       thread("poll " + box.name(), () -> poll(box));
     }
     thread("witnesses", this::askWitnesses);
@@ -348,12 +348,12 @@
     if (over) {
       return End.STOPPED;
     }
-    if (steering.state() == Steering.State.LOST) {
+    if (steering.state() == ControllerLease.State.LOST) {
       events.tell(
           steering.epoch(), roll.stage() + 1, "is fenced", "", steering.lostTo() + " steers now");
       return End.FENCED;
     }
-    for (Members.Change change : members.look(now)) {
+    for (MembershipView.Change change : members.look(now)) {
       events.tell(
           steering.epoch(),
           roll.stage() + 1,
@@ -382,8 +382,8 @@
     };
   }
 
-  private Map<String, Roll.Shows> shows() {
-    Map<String, Roll.Shows> all = new LinkedHashMap<>();
+  private Map<String, Rollout.Shows> shows() {
+    Map<String, Rollout.Shows> all = new LinkedHashMap<>();
     views.forEach(
         (name, view) -> {
           if (!view.incarnation().isEmpty()) {
@@ -393,39 +393,39 @@
     return all;
   }
 
-  private void carryOut(List<Roll.Act> acts) throws IOException {
-    for (Roll.Act act : acts) {
-      if (act instanceof Roll.Act.Order order) {
+  private void carryOut(List<Rollout.Act> acts) throws IOException {
+    for (Rollout.Act act : acts) {
+      if (act instanceof Rollout.Act.Order order) {
         write("order", order.box(), order.to(), order.why());
         orders.put(
-            order.box(), new Pending(order.to(), roll.state() == Roll.State.RETURNING, now()));
+            order.box(), new Pending(order.to(), roll.state() == Rollout.State.RETURNING, now()));
         events.tell(
             steering.epoch(),
             roll.stage() + 1,
             "tells",
             order.box(),
             "go to " + order.to() + ", " + brief(order.why()));
-      } else if (act instanceof Roll.Act.Claim claim) {
+      } else if (act instanceof Rollout.Act.Claim claim) {
         orders.clear();
         roll.claimed();
         claim(brief(claim.why()));
-      } else if (act instanceof Roll.Act.Stage stage) {
+      } else if (act instanceof Rollout.Act.Stage stage) {
         stageBegun = judge != null;
         if (judge != null) {
           judge.stage();
         }
-        verdict = new Judge.Verdict(Judge.Word.CANNOT_TELL, "nothing can be compared yet");
+        verdict = new CanaryAnalysis.Verdict(CanaryAnalysis.Word.CANNOT_TELL, "nothing can be compared yet");
         write("stage", "", "", "");
         events.tell(
             steering.epoch(), stage.stage() + 1, "begins stage " + (stage.stage() + 1), "", "");
-      } else if (act instanceof Roll.Act.Undone undone) {
+      } else if (act instanceof Rollout.Act.Undone undone) {
         events.tell(
             steering.epoch(), roll.stage() + 1, "is undone", undone.box(), brief(undone.why()));
         if (judge != null && !undone.why().startsWith(CANNOT)) {
           judge.takenBack(undone.box(), brief(undone.why()));
           verdict = judge.verdict();
         }
-      } else if (act instanceof Roll.Act.Enter enter) {
+      } else if (act instanceof Rollout.Act.Enter enter) {
         write("enter", "", "", brief(enter.why()));
         events.tell(
             steering.epoch(),
@@ -452,7 +452,7 @@
       if (classes.isEmpty() && !plan.limits().isEmpty()) {
         return;
       }
-      judge = new Judge(plan.limits(), classes, plan.stages().size(), plan.errors());
+      judge = new CanaryAnalysis(plan.limits(), classes, plan.stages().size(), plan.errors());
       if (!stageBegun) {
         judge.stage();
       }
@@ -469,20 +469,20 @@
                         .window(members.inContact(each.getKey()), plan.to(), plan.warm(), now))
             .filter(Objects::nonNull)
             .toList());
-    Judge.Verdict next = judge.verdict();
+    CanaryAnalysis.Verdict next = judge.verdict();
     if (next.word() != verdict.word()) {
       events.tell(steering.epoch(), roll.stage() + 1, "verdict " + word(next), "", next.why());
     }
     verdict = next;
   }
 
-  private static String word(Judge.Verdict of) {
+  private static String word(CanaryAnalysis.Verdict of) {
     return of.word().name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
   // ---- Keepers ----
 
-  private void poll(Plan.Box box) {
+  private void poll(RolloutPlan.Box box) {
     while (!over) {
       double askedAt = now();
       try {
@@ -522,7 +522,7 @@
   }
 
   /** Takes a keeper's word in; an order that may go out to it now, or null. */
-  private Pending heard(Plan.Box box, long epoch, KeeperCall.Heard heard, double askedAt) {
+  private Pending heard(RolloutPlan.Box box, long epoch, KeeperCall.Heard heard, double askedAt) {
     double now = now();
     steering.heard(box.name(), epoch, heard.said(), askedAt, now);
     if (!heard.whole().path("name").asText().equals(box.name())) {
@@ -550,7 +550,7 @@
     return order;
   }
 
-  private void give(Plan.Box box, Pending order) {
+  private void give(RolloutPlan.Box box, Pending order) {
     long epoch;
     long stamp;
     synchronized (this) {
@@ -565,7 +565,7 @@
       KeeperCall.Heard heard =
           calls.order(box.keeper(), epoch, steering.driver(), stamp, order.to(), order.back());
       synchronized (this) {
-        if (heard.said().answer() != Fence.Answer.OBEYED) {
+        if (heard.said().answer() != EpochFence.Answer.OBEYED) {
           roll.notObeyed(box.name());
           events.tell(
               epoch,
@@ -680,7 +680,7 @@
     all.put("verdict", word(verdict));
     all.put("verdictWhy", verdict.why());
     List<Map<String, Object>> measures = new ArrayList<>();
-    for (Judge.Line line : judge == null ? List.<Judge.Line>of() : judge.lines()) {
+    for (CanaryAnalysis.Line line : judge == null ? List.<CanaryAnalysis.Line>of() : judge.lines()) {
       Map<String, Object> one = new LinkedHashMap<>();
       one.put("measure", line.measure().word());
       one.put("about", line.about());
@@ -694,8 +694,8 @@
     all.put("measures", measures);
     List<Map<String, Object>> boxes = new ArrayList<>();
     double now = now();
-    for (Plan.Box box : plan.boxes()) {
-      Members.Seen seen = members.seen(box.name());
+    for (RolloutPlan.Box box : plan.boxes()) {
+      MembershipView.Seen seen = members.seen(box.name());
       BoxView view = views.get(box.name());
       Map<String, Object> one = new LinkedHashMap<>();
       one.put("box", box.name());
--- a/src/main/java/wharftrestle/drive/FleetCommand.java
+++ b/src/main/java/wharftrestle/drive/FleetCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Parameters;
 import wharftrestle.box.JsonLog;
 import wharftrestle.box.OrderSocket;
-import wharftrestle.fleet.Plan;
+import wharftrestle.rollout.RolloutPlan;
 import wharftrestle.net.Config;
 
 /** The command line of a fleet. */
@@ -70,7 +70,7 @@
     @Override
     public Integer call() throws Exception {
       PlanScript script = PlanScript.read(file);
-      Plan.Order order = script.plan().order();
+      RolloutPlan.Order order = script.plan().order();
       List<String> warnings = script.warnings(window);
       if (json) {
         Map<String, Object> all = new LinkedHashMap<>();
@@ -99,7 +99,7 @@
       }
       System.out.printf(
           Locale.ROOT, "%-6s %-6s %-16s %-12s %s%n", "stage", "round", "box", "zone", "why");
-      for (Plan.Turn turn : order.turns()) {
+      for (RolloutPlan.Turn turn : order.turns()) {
         System.out.printf(
             Locale.ROOT,
             "%-6d %-6d %-16s %-12s %s%n",
--- a/src/main/java/wharftrestle/drive/KeeperCall.java
+++ b/src/main/java/wharftrestle/drive/KeeperCall.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.Map;
-import wharftrestle.fleet.Fence;
+import wharftrestle.rollout.EpochFence;
 
 /**
  * Calls a keeper. It owns the words on the wire and how long an answer is waited for; a call is
@@ -26,7 +26,7 @@
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(PATIENCE).build();
 
   /** What a keeper said: the fence's answer, and how its box is. */
-  record Heard(Fence.Said said, String obeyed, JsonNode whole) {}
+  record Heard(EpochFence.Said said, String obeyed, JsonNode whole) {}
 
   private JsonNode send(HttpRequest request) throws IOException {
     try {
@@ -56,10 +56,10 @@
                 .build());
     try {
       return new Heard(
-          new Fence.Said(
-              Fence.Answer.valueOf(read.path("answer").asText()),
+          new EpochFence.Said(
+              EpochFence.Answer.valueOf(read.path("answer").asText()),
               read.path("stamp").asLong(),
-              new Fence.Kept(
+              new EpochFence.Kept(
                   read.path("epoch").asLong(),
                   read.path("driver").asText(),
                   read.path("target").asText(),
--- a/src/main/java/wharftrestle/drive/PlanScript.java
+++ b/src/main/java/wharftrestle/drive/PlanScript.java
@@ -12,8 +12,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import wharftrestle.fleet.Measure;
-import wharftrestle.fleet.Plan;
+import wharftrestle.rollout.CanaryMetric;
+import wharftrestle.rollout.RolloutPlan;
 import wharftrestle.net.Address;
 import wharftrestle.settings.BadSettingsException;
 import wharftrestle.settings.Place;
@@ -32,7 +32,7 @@
  * @param text as it was read
  */
 public record PlanScript(
-    Plan plan, Map<String, String> fronts, double window, double watch, String text) {
+    RolloutPlan plan, Map<String, String> fronts, double window, double watch, String text) {
   private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
   private static final long LONGEST = 256 * 1024;
 
@@ -59,12 +59,12 @@
             "patience",
             "window",
             "watch"));
-    for (Measure measure : Measure.values()) {
+    for (CanaryMetric measure : CanaryMetric.values()) {
       WORDS.put(measure.word(), List.of("limit"));
     }
   }
 
-  private record Limit(Measure measure, double value) {}
+  private record Limit(CanaryMetric measure, double value) {}
 
   /**
    * Reads a plan.
@@ -98,11 +98,11 @@
   }
 
   private static final class Reader implements Scripts.Words {
-    private final Map<String, Plan.Box> boxes = new LinkedHashMap<>();
+    private final Map<String, RolloutPlan.Box> boxes = new LinkedHashMap<>();
     private final Map<String, String> fronts = new LinkedHashMap<>();
     private Scripts.Call change;
-    private List<Plan.Stage> stages;
-    private Map<Measure, Double> limits;
+    private List<RolloutPlan.Stage> stages;
+    private Map<CanaryMetric, Double> limits;
 
     @Override
     public List<String> values(String word) {
@@ -129,15 +129,15 @@
           return null;
         }
         default -> {
-          Measure measure = measure(call.word());
+          CanaryMetric measure = measure(call.word());
           return new Limit(
               measure, call.number("limit", measure.limit(), 1e-4, measure.part() ? 1 : 1e6));
         }
       }
     }
 
-    private static Measure measure(String word) {
-      return Measure.valueOf(word.toUpperCase(Locale.ROOT));
+    private static CanaryMetric measure(String word) {
+      return CanaryMetric.valueOf(word.toUpperCase(Locale.ROOT));
     }
 
     private void box(Scripts.Call call) throws RefusedException {
@@ -156,7 +156,7 @@
       }
       boxes.put(
           name,
-          new Plan.Box(name, call.text("zone", "", NAME, "a zone's name"), keeper, tenants(call)));
+          new RolloutPlan.Box(name, call.text("zone", "", NAME, "a zone's name"), keeper, tenants(call)));
     }
 
     private static List<String> tenants(Scripts.Call call) throws RefusedException {
@@ -171,23 +171,23 @@
       return List.copyOf(all);
     }
 
-    private static Plan.Stage stage(Scripts.Call call) throws RefusedException {
+    private static RolloutPlan.Stage stage(Scripts.Call call) throws RefusedException {
       boolean counted = call.values().containsKey("boxes");
       if (counted == call.values().containsKey("share")) {
         throw new RefusedException(call.place(), "stage needs boxes or share, and not both");
       }
       String spread = call.text("spread", "", "zone", "\"zone\"");
-      return new Plan.Stage(
+      return new RolloutPlan.Stage(
           counted ? (int) call.number("boxes", Double.NaN, 1, 100_000) : 0,
           counted ? 0 : call.number("share", Double.NaN, 1e-6, 1),
           !spread.isEmpty(),
           call.number("hold", 60, 0, 86_400));
     }
 
-    private static List<Plan.Stage> stages(Scripts.Call call) throws RefusedException {
-      List<Plan.Stage> all = new ArrayList<>();
+    private static List<RolloutPlan.Stage> stages(Scripts.Call call) throws RefusedException {
+      List<RolloutPlan.Stage> all = new ArrayList<>();
       for (Object each : call.list("stages", null)) {
-        if (!(each instanceof Plan.Stage stage)) {
+        if (!(each instanceof RolloutPlan.Stage stage)) {
           throw new RefusedException(
               call.values().get("stages").place(),
               "change.stages: expected stages, such as stage(boxes = 1, hold = 120), got " + each);
@@ -201,10 +201,10 @@
       return all;
     }
 
-    private static Map<Measure, Double> limits(Scripts.Call call) throws RefusedException {
-      Map<Measure, Double> all = new EnumMap<>(Measure.class);
+    private static Map<CanaryMetric, Double> limits(Scripts.Call call) throws RefusedException {
+      Map<CanaryMetric, Double> all = new EnumMap<>(CanaryMetric.class);
       if (!call.values().containsKey("worse")) {
-        for (Measure measure : Measure.values()) {
+        for (CanaryMetric measure : CanaryMetric.values()) {
           all.put(measure, measure.limit());
         }
         return all;
@@ -230,7 +230,7 @@
         throw new RefusedException(at, "there is no box: name each with box(name, zone, keeper)");
       }
       int before = 0;
-      for (Plan.Stage stage : stages) {
+      for (RolloutPlan.Stage stage : stages) {
         int target = stage.target(boxes.size());
         if (target <= before) {
           throw new RefusedException(
@@ -254,8 +254,8 @@
                 + LEAST_WINDOWS * window
                 + " s");
       }
-      Plan plan =
-          new Plan(
+      RolloutPlan plan =
+          new RolloutPlan(
               change.text("to", null, NAME, "the name of a release"),
               List.copyOf(boxes.values()),
               List.copyOf(stages),
@@ -265,11 +265,11 @@
               (int) change.number("tries", 2, 1, 100),
               change.number("warm", 30, 0, 3600),
               change.number("patience", 1800, 0, 86_400),
-              Plan.WhenCut.valueOf(
+              RolloutPlan.WhenCut.valueOf(
                   change
                       .text("when_cut", "hold", "hold|go", "\"hold\" or \"go\"")
                       .toUpperCase(Locale.ROOT)),
-              Plan.WhenWorse.valueOf(
+              RolloutPlan.WhenWorse.valueOf(
                   change
                       .text("when_worse", "back", "back|hold", "\"back\" or \"hold\"")
                       .toUpperCase(Locale.ROOT)));
@@ -313,7 +313,7 @@
                 longestWindow));
       }
     }
-    if (zones.size() > 1 && plan.stages().stream().noneMatch(Plan.Stage::spread)) {
+    if (zones.size() > 1 && plan.stages().stream().noneMatch(RolloutPlan.Stage::spread)) {
       all.add("no stage spreads over zones: a whole zone may go first");
     }
     if (plan.limits().isEmpty()) {
--- a/src/main/java/wharftrestle/fleet/Judge.java
+++ b/src/main/java/wharftrestle/rollout/CanaryAnalysis.java
@@ -1,4 +1,4 @@
-package wharftrestle.fleet;
+package wharftrestle.rollout;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -15,13 +15,13 @@
  * that slows for all is no fault of the release. It must never call a release good as nothing was
  * seen of it.
  *
- * <p>Each measure is a {@link Drift} of its own, by class where it has any, begun anew with each
+ * <p>Each measure is a {@link ConfidenceSequence} of its own, by class where it has any, begun anew with each
  * stage, as a fault may show only then. A release is <em>worse</em> where the loss is surely over a
  * third of the measure's limit, <em>the same</em> where it is surely under the limit, by every
  * measure; else nobody can tell. The probability that one which loses no more than the tolerated
  * third is called worse is at most the plan's, over all stages, measures, classes and moments.
  */
-public final class Judge {
+public final class CanaryAnalysis {
 
   /** What it says. */
   public enum Word {
@@ -42,7 +42,7 @@
    * @param most of it, surely
    */
   public record Line(
-      Measure measure,
+      CanaryMetric measure,
       String about,
       double loss,
       double least,
@@ -68,9 +68,9 @@
   /** Probability at which more deaths at the new boxes than at the old ones are no accident. */
   private static final double ACCIDENT = 0.001;
 
-  private final Map<Measure, Double> limits;
+  private final Map<CanaryMetric, Double> limits;
   private final double error; // of one measure in one stage
-  private final Map<String, Drift> usual =
+  private final Map<String, ConfidenceSequence> usual =
       new LinkedHashMap<>(); // by box and series: its difference when it was old
   private final Map<String, Series> series = new LinkedHashMap<>();
   private final Map<String, Integer> deaths =
@@ -84,13 +84,13 @@
   private long judged;
 
   private static final class Series {
-    private final Measure measure;
+    private final CanaryMetric measure;
     private final String about;
-    private Drift drift = new Drift();
+    private ConfidenceSequence drift = new ConfidenceSequence();
     private double usualVariance; // of the mean of what is usual, over the boxes of the last window
     private long asked; // by the new release in this stage
 
-    Series(Measure measure, String about) {
+    Series(CanaryMetric measure, String about) {
       this.measure = measure;
       this.about = about;
     }
@@ -100,9 +100,9 @@
    * @param limits by measure; those that are absent are not looked at
    * @param errors over everything
    */
-  public Judge(Map<Measure, Double> limits, List<String> classes, int stages, double errors) {
+  public CanaryAnalysis(Map<CanaryMetric, Double> limits, List<String> classes, int stages, double errors) {
     this.limits = Map.copyOf(limits);
-    for (Measure measure : Measure.values()) {
+    for (CanaryMetric measure : CanaryMetric.values()) {
       if (!limits.containsKey(measure)) {
         continue;
       }
@@ -114,7 +114,7 @@
     error = errors / Math.max(1, series.size() * stages);
   }
 
-  private void add(Measure measure, String about) {
+  private void add(CanaryMetric measure, String about) {
     series.put(measure + "/" + about, new Series(measure, about));
   }
 
@@ -124,7 +124,7 @@
         .values()
         .forEach(
             each -> {
-              each.drift = new Drift();
+              each.drift = new ConfidenceSequence();
               each.asked = 0;
             });
     judged = 0;
@@ -176,11 +176,11 @@
   }
 
   /** One window of all boxes. */
-  public void window(List<Sample> boxes) {
-    long changed = boxes.stream().filter(Sample::changed).count();
+  public void window(List<HostSample> boxes) {
+    long changed = boxes.stream().filter(HostSample::changed).count();
     newTime += changed;
     oldTime += boxes.size() - changed;
-    List<Sample> usable =
+    List<HostSample> usable =
         boxes.stream().filter(each -> each.steady() && each.asked() >= LEAST_ASKED).toList();
     boolean any = false;
     for (Series each : series.values()) {
@@ -189,21 +189,21 @@
     judged += any ? 1 : 0;
   }
 
-  private boolean window(Series of, List<Sample> boxes) {
-    List<Sample> old = boxes.stream().filter(each -> !each.changed()).toList();
+  private boolean window(Series of, List<HostSample> boxes) {
+    List<HostSample> old = boxes.stream().filter(each -> !each.changed()).toList();
     double sum = 0;
     double variance = 0;
     int many = 0;
     long asked = 0;
-    for (Sample box : boxes) {
+    for (HostSample box : boxes) {
       double own = value(of, box);
       double others = reference(of, box, old);
       if (Double.isNaN(own) || Double.isNaN(others)) {
         continue;
       }
       double difference = difference(of.measure, own, others, box, old);
-      Drift before =
-          usual.computeIfAbsent(box.box() + " " + of.measure + "/" + of.about, key -> new Drift());
+      ConfidenceSequence before =
+          usual.computeIfAbsent(box.box() + " " + of.measure + "/" + of.about, key -> new ConfidenceSequence());
       if (!box.changed()) {
         before.add(difference);
         continue;
@@ -211,7 +211,7 @@
       // A driver that followed another one never saw what is usual of the boxes that had gone
       // before: what the old
       // ones differ by among themselves stands in for it.
-      boolean known = before.count() >= Drift.LEAST;
+      boolean known = before.count() >= ConfidenceSequence.LEAST;
       double spread = known ? before.variance() / before.count() : spread(of, old);
       if (!Double.isNaN(spread)) {
         sum += difference - (known ? before.mean() : 0);
@@ -229,12 +229,12 @@
   }
 
   /** Variance of what is usual, over the old boxes; NaN with too few of them. */
-  private double spread(Series of, List<Sample> old) {
+  private double spread(Series of, List<HostSample> old) {
     int many = 0;
     double squares = 0;
-    for (Sample box : old) {
-      Drift each = usual.get(box.box() + " " + of.measure + "/" + of.about);
-      if (each != null && each.count() >= Drift.LEAST) {
+    for (HostSample box : old) {
+      ConfidenceSequence each = usual.get(box.box() + " " + of.measure + "/" + of.about);
+      if (each != null && each.count() >= ConfidenceSequence.LEAST) {
         // The mean over them is nothing: each is held against the others.
         squares += each.mean() * each.mean();
         many++;
@@ -243,17 +243,17 @@
     return many < LEAST_OLD ? Double.NaN : squares / (many - 1);
   }
 
-  private static long asked(Series of, Sample box) {
+  private static long asked(Series of, HostSample box) {
     return of.about.isEmpty()
         ? box.asked()
         : box.classes().stream()
             .filter(each -> each.name().equals(of.about))
-            .mapToLong(Sample.Counts::asked)
+            .mapToLong(HostSample.Counts::asked)
             .sum();
   }
 
   /** The old boxes of the same zone besides; of all zones where it has none. */
-  private static double reference(Series of, Sample box, List<Sample> old) {
+  private static double reference(Series of, HostSample box, List<HostSample> old) {
     double zone =
         mean(
             of,
@@ -265,7 +265,7 @@
         : zone;
   }
 
-  private static double mean(Series of, List<Sample> boxes) {
+  private static double mean(Series of, List<HostSample> boxes) {
     return boxes.stream()
         .mapToDouble(each -> value(of, each))
         .filter(each -> !Double.isNaN(each))
@@ -274,14 +274,14 @@
   }
 
   private static double difference(
-      Measure measure, double own, double others, Sample box, List<Sample> old) {
+      CanaryMetric measure, double own, double others, HostSample box, List<HostSample> old) {
     return switch (measure) {
       case CPU, MEMORY -> others <= 0 ? 0 : own / others - 1;
       case GROWTH -> {
         // A young process grows into the room that an old one has taken already: only what is
         // beyond that counts.
         double level =
-            old.stream().mapToDouble(Sample::ownMb).average().orElse(Double.POSITIVE_INFINITY);
+            old.stream().mapToDouble(HostSample::ownMb).average().orElse(Double.POSITIVE_INFINITY);
         yield box.changed() && box.ownMb() < level ? Math.min(0, own - others) : own - others;
       }
       default -> own - others;
@@ -289,21 +289,21 @@
   }
 
   /** One box's loss by one measure; NaN where the window says nothing of it. */
-  private static double value(Series of, Sample box) {
+  private static double value(Series of, HostSample box) {
     return switch (of.measure) {
       case WORTH -> {
         double all = 0;
         double lost = 0;
-        for (Sample.Counts each : box.classes()) {
+        for (HostSample.Counts each : box.classes()) {
           all += each.worth() * each.asked();
           lost +=
               each.worth() * (each.asked() - each.served() + each.late() * (1 - each.lateWorth()));
         }
         yield all > 0 ? lost / all : Double.NaN;
       }
-      case FAILED -> part(of, box, Sample.Counts::failed);
-      case REFUSED -> part(of, box, Sample.Counts::refused);
-      case LATE -> part(of, box, Sample.Counts::late);
+      case FAILED -> part(of, box, HostSample.Counts::failed);
+      case REFUSED -> part(of, box, HostSample.Counts::refused);
+      case LATE -> part(of, box, HostSample.Counts::late);
       case STORE -> box.calls() > 0 ? (double) box.badCalls() / box.calls() : Double.NaN;
       case CPU -> box.cpu() / box.asked();
       case MEMORY -> box.ownMb();
@@ -311,8 +311,8 @@
     };
   }
 
-  private static double part(Series of, Sample box, ToLongFunction<Sample.Counts> what) {
-    for (Sample.Counts each : box.classes()) {
+  private static double part(Series of, HostSample box, ToLongFunction<HostSample.Counts> what) {
+    for (HostSample.Counts each : box.classes()) {
       if (each.name().equals(of.about)) {
         return each.asked() > 0 ? (double) what.applyAsLong(each) / each.asked() : Double.NaN;
       }
@@ -342,7 +342,7 @@
   }
 
   private double width(Series of) {
-    if (of.drift.count() < Drift.LEAST) {
+    if (of.drift.count() < ConfidenceSequence.LEAST) {
       return Double.POSITIVE_INFINITY;
     }
     // What is usual of a box is known as well as its windows before say: its error stays while the
@@ -362,7 +362,7 @@
     }
     long all =
         series.values().stream()
-            .filter(each -> each.measure == Measure.FAILED)
+            .filter(each -> each.measure == CanaryMetric.FAILED)
             .mapToLong(each -> each.asked)
             .sum();
     String open = "";
@@ -393,7 +393,7 @@
   }
 
   private static String line(Series of, double width, double limit) {
-    boolean parts = of.measure != Measure.GROWTH;
+    boolean parts = of.measure != CanaryMetric.GROWTH;
     ToDoubleFunction<Double> shown = value -> parts ? 100 * value : value;
     String unit = parts ? "%" : " MB a minute";
     return String.format(
--- a/src/main/java/wharftrestle/fleet/Measure.java
+++ b/src/main/java/wharftrestle/rollout/CanaryMetric.java
@@ -1,11 +1,11 @@
-package wharftrestle.fleet;
+package wharftrestle.rollout;
 
 /**
  * What boxes are compared by. Each is a loss: more is worse. The limit of a measure is the loss at
  * which a release must not go on; a third of it is tolerated for good, so that a true difference of
  * nothing is never a reason to stop.
  */
-public enum Measure {
+public enum CanaryMetric {
   /** Part of the worth asked for that was not served, over all classes. */
   WORTH("worth", 0.03, true),
   /** Part of a class's requests that failed; of the worst class. */
@@ -27,7 +27,7 @@
   private final double limit;
   private final boolean part;
 
-  Measure(String word, double limit, boolean part) {
+  CanaryMetric(String word, double limit, boolean part) {
     this.word = word;
     this.limit = limit;
     this.part = part;
--- a/src/main/java/wharftrestle/fleet/Drift.java
+++ b/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
@@ -1,4 +1,4 @@
-package wharftrestle.fleet;
+package wharftrestle.rollout;
 
 /**
  * Where the mean of a sequence lies, with bounds that hold at whatever moment they are looked at: a
@@ -9,7 +9,7 @@
  *
  * <p>O(1) in time and memory for each value.
  */
-public final class Drift {
+public final class ConfidenceSequence {
   /** Values below which nothing is said: the variance is not known before. */
   public static final int LEAST = 8;
 
--- a/src/main/java/wharftrestle/fleet/Steering.java
+++ b/src/main/java/wharftrestle/rollout/ControllerLease.java
@@ -1,4 +1,4 @@
-package wharftrestle.fleet;
+package wharftrestle.rollout;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -23,7 +23,7 @@
  * LOST      another driver has a higher epoch              CLAIMING (claim, by an operator's word alone)
  * </pre>
  */
-public final class Steering {
+public final class ControllerLease {
 
   /** How far it is. */
   public enum State {
@@ -34,7 +34,7 @@
   }
 
   /** Seconds between the grants and the first order. */
-  public static final double PAUSE = 2 * Fence.LEASE * 1.05;
+  public static final double PAUSE = 2 * EpochFence.LEASE * 1.05;
 
   private final String driver;
   private final int keepers;
@@ -53,7 +53,7 @@
    * @param keepers of the whole fleet, reached or not
    * @param last the highest epoch that this driver's journal names
    */
-  public Steering(String driver, int keepers, long last) {
+  public ControllerLease(String driver, int keepers, long last) {
     this.driver = driver;
     this.keepers = keepers;
     pause = PAUSE;
@@ -64,7 +64,7 @@
    * As that one is now, with another pause and number of keepers: for those who explore what can
    * come of it.
    */
-  Steering(Steering other, int keepers, double pause) {
+  ControllerLease(ControllerLease other, int keepers, double pause) {
     driver = other.driver;
     this.keepers = keepers;
     this.pause = pause;
@@ -126,12 +126,12 @@
    * A keeper answered what was asked of it at {@code askedAt} in that epoch; {@code now} is when it
    * came.
    */
-  public void heard(String box, long inEpoch, Fence.Said said, double askedAt, double now) {
+  public void heard(String box, long inEpoch, EpochFence.Said said, double askedAt, double now) {
     highest = Math.max(highest, said.kept().epoch());
     if (inEpoch != epoch || epoch == 0) {
       return; // an answer to an epoch given up
     }
-    if (said.answer() == Fence.Answer.FENCED) {
+    if (said.answer() == EpochFence.Answer.FENCED) {
       if (said.kept().epoch() > epoch
           || (said.kept().epoch() == epoch && !said.kept().driver().equals(driver))) {
         state = State.LOST;
@@ -166,7 +166,7 @@
   /** True where an order may go out now. */
   public boolean maySteer(double now) {
     look(now);
-    long fresh = confirmed.values().stream().filter(at -> now - at <= Fence.LEASE).count();
+    long fresh = confirmed.values().stream().filter(at -> now - at <= EpochFence.LEASE).count();
     return state == State.STEERING && fresh * 2 > keepers;
   }
 
--- a/src/main/java/wharftrestle/fleet/Fence.java
+++ b/src/main/java/wharftrestle/rollout/EpochFence.java
@@ -1,4 +1,4 @@
-package wharftrestle.fleet;
+package wharftrestle.rollout;
 
 /**
  * A keeper's side of who may steer its box. It owns the highest epoch that it has granted, and what
@@ -23,7 +23,7 @@
  *                    else                                            OBEYED, once it is on disk
  * </pre>
  */
-public final class Fence {
+public final class EpochFence {
 
   /**
    * What is on disk.
@@ -73,7 +73,7 @@
    * @param from the last stamp that an earlier keeper of this box may have given; stamps go on
    *     beyond it
    */
-  public Fence(Kept kept, long from, Store store) {
+  public EpochFence(Kept kept, long from, Store store) {
     this.kept = kept;
     this.store = store;
     lease = LEASE;
@@ -81,7 +81,7 @@
   }
 
   /** As that one is now, with another lease: for those who explore what can come of it. */
-  Fence(Fence other, Store store, double lease) {
+  EpochFence(EpochFence other, Store store, double lease) {
     this.kept = other.kept;
     this.store = store;
     this.lease = lease;
--- a/src/main/java/wharftrestle/fleet/Sample.java
+++ b/src/main/java/wharftrestle/rollout/HostSample.java
@@ -1,4 +1,4 @@
-package wharftrestle.fleet;
+package wharftrestle.rollout;
 
 import java.util.List;
 
@@ -15,7 +15,7 @@
  * @param ownMb the daemon's own memory at the window's end
  * @param grownMb by how much it grew in the window, MB a minute
  */
-public record Sample(
+public record HostSample(
     String box,
     String zone,
     boolean changed,
--- a/src/main/java/wharftrestle/fleet/Members.java
+++ b/src/main/java/wharftrestle/rollout/MembershipView.java
@@ -1,4 +1,4 @@
-package wharftrestle.fleet;
+package wharftrestle.rollout;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -20,7 +20,7 @@
  * DOUBLE     two keepers answer under this name in turn                    HEARD, once one of them is silent
  * </pre>
  */
-public final class Members {
+public final class MembershipView {
 
   /** How a box is in contact; the table says what each means. */
   public enum Contact {
@@ -78,7 +78,7 @@
   private final List<Change> changes = new ArrayList<>();
   private final double began;
 
-  public Members(List<String> boxes, double now) {
+  public MembershipView(List<String> boxes, double now) {
     boxes.forEach(box -> all.put(box, new One()));
     began = now;
   }
--- a/src/main/java/wharftrestle/fleet/Roll.java
+++ b/src/main/java/wharftrestle/rollout/Rollout.java
@@ -1,4 +1,4 @@
-package wharftrestle.fleet;
+package wharftrestle.rollout;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -16,7 +16,7 @@
  * from what they were told: a box that came back cold with the old release is behind again, one
  * that says it is changed and is not never counts. Time is passed in, in seconds on a clock that
  * never goes back. It must never have more boxes away than planned, tell a box two releases in one
- * epoch, take a box of a rule of {@link Plan#against}, or go on without a verdict.
+ * epoch, take a box of a rule of {@link RolloutPlan#against}, or go on without a verdict.
  *
  * <pre>
  * state      means                                              goes to
@@ -32,7 +32,7 @@
  * ABORTED    left as it is
  * </pre>
  */
-public final class Roll {
+public final class Rollout {
 
   /** How far it is; the table says what each means. */
   public enum State {
@@ -115,7 +115,7 @@
       Map<String, Integer> tries,
       String why) {}
 
-  private final Plan plan;
+  private final RolloutPlan plan;
   private State state = State.CHANGING;
   private State resumed = State.CHANGING; // where a pause goes on
   private int stage;
@@ -142,13 +142,13 @@
   /** The same for one that is out of contact since, where the plan goes on without those. */
   static final double CUT_AWAY = 120;
 
-  public Roll(Plan plan, double now) {
+  public Rollout(RolloutPlan plan, double now) {
     this.plan = plan;
     since = now;
   }
 
   /** Goes on with what a journal kept; a stage that was watched is watched anew. */
-  public Roll(Plan plan, Kept kept, double now) {
+  public Rollout(RolloutPlan plan, Kept kept, double now) {
     this(plan, now);
     stage = kept.stage();
     from.putAll(kept.from());
@@ -289,7 +289,7 @@
    */
   Set<String> away(Map<String, Shows> boxes, double now) {
     Set<String> all = new LinkedHashSet<>();
-    for (Plan.Box box : plan.boxes()) {
+    for (RolloutPlan.Box box : plan.boxes()) {
       Shows shows = boxes.get(box.name());
       double ago = now - orderedAt.getOrDefault(box.name(), Double.NEGATIVE_INFINITY);
       boolean contact = shows != null && shows.contact();
@@ -299,7 +299,7 @@
               && !(contact
                   && shows.attempt() >= told.getOrDefault(box.name(), 0)
                   && !shows.failed().isEmpty());
-      boolean cutAway = !contact && (plan.whenCut() == Plan.WhenCut.HOLD || ago < CUT_AWAY);
+      boolean cutAway = !contact && (plan.whenCut() == RolloutPlan.WhenCut.HOLD || ago < CUT_AWAY);
       if ((open && (ago < ORDER_AWAY || cutAway)) || (contact && !shows.settled())) {
         all.add(box.name());
       }
@@ -307,13 +307,13 @@
     return all;
   }
 
-  private int tried(Plan.Box box) {
+  private int tried(RolloutPlan.Box box) {
     return tries.getOrDefault(box.name(), 0);
   }
 
   private Set<String> cut(Map<String, Shows> boxes) {
     Set<String> all = new LinkedHashSet<>();
-    for (Plan.Box box : plan.boxes()) {
+    for (RolloutPlan.Box box : plan.boxes()) {
       Shows shows = boxes.get(box.name());
       if (shows == null || !shows.contact()) {
         all.add(box.name());
@@ -324,7 +324,7 @@
 
   private Set<String> gone(Map<String, Shows> boxes) {
     Set<String> all = new LinkedHashSet<>();
-    for (Plan.Box box : plan.boxes()) {
+    for (RolloutPlan.Box box : plan.boxes()) {
       // One that is cut off and was seen with the release counts: it was told, and nobody takes it
       // back unasked.
       Shows shows = boxes.get(box.name());
@@ -337,10 +337,10 @@
   }
 
   /** Boxes that this stage still has to change. */
-  private List<Plan.Box> behind(Map<String, Shows> boxes) {
+  private List<RolloutPlan.Box> behind(Map<String, Shows> boxes) {
     Set<String> gone = gone(boxes);
     int target = Math.min(plan.stages().get(stage).target(plan.boxes().size()), plan.movable());
-    List<Plan.Box> wanted = plan.wanted(stage, gone);
+    List<RolloutPlan.Box> wanted = plan.wanted(stage, gone);
     return wanted.subList(0, Math.max(0, Math.min(wanted.size(), target - gone.size())));
   }
 
@@ -354,7 +354,7 @@
    * @param maySteer an order may go out now
    */
   public List<Act> look(
-      Map<String, Shows> boxes, Judge.Verdict verdict, boolean maySteer, double now) {
+      Map<String, Shows> boxes, CanaryAnalysis.Verdict verdict, boolean maySteer, double now) {
     if (!begun) {
       begun = true;
       acts.add(new Act.Stage(stage));
@@ -371,8 +371,8 @@
             acts.add(new Act.Undone(box, shows.failed()));
           }
         });
-    if ((state == State.CHANGING || state == State.HOLDING) && verdict.word() == Judge.Word.WORSE) {
-      if (plan.whenWorse() == Plan.WhenWorse.BACK) {
+    if ((state == State.CHANGING || state == State.HOLDING) && verdict.word() == CanaryAnalysis.Word.WORSE) {
+      if (plan.whenWorse() == RolloutPlan.WhenWorse.BACK) {
         acts.addAll(back("stage " + (stage + 1) + " does worse: " + verdict.why(), now));
       } else {
         enter(State.HELD, "stage " + (stage + 1) + " does worse: " + verdict.why(), now);
@@ -387,7 +387,7 @@
     return done();
   }
 
-  private void tell(Plan.Box box, String to, String reason, double now) {
+  private void tell(RolloutPlan.Box box, String to, String reason, double now) {
     tries.merge(box.name(), 1, Integer::sum);
     told.merge(box.name(), 1, Integer::sum);
     given.put(box.name(), to);
@@ -396,7 +396,7 @@
   }
 
   private void change(Map<String, Shows> boxes, boolean maySteer, double now) {
-    List<Plan.Box> behind = behind(boxes);
+    List<RolloutPlan.Box> behind = behind(boxes);
     Set<String> away = away(boxes, now);
     if (behind.isEmpty()) {
       if (away.isEmpty()) {
@@ -408,7 +408,7 @@
     boolean waits = false;
     String stuck = "";
     int failed = 0;
-    for (Plan.Box box : plan.wanted(stage, gone(boxes))) {
+    for (RolloutPlan.Box box : plan.wanted(stage, gone(boxes))) {
       if (away.size() >= Math.min(plan.mostAway(), behind.size())) {
         waits = true;
         break;
@@ -451,7 +451,7 @@
       enter(State.HELD, failed + " boxes could not go, at last " + stuck, now);
     } else if (!waits && !stuck.isEmpty()) {
       boolean onlyCut = behind.stream().allMatch(box -> cut.contains(box.name()));
-      if (onlyCut && plan.whenCut() == Plan.WhenCut.GO) {
+      if (onlyCut && plan.whenCut() == RolloutPlan.WhenCut.GO) {
         enter(State.HOLDING, stuck + "; it goes on without", now);
       } else if (now - since > plan.patience()) {
         enter(State.HELD, stuck, now);
@@ -462,7 +462,7 @@
   /**
    * A box of a tenant or small zone is not taken while others of it are away, or cannot be reached.
    */
-  private String against(Plan.Box box, Set<String> away, Set<String> cut) {
+  private String against(RolloutPlan.Box box, Set<String> away, Set<String> cut) {
     String against = plan.against(box, away);
     if (!against.isEmpty()) {
       return against;
@@ -489,12 +489,12 @@
     acts.add(new Act.Stage(stage));
   }
 
-  private void hold(Map<String, Shows> boxes, Judge.Verdict verdict, double now) {
+  private void hold(Map<String, Shows> boxes, CanaryAnalysis.Verdict verdict, double now) {
     double held = now - since;
     double hold = plan.stages().get(stage).hold();
     boolean cutOff =
-        plan.whenCut() == Plan.WhenCut.HOLD && cut(boxes).size() * 2 >= plan.boxes().size();
-    if (!behind(boxes).isEmpty() && plan.whenCut() == Plan.WhenCut.HOLD) {
+        plan.whenCut() == RolloutPlan.WhenCut.HOLD && cut(boxes).size() * 2 >= plan.boxes().size();
+    if (!behind(boxes).isEmpty() && plan.whenCut() == RolloutPlan.WhenCut.HOLD) {
       enter(State.CHANGING, "a box of this stage is behind again", now);
       return;
     }
@@ -502,7 +502,7 @@
     // Once no old box is left there is nothing to hold the new ones against: deaths and broken
     // rules still count.
     boolean alone = last && gone(boxes).size() + cut(boxes).size() >= plan.boxes().size();
-    if (held >= hold && !cutOff && (verdict.word() == Judge.Word.SAME || alone)) {
+    if (held >= hold && !cutOff && (verdict.word() == CanaryAnalysis.Word.SAME || alone)) {
       if (last) {
         enter(State.DONE, "", now);
       } else {
@@ -528,7 +528,7 @@
     boolean all = true;
     String stuck = "";
     for (int i = order.size() - 1; i >= 0; i--) {
-      Plan.Box box = plan.box(order.get(i));
+      RolloutPlan.Box box = plan.box(order.get(i));
       String to = from.get(box.name());
       Shows shows = boxes.get(box.name());
       if (has(to, shows)) {
--- a/src/main/java/wharftrestle/fleet/Plan.java
+++ b/src/main/java/wharftrestle/rollout/RolloutPlan.java
@@ -1,4 +1,4 @@
-package wharftrestle.fleet;
+package wharftrestle.rollout;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -24,11 +24,11 @@
  * @param whenCut with boxes out of contact, or with too few that answer
  * @param whenWorse with a stage that does worse
  */
-public record Plan(
+public record RolloutPlan(
     String to,
     List<Box> boxes,
     List<Stage> stages,
-    Map<Measure, Double> limits,
+    Map<CanaryMetric, Double> limits,
     double errors,
     int mostAway,
     int tries,
--- a/src/main/java/wharftrestle/fleet/package-info.java
+++ b/src/main/java/wharftrestle/rollout/package-info.java
@@ -10,4 +10,4 @@
  * wharftrestle.fleet.Members}, and {@link wharftrestle.fleet.Judge} over {@link
  * wharftrestle.fleet.Drift}.
  */
-package wharftrestle.fleet;
+package wharftrestle.rollout;
