--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import wharftrestle.box.BoxCommand;
-import wharftrestle.drive.FleetCommand;
+import wharftrestle.rollout.controller.RolloutCommand;
 import wharftrestle.storage.ResultLogTool;
 import wharftrestle.storage.UnusableStorageException;
 import wharftrestle.lab.LabCommand;
@@ -59,7 +59,7 @@
       line.addSubcommand(new SettingsOf())
           .addSubcommand(new Results())
           .addSubcommand(new BoxCommand())
-          .addSubcommand(new FleetCommand())
+          .addSubcommand(new RolloutCommand())
           .addSubcommand(new LabCommand());
     }
     line.setParameterExceptionHandler((e, given) -> complain(e.getMessage()));
--- a/src/main/java/wharftrestle/drive/BoxView.java
+++ b/src/main/java/wharftrestle/rollout/controller/HostView.java
@@ -1,4 +1,4 @@
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.MissingNode;
@@ -13,7 +13,7 @@
  * What a driver last heard of one box: it reads the keeper's words and gives them as the decisions
  * take them. It must never take what a keeper obeyed in another epoch for an answer to this one.
  */
-final class BoxView {
+final class HostView {
   /** A box at the edge of a window. */
   private record Edge(JsonNode box, double at) {}
 
@@ -24,7 +24,7 @@
   private Edge edge;
   private JsonNode deaths = MissingNode.getInstance();
 
-  BoxView(RolloutPlan.Box box) {
+  HostView(RolloutPlan.Box box) {
     this.box = box;
   }
 
@@ -32,7 +32,7 @@
    * Takes what a keeper said; the releases whose daemons have died since the last word, one for
    * each death.
    */
-  List<String> take(KeeperCall.Heard heard) {
+  List<String> take(SupervisorClient.Heard heard) {
     JsonNode now = heard.whole().path("box");
     JsonNode died = now.path("deaths");
     String start = heard.whole().path("incarnation").asText();
--- a/src/main/java/wharftrestle/drive/PlanScript.java
+++ b/src/main/java/wharftrestle/rollout/controller/PlanScript.java
@@ -1,4 +1,4 @@
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/wharftrestle/drive/FleetCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutCommand.java
@@ -1,4 +1,4 @@
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -24,8 +24,8 @@
 @Command(
     name = "fleet",
     description = "change a fleet of boxes in stages",
-    subcommands = {FleetCommand.Show.class, FleetCommand.RollCommand.class})
-public final class FleetCommand implements Runnable {
+    subcommands = {RolloutCommand.Show.class, RolloutCommand.RollCommand.class})
+public final class RolloutCommand implements Runnable {
   /** The change arrived everywhere. */
   static final int DONE = 0;
 
@@ -184,8 +184,8 @@
                   + ProcessHandle.current().pid()
                   + "-"
                   + Long.toHexString(System.nanoTime() & 0xffffff);
-      try (Driver driver =
-          new Driver(folder.toAbsolutePath(), script, mine, new Events(System.out, json))) {
+      try (RolloutController driver =
+          new RolloutController(folder.toAbsolutePath(), script, mine, new RolloutEventLog(System.out, json))) {
         Runtime.getRuntime().addShutdownHook(new Thread(driver::stop));
         driver.check(takeOver);
         return switch (driver.run()) {
@@ -193,7 +193,7 @@
           case FENCED -> FENCED;
           default -> UNDONE;
         };
-      } catch (Driver.RefusedException e) {
+      } catch (RolloutController.RefusedException e) {
         System.err.println("wharftrestle: " + e.getMessage());
         return UNDONE;
       }
@@ -217,7 +217,7 @@
 
     @Override
     public Integer call() throws Exception {
-      String answer = OrderSocket.order(folder().resolve(Driver.SOCKET), order());
+      String answer = OrderSocket.order(folder().resolve(RolloutController.SOCKET), order());
       if (answer == null) {
         System.err.println("wharftrestle: no driver answers in " + folder);
         return UNDONE;
@@ -304,7 +304,7 @@
     @Override
     public Integer call() throws Exception {
       for (; ; ) {
-        String answer = OrderSocket.order(folder().resolve(Driver.SOCKET), "status");
+        String answer = OrderSocket.order(folder().resolve(RolloutController.SOCKET), "status");
         JsonNode now =
             answer == null ? journal() : new ObjectMapper().readTree(answer.substring(3));
         if (now == null) {
@@ -335,15 +335,15 @@
     }
 
     private JsonNode journal() throws IOException {
-      Path file = folder().resolve(Driver.JOURNAL);
+      Path file = folder().resolve(RolloutController.JOURNAL);
       if (!Files.exists(file)) {
         return null;
       }
-      List<Driver.Line> lines = JsonLog.read(file, Driver.Line.class);
+      List<RolloutController.Line> lines = JsonLog.read(file, RolloutController.Line.class);
       if (lines.isEmpty()) {
         return null;
       }
-      Driver.Line last = lines.get(lines.size() - 1);
+      RolloutController.Line last = lines.get(lines.size() - 1);
       Map<String, Object> all = new LinkedHashMap<>();
       all.put("plan", last.plan().substring(0, 12));
       all.put("state", last.roll().state().name().toLowerCase(Locale.ROOT));
--- a/src/main/java/wharftrestle/drive/Driver.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutController.java
@@ -1,4 +1,4 @@
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -40,7 +40,7 @@
  * is; the next one of the folder goes on from the journal. It must never give an order that is not
  * in the journal, nor one that {@link ControllerLease} does not let out at that moment.
  */
-public final class Driver implements Closeable {
+public final class RolloutController implements Closeable {
 
   /** How it ended. */
   public enum End {
@@ -107,14 +107,14 @@
   private final PlanScript script;
   private final RolloutPlan plan;
   private final String digest;
-  private final Events events;
-  private final KeeperCall calls = new KeeperCall();
+  private final RolloutEventLog events;
+  private final SupervisorClient calls = new SupervisorClient();
   private final FolderLock lock;
   private final JsonLog<Line> journal;
   private final OrderSocket socket;
   private final ControllerLease steering;
   private final MembershipView members;
-  private final Map<String, BoxView> views = new LinkedHashMap<>();
+  private final Map<String, HostView> views = new LinkedHashMap<>();
   private final Map<String, Pending> orders = new HashMap<>();
   private Rollout roll;
   private CanaryAnalysis judge; // null until classes are known
@@ -135,7 +135,7 @@
    * @throws RefusedException where another driver has the folder, or another change is under way in
    *     it
    */
-  public Driver(Path folder, PlanScript script, String name, Events events)
+  public RolloutController(Path folder, PlanScript script, String name, RolloutEventLog events)
       throws IOException, RefusedException {
     this.script = script;
     this.events = events;
@@ -164,7 +164,7 @@
     journal.entries().forEach(line -> ours.add(line.driver()));
     steering = new ControllerLease(name, plan.boxes().size(), highest);
     members = new MembershipView(plan.boxes().stream().map(RolloutPlan.Box::name).toList(), now);
-    plan.boxes().forEach(box -> views.put(box.name(), new BoxView(box)));
+    plan.boxes().forEach(box -> views.put(box.name(), new HostView(box)));
     roll = goesOn ? new Rollout(plan, last.roll(), now) : new Rollout(plan, now);
     socket = new OrderSocket(folder.resolve(SOCKET), this::obey);
   }
@@ -445,7 +445,7 @@
     if (judge == null) {
       List<String> classes =
           views.values().stream()
-              .map(BoxView::classes)
+              .map(HostView::classes)
               .filter(each -> !each.isEmpty())
               .findFirst()
               .orElse(List.of());
@@ -486,7 +486,7 @@
     while (!over) {
       double askedAt = now();
       try {
-        KeeperCall.Heard heard;
+        SupervisorClient.Heard heard;
         long epoch;
         boolean claims;
         int stage;
@@ -522,14 +522,14 @@
   }
 
   /** Takes a keeper's word in; an order that may go out to it now, or null. */
-  private Pending heard(RolloutPlan.Box box, long epoch, KeeperCall.Heard heard, double askedAt) {
+  private Pending heard(RolloutPlan.Box box, long epoch, SupervisorClient.Heard heard, double askedAt) {
     double now = now();
     steering.heard(box.name(), epoch, heard.said(), askedAt, now);
     if (!heard.whole().path("name").asText().equals(box.name())) {
       return null; // another box's keeper at this address
     }
     members.heard(box.name(), heard.whole().path("incarnation").asText(), now);
-    BoxView view = views.get(box.name());
+    HostView view = views.get(box.name());
     for (String release : view.take(heard)) {
       events.tell(
           steering.epoch(),
@@ -562,7 +562,7 @@
       }
     }
     try {
-      KeeperCall.Heard heard =
+      SupervisorClient.Heard heard =
           calls.order(box.keeper(), epoch, steering.driver(), stamp, order.to(), order.back());
       synchronized (this) {
         if (heard.said().answer() != EpochFence.Answer.OBEYED) {
@@ -696,7 +696,7 @@
     double now = now();
     for (RolloutPlan.Box box : plan.boxes()) {
       MembershipView.Seen seen = members.seen(box.name());
-      BoxView view = views.get(box.name());
+      HostView view = views.get(box.name());
       Map<String, Object> one = new LinkedHashMap<>();
       one.put("box", box.name());
       one.put("zone", box.zone());
--- a/src/main/java/wharftrestle/drive/Events.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
@@ -1,4 +1,4 @@
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -14,13 +14,13 @@
  * What a driver tells: a line an event, for people or as a JSON object; each names the epoch and
  * the stage.
  */
-final class Events {
+final class RolloutEventLog {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final PrintStream out;
   private final boolean json;
 
-  Events(PrintStream out, boolean json) {
+  RolloutEventLog(PrintStream out, boolean json) {
     this.out = out;
     this.json = json;
   }
--- a/src/main/java/wharftrestle/drive/KeeperCall.java
+++ b/src/main/java/wharftrestle/rollout/controller/SupervisorClient.java
@@ -1,4 +1,4 @@
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -17,7 +17,7 @@
  * Calls a keeper. It owns the words on the wire and how long an answer is waited for; a call is
  * made once and never repeated.
  */
-final class KeeperCall {
+final class SupervisorClient {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final Duration PATIENCE = Duration.ofMillis(900);
   private static final Duration LONG = Duration.ofSeconds(30);
--- a/src/main/java/wharftrestle/drive/package-info.java
+++ b/src/main/java/wharftrestle/rollout/controller/package-info.java
@@ -5,4 +5,4 @@
  * that does not stand in its journal, or one that {@link wharftrestle.fleet.Steering} does not let
  * out.
  */
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -100,8 +100,7 @@
           .resideOutsideOfPackages(
               "wharftrestle.lab..",
               "wharftrestle.box..",
-              "wharftrestle.rollout..",
-              "wharftrestle.drive..")
+              "wharftrestle.rollout..")
           .and()
           .doNotHaveSimpleName("Main")
           .should()
@@ -109,8 +108,7 @@
           .resideInAnyPackage(
               "wharftrestle.lab..",
               "wharftrestle.box..",
-              "wharftrestle.rollout..",
-              "wharftrestle.drive..");
+              "wharftrestle.rollout..");
 
   @ArchTest
   static final ArchRule theKeeperDecidesWithoutIo =
--- a/src/test/java/wharftrestle/drive/PlanScriptTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/wharftrestle/drive/DriverTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -37,7 +37,7 @@
 
 /** Stories of drivers and the keepers' doors, with boxes that do as they are told at once. */
 @Timeout(60)
-class DriverTest {
+class RolloutControllerTest {
   private static final PrintStream NOWHERE = new PrintStream(OutputStream.nullOutputStream());
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
 
@@ -135,38 +135,38 @@
             + "), stage(share = 1, hold = 0)], worse = [], watch = 0, window = 0.5, patience = 86400)\n");
   }
 
-  private Driver driver(String dir, PlanScript script, String name) throws Exception {
-    return new Driver(folder.resolve(dir), script, name, new Events(NOWHERE, true));
+  private RolloutController driver(String dir, PlanScript script, String name) throws Exception {
+    return new RolloutController(folder.resolve(dir), script, name, new RolloutEventLog(NOWHERE, true));
   }
 
-  private static FutureTask<Driver.End> run(Driver driver) {
-    FutureTask<Driver.End> end = new FutureTask<>((Callable<Driver.End>) driver::run);
+  private static FutureTask<RolloutController.End> run(RolloutController driver) {
+    FutureTask<RolloutController.End> end = new FutureTask<>((Callable<RolloutController.End>) driver::run);
     new Thread(end).start();
     return end;
   }
 
   private String order(String dir, String text) {
-    return OrderSocket.order(folder.resolve(dir).resolve(Driver.SOCKET), text);
+    return OrderSocket.order(folder.resolve(dir).resolve(RolloutController.SOCKET), text);
   }
 
   @Test
   void aSecondDriverIsRefusedUntilItTakesOverAndThenTheFirstIsFenced() throws Exception {
-    try (Driver first = driver("d1", plan("two", 600), "ann")) {
+    try (RolloutController first = driver("d1", plan("two", 600), "ann")) {
       first.check(false);
-      FutureTask<Driver.End> end = run(first);
+      FutureTask<RolloutController.End> end = run(first);
       while (obeyed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
       assertEquals(List.of("b1 two"), obeyed, "one box, and the hold goes on");
-      try (Driver second = driver("d2", plan("two", 0), "bob")) {
+      try (RolloutController second = driver("d2", plan("two", 0), "bob")) {
         String why =
-            assertThrows(Driver.RefusedException.class, () -> second.check(false)).getMessage();
+            assertThrows(RolloutController.RefusedException.class, () -> second.check(false)).getMessage();
         assertTrue(why.contains("ann steers in epoch 1"), why);
         second.check(true);
-        FutureTask<Driver.End> next = run(second);
-        assertEquals(Driver.End.FENCED, end.get(20, TimeUnit.SECONDS));
+        FutureTask<RolloutController.End> next = run(second);
+        assertEquals(RolloutController.End.FENCED, end.get(20, TimeUnit.SECONDS));
         assertTrue(order("d2", "status").contains("\"driver\":\"bob\""));
-        assertEquals(Driver.End.DONE, next.get(30, TimeUnit.SECONDS));
+        assertEquals(RolloutController.End.DONE, next.get(30, TimeUnit.SECONDS));
         assertEquals(List.of("b1 two", "b2 two", "b3 two"), obeyed, "and b1 was not told again");
       }
     }
@@ -174,16 +174,16 @@
 
   @Test
   void whatCannotBeIsRefusedBeforeAnythingMoves() throws Exception {
-    try (Driver driver = driver("d1", plan("three", 0), "ann")) {
+    try (RolloutController driver = driver("d1", plan("three", 0), "ann")) {
       String why =
-          assertThrows(Driver.RefusedException.class, () -> driver.check(false)).getMessage();
+          assertThrows(RolloutController.RefusedException.class, () -> driver.check(false)).getMessage();
       assertTrue(why.startsWith("b1: there is no release 'three'"), why);
     }
     keepers.get(0).door.close();
     keepers.get(1).door.close();
-    try (Driver driver = driver("d2", plan("two", 0), "ann")) {
+    try (RolloutController driver = driver("d2", plan("two", 0), "ann")) {
       String why =
-          assertThrows(Driver.RefusedException.class, () -> driver.check(false)).getMessage();
+          assertThrows(RolloutController.RefusedException.class, () -> driver.check(false)).getMessage();
       assertEquals("1 of 3 keepers answer, which is not more than half", why);
     }
     assertTrue(obeyed.isEmpty());
@@ -192,28 +192,28 @@
   @Test
   void aChangeUnderWayGoesOnWithItsOwnPlanAndTheFolderHasOneDriver() throws Exception {
     PlanScript plan = plan("two", 600);
-    try (Driver first = driver("d1", plan, "ann")) {
-      assertThrows(Driver.RefusedException.class, () -> driver("d1", plan, "bob"));
-      FutureTask<Driver.End> end = run(first);
+    try (RolloutController first = driver("d1", plan, "ann")) {
+      assertThrows(RolloutController.RefusedException.class, () -> driver("d1", plan, "bob"));
+      FutureTask<RolloutController.End> end = run(first);
       while (obeyed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
       first.stop();
-      assertEquals(Driver.End.STOPPED, end.get(5, TimeUnit.SECONDS));
+      assertEquals(RolloutController.End.STOPPED, end.get(5, TimeUnit.SECONDS));
     }
     String why =
-        assertThrows(Driver.RefusedException.class, () -> driver("d1", plan("one", 0), "ann"))
+        assertThrows(RolloutController.RefusedException.class, () -> driver("d1", plan("one", 0), "ann"))
             .getMessage();
     assertTrue(why.startsWith("another change is under way in "), why);
-    try (Driver next = driver("d1", plan, "bob")) {
+    try (RolloutController next = driver("d1", plan, "bob")) {
       next.check(false); // whoever steered from this folder has ended
-      FutureTask<Driver.End> end = run(next);
+      FutureTask<RolloutController.End> end = run(next);
       while (!order("d1", "status").contains("\"steering\":\"steering\"")) {
         TimeUnit.MILLISECONDS.sleep(50);
       }
       assertEquals("no name a box of the plan, and what it broke", order("d1", "broken b9 x"));
       assertTrue(order("d1", "broken b1 a key ran twice").startsWith("ok "));
-      assertEquals(Driver.End.UNDONE, end.get(20, TimeUnit.SECONDS));
+      assertEquals(RolloutController.End.UNDONE, end.get(20, TimeUnit.SECONDS));
       assertEquals(List.of("b1 two", "b1 one"), obeyed, "a broken rule is worse at once");
     }
   }
--- a/src/test/java/wharftrestle/drive/RolloutFixtureWriter.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtureWriter.java
@@ -1,4 +1,4 @@
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/wharftrestle/drive/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
@@ -1,4 +1,4 @@
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -44,7 +44,7 @@
   // ---- The journal ----
 
   /** Each kind of line, and each state of a rollout; the last one can be gone on from. */
-  static List<Driver.Line> lines() throws IOException {
+  static List<RolloutController.Line> lines() throws IOException {
     Map<String, String> none = Map.of();
     Map<String, String> from = new LinkedHashMap<>();
     from.put("b1", "one");
@@ -69,20 +69,20 @@
             10, new Rollout.Kept(Rollout.State.PAUSED, Rollout.State.HOLDING, 1, fromTwo, triesTwo, "mañ")));
   }
 
-  private static Driver.Line enter(long at, Rollout.Kept kept) throws IOException {
+  private static RolloutController.Line enter(long at, Rollout.Kept kept) throws IOException {
     return line(at, "enter", kept, "", "", kept.why());
   }
 
-  private static Driver.Line line(
+  private static RolloutController.Line line(
       long at, String what, Rollout.Kept kept, String box, String to, String why) throws IOException {
-    String plan = Driver.sha256(Files.readString(Fixtures.path(PLAN)));
-    return new Driver.Line(1_765_000_000_000L + at, what, 3, "d1", plan, kept, box, to, why);
+    String plan = RolloutController.sha256(Files.readString(Fixtures.path(PLAN)));
+    return new RolloutController.Line(1_765_000_000_000L + at, what, 3, "d1", plan, kept, box, to, why);
   }
 
   static void writeJournal(Path file) throws IOException {
     Files.createDirectories(file.getParent());
-    try (JsonLog<Driver.Line> journal = new JsonLog<>(file, Driver.Line.class)) {
-      for (Driver.Line line : lines()) {
+    try (JsonLog<RolloutController.Line> journal = new JsonLog<>(file, RolloutController.Line.class)) {
+      for (RolloutController.Line line : lines()) {
         journal.add(line);
       }
     }
@@ -92,11 +92,11 @@
 
   /** Orders at the socket of a controller that goes on with the recorded journal, with answers. */
   static JsonNode orders(Path folder) throws Exception {
-    Files.copy(Fixtures.path(JOURNAL), folder.resolve(Driver.JOURNAL));
+    Files.copy(Fixtures.path(JOURNAL), folder.resolve(RolloutController.JOURNAL));
     ArrayNode all = JSON.createArrayNode();
     PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
-    try (Driver driver =
-        new Driver(folder, PlanScript.read(Fixtures.path(PLAN)), "d2", new Events(nowhere, true))) {
+    try (RolloutController driver =
+        new RolloutController(folder, PlanScript.read(Fixtures.path(PLAN)), "d2", new RolloutEventLog(nowhere, true))) {
       for (String order :
           List.of("status", "broken b1 a rule", "go", "pause", "back", "abort", "fly")) {
         String answer = OrderSocket.order(folder.resolve("roll.sock"), order);
@@ -162,8 +162,8 @@
                         "failed",
                         ""),
                 (program, settings) -> true);
-        Driver driver =
-            new Driver(
+        RolloutController driver =
+            new RolloutController(
                 folder.resolve("rollout"),
                 PlanScript.parse(
                     "p.star",
@@ -172,13 +172,13 @@
                         + "\")\nchange(to = \"two\", stages = [stage(boxes = 1, hold = 0)],"
                         + " worse = [], watch = 0, window = 0.5)\n"),
                 "d1",
-                new Events(new PrintStream(events, true, StandardCharsets.UTF_8), true))) {
+                new RolloutEventLog(new PrintStream(events, true, StandardCharsets.UTF_8), true))) {
       driver.check(false);
       driver.run();
     }
     Path said = Files.write(folder.resolve("events"), events.toByteArray());
     return new Run(
-        fixed(Fixtures.jsonLines(folder.resolve("rollout").resolve(Driver.JOURNAL))),
+        fixed(Fixtures.jsonLines(folder.resolve("rollout").resolve(RolloutController.JOURNAL))),
         fixed(Fixtures.jsonLines(said)));
   }
 
--- a/src/test/java/wharftrestle/drive/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.drive;
+package wharftrestle.rollout.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -47,8 +47,8 @@
 
   @Test
   void journal_recorded_isReadToTheSameLines() throws Exception {
-    List<Driver.Line> read =
-        JsonLog.read(Fixtures.path(RolloutFixtures.JOURNAL), Driver.Line.class);
+    List<RolloutController.Line> read =
+        JsonLog.read(Fixtures.path(RolloutFixtures.JOURNAL), RolloutController.Line.class);
 
     assertEquals(RolloutFixtures.lines(), read);
   }
@@ -197,8 +197,8 @@
     return request;
   }
 
-  private static KeeperCall.Heard post(String at, JsonNode exchange) throws IOException {
-    KeeperCall calls = new KeeperCall();
+  private static SupervisorClient.Heard post(String at, JsonNode exchange) throws IOException {
+    SupervisorClient calls = new SupervisorClient();
     JsonNode request = exchange.path("request");
     long epoch = request.path("epoch").asLong();
     String driver = request.path("driver").asText();
@@ -227,7 +227,7 @@
     try (RecordedSupervisor supervisor = new RecordedSupervisor()) {
       for (JsonNode each : recorded) {
         supervisor.next = each;
-        KeeperCall.Heard heard = post(supervisor.address(), each);
+        SupervisorClient.Heard heard = post(supervisor.address(), each);
         said.add(heard.said());
         obeyed.add(heard.obeyed());
       }
@@ -256,7 +256,7 @@
   @Test
   void gets_ofEveryKind_areSentAsRecorded() throws Exception {
     List<JsonNode> recorded = exchanges(true, "GET");
-    KeeperCall calls = new KeeperCall();
+    SupervisorClient calls = new SupervisorClient();
 
     try (RecordedSupervisor supervisor = new RecordedSupervisor()) {
       for (JsonNode each : recorded) {
@@ -286,7 +286,7 @@
       for (JsonNode each : recorded) {
         supervisor.next = each;
         String reason =
-            assertThrows(IOException.class, () -> new KeeperCall().box(supervisor.address()))
+            assertThrows(IOException.class, () -> new SupervisorClient().box(supervisor.address()))
                 .getMessage();
         assertEquals(
             each.path("status").asInt() + ": " + each.path("answer").path("why").asText(), reason);
@@ -294,8 +294,8 @@
     }
   }
 
-  private static KeeperCall.Heard obeyed(JsonNode answer) {
-    return new KeeperCall.Heard(
+  private static SupervisorClient.Heard obeyed(JsonNode answer) {
+    return new SupervisorClient.Heard(
         new EpochFence.Said(EpochFence.Answer.OBEYED, 0, new EpochFence.Kept(1, "d1", "two", 1)), "", answer);
   }
 
@@ -305,7 +305,7 @@
 
   @Test
   void host_inARecordedAnswer_isShownToTheRollout() throws Exception {
-    BoxView view = new BoxView(new RolloutPlan.Box("b1", "north", "127.0.0.1:7501", List.of()));
+    HostView view = new HostView(new RolloutPlan.Box("b1", "north", "127.0.0.1:7501", List.of()));
 
     List<String> deaths = view.take(obeyed(answerToTheOrder()));
 
@@ -320,7 +320,7 @@
 
   @Test
   void host_inTwoRecordedAnswers_givesTheCountsBetweenThem() throws Exception {
-    BoxView view = new BoxView(new RolloutPlan.Box("b1", "north", "127.0.0.1:7501", List.of()));
+    HostView view = new HostView(new RolloutPlan.Box("b1", "north", "127.0.0.1:7501", List.of()));
     JsonNode later = answerToTheOrder().deepCopy();
     ObjectNode host = (ObjectNode) later.path("box");
     ObjectNode counts = (ObjectNode) host.path("classes").path(0);
