--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import wharftrestle.box.BoxCommand;
+import wharftrestle.supervisor.SupervisorCommand;
 import wharftrestle.rollout.controller.RolloutCommand;
 import wharftrestle.storage.ResultLogTool;
 import wharftrestle.storage.UnusableStorageException;
@@ -58,7 +58,7 @@
       // left out there.
       line.addSubcommand(new SettingsOf())
           .addSubcommand(new Results())
-          .addSubcommand(new BoxCommand())
+          .addSubcommand(new SupervisorCommand())
           .addSubcommand(new RolloutCommand())
           .addSubcommand(new LabCommand());
     }
--- a/src/main/java/wharftrestle/lab/Daemon.java
+++ b/src/main/java/wharftrestle/lab/Daemon.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import wharftrestle.box.Proc;
+import wharftrestle.supervisor.ProcessInfo;
 import wharftrestle.net.Bytes;
 
 /**
@@ -115,7 +115,7 @@
    * Linux counts them.
    */
   public double cpuSeconds() throws IOException {
-    return Proc.cpuSeconds(pid());
+    return ProcessInfo.cpuSeconds(pid());
   }
 
   /**
@@ -123,7 +123,7 @@
    * own.
    */
   public long memoryKb(String name) throws IOException {
-    return Proc.memoryKb(pid(), name);
+    return ProcessInfo.memoryKb(pid(), name);
   }
 
   /**
--- a/src/main/java/wharftrestle/lab/FleetFloor.java
+++ b/src/main/java/wharftrestle/lab/FleetFloor.java
@@ -28,7 +28,7 @@
 import java.util.jar.Manifest;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import wharftrestle.box.Releases;
+import wharftrestle.supervisor.ReleaseDirectory;
 import wharftrestle.net.Address;
 import wharftrestle.version.BuildInfo;
 
@@ -209,7 +209,7 @@
     // Results are kept on disk, each box in its own folder: so a daemon that dies costs no key.
     Path settings =
         Files.writeString(folder.resolve("kept.star"), "durable(dir = \"results\", max_mb = 16)\n");
-    new Releases(releases).pack(jar, settings, name);
+    new ReleaseDirectory(releases).pack(jar, settings, name);
   }
 
   private static String classes() {
--- a/src/main/java/wharftrestle/rollout/controller/RolloutCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutCommand.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wharftrestle.box.JsonLog;
-import wharftrestle.box.OrderSocket;
+import wharftrestle.supervisor.JsonLineJournal;
+import wharftrestle.supervisor.CommandSocket;
 import wharftrestle.rollout.RolloutPlan;
 import wharftrestle.net.Config;
 
@@ -217,7 +217,7 @@
 
     @Override
     public Integer call() throws Exception {
-      String answer = OrderSocket.order(folder().resolve(RolloutController.SOCKET), order());
+      String answer = CommandSocket.order(folder().resolve(RolloutController.SOCKET), order());
       if (answer == null) {
         System.err.println("wharftrestle: no driver answers in " + folder);
         return UNDONE;
@@ -304,7 +304,7 @@
     @Override
     public Integer call() throws Exception {
       for (; ; ) {
-        String answer = OrderSocket.order(folder().resolve(RolloutController.SOCKET), "status");
+        String answer = CommandSocket.order(folder().resolve(RolloutController.SOCKET), "status");
         JsonNode now =
             answer == null ? journal() : new ObjectMapper().readTree(answer.substring(3));
         if (now == null) {
@@ -339,7 +339,7 @@
       if (!Files.exists(file)) {
         return null;
       }
-      List<RolloutController.Line> lines = JsonLog.read(file, RolloutController.Line.class);
+      List<RolloutController.Line> lines = JsonLineJournal.read(file, RolloutController.Line.class);
       if (lines.isEmpty()) {
         return null;
       }
--- a/src/main/java/wharftrestle/rollout/controller/RolloutController.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutController.java
@@ -22,9 +22,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
-import wharftrestle.box.FolderLock;
-import wharftrestle.box.JsonLog;
-import wharftrestle.box.OrderSocket;
+import wharftrestle.supervisor.DirectoryLock;
+import wharftrestle.supervisor.JsonLineJournal;
+import wharftrestle.supervisor.CommandSocket;
 import wharftrestle.time.SteadyWallClock;
 import wharftrestle.rollout.EpochFence;
 import wharftrestle.rollout.CanaryAnalysis;
@@ -109,9 +109,9 @@
   private final String digest;
   private final RolloutEventLog events;
   private final SupervisorClient calls = new SupervisorClient();
-  private final FolderLock lock;
-  private final JsonLog<Line> journal;
-  private final OrderSocket socket;
+  private final DirectoryLock lock;
+  private final JsonLineJournal<Line> journal;
+  private final CommandSocket socket;
   private final ControllerLease steering;
   private final MembershipView members;
   private final Map<String, HostView> views = new LinkedHashMap<>();
@@ -142,11 +142,11 @@
     plan = script.plan();
     digest = sha256(script.text());
     Files.createDirectories(folder);
-    lock = FolderLock.take(folder.resolve("roll.lock"));
+    lock = DirectoryLock.take(folder.resolve("roll.lock"));
     if (lock == null) {
       throw new RefusedException("another driver has " + folder);
     }
-    journal = new JsonLog<>(folder.resolve(JOURNAL), Line.class);
+    journal = new JsonLineJournal<>(folder.resolve(JOURNAL), Line.class);
     Line last = journal.last();
     goesOn = last != null && !last.roll().state().over();
     if (goesOn && !last.plan().equals(digest)) {
@@ -166,7 +166,7 @@
     members = new MembershipView(plan.boxes().stream().map(RolloutPlan.Box::name).toList(), now);
     plan.boxes().forEach(box -> views.put(box.name(), new HostView(box)));
     roll = goesOn ? new Rollout(plan, last.roll(), now) : new Rollout(plan, now);
-    socket = new OrderSocket(folder.resolve(SOCKET), this::obey);
+    socket = new CommandSocket(folder.resolve(SOCKET), this::obey);
   }
 
   private static String copy(String digest) {
@@ -712,7 +712,7 @@
     return all;
   }
 
-  private void close(OrderSocket open) throws IOException {
+  private void close(CommandSocket open) throws IOException {
     over = true;
     if (open != null) {
       open.close();
--- a/src/main/java/wharftrestle/box/OrderSocket.java
+++ b/src/main/java/wharftrestle/supervisor/CommandSocket.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import java.io.BufferedReader;
 import java.io.Closeable;
@@ -20,7 +20,7 @@
  * A Unix socket that takes orders of people on this machine: a line each, and a line back. It owns
  * the socket's file.
  */
-public final class OrderSocket implements Closeable {
+public final class CommandSocket implements Closeable {
   private static final int LONGEST = 200;
 
   private final Path at;
@@ -30,7 +30,7 @@
   /**
    * @param obey gives the answer to an order, in a thread of its own
    */
-  public OrderSocket(Path at, UnaryOperator<String> obey) throws IOException {
+  public CommandSocket(Path at, UnaryOperator<String> obey) throws IOException {
     this.at = at;
     this.obey = obey;
     Files.deleteIfExists(at);
--- a/src/main/java/wharftrestle/box/FleetDoor.java
+++ b/src/main/java/wharftrestle/supervisor/ControllerEndpoint.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -37,7 +37,7 @@
  * It owns the fence's file and the keeper's incarnation. It decides nothing: {@link EpochFence} does. It
  * must never wait for a daemon, or answer before what it grants is on disk.
  */
-public final class FleetDoor implements Closeable {
+public final class ControllerEndpoint implements Closeable {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int LONGEST = 4096;
   private static final int THREADS = 4;
@@ -62,11 +62,11 @@
           .build();
   private final String name;
   private final String incarnation = Long.toHexString(new SecureRandom().nextLong());
-  private final JsonLog<EpochFence.Kept> file;
+  private final JsonLineJournal<EpochFence.Kept> file;
   private final EpochFence fence;
   private final UnaryOperator<String> orders;
   private final Supplier<Map<String, Object>> shown;
-  private final Releases releases;
+  private final ReleaseDirectory releases;
   private final BiPredicate<String, String> reads;
   private final AtomicLong toldAt = new AtomicLong(System.nanoTime() - RARELY);
   private String stand = "";
@@ -76,11 +76,11 @@
    * @param shown how the box is, as of the keeper's last look
    * @param reads true where the program of one release can read the settings of another
    */
-  public FleetDoor(
+  public ControllerEndpoint(
       InetSocketAddress at,
       String name,
       Path state,
-      Releases releases,
+      ReleaseDirectory releases,
       UnaryOperator<String> orders,
       Supplier<Map<String, Object>> shown,
       BiPredicate<String, String> reads)
@@ -90,7 +90,7 @@
     this.name = name;
     this.orders = orders;
     this.shown = shown;
-    file = new JsonLog<>(state.resolve("fence.jsonl"), EpochFence.Kept.class);
+    file = new JsonLineJournal<>(state.resolve("fence.jsonl"), EpochFence.Kept.class);
     EpochFence.Kept last = file.last();
     // Stamps of an earlier start are never given again: they begin at a place drawn anew.
     fence =
--- a/src/main/java/wharftrestle/box/DaemonLook.java
+++ b/src/main/java/wharftrestle/supervisor/DaemonStatus.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -23,7 +23,7 @@
  * @param badCalls of them badly
  * @param classes answers by class
  */
-public record DaemonLook(
+public record DaemonStatus(
     boolean ready,
     String handover,
     String build,
@@ -45,13 +45,13 @@
       double lateWorth) {}
 
   /** It says nothing. */
-  static final DaemonLook SILENT = new DaemonLook(false, "", "", "", 0, 0, 0, List.of());
+  static final DaemonStatus SILENT = new DaemonStatus(false, "", "", "", 0, 0, 0, List.of());
 
   private static final int DOOR_MS = 1000;
   private static final String RESULTS = "daemon.results.";
 
   /** Looks at the door of this port on loopback; {@link #SILENT} where nobody answers. */
-  static DaemonLook at(int door) {
+  static DaemonStatus at(int door) {
     try {
       String said = get(door, "GET", "/_figures");
       return said.startsWith("HTTP/1.1 404 ") ? former(door) : read(said);
@@ -73,7 +73,7 @@
     }
   }
 
-  static DaemonLook read(String said) {
+  static DaemonStatus read(String said) {
     Map<String, String> once = new LinkedHashMap<>();
     List<Answers> classes = new ArrayList<>();
     for (String line : said.split("\r?\n")) {
@@ -99,7 +99,7 @@
       }
     }
     String[] calls = once.getOrDefault("calls", "0 0").split(" ");
-    return new DaemonLook(
+    return new DaemonStatus(
         "yes".equals(once.get("ready")),
         once.getOrDefault("handover", ""),
         once.getOrDefault("build", ""),
@@ -111,7 +111,7 @@
   }
 
   /** A build from before the figures: three calls. */
-  private static DaemonLook former(int door) throws IOException {
+  private static DaemonStatus former(int door) throws IOException {
     boolean ready = get(door, "GET", "/_ready").startsWith("HTTP/1.1 200 ");
     String handover = "";
     for (String line : get(door, "GET", "/_status").split("\n")) {
@@ -135,7 +135,7 @@
     List<Answers> classes = new ArrayList<>();
     results.forEach(
         (name, c) -> classes.add(new Answers(name, c[0] + c[1] + c[2], c[0], 0, c[1], c[2], 1, 0)));
-    return new DaemonLook(ready, handover, "", "", 0, 0, 0, classes);
+    return new DaemonStatus(ready, handover, "", "", 0, 0, 0, classes);
   }
 
   /** Why it cannot take over; empty where it can, or does not say. */
@@ -145,10 +145,10 @@
   }
 
   /** What a keeper weighs; null where it did not say. */
-  Keeper.Figures figures() {
+  SupervisorStateMachine.Figures figures() {
     return classes.isEmpty()
         ? null
-        : new Keeper.Figures(
+        : new SupervisorStateMachine.Figures(
             classes.stream().mapToLong(Answers::served).sum(),
             classes.stream().mapToLong(Answers::refused).sum(),
             classes.stream().mapToLong(Answers::failed).sum());
--- a/src/main/java/wharftrestle/box/FolderLock.java
+++ b/src/main/java/wharftrestle/supervisor/DirectoryLock.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -9,15 +9,15 @@
 import java.nio.file.StandardOpenOption;
 
 /** A locked file that says whose a folder is, as long as its process lives. */
-public final class FolderLock implements Closeable {
+public final class DirectoryLock implements Closeable {
   private final FileChannel file;
 
-  private FolderLock(FileChannel file) {
+  private DirectoryLock(FileChannel file) {
     this.file = file;
   }
 
   /** Locks this file; null where another process, or another part of this one, has it. */
-  public static FolderLock take(Path path) throws IOException {
+  public static DirectoryLock take(Path path) throws IOException {
     FileChannel file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     FileLock lock;
     try {
@@ -29,7 +29,7 @@
       file.close();
       return null;
     }
-    return new FolderLock(file);
+    return new DirectoryLock(file);
   }
 
   @Override
--- a/src/main/java/wharftrestle/box/BoxKeeper.java
+++ b/src/main/java/wharftrestle/supervisor/HostSupervisor.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.Closeable;
@@ -24,12 +24,12 @@
 import wharftrestle.net.Address;
 
 /**
- * Carries out what {@link Keeper} decides: it starts, watches and ends the daemons of one box,
+ * Carries out what {@link SupervisorStateMachine} decides: it starts, watches and ends the daemons of one box,
  * keeps the journal, and takes orders at a Unix socket in its folder. It owns that folder while it
  * runs. It must never do a thing before it stands in the journal, or end a daemon with itself: a
  * keeper that goes leaves its daemons, and the next one adopts them.
  */
-public final class BoxKeeper implements Closeable {
+public final class HostSupervisor implements Closeable {
 
   /**
    * Where things are.
@@ -78,19 +78,19 @@
   private static final String SOCKET = "keeper.sock";
 
   private final Places places;
-  private final Releases releases;
-  private final Keeper keeper;
-  private final FolderLock lock;
-  private final StepLog journal;
-  private final Map<Keeper.Role, Running> running = new EnumMap<>(Keeper.Role.class);
+  private final ReleaseDirectory releases;
+  private final SupervisorStateMachine keeper;
+  private final DirectoryLock lock;
+  private final SupervisorJournal journal;
+  private final Map<SupervisorStateMachine.Role, Running> running = new EnumMap<>(SupervisorStateMachine.Role.class);
   private final List<Running> ending = new ArrayList<>();
   private final BlockingQueue<Order> orders = new LinkedBlockingQueue<>();
   private final PrintStream out;
-  private final Consumer<StepLog.Entry> before;
-  private OrderSocket socket;
-  private FleetDoor fleet; // null where no driver may call
+  private final Consumer<SupervisorJournal.Entry> before;
+  private CommandSocket socket;
+  private ControllerEndpoint fleet; // null where no driver may call
   private final Map<String, Integer> deaths = new LinkedHashMap<>(); // by release
-  private final Map<Keeper.Role, DaemonLook> looks = new EnumMap<>(Keeper.Role.class);
+  private final Map<SupervisorStateMachine.Role, DaemonStatus> looks = new EnumMap<>(SupervisorStateMachine.Role.class);
   private String told = ""; // the release that a driver told last
   private int attempt; // how often, in its epoch
   private String refusal = ""; // why that was not begun
@@ -103,7 +103,7 @@
    *
    * @throws TakenException where another keeper has it
    */
-  public BoxKeeper(Places places, Keeper.Limits limits, PrintStream out)
+  public HostSupervisor(Places places, SupervisorStateMachine.Limits limits, PrintStream out)
       throws IOException, TakenException {
     this(places, limits, out, step -> {});
   }
@@ -112,19 +112,19 @@
    * The same with one who is told of each step before it is written, so that tests can end the
    * keeper there.
    */
-  BoxKeeper(Places places, Keeper.Limits limits, PrintStream out, Consumer<StepLog.Entry> before)
+  HostSupervisor(Places places, SupervisorStateMachine.Limits limits, PrintStream out, Consumer<SupervisorJournal.Entry> before)
       throws IOException, TakenException {
     this.places = places;
     this.out = out;
     this.before = before;
-    releases = new Releases(places.releases());
-    keeper = new Keeper(limits);
+    releases = new ReleaseDirectory(places.releases());
+    keeper = new SupervisorStateMachine(limits);
     Files.createDirectories(places.state());
-    lock = FolderLock.take(places.state().resolve("keeper.lock"));
+    lock = DirectoryLock.take(places.state().resolve("keeper.lock"));
     if (lock == null) {
       throw new TakenException("another keeper has this box (" + places.state() + ")");
     }
-    journal = new StepLog(places.state().resolve("journal.jsonl"));
+    journal = new SupervisorJournal(places.state().resolve("journal.jsonl"));
   }
 
   /**
@@ -132,10 +132,10 @@
    * where it is null.
    */
   public void run(String first) throws IOException, InterruptedException {
-    socket = new OrderSocket(places.state().resolve(SOCKET), this::askLoop);
+    socket = new CommandSocket(places.state().resolve(SOCKET), this::askLoop);
     if (places.fleet() != null) {
       fleet =
-          new FleetDoor(
+          new ControllerEndpoint(
               places.fleet(),
               places.name(),
               places.state(),
@@ -145,11 +145,11 @@
               this::reads);
     }
     findStarted();
-    Found found = Found.of(journal.entries(), step -> handle(step).isPresent());
-    for (StepLog.Entry each : found.end()) {
+    SupervisorRecovery found = SupervisorRecovery.of(journal.entries(), step -> handle(step).isPresent());
+    for (SupervisorJournal.Entry each : found.end()) {
       say(
           "ended",
-          Keeper.Role.COMES,
+          SupervisorStateMachine.Role.COMES,
           each.release(),
           each.pid(),
           each.began(),
@@ -159,9 +159,9 @@
     }
     found.leave().forEach(each -> handle(each).ifPresent(ProcessHandle::destroy));
     if (found.serves() != null) {
-      StepLog.Entry serves = found.serves();
+      SupervisorJournal.Entry serves = found.serves();
       running.put(
-          Keeper.Role.SERVES,
+          SupervisorStateMachine.Role.SERVES,
           new Running(
               serves.pid(),
               serves.began(),
@@ -211,8 +211,8 @@
    * by its door.
    */
   private void findStarted() throws IOException {
-    List<StepLog.Entry> steps = journal.entries();
-    StepLog.Entry last = steps.isEmpty() ? null : steps.get(steps.size() - 1);
+    List<SupervisorJournal.Entry> steps = journal.entries();
+    SupervisorJournal.Entry last = steps.isEmpty() ? null : steps.get(steps.size() - 1);
     if (last == null || !last.what().equals("starting")) {
       return;
     }
@@ -220,7 +220,7 @@
     for (ProcessHandle each : ProcessHandle.allProcesses().toList()) {
       if (environment(each).contains(door)) {
         journal.add(
-            new StepLog.Entry(
+            new SupervisorJournal.Entry(
                 SteadyWallClock.now(),
                 "started",
                 last.role(),
@@ -248,7 +248,7 @@
     return System.nanoTime() / 1e9;
   }
 
-  private static Optional<ProcessHandle> handle(StepLog.Entry step) {
+  private static Optional<ProcessHandle> handle(SupervisorJournal.Entry step) {
     return ProcessHandle.of(step.pid())
         .filter(ProcessHandle::isAlive)
         .filter(handle -> began(handle) == step.began());
@@ -277,7 +277,7 @@
 
   /** Sends one order to the keeper of this folder; its answer, or null where none keeps it. */
   public static String order(Path state, String text) {
-    return OrderSocket.order(state.resolve(SOCKET), text);
+    return CommandSocket.order(state.resolve(SOCKET), text);
   }
 
   /** Answers begin with "ok" or "no". */
@@ -303,7 +303,7 @@
         if (!against.isEmpty()) {
           return "no " + against;
         }
-        List<Keeper.Act> acts = keeper.back(now());
+        List<SupervisorStateMachine.Act> acts = keeper.back(now());
         carryOut(acts);
         return acts.isEmpty() ? "no there is nothing to go back to" : "ok going back";
       }
@@ -340,8 +340,8 @@
       return "no " + against;
     }
     boolean undoes =
-        (keeper.state() == Keeper.State.CHANGING && keeper.release().equals(to))
-            || (keeper.state() == Keeper.State.PROBATION && keeper.good().equals(to));
+        (keeper.state() == SupervisorStateMachine.State.CHANGING && keeper.release().equals(to))
+            || (keeper.state() == SupervisorStateMachine.State.PROBATION && keeper.good().equals(to));
     if (undoes) {
       carryOut(keeper.back(now()));
       return "ok going back to " + to;
@@ -373,7 +373,7 @@
                     "door",
                     each.door(),
                     "ready",
-                    DaemonLook.at(each.door()).ready())));
+                    DaemonStatus.at(each.door()).ready())));
     return "ok " + new ObjectMapper().writeValueAsString(all);
   }
 
@@ -381,7 +381,7 @@
 
   private void look() throws IOException {
     looks.clear();
-    for (Keeper.Role role : List.copyOf(running.keySet())) {
+    for (SupervisorStateMachine.Role role : List.copyOf(running.keySet())) {
       Running each = running.get(role);
       if (each == null) {
         continue; // it changed its role meanwhile
@@ -393,19 +393,19 @@
         carryOut(keeper.died(role, now()));
         continue;
       }
-      DaemonLook look = DaemonLook.at(each.door());
+      DaemonStatus look = DaemonStatus.at(each.door());
       looks.put(role, look);
-      if (keeper.state() != Keeper.State.SERVING
-          && keeper.state() != Keeper.State.PROBATION
+      if (keeper.state() != SupervisorStateMachine.State.SERVING
+          && keeper.state() != SupervisorStateMachine.State.PROBATION
           && look.ready()) {
         carryOut(keeper.ready(role, now()));
-      } else if (role == Keeper.Role.COMES && !look.refusal().isEmpty()) {
+      } else if (role == SupervisorStateMachine.Role.COMES && !look.refusal().isEmpty()) {
         carryOut(keeper.refused(role, look.refusal(), now()));
       }
     }
     ending.removeIf(each -> !each.handle().isAlive());
-    DaemonLook serves =
-        running.containsKey(Keeper.Role.SERVES) ? looks.get(Keeper.Role.SERVES) : null;
+    DaemonStatus serves =
+        running.containsKey(SupervisorStateMachine.Role.SERVES) ? looks.get(SupervisorStateMachine.Role.SERVES) : null;
     carryOut(keeper.tick(serves == null ? null : serves.figures(), now()));
     if (fleet != null) {
       show();
@@ -417,12 +417,12 @@
    * that is silent.
    */
   private void show() {
-    Running serves = running.get(Keeper.Role.SERVES);
-    DaemonLook look = serves == null ? null : looks.get(Keeper.Role.SERVES);
+    Running serves = running.get(SupervisorStateMachine.Role.SERVES);
+    DaemonStatus look = serves == null ? null : looks.get(SupervisorStateMachine.Role.SERVES);
     boolean settled =
-        keeper.state() == Keeper.State.SERVING || keeper.state() == Keeper.State.PROBATION;
+        keeper.state() == SupervisorStateMachine.State.SERVING || keeper.state() == SupervisorStateMachine.State.PROBATION;
     boolean missed =
-        keeper.state() == Keeper.State.SERVING && !told.isEmpty() && !told.equals(keeper.release());
+        keeper.state() == SupervisorStateMachine.State.SERVING && !told.isEmpty() && !told.equals(keeper.release());
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("state", keeper.state().name().toLowerCase(Locale.ROOT));
     all.put("release", keeper.release());
@@ -444,8 +444,8 @@
       all.put("badCalls", look.badCalls());
       all.put("classes", look.classes());
       try {
-        all.put("cpu", Proc.cpuSeconds(serves.pid()));
-        all.put("ownMb", Proc.memoryKb(serves.pid(), "RssAnon") / 1024.0);
+        all.put("cpu", ProcessInfo.cpuSeconds(serves.pid()));
+        all.put("ownMb", ProcessInfo.memoryKb(serves.pid(), "RssAnon") / 1024.0);
       } catch (IOException gone) {
         Logger.debug("{} has just ended", serves.pid());
       }
@@ -457,7 +457,7 @@
    * The release that a daemon is, by the digest that it says of itself: where that is not the one
    * it was started from, the one that has it; empty where none has.
    */
-  private String acts(Running serves, DaemonLook look) {
+  private String acts(Running serves, DaemonStatus look) {
     if (look.build().isEmpty() || look.build().equals(releases.build(serves.release()))) {
       return look.build().isEmpty() ? "" : serves.release();
     }
@@ -477,10 +477,10 @@
     command.addAll(
         List.of(
             "-jar",
-            releases.of(program).resolve(Releases.JAR).toString(),
+            releases.of(program).resolve(ReleaseDirectory.JAR).toString(),
             "settings",
             "check",
-            releases.of(settings).resolve(Releases.SETTINGS).toString()));
+            releases.of(settings).resolve(ReleaseDirectory.SETTINGS).toString()));
     try {
       Process check =
           new ProcessBuilder(command)
@@ -498,18 +498,18 @@
 
   /** The daemon that serves is told where the fleet stands, for its door and its MIB. */
   void tellStand(String query) {
-    Running serves = running.get(Keeper.Role.SERVES);
+    Running serves = running.get(SupervisorStateMachine.Role.SERVES);
     if (serves != null) {
       try {
-        DaemonLook.get(serves.door(), "POST", "/_fleet?" + query);
+        DaemonStatus.get(serves.door(), "POST", "/_fleet?" + query);
       } catch (IOException silent) {
         Logger.debug("the daemon at {} does not answer", serves.door());
       }
     }
   }
 
-  private void carryOut(List<Keeper.Act> acts) throws IOException {
-    for (Keeper.Act act : acts) {
+  private void carryOut(List<SupervisorStateMachine.Act> acts) throws IOException {
+    for (SupervisorStateMachine.Act act : acts) {
       Running of = running.get(act.role());
       switch (act.kind()) {
         case START -> start(act);
@@ -518,7 +518,7 @@
             say("ended", act.role(), of.release(), of.pid(), of.began(), of.door(), act.why());
             running.remove(act.role());
             ending.add(of);
-            if (act.kind() == Keeper.Act.Kind.TERM) {
+            if (act.kind() == SupervisorStateMachine.Act.Kind.TERM) {
               of.handle().destroy();
             } else {
               of.handle().destroyForcibly();
@@ -526,12 +526,12 @@
           }
         }
         case PROMOTE -> {
-          Running came = running.remove(Keeper.Role.COMES);
+          Running came = running.remove(SupervisorStateMachine.Role.COMES);
           if (came != null) {
-            running.put(Keeper.Role.SERVES, came);
+            running.put(SupervisorStateMachine.Role.SERVES, came);
             say(
                 "promoted",
-                Keeper.Role.SERVES,
+                SupervisorStateMachine.Role.SERVES,
                 came.release(),
                 came.pid(),
                 came.began(),
@@ -553,7 +553,7 @@
     }
   }
 
-  private void start(Keeper.Act act) throws IOException {
+  private void start(SupervisorStateMachine.Act act) throws IOException {
     String against = releases.against(act.release());
     if (!against.isEmpty()) {
       say("said", act.role(), act.release(), 0, 0, 0, against);
@@ -562,8 +562,8 @@
     }
     Path release = releases.of(act.release());
     List<String> command = new ArrayList<>(places.java());
-    command.addAll(List.of("-jar", release.resolve(Releases.JAR).toString(), "serve"));
-    Path settings = release.resolve(Releases.SETTINGS);
+    command.addAll(List.of("-jar", release.resolve(ReleaseDirectory.JAR).toString(), "serve"));
+    Path settings = release.resolve(ReleaseDirectory.SETTINGS);
     if (Files.exists(settings)) {
       command.addAll(List.of("--appliance", settings.toString()));
     }
@@ -586,10 +586,10 @@
   }
 
   private void say(
-      String what, Keeper.Role role, String release, long pid, long began, int door, String why)
+      String what, SupervisorStateMachine.Role role, String release, long pid, long began, int door, String why)
       throws IOException {
-    StepLog.Entry entry =
-        new StepLog.Entry(
+    SupervisorJournal.Entry entry =
+        new SupervisorJournal.Entry(
             SteadyWallClock.now(), what, role.name(), release, keeper.good(), pid, began, door, why);
     before.accept(entry);
     try {
--- a/src/main/java/wharftrestle/box/JsonLog.java
+++ b/src/main/java/wharftrestle/supervisor/JsonLineJournal.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -20,7 +20,7 @@
  *
  * @param <E> a line, a record that Jackson reads and writes
  */
-public class JsonLog<E> implements Closeable {
+public class JsonLineJournal<E> implements Closeable {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final FileChannel file;
@@ -30,7 +30,7 @@
    * @throws IOException also where a line that is not the last cannot be read: then nothing of it
    *     is believed
    */
-  public JsonLog(Path path, Class<E> type) throws IOException {
+  public JsonLineJournal(Path path, Class<E> type) throws IOException {
     boolean fresh = !Files.exists(path);
     long whole = fresh ? 0 : read(path, type, entries);
     file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
--- a/src/main/java/wharftrestle/box/Proc.java
+++ b/src/main/java/wharftrestle/supervisor/ProcessInfo.java
@@ -1,12 +1,12 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
 /** What the kernel says of a process. */
-public final class Proc {
-  private Proc() {}
+public final class ProcessInfo {
+  private ProcessInfo() {}
 
   /**
    * Seconds of all cores that a process has used, by itself and in the system; in hundredths, as
--- a/src/main/java/wharftrestle/box/Releases.java
+++ b/src/main/java/wharftrestle/supervisor/ReleaseDirectory.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -15,7 +15,7 @@
  * all of it. It must never call a release whole whose digests are missing or differ: half a copy
  * has no list, as that is written last.
  */
-public final class Releases {
+public final class ReleaseDirectory {
   /** The list of digests, as sha256sum writes it. */
   static final String SUMS = "SHA256SUMS";
 
@@ -29,7 +29,7 @@
 
   private final Path folder;
 
-  public Releases(Path folder) {
+  public ReleaseDirectory(Path folder) {
     this.folder = folder;
   }
 
--- a/src/main/java/wharftrestle/box/BoxCommand.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorCommand.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -21,14 +21,14 @@
     name = "box",
     description = "keep one box: start its daemon, change it, take it back",
     subcommands = {
-      BoxCommand.Run.class,
-      BoxCommand.Change.class,
-      BoxCommand.Back.class,
-      BoxCommand.Status.class,
-      BoxCommand.Pack.class,
-      BoxCommand.Releasing.class
+      SupervisorCommand.Run.class,
+      SupervisorCommand.Change.class,
+      SupervisorCommand.Back.class,
+      SupervisorCommand.Status.class,
+      SupervisorCommand.Pack.class,
+      SupervisorCommand.Releasing.class
     })
-public final class BoxCommand implements Runnable {
+public final class SupervisorCommand implements Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -98,19 +98,19 @@
       }
       Settings set = settings == null ? Settings.none() : Settings.read(settings);
       List<String> command = new ArrayList<>(Arrays.asList(java.trim().split(" +")));
-      BoxKeeper.Places places =
-          new BoxKeeper.Places(
+      HostSupervisor.Places places =
+          new HostSupervisor.Places(
               state.toAbsolutePath(),
               releases.toAbsolutePath(),
               Path.of(config).toAbsolutePath(),
               command,
               name,
               fleet == null ? null : Config.address("--fleet", fleet));
-      try (BoxKeeper keeper = new BoxKeeper(places, limits(set), System.out)) {
+      try (HostSupervisor keeper = new HostSupervisor(places, limits(set), System.out)) {
         Runtime.getRuntime().addShutdownHook(new Thread(keeper::stop));
         keeper.run(first);
         return 0;
-      } catch (BoxKeeper.TakenException e) {
+      } catch (HostSupervisor.TakenException e) {
         throw new Config.BadConfigException(e.getMessage());
       } catch (IOException e) {
         System.err.println("wharftrestle: " + e.getMessage());
@@ -120,8 +120,8 @@
   }
 
   /** The limits that a script sets, or the schema does. */
-  public static Keeper.Limits limits(Settings set) {
-    return new Keeper.Limits(
+  public static SupervisorStateMachine.Limits limits(Settings set) {
+    return new SupervisorStateMachine.Limits(
         number(set, "ready_s"),
         number(set, "probation_s"),
         number(set, "worse_failed"),
@@ -149,7 +149,7 @@
 
     @Override
     public Integer call() {
-      String answer = BoxKeeper.order(state, order());
+      String answer = HostSupervisor.order(state, order());
       if (answer == null) {
         System.err.println("wharftrestle: no keeper answers in " + state);
         return 1;
@@ -223,7 +223,7 @@
         Settings.read(settings);
       }
       try {
-        new Releases(releases).pack(jar, settings, name);
+        new ReleaseDirectory(releases).pack(jar, settings, name);
         return 0;
       } catch (IOException e) {
         System.err.println("wharftrestle: " + e.getMessage());
@@ -244,7 +244,7 @@
 
     @Override
     public Integer call() throws IOException {
-      Releases all = new Releases(releases);
+      ReleaseDirectory all = new ReleaseDirectory(releases);
       for (String name : all.names()) {
         String against = all.against(name);
         System.out.println(name + "  " + (against.isEmpty() ? "whole" : against));
--- a/src/main/java/wharftrestle/box/StepLog.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorJournal.java
@@ -1,17 +1,17 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import java.io.IOException;
 import java.nio.file.Path;
 
 /** The keeper's journal: a step a line. */
-final class StepLog extends JsonLog<StepLog.Entry> {
+final class SupervisorJournal extends JsonLineJournal<SupervisorJournal.Entry> {
 
   /**
    * One step. A daemon is known by its process id and start: ids come again, starts do not.
    *
    * @param at Unix ms, for people
    * @param what "started", "serves", "promoted", "ended", "said"
-   * @param role of the daemon, as {@link Keeper.Role} has it
+   * @param role of the daemon, as {@link SupervisorStateMachine.Role} has it
    * @param release of the daemon
    * @param good the release to go back to then
    * @param pid 0 for none
@@ -33,7 +33,7 @@
   /**
    * @throws IOException also where a line that is not the last cannot be read
    */
-  StepLog(Path path) throws IOException {
+  SupervisorJournal(Path path) throws IOException {
     super(path, Entry.class);
   }
 }
--- a/src/main/java/wharftrestle/box/Found.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorRecovery.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -18,28 +18,28 @@
  * @param leave daemons that live and were to leave: the keeper may have died before it said so to
  *     them
  */
-record Found(
+record SupervisorRecovery(
     String release,
     String good,
-    StepLog.Entry serves,
+    SupervisorJournal.Entry serves,
     boolean probation,
-    List<StepLog.Entry> end,
-    List<StepLog.Entry> leave) {
+    List<SupervisorJournal.Entry> end,
+    List<SupervisorJournal.Entry> leave) {
 
   /**
    * @param lives true where the process of a "started" step lives
    */
-  static Found of(List<StepLog.Entry> steps, Predicate<StepLog.Entry> lives) {
+  static SupervisorRecovery of(List<SupervisorJournal.Entry> steps, Predicate<SupervisorJournal.Entry> lives) {
     String release = "";
     String good = "";
-    StepLog.Entry serves = null;
-    StepLog.Entry comes = null;
+    SupervisorJournal.Entry serves = null;
+    SupervisorJournal.Entry comes = null;
     boolean probation = false;
-    List<StepLog.Entry> leave = new ArrayList<>();
-    for (StepLog.Entry step : steps) {
+    List<SupervisorJournal.Entry> leave = new ArrayList<>();
+    for (SupervisorJournal.Entry step : steps) {
       switch (step.what()) {
         case "started" -> {
-          if (step.role().equals(Keeper.Role.COMES.name())) {
+          if (step.role().equals(SupervisorStateMachine.Role.COMES.name())) {
             comes = step;
           } else {
             serves = step;
@@ -67,15 +67,15 @@
     }
     boolean servesLives = serves != null && lives.test(serves);
     boolean comesLives = comes != null && lives.test(comes);
-    List<StepLog.Entry> end = new ArrayList<>();
+    List<SupervisorJournal.Entry> end = new ArrayList<>();
     if (!servesLives && comesLives) {
       // The one that served is gone, so this one has found out and serves.
-      return new Found(comes.release(), release, comes, true, end, leave);
+      return new SupervisorRecovery(comes.release(), release, comes, true, end, leave);
     }
     if (comesLives) {
       end.add(comes);
     }
-    return new Found(
+    return new SupervisorRecovery(
         release, good, servesLives ? serves : null, servesLives && probation, end, leave);
   }
 }
--- a/src/main/java/wharftrestle/box/Keeper.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorStateMachine.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -28,7 +28,7 @@
  * PAUSED     nothing runs, for a while                         STARTING
  * </pre>
  */
-public final class Keeper {
+public final class SupervisorStateMachine {
 
   /** How far it is; the table says what each means. */
   public enum State {
@@ -123,7 +123,7 @@
   private Figures last;
   private final List<Act> acts = new ArrayList<>();
 
-  public Keeper(Limits limits) {
+  public SupervisorStateMachine(Limits limits) {
     this.limits = limits;
   }
 
--- a/src/main/java/wharftrestle/box/package-info.java
+++ b/src/main/java/wharftrestle/supervisor/package-info.java
@@ -4,4 +4,4 @@
  * {@link wharftrestle.box.BoxKeeper} carries out. Not on the platform; losing the keeper never ends
  * a daemon. It must never start a release that is not whole.
  */
-package wharftrestle.box;
+package wharftrestle.supervisor;
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -99,7 +99,7 @@
           .that()
           .resideOutsideOfPackages(
               "wharftrestle.lab..",
-              "wharftrestle.box..",
+              "wharftrestle.supervisor..",
               "wharftrestle.rollout..")
           .and()
           .doNotHaveSimpleName("Main")
@@ -107,16 +107,16 @@
           .dependOnClassesThat()
           .resideInAnyPackage(
               "wharftrestle.lab..",
-              "wharftrestle.box..",
+              "wharftrestle.supervisor..",
               "wharftrestle.rollout..");
 
   @ArchTest
   static final ArchRule theKeeperDecidesWithoutIo =
       noClasses()
           .that()
-          .haveFullyQualifiedName("wharftrestle.box.Keeper")
+          .haveFullyQualifiedName("wharftrestle.supervisor.SupervisorStateMachine")
           .or()
-          .haveFullyQualifiedName("wharftrestle.box.Found")
+          .haveFullyQualifiedName("wharftrestle.supervisor.SupervisorRecovery")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -30,9 +30,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.box.FleetDoor;
-import wharftrestle.box.OrderSocket;
-import wharftrestle.box.Releases;
+import wharftrestle.supervisor.ControllerEndpoint;
+import wharftrestle.supervisor.CommandSocket;
+import wharftrestle.supervisor.ReleaseDirectory;
 import wharftrestle.net.Address;
 
 /** Stories of drivers and the keepers' doors, with boxes that do as they are told at once. */
@@ -44,13 +44,13 @@
   @TempDir private Path folder;
   private final List<Keeper> keepers = new ArrayList<>();
   private final List<String> obeyed = new CopyOnWriteArrayList<>();
-  private Releases releases;
+  private ReleaseDirectory releases;
 
   /** A keeper's door, and a box that has every release at once. */
   private final class Keeper {
     private final String name;
     private final int port;
-    private FleetDoor door;
+    private ControllerEndpoint door;
     private volatile String acts = "one";
     private volatile String told = "";
     private volatile int attempt;
@@ -63,7 +63,7 @@
 
     void open() throws IOException {
       door =
-          new FleetDoor(
+          new ControllerEndpoint(
               new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
               name,
               Files.createDirectories(folder.resolve(name)),
@@ -104,7 +104,7 @@
 
   @BeforeEach
   void fleet() throws IOException {
-    releases = new Releases(folder.resolve("releases"));
+    releases = new ReleaseDirectory(folder.resolve("releases"));
     Path jar = Files.writeString(folder.resolve("any.jar"), "a program");
     releases.pack(jar, null, "one");
     releases.pack(jar, null, "two");
@@ -146,7 +146,7 @@
   }
 
   private String order(String dir, String text) {
-    return OrderSocket.order(folder.resolve(dir).resolve(RolloutController.SOCKET), text);
+    return CommandSocket.order(folder.resolve(dir).resolve(RolloutController.SOCKET), text);
   }
 
   @Test
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
@@ -18,10 +18,10 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
 import wharftrestle.Fixtures;
-import wharftrestle.box.FleetDoor;
-import wharftrestle.box.JsonLog;
-import wharftrestle.box.OrderSocket;
-import wharftrestle.box.Releases;
+import wharftrestle.supervisor.ControllerEndpoint;
+import wharftrestle.supervisor.JsonLineJournal;
+import wharftrestle.supervisor.CommandSocket;
+import wharftrestle.supervisor.ReleaseDirectory;
 import wharftrestle.rollout.Rollout;
 import wharftrestle.net.Address;
 
@@ -81,7 +81,7 @@
 
   static void writeJournal(Path file) throws IOException {
     Files.createDirectories(file.getParent());
-    try (JsonLog<RolloutController.Line> journal = new JsonLog<>(file, RolloutController.Line.class)) {
+    try (JsonLineJournal<RolloutController.Line> journal = new JsonLineJournal<>(file, RolloutController.Line.class)) {
       for (RolloutController.Line line : lines()) {
         journal.add(line);
       }
@@ -99,7 +99,7 @@
         new RolloutController(folder, PlanScript.read(Fixtures.path(PLAN)), "d2", new RolloutEventLog(nowhere, true))) {
       for (String order :
           List.of("status", "broken b1 a rule", "go", "pause", "back", "abort", "fly")) {
-        String answer = OrderSocket.order(folder.resolve("roll.sock"), order);
+        String answer = CommandSocket.order(folder.resolve("roll.sock"), order);
         ObjectNode one = all.addObject().put("order", order);
         if (answer.startsWith("ok {")) {
           JsonNode status = JSON.readTree(answer.substring(3));
@@ -126,15 +126,15 @@
   record Run(List<JsonNode> journal, List<JsonNode> events) {}
 
   static Run run(Path folder) throws Exception {
-    Releases releases = new Releases(folder.resolve("releases"));
+    ReleaseDirectory releases = new ReleaseDirectory(folder.resolve("releases"));
     Path jar = Files.writeString(folder.resolve("any.jar"), "a program");
     releases.pack(jar, null, "one");
     releases.pack(jar, null, "two");
     AtomicReference<String[]> told = new AtomicReference<>(new String[] {"go", "0", "one"});
     int port = Address.freePort();
     ByteArrayOutputStream events = new ByteArrayOutputStream();
-    try (FleetDoor door =
-            new FleetDoor(
+    try (ControllerEndpoint door =
+            new ControllerEndpoint(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 "b1",
                 Files.createDirectories(folder.resolve("b1")),
--- a/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Fixtures;
-import wharftrestle.box.JsonLog;
+import wharftrestle.supervisor.JsonLineJournal;
 import wharftrestle.rollout.EpochFence;
 import wharftrestle.rollout.CanaryMetric;
 import wharftrestle.rollout.RolloutPlan;
@@ -48,7 +48,7 @@
   @Test
   void journal_recorded_isReadToTheSameLines() throws Exception {
     List<RolloutController.Line> read =
-        JsonLog.read(Fixtures.path(RolloutFixtures.JOURNAL), RolloutController.Line.class);
+        JsonLineJournal.read(Fixtures.path(RolloutFixtures.JOURNAL), RolloutController.Line.class);
 
     assertEquals(RolloutFixtures.lines(), read);
   }
--- a/src/test/java/wharftrestle/box/BoxTest.java
+++ b/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -40,14 +40,14 @@
  * itself.
  */
 @Timeout(90)
-class BoxTest {
-  private static final Keeper.Limits LIMITS = new Keeper.Limits(15, 1.5, 0.02, 0.05, 20, 0.1, 1, 3);
+class HostSupervisorTest {
+  private static final SupervisorStateMachine.Limits LIMITS = new SupervisorStateMachine.Limits(15, 1.5, 0.02, 0.05, 20, 0.1, 1, 3);
 
   @TempDir private Path folder;
   private Floor floor;
   private Path releases;
   private Path state;
-  private BoxKeeper keeper;
+  private HostSupervisor keeper;
   private Thread runs;
 
   @BeforeEach
@@ -56,7 +56,7 @@
     releases = folder.resolve("releases");
     state = folder.resolve("keeper");
     for (String name : List.of("one", "two")) {
-      new Releases(releases).pack(jar("wharftrestle.Main"), null, name);
+      new ReleaseDirectory(releases).pack(jar("wharftrestle.Main"), null, name);
     }
   }
 
@@ -67,7 +67,7 @@
       floor.close();
       return;
     }
-    try (StepLog steps = new StepLog(state.resolve("journal.jsonl"))) {
+    try (SupervisorJournal steps = new SupervisorJournal(state.resolve("journal.jsonl"))) {
       steps.entries().stream()
           .filter(step -> step.what().equals("started"))
           .forEach(step -> ProcessHandle.of(step.pid()).ifPresent(ProcessHandle::destroyForcibly));
@@ -96,8 +96,8 @@
     return jar;
   }
 
-  private BoxKeeper.Places places() {
-    return new BoxKeeper.Places(
+  private HostSupervisor.Places places() {
+    return new HostSupervisor.Places(
         state,
         releases,
         folder.resolve("config.json"),
@@ -113,10 +113,10 @@
     keep(first, step -> {});
   }
 
-  private void keep(String first, Consumer<StepLog.Entry> before) throws Exception {
+  private void keep(String first, Consumer<SupervisorJournal.Entry> before) throws Exception {
     keeper =
-        new BoxKeeper(places(), LIMITS, new PrintStream(OutputStream.nullOutputStream()), before);
-    BoxKeeper mine = keeper;
+        new HostSupervisor(places(), LIMITS, new PrintStream(OutputStream.nullOutputStream()), before);
+    HostSupervisor mine = keeper;
     runs =
         new Thread(
             () -> {
@@ -147,7 +147,7 @@
   }
 
   private String order(String text) {
-    return BoxKeeper.order(state, text);
+    return HostSupervisor.order(state, text);
   }
 
   private JsonNode status() throws IOException {
@@ -194,7 +194,7 @@
 
   @Test
   void whatCrashesIsTakenBackByItselfAndTheBoxServesOn() throws Exception {
-    new Releases(releases).pack(jar("wharftrestle.prove.Crashes"), null, "bad");
+    new ReleaseDirectory(releases).pack(jar("wharftrestle.prove.Crashes"), null, "bad");
     keep("one");
     await("serving", "one");
     String result = ask("k");
@@ -212,11 +212,11 @@
     keep("one");
     await("serving", "one");
     Path half = Files.createDirectories(releases.resolve("half"));
-    Files.copy(releases.resolve("two").resolve(Releases.JAR), half.resolve(Releases.JAR));
+    Files.copy(releases.resolve("two").resolve(ReleaseDirectory.JAR), half.resolve(ReleaseDirectory.JAR));
     assertTrue(
         order("change half").startsWith("no release 'half' is not whole"), order("change half"));
     Files.writeString(
-        releases.resolve("two").resolve(Releases.JAR), "x", StandardOpenOption.APPEND);
+        releases.resolve("two").resolve(ReleaseDirectory.JAR), "x", StandardOpenOption.APPEND);
     assertTrue(order("change two").contains("the digest of wharftrestle.jar is another"));
     assertTrue(order("change none").startsWith("no there is no release 'none'"));
     assertTrue(order("change one").startsWith("no one serves already"));
@@ -227,9 +227,9 @@
   void aKeeperThatEndsLeavesItsDaemonAndTheNextOneAdoptsIt() throws Exception {
     keep("one");
     long pid = await("serving", "one").path("serves").path("pid").asLong();
-    BoxKeeper.TakenException taken =
+    HostSupervisor.TakenException taken =
         assertThrows(
-            BoxKeeper.TakenException.class, () -> new BoxKeeper(places(), LIMITS, System.out));
+            HostSupervisor.TakenException.class, () -> new HostSupervisor(places(), LIMITS, System.out));
     assertTrue(taken.getMessage().startsWith("another keeper has this box"));
     stop();
     assertTrue(ProcessHandle.of(pid).isPresent(), "its daemon serves on");
@@ -348,7 +348,7 @@
                 "-Xmx32m",
                 "-cp",
                 classes,
-                "wharftrestle.box.FullDisk",
+                "wharftrestle.supervisor.FullDiskSupervisor",
                 file.toString())
             .start();
     int written =
@@ -357,30 +357,30 @@
     assertTrue(
         writes.waitFor(20, TimeUnit.SECONDS) && written > 10,
         "the file was never full: " + written);
-    try (StepLog steps = new StepLog(file)) {
+    try (SupervisorJournal steps = new SupervisorJournal(file)) {
       assertEquals(written, steps.entries().size());
-      steps.add(new StepLog.Entry(1, "said", "SERVES", "one", "", 0, 0, 0, "there is room again"));
+      steps.add(new SupervisorJournal.Entry(1, "said", "SERVES", "one", "", 0, 0, 0, "there is room again"));
     }
     assertEquals(
-        written + 1, JsonLog.read(file, StepLog.Entry.class).size(), "no half step lies between");
+        written + 1, JsonLineJournal.read(file, SupervisorJournal.Entry.class).size(), "no half step lies between");
   }
 
   @Test
   void theJournalIsCutAtItsLastWholeLineAndNeverBelievedInPart() throws Exception {
     Path file = folder.resolve("steps.jsonl");
-    StepLog.Entry step = new StepLog.Entry(1, "started", "SERVES", "one", "", 42, 7, 9, "why");
-    try (StepLog steps = new StepLog(file)) {
+    SupervisorJournal.Entry step = new SupervisorJournal.Entry(1, "started", "SERVES", "one", "", 42, 7, 9, "why");
+    try (SupervisorJournal steps = new SupervisorJournal(file)) {
       steps.add(step);
       steps.add(step);
     }
     byte[] whole = Files.readAllBytes(file);
     for (int length = 0; length <= whole.length; length++) {
       Files.write(file, Arrays.copyOf(whole, length));
-      try (StepLog steps = new StepLog(file)) {
+      try (SupervisorJournal steps = new SupervisorJournal(file)) {
         assertEquals(length * 2 / whole.length, steps.entries().size(), "cut at " + length);
       }
     }
     Files.writeString(file, "garbage\n" + new String(whole, StandardCharsets.UTF_8));
-    assertThrows(IOException.class, () -> new StepLog(file));
+    assertThrows(IOException.class, () -> new SupervisorJournal(file));
   }
 }
--- a/src/test/java/wharftrestle/box/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/supervisor/StoredFormatTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -39,8 +39,8 @@
 
   @Test
   void journal_recorded_isReadToTheSameEntries() throws Exception {
-    List<StepLog.Entry> read =
-        JsonLog.read(Fixtures.path(SupervisorFixtures.JOURNAL), StepLog.Entry.class);
+    List<SupervisorJournal.Entry> read =
+        JsonLineJournal.read(Fixtures.path(SupervisorFixtures.JOURNAL), SupervisorJournal.Entry.class);
 
     assertEquals(SupervisorFixtures.steps(), read);
   }
@@ -57,19 +57,19 @@
 
   @Test
   void journal_recorded_tellsWhichProcessServes() throws Exception {
-    List<StepLog.Entry> read =
-        JsonLog.read(Fixtures.path(SupervisorFixtures.JOURNAL), StepLog.Entry.class);
+    List<SupervisorJournal.Entry> read =
+        JsonLineJournal.read(Fixtures.path(SupervisorFixtures.JOURNAL), SupervisorJournal.Entry.class);
 
-    Found found = Found.of(read, step -> step.pid() == 4_202);
+    SupervisorRecovery found = SupervisorRecovery.of(read, step -> step.pid() == 4_202);
 
-    assertEquals(new Found("two", "one", read.get(4), false, List.of(), List.of()), found);
+    assertEquals(new SupervisorRecovery("two", "one", read.get(4), false, List.of(), List.of()), found);
   }
 
   // ---- The fence's file ----
 
   @Test
   void fence_recorded_isReadToTheSameStates() throws Exception {
-    List<EpochFence.Kept> read = JsonLog.read(Fixtures.path(SupervisorFixtures.FENCE), EpochFence.Kept.class);
+    List<EpochFence.Kept> read = JsonLineJournal.read(Fixtures.path(SupervisorFixtures.FENCE), EpochFence.Kept.class);
 
     assertEquals(
         List.of(
@@ -86,12 +86,12 @@
     int port = Address.freePort();
 
     JsonNode shown;
-    try (FleetDoor door =
-        new FleetDoor(
+    try (ControllerEndpoint door =
+        new ControllerEndpoint(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
             "b1",
             folder,
-            new Releases(folder),
+            new ReleaseDirectory(folder),
             order -> "ok",
             Map::of,
             (program, settings) -> true)) {
@@ -123,7 +123,7 @@
 
   @Test
   void releases_recorded_areComplete() throws Exception {
-    Releases releases = new Releases(Fixtures.path(SupervisorFixtures.RELEASES));
+    ReleaseDirectory releases = new ReleaseDirectory(Fixtures.path(SupervisorFixtures.RELEASES));
 
     assertEquals(List.of("one", "two"), releases.names());
     assertEquals(List.of("", ""), List.of(releases.against("one"), releases.against("two")));
--- a/src/test/java/wharftrestle/box/SupervisorFixtureWriter.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorFixtureWriter.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/wharftrestle/box/SupervisorFixtures.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorFixtures.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -41,13 +41,13 @@
   // ---- The journal ----
 
   /** One change that is promoted, and one that is undone; each kind of entry is among them. */
-  static List<StepLog.Entry> steps() {
-    String serves = Keeper.Role.SERVES.name();
-    String comes = Keeper.Role.COMES.name();
+  static List<SupervisorJournal.Entry> steps() {
+    String serves = SupervisorStateMachine.Role.SERVES.name();
+    String comes = SupervisorStateMachine.Role.COMES.name();
     return List.of(
-        new StepLog.Entry(
+        new SupervisorJournal.Entry(
             1_765_000_000_001L, "starting", serves, "one", "", 0, 0, 7101, "the keeper began"),
-        new StepLog.Entry(
+        new SupervisorJournal.Entry(
             1_765_000_000_002L,
             "started",
             serves,
@@ -57,10 +57,10 @@
             1_764_999_999_990L,
             7101,
             "the keeper began"),
-        new StepLog.Entry(1_765_000_001_000L, "said", serves, "one", "", 0, 0, 0, "serves"),
-        new StepLog.Entry(
+        new SupervisorJournal.Entry(1_765_000_001_000L, "said", serves, "one", "", 0, 0, 0, "serves"),
+        new SupervisorJournal.Entry(
             1_765_000_002_000L, "starting", comes, "two", "", 0, 0, 7102, "change from one"),
-        new StepLog.Entry(
+        new SupervisorJournal.Entry(
             1_765_000_002_005L,
             "started",
             comes,
@@ -70,7 +70,7 @@
             1_765_000_002_003L,
             7102,
             "change from one"),
-        new StepLog.Entry(
+        new SupervisorJournal.Entry(
             1_765_000_003_000L,
             "ended",
             serves,
@@ -80,7 +80,7 @@
             1_764_999_999_990L,
             7101,
             "two serves"),
-        new StepLog.Entry(
+        new SupervisorJournal.Entry(
             1_765_000_003_001L,
             "promoted",
             serves,
@@ -90,11 +90,11 @@
             1_765_000_002_003L,
             7102,
             ""),
-        new StepLog.Entry(
+        new SupervisorJournal.Entry(
             1_765_000_063_000L, "held", serves, "two", "one", 0, 0, 0, "held its probation"),
-        new StepLog.Entry(
+        new SupervisorJournal.Entry(
             1_765_000_070_000L, "starting", comes, "drei-ü", "one", 0, 0, 7103, "change from two"),
-        new StepLog.Entry(
+        new SupervisorJournal.Entry(
             1_765_000_070_009L,
             "started",
             comes,
@@ -104,7 +104,7 @@
             1_765_000_070_004L,
             7103,
             "change from two"),
-        new StepLog.Entry(
+        new SupervisorJournal.Entry(
             1_765_000_071_000L,
             "ended",
             comes,
@@ -114,7 +114,7 @@
             1_765_000_070_004L,
             7103,
             "by itself"),
-        new StepLog.Entry(
+        new SupervisorJournal.Entry(
             1_765_000_071_001L,
             "said",
             comes,
@@ -128,8 +128,8 @@
 
   static void writeJournal(Path file) throws IOException {
     Files.createDirectories(file.getParent());
-    try (StepLog journal = new StepLog(file)) {
-      for (StepLog.Entry step : steps()) {
+    try (SupervisorJournal journal = new SupervisorJournal(file)) {
+      for (SupervisorJournal.Entry step : steps()) {
         journal.add(step);
       }
     }
@@ -142,7 +142,7 @@
     Path first = Files.writeString(scratch.resolve("first.jar"), "program of release one\n");
     Path second = Files.writeString(scratch.resolve("second.jar"), "program of release two\n");
     Path settings = Files.writeString(scratch.resolve("two.star"), "# settings of release two\n");
-    Releases releases = new Releases(folder);
+    ReleaseDirectory releases = new ReleaseDirectory(folder);
     releases.pack(first, null, "one");
     releases.pack(second, settings, "two");
   }
@@ -166,7 +166,7 @@
     all.put("calls", 12L);
     all.put("badCalls", 3L);
     all.put(
-        "classes", List.of(new DaemonLook.Answers("batch work", 100, 80, 7, 15, 5, 61.5, 4.25)));
+        "classes", List.of(new DaemonStatus.Answers("batch work", 100, 80, 7, 15, 5, 61.5, 4.25)));
     all.put("cpu", 1.75);
     all.put("ownMb", 22.5);
     return all;
@@ -185,12 +185,12 @@
   static Exchange exchange(Path state, Path releases) throws Exception {
     BlockingQueue<String> orders = new LinkedBlockingQueue<>();
     int port = Address.freePort();
-    try (FleetDoor door =
-        new FleetDoor(
+    try (ControllerEndpoint door =
+        new ControllerEndpoint(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
             "b1",
             state,
-            new Releases(releases),
+            new ReleaseDirectory(releases),
             order -> {
               orders.add(order);
               return "ok obeyed";
--- a/src/test/java/wharftrestle/box/KeeperTest.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorStateMachineTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.box;
+package wharftrestle.supervisor;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,17 +10,17 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import wharftrestle.box.Keeper.Act;
-import wharftrestle.box.Keeper.Act.Kind;
-import wharftrestle.box.Keeper.Figures;
-import wharftrestle.box.Keeper.Role;
-import wharftrestle.box.Keeper.State;
+import wharftrestle.supervisor.SupervisorStateMachine.Act;
+import wharftrestle.supervisor.SupervisorStateMachine.Act.Kind;
+import wharftrestle.supervisor.SupervisorStateMachine.Figures;
+import wharftrestle.supervisor.SupervisorStateMachine.Role;
+import wharftrestle.supervisor.SupervisorStateMachine.State;
 
 /** What a keeper does next, told event by event in made-up time. */
-class KeeperTest {
-  private static final Keeper.Limits LIMITS = new Keeper.Limits(10, 30, 0.02, 0.05, 50, 1, 8, 3);
+class SupervisorStateMachineTest {
+  private static final SupervisorStateMachine.Limits LIMITS = new SupervisorStateMachine.Limits(10, 30, 0.02, 0.05, 50, 1, 8, 3);
 
-  private final Keeper keeper = new Keeper(LIMITS);
+  private final SupervisorStateMachine keeper = new SupervisorStateMachine(LIMITS);
 
   private static List<String> brief(List<Act> acts) {
     return acts.stream()
@@ -154,7 +154,7 @@
   @Property(tries = 2000)
   void neverMoreThanTwoDaemonsAndAlwaysAWayOn(
       @ForAll @Size(max = 60) List<@IntRange(max = 8) Integer> events) {
-    Keeper any = new Keeper(LIMITS);
+    SupervisorStateMachine any = new SupervisorStateMachine(LIMITS);
     List<Role> alive = new ArrayList<>();
     double now = 0;
     apply(any.run("a", "", now), alive);
