--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -29,8 +29,8 @@
 import wharftrestle.ops.FleetStand;
 import wharftrestle.ops.ResultFigure;
 import wharftrestle.ops.SnmpAgent;
-import wharftrestle.policy.Admission;
-import wharftrestle.policy.GroupEdfScheduler;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
 import wharftrestle.version.BuildInfo;
 import wharftrestle.version.Version;
 
--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -20,7 +20,7 @@
 import wharftrestle.lab.LabCommand;
 import wharftrestle.net.Config;
 import wharftrestle.ops.Console;
-import wharftrestle.policy.GroupEdfScheduler;
+import wharftrestle.admission.GroupEdfScheduler;
 import wharftrestle.settings.BadSettingsException;
 import wharftrestle.settings.Settings;
 import wharftrestle.version.BuildInfo;
--- a/src/main/java/wharftrestle/Rehearsal.java
+++ b/src/main/java/wharftrestle/Rehearsal.java
@@ -12,7 +12,7 @@
 import wharftrestle.time.SteadyWallClock;
 import wharftrestle.net.Bytes;
 import wharftrestle.net.Config;
-import wharftrestle.policy.Admission.Outcome;
+import wharftrestle.admission.Admission.Outcome;
 
 /**
  * One request from end to end in a daemon without a worker pool, whose words are spoken for it
--- a/src/main/java/wharftrestle/policy/Admission.java
+++ b/src/main/java/wharftrestle/admission/Admission.java
@@ -1,4 +1,4 @@
-package wharftrestle.policy;
+package wharftrestle.admission;
 
 import java.util.List;
 
--- a/src/main/java/wharftrestle/policy/package-info.java
+++ b/src/main/java/wharftrestle/admission/package-info.java
@@ -4,4 +4,4 @@
  * wharftrestle.policy.GroupEdfScheduler} decides. It must never touch a socket, a file, a thread or
  * a clock: time is passed in.
  */
-package wharftrestle.policy;
+package wharftrestle.admission;
--- a/src/main/java/wharftrestle/core/Core.java
+++ b/src/main/java/wharftrestle/core/Core.java
@@ -21,8 +21,8 @@
 import wharftrestle.ops.Counters.Count;
 import wharftrestle.ops.Counters.Result;
 import wharftrestle.ops.ResultFigure;
-import wharftrestle.policy.Admission;
-import wharftrestle.policy.Admission.Outcome;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.Admission.Outcome;
 
 /**
  * Owns the requests in hand, the keys with their results, and the one lock that guards the decision
--- a/src/main/java/wharftrestle/core/Recorder.java
+++ b/src/main/java/wharftrestle/core/Recorder.java
@@ -11,7 +11,7 @@
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.ops.Counters.Count;
 import wharftrestle.ops.ResultFigure;
-import wharftrestle.policy.Admission.Outcome;
+import wharftrestle.admission.Admission.Outcome;
 
 /**
  * Intents and results of keyed runs on their way to the disk and back: what the request in hand
--- a/src/main/java/wharftrestle/front/Resp.java
+++ b/src/main/java/wharftrestle/front/Resp.java
@@ -19,7 +19,7 @@
 import wharftrestle.net.Server.MalformedException;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.Counters.Count;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /**
  * The platform's front: RESP arrays of bulk strings, parsed and written here. It owns the tags open
--- a/src/main/java/wharftrestle/front/Uwsgi.java
+++ b/src/main/java/wharftrestle/front/Uwsgi.java
@@ -17,7 +17,7 @@
 import wharftrestle.net.Server.MalformedException;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.Counters.Count;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /**
  * The uwsgi front: one request a connection, a packet of variables and a body in, an HTTP response
--- a/src/main/java/wharftrestle/lab/virtual/ColdPlay.java
+++ b/src/main/java/wharftrestle/lab/virtual/ColdPlay.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /**
  * Boxes that share nothing but a store, all of them started cold at once, each with the shipped
--- a/src/main/java/wharftrestle/lab/virtual/ReachPlay.java
+++ b/src/main/java/wharftrestle/lab/virtual/ReachPlay.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /**
  * Boxes that start cold together, and callers that share nothing: what reaches a box is the sum of
--- a/src/main/java/wharftrestle/lab/virtual/RollPlay.java
+++ b/src/main/java/wharftrestle/lab/virtual/RollPlay.java
@@ -12,7 +12,7 @@
 import wharftrestle.rollout.RolloutPlan;
 import wharftrestle.rollout.Rollout;
 import wharftrestle.rollout.HostSample;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /**
  * One rolling change in virtual time: the shipped roll, judge and policy over a made-up fleet. The
--- a/src/main/java/wharftrestle/lab/virtual/VirtualBox.java
+++ b/src/main/java/wharftrestle/lab/virtual/VirtualBox.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import wharftrestle.policy.Admission;
-import wharftrestle.policy.GroupEdfScheduler;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
 
 /**
  * One box in virtual time: the shipped policy on cores that all runs share, cold after a start,
--- a/src/main/java/wharftrestle/lab/virtual/VirtualFleet.java
+++ b/src/main/java/wharftrestle/lab/virtual/VirtualFleet.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /**
  * Boxes, their callers and what troubles them, in virtual time. Requests come as a Poisson stream;
--- a/src/main/java/wharftrestle/net/Config.java
+++ b/src/main/java/wharftrestle/net/Config.java
@@ -8,7 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 import wharftrestle.wire.MalformedLineException;
 import wharftrestle.wire.SettingsReader;
 
--- a/src/main/java/wharftrestle/net/PoolLink.java
+++ b/src/main/java/wharftrestle/net/PoolLink.java
@@ -21,7 +21,7 @@
 import wharftrestle.core.Threads;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.Counters.Count;
-import wharftrestle.policy.Admission.Outcome;
+import wharftrestle.admission.Admission.Outcome;
 
 /**
  * Owns the link to the worker pool: one socket, and a thread that reads notices. Commands are
--- a/src/main/java/wharftrestle/net/StoreClient.java
+++ b/src/main/java/wharftrestle/net/StoreClient.java
@@ -19,7 +19,7 @@
 import wharftrestle.core.Threads;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.Counters.Count;
-import wharftrestle.policy.Admission.Outcome;
+import wharftrestle.admission.Admission.Outcome;
 
 /**
  * Owns the connections to the store: HTTP/1.1, one call at a time on each, kept for the next while
--- a/src/main/java/wharftrestle/ops/Door.java
+++ b/src/main/java/wharftrestle/ops/Door.java
@@ -13,7 +13,7 @@
 import wharftrestle.net.Connection;
 import wharftrestle.net.Server;
 import wharftrestle.net.Server.MalformedException;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 import wharftrestle.version.Version;
 
 /**
--- a/src/main/java/wharftrestle/wire/SettingsReader.java
+++ b/src/main/java/wharftrestle/wire/SettingsReader.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.ArrayList;
 import java.util.List;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /**
  * Reads the settings object of a start. What is absent is 0, false or empty; unknown keys are
--- a/src/main/java/wharftrestle/wire/WireActions.java
+++ b/src/main/java/wharftrestle/wire/WireActions.java
@@ -1,6 +1,6 @@
 package wharftrestle.wire;
 
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /** Writes the actions of one instance as wire lines. */
 final class WireActions implements Admission.Actions {
--- a/src/main/java/wharftrestle/wire/WireAdapter.java
+++ b/src/main/java/wharftrestle/wire/WireAdapter.java
@@ -10,7 +10,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /**
  * Translates wire batches to events of the instances and their actions to replies. It decides
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -11,7 +11,7 @@
 @AnalyzeClasses(packages = "wharftrestle", importOptions = ImportOption.DoNotIncludeTests.class)
 class BordersTest {
   private static final String[] DECISIONS = {
-    "wharftrestle.policy..",
+    "wharftrestle.admission..",
     "wharftrestle.idempotency..",
     "wharftrestle.handover..",
     "wharftrestle.rollout",
@@ -83,7 +83,7 @@
   static final ArchRule thePolicyKnowsNobody =
       noClasses()
           .that()
-          .resideInAPackage("wharftrestle.policy..")
+          .resideInAPackage("wharftrestle.admission..")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
--- a/src/test/java/wharftrestle/CoreTest.java
+++ b/src/test/java/wharftrestle/CoreTest.java
@@ -13,8 +13,8 @@
 import wharftrestle.core.Core;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.ops.Counters;
-import wharftrestle.policy.Admission;
-import wharftrestle.policy.Admission.Outcome;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.Admission.Outcome;
 
 /** Stories of the core alone, with a module that starts what has a rank and refuses the rest. */
 class CoreTest {
--- a/src/test/java/wharftrestle/EmbeddingExample.java
+++ b/src/test/java/wharftrestle/EmbeddingExample.java
@@ -1,8 +1,8 @@
 package wharftrestle;
 
 import java.util.List;
-import wharftrestle.policy.Admission;
-import wharftrestle.policy.GroupEdfScheduler;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
 
 /** The example of the README, compiled here. */
 final class EmbeddingExample {
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -29,8 +29,8 @@
 import wharftrestle.lab.RespPeer.Reply;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.Counters.Count;
-import wharftrestle.policy.Admission;
-import wharftrestle.policy.GroupEdfScheduler;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
 
 /**
  * Stories of the instant in which something ends and something else crosses it;
--- a/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
+++ b/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /** One section a concern of the module, in its order. */
 class GroupEdfSchedulerTest {
--- a/src/test/java/wharftrestle/RandomSequencesTest.java
+++ b/src/test/java/wharftrestle/RandomSequencesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /**
  * Fixed-seed sequences of events in any legal order; the host holds every action against the four
--- a/src/test/java/wharftrestle/RecordingHost.java
+++ b/src/test/java/wharftrestle/RecordingHost.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import wharftrestle.policy.Admission;
-import wharftrestle.policy.GroupEdfScheduler;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
 
 /**
  * Records what the module asks for and enforces the four rules on it. It plays no server: tests say
--- a/src/test/java/wharftrestle/Sites.java
+++ b/src/test/java/wharftrestle/Sites.java
@@ -1,7 +1,7 @@
 package wharftrestle;
 
 import java.util.List;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /** Settings made up for tests; two cores, so that the running limit starts at two. */
 public final class Sites {
--- a/src/test/java/wharftrestle/WireAdapterTest.java
+++ b/src/test/java/wharftrestle/WireAdapterTest.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
-import wharftrestle.policy.GroupEdfScheduler;
+import wharftrestle.admission.GroupEdfScheduler;
 import wharftrestle.wire.WireAdapter;
 
 /** The wire by hand-written lines. */
--- a/src/test/java/wharftrestle/ModuleShapeTest.java
+++ b/src/test/java/wharftrestle/admission/ModuleShapeTest.java
@@ -1,4 +1,4 @@
-package wharftrestle;
+package wharftrestle.admission;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/wharftrestle/lab/virtual/FloorsTest.java
+++ b/src/test/java/wharftrestle/lab/virtual/FloorsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /**
  * Each class and each third of a day has its floor, with the shipped policy on a fleet in virtual
--- a/src/test/java/wharftrestle/net/LinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/net/LinkFormatFixtures.java
@@ -21,8 +21,8 @@
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.net.BoxLink.Word;
 import wharftrestle.ops.Counters;
-import wharftrestle.policy.Admission;
-import wharftrestle.policy.GroupEdfScheduler;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
 import wharftrestle.version.VersionRange;
 
 /**
--- a/src/test/java/wharftrestle/storage/ResultRecorderTest.java
+++ b/src/test/java/wharftrestle/storage/ResultRecorderTest.java
@@ -18,8 +18,8 @@
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.ResultFigure;
-import wharftrestle.policy.Admission;
-import wharftrestle.policy.GroupEdfScheduler;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
 
 /**
  * The core with a journal on a disk that fails, stalls and fills: what a keyed request gets, and
--- a/src/test/java/wharftrestle/version/VersionTest.java
+++ b/src/test/java/wharftrestle/version/VersionTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Sites;
 import wharftrestle.net.Config;
-import wharftrestle.policy.Admission;
+import wharftrestle.admission.Admission;
 
 /** What a version is: its ranges, its digests, and which settings tell two apart. */
 class VersionTest {
