--- a/src/main/java/wharftrestle/ConfigWatch.java
+++ b/src/main/java/wharftrestle/ConfigWatch.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.core.Threads;
+import wharftrestle.request.PlatformThreads;
 
 /**
  * Stands in for SIGHUP where that cannot be heard: owns the look at the configuration's file, and
@@ -31,7 +31,7 @@
   }
 
   void start() {
-    Threads.lasting(
+    PlatformThreads.lasting(
             "config-watch",
             () -> {
               for (; ; ) {
--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.core.Core;
-import wharftrestle.core.Threads;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.request.PlatformThreads;
 import wharftrestle.storage.WriteAheadLog;
 import wharftrestle.front.Resp;
 import wharftrestle.front.Uwsgi;
@@ -123,7 +123,7 @@
 
   private final Config config;
   private final Counters counters;
-  private final Core core;
+  private final RequestCoordinator core;
   private final PoolLink pool;
   private final Server resp;
   private final Server uwsgi;
@@ -179,7 +179,7 @@
         new Counters(
             config.settings().classes().stream().map(Admission.RequestClass::name).toList());
     core =
-        new Core(
+        new RequestCoordinator(
             config.settings(), config.seed(), mostRequests, room, GroupEdfScheduler::new, counters);
     pool = new PoolLink(config.pool(), core, counters);
     store = new StoreClient(config.db(), descriptors.calls(), counters);
@@ -275,7 +275,7 @@
       serveOn();
     } else {
       succession.start();
-      Threads.thread(
+      PlatformThreads.thread(
               "take-over",
               () -> {
                 try {
@@ -441,7 +441,7 @@
 
   @Override
   public void otherEnded() {
-    Threads.thread("operators", this::awaitOperators).start();
+    PlatformThreads.thread("operators", this::awaitOperators).start();
   }
 
   private void awaitOperators() {
@@ -462,7 +462,7 @@
     return state;
   }
 
-  public Core core() {
+  public RequestCoordinator core() {
     return core;
   }
 
--- a/src/main/java/wharftrestle/Succession.java
+++ b/src/main/java/wharftrestle/Succession.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
 import wharftrestle.time.SteadyWallClock;
-import wharftrestle.core.Partner;
-import wharftrestle.core.Threads;
+import wharftrestle.request.PeerCoordinator;
+import wharftrestle.request.PlatformThreads;
 import wharftrestle.handover.CompatibilityCheck;
 import wharftrestle.handover.HandoverStateMachine;
 import wharftrestle.handover.HandoverStateMachine.Act;
@@ -95,7 +95,7 @@
 
   private final String name;
   private final Path meeting; // null where there is no hand-over
-  private final Partner partner;
+  private final PeerCoordinator partner;
   private final Box box;
   private final CompatibilityCheck agreement;
   private final HandoverStateMachine steps;
@@ -114,7 +114,7 @@
   private int rounds; // of hand-overs asked for here, so that a late look knows its own
   private ServerSocketChannel successors;
 
-  Succession(String name, Path meeting, Partner partner, Box box, CompatibilityCheck agreement) {
+  Succession(String name, Path meeting, PeerCoordinator partner, Box box, CompatibilityCheck agreement) {
     this.name = name;
     this.meeting = meeting;
     this.partner = partner;
@@ -396,7 +396,7 @@
    * Tells without the lock, as the other side may be slow; the end of it is an event of its own.
    */
   private void tellSettled(BoxLink to, int round) {
-    Threads.thread(
+    PlatformThreads.thread(
             "box-tell",
             () -> {
               int all = partner.tellSettled(to);
@@ -430,7 +430,7 @@
   }
 
   private void later(String what, long ms, Runnable then) {
-    Threads.thread(
+    PlatformThreads.thread(
             what,
             () -> {
               LockSupport.parkNanos(ms * 1_000_000);
@@ -449,7 +449,7 @@
     box.closeRecords(); // only the owner of the keys writes, and it reads what is on disk by now
     ProcessPauseDetector mine = new ProcessPauseDetector(seconds());
     standstill = mine;
-    Threads.thread("box-awake", () -> lookFor(mine)).start();
+    PlatformThreads.thread("box-awake", () -> lookFor(mine)).start();
     return open;
   }
 
@@ -457,7 +457,7 @@
     int handed = give(to);
     // Not under this lock, which its end needs: a build of format 1 that stalls is waited for, as
     // it owns all by now.
-    Threads.thread(
+    PlatformThreads.thread(
             "box-tell", () -> to.sayHanded(handed + Math.max(0, partner.tellSettledAfter(to))))
         .start();
   }
--- a/src/main/java/wharftrestle/front/Resp.java
+++ b/src/main/java/wharftrestle/front/Resp.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.regex.Pattern;
 import wharftrestle.time.SteadyWallClock;
-import wharftrestle.core.Core;
+import wharftrestle.request.RequestCoordinator;
 import wharftrestle.net.Bytes;
 import wharftrestle.net.Connection;
 import wharftrestle.net.Server;
@@ -76,12 +76,12 @@
   private static final Pattern REFERENCE = Pattern.compile("[0-9a-f]{16}");
   private static final byte[] CLOSING = array("0", "closing", "", new byte[0]);
 
-  private final Core core;
+  private final RequestCoordinator core;
   private final Counters counters;
   private final Map<String, Integer> classes = new HashMap<>();
   private final Map<String, Integer> tenants = new HashMap<>();
 
-  public Resp(Core core, Counters counters) {
+  public Resp(RequestCoordinator core, Counters counters) {
     this.core = core;
     this.counters = counters;
     List<Admission.RequestClass> known = core.settings().classes();
@@ -177,7 +177,7 @@
       // Guards against answers that cannot be told apart, and against one peer taking all there is.
       throw new MalformedException("a tag used twice, or too many requests open");
     }
-    Core.Arrival arrival = arrival(words);
+    RequestCoordinator.Arrival arrival = arrival(words);
     connection.heard(Connection.Merit.HEARD);
     if (!connection.begin()) {
       return; // it is being closed, nothing was run: the front end sends it once more
@@ -197,7 +197,7 @@
    * Guards against figures that the policy would reckon with: each field lies within the protocol's
    * range.
    */
-  private Core.Arrival arrival(byte[][] words) throws InvalidException {
+  private RequestCoordinator.Arrival arrival(byte[][] words) throws InvalidException {
     if (words.length < 4) {
       throw new InvalidException("a request without its fields");
     }
@@ -242,7 +242,7 @@
         || door < now - STALE_MS) {
       throw new InvalidException("a figure out of range");
     }
-    return new Core.Arrival(
+    return new RequestCoordinator.Arrival(
         ref,
         second > 0,
         type,
@@ -258,14 +258,14 @@
   }
 
   private record Answering(Connection connection, Map<String, Object> open, String tag)
-      implements Core.Caller {
+      implements RequestCoordinator.Caller {
     @Override
-    public void answer(Core.Answer answer) {
+    public void answer(RequestCoordinator.Answer answer) {
       boolean owed;
       synchronized (this) {
         owed = open.remove(tag) != null;
       }
-      if (answer.kind() == Core.Answer.Kind.SERVED) {
+      if (answer.kind() == RequestCoordinator.Answer.Kind.SERVED) {
         connection.heard(Connection.Merit.SERVED);
       }
       connection.send(
@@ -279,7 +279,7 @@
       }
     }
 
-    private static String advice(Core.Answer answer) {
+    private static String advice(RequestCoordinator.Answer answer) {
       long millis = Math.round(answer.retryAfter() * 1000);
       String wait = millis > 0 ? "later=" + millis : "";
       return !answer.nowhereElse() ? wait : wait.isEmpty() ? "giveup=1" : wait + ",giveup=1";
--- a/src/main/java/wharftrestle/front/Uwsgi.java
+++ b/src/main/java/wharftrestle/front/Uwsgi.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
 import wharftrestle.time.SteadyWallClock;
-import wharftrestle.core.Core;
+import wharftrestle.request.RequestCoordinator;
 import wharftrestle.net.Bytes;
 import wharftrestle.net.Connection;
 import wharftrestle.net.Server;
@@ -52,7 +52,7 @@
     }
   }
 
-  private final Core core;
+  private final RequestCoordinator core;
   private final Counters counters;
   private final double heldKb;
   private final Map<String, Integer> classes = new HashMap<>();
@@ -60,7 +60,7 @@
   private final double[] ranks;
   private final AtomicLong references;
 
-  public Uwsgi(Core core, Counters counters, long seed, double heldKb) {
+  public Uwsgi(RequestCoordinator core, Counters counters, long seed, double heldKb) {
     this.core = core;
     this.counters = counters;
     this.heldKb = heldKb;
@@ -81,7 +81,7 @@
 
   @Override
   public void serve(Connection connection) throws IOException {
-    Core.Arrival arrival;
+    RequestCoordinator.Arrival arrival;
     try {
       connection.readUntil(connection.openedAt() + REQUEST_MS * 1_000_000L);
       arrival = read(connection.in());
@@ -134,7 +134,7 @@
   }
 
   /** The request; null where the path asks for this box's health. */
-  private Core.Arrival read(InputStream in) throws IOException {
+  private RequestCoordinator.Arrival read(InputStream in) throws IOException {
     byte[] head = Bytes.exactly(in, 4);
     int size = (head[1] & 0xff) | (head[2] & 0xff) << 8;
     if (head[0] != 0 || head[3] != 0 || size > LONGEST_VARS) {
@@ -173,7 +173,7 @@
           "400 Bad Request",
           "this class needs an Idempotency-Key of 1 to " + LONGEST_KEY + " characters");
     }
-    return new Core.Arrival(
+    return new RequestCoordinator.Arrival(
         String.format("%016x", references.addAndGet(0x9E3779B97F4A7C15L)),
         false,
         type,
@@ -212,7 +212,7 @@
     return vars;
   }
 
-  private static byte[] response(Core.Answer answer) {
+  private static byte[] response(RequestCoordinator.Answer answer) {
     return switch (answer.kind()) {
       case SERVED -> response("200 OK", "", answer.result());
       case REFUSED ->
--- a/src/main/java/wharftrestle/net/BoxLink.java
+++ b/src/main/java/wharftrestle/net/BoxLink.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.core.Partner;
-import wharftrestle.core.Threads;
+import wharftrestle.request.PeerCoordinator;
+import wharftrestle.request.PlatformThreads;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.version.VersionRange;
@@ -97,7 +97,7 @@
   private static final int MOST_LINKS = 4;
 
   private final SocketChannel channel;
-  private final Partner core;
+  private final PeerCoordinator core;
   private final Side side;
   private final LinkedBlockingQueue<byte[]> words = new LinkedBlockingQueue<>();
   private long queued;
@@ -105,7 +105,7 @@
   private boolean over;
   private volatile boolean mute;
 
-  private BoxLink(SocketChannel channel, Partner core, Side side) {
+  private BoxLink(SocketChannel channel, PeerCoordinator core, Side side) {
     this.channel = channel;
     this.core = core;
     this.side = side;
@@ -115,7 +115,7 @@
    * The link to a process that serves already; null where none does. Nothing is heard before {@link
    * #start}.
    */
-  public static BoxLink meet(Path at, Partner core, Side side) {
+  public static BoxLink meet(Path at, PeerCoordinator core, Side side) {
     try {
       return new BoxLink(SocketChannel.open(UnixDomainSocketAddress.of(at)), core, side);
     } catch (IOException | RuntimeException none) {
@@ -127,7 +127,7 @@
    * Waits for further processes at this file, which may be a stale one; null where it cannot be
    * had.
    */
-  public static ServerSocketChannel await(Path at, Partner core, Side side) {
+  public static ServerSocketChannel await(Path at, PeerCoordinator core, Side side) {
     ServerSocketChannel server;
     try {
       Files.deleteIfExists(at);
@@ -138,7 +138,7 @@
       return null;
     }
     Semaphore links = new Semaphore(MOST_LINKS);
-    Threads.thread(
+    PlatformThreads.thread(
             "box-accept",
             () -> {
               while (server.isOpen()) {
@@ -147,7 +147,7 @@
                   SocketChannel channel = server.accept();
                   try {
                     BoxLink link = new BoxLink(channel, core, side);
-                    Threads.thread(
+                    PlatformThreads.thread(
                             "box",
                             () -> {
                               try {
@@ -180,7 +180,7 @@
 
   /** Hears from now on. */
   public void start() {
-    Threads.thread("box", this::converse).start();
+    PlatformThreads.thread("box", this::converse).start();
   }
 
   // ---- The steps, as this side says them ----
@@ -245,7 +245,7 @@
   // ---- Reading ----
 
   private void converse() {
-    Threads.thread("box-write", this::write).start();
+    PlatformThreads.thread("box-write", this::write).start();
     try {
       InputStream in =
           new BufferedInputStream(
--- a/src/main/java/wharftrestle/net/PoolLink.java
+++ b/src/main/java/wharftrestle/net/PoolLink.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.concurrent.locks.ReentrantLock;
 import org.tinylog.Logger;
-import wharftrestle.core.Core;
-import wharftrestle.core.Threads;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.request.PlatformThreads;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.Counters.Count;
 import wharftrestle.admission.Admission.Outcome;
@@ -30,7 +30,7 @@
  * notice read, and then sends again what may have been lost. It must never tell a notice twice, and
  * never make the core's lock wait for a socket.
  */
-public final class PoolLink implements Core.Pool {
+public final class PoolLink implements RequestCoordinator.Pool {
   private static final int LONGEST_LINE = 16 * 1024;
   private static final int LONGEST_BODY = 64 * 1024;
   private static final int RETRY_MS = 50;
@@ -59,7 +59,7 @@
   private static final byte[] CRLF = {'\r', '\n'};
 
   private volatile InetSocketAddress address;
-  private final Core core;
+  private final RequestCoordinator core;
   private final Counters counters;
 
   /** Commands by request that no notice has followed; guarded by itself, with the fields below. */
@@ -152,14 +152,14 @@
     }
   }
 
-  public PoolLink(InetSocketAddress address, Core core, Counters counters) {
+  public PoolLink(InetSocketAddress address, RequestCoordinator core, Counters counters) {
     this.address = address;
     this.core = core;
     this.counters = counters;
   }
 
   public void start() {
-    Threads.lasting("pool-link", this::keepLinked).start();
+    PlatformThreads.lasting("pool-link", this::keepLinked).start();
   }
 
   /** True while the worker pool has answered the bind of the present link. */
@@ -201,7 +201,7 @@
           session = mine;
         }
         try {
-          Threads.thread("pool-write", mine::write).start();
+          PlatformThreads.thread("pool-write", mine::write).start();
           mine.flush();
           read(mine, new BufferedInputStream(made.getInputStream(), 8192));
         } finally {
--- a/src/main/java/wharftrestle/net/Reporter.java
+++ b/src/main/java/wharftrestle/net/Reporter.java
@@ -6,8 +6,8 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.core.Core;
-import wharftrestle.core.Threads;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.request.PlatformThreads;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.Counters.Count;
 
@@ -16,7 +16,7 @@
  * runs out, and some at once when health changes, as some are lost. It must never make the one who
  * changes health wait.
  */
-public final class Reporter implements Core.Watcher {
+public final class Reporter implements RequestCoordinator.Watcher {
   private static final int EVERY_MS = 250;
 
   /** Reports in quick order after a change, and the milliseconds between them. */
@@ -38,7 +38,7 @@
   }
 
   public void start() {
-    Threads.lasting("reporter", this::report).start();
+    PlatformThreads.lasting("reporter", this::report).start();
   }
 
   /** Reports go to another address from now on. */
--- a/src/main/java/wharftrestle/net/Server.java
+++ b/src/main/java/wharftrestle/net/Server.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.core.Threads;
+import wharftrestle.request.PlatformThreads;
 import wharftrestle.net.Connection.Merit;
 import wharftrestle.net.ConnectionState.Phase;
 import wharftrestle.ops.Counters;
@@ -145,7 +145,7 @@
             5,
             TimeUnit.SECONDS,
             new SynchronousQueue<>(),
-            task -> Threads.thread(name, task));
+            task -> PlatformThreads.thread(name, task));
     words =
         new ThreadPoolExecutor(
             MOST_WORDS,
@@ -153,7 +153,7 @@
             1,
             TimeUnit.SECONDS,
             new LinkedBlockingQueue<>(),
-            task -> Threads.thread(name + "-words", task));
+            task -> PlatformThreads.thread(name + "-words", task));
     words.allowCoreThreadTimeOut(true);
   }
 
@@ -189,7 +189,7 @@
     ServerSocket mine = listener;
     CountDownLatch done = new CountDownLatch(1);
     emptied = done;
-    Threads.lasting(name + "-accept", () -> accept(mine, done)).start();
+    PlatformThreads.lasting(name + "-accept", () -> accept(mine, done)).start();
   }
 
   public boolean listening() {
--- a/src/main/java/wharftrestle/net/StoreClient.java
+++ b/src/main/java/wharftrestle/net/StoreClient.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
 import org.tinylog.Logger;
-import wharftrestle.core.Core;
-import wharftrestle.core.Threads;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.request.PlatformThreads;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.Counters.Count;
 import wharftrestle.admission.Admission.Outcome;
@@ -26,7 +26,7 @@
  * fresh. It tells how each call ended and must never call a call unrun without proof, nor repeat
  * one by itself, nor hand on a reply that it cannot be sure of.
  */
-public final class StoreClient implements Core.Store {
+public final class StoreClient implements RequestCoordinator.Store {
   private static final int MOST_CALLS = 32;
   private static final int LONGEST_LINE = 256;
   private static final int MOST_HEADERS = 16;
@@ -108,16 +108,16 @@
   private record Reply(Outcome outcome, byte[] body, boolean keep) {}
 
   /** A call under way; abandoning it closes its connection. */
-  private final class Running implements Core.Call {
+  private final class Running implements RequestCoordinator.Call {
     private final String ref;
     private final byte[] body;
     private final boolean again;
     private final long until;
-    private final Core.CallEnd end;
+    private final RequestCoordinator.CallEnd end;
     private Socket socket;
     private boolean abandoned;
 
-    Running(String ref, byte[] body, long timeoutMs, boolean again, Core.CallEnd end) {
+    Running(String ref, byte[] body, long timeoutMs, boolean again, RequestCoordinator.CallEnd end) {
       this.ref = ref;
       this.body = body;
       this.again = again;
@@ -238,7 +238,7 @@
             5,
             TimeUnit.SECONDS,
             new LinkedBlockingQueue<>(),
-            task -> Threads.thread("store", task));
+            task -> PlatformThreads.thread("store", task));
     threads.allowCoreThreadTimeOut(true);
   }
 
@@ -249,7 +249,7 @@
   }
 
   @Override
-  public Core.Call begin(String ref, byte[] body, long timeoutMs, boolean again, Core.CallEnd end) {
+  public RequestCoordinator.Call begin(String ref, byte[] body, long timeoutMs, boolean again, RequestCoordinator.CallEnd end) {
     Running call = new Running(ref, body, timeoutMs, again, end);
     threads.execute(call::run);
     return call;
--- a/src/main/java/wharftrestle/core/Task.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -1,4 +1,4 @@
-package wharftrestle.core;
+package wharftrestle.request;
 
 import java.util.ArrayDeque;
 import java.util.concurrent.locks.Condition;
@@ -8,7 +8,7 @@
  * One request in hand, and the steps that its own thread has yet to carry out. All but the final
  * fields is guarded by the core's lock.
  */
-final class Task {
+final class InFlightRequest {
 
   /** What a step does. */
   enum Kind {
@@ -24,16 +24,16 @@
   }
 
   /** One thing to carry out; {@code until} is a time or a notice's number. */
-  record Step(Kind kind, byte[] bytes, double until, Core.Answer answer) {
+  record Step(Kind kind, byte[] bytes, double until, RequestCoordinator.Answer answer) {
     static Step of(Kind kind) {
       return new Step(kind, null, 0, null);
     }
   }
 
   final long id;
-  final Core.Arrival arrival;
+  final RequestCoordinator.Arrival arrival;
   final String key; // of this class and tenant only: another's result is never theirs
-  final Core.Caller caller;
+  final RequestCoordinator.Caller caller;
   final Condition signal;
   final ArrayDeque<Step> steps = new ArrayDeque<>();
   double backstop;
@@ -44,11 +44,11 @@
   double since; // start or attachment
   long notice; // of the call it stands at
   byte[] callBody;
-  Core.Call call;
+  RequestCoordinator.Call call;
   boolean callFailed; // not by time: what the module then fails did not lapse
   int callNumber;
   double callSince;
-  IdempotencyTable.Entry<Task> entry;
+  IdempotencyTable.Entry<InFlightRequest> entry;
   boolean arrived; // at the module, or before it
   boolean granted; // its key, by the process that owns all keys
   Object intent; // on its way to the disk
@@ -56,7 +56,7 @@
   boolean promised; // room to know its key to the end
   boolean unsent; // a run was decided and turned away: the worker pool never hears of it
 
-  Task(long id, Core.Arrival arrival, Core.Caller caller, Condition signal) {
+  InFlightRequest(long id, RequestCoordinator.Arrival arrival, RequestCoordinator.Caller caller, Condition signal) {
     this.id = id;
     this.arrival = arrival;
     this.key =
@@ -72,7 +72,7 @@
     return Integer.parseInt(key.substring(0, key.indexOf('/')));
   }
 
-  boolean sameKey(Task that) {
+  boolean sameKey(InFlightRequest that) {
     return key.equals(that.key);
   }
 
--- a/src/main/java/wharftrestle/core/Partner.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -1,4 +1,4 @@
-package wharftrestle.core;
+package wharftrestle.request;
 
 import java.util.HashSet;
 import java.util.List;
@@ -17,26 +17,26 @@
  * the core's lock, and {@link KeyOwnershipTransfer} decides what it means. It owns the tries that wait for that
  * process's word. It must never hold the lock while it waits for the other side.
  */
-public final class Partner implements KeyOwnershipTransfer.Host<Task> {
-  private final Core core;
-  private final IdempotencyTable<Task> keys;
-  private final KeyOwnershipTransfer<Task> between;
-  private final Set<Task> asking = new HashSet<>();
-  private Recorder recorder;
+public final class PeerCoordinator implements KeyOwnershipTransfer.Host<InFlightRequest> {
+  private final RequestCoordinator core;
+  private final IdempotencyTable<InFlightRequest> keys;
+  private final KeyOwnershipTransfer<InFlightRequest> between;
+  private final Set<InFlightRequest> asking = new HashSet<>();
+  private ResultRecorder recorder;
   private double roomlessUntil = Double.NEGATIVE_INFINITY;
 
-  Partner(Core core, IdempotencyTable<Task> keys) {
+  PeerCoordinator(RequestCoordinator core, IdempotencyTable<InFlightRequest> keys) {
     this.core = core;
     this.keys = keys;
     between = new KeyOwnershipTransfer<>(keys, this);
   }
 
   /** Before the first request. */
-  void records(Recorder records) {
+  void records(ResultRecorder records) {
     recorder = records;
   }
 
-  KeyOwnershipTransfer<Task> between() {
+  KeyOwnershipTransfer<InFlightRequest> between() {
     return between;
   }
 
@@ -246,7 +246,7 @@
   }
 
   public void claimed(String key, long door, byte[] body) {
-    KeyOwnershipTransfer.Reread<Task> reread;
+    KeyOwnershipTransfer.Reread<InFlightRequest> reread;
     core.lock();
     try {
       reread = between.claimed(key, door, body, core.now());
@@ -272,7 +272,7 @@
   public void intendedElsewhere(String key, boolean written) {
     core.lock();
     try {
-      IdempotencyTable.Entry<Task> entry = keys.find(key);
+      IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
       if (entry != null && entry.holder() != null) {
         recorder.intended(entry.holder(), written);
         core.settleIfUp();
@@ -285,7 +285,7 @@
   public void savedElsewhere(String key) {
     core.lock();
     try {
-      IdempotencyTable.Entry<Task> entry = keys.find(key);
+      IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
       if (entry != null) {
         recorder.saved(entry, -1);
       }
@@ -309,13 +309,13 @@
    * A keyed request that this process reads after it handed all keys over waits for the owner's
    * word.
    */
-  void ask(Task task) {
+  void ask(InFlightRequest task) {
     core.lock();
     try {
       if (!mustAsk(task)) {
         return;
       }
-      Core.Arrival a = task.arrival;
+      RequestCoordinator.Arrival a = task.arrival;
       asking.add(task);
       between.other().claim(task.key, a.door(), a.body());
       double due = core.due(a, core.now());
@@ -337,7 +337,7 @@
   /**
    * True where this try may not be taken before the other process was asked; also without the lock.
    */
-  boolean mustAsk(Task task) {
+  boolean mustAsk(InFlightRequest task) {
     core.lock();
     try {
       return between.mustAsk(task.key, task.arrival.door());
@@ -350,7 +350,7 @@
    * True where this try may not be taken, as the process that owns its key is silent; under the
    * lock.
    */
-  boolean unasked(Task task) {
+  boolean unasked(InFlightRequest task) {
     return between.other() != null && !between.owner() && !task.granted;
   }
 
@@ -358,7 +358,7 @@
    * Guards against a second run should this process die early: the other one knows of this one
    * before it begins.
    */
-  void tellBeforeRun(Task task) {
+  void tellBeforeRun(InFlightRequest task) {
     PeerProcess told;
     Kept kept;
     core.lock();
@@ -374,12 +374,12 @@
   }
 
   /** This try is forgotten; the others in hand say whether its key is; under the lock. */
-  void forgotten(Task task, Iterable<Task> inHand) {
+  void forgotten(InFlightRequest task, Iterable<InFlightRequest> inHand) {
     if (between.other() == null || task.key == null) {
       return;
     }
     boolean held = asking.stream().anyMatch(task::sameKey);
-    for (Task each : inHand) {
+    for (InFlightRequest each : inHand) {
       held |= each.key != null && task.sameKey(each);
     }
     between.tellFree(task.key, held);
@@ -388,28 +388,28 @@
   // ---- What Between needs of the tries ----
 
   @Override
-  public long door(Task holder) {
+  public long door(InFlightRequest holder) {
     return holder.arrival.door();
   }
 
   @Override
   public double window(String key) {
-    return core.window(Task.classOf(key)) + IdempotencyTable.SLACK;
+    return core.window(InFlightRequest.classOf(key)) + IdempotencyTable.SLACK;
   }
 
   @Override
-  public void finished(IdempotencyTable.Entry<Task> entry, byte[] result) {
+  public void finished(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
     core.finish(entry, result);
   }
 
   @Override
-  public void voided(IdempotencyTable.Entry<Task> entry) {
+  public void voided(IdempotencyTable.Entry<InFlightRequest> entry) {
     recorder.voided(entry);
   }
 
   @Override
   public void wake(String key, boolean granted) {
-    for (Task task : asking) {
+    for (InFlightRequest task : asking) {
       if (key.equals(task.key)) {
         task.granted |= granted;
         task.signal.signal();
--- a/src/main/java/wharftrestle/core/Threads.java
+++ b/src/main/java/wharftrestle/request/PlatformThreads.java
@@ -1,4 +1,4 @@
-package wharftrestle.core;
+package wharftrestle.request;
 
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
@@ -7,7 +7,7 @@
  * Makes the program's threads: platform threads with small stacks, of which none ends by a fault in
  * silence. It owns no thread that it has made, and must never decide what one does.
  */
-public final class Threads {
+public final class PlatformThreads {
   private static final int STACK = 192 * 1024;
 
   /**
@@ -16,7 +16,7 @@
    */
   private static final long FAULT_NANOS = 50_000_000L;
 
-  private Threads() {}
+  private PlatformThreads() {}
 
   /**
    * A platform thread with a small stack that does not keep the process alive; a fault that ends it
--- a/src/main/java/wharftrestle/core/Core.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -1,4 +1,4 @@
-package wharftrestle.core;
+package wharftrestle.request;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -26,13 +26,13 @@
 
 /**
  * Owns the requests in hand, the keys with their results, and the one lock that guards the decision
- * module; {@link Recorder} has what concerns the disk, {@link Partner} the other process of the
+ * module; {@link ResultRecorder} has what concerns the disk, {@link PeerCoordinator} the other process of the
  * box. Events enter the module here, one at a time and with a clock that never goes back; what the
  * module asks for comes back inside the event and only becomes a step of the request concerned,
  * which that request's own thread carries out. It must never read or write a socket under the lock,
  * never decide what the module decides, and never know which wire a request came by.
  */
-public final class Core implements Admission.Actions {
+public final class RequestCoordinator implements Admission.Actions {
 
   /**
    * One try as a front read it; {@code door} is ms on {@link SteadyWallClock}'s even scale, {@code key} is
@@ -181,10 +181,10 @@
   private final long seed;
   private final Factory factory;
   private final Counters counters;
-  private final Map<Long, Task> byId = new HashMap<>();
-  private final Map<String, Task> byRef = new HashMap<>();
+  private final Map<Long, InFlightRequest> byId = new HashMap<>();
+  private final Map<String, InFlightRequest> byRef = new HashMap<>();
   private final KeyMemoryBudget room;
-  private final IdempotencyTable<Task> keys;
+  private final IdempotencyTable<InFlightRequest> keys;
   private final PriorityQueue<Wake> wakes =
       new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
   private final ArrayDeque<Runnable> pending = new ArrayDeque<>();
@@ -207,8 +207,8 @@
   private volatile boolean lameDuck;
   private volatile boolean ceded;
   private final CountDownLatch up = new CountDownLatch(1);
-  private final Partner partner;
-  private final Recorder recorder;
+  private final PeerCoordinator partner;
+  private final ResultRecorder recorder;
   private volatile double idleLimit;
 
   /**
@@ -216,7 +216,7 @@
    *
    * @param room for what is known of keys
    */
-  public Core(
+  public RequestCoordinator(
       Admission.Settings settings,
       long seed,
       int mostInHand,
@@ -225,8 +225,8 @@
       Counters counters) {
     this.room = room;
     keys = new IdempotencyTable<>(this::endsWith, room);
-    partner = new Partner(this, keys);
-    recorder = new Recorder(this, keys, room, partner.between());
+    partner = new PeerCoordinator(this, keys);
+    recorder = new ResultRecorder(this, keys, room, partner.between());
     partner.records(recorder);
     this.settings = settings;
     this.seed = seed;
@@ -240,7 +240,7 @@
             5,
             TimeUnit.SECONDS,
             new SynchronousQueue<>(),
-            task -> Threads.thread("request", task));
+            task -> PlatformThreads.thread("request", task));
   }
 
   /** Gives the core its outer parties and starts its timer. */
@@ -248,14 +248,14 @@
     pool = workers;
     store = calls;
     watcher = told;
-    Threads.lasting("timer", this::runTimers).start();
+    PlatformThreads.lasting("timer", this::runTimers).start();
   }
 
   /**
    * From now on no keyed run begins before its intent is kept, and none is answered before its
    * result is.
    */
-  public void record(Records kept) {
+  public void record(ResultStore kept) {
     lock.lock();
     try {
       recorder.record(kept);
@@ -265,12 +265,12 @@
   }
 
   /** What a dead process of this box left, or the one that handed over. */
-  public void recovered(Records.Recovered left) {
+  public void recovered(ResultStore.Recovered left) {
     lock.lock();
     try {
       boolean all = true;
       double latest = left.blindUntil();
-      for (Records.Remembered key : left.keys()) {
+      for (ResultStore.Remembered key : left.keys()) {
         all &= keys.recover(key.key(), key.place(), key.lastDoor(), key.check(), key.until());
         latest = Math.max(latest, key.until());
       }
@@ -293,7 +293,7 @@
   }
 
   /** What the other process of this box says and is told. */
-  public Partner partner() {
+  public PeerCoordinator partner() {
     return partner;
   }
 
@@ -359,10 +359,10 @@
    */
   public Object accept(Arrival arrival, Caller caller) {
     counters.taken();
-    Task task;
+    InFlightRequest task;
     lock.lock();
     try {
-      task = new Task(++lastId, arrival, caller, lock.newCondition());
+      task = new InFlightRequest(++lastId, arrival, caller, lock.newCondition());
     } finally {
       lock.unlock();
     }
@@ -386,7 +386,7 @@
   }
 
   /** True where its answer is all that is left of its life. */
-  private boolean overAtOnce(Task task) {
+  private boolean overAtOnce(InFlightRequest task) {
     lock.lock();
     try {
       return task.arrived && task.over();
@@ -395,14 +395,14 @@
     }
   }
 
-  private void forceAnswer(Task task) {
+  private void forceAnswer(InFlightRequest task) {
     lock.lock();
     try {
       counters.add(Count.GUARDED);
       task.arrived = true;
       answer(task, Answer.failed());
       if (task.spawned) {
-        task.steps.removeIf(step -> step.kind() != Task.Kind.ANSWER); // no run was begun
+        task.steps.removeIf(step -> step.kind() != InFlightRequest.Kind.ANSWER); // no run was begun
         tellRunOver(task, Outcome.VOID, 0, null);
       } else if (byId.containsKey(task.id)) {
         module.callerLeft(now(), task.id);
@@ -414,7 +414,7 @@
   }
 
   /** Guards against a fault of ours in one request taking an answer with it. */
-  private void guarded(Task task) {
+  private void guarded(InFlightRequest task) {
     try {
       live(task);
     } catch (RuntimeException | Error fault) {
@@ -425,7 +425,7 @@
         if (!task.answered) {
           counters.answered(task.arrival.classIndex(), Result.ABORTED);
         }
-        owed = !task.answered || task.steps.removeIf(step -> step.kind() == Task.Kind.ANSWER);
+        owed = !task.answered || task.steps.removeIf(step -> step.kind() == InFlightRequest.Kind.ANSWER);
         task.answered = true;
         forget(task);
       } finally {
@@ -438,13 +438,13 @@
   }
 
   /** One request from its arrival to its last word. */
-  private void live(Task task) {
+  private void live(InFlightRequest task) {
     Arrival arrival = task.arrival;
     if (!task.arrived) {
       partner.ask(task);
       arrive(task);
     }
-    for (Task.Step step = next(task); step != null; step = next(task)) {
+    for (InFlightRequest.Step step = next(task); step != null; step = next(task)) {
       switch (step.kind()) {
         case INTEND -> intend(task);
         case SPAWN -> {
@@ -467,14 +467,14 @@
     }
   }
 
-  private void arrive(Task task) {
+  private void arrive(InFlightRequest task) {
     lock.lock();
     try {
       task.arrived = true;
       if (task.answered) {
         return;
       }
-      IdempotencyTable.Entry<Task> known = task.key == null ? null : keys.find(task.key);
+      IdempotencyTable.Entry<InFlightRequest> known = task.key == null ? null : keys.find(task.key);
       boolean ran =
           (known != null && known.ran()) || (task.key != null && !partner.between().owner());
       if (byId.size() >= most) {
@@ -514,7 +514,7 @@
       byId.put(task.id, task);
       byRef.put(a.ref(), task);
       sweepKeys(now);
-      IdempotencyTable.Entry<Task> prior = task.key == null ? null : keys.meet(task.key, a.door());
+      IdempotencyTable.Entry<InFlightRequest> prior = task.key == null ? null : keys.meet(task.key, a.door());
       boolean repeat = prior != null;
       if (task.key != null && !repeat && partner.unasked(task)) {
         // Guards against a second run of a key, or its refusal after one: the process that owns it
@@ -529,7 +529,7 @@
         answer(task, Answer.conflict());
         return;
       }
-      Records.Refusal why = task.key == null || repeat ? null : recorder.refusal();
+      ResultStore.Refusal why = task.key == null || repeat ? null : recorder.refusal();
       if (why != null) {
         // Guards against holding what could not be recorded when its turn comes.
         counters.add(Count.GUARDED);
@@ -574,11 +574,11 @@
   }
 
   /** The request's next step; null once it is answered and nothing of it runs. */
-  private Task.Step next(Task task) {
+  private InFlightRequest.Step next(InFlightRequest task) {
     lock.lock();
     try {
       for (; ; ) {
-        Task.Step step = task.steps.poll();
+        InFlightRequest.Step step = task.steps.poll();
         if (step != null) {
           return step;
         }
@@ -590,7 +590,7 @@
         if (recorder.recording(task)) {
           wait = Math.min(wait, task.recordBy - now());
           if (now() >= task.recordBy) {
-            recorder.neverBegun(task, Records.Refusal.DISK_STALLED);
+            recorder.neverBegun(task, ResultStore.Refusal.DISK_STALLED);
             continue;
           }
         }
@@ -617,7 +617,7 @@
   }
 
   /** True where there is room to know this try's key to its end. */
-  private boolean promise(Task task) {
+  private boolean promise(InFlightRequest task) {
     task.promised = task.promised || keys.promise();
     if (!task.promised) {
       keys.expire(now()); // what is over by now need not wait for the next sweep
@@ -634,7 +634,7 @@
         Math.min(settings.maxRetryAfter(), Math.max(LEAST_AGAIN, keys.roomIn(now))), false);
   }
 
-  private void forget(Task task) {
+  private void forget(InFlightRequest task) {
     if (task.promised) {
       task.promised = false;
       keys.unpromise();
@@ -649,7 +649,7 @@
 
   /** The caller of a request waits no longer. */
   public void left(Object accepted) {
-    Task task = (Task) accepted;
+    InFlightRequest task = (InFlightRequest) accepted;
     lock.lock();
     try {
       if (task == null || task.answered) {
@@ -669,7 +669,7 @@
     }
   }
 
-  void answer(Task task, Answer answer) {
+  void answer(InFlightRequest task, Answer answer) {
     if (!task.answered) {
       // Each request is counted here and once, whatever front, replay or guard its answer comes by.
       counters.answered(
@@ -685,11 +685,11 @@
         counters.late(task.arrival.classIndex());
       }
       markAnswered(task);
-      task.step(new Task.Step(Task.Kind.ANSWER, null, 0, answer));
+      task.step(new InFlightRequest.Step(InFlightRequest.Kind.ANSWER, null, 0, answer));
     }
   }
 
-  private void markAnswered(Task task) {
+  private void markAnswered(InFlightRequest task) {
     task.answered = true;
     task.backstop = now() + ORPHAN;
     task.signal.signal();
@@ -799,7 +799,7 @@
   public void poolRestarted() {
     lock.lock();
     try {
-      for (Task task : List.copyOf(byId.values())) {
+      for (InFlightRequest task : List.copyOf(byId.values())) {
         if (task.spawned && !task.runOver && !recorder.recording(task)) {
           tellRunOver(task, Outcome.BROKEN, now() - task.since, null);
         }
@@ -824,7 +824,7 @@
   public void finished(String ref, Outcome outcome, double elapsed, byte[] result) {
     lock.lock();
     try {
-      Task task = byRef.get(ref);
+      InFlightRequest task = byRef.get(ref);
       if (task == null || !task.spawned || task.runOver) {
         return;
       }
@@ -834,14 +834,14 @@
     }
   }
 
-  void tellRunOver(Task task, Outcome outcome, double elapsed, byte[] result) {
+  void tellRunOver(InFlightRequest task, Outcome outcome, double elapsed, byte[] result) {
     if (!recorder.recording(task) && !task.unsent) {
       counters.add(outcome == Outcome.SUCCESS ? Count.RUNS_GOOD : Count.RUNS_OTHER);
     }
     task.runOver = true;
     task.callNumber++;
     if (task.call != null) {
-      task.step(Task.Step.of(Task.Kind.ABANDON));
+      task.step(InFlightRequest.Step.of(InFlightRequest.Kind.ABANDON));
     }
     boolean waits = false;
     if (task.entry != null && task.entry.holder() == task) {
@@ -867,7 +867,7 @@
   public void blocked(String ref, long notice, byte[] body) {
     lock.lock();
     try {
-      Task task = byRef.get(ref);
+      InFlightRequest task = byRef.get(ref);
       if (task == null || !task.spawned || task.runOver) {
         return;
       }
@@ -884,7 +884,7 @@
 
   // ---- Calls ----
 
-  private void beginCall(Task task, Task.Step step) {
+  private void beginCall(InFlightRequest task, InFlightRequest.Step step) {
     byte[] body;
     int number;
     long timeout;
@@ -918,7 +918,7 @@
     }
   }
 
-  private void abandonCall(Task task) {
+  private void abandonCall(InFlightRequest task) {
     Call call;
     lock.lock();
     try {
@@ -932,7 +932,7 @@
     }
   }
 
-  private void callEnded(Task task, int number, Outcome outcome, byte[] reply) {
+  private void callEnded(InFlightRequest task, int number, Outcome outcome, byte[] reply) {
     counters.add(outcome == Outcome.SUCCESS ? Count.CALLS_GOOD : Count.CALLS_OTHER);
     lock.lock();
     try {
@@ -944,7 +944,7 @@
       task.callFailed = outcome != Outcome.SUCCESS && outcome != Outcome.TIMED_OUT;
       double now = now();
       if (outcome == Outcome.SUCCESS) {
-        task.step(new Task.Step(Task.Kind.SUPPLY, reply, 0, null));
+        task.step(new InFlightRequest.Step(InFlightRequest.Kind.SUPPLY, reply, 0, null));
       }
       module.callEnded(now, task.id, outcome, now - task.callSince);
       settleSoon(now);
@@ -959,7 +959,7 @@
    * A run of this key is over; the result is null unless it ended well. True where its answer waits
    * for the disk.
    */
-  boolean finish(IdempotencyTable.Entry<Task> entry, byte[] result) {
+  boolean finish(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
     partner.between().tellEnd(entry, result);
     boolean ran = entry.state() == KeyState.RUNNING || entry.state() == KeyState.ELSEWHERE;
     keys.ran(entry, result);
@@ -971,7 +971,7 @@
   }
 
   /** The result of a settled key goes out again, byte for byte. */
-  private void replay(Task task) {
+  private void replay(InFlightRequest task) {
     byte[] result = recorder.read(task.key, task.entry.place());
     lock.lock();
     try {
@@ -982,7 +982,7 @@
     }
   }
 
-  private void intend(Task task) {
+  private void intend(InFlightRequest task) {
     lock.lock();
     try {
       recorder.intend(task);
@@ -991,21 +991,21 @@
     }
   }
 
-  private void endsWith(Task rider, IdempotencyTable.Entry<Task> entry) {
+  private void endsWith(InFlightRequest rider, IdempotencyTable.Entry<InFlightRequest> entry) {
     pending.add(() -> endAttached(rider, entry));
   }
 
   /** An attached try ends as the one it repeats did. */
-  private void endAttached(Task task, IdempotencyTable.Entry<Task> entry) {
+  private void endAttached(InFlightRequest task, IdempotencyTable.Entry<InFlightRequest> entry) {
     if (!task.answered && entry != null && entry.onDisk() && keys.result(entry) == null) {
       task.entry = entry;
-      task.step(Task.Step.of(Task.Kind.REPLAY)); // it lies on disk: no reading here, under the lock
+      task.step(InFlightRequest.Step.of(InFlightRequest.Kind.REPLAY)); // it lies on disk: no reading here, under the lock
       return;
     }
     endWith(task, entry == null ? null : keys.result(entry));
   }
 
-  private void endWith(Task task, byte[] result) {
+  private void endWith(InFlightRequest task, byte[] result) {
     if (task.answered) {
       return;
     }
@@ -1020,8 +1020,8 @@
     }
   }
 
-  private void join(Task task) {
-    IdempotencyTable.Entry<Task> entry = task.entry;
+  private void join(InFlightRequest task) {
+    IdempotencyTable.Entry<InFlightRequest> entry = task.entry;
     task.attached = true;
     task.since = now();
     if (entry == null || !keys.ride(entry, task)) {
@@ -1096,14 +1096,14 @@
 
   @Override
   public void start(long id) {
-    Task task = byId.get(id);
+    InFlightRequest task = byId.get(id);
     if (task == null || task.spawned) {
       return;
     }
     Arrival a = task.arrival;
     task.since = now();
     if (task.key != null) {
-      IdempotencyTable.Entry<Task> known = keys.find(task.key);
+      IdempotencyTable.Entry<InFlightRequest> known = keys.find(task.key);
       if (!(known != null && known.ran() && known.covers(a.door())) && !promise(task)) {
         // It came as a repeat of a try that never ran, so no room was asked for before.
         task.spawned = true;
@@ -1118,7 +1118,7 @@
             });
         return;
       }
-      IdempotencyTable.Entry<Task> entry =
+      IdempotencyTable.Entry<InFlightRequest> entry =
           keys.start(task.key, a.body(), a.door(), window(a.classIndex()), now(), task);
       task.entry = entry;
       if (entry.holder() != task) {
@@ -1129,12 +1129,12 @@
       }
     }
     task.spawned = true;
-    task.step(Task.Step.of(recorder.recording(task) ? Task.Kind.INTEND : Task.Kind.SPAWN));
+    task.step(InFlightRequest.Step.of(recorder.recording(task) ? InFlightRequest.Kind.INTEND : InFlightRequest.Kind.SPAWN));
   }
 
   @Override
   public void refuse(long id, boolean nowhereElse, double retryAfter) {
-    Task task = byId.get(id);
+    InFlightRequest task = byId.get(id);
     if (task != null) {
       // Guards against a refusal after the run of a key: that answer would promise that none ran.
       boolean ran = task.entry != null && task.entry.ran();
@@ -1144,7 +1144,7 @@
 
   @Override
   public void fail(long id) {
-    Task task = byId.get(id);
+    InFlightRequest task = byId.get(id);
     if (task != null) {
       answer(task, task.callFailed ? Answer.failed() : Answer.late());
       if (task.attached && task.entry != null) {
@@ -1155,7 +1155,7 @@
 
   @Override
   public void stop(long id) {
-    Task task = byId.get(id);
+    InFlightRequest task = byId.get(id);
     if (task != null && recorder.recording(task)) {
       pending.add(
           () -> {
@@ -1164,34 +1164,34 @@
             }
           });
     } else if (task != null && task.spawned && !task.runOver) {
-      task.step(Task.Step.of(Task.Kind.SUSPEND));
+      task.step(InFlightRequest.Step.of(InFlightRequest.Kind.SUSPEND));
     }
   }
 
   @Override
   public void call(long id, double notPast) {
-    Task task = byId.get(id);
+    InFlightRequest task = byId.get(id);
     if (task != null && !task.runOver) {
       task.callSince = now();
-      task.step(new Task.Step(Task.Kind.CALL, null, notPast, null));
+      task.step(new InFlightRequest.Step(InFlightRequest.Kind.CALL, null, notPast, null));
     }
   }
 
   @Override
   public void skipCall(long id) {
-    Task task = byId.get(id);
+    InFlightRequest task = byId.get(id);
     if (task != null && !task.runOver) {
-      task.step(new Task.Step(Task.Kind.PASS, null, task.notice, null));
+      task.step(new InFlightRequest.Step(InFlightRequest.Kind.PASS, null, task.notice, null));
     }
   }
 
   @Override
   public void keep(long id, double time) {
-    Task task = byId.get(id);
+    InFlightRequest task = byId.get(id);
     if (task == null || task.key == null) {
       return;
     }
-    IdempotencyTable.Entry<Task> entry =
+    IdempotencyTable.Entry<InFlightRequest> entry =
         keys.hold(task.key, task.arrival.body(), task.arrival.door(), task);
     if (entry != null) {
       task.entry = entry;
@@ -1200,7 +1200,7 @@
 
   @Override
   public void release(long id) {
-    Task task = byId.get(id);
+    InFlightRequest task = byId.get(id);
     if (task != null && task.entry != null) {
       keys.release(task.entry, task);
     }
@@ -1208,7 +1208,7 @@
 
   @Override
   public void attach(long id) {
-    Task task = byId.get(id);
+    InFlightRequest task = byId.get(id);
     if (task != null) {
       join(task);
     }
@@ -1244,7 +1244,7 @@
     try {
       double now = now();
       stopAt = now + timeLeft;
-      for (Task task : byId.values()) {
+      for (InFlightRequest task : byId.values()) {
         if (!task.answered) {
           task.backstop = Math.min(task.backstop, stopAt);
           task.signal.signal();
--- a/src/main/java/wharftrestle/core/Recorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -1,9 +1,9 @@
-package wharftrestle.core;
+package wharftrestle.request;
 
 import java.io.IOException;
 import java.util.Map;
 import org.tinylog.Logger;
-import wharftrestle.core.Core.Answer;
+import wharftrestle.request.RequestCoordinator.Answer;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.idempotency.KeyMemoryBudget;
@@ -20,15 +20,15 @@
  * is; the {@link IdempotencyTable} decides what a key may do. Guarded by the core's lock, but for what says
  * otherwise.
  */
-final class Recorder {
-  private final Core core;
-  private final IdempotencyTable<Task> keys;
+final class ResultRecorder {
+  private final RequestCoordinator core;
+  private final IdempotencyTable<InFlightRequest> keys;
   private final KeyMemoryBudget room;
-  private final KeyOwnershipTransfer<Task> between;
-  private volatile Records records; // null where no results are kept
+  private final KeyOwnershipTransfer<InFlightRequest> between;
+  private volatile ResultStore records; // null where no results are kept
   private int most;
 
-  Recorder(Core core, IdempotencyTable<Task> keys, KeyMemoryBudget room, KeyOwnershipTransfer<Task> between) {
+  ResultRecorder(RequestCoordinator core, IdempotencyTable<InFlightRequest> keys, KeyMemoryBudget room, KeyOwnershipTransfer<InFlightRequest> between) {
     this.core = core;
     this.keys = keys;
     this.room = room;
@@ -39,7 +39,7 @@
    * From now on no keyed run begins before its intent is kept, and none is answered before its
    * result is.
    */
-  void record(Records kept) {
+  void record(ResultStore kept) {
     records = kept;
     most = Math.min(kept.mostKeys(), room.mostKeysOnDisk());
     if (most < kept.mostKeys()) {
@@ -60,7 +60,7 @@
 
   /** The figures of kept results, empty where none are kept; also without the lock. */
   Map<ResultFigure, Long> figures(long indexBytes) {
-    Records kept = records;
+    ResultStore kept = records;
     if (kept == null) {
       return Map.of();
     }
@@ -70,33 +70,33 @@
   }
 
   /** Why a new key cannot be recorded now; null where it can, or need not. */
-  Records.Refusal refusal() {
+  ResultStore.Refusal refusal() {
     return records == null || !between.owner()
         ? null
-        : keys.size() >= most ? Records.Refusal.KEYS_FULL : records.refusal();
+        : keys.size() >= most ? ResultStore.Refusal.KEYS_FULL : records.refusal();
   }
 
-  Answer unrecorded(Records.Refusal why) {
+  Answer unrecorded(ResultStore.Refusal why) {
     return Answer.refused(Math.min(core.settings().maxRetryAfter(), records.again(why)), false);
   }
 
-  private Records.Keyed keyed(IdempotencyTable.Entry<Task> entry) {
-    return new Records.Keyed(
+  private ResultStore.Keyed keyed(IdempotencyTable.Entry<InFlightRequest> entry) {
+    return new ResultStore.Keyed(
         entry.key(),
         entry.lastDoor(),
-        core.window(Task.classOf(entry.key())) + IdempotencyTable.SLACK,
+        core.window(InFlightRequest.classOf(entry.key())) + IdempotencyTable.SLACK,
         entry.asked().brief());
   }
 
   /** True while the intent of this try's run is on its way to the disk. */
-  boolean recording(Task task) {
+  boolean recording(InFlightRequest task) {
     return task.entry != null
         && task.entry.holder() == task
         && task.entry.state() == KeyState.RECORDING;
   }
 
   /** Has the intent of a run written; word of that is its next step, or its refusal. */
-  void intend(Task task) {
+  void intend(InFlightRequest task) {
     if (!recording(task)) {
       return;
     }
@@ -119,29 +119,29 @@
               }
             });
     if (task.intent == null) {
-      Records.Refusal why = records.refusal();
-      neverBegun(task, why == null ? Records.Refusal.STORE_FULL : why);
+      ResultStore.Refusal why = records.refusal();
+      neverBegun(task, why == null ? ResultStore.Refusal.STORE_FULL : why);
     }
   }
 
   /** An intent is on disk, or cannot be. */
-  void intended(Task task, boolean written) {
+  void intended(InFlightRequest task, boolean written) {
     if (!recording(task)) {
       return; // withdrawn meanwhile
     }
     if (!written) {
-      neverBegun(task, Records.Refusal.DISK_FAILED);
+      neverBegun(task, ResultStore.Refusal.DISK_FAILED);
     } else if (task.answered) {
       // Nobody waits any more, and nothing ran: a further try may.
       neverBegun(task, null);
     } else {
       keys.recorded(task.entry);
-      task.step(Task.Step.of(Task.Kind.SPAWN));
+      task.step(InFlightRequest.Step.of(InFlightRequest.Kind.SPAWN));
     }
   }
 
   /** A run that was decided is not begun, and its key is free again. */
-  void neverBegun(Task task, Records.Refusal why) {
+  void neverBegun(InFlightRequest task, ResultStore.Refusal why) {
     if (task.intent != null) {
       records.withdraw(task.intent, keyed(task.entry));
     }
@@ -150,12 +150,12 @@
       core.answer(task, unrecorded(why));
     }
     task.steps.removeIf(
-        step -> step.kind() == Task.Kind.INTEND || step.kind() == Task.Kind.SUSPEND);
+        step -> step.kind() == InFlightRequest.Kind.INTEND || step.kind() == InFlightRequest.Kind.SUSPEND);
     core.tellRunOver(task, Outcome.VOID, 0, null);
   }
 
   /** A run of this key was never begun. */
-  void voided(IdempotencyTable.Entry<Task> entry) {
+  void voided(IdempotencyTable.Entry<InFlightRequest> entry) {
     if (records != null && between.owner()) {
       records.voided(keyed(entry));
     }
@@ -164,13 +164,13 @@
   /**
    * A run of this key is over, and the key knows it; the result is null where it has none to give.
    */
-  void ended(IdempotencyTable.Entry<Task> entry, byte[] result) {
+  void ended(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
     if (records != null && between.owner()) {
       save(entry, result);
     }
   }
 
-  private void save(IdempotencyTable.Entry<Task> entry, byte[] result) {
+  private void save(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
     records.ended(
         keyed(entry),
         result,
@@ -195,7 +195,7 @@
    * A result is on disk, or with a place below 0 cannot be: its intent is, so it never runs again,
    * and is answered.
    */
-  void saved(IdempotencyTable.Entry<Task> entry, long place) {
+  void saved(IdempotencyTable.Entry<InFlightRequest> entry, long place) {
     if (entry.state() != KeyState.SAVING) {
       return;
     }
@@ -215,7 +215,7 @@
 
   /** The other process is about to run a key that it has in hand: its intent is written here. */
   void intendElsewhere(String key) {
-    IdempotencyTable.Entry<Task> entry = keys.find(key);
+    IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
     PeerProcess asks = between.other();
     if (asks == null) {
       return;
--- a/src/main/java/wharftrestle/core/Records.java
+++ b/src/main/java/wharftrestle/request/ResultStore.java
@@ -1,4 +1,4 @@
-package wharftrestle.core;
+package wharftrestle.request;
 
 import java.io.IOException;
 import java.util.List;
@@ -10,7 +10,7 @@
  * the disk but {@link #read}, so all others may be called under the core's lock. It must never
  * decide whether a key may run.
  */
-public interface Records {
+public interface ResultStore {
 
   /** Why a key cannot be recorded now, and so may not run. */
   enum Refusal {
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -13,8 +13,8 @@
 import org.HdrHistogram.Histogram;
 import org.tinylog.Logger;
 import wharftrestle.time.SteadyWallClock;
-import wharftrestle.core.Records;
-import wharftrestle.core.Threads;
+import wharftrestle.request.ResultStore;
+import wharftrestle.request.PlatformThreads;
 import wharftrestle.net.Config;
 import wharftrestle.ops.ResultFigure;
 
@@ -31,7 +31,7 @@
  * FAILED  nothing is written, all is refused     OPEN (a fresh file could be made), SHUT (close)
  * </pre>
  */
-public final class WriteAheadLog implements Records, AutoCloseable {
+public final class WriteAheadLog implements ResultStore, AutoCloseable {
 
   /** How far it has come. */
   public enum State {
@@ -71,10 +71,10 @@
     private final LogRecord record;
     private final int size;
     private final double until;
-    private final Records.Written told;
+    private final ResultStore.Written told;
     private long place = -1;
 
-    Ticket(LogRecord record, double until, Records.Written told) {
+    Ticket(LogRecord record, double until, ResultStore.Written told) {
       this.record = record;
       this.size = record.size();
       this.until = until;
@@ -98,7 +98,7 @@
   private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER);
 
   private final Histogram syncs = new Histogram(LONGEST_SYNC, 2);
-  private final AtomicLongArray refused = new AtomicLongArray(Records.Refusal.values().length);
+  private final AtomicLongArray refused = new AtomicLongArray(ResultStore.Refusal.values().length);
   private volatile long records;
   private volatile long unsaved;
   private volatile long errors;
@@ -127,14 +127,14 @@
    * @throws UnusableException in one line, where it is another's, of a newer version, or cannot be
    *     written
    */
-  public synchronized Records.Recovered open(double longest) throws IOException {
+  public synchronized ResultStore.Recovered open(double longest) throws IOException {
     if (state != State.SHUT) {
       throw new IllegalStateException("kept results are " + state);
     }
     long began = System.nanoTime();
     SegmentStore opened = opener.open();
     try {
-      Records.Recovered recovered = recover(opened, longest);
+      ResultStore.Recovered recovered = recover(opened, longest);
       if (!damaged
           && Compaction.worthWhile(room)
           && Compaction.run(opened, room.segment(), room.files())) {
@@ -152,7 +152,7 @@
         state = State.FAILED;
         Logger.warn("kept results: no room in {}, keyed requests are refused", settings.folder());
       }
-      writer = Threads.thread("results", this::write);
+      writer = PlatformThreads.thread("results", this::write);
       writer.start();
       recoveryMs = (System.nanoTime() - began) / 1e6;
       return recovered;
@@ -165,7 +165,7 @@
     }
   }
 
-  private Records.Recovered recover(SegmentStore opened, double longest) throws IOException {
+  private ResultStore.Recovered recover(SegmentStore opened, double longest) throws IOException {
     Recovery recovery = new Recovery(SteadyWallClock.even(), steady());
     long boot = opened.boot();
     double now = seconds();
@@ -224,17 +224,17 @@
         recoveredKnown,
         recoveredUnknown,
         recovery.over());
-    List<Records.Remembered> all = new ArrayList<>();
+    List<ResultStore.Remembered> all = new ArrayList<>();
     for (Recovery.Known known : recovery.keys()) {
       all.add(
-          new Records.Remembered(
+          new ResultStore.Remembered(
               known.key(),
               known.place(),
               known.lastDoor(),
               Recovery.until(known, now),
               known.check()));
     }
-    return new Records.Recovered(all, hurt ? now + longest : Double.NEGATIVE_INFINITY);
+    return new ResultStore.Recovered(all, hurt ? now + longest : Double.NEGATIVE_INFINITY);
   }
 
   /** Begins a further file: made and listed before anything in it counts. */
@@ -282,37 +282,37 @@
   }
 
   @Override
-  public Records.Refusal refusal() {
+  public ResultStore.Refusal refusal() {
     if (state != State.OPEN) {
-      return Records.Refusal.DISK_FAILED;
+      return ResultStore.Refusal.DISK_FAILED;
     }
     long began = batchBegan;
     if (began != 0 && System.nanoTime() - began > settings.patience() * 1e9) {
-      return Records.Refusal.DISK_STALLED;
+      return ResultStore.Refusal.DISK_STALLED;
     }
     if (gather.bytes() > settings.queue()) {
-      return Records.Refusal.DISK_BUSY;
+      return ResultStore.Refusal.DISK_BUSY;
     }
     synchronized (room) {
-      return room.fits(SpaceBudget.PROMISE) ? null : Records.Refusal.STORE_FULL;
+      return room.fits(SpaceBudget.PROMISE) ? null : ResultStore.Refusal.STORE_FULL;
     }
   }
 
   @SuppressWarnings("EnumOrdinal") // a place in refused, never stored or sent
-  private static int index(Records.Refusal why) {
+  private static int index(ResultStore.Refusal why) {
     return why.ordinal();
   }
 
   @Override
-  public double again(Records.Refusal why) {
+  public double again(ResultStore.Refusal why) {
     refused.incrementAndGet(index(why));
     synchronized (room) {
-      return why == Records.Refusal.STORE_FULL ? room.again(seconds()) : SOON;
+      return why == ResultStore.Refusal.STORE_FULL ? room.again(seconds()) : SOON;
     }
   }
 
   @Override
-  public Object intend(Records.Keyed keyed, Records.Written told) {
+  public Object intend(ResultStore.Keyed keyed, ResultStore.Written told) {
     Ticket ticket = ticket(LogRecord.Kind.INTENT, keyed, null, told);
     synchronized (room) {
       if (state != State.OPEN || promises.containsKey(keyed.key()) || !room.promise(ticket.size)) {
@@ -328,7 +328,7 @@
   }
 
   @Override
-  public void withdraw(Object intent, Records.Keyed keyed) {
+  public void withdraw(Object intent, ResultStore.Keyed keyed) {
     Ticket ticket = (Ticket) intent;
     if (gather.withdraw(ticket, ticket.size)) {
       settle(keyed.key());
@@ -338,20 +338,20 @@
   }
 
   @Override
-  public void voided(Records.Keyed keyed) {
+  public void voided(ResultStore.Keyed keyed) {
     settle(keyed.key());
     end(LogRecord.Kind.VOID, keyed, null, place -> {});
   }
 
   @Override
-  public void ended(Records.Keyed keyed, byte[] result, Records.Written told) {
+  public void ended(ResultStore.Keyed keyed, byte[] result, ResultStore.Written told) {
     end(result == null ? LogRecord.Kind.FAILED : LogRecord.Kind.RESULT, keyed, result, told);
   }
 
   // The writer counts unsaved as well: of two at once one is lost; nothing is decided by the
   // figure.
   @SuppressWarnings("NonAtomicVolatileUpdate")
-  private void end(LogRecord.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
+  private void end(LogRecord.Kind kind, ResultStore.Keyed keyed, byte[] result, ResultStore.Written told) {
     Ticket ticket = ticket(kind, keyed, result, told);
     if ((result != null && result.length > LogRecord.LONGEST_RESULT)
         || state == State.SHUT
@@ -363,7 +363,7 @@
   }
 
   private static Ticket ticket(
-      LogRecord.Kind kind, Records.Keyed keyed, byte[] result, Records.Written told) {
+      LogRecord.Kind kind, ResultStore.Keyed keyed, byte[] result, ResultStore.Written told) {
     int window = (int) Math.ceil(keyed.window() * 1000);
     return new Ticket(
         new LogRecord(
@@ -647,7 +647,7 @@
     all.put(ResultFigure.DAMAGED, damaged ? 1L : 0L);
     all.put(ResultFigure.ERRORS, errors);
     all.put(ResultFigure.UNSAVED, unsaved);
-    for (Records.Refusal why : Records.Refusal.values()) {
+    for (ResultStore.Refusal why : ResultStore.Refusal.values()) {
       all.put(ResultFigure.valueOf("REFUSED_" + why.name()), refused.get(index(why)));
     }
     return all;
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -63,13 +63,13 @@
               "java.util.concurrent..",
               "org.tinylog..",
               "wharftrestle.net..",
-              "wharftrestle.core..");
+              "wharftrestle.request..");
 
   @ArchTest
   static final ArchRule theCoreKnowsNoDisk =
       noClasses()
           .that()
-          .resideInAPackage("wharftrestle.core..")
+          .resideInAPackage("wharftrestle.request..")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
@@ -87,7 +87,7 @@
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
-              "wharftrestle.core..",
+              "wharftrestle.request..",
               "wharftrestle.net..",
               "wharftrestle.idempotency..",
               "wharftrestle.front..",
--- a/src/test/java/wharftrestle/CoreTest.java
+++ b/src/test/java/wharftrestle/CoreTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
-import wharftrestle.core.Core;
+import wharftrestle.request.RequestCoordinator;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.ops.Counters;
 import wharftrestle.admission.Admission;
@@ -20,14 +20,14 @@
 class CoreTest {
   private final AtomicInteger instants = new AtomicInteger();
 
-  private Core core(int most) {
+  private RequestCoordinator core(int most) {
     return core(most, KeyMemoryBudget.of(1 << 20));
   }
 
-  private Core core(int most, KeyMemoryBudget room) {
+  private RequestCoordinator core(int most, KeyMemoryBudget room) {
     Counters counters = new Counters(List.of("read", "save", "keyed", "unsafe", "long"));
-    Core core =
-        new Core(
+    RequestCoordinator core =
+        new RequestCoordinator(
             Sites.site().build(),
             7,
             most,
@@ -72,8 +72,8 @@
     return core;
   }
 
-  private static Core.Arrival arrival(int number, double rank) {
-    return new Core.Arrival(
+  private static RequestCoordinator.Arrival arrival(int number, double rank) {
+    return new RequestCoordinator.Arrival(
         String.format("%016x", number),
         false,
         0,
@@ -90,7 +90,7 @@
 
   @Test
   void whatIsRefusedAtOnceNeedsNoThreadOfItsOwn() {
-    Core core = core(64);
+    RequestCoordinator core = core(64);
     Thread[] answered = new Thread[1];
     assertEquals(null, core.accept(arrival(1, 0), answer -> answered[0] = Thread.currentThread()));
     assertEquals(Thread.currentThread(), answered[0]);
@@ -98,7 +98,7 @@
 
   @Test
   void withMuchInHandTheWordsOfAMomentAreOneInstant() throws InterruptedException {
-    Core core = core(400);
+    RequestCoordinator core = core(400);
     CountDownLatch answers = new CountDownLatch(300);
     for (int i = 1; i <= 300; i++) {
       core.accept(arrival(i, 0.5), answer -> answers.countDown());
@@ -111,8 +111,8 @@
     assertTrue(answers.await(10, TimeUnit.SECONDS), "and none is forgotten");
   }
 
-  private static Core.Arrival keyed(int number, String key) {
-    return new Core.Arrival(
+  private static RequestCoordinator.Arrival keyed(int number, String key) {
+    return new RequestCoordinator.Arrival(
         String.format("%016x", number),
         false,
         2,
@@ -129,8 +129,8 @@
 
   @Test
   void aKeyedRequestHasItsRoomBeforeItRunsAndComesInWhenThereIsSome() throws InterruptedException {
-    Core core = core(64, KeyMemoryBudget.of(100 << 10)); // 15 of the largest results
-    List<Core.Answer> answers = Collections.synchronizedList(new ArrayList<>());
+    RequestCoordinator core = core(64, KeyMemoryBudget.of(100 << 10)); // 15 of the largest results
+    List<RequestCoordinator.Answer> answers = Collections.synchronizedList(new ArrayList<>());
     for (int i = 1; i <= 30; i++) {
       core.accept(keyed(i, "k" + i), answers::add);
     }
@@ -138,8 +138,8 @@
         15,
         answers.size(),
         "those without room are answered at once, on the thread that read them");
-    for (Core.Answer answer : answers) {
-      assertEquals(Core.Answer.Kind.REFUSED, answer.kind());
+    for (RequestCoordinator.Answer answer : answers) {
+      assertEquals(RequestCoordinator.Answer.Kind.REFUSED, answer.kind());
       assertTrue(answer.retryAfter() > 0, "with a time");
     }
     for (int i = 1; i <= 15; i++) {
@@ -153,7 +153,7 @@
     while (answers.size() < 31) {
       Thread.onSpinWait();
     }
-    assertEquals(Core.Answer.Kind.SERVED, answers.get(30).kind(), "a repeat needs no room");
+    assertEquals(RequestCoordinator.Answer.Kind.SERVED, answers.get(30).kind(), "a repeat needs no room");
     for (int i = 16; i <= 30; i++) {
       core.accept(keyed(200 + i, "k" + i), answers::add);
     }
@@ -163,7 +163,7 @@
     assertTrue(core.awaitDrained(10));
     assertEquals(
         30,
-        answers.stream().filter(each -> each.kind() == Core.Answer.Kind.SERVED).count() - 1,
+        answers.stream().filter(each -> each.kind() == RequestCoordinator.Answer.Kind.SERVED).count() - 1,
         "what was refused came again and ran");
   }
 }
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -23,8 +23,8 @@
 import sun.misc.Signal;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.core.Core;
-import wharftrestle.core.Threads;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.request.PlatformThreads;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.lab.RespPeer.Reply;
 import wharftrestle.ops.Counters;
@@ -250,9 +250,9 @@
   // ---- Parts of the process that fail ----
 
   /** A core with the shipped policy, a worker pool that does as told, and no sockets. */
-  private static Core core(SilentPool pool, Core.Factory factory) {
-    Core core =
-        new Core(
+  private static RequestCoordinator core(SilentPool pool, RequestCoordinator.Factory factory) {
+    RequestCoordinator core =
+        new RequestCoordinator(
             Sites.site().build(),
             7,
             64,
@@ -263,8 +263,8 @@
     return core;
   }
 
-  private static Core.Arrival arrival(int number) {
-    return new Core.Arrival(
+  private static RequestCoordinator.Arrival arrival(int number) {
+    return new RequestCoordinator.Arrival(
         ref(number),
         false,
         0,
@@ -282,7 +282,7 @@
   @Test
   void aProcessToldToLeaveBeforeItsWorkerPoolIsUpRunsNothing() throws Exception {
     AtomicInteger spawned = new AtomicInteger();
-    Core core =
+    RequestCoordinator core =
         core(
             new SilentPool() {
               @Override
@@ -293,15 +293,15 @@
             GroupEdfScheduler::new);
     core.leave(5);
     core.bound(true, 0); // the worker pool comes up in the grace
-    BlockingQueue<Core.Answer> answers = new LinkedBlockingQueue<>();
+    BlockingQueue<RequestCoordinator.Answer> answers = new LinkedBlockingQueue<>();
     core.accept(arrival(1), answers::add);
-    assertEquals(Core.Answer.Kind.REFUSED, answers.take().kind());
+    assertEquals(RequestCoordinator.Answer.Kind.REFUSED, answers.take().kind());
     assertEquals(0, spawned.get());
   }
 
   @Test
   void aFaultOfAnyKindStillGivesTheAnswer() throws Exception {
-    Core core =
+    RequestCoordinator core =
         core(
             new SilentPool() {
               @Override
@@ -311,11 +311,11 @@
             },
             GroupEdfScheduler::new);
     core.bound(false, 100);
-    BlockingQueue<Core.Answer> answers = new LinkedBlockingQueue<>();
+    BlockingQueue<RequestCoordinator.Answer> answers = new LinkedBlockingQueue<>();
     core.accept(arrival(1), answers::add);
-    Core.Answer answer = answers.poll(2, TimeUnit.SECONDS);
+    RequestCoordinator.Answer answer = answers.poll(2, TimeUnit.SECONDS);
     assertEquals(
-        Core.Answer.Kind.FAILED,
+        RequestCoordinator.Answer.Kind.FAILED,
         answer == null ? null : answer.kind(),
         "at once, not when it is due");
     assertTrue(core.awaitDrained(2), "and nothing of it stays in hand");
@@ -324,7 +324,7 @@
   @Test
   void theTimerGoesOnAfterAnErrorAndForgetsNoWake() throws Exception {
     CountDownLatch twice = new CountDownLatch(2);
-    Core core =
+    RequestCoordinator core =
         core(
             new SilentPool(),
             (now, seed, settings, actions) -> {
@@ -353,7 +353,7 @@
   void aThreadThatIsReliedOnBeginsAgain() throws Exception {
     CountDownLatch times = new CountDownLatch(3);
     Thread lasting =
-        Threads.lasting(
+        PlatformThreads.lasting(
             "made up",
             () -> {
               times.countDown();
--- a/src/test/java/wharftrestle/ResultsTest.java
+++ b/src/test/java/wharftrestle/ResultsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.core.Records;
+import wharftrestle.request.ResultStore;
 import wharftrestle.storage.WriteAheadLog;
 import wharftrestle.storage.UnusableStorageException;
 import wharftrestle.lab.RespPeer.Reply;
@@ -211,7 +211,7 @@
     assertTrue(moments.size() > 5, moments.size() + " moments");
     for (Moment moment : moments) {
       try (WriteAheadLog journal = new WriteAheadLog(keeping(moment.left()).durable())) {
-        Records.Recovered recovered = journal.open(wide.window);
+        ResultStore.Recovered recovered = journal.open(wide.window);
         Set<String> known = new HashSet<>();
         recovered.keys().forEach(key -> known.add(key.key().replaceFirst("2/0/", "")));
         assertTrue(known.containsAll(moment.ran()), "ran and not on disk in " + moment.left());
--- a/src/test/java/wharftrestle/SilentPool.java
+++ b/src/test/java/wharftrestle/SilentPool.java
@@ -1,12 +1,12 @@
 package wharftrestle;
 
-import wharftrestle.core.Core;
+import wharftrestle.request.RequestCoordinator;
 
 /**
  * A worker pool that takes every command and says nothing; stories of the core alone speak its
  * words themselves.
  */
-public class SilentPool implements Core.Pool {
+public class SilentPool implements RequestCoordinator.Pool {
   @Override
   public void spawn(String ref, String className, byte[] body) {}
 
--- a/src/test/java/wharftrestle/net/LinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/net/LinkFormatFixtures.java
@@ -14,7 +14,7 @@
 import java.util.Arrays;
 import java.util.List;
 import wharftrestle.SilentPool;
-import wharftrestle.core.Core;
+import wharftrestle.request.RequestCoordinator;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.handover.Capabilities;
 import wharftrestle.idempotency.KeyDigest;
@@ -161,7 +161,7 @@
    * question the core's side says a last word, which comes only where the question was understood.
    */
   static List<String> exchange(Path socket, List<String> questions) throws Exception {
-    Core core = core();
+    RequestCoordinator core = core();
     List<String> lines = new ArrayList<>();
     BoxLink.Side side =
         (link, word, detail) -> {
@@ -189,9 +189,9 @@
     return lines;
   }
 
-  static Core core() {
-    Core core =
-        new Core(
+  static RequestCoordinator core() {
+    RequestCoordinator core =
+        new RequestCoordinator(
             settings(),
             7,
             64,
--- a/src/test/java/wharftrestle/storage/ResultLogToolTest.java
+++ b/src/test/java/wharftrestle/storage/ResultLogToolTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.core.Records;
+import wharftrestle.request.ResultStore;
 import wharftrestle.net.Config;
 
 /** What operators see of a folder that no daemon has. */
@@ -48,8 +48,8 @@
     return new Config.Durable(folder, 4 << 20, 100, 1 << 20, 0.3, "group");
   }
 
-  private static Records.Keyed keyed(String key) {
-    return new Records.Keyed(key, System.currentTimeMillis() + 20_000, 20, 5);
+  private static ResultStore.Keyed keyed(String key) {
+    return new ResultStore.Keyed(key, System.currentTimeMillis() + 20_000, 20, 5);
   }
 
   @BeforeEach
@@ -111,7 +111,7 @@
     said((results, out) -> results.compact(out));
     assertFalse((boolean) answer, "nothing more to gain");
     try (WriteAheadLog next = new WriteAheadLog(settings())) {
-      Records.Recovered recovered = next.open(20);
+      ResultStore.Recovered recovered = next.open(20);
       assertEquals(3, recovered.keys().size());
       assertArrayEquals(RESULT, next.read("2/0/first", recovered.keys().get(0).place()));
     }
--- a/src/test/java/wharftrestle/storage/ResultRecorderTest.java
+++ b/src/test/java/wharftrestle/storage/ResultRecorderTest.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import wharftrestle.SilentPool;
-import wharftrestle.core.Core;
-import wharftrestle.core.Core.Answer;
-import wharftrestle.core.Records;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.request.RequestCoordinator.Answer;
+import wharftrestle.request.ResultStore;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.ops.Counters;
 import wharftrestle.ops.ResultFigure;
@@ -29,8 +29,8 @@
   private final MemorySegmentStore disk = new MemorySegmentStore();
   private final WriteAheadLog journal = new WriteAheadLog(WriteAheadLogTest.settings(4, "group"), () -> disk);
   private final BlockingQueue<String> spawned = new LinkedBlockingQueue<>();
-  private final Core core =
-      new Core(
+  private final RequestCoordinator core =
+      new RequestCoordinator(
           settings(),
           7,
           64,
@@ -100,7 +100,7 @@
 
     Asked(String key, String body) {
       core.accept(
-          new Core.Arrival(
+          new RequestCoordinator.Arrival(
               ref,
               false,
               key == null ? 0 : 1,
@@ -134,7 +134,7 @@
     }
   }
 
-  private void awaitRefusal(Records.Refusal wanted) {
+  private void awaitRefusal(ResultStore.Refusal wanted) {
     while (journal.refusal() != wanted) {
       Thread.onSpinWait();
     }
@@ -163,7 +163,7 @@
     assertEquals(Answer.Kind.REFUSED, refused.kind());
     assertTrue(refused.retryAfter() > 0, "with a time to come back");
     assertTrue(first.took < 1.5, "its patience is 0.3 s: " + first.took);
-    awaitRefusal(Records.Refusal.DISK_STALLED);
+    awaitRefusal(ResultStore.Refusal.DISK_STALLED);
     Asked second = new Asked("b", "x");
     assertEquals(Answer.Kind.REFUSED, second.answer().kind());
     assertTrue(second.took < 1, "not held to near its due time of 3 s: " + second.took);
--- a/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-import wharftrestle.core.Records;
+import wharftrestle.request.ResultStore;
 import wharftrestle.net.Config;
 
 /**
@@ -133,11 +133,11 @@
     return journal;
   }
 
-  private static Records.Keyed key(String key, int number) {
-    return new Records.Keyed(key, LAST_DOOR + number, WINDOW_SECONDS + number, CHECK + number);
+  private static ResultStore.Keyed key(String key, int number) {
+    return new ResultStore.Keyed(key, LAST_DOOR + number, WINDOW_SECONDS + number, CHECK + number);
   }
 
-  private static void writeIntent(WriteAheadLog journal, Records.Keyed keyed) throws Exception {
+  private static void writeIntent(WriteAheadLog journal, ResultStore.Keyed keyed) throws Exception {
     CountDownLatch written = new CountDownLatch(1);
     if (journal.intend(keyed, place -> written.countDown()) == null) {
       throw new IllegalStateException("no intent could be written");
@@ -145,7 +145,7 @@
     await(written);
   }
 
-  private static void writeEnd(WriteAheadLog journal, Records.Keyed keyed, byte[] result)
+  private static void writeEnd(WriteAheadLog journal, ResultStore.Keyed keyed, byte[] result)
       throws Exception {
     CountDownLatch written = new CountDownLatch(1);
     journal.ended(keyed, result, place -> written.countDown());
@@ -249,9 +249,9 @@
     StringJoiner lines = new StringJoiner("\n", "", "\n");
     WriteAheadLog journal = new WriteAheadLog(settings(folder), () -> new FixedBootDisk(folder, BOOT + 1));
     try {
-      Records.Recovered recovered = journal.open(LONGEST_WINDOW_SECONDS);
+      ResultStore.Recovered recovered = journal.open(LONGEST_WINDOW_SECONDS);
       lines.add("blind=" + (recovered.blindUntil() > Double.NEGATIVE_INFINITY));
-      for (Records.Remembered key : recovered.keys()) {
+      for (ResultStore.Remembered key : recovered.keys()) {
         lines.add(
             String.format(
                 "key place=%d lastDoor=%d check=%016x result=%s key=%s",
--- a/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
+++ b/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
@@ -27,7 +27,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import wharftrestle.core.Records;
+import wharftrestle.request.ResultStore;
 import wharftrestle.net.Config;
 
 /** The log alone: crashes at every byte and every operation, damage, bounds. */
@@ -38,12 +38,12 @@
     return new Config.Durable(Path.of("unused"), mb << 20, 1000, 1 << 20, 0.3, sync);
   }
 
-  private static Records.Keyed keyed(String key) {
-    return new Records.Keyed(key, System.currentTimeMillis() + 20_000, WINDOW, 5);
+  private static ResultStore.Keyed keyed(String key) {
+    return new ResultStore.Keyed(key, System.currentTimeMillis() + 20_000, WINDOW, 5);
   }
 
   /** Where a record came to lie; waits for the word. */
-  private static final class Word implements Records.Written {
+  private static final class Word implements ResultStore.Written {
     private final CountDownLatch said = new CountDownLatch(1);
     private volatile long place;
 
@@ -79,13 +79,13 @@
     return end.await();
   }
 
-  private static Map<String, Records.Remembered> byKey(Records.Recovered recovered) {
-    Map<String, Records.Remembered> all = new HashMap<>();
+  private static Map<String, ResultStore.Remembered> byKey(ResultStore.Recovered recovered) {
+    Map<String, ResultStore.Remembered> all = new HashMap<>();
     recovered.keys().forEach(key -> all.put(key.key(), key));
     return all;
   }
 
-  private static boolean blind(Records.Recovered recovered) {
+  private static boolean blind(ResultStore.Recovered recovered) {
     return recovered.blindUntil() > System.nanoTime() / 1e9;
   }
 
@@ -107,7 +107,7 @@
       assertTrue(run(journal, "2/0/last", result(4)) >= 0);
     }
     try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> disk.afterKill())) {
-      Map<String, Records.Remembered> known = byKey(next.open(WINDOW));
+      Map<String, ResultStore.Remembered> known = byKey(next.open(WINDOW));
       assertEquals(Set.of("2/0/good", "2/0/open", "2/0/bad", "2/0/last"), known.keySet());
       assertArrayEquals(result(3), next.read("2/0/good", known.get("2/0/good").place()));
       assertEquals(-1, known.get("2/0/open").place());
@@ -391,8 +391,8 @@
       MemorySegmentStore left = disk.afterPowerLoss(dieAt);
       journal.close();
       try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> left)) {
-        Records.Recovered recovered = next.open(WINDOW);
-        Map<String, Records.Remembered> known = byKey(recovered);
+        ResultStore.Recovered recovered = next.open(WINDOW);
+        Map<String, ResultStore.Remembered> known = byKey(recovered);
         assertTrue(
             known.keySet().containsAll(intended), "power lost at " + dieAt + ": " + known.keySet());
         assertFalse(blind(recovered), "power lost at " + dieAt);
@@ -414,7 +414,7 @@
       Word intent = new Word();
       journal.intend(keyed("2/0/at"), intent);
       assertEquals(-1, intent.await());
-      assertEquals(Records.Refusal.DISK_FAILED, journal.refusal());
+      assertEquals(ResultStore.Refusal.DISK_FAILED, journal.refusal());
       assertNull(journal.intend(keyed("2/0/while"), intent), "nothing is recorded meanwhile");
       long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
       while (journal.refusal() != null && System.nanoTime() < until) {
@@ -461,7 +461,7 @@
       while (journal.refusal() == null) {
         Thread.onSpinWait();
       }
-      assertEquals(Records.Refusal.DISK_STALLED, journal.refusal());
+      assertEquals(ResultStore.Refusal.DISK_STALLED, journal.refusal());
       journal.withdraw(waits, keyed("2/0/b")); // was never on its way
       journal.withdraw(given, keyed("2/0/a")); // is on disk without a run: a record says so
       disk.wake();
@@ -486,7 +486,7 @@
         String key = "2/0/k" + i;
         Word intent = new Word();
         if (journal.intend(keyed(key), intent) == null) {
-          assertEquals(Records.Refusal.STORE_FULL, journal.refusal());
+          assertEquals(ResultStore.Refusal.STORE_FULL, journal.refusal());
           break;
         }
         intent.await();
@@ -500,7 +500,7 @@
       assertTrue(
           disk.numbers().stream().mapToLong(n -> disk.bytes(n).length).sum() <= 4 << 20, "bounded");
       assertTrue(
-          journal.again(Records.Refusal.STORE_FULL) > 1,
+          journal.again(ResultStore.Refusal.STORE_FULL) > 1,
           "and says when it is worth while to come again");
     }
   }
@@ -511,11 +511,11 @@
     for (int start = 0; start < 40; start++) {
       MemorySegmentStore found = disk;
       try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> found)) {
-        Map<String, Records.Remembered> known = byKey(journal.open(WINDOW));
+        Map<String, ResultStore.Remembered> known = byKey(journal.open(WINDOW));
         assertEquals(start, known.size(), "start " + start);
         assertNull(journal.refusal(), "start " + start);
         for (int i = 0; i < start; i++) {
-          Records.Remembered key = known.get("2/0/k" + i);
+          ResultStore.Remembered key = known.get("2/0/k" + i);
           if (i % 3 == 0) {
             assertEquals(-1, key.place());
           } else {
@@ -561,9 +561,9 @@
       }
       MemorySegmentStore left = disk.afterPowerLoss(dieAt);
       try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> left)) {
-        Records.Recovered recovered = next.open(WINDOW);
+        ResultStore.Recovered recovered = next.open(WINDOW);
         assertFalse(blind(recovered), "died at " + dieAt);
-        Map<String, Records.Remembered> known = byKey(recovered);
+        Map<String, ResultStore.Remembered> known = byKey(recovered);
         assertEquals(results.keySet(), known.keySet());
         for (String key : results.keySet()) {
           assertArrayEquals(results.get(key), next.read(key, known.get(key).place()));
