--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -24,10 +24,10 @@
 import wharftrestle.net.Reporter;
 import wharftrestle.net.Server;
 import wharftrestle.net.StoreClient;
-import wharftrestle.ops.Counters;
+import wharftrestle.metrics.Counters;
 import wharftrestle.ops.Door;
 import wharftrestle.ops.FleetStand;
-import wharftrestle.ops.ResultFigure;
+import wharftrestle.metrics.ResultMetric;
 import wharftrestle.ops.SnmpAgent;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.GroupEdfScheduler;
@@ -498,7 +498,7 @@
   }
 
   @Override
-  public Map<ResultFigure, Long> results() {
+  public Map<ResultMetric, Long> results() {
     return core.results();
   }
 
--- a/src/main/java/wharftrestle/front/Resp.java
+++ b/src/main/java/wharftrestle/front/Resp.java
@@ -17,8 +17,8 @@
 import wharftrestle.net.Connection;
 import wharftrestle.net.Server;
 import wharftrestle.net.Server.MalformedException;
-import wharftrestle.ops.Counters;
-import wharftrestle.ops.Counters.Count;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
 import wharftrestle.admission.Admission;
 
 /**
--- a/src/main/java/wharftrestle/ops/Counters.java
+++ b/src/main/java/wharftrestle/metrics/Counters.java
@@ -1,4 +1,4 @@
-package wharftrestle.ops;
+package wharftrestle.metrics;
 
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/wharftrestle/ops/ResultFigure.java
+++ b/src/main/java/wharftrestle/metrics/ResultMetric.java
@@ -1,4 +1,4 @@
-package wharftrestle.ops;
+package wharftrestle.metrics;
 
 import java.util.Locale;
 
@@ -6,7 +6,7 @@
  * The figures of results kept over restarts, under one name at the door, in status and in the MIB
  * (in this order). It owns names and meanings; the journal fills them in.
  */
-public enum ResultFigure {
+public enum ResultMetric {
   STATE(false, "1 off, 2 open, 3 the disk failed"),
   KB(false, "kB on disk, whole files"),
   USED_KB(false, "kB of them written"),
@@ -34,7 +34,7 @@
   private final boolean counts;
   private final String text;
 
-  ResultFigure(boolean counts, String text) {
+  ResultMetric(boolean counts, String text) {
     this.counts = counts;
     this.text = text;
   }
--- a/src/main/java/wharftrestle/net/PoolLink.java
+++ b/src/main/java/wharftrestle/net/PoolLink.java
@@ -19,8 +19,8 @@
 import org.tinylog.Logger;
 import wharftrestle.request.RequestCoordinator;
 import wharftrestle.request.PlatformThreads;
-import wharftrestle.ops.Counters;
-import wharftrestle.ops.Counters.Count;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
 import wharftrestle.admission.Admission.Outcome;
 
 /**
--- a/src/main/java/wharftrestle/net/Reporter.java
+++ b/src/main/java/wharftrestle/net/Reporter.java
@@ -8,8 +8,8 @@
 import org.tinylog.Logger;
 import wharftrestle.request.RequestCoordinator;
 import wharftrestle.request.PlatformThreads;
-import wharftrestle.ops.Counters;
-import wharftrestle.ops.Counters.Count;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
 
 /**
  * Owns the reports to the name service: one datagram many times within the 3 s after which an entry
--- a/src/main/java/wharftrestle/net/Server.java
+++ b/src/main/java/wharftrestle/net/Server.java
@@ -25,8 +25,8 @@
 import wharftrestle.request.PlatformThreads;
 import wharftrestle.net.Connection.Merit;
 import wharftrestle.net.ConnectionState.Phase;
-import wharftrestle.ops.Counters;
-import wharftrestle.ops.Counters.Count;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
 
 /**
  * Owns one listening address, its connections and a thread for each; how one of them ends is {@link
--- a/src/main/java/wharftrestle/ops/Door.java
+++ b/src/main/java/wharftrestle/ops/Door.java
@@ -1,5 +1,7 @@
 package wharftrestle.ops;
 
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.ResultMetric;
 import java.io.EOFException;
 import java.io.IOException;
 import java.io.InputStream;
@@ -45,7 +47,7 @@
     Counters counters();
 
     /** The figures of kept results; empty where none are kept. */
-    Map<ResultFigure, Long> results();
+    Map<ResultMetric, Long> results();
 
     /** What this process is. */
     Version version();
@@ -292,7 +294,7 @@
    * close.
    */
   private String results() {
-    Map<ResultFigure, Long> figures = daemon.results();
+    Map<ResultMetric, Long> figures = daemon.results();
     if (figures.isEmpty()) {
       return "off\n";
     }
@@ -307,7 +309,7 @@
 
   /** One line: what matters most of kept results. */
   private String resultsLine() {
-    Map<ResultFigure, Long> f = daemon.results();
+    Map<ResultMetric, Long> f = daemon.results();
     if (f.isEmpty()) {
       return "off";
     }
@@ -317,7 +319,7 @@
             .mapToLong(Map.Entry::getValue)
             .sum();
     String state =
-        switch (f.get(ResultFigure.STATE).intValue()) {
+        switch (f.get(ResultMetric.STATE).intValue()) {
           case 1 -> "not held here";
           case 2 -> "open";
           default -> "THE DISK FAILS";
@@ -326,12 +328,12 @@
         Locale.ROOT,
         "%s, %d kB, sync %.1f ms (99 in 100: %.1f), %d refused, %d unsaved%s",
         state,
-        f.get(ResultFigure.KB),
-        f.get(ResultFigure.SYNC_P50_US) / 1000.0,
-        f.get(ResultFigure.SYNC_P99_US) / 1000.0,
+        f.get(ResultMetric.KB),
+        f.get(ResultMetric.SYNC_P50_US) / 1000.0,
+        f.get(ResultMetric.SYNC_P99_US) / 1000.0,
         refused,
-        f.get(ResultFigure.UNSAVED),
-        f.get(ResultFigure.DAMAGED) > 0 ? ", FOUND DAMAGED" : "");
+        f.get(ResultMetric.UNSAVED),
+        f.get(ResultMetric.DAMAGED) > 0 ? ", FOUND DAMAGED" : "");
   }
 
   /** What is known of keys, beside its bound. */
--- a/src/main/java/wharftrestle/ops/SnmpAgent.java
+++ b/src/main/java/wharftrestle/ops/SnmpAgent.java
@@ -1,5 +1,7 @@
 package wharftrestle.ops;
 
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.ResultMetric;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -28,7 +30,7 @@
 import org.snmp4j.smi.VariableBinding;
 import org.snmp4j.transport.DefaultUdpTransportMapping;
 import org.tinylog.Logger;
-import wharftrestle.ops.Counters.Count;
+import wharftrestle.metrics.Counters.Count;
 
 /**
  * The SNMP agent: version 2c, read-only, for one community. It serves what mib/WHARFTRESTLE-MIB.txt
@@ -90,9 +92,9 @@
     for (Count count : Count.values()) {
       put(objects, below(ROOT, 1, 2), number(count), new Counter64(counters.get(count)));
     }
-    Map<ResultFigure, Long> results = daemon.results();
-    for (ResultFigure figure : ResultFigure.values()) {
-      long value = results.getOrDefault(figure, figure == ResultFigure.STATE ? 1L : 0L);
+    Map<ResultMetric, Long> results = daemon.results();
+    for (ResultMetric figure : ResultMetric.values()) {
+      long value = results.getOrDefault(figure, figure == ResultMetric.STATE ? 1L : 0L);
       put(
           objects,
           below(ROOT, 1, 4),
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -17,10 +17,10 @@
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
 import wharftrestle.idempotency.IdempotencyTable;
-import wharftrestle.ops.Counters;
-import wharftrestle.ops.Counters.Count;
-import wharftrestle.ops.Counters.Result;
-import wharftrestle.ops.ResultFigure;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
+import wharftrestle.metrics.Counters.Result;
+import wharftrestle.metrics.ResultMetric;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.Admission.Outcome;
 
@@ -288,7 +288,7 @@
   }
 
   /** The figures of kept results; empty where none are kept. */
-  public Map<ResultFigure, Long> results() {
+  public Map<ResultMetric, Long> results() {
     return recorder.figures(indexBytes);
   }
 
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -9,8 +9,8 @@
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
 import wharftrestle.idempotency.IdempotencyTable;
-import wharftrestle.ops.Counters.Count;
-import wharftrestle.ops.ResultFigure;
+import wharftrestle.metrics.Counters.Count;
+import wharftrestle.metrics.ResultMetric;
 import wharftrestle.admission.Admission.Outcome;
 
 /**
@@ -59,13 +59,13 @@
   }
 
   /** The figures of kept results, empty where none are kept; also without the lock. */
-  Map<ResultFigure, Long> figures(long indexBytes) {
+  Map<ResultMetric, Long> figures(long indexBytes) {
     ResultStore kept = records;
     if (kept == null) {
       return Map.of();
     }
-    Map<ResultFigure, Long> all = kept.figures();
-    all.put(ResultFigure.INDEX_BYTES, indexBytes);
+    Map<ResultMetric, Long> all = kept.figures();
+    all.put(ResultMetric.INDEX_BYTES, indexBytes);
     return all;
   }
 
--- a/src/main/java/wharftrestle/request/ResultStore.java
+++ b/src/main/java/wharftrestle/request/ResultStore.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
-import wharftrestle.ops.ResultFigure;
+import wharftrestle.metrics.ResultMetric;
 
 /**
  * Where intents and results of keyed runs are kept, as the core sees it. None of these waits for
@@ -93,5 +93,5 @@
   byte[] read(String key, long place) throws IOException;
 
   /** All figures but the index, which the core knows. */
-  Map<ResultFigure, Long> figures();
+  Map<ResultMetric, Long> figures();
 }
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -16,7 +16,7 @@
 import wharftrestle.request.ResultStore;
 import wharftrestle.request.PlatformThreads;
 import wharftrestle.net.Config;
-import wharftrestle.ops.ResultFigure;
+import wharftrestle.metrics.ResultMetric;
 
 /**
  * Carries intents and results to the disk: one thread takes all that waits, writes it as one batch,
@@ -621,34 +621,34 @@
   }
 
   @Override
-  public Map<ResultFigure, Long> figures() {
-    Map<ResultFigure, Long> all = new EnumMap<>(ResultFigure.class);
+  public Map<ResultMetric, Long> figures() {
+    Map<ResultMetric, Long> all = new EnumMap<>(ResultMetric.class);
     @SuppressWarnings("EnumOrdinal") // the MIB counts states in the order of declaration
     long number = state.ordinal() + 1L;
-    all.put(ResultFigure.STATE, number);
-    all.put(ResultFigure.RECORDS, records);
+    all.put(ResultMetric.STATE, number);
+    all.put(ResultMetric.RECORDS, records);
     synchronized (room) {
-      all.put(ResultFigure.KB, room.bytes() >> 10);
-      all.put(ResultFigure.USED_KB, room.used() >> 10);
-      all.put(ResultFigure.PROMISED_KB, room.promised() >> 10);
-      all.put(ResultFigure.FILES, (long) room.segments());
+      all.put(ResultMetric.KB, room.bytes() >> 10);
+      all.put(ResultMetric.USED_KB, room.used() >> 10);
+      all.put(ResultMetric.PROMISED_KB, room.promised() >> 10);
+      all.put(ResultMetric.FILES, (long) room.segments());
     }
     GroupCommitQueue<Ticket> waiting = gather;
-    all.put(ResultFigure.WAITING_BYTES, waiting == null ? 0 : waiting.bytes());
+    all.put(ResultMetric.WAITING_BYTES, waiting == null ? 0 : waiting.bytes());
     synchronized (syncs) {
-      all.put(ResultFigure.SYNCS, syncs.getTotalCount());
-      all.put(ResultFigure.SYNC_P50_US, syncs.getValueAtPercentile(50));
-      all.put(ResultFigure.SYNC_P99_US, syncs.getValueAtPercentile(99));
-      all.put(ResultFigure.SYNC_MAX_US, syncs.getMaxValue());
-    }
-    all.put(ResultFigure.RECOVERED_KNOWN, (long) recoveredKnown);
-    all.put(ResultFigure.RECOVERED_UNKNOWN, (long) recoveredUnknown);
-    all.put(ResultFigure.RECOVERY_US, (long) (recoveryMs * 1000));
-    all.put(ResultFigure.DAMAGED, damaged ? 1L : 0L);
-    all.put(ResultFigure.ERRORS, errors);
-    all.put(ResultFigure.UNSAVED, unsaved);
+      all.put(ResultMetric.SYNCS, syncs.getTotalCount());
+      all.put(ResultMetric.SYNC_P50_US, syncs.getValueAtPercentile(50));
+      all.put(ResultMetric.SYNC_P99_US, syncs.getValueAtPercentile(99));
+      all.put(ResultMetric.SYNC_MAX_US, syncs.getMaxValue());
+    }
+    all.put(ResultMetric.RECOVERED_KNOWN, (long) recoveredKnown);
+    all.put(ResultMetric.RECOVERED_UNKNOWN, (long) recoveredUnknown);
+    all.put(ResultMetric.RECOVERY_US, (long) (recoveryMs * 1000));
+    all.put(ResultMetric.DAMAGED, damaged ? 1L : 0L);
+    all.put(ResultMetric.ERRORS, errors);
+    all.put(ResultMetric.UNSAVED, unsaved);
     for (ResultStore.Refusal why : ResultStore.Refusal.values()) {
-      all.put(ResultFigure.valueOf("REFUSED_" + why.name()), refused.get(index(why)));
+      all.put(ResultMetric.valueOf("REFUSED_" + why.name()), refused.get(index(why)));
     }
     return all;
   }
--- a/src/test/java/wharftrestle/CoreTest.java
+++ b/src/test/java/wharftrestle/CoreTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.request.RequestCoordinator;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.ops.Counters;
+import wharftrestle.metrics.Counters;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.Admission.Outcome;
 
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -20,7 +20,7 @@
 import wharftrestle.lab.RespPeer.Reply;
 import wharftrestle.net.Bytes;
 import wharftrestle.net.Config;
-import wharftrestle.ops.Counters.Count;
+import wharftrestle.metrics.Counters.Count;
 
 /** Stories of the daemon over the platform's wire, one for each failure met or guarded against. */
 class DaemonTest {
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -27,8 +27,8 @@
 import wharftrestle.request.PlatformThreads;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.lab.RespPeer.Reply;
-import wharftrestle.ops.Counters;
-import wharftrestle.ops.Counters.Count;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.GroupEdfScheduler;
 
--- a/src/test/java/wharftrestle/FullTableTest.java
+++ b/src/test/java/wharftrestle/FullTableTest.java
@@ -14,7 +14,7 @@
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.lab.RespPeer.Reply;
 import wharftrestle.net.Config;
-import wharftrestle.ops.Counters.Count;
+import wharftrestle.metrics.Counters.Count;
 
 /** Stories of a box whose room for what it knows of keys is full. */
 class FullTableTest {
--- a/src/test/java/wharftrestle/OtherSitesTest.java
+++ b/src/test/java/wharftrestle/OtherSitesTest.java
@@ -12,7 +12,7 @@
 import wharftrestle.Loopback.Command;
 import wharftrestle.lab.RespPeer.Reply;
 import wharftrestle.net.Config;
-import wharftrestle.ops.Counters.Count;
+import wharftrestle.metrics.Counters.Count;
 
 /**
  * Stories of sites unlike the first: no store below, hints of work, marked tries, runs that are
--- a/src/test/java/wharftrestle/UwsgiTest.java
+++ b/src/test/java/wharftrestle/UwsgiTest.java
@@ -22,7 +22,7 @@
 import wharftrestle.Loopback.Command;
 import wharftrestle.lab.RespPeer;
 import wharftrestle.net.Config;
-import wharftrestle.ops.Counters.Count;
+import wharftrestle.metrics.Counters.Count;
 
 /** Stories of the uwsgi front: a stand-in gateway before it, a stand-in worker pool behind. */
 class UwsgiTest {
--- a/src/test/java/wharftrestle/net/LinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/net/LinkFormatFixtures.java
@@ -20,7 +20,7 @@
 import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.net.BoxLink.Word;
-import wharftrestle.ops.Counters;
+import wharftrestle.metrics.Counters;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.GroupEdfScheduler;
 import wharftrestle.version.VersionRange;
--- a/src/test/java/wharftrestle/net/ServerTest.java
+++ b/src/test/java/wharftrestle/net/ServerTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import wharftrestle.net.Connection.Merit;
-import wharftrestle.ops.Counters;
-import wharftrestle.ops.Counters.Count;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
 
 /**
  * How connections end, on real sockets: a gate in the front or in the peer says which side goes
--- a/src/test/java/wharftrestle/ops/AdminFormatFixtures.java
+++ b/src/test/java/wharftrestle/ops/AdminFormatFixtures.java
@@ -1,5 +1,7 @@
 package wharftrestle.ops;
 
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.ResultMetric;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -183,14 +185,14 @@
 
   /** A daemon that never changes by itself, each of whose counts is another. */
   private static final class FixedDaemon implements Door.Daemon {
-    private final Map<ResultFigure, Long> results = new EnumMap<>(ResultFigure.class);
+    private final Map<ResultMetric, Long> results = new EnumMap<>(ResultMetric.class);
     private final Counters counters = new Counters(List.of("read", "save all"));
     private FleetStand stand = FleetStand.NONE;
     private boolean leaving;
 
     FixedDaemon() {
-      for (ResultFigure figure : ResultFigure.values()) {
-        results.put(figure, figure == ResultFigure.STATE ? 2 : 1000L * (figure.ordinal() + 1) + 1);
+      for (ResultMetric figure : ResultMetric.values()) {
+        results.put(figure, figure == ResultMetric.STATE ? 2 : 1000L * (figure.ordinal() + 1) + 1);
       }
       for (Counters.Count count : Counters.Count.values()) {
         for (int i = 0; i < 100 * (count.ordinal() + 1); i++) {
@@ -255,7 +257,7 @@
     }
 
     @Override
-    public Map<ResultFigure, Long> results() {
+    public Map<ResultMetric, Long> results() {
       return results;
     }
 
--- a/src/test/java/wharftrestle/storage/ResultRecorderTest.java
+++ b/src/test/java/wharftrestle/storage/ResultRecorderTest.java
@@ -16,8 +16,8 @@
 import wharftrestle.request.RequestCoordinator.Answer;
 import wharftrestle.request.ResultStore;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.ops.Counters;
-import wharftrestle.ops.ResultFigure;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.ResultMetric;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.GroupEdfScheduler;
 
@@ -220,12 +220,12 @@
     disk.fail(1, 1);
     one.ends("saved");
     assertEquals("saved", new String(one.answer().result(), StandardCharsets.UTF_8));
-    assertEquals(1L, journal.figures().get(ResultFigure.UNSAVED));
+    assertEquals(1L, journal.figures().get(ResultMetric.UNSAVED));
     assertEquals(
         "saved",
         new String(new Asked("k", "x").answer().result(), StandardCharsets.UTF_8),
         "from memory");
-    assertEquals(1L, journal.figures().get(ResultFigure.ERRORS));
+    assertEquals(1L, journal.figures().get(ResultMetric.ERRORS));
   }
 
   @Test
