--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -28,7 +28,7 @@
 import wharftrestle.ops.Door;
 import wharftrestle.ops.FleetStand;
 import wharftrestle.metrics.ResultMetric;
-import wharftrestle.ops.SnmpAgent;
+import wharftrestle.snmp.SnmpAgent;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.GroupEdfScheduler;
 import wharftrestle.version.BuildInfo;
--- a/src/main/java/wharftrestle/ops/SnmpAgent.java
+++ b/src/main/java/wharftrestle/snmp/SnmpAgent.java
@@ -1,5 +1,7 @@
-package wharftrestle.ops;
+package wharftrestle.snmp;
 
+import wharftrestle.ops.Door;
+import wharftrestle.ops.FleetStand;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.ResultMetric;
 import java.io.IOException;
--- a/src/test/java/wharftrestle/ops/AdminFormatFixtures.java
+++ b/src/test/java/wharftrestle/ops/AdminFormatFixtures.java
@@ -1,5 +1,6 @@
 package wharftrestle.ops;
 
+import wharftrestle.snmp.SnmpAgent;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.ResultMetric;
 import java.io.IOException;
