--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -25,8 +25,8 @@
 import wharftrestle.net.Server;
 import wharftrestle.net.StoreClient;
 import wharftrestle.metrics.Counters;
-import wharftrestle.ops.Door;
-import wharftrestle.ops.FleetStand;
+import wharftrestle.admin.AdminServer;
+import wharftrestle.admin.RolloutStatus;
 import wharftrestle.metrics.ResultMetric;
 import wharftrestle.snmp.SnmpAgent;
 import wharftrestle.admission.Admission;
@@ -40,7 +40,7 @@
  * It must never go back a state but from ceded to serving, where the new process dies early; never
  * take part in a request, or leave before all that was read has its answer while there is time.
  */
-public final class Lifecycle implements Door.Daemon, Succession.Box, AutoCloseable {
+public final class Lifecycle implements AdminServer.Daemon, Succession.Box, AutoCloseable {
 
   /** From start to exit, in this order; another process serves this box's clients from CEDED on. */
   public enum State {
@@ -142,7 +142,7 @@
   private final int mostGateways;
   private final Succession succession;
   private final Version version;
-  private volatile FleetStand fleet = FleetStand.NONE;
+  private volatile RolloutStatus fleet = RolloutStatus.NONE;
   private volatile boolean closed;
   private final long startedAt = System.nanoTime();
 
@@ -211,7 +211,7 @@
                 at,
                 descriptors.operators(),
                 descriptors.operatorsLeaving(),
-                new Door(this),
+                new AdminServer(this),
                 counters);
     journal = appliance.durable() == null ? null : new WriteAheadLog(appliance.durable());
     if (journal != null) {
@@ -483,12 +483,12 @@
   }
 
   @Override
-  public FleetStand fleet() {
+  public RolloutStatus fleet() {
     return fleet;
   }
 
   @Override
-  public void fleet(FleetStand said) {
+  public void fleet(RolloutStatus said) {
     fleet = said;
   }
 
--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -19,7 +19,7 @@
 import wharftrestle.storage.UnusableStorageException;
 import wharftrestle.lab.LabCommand;
 import wharftrestle.net.Config;
-import wharftrestle.ops.Console;
+import wharftrestle.admin.AdminConsole;
 import wharftrestle.admission.GroupEdfScheduler;
 import wharftrestle.settings.BadSettingsException;
 import wharftrestle.settings.Settings;
@@ -167,7 +167,7 @@
         throw new Config.BadConfigException(
             "say where to attach: --at HOST:PORT, or --appliance FILE with control");
       }
-      return new Console(System.in, System.out, System.err)
+      return new AdminConsole(System.in, System.out, System.err)
           .attach(address, command == null ? null : String.join(" ", command));
     }
   }
--- a/src/main/java/wharftrestle/ops/Console.java
+++ b/src/main/java/wharftrestle/admin/AdminConsole.java
@@ -1,4 +1,4 @@
-package wharftrestle.ops;
+package wharftrestle.admin;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -16,7 +16,7 @@
  * The operator's end of the door, on a terminal or in a script. It owns the prompt and the names of
  * the commands, and nothing of the daemon; the daemon goes on whatever happens here.
  */
-public final class Console {
+public final class AdminConsole {
   private static final int CONNECT_MS = 3000;
   private static final int ANSWER_MS = 10_000;
   private static final int LONGEST_ANSWER = 256 * 1024;
@@ -49,7 +49,7 @@
   private final PrintStream out;
   private final PrintStream err;
 
-  public Console(InputStream in, PrintStream out, PrintStream err) {
+  public AdminConsole(InputStream in, PrintStream out, PrintStream err) {
     this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
     this.out = out;
     this.err = err;
--- a/src/main/java/wharftrestle/ops/Door.java
+++ b/src/main/java/wharftrestle/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package wharftrestle.ops;
+package wharftrestle.admin;
 
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.ResultMetric;
@@ -23,7 +23,7 @@
  * on what operators ask for. It must never touch a request, wait for the core's lock to show a
  * figure, or let a call that never comes whole hold up one that does.
  */
-public final class Door implements Server.Front {
+public final class AdminServer implements Server.Front {
 
   /** What the operator's tools may see and ask of the daemon. */
   public interface Daemon {
@@ -61,9 +61,9 @@
     List<Admission.RequestClass> classes();
 
     /** Where a rolling change of the fleet stands, as the keeper said last. */
-    FleetStand fleet();
+    RolloutStatus fleet();
 
-    void fleet(FleetStand said);
+    void fleet(RolloutStatus said);
 
     /** Sends callers away, or takes them again; false where the daemon leaves for good. */
     boolean lameDuck(boolean on);
@@ -102,7 +102,7 @@
   private final Daemon daemon;
   private final Map<String, Call> calls;
 
-  public Door(Daemon daemon) {
+  public AdminServer(Daemon daemon) {
     this.daemon = daemon;
     calls =
         Map.ofEntries(
@@ -275,7 +275,7 @@
   }
 
   private Answer fleet(String query) {
-    FleetStand said = FleetStand.read(query);
+    RolloutStatus said = RolloutStatus.read(query);
     if (said == null) {
       return new Answer("400 Bad Request", "", "expected epoch=N&stage=N&verdict=WORD\n");
     }
--- a/src/main/java/wharftrestle/ops/FleetStand.java
+++ b/src/main/java/wharftrestle/admin/RolloutStatus.java
@@ -1,4 +1,4 @@
-package wharftrestle.ops;
+package wharftrestle.admin;
 
 /**
  * Where a rolling change of the fleet stands, as this box's keeper was last told; for people alone,
@@ -8,12 +8,12 @@
  * @param stage from 1; 0 for none
  * @param verdict a word: same, worse, cannot-tell, or none
  */
-public record FleetStand(long epoch, int stage, String verdict) {
+public record RolloutStatus(long epoch, int stage, String verdict) {
   /** Nobody has said anything. */
-  public static final FleetStand NONE = new FleetStand(0, 0, "none");
+  public static final RolloutStatus NONE = new RolloutStatus(0, 0, "none");
 
   /** Reads {@code epoch=4&stage=2&verdict=same}; null where it is not that. */
-  public static FleetStand read(String query) {
+  public static RolloutStatus read(String query) {
     long epoch = -1;
     int stage = -1;
     String verdict = "";
@@ -34,7 +34,7 @@
     }
     return epoch < 0 || stage < 0 || verdict.isEmpty()
         ? null
-        : new FleetStand(epoch, stage, verdict);
+        : new RolloutStatus(epoch, stage, verdict);
   }
 
   /** One line. */
--- a/src/main/java/wharftrestle/snmp/SnmpAgent.java
+++ b/src/main/java/wharftrestle/snmp/SnmpAgent.java
@@ -1,7 +1,7 @@
 package wharftrestle.snmp;
 
-import wharftrestle.ops.Door;
-import wharftrestle.ops.FleetStand;
+import wharftrestle.admin.AdminServer;
+import wharftrestle.admin.RolloutStatus;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.ResultMetric;
 import java.io.IOException;
@@ -47,12 +47,12 @@
   private static final long MOST_GAUGE = 0xffff_ffffL;
   private static final int MOST_BINDINGS = 100;
 
-  private final Door.Daemon daemon;
+  private final AdminServer.Daemon daemon;
   private final OctetString community;
   private final DefaultUdpTransportMapping transport;
   private final Snmp snmp;
 
-  public SnmpAgent(Door.Daemon daemon, InetSocketAddress listen, String community)
+  public SnmpAgent(AdminServer.Daemon daemon, InetSocketAddress listen, String community)
       throws IOException {
     this.daemon = daemon;
     this.community = new OctetString(community);
@@ -108,7 +108,7 @@
       put(objects, below(ROOT, 1, 5), ++part, text(said));
     }
     put(objects, below(ROOT, 1, 5), ++part, text(daemon.handover()));
-    FleetStand fleet = daemon.fleet();
+    RolloutStatus fleet = daemon.fleet();
     put(objects, below(ROOT, 1, 6), 1, new Counter64(fleet.epoch()));
     put(objects, below(ROOT, 1, 6), 2, new Gauge32(fleet.stage()));
     put(objects, below(ROOT, 1, 6), 3, text(fleet.verdict()));
--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -35,7 +35,7 @@
 import org.snmp4j.transport.DefaultUdpTransportMapping;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.net.Config;
-import wharftrestle.ops.Console;
+import wharftrestle.admin.AdminConsole;
 
 /** Stories of the operator: the console, the SNMP agent, and the file that turns them on. */
 class ApplianceTest {
@@ -51,7 +51,7 @@
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     PrintStream print = new PrintStream(out, true, StandardCharsets.UTF_8);
     int code =
-        new Console(new ByteArrayInputStream(typed.getBytes(StandardCharsets.UTF_8)), print, print)
+        new AdminConsole(new ByteArrayInputStream(typed.getBytes(StandardCharsets.UTF_8)), print, print)
             .attach(address, command);
     return code + "\n" + out.toString(StandardCharsets.UTF_8);
   }
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -91,7 +91,7 @@
               "wharftrestle.net..",
               "wharftrestle.idempotency..",
               "wharftrestle.front..",
-              "wharftrestle.ops..");
+              "wharftrestle.admin..", "wharftrestle.metrics..", "wharftrestle.snmp..");
 
   @ArchTest
   static final ArchRule theServingPathKnowsNoRigAndNoKeeper =
--- a/src/test/java/wharftrestle/ops/AdminFormatFixtures.java
+++ b/src/test/java/wharftrestle/admin/AdminFormatFixtures.java
@@ -1,4 +1,4 @@
-package wharftrestle.ops;
+package wharftrestle.admin;
 
 import wharftrestle.snmp.SnmpAgent;
 import wharftrestle.metrics.Counters;
@@ -88,7 +88,7 @@
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             8,
             8,
-            new Door(daemon),
+            new AdminServer(daemon),
             new Counters(List.of()));
     try {
       server.listen(false, true);
@@ -185,10 +185,10 @@
   }
 
   /** A daemon that never changes by itself, each of whose counts is another. */
-  private static final class FixedDaemon implements Door.Daemon {
+  private static final class FixedDaemon implements AdminServer.Daemon {
     private final Map<ResultMetric, Long> results = new EnumMap<>(ResultMetric.class);
     private final Counters counters = new Counters(List.of("read", "save all"));
-    private FleetStand stand = FleetStand.NONE;
+    private RolloutStatus stand = RolloutStatus.NONE;
     private boolean leaving;
 
     FixedDaemon() {
@@ -288,12 +288,12 @@
     }
 
     @Override
-    public FleetStand fleet() {
+    public RolloutStatus fleet() {
       return stand;
     }
 
     @Override
-    public void fleet(FleetStand said) {
+    public void fleet(RolloutStatus said) {
       stand = said;
     }
 
--- a/src/test/java/wharftrestle/ops/AdminFormatTest.java
+++ b/src/test/java/wharftrestle/admin/AdminFormatTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.ops;
+package wharftrestle.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
