--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -20,10 +20,10 @@
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.net.Config;
 import wharftrestle.net.Descriptors;
-import wharftrestle.net.PoolLink;
+import wharftrestle.upstream.WorkerPoolClient;
 import wharftrestle.net.Reporter;
 import wharftrestle.net.Server;
-import wharftrestle.net.StoreClient;
+import wharftrestle.upstream.StoreClient;
 import wharftrestle.metrics.Counters;
 import wharftrestle.admin.AdminServer;
 import wharftrestle.admin.RolloutStatus;
@@ -124,7 +124,7 @@
   private final Config config;
   private final Counters counters;
   private final RequestCoordinator core;
-  private final PoolLink pool;
+  private final WorkerPoolClient pool;
   private final Server resp;
   private final Server uwsgi;
   private final Server door;
@@ -181,7 +181,7 @@
     core =
         new RequestCoordinator(
             config.settings(), config.seed(), mostRequests, room, GroupEdfScheduler::new, counters);
-    pool = new PoolLink(config.pool(), core, counters);
+    pool = new WorkerPoolClient(config.pool(), core, counters);
     store = new StoreClient(config.db(), descriptors.calls(), counters);
     reporter = new Reporter(config.name(), config.naming(), counters);
     resp =
--- a/src/main/java/wharftrestle/net/LogLimiter.java
+++ b/src/main/java/wharftrestle/net/LogLimiter.java
@@ -7,7 +7,7 @@
  * Guards against a log that grows as fast as peers, links or the system fail. It must never log
  * itself, and never wait.
  */
-final class LogLimiter {
+public final class LogLimiter {
   private static final long EVERY_NANOS = 1_000_000_000L;
 
   private final AtomicLong last;
@@ -15,12 +15,12 @@
   /**
    * @param now System.nanoTime; the first line may come at once
    */
-  LogLimiter(long now) {
+  public LogLimiter(long now) {
     last = new AtomicLong(now - 2 * EVERY_NANOS);
   }
 
   /** True for the one line of this second. */
-  boolean may(long now) {
+  public boolean may(long now) {
     long before = last.get();
     return now - before > EVERY_NANOS && last.compareAndSet(before, now);
   }
--- a/src/main/java/wharftrestle/net/StoreClient.java
+++ b/src/main/java/wharftrestle/upstream/StoreClient.java
@@ -1,5 +1,7 @@
-package wharftrestle.net;
+package wharftrestle.upstream;
 
+import wharftrestle.net.Bytes;
+import wharftrestle.net.Server;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/wharftrestle/net/PoolLink.java
+++ b/src/main/java/wharftrestle/upstream/WorkerPoolClient.java
@@ -1,5 +1,8 @@
-package wharftrestle.net;
+package wharftrestle.upstream;
 
+import wharftrestle.net.Bytes;
+import wharftrestle.net.LogLimiter;
+import wharftrestle.net.Server;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -30,7 +33,7 @@
  * notice read, and then sends again what may have been lost. It must never tell a notice twice, and
  * never make the core's lock wait for a socket.
  */
-public final class PoolLink implements RequestCoordinator.Pool {
+public final class WorkerPoolClient implements RequestCoordinator.Pool {
   private static final int LONGEST_LINE = 16 * 1024;
   private static final int LONGEST_BODY = 64 * 1024;
   private static final int RETRY_MS = 50;
@@ -152,7 +155,7 @@
     }
   }
 
-  public PoolLink(InetSocketAddress address, RequestCoordinator core, Counters counters) {
+  public WorkerPoolClient(InetSocketAddress address, RequestCoordinator core, Counters counters) {
     this.address = address;
     this.core = core;
     this.counters = counters;
