--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -21,7 +21,7 @@
 import wharftrestle.net.Config;
 import wharftrestle.net.Descriptors;
 import wharftrestle.upstream.WorkerPoolClient;
-import wharftrestle.net.Reporter;
+import wharftrestle.discovery.LoadReporter;
 import wharftrestle.net.Server;
 import wharftrestle.upstream.StoreClient;
 import wharftrestle.metrics.Counters;
@@ -131,7 +131,7 @@
   private final Config.Appliance appliance;
   private volatile SnmpAgent snmp;
   private final StoreClient store;
-  private final Reporter reporter;
+  private final LoadReporter reporter;
   private final WriteAheadLog journal; // null where no results are kept
   private final CountDownLatch notice = new CountDownLatch(1);
   private volatile State state = State.STARTING;
@@ -183,7 +183,7 @@
             config.settings(), config.seed(), mostRequests, room, GroupEdfScheduler::new, counters);
     pool = new WorkerPoolClient(config.pool(), core, counters);
     store = new StoreClient(config.db(), descriptors.calls(), counters);
-    reporter = new Reporter(config.name(), config.naming(), counters);
+    reporter = new LoadReporter(config.name(), config.naming(), counters);
     resp =
         new Server(
             "resp",
--- a/src/main/java/wharftrestle/net/Reporter.java
+++ b/src/main/java/wharftrestle/discovery/LoadReporter.java
@@ -1,5 +1,7 @@
-package wharftrestle.net;
+package wharftrestle.discovery;
 
+import wharftrestle.net.Bytes;
+import wharftrestle.net.LogLimiter;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -16,7 +18,7 @@
  * runs out, and some at once when health changes, as some are lost. It must never make the one who
  * changes health wait.
  */
-public final class Reporter implements RequestCoordinator.Watcher {
+public final class LoadReporter implements RequestCoordinator.Watcher {
   private static final int EVERY_MS = 250;
 
   /** Reports in quick order after a change, and the milliseconds between them. */
@@ -31,7 +33,7 @@
   private boolean paused;
   private int urgent = REPEATS;
 
-  public Reporter(String name, InetSocketAddress naming, Counters counters) {
+  public LoadReporter(String name, InetSocketAddress naming, Counters counters) {
     this.name = name;
     this.naming = naming;
     this.counters = counters;
