--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -18,7 +18,7 @@
 import wharftrestle.handover.Capabilities;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.IdempotencyTable;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.net.Descriptors;
 import wharftrestle.upstream.WorkerPoolClient;
 import wharftrestle.discovery.LoadReporter;
@@ -118,17 +118,17 @@
 
   /** Reads the configuration anew. */
   public interface Source {
-    Config read() throws Config.BadConfigException;
+    DaemonConfig read() throws DaemonConfig.BadConfigException;
   }
 
-  private final Config config;
+  private final DaemonConfig config;
   private final Counters counters;
   private final RequestCoordinator core;
   private final WorkerPoolClient pool;
   private final Server resp;
   private final Server uwsgi;
   private final Server door;
-  private final Config.Appliance appliance;
+  private final DaemonConfig.Appliance appliance;
   private volatile SnmpAgent snmp;
   private final StoreClient store;
   private final LoadReporter reporter;
@@ -151,17 +151,17 @@
    * of this box serves already, its clients' addresses come with the take-over, and others when
    * that one has ended.
    */
-  public Lifecycle(Config config, Config.Appliance appliance) throws IOException {
+  public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance) throws IOException {
     this(config, appliance, KeyMemoryBudget.ofHeap(Runtime.getRuntime().maxMemory()));
   }
 
   /** The same with a room for keys that is not the heap's share. */
-  public Lifecycle(Config config, Config.Appliance appliance, KeyMemoryBudget room) throws IOException {
+  public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget room) throws IOException {
     this(config, appliance, room, CompatibilityCheck.STANDING);
   }
 
   /** The same with another rule of who may take over from whom. */
-  public Lifecycle(Config config, Config.Appliance appliance, KeyMemoryBudget room, CompatibilityCheck agreement)
+  public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget room, CompatibilityCheck agreement)
       throws IOException {
     this.config = config;
     this.appliance = appliance;
@@ -584,10 +584,10 @@
    * used: then the old one holds.
    */
   public synchronized void reload(Source source) {
-    Config next;
+    DaemonConfig next;
     try {
       next = source.read();
-    } catch (Config.BadConfigException | RuntimeException e) {
+    } catch (DaemonConfig.BadConfigException | RuntimeException e) {
       Logger.warn("the new configuration cannot be used, the old one holds: {}", e.getMessage());
       return;
     }
--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -18,7 +18,7 @@
 import wharftrestle.storage.ResultLogTool;
 import wharftrestle.storage.UnusableStorageException;
 import wharftrestle.lab.LabCommand;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.admin.AdminConsole;
 import wharftrestle.admission.GroupEdfScheduler;
 import wharftrestle.settings.BadSettingsException;
@@ -65,7 +65,7 @@
     line.setParameterExceptionHandler((e, given) -> complain(e.getMessage()));
     line.setExecutionExceptionHandler(
         (e, command, parsed) -> {
-          if (e instanceof Config.BadConfigException || e instanceof BadSettingsException) {
+          if (e instanceof DaemonConfig.BadConfigException || e instanceof BadSettingsException) {
             return complain(e.getMessage());
           }
           throw e;
@@ -97,18 +97,18 @@
 
     @Override
     public Integer call() throws Exception {
-      Config config = Config.read(System.getenv());
+      DaemonConfig config = DaemonConfig.read(System.getenv());
       // The platform names no script: nothing of the settings' language is loaded there.
-      Config.Appliance extras =
-          appliance == null ? Config.Appliance.none() : Settings.read(appliance).appliance();
-      Signals signals = new Signals(() -> Config.read(System.getenv()));
+      DaemonConfig.Appliance extras =
+          appliance == null ? DaemonConfig.Appliance.none() : Settings.read(appliance).appliance();
+      Signals signals = new Signals(() -> DaemonConfig.read(System.getenv()));
       Lifecycle life;
       try {
         life = new Lifecycle(config, extras);
       } catch (UnusableStorageException e) {
-        throw new Config.BadConfigException("durable: " + e.getMessage());
+        throw new DaemonConfig.BadConfigException("durable: " + e.getMessage());
       } catch (IOException e) {
-        throw new Config.BadConfigException("cannot listen: " + e.getMessage());
+        throw new DaemonConfig.BadConfigException("cannot listen: " + e.getMessage());
       }
       signals.tell(life).watch(System.getenv("EDGE_CONFIG"));
       life.start();
@@ -161,10 +161,10 @@
       String told = at != null ? at : System.getenv().getOrDefault("EDGE_CONSOLE", "");
       InetSocketAddress address =
           !told.isBlank()
-              ? Config.address("console", told)
+              ? DaemonConfig.address("console", told)
               : appliance == null ? null : Settings.read(appliance).appliance().control();
       if (address == null) {
-        throw new Config.BadConfigException(
+        throw new DaemonConfig.BadConfigException(
             "say where to attach: --at HOST:PORT, or --appliance FILE with control");
       }
       return new AdminConsole(System.in, System.out, System.err)
@@ -263,17 +263,17 @@
       public Integer call() throws Exception {
         Path named = folder;
         if (named == null && appliance != null) {
-          Config.Durable durable = Settings.read(appliance).appliance().durable();
+          DaemonConfig.Durable durable = Settings.read(appliance).appliance().durable();
           named = durable == null ? null : durable.folder();
         }
         if (named == null) {
-          throw new Config.BadConfigException(
+          throw new DaemonConfig.BadConfigException(
               "say which folder: --dir DIR, or --appliance FILE with durable");
         }
         try (ResultLogTool results = new ResultLogTool(named)) {
           return act(results) ? 0 : 1;
         } catch (UnusableStorageException e) {
-          throw new Config.BadConfigException(e.getMessage());
+          throw new DaemonConfig.BadConfigException(e.getMessage());
         }
       }
     }
--- a/src/main/java/wharftrestle/Rehearsal.java
+++ b/src/main/java/wharftrestle/Rehearsal.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import wharftrestle.time.SteadyWallClock;
 import wharftrestle.net.Bytes;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.admission.Admission.Outcome;
 
 /**
@@ -23,12 +23,12 @@
 final class Rehearsal {
   private Rehearsal() {}
 
-  static void play() throws IOException, InterruptedException, Config.BadConfigException {
+  static void play() throws IOException, InterruptedException, DaemonConfig.BadConfigException {
     Path file = Files.createTempFile("rehearsal", ".json");
     try (InputStream told = Rehearsal.class.getResourceAsStream("/rehearsal.json")) {
       Files.copy(told, file, StandardCopyOption.REPLACE_EXISTING);
-      Config config = Config.read(Map.of("EDGE_CONFIG", file.toString()));
-      try (Lifecycle life = new Lifecycle(config, new Config.Appliance(null, null, null, "", 24))) {
+      DaemonConfig config = DaemonConfig.read(Map.of("EDGE_CONFIG", file.toString()));
+      try (Lifecycle life = new Lifecycle(config, new DaemonConfig.Appliance(null, null, null, "", 24))) {
         life.start();
         life.core().bound(false, 0);
         life.core().gauges(new double[] {0.1, 0, 0.1, 1});
--- a/src/main/java/wharftrestle/net/Config.java
+++ b/src/main/java/wharftrestle/config/DaemonConfig.java
@@ -1,5 +1,6 @@
-package wharftrestle.net;
+package wharftrestle.config;
 
+import wharftrestle.net.Address;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -19,7 +20,7 @@
  * {@code db} is null at a site whose runs call nothing; {@code cores}, {@code sockets} and {@code
  * memoryMb} are this process's limits, not the worker pool's.
  */
-public record Config(
+public record DaemonConfig(
     String name,
     InetSocketAddress listen,
     InetSocketAddress pool,
@@ -165,7 +166,7 @@
     }
   }
 
-  public static Config read(Map<String, String> environment) throws BadConfigException {
+  public static DaemonConfig read(Map<String, String> environment) throws BadConfigException {
     String file = environment.get("EDGE_CONFIG");
     if (file == null || file.isEmpty()) {
       throw new BadConfigException("EDGE_CONFIG names no configuration file");
@@ -186,7 +187,7 @@
             : environment.get("EDGE_CONSOLE");
     try {
       Admission.Settings settings = SettingsReader.read(root.get("settings"));
-      return new Config(
+      return new DaemonConfig(
           name,
           address("listen", listen),
           address("pool", root.path("pool").asText()),
--- a/src/main/java/wharftrestle/lab/LabCommand.java
+++ b/src/main/java/wharftrestle/lab/LabCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /** The command line of the rig. */
 @Command(
@@ -96,12 +96,12 @@
 
     @Override
     public Integer call() throws Exception {
-      InetSocketAddress address = Config.address("HOST:PORT", to);
+      InetSocketAddress address = DaemonConfig.address("HOST:PORT", to);
       if (!address.getAddress().isLoopbackAddress()) {
-        throw new Config.BadConfigException("a link leads to loopback alone, not to " + to);
+        throw new DaemonConfig.BadConfigException("a link leads to loopback alone, not to " + to);
       }
       if (hole != null && !hole.matches("both|there|back")) {
-        throw new Config.BadConfigException("--hole is both, there or back, not '" + hole + "'");
+        throw new DaemonConfig.BadConfigException("--hole is both, there or back, not '" + hole + "'");
       }
       Link link = new Link(address, seed);
       if (delay > 0 || jitter > 0) {
--- a/src/main/java/wharftrestle/rollout/controller/RolloutCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutCommand.java
@@ -18,7 +18,7 @@
 import wharftrestle.supervisor.JsonLineJournal;
 import wharftrestle.supervisor.CommandSocket;
 import wharftrestle.rollout.RolloutPlan;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /** The command line of a fleet. */
 @Command(
@@ -174,7 +174,7 @@
     public Integer call() throws Exception {
       PlanScript script = PlanScript.read(file);
       if (name != null && !name.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
-        throw new Config.BadConfigException(
+        throw new DaemonConfig.BadConfigException(
             "--driver is a name of letters, digits, '.', '_' and '-', not '" + name + "'");
       }
       String mine =
--- a/src/main/java/wharftrestle/settings/Settings.java
+++ b/src/main/java/wharftrestle/settings/Settings.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /**
  * What a script sets, checked: each field's value and where it comes from. It must never hold a
@@ -175,23 +175,23 @@
   }
 
   /** What the daemon opens and keeps besides the platform's front. */
-  public Config.Appliance appliance() {
-    Config.Durable durable =
+  public DaemonConfig.Appliance appliance() {
+    DaemonConfig.Durable durable =
         !declares("durable")
             ? null
-            : new Config.Durable(
+            : new DaemonConfig.Durable(
                 Path.of((String) get("durable", "dir")),
                 (long) get("durable", "max_mb") << 20,
                 (int) (long) get("durable", "max_keys"),
                 (int) (long) get("durable", "queue_kb") << 10,
                 (long) get("durable", "patience_ms") / 1000.0,
                 (String) get("durable", "sync"));
-    return new Config.Appliance(
+    return new DaemonConfig.Appliance(
         (InetSocketAddress) get("uwsgi", "listen"),
         (InetSocketAddress) get("control", "listen"),
         (InetSocketAddress) get("snmp", "listen"),
         declares("snmp") ? (String) get("snmp", "community") : "public",
-        declares("uwsgi") ? (double) get("uwsgi", "held_kb") : Config.HELD_KB,
+        declares("uwsgi") ? (double) get("uwsgi", "held_kb") : DaemonConfig.HELD_KB,
         durable);
   }
 }
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -15,7 +15,7 @@
 import wharftrestle.time.SteadyWallClock;
 import wharftrestle.request.ResultStore;
 import wharftrestle.request.PlatformThreads;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.ResultMetric;
 
 /**
@@ -82,7 +82,7 @@
     }
   }
 
-  private final Config.Durable settings;
+  private final DaemonConfig.Durable settings;
   private final Opener opener;
   private final SpaceBudget room; // also the lock of what stands below it
   private final Map<String, Integer> promises = new HashMap<>();
@@ -107,11 +107,11 @@
   private volatile boolean damaged;
   private volatile double recoveryMs;
 
-  public WriteAheadLog(Config.Durable settings) {
+  public WriteAheadLog(DaemonConfig.Durable settings) {
     this(settings, () -> new FileSegmentStore(settings.folder()));
   }
 
-  WriteAheadLog(Config.Durable settings, Opener opener) {
+  WriteAheadLog(DaemonConfig.Durable settings, Opener opener) {
     this.settings = settings;
     this.opener = opener;
     room = new SpaceBudget(settings.most());
--- a/src/main/java/wharftrestle/supervisor/SupervisorCommand.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.settings.Settings;
 
 /**
@@ -94,7 +94,7 @@
     public Integer call() throws Exception {
       String config = System.getenv("EDGE_CONFIG");
       if (config == null || config.isBlank()) {
-        throw new Config.BadConfigException("EDGE_CONFIG names no configuration file");
+        throw new DaemonConfig.BadConfigException("EDGE_CONFIG names no configuration file");
       }
       Settings set = settings == null ? Settings.none() : Settings.read(settings);
       List<String> command = new ArrayList<>(Arrays.asList(java.trim().split(" +")));
@@ -105,13 +105,13 @@
               Path.of(config).toAbsolutePath(),
               command,
               name,
-              fleet == null ? null : Config.address("--fleet", fleet));
+              fleet == null ? null : DaemonConfig.address("--fleet", fleet));
       try (HostSupervisor keeper = new HostSupervisor(places, limits(set), System.out)) {
         Runtime.getRuntime().addShutdownHook(new Thread(keeper::stop));
         keeper.run(first);
         return 0;
       } catch (HostSupervisor.TakenException e) {
-        throw new Config.BadConfigException(e.getMessage());
+        throw new DaemonConfig.BadConfigException(e.getMessage());
       } catch (IOException e) {
         System.err.println("wharftrestle: " + e.getMessage());
         return 1;
--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -34,7 +34,7 @@
 import org.snmp4j.smi.VariableBinding;
 import org.snmp4j.transport.DefaultUdpTransportMapping;
 import wharftrestle.Loopback.Caller;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.admin.AdminConsole;
 
 /** Stories of the operator: the console, the SNMP agent, and the file that turns them on. */
@@ -43,7 +43,7 @@
 
   private static Loopback site() throws Exception {
     return new Loopback(
-        Sites.site(), new Config.Appliance(null, Loopback.any(), Loopback.any(), "desk", 24));
+        Sites.site(), new DaemonConfig.Appliance(null, Loopback.any(), Loopback.any(), "desk", 24));
   }
 
   private static String console(InetSocketAddress address, String typed, String command)
@@ -234,7 +234,7 @@
   @Test
   void aLameDuckLooksBadServesOnAndComesBack() throws Exception {
     try (Loopback site =
-            new Loopback(Sites.site(), new Config.Appliance(Loopback.any(), null, null, "x", 24));
+            new Loopback(Sites.site(), new DaemonConfig.Appliance(Loopback.any(), null, null, "x", 24));
         Caller caller = site.new Caller();
         Caller check = site.new Caller()) {
       for (int i = 1; i <= 2; i++) { // twice is harmless
--- a/src/test/java/wharftrestle/ChangeTest.java
+++ b/src/test/java/wharftrestle/ChangeTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.handover.HandoverStateMachine;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /**
  * Stories of a process that serves and is asked by others that cannot take over, stall, or talk
@@ -27,7 +27,7 @@
  */
 @Timeout(60)
 class ChangeTest {
-  private static final Config.Appliance NONE = new Config.Appliance(null, null, null, "x", 24);
+  private static final DaemonConfig.Appliance NONE = new DaemonConfig.Appliance(null, null, null, "x", 24);
 
   @TempDir private Path folder;
 
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -19,7 +19,7 @@
 import wharftrestle.Loopback.Command;
 import wharftrestle.lab.RespPeer.Reply;
 import wharftrestle.net.Bytes;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.Counters.Count;
 
 /** Stories of the daemon over the platform's wire, one for each failure met or guarded against. */
@@ -125,9 +125,9 @@
       assertTrue(site.calls.poll(Loopback.WAIT_S, TimeUnit.SECONDS).endsWith("insert"));
       site.life.reload(
           () -> {
-            throw new Config.BadConfigException("half a file");
+            throw new DaemonConfig.BadConfigException("half a file");
           });
-      Config next = site.move(calling());
+      DaemonConfig next = site.move(calling());
       new Signals(() -> next).tell(site.life);
       Signal.raise(new Signal("HUP"));
       assertEquals(new Command("bind", "", "1", ""), site.command(), "numbers of notices go on");
@@ -516,7 +516,7 @@
       try {
         net(listen);
         throw new AssertionError(listen + " was taken");
-      } catch (wharftrestle.net.Config.BadConfigException e) {
+      } catch (wharftrestle.config.DaemonConfig.BadConfigException e) {
         assertEquals(1, e.getMessage().lines().count());
       }
     }
@@ -529,7 +529,7 @@
   }
 
   private static InetSocketAddress net(String text)
-      throws wharftrestle.net.Config.BadConfigException {
-    return wharftrestle.net.Config.address("listen", text);
+      throws wharftrestle.config.DaemonConfig.BadConfigException {
+    return wharftrestle.config.DaemonConfig.address("listen", text);
   }
 }
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -203,7 +203,7 @@
       while (site.life.state() == Lifecycle.State.SERVING) {
         Thread.onSpinWait();
       }
-      wharftrestle.net.Config next = site.move(calling());
+      wharftrestle.config.DaemonConfig next = site.move(calling());
       site.life.reload(() -> next);
       assertEquals(
           new Command("bind", "", "0", ""),
@@ -222,7 +222,7 @@
   void signalsAreHeardBeforeThereIsAnythingToTell() throws Exception {
     AtomicInteger read = new AtomicInteger();
     try (Loopback site = new Loopback(Sites.site())) {
-      wharftrestle.net.Config config = site.move(Sites.site());
+      wharftrestle.config.DaemonConfig config = site.move(Sites.site());
       CountDownLatch heard = new CountDownLatch(2);
       Signals early =
           new Signals(
--- a/src/test/java/wharftrestle/FullTableTest.java
+++ b/src/test/java/wharftrestle/FullTableTest.java
@@ -13,12 +13,12 @@
 import wharftrestle.Loopback.Command;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.lab.RespPeer.Reply;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.Counters.Count;
 
 /** Stories of a box whose room for what it knows of keys is full. */
 class FullTableTest {
-  private static final Config.Appliance NONE = new Config.Appliance(null, null, null, "x", 24);
+  private static final DaemonConfig.Appliance NONE = new DaemonConfig.Appliance(null, null, null, "x", 24);
   private static final String LARGE = "r".repeat(KeyMemoryBudget.LONGEST_RESULT);
 
   @TempDir private Path folder;
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -33,7 +33,7 @@
 import wharftrestle.lab.PoolPeer;
 import wharftrestle.lab.RespPeer;
 import wharftrestle.net.Bytes;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /**
  * The one helper of the daemon's stories: a daemon on loopback with scripted peers all round it.
@@ -95,14 +95,14 @@
   }
 
   Loopback(Sites.Builder site, int sockets) throws Exception {
-    this(site, new Config.Appliance(null, null, null, "public", 24), sockets);
+    this(site, new DaemonConfig.Appliance(null, null, null, "public", 24), sockets);
   }
 
-  Loopback(Sites.Builder site, Config.Appliance appliance) throws Exception {
+  Loopback(Sites.Builder site, DaemonConfig.Appliance appliance) throws Exception {
     this(site, appliance, 1024);
   }
 
-  private Loopback(Sites.Builder site, Config.Appliance appliance, int sockets) throws Exception {
+  private Loopback(Sites.Builder site, DaemonConfig.Appliance appliance, int sockets) throws Exception {
     this(site, appliance, sockets, null, null);
   }
 
@@ -111,7 +111,7 @@
    * over from it.
    */
   Loopback(
-      Sites.Builder site, Config.Appliance appliance, int sockets, Path meeting, Loopback elder)
+      Sites.Builder site, DaemonConfig.Appliance appliance, int sockets, Path meeting, Loopback elder)
       throws Exception {
     this(site, appliance, sockets, meeting, elder, KeyMemoryBudget.of(64 << 20));
   }
@@ -119,7 +119,7 @@
   /** A daemon with so much room for what it knows of keys. */
   Loopback(
       Sites.Builder site,
-      Config.Appliance appliance,
+      DaemonConfig.Appliance appliance,
       int sockets,
       Path meeting,
       Loopback elder,
@@ -134,8 +134,8 @@
     awaitBound();
   }
 
-  private Config config(Sites.Builder site) {
-    return new Config(
+  private DaemonConfig config(Sites.Builder site) {
+    return new DaemonConfig(
         "n1",
         elder == null ? any() : elder.life.respAddress(),
         pool.address(),
@@ -152,8 +152,8 @@
   }
 
   /** The same addresses with another meeting place. */
-  Config stranger(Path elsewhere) {
-    return new Config(
+  DaemonConfig stranger(Path elsewhere) {
+    return new DaemonConfig(
         "n1",
         life.respAddress(),
         pool.address(),
@@ -175,7 +175,7 @@
   }
 
   /** Moves all parties but the callers to new addresses, which the daemon finds by a reload. */
-  Config move(Sites.Builder site) throws IOException {
+  DaemonConfig move(Sites.Builder site) throws IOException {
     pool.close();
     store.close();
     naming.close();
--- a/src/test/java/wharftrestle/OtherSitesTest.java
+++ b/src/test/java/wharftrestle/OtherSitesTest.java
@@ -11,7 +11,7 @@
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
 import wharftrestle.lab.RespPeer.Reply;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.Counters.Count;
 
 /**
@@ -59,7 +59,7 @@
     calling.calls = true;
     try (Loopback site = new Loopback(calling);
         Loopback other = new Loopback(Sites.site())) {
-      Config storeless = other.move(Sites.site());
+      DaemonConfig storeless = other.move(Sites.site());
       site.life.reload(() -> storeless);
       assertEquals(0, site.life.counters().get(Count.RELOADS));
       other.life.reload(() -> storeless);
--- a/src/test/java/wharftrestle/ResultsTest.java
+++ b/src/test/java/wharftrestle/ResultsTest.java
@@ -24,7 +24,7 @@
 import wharftrestle.storage.WriteAheadLog;
 import wharftrestle.storage.UnusableStorageException;
 import wharftrestle.lab.RespPeer.Reply;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /**
  * Stories of results kept over restarts: a daemon is killed where its folder is copied as it
@@ -34,9 +34,9 @@
   @TempDir private Path folder;
   private int copies;
 
-  private static Config.Appliance keeping(Path at) {
-    return new Config.Appliance(
-        null, null, null, "x", 24, new Config.Durable(at, 4 << 20, 1000, 1 << 20, 0.3, "group"));
+  private static DaemonConfig.Appliance keeping(Path at) {
+    return new DaemonConfig.Appliance(
+        null, null, null, "x", 24, new DaemonConfig.Durable(at, 4 << 20, 1000, 1 << 20, 0.3, "group"));
   }
 
   /** What the next process finds, were this one killed now. */
--- a/src/test/java/wharftrestle/UpgradeTest.java
+++ b/src/test/java/wharftrestle/UpgradeTest.java
@@ -15,11 +15,11 @@
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
 import wharftrestle.lab.RespPeer.Reply;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /** Stories of two processes that serve one box while the new one takes over. */
 class UpgradeTest {
-  private static final Config.Appliance NONE = new Config.Appliance(null, null, null, "x", 24);
+  private static final DaemonConfig.Appliance NONE = new DaemonConfig.Appliance(null, null, null, "x", 24);
 
   @TempDir private Path folder;
 
@@ -27,12 +27,12 @@
     return String.format("%016x", number);
   }
 
-  private Loopback first(Config.Appliance appliance) throws Exception {
+  private Loopback first(DaemonConfig.Appliance appliance) throws Exception {
     Files.writeString(folder.resolve("n1.sock"), "stale"); // as a process that was killed leaves it
     return new Loopback(Sites.site(), appliance, 1024, folder.resolve("n1.sock"), null);
   }
 
-  private Loopback second(Loopback first, Config.Appliance appliance) throws Exception {
+  private Loopback second(Loopback first, DaemonConfig.Appliance appliance) throws Exception {
     Loopback next = new Loopback(Sites.site(), appliance, 1024, folder.resolve("n1.sock"), first);
     next.awaitTaking();
     return next;
@@ -225,9 +225,9 @@
   @Test
   void takenAddressesOfOperatorsWaitForTheOldProcess() throws Exception {
     try (Loopback old =
-        first(new Config.Appliance(Loopback.any(), null, Loopback.any(), "x", 24))) {
+        first(new DaemonConfig.Appliance(Loopback.any(), null, Loopback.any(), "x", 24))) {
       InetSocketAddress agent = old.life.snmpAddress();
-      Config.Appliance same = new Config.Appliance(old.life.uwsgiAddress(), null, agent, "x", 24);
+      DaemonConfig.Appliance same = new DaemonConfig.Appliance(old.life.uwsgiAddress(), null, agent, "x", 24);
       try (Loopback next = second(old, same)) {
         assertNull(next.life.snmpAddress());
         end(old).join();
--- a/src/test/java/wharftrestle/UwsgiTest.java
+++ b/src/test/java/wharftrestle/UwsgiTest.java
@@ -21,13 +21,13 @@
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
 import wharftrestle.lab.RespPeer;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.Counters.Count;
 
 /** Stories of the uwsgi front: a stand-in gateway before it, a stand-in worker pool behind. */
 class UwsgiTest {
   private static Loopback site(Sites.Builder site) throws Exception {
-    return new Loopback(site, new Config.Appliance(Loopback.any(), null, null, "public", 24));
+    return new Loopback(site, new DaemonConfig.Appliance(Loopback.any(), null, null, "public", 24));
   }
 
   private static String status(Socket socket) throws IOException {
--- a/src/test/java/wharftrestle/net/ConfigTest.java
+++ b/src/test/java/wharftrestle/config/DaemonConfigTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.net;
+package wharftrestle.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -16,28 +16,28 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What the platform's configuration may leave out, and what it may not. */
-class ConfigTest {
+class DaemonConfigTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   @TempDir private Path folder;
 
   private static ObjectNode whole() throws IOException {
-    try (InputStream told = Config.class.getResourceAsStream("/rehearsal.json")) {
+    try (InputStream told = DaemonConfig.class.getResourceAsStream("/rehearsal.json")) {
       return (ObjectNode) MAPPER.readTree(told);
     }
   }
 
-  private Config read(ObjectNode root) throws IOException, Config.BadConfigException {
+  private DaemonConfig read(ObjectNode root) throws IOException, DaemonConfig.BadConfigException {
     Path file = folder.resolve("config.json");
     Files.write(file, MAPPER.writeValueAsBytes(root));
-    return Config.read(Map.of("EDGE_CONFIG", file.toString()));
+    return DaemonConfig.read(Map.of("EDGE_CONFIG", file.toString()));
   }
 
   /**
    * A whole configuration whose runs call below as told, with what stands there for 'db'; null for
    * nothing.
    */
-  private Config read(String downstream, String db) throws IOException, Config.BadConfigException {
+  private DaemonConfig read(String downstream, String db) throws IOException, DaemonConfig.BadConfigException {
     ObjectNode root = whole();
     ((ObjectNode) root.at("/settings/specifics")).put("downstream", downstream);
     root.remove("db");
@@ -49,7 +49,7 @@
 
   private String refused(String downstream, String db) {
     String why =
-        assertThrows(Config.BadConfigException.class, () -> read(downstream, db)).getMessage();
+        assertThrows(DaemonConfig.BadConfigException.class, () -> read(downstream, db)).getMessage();
     assertEquals(1, why.lines().count(), why);
     return why;
   }
@@ -80,7 +80,7 @@
     for (String needed : new String[] {"pool", "naming", "listen"}) {
       ObjectNode root = whole();
       root.put(needed, "");
-      String why = assertThrows(Config.BadConfigException.class, () -> read(root)).getMessage();
+      String why = assertThrows(DaemonConfig.BadConfigException.class, () -> read(root)).getMessage();
       assertEquals("'" + needed + "' is no address: ''", why);
     }
   }
--- a/src/test/java/wharftrestle/prove/BadRelease.java
+++ b/src/test/java/wharftrestle/prove/BadRelease.java
@@ -24,7 +24,7 @@
 import wharftrestle.Lifecycle;
 import wharftrestle.net.Address;
 import wharftrestle.net.Bytes;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.settings.Settings;
 
 /**
@@ -67,9 +67,9 @@
     Files.write(own, new ObjectMapper().writeValueAsBytes(root));
     environment.put("EDGE_CONFIG", own.toString());
     int at = Arrays.asList(args).indexOf("--appliance");
-    Config.Appliance set =
-        at < 0 ? Config.Appliance.none() : Settings.read(Path.of(args[at + 1])).appliance();
-    Lifecycle life = new Lifecycle(Config.read(environment), set);
+    DaemonConfig.Appliance set =
+        at < 0 ? DaemonConfig.Appliance.none() : Settings.read(Path.of(args[at + 1])).appliance();
+    Lifecycle life = new Lifecycle(DaemonConfig.read(environment), set);
     Signal.handle(new Signal("TERM"), signal -> life.leave());
     life.start();
     life.serveUntilStopped();
--- a/src/test/java/wharftrestle/prove/Unagreed.java
+++ b/src/test/java/wharftrestle/prove/Unagreed.java
@@ -3,7 +3,7 @@
 import sun.misc.Signal;
 import wharftrestle.Lifecycle;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /**
  * The daemon that hands over to whoever asks: what a proof plays beside the real one, and never
@@ -15,8 +15,8 @@
   public static void main(String[] args) throws Exception {
     Lifecycle life =
         new Lifecycle(
-            Config.read(System.getenv()),
-            Config.Appliance.none(),
+            DaemonConfig.read(System.getenv()),
+            DaemonConfig.Appliance.none(),
             KeyMemoryBudget.ofHeap(Runtime.getRuntime().maxMemory()),
             (serves, next) -> null);
     Signal.handle(new Signal("TERM"), signal -> life.leave());
--- a/src/test/java/wharftrestle/prove/Unbounded.java
+++ b/src/test/java/wharftrestle/prove/Unbounded.java
@@ -2,7 +2,7 @@
 
 import wharftrestle.Lifecycle;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /**
  * The daemon with no bound on what it knows of keys: what a proof plays beside the real one, and
@@ -13,7 +13,7 @@
 
   public static void main(String[] args) throws Exception {
     Lifecycle life =
-        new Lifecycle(Config.read(System.getenv()), Config.Appliance.none(), KeyMemoryBudget.unbounded());
+        new Lifecycle(DaemonConfig.read(System.getenv()), DaemonConfig.Appliance.none(), KeyMemoryBudget.unbounded());
     life.start();
     life.serveUntilStopped();
   }
--- a/src/test/java/wharftrestle/settings/SettingsTest.java
+++ b/src/test/java/wharftrestle/settings/SettingsTest.java
@@ -17,19 +17,19 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /** The settings' language: what it computes, and where it says what is wrong. */
 class SettingsTest {
 
-  private static Config.Appliance read(String text) throws BadSettingsException {
+  private static DaemonConfig.Appliance read(String text) throws BadSettingsException {
     return Settings.parse("a.star", text).appliance();
   }
 
   @Example
   void theFileOfTheRepositoryTurnsNothingOn() throws Exception {
     assertEquals(
-        Config.Appliance.none(), Settings.read(Path.of("deploy/appliance.star")).appliance());
+        DaemonConfig.Appliance.none(), Settings.read(Path.of("deploy/appliance.star")).appliance());
     String run =
         Files.readString(Path.of("deploy/balancer.toml"))
             + Files.readString(Path.of("deploy/run.sh"));
@@ -42,7 +42,7 @@
 
   @Example
   void aScriptComputesWhatItDeclares() throws Exception {
-    Config.Appliance set =
+    DaemonConfig.Appliance set =
         read(
             """
                 base = 7000
--- a/src/test/java/wharftrestle/storage/ResultLogToolTest.java
+++ b/src/test/java/wharftrestle/storage/ResultLogToolTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.request.ResultStore;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /** What operators see of a folder that no daemon has. */
 class ResultLogToolTest {
@@ -44,8 +44,8 @@
     return bytes.toString(StandardCharsets.UTF_8);
   }
 
-  private Config.Durable settings() {
-    return new Config.Durable(folder, 4 << 20, 100, 1 << 20, 0.3, "group");
+  private DaemonConfig.Durable settings() {
+    return new DaemonConfig.Durable(folder, 4 << 20, 100, 1 << 20, 0.3, "group");
   }
 
   private static ResultStore.Keyed keyed(String key) {
--- a/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import wharftrestle.request.ResultStore;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /**
  * Writes the stored results folder that {@link StoredFormatTest} reads. It was run once, with the
@@ -85,8 +85,8 @@
     return bytes.toString(StandardCharsets.UTF_8);
   }
 
-  static Config.Durable settings(Path folder) {
-    return new Config.Durable(folder, 4 << 20, 100, 1 << 20, 5, "group");
+  static DaemonConfig.Durable settings(Path folder) {
+    return new DaemonConfig.Durable(folder, 4 << 20, 100, 1 << 20, 5, "group");
   }
 
   /** Three starts, each of which begins a segment; one record a batch, and one batch of two. */
--- a/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
+++ b/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
@@ -28,14 +28,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import wharftrestle.request.ResultStore;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 
 /** The log alone: crashes at every byte and every operation, damage, bounds. */
 class WriteAheadLogTest {
   private static final double WINDOW = 20;
 
-  static Config.Durable settings(long mb, String sync) {
-    return new Config.Durable(Path.of("unused"), mb << 20, 1000, 1 << 20, 0.3, sync);
+  static DaemonConfig.Durable settings(long mb, String sync) {
+    return new DaemonConfig.Durable(Path.of("unused"), mb << 20, 1000, 1 << 20, 0.3, sync);
   }
 
   private static ResultStore.Keyed keyed(String key) {
@@ -476,7 +476,7 @@
   @Example
   void aFullStoreTakesNoIntentWhoseResultWouldNotFit() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
-    Config.Durable small = settings(4, "none");
+    DaemonConfig.Durable small = settings(4, "none");
     long lost = 0;
     try (WriteAheadLog journal = new WriteAheadLog(small, () -> disk)) {
       journal.open(WINDOW);
--- a/src/test/java/wharftrestle/version/VersionTest.java
+++ b/src/test/java/wharftrestle/version/VersionTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Sites;
-import wharftrestle.net.Config;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.admission.Admission;
 
 /** What a version is: its ranges, its digests, and which settings tell two apart. */
@@ -45,18 +45,18 @@
     assertEquals("unknown", BuildInfo.beside(jar));
   }
 
-  private static String canonical(Admission.Settings settings, int port, Config.Appliance appliance)
+  private static String canonical(Admission.Settings settings, int port, DaemonConfig.Appliance appliance)
       throws UnknownHostException {
     InetSocketAddress at =
         new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), port);
-    return new Config("n", at, at, at, at, null, port, 3, 1, 1024, 192, null, settings)
+    return new DaemonConfig("n", at, at, at, at, null, port, 3, 1, 1024, 192, null, settings)
         .canonical(appliance);
   }
 
   @Test
   void everySettingTellsTwoVersionsApartAndNoAddressOrSeedDoes() throws Exception {
     Admission.Settings plain = Sites.site().build();
-    Config.Appliance none = Config.Appliance.none();
+    DaemonConfig.Appliance none = DaemonConfig.Appliance.none();
     String before = canonical(plain, 1000, none);
     assertEquals(before, canonical(plain, 2000, none));
     RecordComponent[] parts = Admission.Settings.class.getRecordComponents();
@@ -82,19 +82,19 @@
       }
     }
     assertNotEquals(
-        before, canonical(plain, 1000, new Config.Appliance(null, null, null, "public", 25)));
+        before, canonical(plain, 1000, new DaemonConfig.Appliance(null, null, null, "public", 25)));
     assertNotEquals(
         before,
         canonical(
             plain,
             1000,
-            new Config.Appliance(
+            new DaemonConfig.Appliance(
                 null,
                 null,
                 null,
                 "public",
-                Config.HELD_KB,
-                new Config.Durable(Path.of("/a"), 1, 2, 3, 4, "group"))));
+                DaemonConfig.HELD_KB,
+                new DaemonConfig.Durable(Path.of("/a"), 1, 2, 3, 4, "group"))));
   }
 
   private static Object other(Object value, String name) {
