--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/Lifecycle.java
@@ -12,8 +12,8 @@
 import wharftrestle.request.RequestCoordinator;
 import wharftrestle.request.PlatformThreads;
 import wharftrestle.storage.WriteAheadLog;
-import wharftrestle.front.Resp;
-import wharftrestle.front.Uwsgi;
+import wharftrestle.frontend.RespFrontend;
+import wharftrestle.frontend.UwsgiFrontend;
 import wharftrestle.handover.CompatibilityCheck;
 import wharftrestle.handover.Capabilities;
 import wharftrestle.idempotency.KeyMemoryBudget;
@@ -190,7 +190,7 @@
             config.listen(),
             mostCallers - mostGateways,
             descriptors.leaving() - (mostGateways > 0 ? descriptors.gatewaysLeaving() : 0),
-            new Resp(core, counters),
+            new RespFrontend(core, counters),
             counters);
     uwsgi =
         appliance.uwsgi() == null
@@ -200,7 +200,7 @@
                 appliance.uwsgi(),
                 mostGateways,
                 descriptors.gatewaysLeaving(),
-                new Uwsgi(core, counters, config.seed(), appliance.heldKb()),
+                new UwsgiFrontend(core, counters, config.seed(), appliance.heldKb()),
                 counters);
     InetSocketAddress at = config.console() != null ? config.console() : appliance.control();
     door =
--- a/src/main/java/wharftrestle/front/Resp.java
+++ b/src/main/java/wharftrestle/frontend/RespFrontend.java
@@ -1,4 +1,4 @@
-package wharftrestle.front;
+package wharftrestle.frontend;
 
 import java.io.EOFException;
 import java.io.IOException;
@@ -26,7 +26,7 @@
  * on a connection and nothing else; it must never decide about a request, and never keep one past
  * its answer.
  */
-public final class Resp implements Server.Front {
+public final class RespFrontend implements Server.Front {
   private static final int MOST_PARTS = 5;
   private static final int LONGEST_WORD = 1024;
   private static final int LONGEST_BODY = 2048;
@@ -81,7 +81,7 @@
   private final Map<String, Integer> classes = new HashMap<>();
   private final Map<String, Integer> tenants = new HashMap<>();
 
-  public Resp(RequestCoordinator core, Counters counters) {
+  public RespFrontend(RequestCoordinator core, Counters counters) {
     this.core = core;
     this.counters = counters;
     List<Admission.RequestClass> known = core.settings().classes();
--- a/src/main/java/wharftrestle/front/Uwsgi.java
+++ b/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
@@ -1,4 +1,4 @@
-package wharftrestle.front;
+package wharftrestle.frontend;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -25,7 +25,7 @@
  * has neither. It must never decide about a request, and never hand one to the core before its last
  * byte is read.
  */
-public final class Uwsgi implements Server.Front {
+public final class UwsgiFrontend implements Server.Front {
   /** A body at most, as on the platform's wire: what runs requests takes no more. */
   static final int LONGEST_BODY = 2048;
 
@@ -60,7 +60,7 @@
   private final double[] ranks;
   private final AtomicLong references;
 
-  public Uwsgi(RequestCoordinator core, Counters counters, long seed, double heldKb) {
+  public UwsgiFrontend(RequestCoordinator core, Counters counters, long seed, double heldKb) {
     this.core = core;
     this.counters = counters;
     this.heldKb = heldKb;
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -90,7 +90,7 @@
               "wharftrestle.request..",
               "wharftrestle.transport..", "wharftrestle.upstream..", "wharftrestle.discovery..", "wharftrestle.config..",
               "wharftrestle.idempotency..",
-              "wharftrestle.front..",
+              "wharftrestle.frontend..",
               "wharftrestle.admin..", "wharftrestle.metrics..", "wharftrestle.snmp..");
 
   @ArchTest
