--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -24,7 +24,7 @@
 import wharftrestle.settings.BadSettingsException;
 import wharftrestle.settings.Settings;
 import wharftrestle.version.BuildInfo;
-import wharftrestle.wire.WireAdapter;
+import wharftrestle.simulator.SimulatorAdapter;
 
 /**
  * The command line. It owns arguments, exit codes and signals, and hands over to the part named;
@@ -126,7 +126,7 @@
   static final class Adapter implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
-      new WireAdapter(GroupEdfScheduler::new).serve(System.in, System.out);
+      new SimulatorAdapter(GroupEdfScheduler::new).serve(System.in, System.out);
       return 0;
     }
   }
--- a/src/main/java/wharftrestle/config/DaemonConfig.java
+++ b/src/main/java/wharftrestle/config/DaemonConfig.java
@@ -10,8 +10,8 @@
 import java.nio.file.Path;
 import java.util.Map;
 import wharftrestle.admission.Admission;
-import wharftrestle.wire.MalformedLineException;
-import wharftrestle.wire.SettingsReader;
+import wharftrestle.simulator.MalformedLineException;
+import wharftrestle.simulator.SettingsReader;
 
 /**
  * Owns what the program is told at its start: the platform's configuration, and where the processes
--- a/src/main/java/wharftrestle/wire/WireActions.java
+++ b/src/main/java/wharftrestle/simulator/ActionWriter.java
@@ -1,13 +1,13 @@
-package wharftrestle.wire;
+package wharftrestle.simulator;
 
 import wharftrestle.admission.Admission;
 
 /** Writes the actions of one instance as wire lines. */
-final class WireActions implements Admission.Actions {
+final class ActionWriter implements Admission.Actions {
   private final int instance;
   private final StringBuilder lines = new StringBuilder();
 
-  WireActions(int instance) {
+  ActionWriter(int instance) {
     this.instance = instance;
   }
 
--- a/src/main/java/wharftrestle/wire/MalformedLineException.java
+++ b/src/main/java/wharftrestle/simulator/MalformedLineException.java
@@ -1,4 +1,4 @@
-package wharftrestle.wire;
+package wharftrestle.simulator;
 
 /** A line of the wire that lacks a needed field or holds what cannot be read. */
 public final class MalformedLineException extends Exception {
--- a/src/main/java/wharftrestle/wire/WireLine.java
+++ b/src/main/java/wharftrestle/simulator/ProtocolLine.java
@@ -1,11 +1,11 @@
-package wharftrestle.wire;
+package wharftrestle.simulator;
 
 /** One line of the wire: a name and tab-separated fields, found by scanning. */
-final class WireLine {
+final class ProtocolLine {
   private final String line;
   private final String name;
 
-  WireLine(String line) {
+  ProtocolLine(String line) {
     this.line = line;
     int tab = line.indexOf('\t');
     this.name = tab < 0 ? line : line.substring(0, tab);
--- a/src/main/java/wharftrestle/wire/SettingsReader.java
+++ b/src/main/java/wharftrestle/simulator/SettingsReader.java
@@ -1,4 +1,4 @@
-package wharftrestle.wire;
+package wharftrestle.simulator;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/wharftrestle/wire/WireAdapter.java
+++ b/src/main/java/wharftrestle/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package wharftrestle.wire;
+package wharftrestle.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -16,7 +16,7 @@
  * Translates wire batches to events of the instances and their actions to replies. It decides
  * nothing.
  */
-public final class WireAdapter {
+public final class SimulatorAdapter {
 
   /** Makes the control of one instance. */
   public interface Factory {
@@ -25,12 +25,12 @@
   }
 
   private static final class Instance {
-    final WireActions actions;
+    final ActionWriter actions;
     Admission.Events events;
     boolean touched;
 
     Instance(int number) {
-      actions = new WireActions(number);
+      actions = new ActionWriter(number);
     }
   }
 
@@ -41,7 +41,7 @@
   private double now;
   private Instance current;
 
-  public WireAdapter(Factory factory) {
+  public SimulatorAdapter(Factory factory) {
     this.factory = factory;
   }
 
@@ -65,7 +65,7 @@
 
   private String take(String line) {
     try {
-      event(new WireLine(line));
+      event(new ProtocolLine(line));
       return null;
     } catch (MalformedLineException e) {
       return "malformed line: " + e.getMessage() + " in: " + clip(line);
@@ -87,7 +87,7 @@
     }
   }
 
-  private void event(WireLine line) throws MalformedLineException {
+  private void event(ProtocolLine line) throws MalformedLineException {
     switch (line.name()) {
       case "clock" -> {
         now = line.number("now");
@@ -139,7 +139,7 @@
     }
   }
 
-  private static Admission.Outcome outcome(WireLine line) throws MalformedLineException {
+  private static Admission.Outcome outcome(ProtocolLine line) throws MalformedLineException {
     String status = line.text("status");
     return switch (status) {
       case "success" -> Admission.Outcome.SUCCESS;
@@ -176,7 +176,7 @@
     }
     touched.clear();
     if (crash != null) {
-      reply.append("crash\tline=").append(WireActions.plain(crash)).append('\n');
+      reply.append("crash\tline=").append(ActionWriter.plain(crash)).append('\n');
     }
     reply.append("ok\n");
     out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/wharftrestle/WireAdapterTest.java
+++ b/src/test/java/wharftrestle/WireAdapterTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import wharftrestle.admission.GroupEdfScheduler;
-import wharftrestle.wire.WireAdapter;
+import wharftrestle.simulator.SimulatorAdapter;
 
 /** The wire by hand-written lines. */
 class WireAdapterTest {
@@ -23,7 +23,7 @@
 
   private static String serve(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new WireAdapter(GroupEdfScheduler::new)
+    new SimulatorAdapter(GroupEdfScheduler::new)
         .serve(
             new ByteArrayInputStream(
                 (String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8)),
