--- a/src/main/java/wharftrestle/lab/virtual/ColdPlay.java
+++ b/src/main/java/wharftrestle/simulation/ColdStartSimulation.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab.virtual;
+package wharftrestle.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
  * policy: cold ones call more, and the store is slow. It owns the play and what the store holds; it
  * must never look into a policy.
  */
-public final class ColdPlay {
+public final class ColdStartSimulation {
 
   /**
    * What came of a play.
@@ -36,7 +36,7 @@
   /** The store is so much slower than usual: a call takes 0.5 s in the mean. */
   private static final double SLOW = 25;
 
-  private ColdPlay() {}
+  private ColdStartSimulation() {}
 
   /**
    * Plays so many boxes.
@@ -46,16 +46,16 @@
    */
   public static Result play(int boxes, boolean alone, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Agenda agenda = new Agenda();
-    VirtualStore store = new VirtualStore(agenda);
+    EventQueue agenda = new EventQueue();
+    SimulatedStore store = new SimulatedStore(agenda);
     store.slow(SLOW);
-    VirtualFleet.Site site = new VirtualFleet.Site(boxes, 1, RATE, 0.85, 0, 0);
-    Admission.Settings settings = VirtualFleet.settings(site, alone ? SHARE * boxes : SHARE, true);
+    SimulatedFleet.Site site = new SimulatedFleet.Site(boxes, 1, RATE, 0.85, 0, 0);
+    Admission.Settings settings = SimulatedFleet.settings(site, alone ? SHARE * boxes : SHARE, true);
     double unit = site.load() * settings.cores() / site.rate();
-    List<VirtualBox> all = new ArrayList<>();
+    List<SimulatedHost> all = new ArrayList<>();
     for (int i = 0; i < boxes; i++) {
-      VirtualBox box =
-          new VirtualBox(
+      SimulatedHost box =
+          new SimulatedHost(
               "b" + i,
               "z",
               agenda,
@@ -63,7 +63,7 @@
               store,
               0.92 + 0.16 * random.nextDouble(),
               random.nextLong());
-      box.start(VirtualBox.Flaw.none(settings.classes().size()), false);
+      box.start(SimulatedHost.Flaw.none(settings.classes().size()), false);
       all.add(box);
       ask(box, agenda, random.split(), settings.classes().size(), unit);
     }
@@ -80,7 +80,7 @@
    * cold ones call more.
    */
   private static void ask(
-      VirtualBox box, Agenda agenda, SplittableRandom random, int classes, double unit) {
+      SimulatedHost box, EventQueue agenda, SplittableRandom random, int classes, double unit) {
     agenda.at(
         agenda.now() - Math.log(1 - random.nextDouble()) / RATE,
         now -> {
@@ -94,7 +94,7 @@
   }
 
   private static void look(
-      Agenda agenda, VirtualStore store, ArrayDeque<Integer> span, int most, double[] worst) {
+      EventQueue agenda, SimulatedStore store, ArrayDeque<Integer> span, int most, double[] worst) {
     agenda.at(
         agenda.now() + LOOK,
         now -> {
--- a/src/main/java/wharftrestle/lab/virtual/ReachPlay.java
+++ b/src/main/java/wharftrestle/simulation/ColdTrafficSimulation.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab.virtual;
+package wharftrestle.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
  * name: what reaches a cold box, which is the callers', and what that box lets onto its cores,
  * which is its own. It must never look into a policy.
  */
-public final class ReachPlay {
+public final class ColdTrafficSimulation {
 
   /**
    * What came of a play, each against its bound: 1 is the bound.
@@ -59,13 +59,13 @@
 
   /** One box, and what was seen of it over the last span. */
   private static final class Watched {
-    private final VirtualBox box;
+    private final SimulatedHost box;
     private final ArrayDeque<double[]> span =
         new ArrayDeque<>(); // asked so far, on the cores, share of its speed
     private double reached;
     private double crowd;
 
-    Watched(VirtualBox box) {
+    Watched(SimulatedHost box) {
       this.box = box;
     }
 
@@ -94,22 +94,22 @@
     }
   }
 
-  private ReachPlay() {}
+  private ColdTrafficSimulation() {}
 
   /**
    * Plays so many boxes that start cold at once, each with a stream of requests from all callers.
    */
   public static Result play(int boxes, Callers callers, Start start, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Agenda agenda = new Agenda();
-    VirtualStore store = new VirtualStore(agenda);
-    VirtualFleet.Site site = new VirtualFleet.Site(boxes, 1, RATE, LOAD, 0, 0);
-    Admission.Settings settings = VirtualFleet.settings(site, ROOM_FOR_CALLS, true);
+    EventQueue agenda = new EventQueue();
+    SimulatedStore store = new SimulatedStore(agenda);
+    SimulatedFleet.Site site = new SimulatedFleet.Site(boxes, 1, RATE, LOAD, 0, 0);
+    Admission.Settings settings = SimulatedFleet.settings(site, ROOM_FOR_CALLS, true);
     double unit = LOAD * settings.cores() / RATE;
     List<Watched> all = new ArrayList<>();
     for (int i = 0; i < boxes; i++) {
-      VirtualBox box =
-          new VirtualBox(
+      SimulatedHost box =
+          new SimulatedHost(
               "b" + i,
               "z",
               agenda,
@@ -117,7 +117,7 @@
               store,
               0.92 + 0.16 * random.nextDouble(),
               random.nextLong());
-      box.start(VirtualBox.Flaw.none(settings.classes().size()), false);
+      box.start(SimulatedHost.Flaw.none(settings.classes().size()), false);
       box.open(start == Start.OPEN);
       all.add(new Watched(box));
       arrive(box, new Sent(callers), agenda, settings, random.split(), unit);
@@ -167,9 +167,9 @@
   }
 
   private static void arrive(
-      VirtualBox box,
+      SimulatedHost box,
       Sent sent,
-      Agenda agenda,
+      EventQueue agenda,
       Admission.Settings settings,
       SplittableRandom random,
       double unit) {
@@ -187,7 +187,7 @@
         });
   }
 
-  private static void look(List<Watched> all, Agenda agenda, Admission.Settings settings) {
+  private static void look(List<Watched> all, EventQueue agenda, Admission.Settings settings) {
     agenda.at(
         agenda.now() + LOOK,
         now -> {
--- a/src/main/java/wharftrestle/lab/virtual/Agenda.java
+++ b/src/main/java/wharftrestle/simulation/EventQueue.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab.virtual;
+package wharftrestle.simulation;
 
 import java.util.PriorityQueue;
 
@@ -6,7 +6,7 @@
  * What happens when, in virtual time. Of two things at one moment the one that was put down first
  * goes first.
  */
-final class Agenda {
+final class EventQueue {
 
   /** One thing that happens. */
   interface Happening {
--- a/src/main/java/wharftrestle/lab/virtual/RollPlay.java
+++ b/src/main/java/wharftrestle/simulation/RolloutSimulation.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab.virtual;
+package wharftrestle.simulation;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -18,7 +18,7 @@
  * One rolling change in virtual time: the shipped roll, judge and policy over a made-up fleet. The
  * truth is known here: whether the new release does worse, and what else goes wrong meanwhile.
  */
-public final class RollPlay {
+public final class RolloutSimulation {
 
   /** What the new release is. */
   public enum Release {
@@ -106,7 +106,7 @@
   private static final String OLD = "old";
   private static final String NEW = "new";
 
-  private final VirtualFleet fleet;
+  private final SimulatedFleet fleet;
   private final RolloutPlan plan;
   private final Release release;
   private final Trouble trouble;
@@ -129,15 +129,15 @@
   private double troubledAt = -1;
   private int most;
 
-  private RollPlay(Release release, Trouble trouble, Judging judging, long seed) {
+  private RolloutSimulation(Release release, Trouble trouble, Judging judging, long seed) {
     this.release = release;
     this.trouble = trouble;
     this.judging = judging;
     random = new SplittableRandom(seed ^ 0x5eed);
-    VirtualFleet.Site usual = VirtualFleet.Site.usual();
+    SimulatedFleet.Site usual = SimulatedFleet.Site.usual();
     fleet =
-        new VirtualFleet(
-            new VirtualFleet.Site(
+        new SimulatedFleet(
+            new SimulatedFleet.Site(
                 usual.boxes(),
                 usual.zones(),
                 usual.rate(),
@@ -178,13 +178,13 @@
 
   /** Plays one change to its end. */
   public static Result play(Release release, Trouble trouble, Judging judging, long seed) {
-    return new RollPlay(release, trouble, judging, seed).play();
+    return new RolloutSimulation(release, trouble, judging, seed).play();
   }
 
-  private VirtualBox.Flaw flaw(String of) {
+  private SimulatedHost.Flaw flaw(String of) {
     int classes = fleet.settings.classes().size();
     double[] fails = new double[classes];
-    VirtualBox.Flaw none = VirtualBox.Flaw.none(classes);
+    SimulatedHost.Flaw none = SimulatedHost.Flaw.none(classes);
     if (of.equals(OLD)) {
       return none;
     }
@@ -198,14 +198,14 @@
     }
     return switch (release) {
       case GOOD -> none;
-      case MIXED -> new VirtualBox.Flaw(-0.1, fails, 0, 0, 0, 0);
-      case SLOWER -> new VirtualBox.Flaw(0.5, fails, 0, 0, 0, 0);
-      case REFUSES -> new VirtualBox.Flaw(0, fails, 0.1, 0, 0, 0);
-      case LATE_FAULT -> new VirtualBox.Flaw(0, fails, 0, 0, 0, 120);
-      case OVER_HALF -> new VirtualBox.Flaw(0, fails, 0, 0, 0, NOT_YET);
-      case CRASHES -> new VirtualBox.Flaw(0, fails, 0, 9, 0, 0);
-      case LEAKS -> new VirtualBox.Flaw(0, fails, 0, 0, 20, 0);
-      default -> new VirtualBox.Flaw(0, fails, 0, 0, 0, 0);
+      case MIXED -> new SimulatedHost.Flaw(-0.1, fails, 0, 0, 0, 0);
+      case SLOWER -> new SimulatedHost.Flaw(0.5, fails, 0, 0, 0, 0);
+      case REFUSES -> new SimulatedHost.Flaw(0, fails, 0.1, 0, 0, 0);
+      case LATE_FAULT -> new SimulatedHost.Flaw(0, fails, 0, 0, 0, 120);
+      case OVER_HALF -> new SimulatedHost.Flaw(0, fails, 0, 0, 0, NOT_YET);
+      case CRASHES -> new SimulatedHost.Flaw(0, fails, 0, 9, 0, 0);
+      case LEAKS -> new SimulatedHost.Flaw(0, fails, 0, 0, 20, 0);
+      default -> new SimulatedHost.Flaw(0, fails, 0, 0, 0, 0);
     };
   }
 
@@ -242,7 +242,7 @@
       if (release == Release.OVER_HALF && have * 2 > fleet.boxes.size()) {
         fleet.boxes.stream()
             .filter(box -> acts.get(box.name).equals(NEW))
-            .forEach(VirtualBox::show);
+            .forEach(SimulatedHost::show);
       }
       most = Math.max(most, (int) acts.values().stream().filter(NEW::equals).count());
       if (verdictAt < 0 && roll != null && roll.state() == Rollout.State.RETURNING) {
@@ -272,7 +272,7 @@
   // ---- Keepers, as far as a roll sees them ----
 
   private void keepers(double now) {
-    for (VirtualBox box : fleet.boxes) {
+    for (SimulatedHost box : fleet.boxes) {
       Double until = changingUntil.get(box.name);
       if (until != null && now >= until) {
         changingUntil.remove(box.name);
@@ -297,7 +297,7 @@
 
   private Map<String, Rollout.Shows> shows() {
     Map<String, Rollout.Shows> all = new LinkedHashMap<>();
-    for (VirtualBox box : fleet.boxes) {
+    for (SimulatedHost box : fleet.boxes) {
       all.put(
           box.name,
           new Rollout.Shows(
@@ -335,8 +335,8 @@
   private void window(double now) {
     List<HostSample> samples = new ArrayList<>();
     double[] worth = new double[4]; // lost and asked by the new, lost and asked by the old
-    for (VirtualBox box : fleet.boxes) {
-      VirtualBox.Tally tally = box.tally();
+    for (SimulatedHost box : fleet.boxes) {
+      SimulatedHost.Tally tally = box.tally();
       int classes = tally.asked.length;
       double[] counts = new double[classes * 5 + 4];
       for (int i = 0; i < classes; i++) {
--- a/src/main/java/wharftrestle/lab/virtual/VirtualFleet.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedFleet.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab.virtual;
+package wharftrestle.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
  * whoever is turned away tries a few other boxes. It owns who asks whom; it must never look into a
  * policy.
  */
-final class VirtualFleet {
+final class SimulatedFleet {
 
   /**
    * What is played.
@@ -40,10 +40,10 @@
   /** Calls in the store's hands that a box may have, where the store is not what is played. */
   private static final double ROOM_FOR_CALLS = 64;
 
-  final Agenda agenda = new Agenda();
+  final EventQueue agenda = new EventQueue();
   final Admission.Settings settings;
-  final VirtualStore store = new VirtualStore(agenda);
-  final List<VirtualBox> boxes = new ArrayList<>();
+  final SimulatedStore store = new SimulatedStore(agenda);
+  final List<SimulatedHost> boxes = new ArrayList<>();
   private final Site site;
   private final SplittableRandom random;
   private final double meanWork;
@@ -51,14 +51,14 @@
   private String lost = ""; // a zone whose boxes nobody reaches
   private int turn;
 
-  VirtualFleet(Site site, long seed) {
+  SimulatedFleet(Site site, long seed) {
     this.site = site;
     random = new SplittableRandom(seed);
     settings = settings(site, ROOM_FOR_CALLS, false);
     meanWork = site.load() * CORES / site.rate();
     for (int i = 0; i < site.boxes(); i++) {
-      VirtualBox box =
-          new VirtualBox(
+      SimulatedHost box =
+          new SimulatedHost(
               "b" + (i + 1),
               "z" + (i % site.zones() + 1),
               agenda,
@@ -66,7 +66,7 @@
               store,
               0.92 + 0.16 * random.nextDouble(),
               random.nextLong());
-      box.start(VirtualBox.Flaw.none(SHARES.length), true);
+      box.start(SimulatedHost.Flaw.none(SHARES.length), true);
       boxes.add(box);
     }
     agenda.at(0, this::arrive);
@@ -128,7 +128,7 @@
     lost = zone;
   }
 
-  boolean reached(VirtualBox box) {
+  boolean reached(SimulatedHost box) {
     return !box.zone.equals(lost);
   }
 
@@ -145,8 +145,8 @@
     ask(type, work, random.nextDouble() < CALLING_PART ? 0.5 : 0, 1, null);
   }
 
-  private void ask(int type, double work, double call, int tries, VirtualBox not) {
-    VirtualBox to = choose(not);
+  private void ask(int type, double work, double call, int tries, SimulatedHost not) {
+    SimulatedHost to = choose(not);
     if (to == null) {
       return;
     }
@@ -155,7 +155,7 @@
         work,
         call,
         (then, outcome, retryAfter) -> {
-          if (outcome == VirtualBox.Outcome.REFUSED
+          if (outcome == SimulatedHost.Outcome.REFUSED
               && tries < MOST_TRIES
               && random.nextDouble() < site.retry()) {
             agenda.at(then + 0.01, later -> ask(type, work, call, tries + 1, to));
@@ -166,18 +166,18 @@
   /**
    * In turn, of those that are reached and healthy; with a shift, the one with more room of two.
    */
-  private VirtualBox choose(VirtualBox not) {
-    VirtualBox first = next(not);
+  private SimulatedHost choose(SimulatedHost not) {
+    SimulatedHost first = next(not);
     if (first == null || random.nextDouble() >= site.shift()) {
       return first;
     }
-    VirtualBox second = next(not);
+    SimulatedHost second = next(not);
     return second != null && second.inHand() < first.inHand() ? second : first;
   }
 
-  private VirtualBox next(VirtualBox not) {
+  private SimulatedHost next(SimulatedHost not) {
     for (int i = 0; i < boxes.size(); i++) {
-      VirtualBox box = boxes.get(turn++ % boxes.size());
+      SimulatedHost box = boxes.get(turn++ % boxes.size());
       if (box != not && box.healthy() && reached(box)) {
         return box;
       }
--- a/src/main/java/wharftrestle/lab/virtual/VirtualBox.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedHost.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab.virtual;
+package wharftrestle.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
  * crowded past a point that the policy is not told. It owns what runs, and counts what became of
  * each request. A release may do worse by {@link Flaw}.
  */
-final class VirtualBox implements Admission.Actions {
+final class SimulatedHost implements Admission.Actions {
 
   /**
    * What a release does worse; all 0 for nothing.
@@ -108,9 +108,9 @@
 
   final String name;
   final String zone;
-  private final Agenda agenda;
+  private final EventQueue agenda;
   private final Admission.Settings settings;
-  private final VirtualStore store;
+  private final SimulatedStore store;
   private final double machine; // its speed, 1 for a standard core
   private final SplittableRandom random;
   private final Map<Long, Live> live = new HashMap<>();
@@ -130,12 +130,12 @@
   private double busy;
   private int process;
 
-  VirtualBox(
+  SimulatedHost(
       String name,
       String zone,
-      Agenda agenda,
+      EventQueue agenda,
       Admission.Settings settings,
-      VirtualStore store,
+      SimulatedStore store,
       double machine,
       long seed) {
     this.name = name;
--- a/src/main/java/wharftrestle/lab/virtual/VirtualStore.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedStore.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab.virtual;
+package wharftrestle.simulation;
 
 import java.util.SplittableRandom;
 
@@ -6,7 +6,7 @@
  * The store that all boxes call, in virtual time: it takes a while, and a trouble makes it slower
  * for all.
  */
-final class VirtualStore {
+final class SimulatedStore {
 
   /** Hears how a call ended. */
   interface Ended {
@@ -18,11 +18,11 @@
   /** Seconds that a call which was given up may stay in the store's hands. */
   private static final double LINGER = 0.2;
 
-  private final Agenda agenda;
+  private final EventQueue agenda;
   private double slower = 1;
   private int inHand;
 
-  VirtualStore(Agenda agenda) {
+  SimulatedStore(EventQueue agenda) {
     this.agenda = agenda;
   }
 
--- a/src/main/java/wharftrestle/lab/virtual/package-info.java
+++ b/src/main/java/wharftrestle/simulation/package-info.java
@@ -3,4 +3,4 @@
  * troubles made up for it. Same seed, same play. It must never read a clock, and never decide
  * anything that the program decides itself.
  */
-package wharftrestle.lab.virtual;
+package wharftrestle.simulation;
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -15,7 +15,7 @@
     "wharftrestle.idempotency..",
     "wharftrestle.handover..",
     "wharftrestle.rollout",
-    "wharftrestle.lab.virtual.."
+    "wharftrestle.simulation.."
   };
 
   @ArchTest
--- a/src/test/java/wharftrestle/prove/ProveCold.java
+++ b/src/test/java/wharftrestle/prove/ProveCold.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.IntStream;
-import wharftrestle.lab.virtual.ColdPlay;
-import wharftrestle.lab.virtual.ReachPlay;
-import wharftrestle.lab.virtual.ReachPlay.Callers;
-import wharftrestle.lab.virtual.ReachPlay.Ramp;
-import wharftrestle.lab.virtual.ReachPlay.Start;
+import wharftrestle.simulation.ColdStartSimulation;
+import wharftrestle.simulation.ColdTrafficSimulation;
+import wharftrestle.simulation.ColdTrafficSimulation.Callers;
+import wharftrestle.simulation.ColdTrafficSimulation.Ramp;
+import wharftrestle.simulation.ColdTrafficSimulation.Start;
 
 /**
  * Proves in virtual time that boxes which start cold together and share nothing keep the store
@@ -29,22 +29,22 @@
   private static double worst(int boxes, boolean alone, int seeds, long seed) {
     return IntStream.range(0, seeds)
         .parallel()
-        .mapToObj(i -> ColdPlay.play(boxes, alone, seed + i))
+        .mapToObj(i -> ColdStartSimulation.play(boxes, alone, seed + i))
         .mapToDouble(each -> each.worst() / each.bound())
         .max()
         .orElse(Double.POSITIVE_INFINITY);
   }
 
   /** The worst of so many seeds, with as many callers as boxes. */
-  private static ReachPlay.Result reach(
+  private static ColdTrafficSimulation.Result reach(
       int many, Ramp ramp, double deaf, Start start, int seeds, long seed) {
     return IntStream.range(0, seeds)
         .parallel()
-        .mapToObj(i -> ReachPlay.play(many, new Callers(many, ramp, deaf), start, seed + i))
+        .mapToObj(i -> ColdTrafficSimulation.play(many, new Callers(many, ramp, deaf), start, seed + i))
         .reduce(
-            new ReachPlay.Result(0, 0),
+            new ColdTrafficSimulation.Result(0, 0),
             (a, b) ->
-                new ReachPlay.Result(
+                new ColdTrafficSimulation.Result(
                     Math.max(a.reached(), b.reached()), Math.max(a.crowd(), b.crowd())));
   }
 
@@ -58,14 +58,14 @@
             "; reached by callers of no ramp, of a share, of a share with three in ten"
                 + " deaf, each as if alone, and most on the cores (if all were run)");
     for (int many : BOXES) {
-      List<ReachPlay.Result> all =
+      List<ColdTrafficSimulation.Result> all =
           List.of(
               reach(many, Ramp.NONE, 0, Start.COLD, seeds, seed),
               reach(many, Ramp.SHARE, 0, Start.COLD, seeds, seed),
               reach(many, Ramp.SHARE, DEAF, Start.COLD, seeds, seed),
               reach(many, Ramp.EACH_ALONE, 0, Start.COLD, seeds, seed));
       double crowd =
-          all.stream().mapToDouble(ReachPlay.Result::crowd).max().orElse(Double.POSITIVE_INFINITY);
+          all.stream().mapToDouble(ColdTrafficSimulation.Result::crowd).max().orElse(Double.POSITIVE_INFINITY);
       double open = reach(many, Ramp.NONE, 0, Start.OPEN, seeds, seed).crowd();
       holds &= crowd <= 1 && open > 1 && all.get(3).reached() > 1 == many > 1;
       figures.append(String.format(Locale.ROOT, "; %d", many));
--- a/src/test/java/wharftrestle/prove/ProveJudge.java
+++ b/src/test/java/wharftrestle/prove/ProveJudge.java
@@ -6,11 +6,11 @@
 import java.util.Locale;
 import java.util.stream.IntStream;
 import wharftrestle.rollout.Rollout;
-import wharftrestle.lab.virtual.RollPlay;
-import wharftrestle.lab.virtual.RollPlay.Judging;
-import wharftrestle.lab.virtual.RollPlay.Release;
-import wharftrestle.lab.virtual.RollPlay.Result;
-import wharftrestle.lab.virtual.RollPlay.Trouble;
+import wharftrestle.simulation.RolloutSimulation;
+import wharftrestle.simulation.RolloutSimulation.Judging;
+import wharftrestle.simulation.RolloutSimulation.Release;
+import wharftrestle.simulation.RolloutSimulation.Result;
+import wharftrestle.simulation.RolloutSimulation.Trouble;
 
 /**
  * Proves the judge over rolls of a made-up fleet in virtual time, with the shipped policy: a
@@ -81,7 +81,7 @@
         judging,
         IntStream.range(0, many)
             .parallel()
-            .mapToObj(i -> RollPlay.play(release, trouble, judging, seed + i))
+            .mapToObj(i -> RolloutSimulation.play(release, trouble, judging, seed + i))
             .toList());
   }
 
--- a/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
+++ b/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import wharftrestle.rollout.CanaryAnalysis.Word;
-import wharftrestle.lab.virtual.RollPlay;
-import wharftrestle.lab.virtual.RollPlay.Judging;
-import wharftrestle.lab.virtual.RollPlay.Release;
-import wharftrestle.lab.virtual.RollPlay.Trouble;
+import wharftrestle.simulation.RolloutSimulation;
+import wharftrestle.simulation.RolloutSimulation.Judging;
+import wharftrestle.simulation.RolloutSimulation.Release;
+import wharftrestle.simulation.RolloutSimulation.Trouble;
 
 /** What the judge says, of made-up windows and of whole rolls in virtual time. */
 class CanaryAnalysisTest {
@@ -159,13 +159,13 @@
 
   @Test
   void rollsInVirtualTimeGoThroughOrAreStoppedAndTheSameSeedIsTheSamePlay() {
-    RollPlay.Result good = RollPlay.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3);
+    RolloutSimulation.Result good = RolloutSimulation.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3);
     assertEquals(Rollout.State.DONE, good.state(), good.why());
-    assertEquals(good, RollPlay.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3));
-    RollPlay.Result bad = RollPlay.play(Release.LOSES_10, Trouble.NONE, Judging.SEQUENTIAL, 3);
+    assertEquals(good, RolloutSimulation.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3));
+    RolloutSimulation.Result bad = RolloutSimulation.play(Release.LOSES_10, Trouble.NONE, Judging.SEQUENTIAL, 3);
     assertEquals(Rollout.State.UNDONE, bad.state(), bad.why());
     assertEquals(1, bad.most(), "stopped at the first box");
-    RollPlay.Result slow = RollPlay.play(Release.GOOD, Trouble.SLOW_MACHINE, Judging.PLAIN, 3);
+    RolloutSimulation.Result slow = RolloutSimulation.play(Release.GOOD, Trouble.SLOW_MACHINE, Judging.PLAIN, 3);
     assertTrue(slow.stopped(), "a plain comparison takes a slow machine for a bad release");
   }
 }
--- a/src/test/java/wharftrestle/lab/virtual/FloorsTest.java
+++ b/src/test/java/wharftrestle/simulation/ServedShareFloorTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab.virtual;
+package wharftrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -16,12 +16,12 @@
  * serves more worth. Floors are as the standing test has them: half of it for each class, a fifth
  * in each third; a class of which it serves under 0.3 is left out.
  */
-class FloorsTest {
+class ServedShareFloorTest {
   private static final double THIRD = 20;
   private static final double A_THIRD = 0.2;
   private static final double A_CLASS = 0.5;
   private static final double LEAST = 0.3;
-  private static final double[] SHARES = VirtualFleet.SHARES;
+  private static final double[] SHARES = SimulatedFleet.SHARES;
 
   /** What goes wrong in the second third. */
   private interface Trouble {
@@ -29,65 +29,65 @@
      * By how much the part of the cores that is needed is greater then; 1 for a trouble that costs
      * none.
      */
-    double strike(VirtualFleet fleet);
+    double strike(SimulatedFleet fleet);
 
-    void over(VirtualFleet fleet);
+    void over(SimulatedFleet fleet);
   }
 
   /** Half as much again, or a flood. */
   private record Burst(double factor) implements Trouble {
     @Override
-    public double strike(VirtualFleet fleet) {
+    public double strike(SimulatedFleet fleet) {
       fleet.burst(factor);
       return factor;
     }
 
     @Override
-    public void over(VirtualFleet fleet) {
+    public void over(SimulatedFleet fleet) {
       fleet.burst(1);
     }
   }
 
   /** Each other box is slower. */
   private record Slow(double factor) implements Trouble {
-    private static void all(VirtualFleet fleet, double factor) {
+    private static void all(SimulatedFleet fleet, double factor) {
       IntStream.range(0, fleet.boxes.size())
           .filter(i -> i % 2 == 0)
           .forEach(i -> fleet.boxes.get(i).slow(factor));
     }
 
     @Override
-    public double strike(VirtualFleet fleet) {
+    public double strike(SimulatedFleet fleet) {
       all(fleet, factor);
       return 2 / (1 + factor);
     }
 
     @Override
-    public void over(VirtualFleet fleet) {
+    public void over(SimulatedFleet fleet) {
       all(fleet, 1);
     }
   }
 
   /** Three in ten boxes lose all that is in hand and come back cold at its end. */
   private record Die() implements Trouble {
-    private static List<VirtualBox> some(VirtualFleet fleet) {
+    private static List<SimulatedHost> some(SimulatedFleet fleet) {
       return fleet.boxes.subList(0, fleet.boxes.size() * 3 / 10);
     }
 
     @Override
-    public double strike(VirtualFleet fleet) {
-      some(fleet).forEach(VirtualBox::die);
+    public double strike(SimulatedFleet fleet) {
+      some(fleet).forEach(SimulatedHost::die);
       return 1 / (1 - (double) some(fleet).size() / fleet.boxes.size());
     }
 
     @Override
-    public void over(VirtualFleet fleet) {
-      some(fleet).forEach(each -> each.start(VirtualBox.Flaw.none(SHARES.length), false));
+    public void over(SimulatedFleet fleet) {
+      some(fleet).forEach(each -> each.start(SimulatedHost.Flaw.none(SHARES.length), false));
     }
   }
 
   /** Served in time so far, by class. */
-  private static double[] served(VirtualFleet fleet) {
+  private static double[] served(SimulatedFleet fleet) {
     return IntStream.range(0, SHARES.length)
         .mapToDouble(
             type ->
@@ -98,7 +98,7 @@
   }
 
   /** What could be served of so many requests a class: by worth, until the cores are full. */
-  private static double[] yardstick(VirtualFleet fleet, double asked, double needed) {
+  private static double[] yardstick(SimulatedFleet fleet, double asked, double needed) {
     double[] most = new double[SHARES.length];
     double left = asked / needed;
     for (int type :
@@ -114,10 +114,10 @@
 
   /** What fell under its floor; empty for nothing. */
   private static String play(Trouble trouble, double load, long seed, double refuses) {
-    VirtualFleet.Site site = new VirtualFleet.Site(14, 3, 12, load, 0.5, 0);
-    VirtualFleet fleet = new VirtualFleet(site, seed);
+    SimulatedFleet.Site site = new SimulatedFleet.Site(14, 3, 12, load, 0.5, 0);
+    SimulatedFleet fleet = new SimulatedFleet(site, seed);
     if (refuses > 0) {
-      VirtualBox.Flaw flaw = new VirtualBox.Flaw(0, new double[SHARES.length], refuses, 0, 0, 0);
+      SimulatedHost.Flaw flaw = new SimulatedHost.Flaw(0, new double[SHARES.length], refuses, 0, 0, 0);
       fleet.boxes.forEach(each -> each.start(flaw, true));
     }
     double[] worths =
