--- a/bench/drivers/src/main/java/Drivers.java
+++ b/bench/drivers/src/main/java/Drivers.java
@@ -41,8 +41,8 @@
 import org.jgroups.raft.RaftHandle;
 import org.jgroups.raft.StateMachine;
 import org.jgroups.stack.IpAddress;
-import wharftrestle.lab.Link;
-import wharftrestle.lab.Wire;
+import wharftrestle.testbed.FaultProxy;
+import wharftrestle.testbed.FaultRule;
 import wharftrestle.transport.Address;
 
 /**
@@ -147,11 +147,11 @@
             Path own = Files.createDirectories(folder.resolve(fault.replace(' ', '-')));
             List<Integer> ports = new ArrayList<>();
             List<Integer> seen = new ArrayList<>();
-            List<Link> links = new ArrayList<>();
+            List<FaultProxy> links = new ArrayList<>();
             List<Process> members = new ArrayList<>();
             for (int i = 0; i < MEMBERS; i++) {
                 ports.add(Address.freePort());
-                Link link = new Link(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(i)), i);
+                FaultProxy link = new FaultProxy(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(i)), i);
                 links.add(link);
                 seen.add(link.address().getPort());
             }
@@ -175,12 +175,12 @@
                     case "stopped" -> new ProcessBuilder("kill", "-STOP", Long.toString(members.get(leader).pid())).start()
                             .waitFor();
                     case "cut off" -> links.get(leader).cut();
-                    default -> links.get(leader).trouble(Wire.Trouble.HOLE, 0, 0, true, false);
+                    default -> links.get(leader).trouble(FaultRule.Trouble.HOLE, 0, 0, true, false);
                 }
                 System.out.println("  leader " + fault + ": " + agreed(pool, client, at));
             } finally {
                 members.forEach(Process::destroyForcibly);
-                for (Link link : links) {
+                for (FaultProxy link : links) {
                     link.close();
                 }
             }
--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -17,7 +17,7 @@
 import wharftrestle.rollout.controller.RolloutCommand;
 import wharftrestle.storage.ResultLogTool;
 import wharftrestle.storage.UnusableStorageException;
-import wharftrestle.lab.LabCommand;
+import wharftrestle.testbed.TestbedCommand;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.admin.AdminConsole;
 import wharftrestle.admission.GroupEdfScheduler;
@@ -60,7 +60,7 @@
           .addSubcommand(new Results())
           .addSubcommand(new SupervisorCommand())
           .addSubcommand(new RolloutCommand())
-          .addSubcommand(new LabCommand());
+          .addSubcommand(new TestbedCommand());
     }
     line.setParameterExceptionHandler((e, given) -> complain(e.getMessage()));
     line.setExecutionExceptionHandler(
--- a/src/main/java/wharftrestle/lab/Holder.java
+++ b/src/main/java/wharftrestle/testbed/CpuLimiter.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -18,17 +18,17 @@
  * one process for each would cost more than is measured, and lets all go when it is closed. It must
  * never leave a process stopped.
  */
-public final class Holder implements Closeable {
+public final class CpuLimiter implements Closeable {
   private static final double TURN =
       0.1; // seconds, as is usual; the kernel's figures come in hundredths
   private static final long LOOK_NANOS = 1_000_000;
 
-  private final Supplier<List<Daemon>> whom;
+  private final Supplier<List<DaemonProcess>> whom;
   private final Process shell;
   private final OutputStream signals;
   private final Thread thread = new Thread(this::hold, "holder");
   private final Map<Long, Double> seen = new HashMap<>();
-  private final Set<Daemon> stopped = new HashSet<>();
+  private final Set<DaemonProcess> stopped = new HashSet<>();
   private final double cores;
   private volatile boolean over;
   private volatile IOException fault;
@@ -38,7 +38,7 @@
    * @param whom the processes of the box, which may change
    * @param cores that they may use together
    */
-  public Holder(Supplier<List<Daemon>> whom, double cores) throws IOException {
+  public CpuLimiter(Supplier<List<DaemonProcess>> whom, double cores) throws IOException {
     this.whom = whom;
     this.cores = cores;
     shell =
@@ -59,7 +59,7 @@
   @SuppressWarnings("NonAtomicVolatileUpdate") // stops: its thread alone counts them
   private void hold() {
     long began = System.nanoTime();
-    Share share = new Share(cores, TURN, 0, used());
+    CpuQuota share = new CpuQuota(cores, TURN, 0, used());
     boolean run = true;
     try {
       while (!over) {
@@ -102,7 +102,7 @@
 
   private void signal(String name) throws IOException {
     StringBuilder text = new StringBuilder();
-    for (Daemon each : stopped) {
+    for (DaemonProcess each : stopped) {
       if (each.alive()) {
         text.append(name).append(' ').append(each.pid()).append('\n');
       }
@@ -113,7 +113,7 @@
 
   /** Seconds of all cores that these processes used, with what those that ended had used. */
   private double used() {
-    for (Daemon each : whom.get()) {
+    for (DaemonProcess each : whom.get()) {
       try {
         seen.put(each.pid(), each.cpuSeconds());
       } catch (IOException ended) {
--- a/src/main/java/wharftrestle/lab/Share.java
+++ b/src/main/java/wharftrestle/testbed/CpuQuota.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 /**
  * Decides when processes that may use a part of the cores run and when they stand still, as a
@@ -6,7 +6,7 @@
  * next, and what was used beyond it is owed to the next ones. Pure: time and the work done are
  * told, in seconds.
  */
-final class Share {
+final class CpuQuota {
   private final double turn;
   private final double quota;
   private double left;
@@ -19,7 +19,7 @@
    * @param now when they begin to be held to it
    * @param used what they had used by then
    */
-  Share(double cores, double turn, double now, double used) {
+  CpuQuota(double cores, double turn, double now, double used) {
     this.turn = turn;
     this.used = used;
     quota = cores * turn;
--- a/src/main/java/wharftrestle/lab/Daemon.java
+++ b/src/main/java/wharftrestle/testbed/DaemonProcess.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -19,7 +19,7 @@
  * One real process of the program, of any build: it can be started, asked at its door, stopped,
  * killed and measured. It owns the process and its log.
  */
-public final class Daemon {
+public final class DaemonProcess {
   private final Process process;
   private final Path log;
   private final int door;
@@ -31,7 +31,7 @@
    * @param environment on top of this one's
    * @param door the port of its operators' door, on loopback
    */
-  Daemon(List<String> command, Map<String, String> environment, Path log, int door)
+  DaemonProcess(List<String> command, Map<String, String> environment, Path log, int door)
       throws IOException {
     this.log = log;
     this.door = door;
--- a/src/main/java/wharftrestle/lab/WorkerPool.java
+++ b/src/main/java/wharftrestle/testbed/FakeWorkerPool.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -20,7 +20,7 @@
  * is told to, and knows of each body when it ran. What it counts is the truth that checkers hold
  * the daemons against; it must never ask one.
  */
-public final class WorkerPool implements Closeable {
+public final class FakeWorkerPool implements Closeable {
 
   /** What it hears of and tells, so that a fault can choose its moment. */
   public interface Moments {
@@ -32,7 +32,7 @@
   /** One run, guarded by the lock of all: how it ended, and the link that asked for it last. */
   private static final class Spawned {
     private final String body;
-    private PoolPeer.Link link;
+    private WorkerPoolPeer.Link link;
     private AtomicInteger notices;
     private byte[] end; // null while it runs
 
@@ -47,7 +47,7 @@
   /** Nanoseconds for which it has been up already when a play begins. */
   private static final long UP_NANOS = 60_000_000_000L;
 
-  private final PoolPeer peer;
+  private final WorkerPoolPeer peer;
   private final ScheduledExecutorService cores =
       Executors.newScheduledThreadPool(
           4,
@@ -68,7 +68,7 @@
       };
 
   /** Of each link, numbered anew for each start of a daemon, and on from what it has read. */
-  private final Map<PoolPeer.Link, AtomicInteger> links = new ConcurrentHashMap<>();
+  private final Map<WorkerPoolPeer.Link, AtomicInteger> links = new ConcurrentHashMap<>();
 
   private final Random random;
   private final int longestRun;
@@ -82,7 +82,7 @@
    * @param longestRun milliseconds
    * @param longestResult bytes that a run adds to its body's name
    */
-  WorkerPool(WorkerPool before, Random random, int longestRun, int longestResult)
+  FakeWorkerPool(FakeWorkerPool before, Random random, int longestRun, int longestResult)
       throws IOException {
     this.random = random;
     this.longestRun = longestRun;
@@ -92,10 +92,10 @@
       runs.putAll(before.runs);
     }
     peer =
-        new PoolPeer(
-                new PoolPeer.Script() {
+        new WorkerPoolPeer(
+                new WorkerPoolPeer.Script() {
                   @Override
-                  public boolean binds(PoolPeer.Link link, int read) throws IOException {
+                  public boolean binds(WorkerPoolPeer.Link link, int read) throws IOException {
                     awaitUp();
                     links.put(link, new AtomicInteger(read));
                     link.say("bound old " + (System.nanoTime() - startedAt) / 1_000_000 + "\r\n");
@@ -103,7 +103,7 @@
                   }
 
                   @Override
-                  public void command(PoolPeer.Link link, String[] words, String body)
+                  public void command(WorkerPoolPeer.Link link, String[] words, String body)
                       throws IOException {
                     if (words[0].equals("poll")) {
                       link.say("polled " + words[1] + " 0.2 1\r\n");
@@ -164,7 +164,7 @@
 
   // A run ends by its notice; nobody waits for it here.
   @SuppressWarnings("FutureReturnValueIgnored")
-  private void run(PoolPeer.Link link, String ref, String body) {
+  private void run(WorkerPoolPeer.Link link, String ref, String body) {
     Spawned asked;
     boolean again;
     synchronized (spawned) {
@@ -212,7 +212,7 @@
 
   /** Says how a run ended over the link that asked for it last; nothing while it runs. */
   private void tell(Spawned run) {
-    PoolPeer.Link link;
+    WorkerPoolPeer.Link link;
     AtomicInteger notices;
     byte[] end;
     synchronized (spawned) {
--- a/src/main/java/wharftrestle/lab/Link.java
+++ b/src/main/java/wharftrestle/testbed/FaultProxy.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -18,10 +18,10 @@
 
 /**
  * A path between two parties that can be made to fail: a proxy on loopback for TCP and for UDP at
- * one port each, whose {@link Wire}s decide what comes through. It owns the sockets. It must never
+ * one port each, whose {@link FaultRule}s decide what comes through. It owns the sockets. It must never
  * listen or send off loopback.
  */
-public final class Link implements Closeable {
+public final class FaultProxy implements Closeable {
   private static final InetAddress HOST = InetAddress.getLoopbackAddress();
 
   /** Tries for a port that is free for both kinds. */
@@ -34,8 +34,8 @@
   private final ServerSocket streams;
   private final DatagramSocket datagrams;
   private final DatagramSocket back;
-  private final Wire there;
-  private final Wire here;
+  private final FaultRule there;
+  private final FaultRule here;
   private final List<Pair> pairs = new CopyOnWriteArrayList<>();
   private final DelayQueue<Late> late = new DelayQueue<>();
   private volatile boolean refuses;
@@ -75,13 +75,13 @@
    * @param to on loopback
    * @param seed of all that is drawn
    */
-  public Link(InetSocketAddress to, long seed) throws IOException {
+  public FaultProxy(InetSocketAddress to, long seed) throws IOException {
     if (!to.getAddress().isLoopbackAddress()) {
       throw new IOException("a link leads to loopback alone, not to " + to);
     }
     this.to = to;
-    there = new Wire(seed);
-    here = new Wire(seed + 1);
+    there = new FaultRule(seed);
+    here = new FaultRule(seed + 1);
     Ports mine = ports(0);
     streams = mine.streams();
     datagrams = mine.datagrams();
@@ -145,7 +145,7 @@
 
   /** Something goes wrong on the way there, on the way back, or on both. */
   public void trouble(
-      Wire.Trouble what, double value, double more, boolean onTheWayThere, boolean onTheWayBack) {
+      FaultRule.Trouble what, double value, double more, boolean onTheWayThere, boolean onTheWayBack) {
     if (onTheWayThere) {
       synchronized (there) {
         there.trouble(what, value, more);
@@ -186,7 +186,7 @@
   public void heal() {
     cut = false;
     refuses = false;
-    for (Wire wire : List.of(there, here)) {
+    for (FaultRule wire : List.of(there, here)) {
       synchronized (wire) {
         wire.heal();
         wire.notifyAll();
@@ -225,7 +225,7 @@
     }
   }
 
-  private void pump(Pair pair, Socket from, Socket into, Wire wire) throws InterruptedException {
+  private void pump(Pair pair, Socket from, Socket into, FaultRule wire) throws InterruptedException {
     byte[] bytes = new byte[16 * 1024];
     try {
       for (int read = from.getInputStream().read(bytes);
@@ -241,7 +241,7 @@
     }
   }
 
-  private static void await(Wire wire, int bytes) throws InterruptedException {
+  private static void await(FaultRule wire, int bytes) throws InterruptedException {
     synchronized (wire) {
       double at = wire.passes(bytes, System.nanoTime() / 1e6);
       for (; ; ) {
@@ -259,7 +259,7 @@
 
   // ---- Datagrams: the last who sent one has the answers ----
 
-  private void pass(DatagramSocket from, DatagramSocket by, Wire wire) throws IOException {
+  private void pass(DatagramSocket from, DatagramSocket by, FaultRule wire) throws IOException {
     for (byte[] bytes = new byte[LARGEST]; ; ) {
       DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
       from.receive(packet);
--- a/src/main/java/wharftrestle/lab/Wire.java
+++ b/src/main/java/wharftrestle/testbed/FaultRule.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.util.Random;
 
@@ -7,7 +7,7 @@
  * sockets or clocks. It must never decide by anything but what it was told and its seed. Times are
  * in ms on the caller's clock.
  */
-public final class Wire {
+public final class FaultRule {
 
   /** One thing that is wrong, until it is healed. */
   public enum Trouble {
@@ -34,7 +34,7 @@
   private double freeAt; // the rate lets the next bytes through
   private double lastOut; // a stream keeps its order
 
-  public Wire(long seed) {
+  public FaultRule(long seed) {
     random = new Random(seed);
   }
 
--- a/src/main/java/wharftrestle/lab/FaultScript.java
+++ b/src/main/java/wharftrestle/testbed/FaultScript.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/wharftrestle/lab/FleetFloor.java
+++ b/src/main/java/wharftrestle/testbed/FleetTestbed.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -37,7 +37,7 @@
  * link that can fail between its keeper and whoever drives. It owns all of their processes and ends
  * them; what the boxes are is asked of their keepers.
  */
-public final class FleetFloor implements Closeable {
+public final class FleetTestbed implements Closeable {
   private static final InetAddress HOST = InetAddress.getLoopbackAddress();
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int PATIENCE_MS = 900;
@@ -62,15 +62,15 @@
   public static final class Box {
     private final String name;
     private final String zone;
-    private final Floor floor;
+    private final HostTestbed floor;
     private final Path state;
     private final int port;
-    private final Link link;
-    private Callers callers;
+    private final FaultProxy link;
+    private TestClients callers;
     private Process keeper;
     private volatile long troubleAt = Long.MIN_VALUE / 2;
 
-    Box(String name, String zone, Floor floor, Path state, int port, Link link) {
+    Box(String name, String zone, HostTestbed floor, Path state, int port, FaultProxy link) {
       this.name = name;
       this.zone = zone;
       this.floor = floor;
@@ -88,7 +88,7 @@
     }
 
     /** Between the keeper and whoever drives. */
-    public Link link() {
+    public FaultProxy link() {
       return link;
     }
 
@@ -101,7 +101,7 @@
       return System.nanoTime() - troubleAt < TimeUnit.MILLISECONDS.toNanos(EXCUSE_MS);
     }
 
-    public Callers callers() {
+    public TestClients callers() {
       return callers;
     }
 
@@ -147,16 +147,16 @@
   private final Map<String, Box> boxes = new LinkedHashMap<>();
   private final List<Process> drivers = new ArrayList<>();
   private final long seed;
-  private final OffClock hourOff;
+  private final SkewedClock hourOff;
 
   /**
    * @param zones boxes lie in so many, in turn
    */
-  public FleetFloor(Path folder, int boxes, int zones, long seed) throws IOException {
+  public FleetTestbed(Path folder, int boxes, int zones, long seed) throws IOException {
     this.folder = folder;
     this.seed = seed;
     releases = folder.resolve("releases");
-    hourOff = new OffClock(folder.resolve("hour-off"));
+    hourOff = new SkewedClock(folder.resolve("hour-off"));
     hourOff.set(3_600_000);
     for (int i = 1; i <= boxes; i++) {
       Path own = Files.createDirectory(folder.resolve("b" + i));
@@ -166,10 +166,10 @@
           new Box(
               "b" + i,
               "z" + (i - 1) % zones,
-              new Floor(own, "", seed + i, Floor.Play.of(192)),
+              new HostTestbed(own, "", seed + i, HostTestbed.Play.of(192)),
               Files.createDirectory(own.resolve("k")),
               port,
-              new Link(new InetSocketAddress(HOST, port), seed + i)));
+              new FaultProxy(new InetSocketAddress(HOST, port), seed + i)));
     }
   }
 
@@ -294,9 +294,9 @@
   public void call(int each, long keyMs) {
     for (Box box : boxes.values()) {
       box.callers =
-          new Callers(
+          new TestClients(
               box.floor,
-              Callers.Habit.of(each, keyMs),
+              TestClients.Habit.of(each, keyMs),
               seed * 31 + box.name.hashCode(),
               box::excused);
       box.callers.start();
@@ -389,7 +389,7 @@
   public Map<String, Integer> broken() {
     Map<String, Integer> all = new HashMap<>();
     for (Box box : boxes.values()) {
-      Callers.Tally tally = box.callers.tally();
+      TestClients.Tally tally = box.callers.tally();
       all.merge("run twice", tally.runTwice(), Integer::sum);
       all.merge("refused after a run", tally.refusedAfterRun(), Integer::sum);
       all.merge("other bytes", tally.otherBytes(), Integer::sum);
--- a/src/main/java/wharftrestle/lab/Floor.java
+++ b/src/main/java/wharftrestle/testbed/HostTestbed.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -26,7 +26,7 @@
  * they talk to, which outlive them. It owns the addresses, the configurations and the processes.
  * What its worker pool counts is the proof; it must never ask a daemon.
  */
-public final class Floor implements Closeable {
+public final class HostTestbed implements Closeable {
   private static final InetAddress HOST = InetAddress.getLoopbackAddress();
 
   /** Milliseconds of a run at most. */
@@ -98,7 +98,7 @@
    */
   public record Version(Path jar, String main, Settings settings, String script) {}
 
-  private volatile WorkerPool pool;
+  private volatile FakeWorkerPool pool;
   private String shell = "";
   private int sockets = 512;
   private final ServerSocket idle = new ServerSocket(0, 50, HOST); // the script store: nobody calls
@@ -109,36 +109,36 @@
   private final int listen;
   private final Version version;
   private final Play play;
-  private final List<Daemon> all = new ArrayList<>();
-  private final Map<String, Link> links = new HashMap<>();
-  private final OffClock clock;
+  private final List<DaemonProcess> all = new ArrayList<>();
+  private final Map<String, FaultProxy> links = new HashMap<>();
+  private final SkewedClock clock;
   private int started;
   private int soleDoor;
-  private Daemon daemon;
+  private DaemonProcess daemon;
 
   /**
    * @param script the operators' settings; empty for none
    */
-  public Floor(Path folder, String script, long seed, Play play) throws IOException {
+  public HostTestbed(Path folder, String script, long seed, Play play) throws IOException {
     this(folder, script, seed, play, false);
   }
 
   /**
    * @param linked whether a link that can fail lies on each path
    */
-  public Floor(Path folder, String script, long seed, Play play, boolean linked)
+  public HostTestbed(Path folder, String script, long seed, Play play, boolean linked)
       throws IOException {
     this.folder = folder;
     this.play = play;
     random = new Random(seed);
-    clock = new OffClock(folder.resolve("clock"));
+    clock = new SkewedClock(folder.resolve("clock"));
     listen = Address.freePort();
-    pool = new WorkerPool(null, random, LONGEST_RUN, play.longestResult());
+    pool = new FakeWorkerPool(null, random, LONGEST_RUN, play.longestResult());
     if (linked) {
-      links.put("front", new Link(new InetSocketAddress(HOST, listen), seed));
-      links.put("pool", new Link(pool.address(), seed + 100));
-      links.put("store", new Link((InetSocketAddress) idle.getLocalSocketAddress(), seed + 200));
-      links.put("names", new Link((InetSocketAddress) naming.getLocalSocketAddress(), seed + 300));
+      links.put("front", new FaultProxy(new InetSocketAddress(HOST, listen), seed));
+      links.put("pool", new FaultProxy(pool.address(), seed + 100));
+      links.put("store", new FaultProxy((InetSocketAddress) idle.getLocalSocketAddress(), seed + 200));
+      links.put("names", new FaultProxy((InetSocketAddress) naming.getLocalSocketAddress(), seed + 300));
     }
     version = new Version(null, play.main(), settings(), script);
     soleDoor = Address.freePort();
@@ -169,18 +169,18 @@
 
   /** The worker pool goes to another address, which the daemon's configuration says from now on. */
   public void movePool() throws IOException {
-    WorkerPool old = pool;
-    pool = new WorkerPool(old, random, LONGEST_RUN, play.longestResult());
+    FakeWorkerPool old = pool;
+    pool = new FakeWorkerPool(old, random, LONGEST_RUN, play.longestResult());
     Files.writeString(folder.resolve("config.json"), config(version.settings(), soleDoor));
     old.close();
   }
 
   /** The stand-in worker pool. */
-  public WorkerPool pool() {
+  public FakeWorkerPool pool() {
     return pool;
   }
 
-  public void watch(WorkerPool.Moments told) {
+  public void watch(FakeWorkerPool.Moments told) {
     pool.watch(told);
   }
 
@@ -189,12 +189,12 @@
   }
 
   /** The link on a path: "front", "pool", "store" or "names"; null where there is none. */
-  public Link link(String path) {
+  public FaultProxy link(String path) {
     return links.get(path);
   }
 
   /** The time of day of this floor's machine. */
-  OffClock clock() {
+  SkewedClock clock() {
     return clock;
   }
 
@@ -212,7 +212,7 @@
   }
 
   private int through(String path, int port) {
-    Link link = links.get(path);
+    FaultProxy link = links.get(path);
     return link == null ? port : link.address().getPort();
   }
 
@@ -261,19 +261,19 @@
   }
 
   /** Starts the floor's one daemon; whether it serves is another question. */
-  public Daemon launch() throws IOException {
+  public DaemonProcess launch() throws IOException {
     // Packaged is as it is deployed: so memory is measured.
     List<String> command =
         new ArrayList<>(
             Boolean.getBoolean("packaged") && version.main().equals("wharftrestle.Main")
                 ? List.of("sh", "deploy/run.sh")
-                : Daemon.command(null, version.main(), play.memoryMb()));
+                : DaemonProcess.command(null, version.main(), play.memoryMb()));
     if (!shell.isEmpty()) {
       command.addAll(0, List.of("/bin/sh", "-c", shell + "exec \"$@\"", "sh"));
     }
     command.addAll(appliance(version.script(), "appliance.star"));
     daemon =
-        new Daemon(command, environment("config.json"), folder.resolve("daemon.log"), soleDoor);
+        new DaemonProcess(command, environment("config.json"), folder.resolve("daemon.log"), soleDoor);
     all.add(daemon);
     return daemon;
   }
@@ -298,19 +298,19 @@
    * Starts one more process of the same box; it takes over from the one that serves, and is not
    * waited for.
    */
-  public Daemon begin(Version next) throws IOException {
+  public DaemonProcess begin(Version next) throws IOException {
     int number = ++started;
     int door = Address.freePort();
     String config = "config-" + number + ".json";
     Files.writeString(folder.resolve(config), config(next.settings(), door));
     List<String> command =
-        new ArrayList<>(Daemon.command(next.jar(), next.main(), next.settings().memoryMb()));
+        new ArrayList<>(DaemonProcess.command(next.jar(), next.main(), next.settings().memoryMb()));
     command.add(1, clock.option());
     command.addAll(appliance(next.script(), "appliance-" + number + ".star"));
     Map<String, String> environment = environment(config);
     environment.put("TMPDIR", folder.toString());
-    Daemon begun =
-        new Daemon(command, environment, folder.resolve("daemon-" + number + ".log"), door);
+    DaemonProcess begun =
+        new DaemonProcess(command, environment, folder.resolve("daemon-" + number + ".log"), door);
     all.add(begun);
     return begun;
   }
@@ -330,7 +330,7 @@
   }
 
   /** The one that {@link #start} started last. */
-  public Daemon daemon() {
+  public DaemonProcess daemon() {
     return daemon;
   }
 
@@ -364,7 +364,7 @@
 
   @Override
   public void close() throws IOException {
-    for (Daemon each : all) {
+    for (DaemonProcess each : all) {
       try {
         if (each.alive()) {
           each.stopped(false);
@@ -374,7 +374,7 @@
         Thread.currentThread().interrupt();
       }
     }
-    for (Link link : links.values()) {
+    for (FaultProxy link : links.values()) {
       link.close();
     }
     pool.close();
--- a/src/main/java/wharftrestle/lab/RespPeer.java
+++ b/src/main/java/wharftrestle/testbed/RespPeer.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.BufferedInputStream;
 import java.io.Closeable;
--- a/src/main/java/wharftrestle/lab/Scenario.java
+++ b/src/main/java/wharftrestle/testbed/Scenario.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -14,12 +14,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Stream;
-import wharftrestle.lab.FaultScript.Fault;
-import wharftrestle.lab.FaultScript.Step;
+import wharftrestle.testbed.FaultScript.Fault;
+import wharftrestle.testbed.FaultScript.Step;
 
 /**
  * Plays a script of failures with real processes: each box a daemon with its stand-ins, each path a
- * {@link Link}, callers that ask and check. It owns the time of the play. It must never start
+ * {@link FaultProxy}, callers that ask and check. It owns the time of the play. It must never start
  * anything before the whole script was read.
  */
 public final class Scenario {
@@ -35,21 +35,21 @@
 
   private static final class Box {
     private final String name;
-    private final Floor floor;
-    private volatile Daemon serves;
-    private volatile Daemon comes;
-    private volatile Daemon ends;
-    private Holder holder;
-    private Callers callers;
+    private final HostTestbed floor;
+    private volatile DaemonProcess serves;
+    private volatile DaemonProcess comes;
+    private volatile DaemonProcess ends;
+    private CpuLimiter holder;
+    private TestClients callers;
     private volatile long troubleAt = Long.MIN_VALUE / 2;
     private volatile boolean troubled;
 
-    Box(String name, Floor floor) {
+    Box(String name, HostTestbed floor) {
       this.name = name;
       this.floor = floor;
     }
 
-    synchronized List<Daemon> processes() {
+    synchronized List<DaemonProcess> processes() {
       return Stream.of(serves, comes, ends).filter(Objects::nonNull).toList();
     }
 
@@ -92,7 +92,7 @@
         Path own = Files.createDirectory(folder.resolve("b" + i));
         boxes.add(
             new Box(
-                "b" + i, new Floor(own, "", script.play().seed() + i, Floor.Play.of(192), true)));
+                "b" + i, new HostTestbed(own, "", script.play().seed() + i, HostTestbed.Play.of(192), true)));
       }
       for (Box box : boxes) {
         box.serves = begin(box);
@@ -102,9 +102,9 @@
           throw new IOException(box.name + " did not start:\n" + box.serves.log());
         }
         box.callers =
-            new Callers(
+            new TestClients(
                 box.floor,
-                Callers.Habit.of(script.play().callers(), KEY_MS),
+                TestClients.Habit.of(script.play().callers(), KEY_MS),
                 script.play().seed() + box.name.hashCode(),
                 box::excused);
         box.callers.start();
@@ -115,16 +115,16 @@
         box.free();
         box.floor.close();
       }
-      Floor.delete(folder);
+      HostTestbed.delete(folder);
     }
   }
 
-  private Daemon begin(Box box) throws IOException {
+  private DaemonProcess begin(Box box) throws IOException {
     String kept =
         script.play().kept()
             ? "durable(dir = \"" + box.floor.folder().resolve("results") + "\", max_mb = 16)\n"
             : "";
-    return box.floor.begin(new Floor.Version(jar, "wharftrestle.Main", box.floor.settings(), kept));
+    return box.floor.begin(new HostTestbed.Version(jar, "wharftrestle.Main", box.floor.settings(), kept));
   }
 
   private boolean run(List<Box> boxes) throws IOException, InterruptedException {
@@ -147,7 +147,7 @@
     boolean holds = true;
     for (Box box : boxes) {
       box.callers.stop();
-      Callers.Tally tally = box.callers.tally();
+      TestClients.Tally tally = box.callers.tally();
       holds &= tally.holds();
       Map<String, Object> line = new LinkedHashMap<>();
       line.put("box", box.name);
@@ -180,7 +180,7 @@
   }
 
   private void carryOut(Box box, Fault fault) throws IOException, InterruptedException {
-    Link link = fault.path().isEmpty() ? null : box.floor.link(fault.path());
+    FaultProxy link = fault.path().isEmpty() ? null : box.floor.link(fault.path());
     boolean there = !fault.way().equals("back");
     boolean back = !fault.way().equals("there");
     if (fault.kind() != FaultScript.Kind.HOLD && fault.kind() != FaultScript.Kind.CLOCK) {
@@ -203,7 +203,7 @@
       case HOLE, DELAY, RATE, DROP, DOUBLE, REORDER -> {
         box.troubled |= fault.path().equals("front");
         link.trouble(
-            Wire.Trouble.valueOf(fault.kind().name()), fault.value(), fault.more(), there, back);
+            FaultRule.Trouble.valueOf(fault.kind().name()), fault.value(), fault.more(), there, back);
       }
       case STOP, GO -> {
         box.troubled = fault.kind() == FaultScript.Kind.STOP;
@@ -241,7 +241,7 @@
       case CHANGE -> box.comes = begin(box);
       case HOLD -> {
         box.free();
-        box.holder = new Holder(box::processes, fault.value());
+        box.holder = new CpuLimiter(box::processes, fault.value());
       }
       case FREE -> box.free();
       case CLOCK -> box.floor.clockOff(Math.round(fault.value()));
--- a/src/main/java/wharftrestle/lab/OffClock.java
+++ b/src/main/java/wharftrestle/testbed/SkewedClock.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -13,12 +13,12 @@
  * processes of that machine map; what stands in their requests' stamps is of this clock too. It
  * must never touch the steady clock, as no machine does.
  */
-final class OffClock implements Closeable {
+final class SkewedClock implements Closeable {
   private final Path file;
   private final FileChannel channel;
   private final LongBuffer by;
 
-  OffClock(Path file) throws IOException {
+  SkewedClock(Path file) throws IOException {
     this.file = file;
     channel =
         FileChannel.open(
--- a/src/main/java/wharftrestle/lab/Desk.java
+++ b/src/main/java/wharftrestle/testbed/TestClient.java
@@ -1,11 +1,11 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.function.LongSupplier;
 
 /** A stand-in front end's connection: one request at a time, with the whole answer as bytes. */
-public final class Desk extends RespPeer {
+public final class TestClient extends RespPeer {
   private static final int PATIENCE_MS = 8000;
   private static final double KB = 1;
 
@@ -14,14 +14,14 @@
   private boolean closing;
 
   /** Stamps by this machine's clock. */
-  public Desk(InetSocketAddress to) throws IOException {
+  public TestClient(InetSocketAddress to) throws IOException {
     this(to, System::currentTimeMillis);
   }
 
   /**
    * @param clock of the machine whose door is asked, Unix ms
    */
-  Desk(InetSocketAddress to, LongSupplier clock) throws IOException {
+  TestClient(InetSocketAddress to, LongSupplier clock) throws IOException {
     super(to, PATIENCE_MS);
     this.clock = clock;
   }
--- a/src/main/java/wharftrestle/lab/Callers.java
+++ b/src/main/java/wharftrestle/testbed/TestClients.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -23,7 +23,7 @@
  * told: lost, given other bytes, run twice, refused after a run, overdue. The worker pool knows
  * what ran; what they count is held against that, and never against what a daemon says of itself.
  */
-public final class Callers {
+public final class TestClients {
   /**
    * How callers ask.
    *
@@ -156,7 +156,7 @@
   }
 
   private final InetSocketAddress to;
-  private final WorkerPool pool;
+  private final FakeWorkerPool pool;
   private final BooleanSupplier excused;
   private final LongSupplier clock;
   private final Habit habit;
@@ -188,17 +188,17 @@
    * @param excused true while a connection may end without its answer, or one come late, as
    *     something was killed, cut or stopped
    */
-  public Callers(Floor floor, Habit habit, long seed, BooleanSupplier excused) {
-    this(floor.address(), floor.pool(), floor.clock()::millis, habit, Floor.DUE_MS, seed, excused);
+  public TestClients(HostTestbed floor, Habit habit, long seed, BooleanSupplier excused) {
+    this(floor.address(), floor.pool(), floor.clock()::millis, habit, HostTestbed.DUE_MS, seed, excused);
   }
 
   /**
    * The same for any address, worker pool and clock of a machine, Unix ms, where an answer is due
    * in so many ms.
    */
-  Callers(
+  TestClients(
       InetSocketAddress to,
-      WorkerPool pool,
+      FakeWorkerPool pool,
       LongSupplier clock,
       Habit habit,
       long dueMs,
@@ -348,7 +348,7 @@
 
   private void sit(Random random) {
     List<Key> keys = new ArrayList<>();
-    Desk desk = null;
+    TestClient desk = null;
     Key lostKey = null; // asked and not answered: the first thing to ask again
     long due = System.nanoTime() + (long) (random.nextDouble() * habit.everyMs() * 1e6);
     while (!over) {
@@ -372,7 +372,7 @@
           desk.close();
           desk = null;
         }
-        desk = desk != null ? desk : new Desk(to, clock);
+        desk = desk != null ? desk : new TestClient(to, clock);
         long asked = System.nanoTime();
         long stood = paused.get();
         firstAsked.putIfAbsent(key.body, asked);
@@ -389,7 +389,7 @@
         if (habit.everyMs() <= 0) {
           LockSupport.parkNanos(random.nextInt(habit.thinkMs()) * 1_000_000L);
         }
-      } catch (Desk.DoubledException twice) {
+      } catch (TestClient.DoubledException twice) {
         doubled.incrementAndGet();
         desk = null;
       } catch (IOException ended) {
--- a/src/main/java/wharftrestle/lab/LabCommand.java
+++ b/src/main/java/wharftrestle/testbed/TestbedCommand.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -16,8 +16,8 @@
 @Command(
     name = "lab",
     description = "real processes on loopback, with faults put between them",
-    subcommands = {LabCommand.Faults.class, LabCommand.Proxy.class})
-public final class LabCommand implements Runnable {
+    subcommands = {TestbedCommand.Faults.class, TestbedCommand.Proxy.class})
+public final class TestbedCommand implements Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -103,18 +103,18 @@
       if (hole != null && !hole.matches("both|there|back")) {
         throw new DaemonConfig.BadConfigException("--hole is both, there or back, not '" + hole + "'");
       }
-      Link link = new Link(address, seed);
+      FaultProxy link = new FaultProxy(address, seed);
       if (delay > 0 || jitter > 0) {
-        link.trouble(Wire.Trouble.DELAY, delay, jitter, true, true);
+        link.trouble(FaultRule.Trouble.DELAY, delay, jitter, true, true);
       }
       if (rate != null) {
-        link.trouble(Wire.Trouble.RATE, rate, 0, true, true);
+        link.trouble(FaultRule.Trouble.RATE, rate, 0, true, true);
       }
       if (drop > 0) {
-        link.trouble(Wire.Trouble.DROP, drop, 0, true, true);
+        link.trouble(FaultRule.Trouble.DROP, drop, 0, true, true);
       }
       if (hole != null) {
-        link.trouble(Wire.Trouble.HOLE, 0, 0, !hole.equals("back"), !hole.equals("there"));
+        link.trouble(FaultRule.Trouble.HOLE, 0, 0, !hole.equals("back"), !hole.equals("there"));
       }
       System.out.println(
           "127.0.0.1:" + link.address().getPort() + " leads to " + to + ", seed " + seed);
--- a/src/main/java/wharftrestle/lab/PoolPeer.java
+++ b/src/main/java/wharftrestle/testbed/WorkerPoolPeer.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import java.io.BufferedInputStream;
 import java.io.Closeable;
@@ -17,7 +17,7 @@
  * The worker pool's side of its links, as the protocol has them: it owns the address, the links and
  * how commands are read. What is done and said is its script's.
  */
-public final class PoolPeer implements Closeable {
+public final class WorkerPoolPeer implements Closeable {
 
   /** Milliseconds in which a new link says its first word. */
   private static final int BIND_MS = 10_000;
@@ -68,12 +68,12 @@
   private final Script script;
   private volatile boolean retired;
 
-  public PoolPeer(Script script) throws IOException {
+  public WorkerPoolPeer(Script script) throws IOException {
     this.script = script;
   }
 
   /** Takes daemons from now on. */
-  public PoolPeer start() {
+  public WorkerPoolPeer start() {
     thread("stand-in pool", this::accept);
     return this;
   }
--- a/src/main/java/wharftrestle/lab/package-info.java
+++ b/src/main/java/wharftrestle/testbed/package-info.java
@@ -4,4 +4,4 @@
  * serving path may depend on it; it listens on loopback alone. Read {@link wharftrestle.lab.Floor}
  * first, then {@link wharftrestle.lab.Daemon}, then {@link wharftrestle.lab.Link}.
  */
-package wharftrestle.lab;
+package wharftrestle.testbed;
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -98,7 +98,7 @@
       noClasses()
           .that()
           .resideOutsideOfPackages(
-              "wharftrestle.lab..",
+              "wharftrestle.testbed..", "wharftrestle.simulation..",
               "wharftrestle.supervisor..",
               "wharftrestle.rollout..")
           .and()
@@ -106,7 +106,7 @@
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
-              "wharftrestle.lab..",
+              "wharftrestle.testbed..", "wharftrestle.simulation..",
               "wharftrestle.supervisor..",
               "wharftrestle.rollout..");
 
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -17,7 +17,7 @@
 import sun.misc.Signal;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.lab.RespPeer.Reply;
+import wharftrestle.testbed.RespPeer.Reply;
 import wharftrestle.transport.BoundedReader;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.Counters.Count;
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -26,7 +26,7 @@
 import wharftrestle.request.RequestCoordinator;
 import wharftrestle.request.PlatformThreads;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.lab.RespPeer.Reply;
+import wharftrestle.testbed.RespPeer.Reply;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
 import wharftrestle.admission.Admission;
--- a/src/test/java/wharftrestle/FullTableTest.java
+++ b/src/test/java/wharftrestle/FullTableTest.java
@@ -12,7 +12,7 @@
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.lab.RespPeer.Reply;
+import wharftrestle.testbed.RespPeer.Reply;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.Counters.Count;
 
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -30,8 +30,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.lab.PoolPeer;
-import wharftrestle.lab.RespPeer;
+import wharftrestle.testbed.WorkerPoolPeer;
+import wharftrestle.testbed.RespPeer;
 import wharftrestle.transport.BoundedReader;
 import wharftrestle.config.DaemonConfig;
 
@@ -65,7 +65,7 @@
 
   private final long[] coreFree = {System.nanoTime(), System.nanoTime()};
   private final List<long[]> work = new ArrayList<>();
-  PoolPeer pool = new PoolPeer(new Workers()).start();
+  WorkerPoolPeer pool = new WorkerPoolPeer(new Workers()).start();
 
   /** Where set, what the worker pool and the store say comes a byte at a time. */
   volatile boolean drips;
@@ -76,9 +76,9 @@
   volatile boolean mute;
 
   /** Worker pools of stories that are over, with their ports, so that these are nobody else's. */
-  private static final List<PoolPeer> KEPT = new CopyOnWriteArrayList<>();
+  private static final List<WorkerPoolPeer> KEPT = new CopyOnWriteArrayList<>();
 
-  private volatile PoolPeer.Link link;
+  private volatile WorkerPoolPeer.Link link;
   private volatile long poolUpAt = System.nanoTime();
   private volatile boolean anew;
 
@@ -179,7 +179,7 @@
     pool.close();
     store.close();
     naming.close();
-    pool = new PoolPeer(new Workers()).start();
+    pool = new WorkerPoolPeer(new Workers()).start();
     store = new ServerSocket(0, 50, HOST);
     naming = new DatagramSocket(0, HOST);
     servePeers();
@@ -241,9 +241,9 @@
    * What the worker pool does: it takes a core for a while, or the story says what comes of each
    * command.
    */
-  private final class Workers implements PoolPeer.Script {
+  private final class Workers implements WorkerPoolPeer.Script {
     @Override
-    public boolean binds(PoolPeer.Link bound, int read) throws IOException {
+    public boolean binds(WorkerPoolPeer.Link bound, int read) throws IOException {
       synchronized (notices) {
         if (read > notices.size() && !anew) {
           // Of a daemon of an earlier story, whose worker pool had this port: it looks for it for
@@ -265,7 +265,7 @@
     }
 
     @Override
-    public void command(PoolPeer.Link from, String[] w, String body) throws IOException {
+    public void command(WorkerPoolPeer.Link from, String[] w, String body) throws IOException {
       if (mute && from == link) {
         return;
       }
--- a/src/test/java/wharftrestle/OtherSitesTest.java
+++ b/src/test/java/wharftrestle/OtherSitesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.lab.RespPeer.Reply;
+import wharftrestle.testbed.RespPeer.Reply;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.Counters.Count;
 
--- a/src/test/java/wharftrestle/ResultsTest.java
+++ b/src/test/java/wharftrestle/ResultsTest.java
@@ -23,7 +23,7 @@
 import wharftrestle.request.ResultStore;
 import wharftrestle.storage.WriteAheadLog;
 import wharftrestle.storage.UnusableStorageException;
-import wharftrestle.lab.RespPeer.Reply;
+import wharftrestle.testbed.RespPeer.Reply;
 import wharftrestle.config.DaemonConfig;
 
 /**
--- a/src/test/java/wharftrestle/UpgradeTest.java
+++ b/src/test/java/wharftrestle/UpgradeTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.lab.RespPeer.Reply;
+import wharftrestle.testbed.RespPeer.Reply;
 import wharftrestle.config.DaemonConfig;
 
 /** Stories of two processes that serve one box while the new one takes over. */
--- a/src/test/java/wharftrestle/UwsgiTest.java
+++ b/src/test/java/wharftrestle/UwsgiTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.lab.RespPeer;
+import wharftrestle.testbed.RespPeer;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.Counters.Count;
 
--- a/src/test/java/wharftrestle/prove/BenchBuilds.java
+++ b/src/test/java/wharftrestle/prove/BenchBuilds.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import wharftrestle.lab.Callers;
-import wharftrestle.lab.Daemon;
-import wharftrestle.lab.Floor;
+import wharftrestle.testbed.TestClients;
+import wharftrestle.testbed.DaemonProcess;
+import wharftrestle.testbed.HostTestbed;
 
 /**
  * CPU of two builds side by side in one run: of a start, and of an answer under steady callers, in
@@ -51,14 +51,14 @@
 
   private static double[] play(Path jar, long seed) throws Exception {
     Path folder = Files.createTempDirectory("bench-builds");
-    try (Floor floor = new Floor(folder, "", seed, Floor.Play.of(192))) {
-      Daemon daemon =
-          floor.begin(new Floor.Version(jar, "wharftrestle.Main", floor.settings(), ""));
+    try (HostTestbed floor = new HostTestbed(folder, "", seed, HostTestbed.Play.of(192))) {
+      DaemonProcess daemon =
+          floor.begin(new HostTestbed.Version(jar, "wharftrestle.Main", floor.settings(), ""));
       if (!daemon.awaitReady(READY_MS)) {
         throw new IllegalStateException("it did not start:\n" + daemon.log());
       }
       double start = daemon.cpuSeconds();
-      Callers callers = new Callers(floor, Callers.Habit.of(CALLERS, 9000), seed, () -> false);
+      TestClients callers = new TestClients(floor, TestClients.Habit.of(CALLERS, 9000), seed, () -> false);
       callers.start();
       LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(2));
       double before = daemon.cpuSeconds();
@@ -72,7 +72,7 @@
       }
       return new double[] {start, took * 1e6 / answers};
     } finally {
-      Floor.delete(folder);
+      HostTestbed.delete(folder);
     }
   }
 }
--- a/src/test/java/wharftrestle/prove/BenchChange.java
+++ b/src/test/java/wharftrestle/prove/BenchChange.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Stream;
-import wharftrestle.lab.Callers;
-import wharftrestle.lab.Daemon;
-import wharftrestle.lab.Floor;
-import wharftrestle.lab.Holder;
+import wharftrestle.testbed.TestClients;
+import wharftrestle.testbed.DaemonProcess;
+import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.CpuLimiter;
 
 /**
  * What a change and the way back cost: answers by the second with none, with a change, and with the
@@ -38,12 +38,12 @@
   private static final int CROWD = 64;
   private static final double OVER = 1.1;
 
-  private final Floor floor;
-  private volatile Daemon serves;
-  private volatile Daemon comes;
-  private Holder holder; // null where it is held to nothing
+  private final HostTestbed floor;
+  private volatile DaemonProcess serves;
+  private volatile DaemonProcess comes;
+  private CpuLimiter holder; // null where it is held to nothing
 
-  private BenchChange(Floor floor) {
+  private BenchChange(HostTestbed floor) {
     this.floor = floor;
   }
 
@@ -53,25 +53,25 @@
         args.length > 1 ? new boolean[] {args[1].equals("over")} : new boolean[] {false, true};
     for (boolean over : plays) {
       Path folder = Files.createTempDirectory("bench-change");
-      try (Floor floor = new Floor(folder, "", seed, Floor.Play.of(192))) {
+      try (HostTestbed floor = new HostTestbed(folder, "", seed, HostTestbed.Play.of(192))) {
         new BenchChange(floor).play(over, seed);
       } finally {
-        Floor.delete(folder);
+        HostTestbed.delete(folder);
       }
     }
   }
 
-  private List<Daemon> processes() {
+  private List<DaemonProcess> processes() {
     return Stream.of(serves, comes).filter(Objects::nonNull).toList();
   }
 
   private void play(boolean over, long seed) throws Exception {
-    Floor.Version one = new Floor.Version(null, "wharftrestle.Main", floor.settings(), "");
-    Floor.Version two =
-        new Floor.Version(
+    HostTestbed.Version one = new HostTestbed.Version(null, "wharftrestle.Main", floor.settings(), "");
+    HostTestbed.Version two =
+        new HostTestbed.Version(
             null,
             "wharftrestle.Main",
-            new Floor.Settings(
+            new HostTestbed.Settings(
                 floor.settings().memoryMb(), floor.settings().window() + 10, false, false),
             "");
     serves = floor.begin(one);
@@ -80,14 +80,14 @@
     }
     hold(over, SHARE);
     try {
-      Callers.Habit habit = Callers.Habit.of(CALLERS, 9000);
+      TestClients.Habit habit = TestClients.Habit.of(CALLERS, 9000);
       if (over) {
-        Callers all = new Callers(floor, new Callers.Habit(CROWD, 9000, 0.4, 1), seed, () -> false);
+        TestClients all = new TestClients(floor, new TestClients.Habit(CROWD, 9000, 0.4, 1), seed, () -> false);
         all.start();
         seconds(all, 4);
         double most = seconds(all, 4).stream().mapToInt(each -> each[0]).average().orElse(0);
         all.stop();
-        habit = Callers.Habit.paced(CROWD, 9000, OVER * most);
+        habit = TestClients.Habit.paced(CROWD, 9000, OVER * most);
         System.out.printf(
             Locale.ROOT,
             "bench-change: held to %.2f cores it answers %.0f a second, asked for %.0f%n",
@@ -95,7 +95,7 @@
             most,
             OVER * most);
       }
-      Callers callers = new Callers(floor, habit, seed + 1, () -> false);
+      TestClients callers = new TestClients(floor, habit, seed + 1, () -> false);
       callers.start();
       seconds(callers, 4); // its code is compiled by then
       System.out.printf(
@@ -118,10 +118,10 @@
     if (holder != null) {
       holder.close();
     }
-    holder = held ? new Holder(this::processes, cores) : null;
+    holder = held ? new CpuLimiter(this::processes, cores) : null;
   }
 
-  private void change(Callers callers, Floor.Version to, String name) throws Exception {
+  private void change(TestClients callers, HostTestbed.Version to, String name) throws Exception {
     long began = System.nanoTime();
     boolean held = holder != null;
     comes = floor.begin(to);
@@ -129,7 +129,7 @@
     List<int[]> answers = new ArrayList<>();
     long ready = -1;
     String memory = "";
-    Daemon old = serves;
+    DaemonProcess old = serves;
     int more = MORE_SECONDS;
     for (int i = 0; i < MOST_SECONDS && more > 0; i++) {
       more -= ready < 0 ? 0 : 1;
@@ -158,11 +158,11 @@
         name + shown(answers) + ", ready after " + ready + " ms, own memory of both " + memory);
   }
 
-  private static int[] counts(Callers callers) {
+  private static int[] counts(TestClients callers) {
     return new int[] {callers.served(), callers.refused(), callers.failed()};
   }
 
-  private static int[] since(Callers callers, int[] before) {
+  private static int[] since(TestClients callers, int[] before) {
     int[] now = counts(callers);
     for (int i = 0; i < now.length; i++) {
       now[i] -= before[i];
@@ -170,7 +170,7 @@
     return now;
   }
 
-  private static List<int[]> seconds(Callers callers, int many) {
+  private static List<int[]> seconds(TestClients callers, int many) {
     List<int[]> answers = new ArrayList<>();
     for (int i = 0; i < many; i++) {
       int[] before = counts(callers);
--- a/src/test/java/wharftrestle/prove/BenchResults.java
+++ b/src/test/java/wharftrestle/prove/BenchResults.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
-import wharftrestle.lab.Desk;
-import wharftrestle.lab.Floor;
+import wharftrestle.testbed.TestClient;
+import wharftrestle.testbed.HostTestbed;
 
 /**
  * Measures what kept results cost at a real daemon: keyed requests a second and their latency with
@@ -48,7 +48,7 @@
   }
 
   private interface Played {
-    void on(Floor floor, Path folder) throws Exception;
+    void on(HostTestbed floor, Path folder) throws Exception;
   }
 
   private static void with(String settings, int memory, Played played) throws Exception {
@@ -57,11 +57,11 @@
         settings.isEmpty()
             ? ""
             : "durable(dir = \"" + folder.resolve("results") + "\", " + settings + ")\n";
-    try (Floor floor = new Floor(folder, script, 29421, Floor.Play.of(memory))) {
+    try (HostTestbed floor = new HostTestbed(folder, script, 29421, HostTestbed.Play.of(memory))) {
       floor.start();
       played.on(floor, folder);
     } finally {
-      Floor.delete(folder);
+      HostTestbed.delete(folder);
     }
   }
 
@@ -110,7 +110,7 @@
    * Asks new keys for so long; how many were served. Latency is from the moment of asking, one at a
    * time a desk.
    */
-  private static int ask(Floor floor, int desks, double seconds, String note, Histogram latency)
+  private static int ask(HostTestbed floor, int desks, double seconds, String note, Histogram latency)
       throws InterruptedException {
     AtomicInteger served = new AtomicInteger();
     AtomicLong references = new AtomicLong(System.nanoTime());
@@ -121,7 +121,7 @@
       all[i] =
           new Thread(
               () -> {
-                try (Desk desk = new Desk(floor.address())) {
+                try (TestClient desk = new TestClient(floor.address())) {
                   while (System.nanoTime() < until) {
                     String key =
                         Long.toHexString(random.nextLong()) + Long.toHexString(System.nanoTime());
--- a/src/test/java/wharftrestle/prove/FullDescriptorsTest.java
+++ b/src/test/java/wharftrestle/prove/FullDescriptorsTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.lab.Desk;
-import wharftrestle.lab.Floor;
+import wharftrestle.testbed.TestClient;
+import wharftrestle.testbed.HostTestbed;
 
 /**
  * A real process that may hold few descriptors, and idle clients that would fill them while the
@@ -35,7 +35,7 @@
 
   @TempDir private Path folder;
 
-  private static long held(Floor floor) throws IOException {
+  private static long held(HostTestbed floor) throws IOException {
     try (Stream<Path> all =
         Files.list(Path.of("/proc", Long.toString(floor.daemon().pid()), "fd"))) {
       return all.count();
@@ -46,10 +46,10 @@
    * A front end's work on a new connection; a refusal, as on a busy machine, is an answer and is
    * asked again.
    */
-  private static String ask(Floor floor, int number) throws IOException {
+  private static String ask(HostTestbed floor, int number) throws IOException {
     String word = "";
     for (int tries = 0; tries < MOST_TRIES && !word.equals("done"); tries++) {
-      try (Desk desk = new Desk(floor.address())) {
+      try (TestClient desk = new TestClient(floor.address())) {
         word = desk.ask("save", 1000L * number + tries, "key " + number, "body " + number).word();
       }
     }
@@ -71,15 +71,15 @@
 
   /** Work, operators and links get in before, during and after; what was logged. */
   private String play(int told, int allowed) throws Exception {
-    List<Desk> idle = new ArrayList<>();
-    try (Floor floor = new Floor(folder, "", 29421, Floor.Play.of(192))) {
+    List<TestClient> idle = new ArrayList<>();
+    try (HostTestbed floor = new HostTestbed(folder, "", 29421, HostTestbed.Play.of(192))) {
       floor.limitDescriptors(told, allowed);
       floor.start();
       assertEquals("done", ask(floor, 1), "before");
       long before = held(floor);
       floor.loseNames();
       for (int i = 0; i < IDLE; i++) {
-        Desk rests = new Desk(floor.address());
+        TestClient rests = new TestClient(floor.address());
         idle.add(rests);
         if (i % 2 == 0) {
           rests.send("STATUS", "1", ""); // every other one was heard, and rests
@@ -94,7 +94,7 @@
       floor.movePool(); // a new link, while all is full
       new ProcessBuilder("kill", "-HUP", Long.toString(floor.daemon().pid())).start().waitFor();
       assertEquals("done", ask(floor, 2), "the worker pool's new link could be made");
-      for (Desk each : idle) {
+      for (TestClient each : idle) {
         each.close();
       }
       long until = System.nanoTime() + BACK_NANOS;
@@ -108,7 +108,7 @@
       assertTrue(floor.daemon().log().lines().count() < MOST_LINES, floor.daemon().log());
       return floor.daemon().log();
     } finally {
-      for (Desk each : idle) {
+      for (TestClient each : idle) {
         each.close();
       }
     }
--- a/src/test/java/wharftrestle/prove/HangupTest.java
+++ b/src/test/java/wharftrestle/prove/HangupTest.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.lab.Desk;
-import wharftrestle.lab.Floor;
+import wharftrestle.testbed.TestClient;
+import wharftrestle.testbed.HostTestbed;
 
 /** A daemon that was started where hangups are ignored, as by nohup, and whose parties move. */
 class HangupTest {
@@ -16,10 +16,10 @@
 
   @Test
   void aDaemonThatCannotHearAHangupStillTakesOverANewConfiguration() throws Exception {
-    try (Floor floor = new Floor(folder, "", 29421, Floor.Play.of(192))) {
+    try (HostTestbed floor = new HostTestbed(folder, "", 29421, HostTestbed.Play.of(192))) {
       floor.ignoreHangups();
       floor.start();
-      try (Desk desk = new Desk(floor.address())) {
+      try (TestClient desk = new TestClient(floor.address())) {
         assertEquals("done", desk.ask("save", 1, "before", "a").word());
         floor.movePool();
         assertEquals(
--- a/src/test/java/wharftrestle/prove/LinkFlapTest.java
+++ b/src/test/java/wharftrestle/prove/LinkFlapTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.lab.Daemon;
-import wharftrestle.lab.Desk;
-import wharftrestle.lab.Floor;
+import wharftrestle.testbed.DaemonProcess;
+import wharftrestle.testbed.TestClient;
+import wharftrestle.testbed.HostTestbed;
 
 /** A worker pool whose address takes connections and ends each at once, for seconds. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
@@ -23,7 +23,7 @@
 
   @TempDir private Path folder;
 
-  private static int links(Daemon daemon) throws Exception {
+  private static int links(DaemonProcess daemon) throws Exception {
     Matcher said = LINKS.matcher(daemon.get("/_counters"));
     assertTrue(said.find(), "the door tells the links made");
     return Integer.parseInt(said.group(1));
@@ -31,9 +31,9 @@
 
   @Test
   void itIsOneLineASecondAndItComesBack() throws Exception {
-    try (Floor floor = new Floor(folder, "", 29421, Floor.Play.of(192), true)) {
+    try (HostTestbed floor = new HostTestbed(folder, "", 29421, HostTestbed.Play.of(192), true)) {
       floor.start();
-      Daemon daemon = floor.daemon();
+      DaemonProcess daemon = floor.daemon();
       int before = links(daemon);
       long began = System.nanoTime();
       floor.link("pool").refuse();
@@ -46,7 +46,7 @@
       long lines = daemon.log().lines().filter(line -> line.contains("worker pool link")).count();
       assertTrue(lines >= 1 && lines <= 2 + seconds, lines + " lines in " + seconds + " s");
       floor.link("pool").heal();
-      try (Desk desk = new Desk(floor.address())) {
+      try (TestClient desk = new TestClient(floor.address())) {
         assertEquals("done", desk.ask("save", 1, "key", "body").word());
       }
     }
--- a/src/test/java/wharftrestle/prove/ProveChange.java
+++ b/src/test/java/wharftrestle/prove/ProveChange.java
@@ -14,9 +14,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import wharftrestle.lab.Callers;
-import wharftrestle.lab.Daemon;
-import wharftrestle.lab.Floor;
+import wharftrestle.testbed.TestClients;
+import wharftrestle.testbed.DaemonProcess;
+import wharftrestle.testbed.HostTestbed;
 
 /**
  * Proves that one box can be changed and changed back under load: real processes of this build and
@@ -48,11 +48,11 @@
   private static final List<String> HISTORY = List.of("7ee9590", "f2bf4dc");
 
   /** One way to be: what a process is, and whether it can take over from any other here. */
-  private record Way(String name, Floor.Version version, boolean fits, boolean former) {}
+  private record Way(String name, HostTestbed.Version version, boolean fits, boolean former) {}
 
   /** What was seen. */
   static final class Seen {
-    Callers.Tally tally;
+    TestClients.Tally tally;
     final List<Long> readyMs = new ArrayList<>();
     final Map<String, Integer> ended = new TreeMap<>();
     int changes;
@@ -87,16 +87,16 @@
     }
   }
 
-  private final Floor floor;
+  private final HostTestbed floor;
   private final Seen seen = new Seen();
   private final PrintStream out;
   private final List<Way> ways;
   private final long readyMs;
   private volatile boolean killing; // until another process serves
   private volatile long killedAt = Long.MIN_VALUE / 2;
-  private Callers callers;
+  private TestClients callers;
 
-  private ProveChange(Floor floor, List<Way> ways, PrintStream out) {
+  private ProveChange(HostTestbed floor, List<Way> ways, PrintStream out) {
     this.floor = floor;
     this.ways = ways;
     // The mutant is left in states that nothing gets out of: it is not waited for as long.
@@ -109,27 +109,27 @@
       boolean kept, boolean mutant, int changes, long seed, List<Path> builds, PrintStream out)
       throws Exception {
     Path folder = Files.createTempDirectory("prove-change");
-    try (Floor floor = new Floor(folder, "", seed, Floor.Play.of(192))) {
+    try (HostTestbed floor = new HostTestbed(folder, "", seed, HostTestbed.Play.of(192))) {
       return new ProveChange(floor, ways(floor, folder, kept, mutant, builds), out)
           .play(changes, new Random(seed));
     } finally {
-      Floor.delete(folder);
+      HostTestbed.delete(folder);
     }
   }
 
   private static List<Way> ways(
-      Floor floor, Path folder, boolean kept, boolean mutant, List<Path> builds) {
+      HostTestbed floor, Path folder, boolean kept, boolean mutant, List<Path> builds) {
     String script =
         kept ? "durable(dir = \"" + folder.resolve("results") + "\", max_mb = 16)\n" : "";
     String main = mutant ? "wharftrestle.prove.Unagreed" : "wharftrestle.Main";
-    Floor.Settings set = floor.settings();
+    HostTestbed.Settings set = floor.settings();
     List<Way> all = new ArrayList<>();
-    all.add(new Way("same", new Floor.Version(null, main, set, script), true, false));
+    all.add(new Way("same", new HostTestbed.Version(null, main, set, script), true, false));
     all.add(
         new Way(
             "moved",
-            new Floor.Version(
-                null, main, new Floor.Settings(set.memoryMb(), set.window(), true, false), script),
+            new HostTestbed.Version(
+                null, main, new HostTestbed.Settings(set.memoryMb(), set.window(), true, false), script),
             false,
             false));
     if (mutant) {
@@ -138,42 +138,42 @@
     all.add(
         new Way(
             "longer",
-            new Floor.Version(
+            new HostTestbed.Version(
                 null,
                 main,
-                new Floor.Settings(set.memoryMb(), set.window() + 10, false, false),
+                new HostTestbed.Settings(set.memoryMb(), set.window() + 10, false, false),
                 script),
             true,
             false));
     all.add(
         new Way(
             "shorter",
-            new Floor.Version(
+            new HostTestbed.Version(
                 null,
                 main,
-                new Floor.Settings(set.memoryMb(), set.window() - 10, false, false),
+                new HostTestbed.Settings(set.memoryMb(), set.window() - 10, false, false),
                 script),
             true,
             false));
     all.add(
         new Way(
             "more",
-            new Floor.Version(
-                null, main, new Floor.Settings(set.memoryMb(), set.window(), false, true), script),
+            new HostTestbed.Version(
+                null, main, new HostTestbed.Settings(set.memoryMb(), set.window(), false, true), script),
             true,
             false));
     all.add(
         new Way(
             "smaller",
-            new Floor.Version(
-                null, main, new Floor.Settings(88, set.window(), false, false), script),
+            new HostTestbed.Version(
+                null, main, new HostTestbed.Settings(88, set.window(), false, false), script),
             true,
             false));
     if (kept) {
       all.add(
           new Way(
               "folder",
-              new Floor.Version(null, main, set, script.replace("results", "elsewhere")),
+              new HostTestbed.Version(null, main, set, script.replace("results", "elsewhere")),
               false,
               false));
     }
@@ -182,7 +182,7 @@
       all.add(
           new Way(
               build.getParent().getParent().getFileName().toString(),
-              new Floor.Version(build, "wharftrestle.Main", set, script),
+              new HostTestbed.Version(build, "wharftrestle.Main", set, script),
               fits,
               true));
     }
@@ -191,14 +191,14 @@
 
   private Seen play(int changes, Random random) throws Exception {
     Way serves = ways.get(0);
-    Daemon old = floor.begin(serves.version());
+    DaemonProcess old = floor.begin(serves.version());
     if (!old.awaitReady(readyMs)) {
       throw new IOException("the first process did not start:\n" + old.log());
     }
     callers =
-        new Callers(
+        new TestClients(
             floor,
-            Callers.Habit.of(DESKS, KEY_MS),
+            TestClients.Habit.of(DESKS, KEY_MS),
             random.nextLong(),
             () -> killing || System.nanoTime() - killedAt < TimeUnit.MILLISECONDS.toNanos(KILL_MS));
     callers.start();
@@ -207,7 +207,7 @@
       // An earlier build that serves says no terms and asks for none: it is changed back to this
       // one as it is.
       next = random.nextInt(3) == 0 || serves.former() ? ways.get(0) : next;
-      Daemon now = change(serves, old, next, random);
+      DaemonProcess now = change(serves, old, next, random);
       serves = now == old ? serves : next;
       old = now;
       if ((i + 1) % 20 == 0) {
@@ -222,10 +222,10 @@
   }
 
   /** One change, with what goes wrong in it; the process that serves after it. */
-  private Daemon change(Way serves, Daemon old, Way next, Random random) throws Exception {
+  private DaemonProcess change(Way serves, DaemonProcess old, Way next, Random random) throws Exception {
     seen.changes++;
     long began = System.nanoTime();
-    Daemon now = floor.begin(next.version());
+    DaemonProcess now = floor.begin(next.version());
     boolean fits = next.fits() || serves.version().equals(next.version());
     // An earlier build closes what it does not like, and knows no seat: it is stopped, and not
     // killed.
@@ -234,7 +234,7 @@
     long wait = 0;
     // Where the first one is killed, one that cannot take over serves in the end, and no other here
     // could follow it.
-    Daemon victim = fits && random.nextBoolean() ? old : now;
+    DaemonProcess victim = fits && random.nextBoolean() ? old : now;
     boolean killed = false;
     if (kind < 3) {
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(random.nextInt(1200)));
@@ -295,7 +295,7 @@
   }
 
   /** A process that cannot take over: the one that serves has to go on as if never asked. */
-  private Daemon refused(Daemon old, Daemon now) throws Exception {
+  private DaemonProcess refused(DaemonProcess old, DaemonProcess now) throws Exception {
     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(WATCH_MS + 800));
     int refused = callers.refused();
     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(WATCH_MS));
@@ -319,7 +319,7 @@
     seen.ended.merge(how, 1, Integer::sum);
   }
 
-  private Daemon unfinished(Daemon which, String what) throws IOException {
+  private DaemonProcess unfinished(DaemonProcess which, String what) throws IOException {
     seen.unfinished++;
     String log = which.log();
     out.println(
--- a/src/test/java/wharftrestle/prove/ProveMemory.java
+++ b/src/test/java/wharftrestle/prove/ProveMemory.java
@@ -20,10 +20,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.apache.commons.math3.stat.regression.SimpleRegression;
-import wharftrestle.lab.Daemon;
-import wharftrestle.lab.Desk;
-import wharftrestle.lab.Floor;
-import wharftrestle.lab.RespPeer;
+import wharftrestle.testbed.DaemonProcess;
+import wharftrestle.testbed.TestClient;
+import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.RespPeer;
 
 /**
  * Proves that memory holds on long days: real daemons are asked keyed requests with bodies and
@@ -144,7 +144,7 @@
     }
   }
 
-  private final Floor floor;
+  private final HostTestbed floor;
   private final Seen seen = new Seen();
   private final double life;
   private final AtomicLong references = new AtomicLong(1);
@@ -153,7 +153,7 @@
   private volatile boolean over;
   private volatile double roomBytes;
 
-  private ProveMemory(Floor floor, double life) {
+  private ProveMemory(HostTestbed floor, double life) {
     this.floor = floor;
     this.life = life;
   }
@@ -162,16 +162,16 @@
   static Seen play(int memoryMb, boolean bounded, int window, double lives, long seed)
       throws Exception {
     Path folder = Files.createTempDirectory("prove-memory");
-    Floor.Play play =
-        new Floor.Play(
+    HostTestbed.Play play =
+        new HostTestbed.Play(
             bounded ? "wharftrestle.Main" : "wharftrestle.prove.Unbounded",
             memoryMb,
             window,
             RESULT);
-    try (Floor floor = new Floor(folder, "", seed, play)) {
+    try (HostTestbed floor = new HostTestbed(folder, "", seed, play)) {
       return new ProveMemory(floor, window + LINGER).play(memoryMb, bounded, lives, seed);
     } finally {
-      Floor.delete(folder);
+      HostTestbed.delete(folder);
     }
   }
 
@@ -195,7 +195,7 @@
             && seen.lost.get() == 0
             && (bounded || seen.wrong.get() == 0);
         at = (System.nanoTime() - began) / 1e9) {
-      Daemon.Own own = floor.daemon().own();
+      DaemonProcess.Own own = floor.daemon().own();
       seen.residentMb = Math.max(seen.residentMb, floor.daemon().memoryKb("VmRSS") / 1024.0);
       seen.ownMb = Math.max(seen.ownMb, own.heap() + own.outside());
       seen.heapMb = Math.max(seen.heapMb, own.heap());
@@ -232,7 +232,7 @@
   /** One desk: new keys, repeats of its own, and requests without one, at an even pace. */
   private void sit(Random random) {
     ArrayDeque<Served> mine = new ArrayDeque<>();
-    try (Desk desk = new Desk(floor.address())) {
+    try (TestClient desk = new TestClient(floor.address())) {
       String refusedKey = null;
       while (!over) {
         while (!mine.isEmpty()
@@ -263,7 +263,7 @@
     }
   }
 
-  private void unkeyed(Desk desk) throws IOException {
+  private void unkeyed(TestClient desk) throws IOException {
     long reference = references.incrementAndGet();
     if (desk.ask("read", reference, null, body("read " + reference)).word().equals("done")) {
       seen.unkeyed.incrementAndGet();
@@ -277,7 +277,7 @@
   }
 
   /** Asks a new key; false where it was refused. */
-  private boolean fresh(Desk desk, ArrayDeque<Served> mine, String key) throws IOException {
+  private boolean fresh(TestClient desk, ArrayDeque<Served> mine, String key) throws IOException {
     RespPeer.Reply reply = desk.ask("save", references.incrementAndGet(), key, body(key));
     switch (reply.word()) {
       case "done" -> {
@@ -326,7 +326,7 @@
     }
   }
 
-  private void repeat(Desk desk, Served known) throws IOException {
+  private void repeat(TestClient desk, Served known) throws IOException {
     RespPeer.Reply reply =
         desk.ask("save", references.incrementAndGet(), known.key(), known.body());
     if (reply.word().equals("done") && Arrays.equals(known.result(), reply.bytes())) {
--- a/src/test/java/wharftrestle/prove/ProveReady.java
+++ b/src/test/java/wharftrestle/prove/ProveReady.java
@@ -9,9 +9,9 @@
 import java.util.Locale;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.locks.LockSupport;
-import wharftrestle.lab.Daemon;
-import wharftrestle.lab.Desk;
-import wharftrestle.lab.Floor;
+import wharftrestle.testbed.DaemonProcess;
+import wharftrestle.testbed.TestClient;
+import wharftrestle.testbed.HostTestbed;
 
 /**
  * Proves that restarted processes are ready again: many are started at once on this machine, and
@@ -39,13 +39,13 @@
    */
   private record Ready(double after, double cpu) {}
 
-  private static Ready play(Floor floor, Trouble trouble) throws Exception {
+  private static Ready play(HostTestbed floor, Trouble trouble) throws Exception {
     if (trouble == Trouble.NAMES_GONE) {
       floor.loseNames();
     }
     floor.pool().late(trouble == Trouble.POOL_LATE);
     long began = System.nanoTime();
-    Daemon daemon = floor.launch();
+    DaemonProcess daemon = floor.launch();
     if (trouble == Trouble.POOL_LATE) {
       new Thread(
               () -> {
@@ -56,7 +56,7 @@
     }
     boolean done = false;
     for (int i = 1; !done && System.nanoTime() - began < MOST_NANOS; i++) {
-      try (Desk desk = new Desk(floor.address())) {
+      try (TestClient desk = new TestClient(floor.address())) {
         done = desk.ask("save", i, "key " + i, "body " + i).word().equals("done");
         if (done) {
           desk.send("STATUS", "1000", "");
@@ -74,16 +74,16 @@
   private static List<Ready> start(int many, Trouble trouble, long seed) throws Exception {
     ConcurrentLinkedQueue<Ready> all = new ConcurrentLinkedQueue<>();
     List<Thread> threads = new ArrayList<>();
-    List<Floor> floors = new ArrayList<>();
+    List<HostTestbed> floors = new ArrayList<>();
     Path folder = Files.createTempDirectory("ready");
     try {
       for (int i = 0; i < many; i++) {
-        Floor floor =
-            new Floor(
+        HostTestbed floor =
+            new HostTestbed(
                 Files.createDirectories(folder.resolve(Integer.toString(i))),
                 "",
                 seed + i,
-                Floor.Play.of(192));
+                HostTestbed.Play.of(192));
         floors.add(floor);
         threads.add(
             new Thread(
@@ -102,10 +102,10 @@
         each.join();
       }
     } finally {
-      for (Floor each : floors) {
+      for (HostTestbed each : floors) {
         each.close();
       }
-      Floor.delete(folder);
+      HostTestbed.delete(folder);
     }
     return all.stream().sorted((a, b) -> Double.compare(a.after(), b.after())).toList();
   }
--- a/src/test/java/wharftrestle/prove/ProveResults.java
+++ b/src/test/java/wharftrestle/prove/ProveResults.java
@@ -6,9 +6,9 @@
 import java.util.Locale;
 import java.util.Random;
 import java.util.concurrent.locks.LockSupport;
-import wharftrestle.lab.Callers;
-import wharftrestle.lab.Floor;
-import wharftrestle.lab.WorkerPool;
+import wharftrestle.testbed.TestClients;
+import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.FakeWorkerPool;
 
 /**
  * Proves that no keyed request runs twice over restarts: a real daemon is killed at moments drawn
@@ -33,7 +33,7 @@
 
   /** What was seen of one way of playing. */
   static final class Seen {
-    Callers.Tally tally;
+    TestClients.Tally tally;
     int kills;
     int keys;
 
@@ -67,13 +67,13 @@
     }
   }
 
-  private final Floor floor;
+  private final HostTestbed floor;
   private final Seen seen = new Seen();
   private final int wanted;
   private final int kills;
   private final PrintStream out;
 
-  private ProveResults(Floor floor, int wanted, int kills, PrintStream out) {
+  private ProveResults(HostTestbed floor, int wanted, int kills, PrintStream out) {
     this.floor = floor;
     this.wanted = wanted;
     this.kills = kills;
@@ -86,18 +86,18 @@
     Path folder = Files.createTempDirectory("prove-results");
     String script =
         kept ? "durable(dir = \"" + folder.resolve("results") + "\", max_mb = 16)\n" : "";
-    try (Floor floor = new Floor(folder, script, seed, Floor.Play.of(192))) {
+    try (HostTestbed floor = new HostTestbed(folder, script, seed, HostTestbed.Play.of(192))) {
       return new ProveResults(floor, repeats, kills, out).play(new Random(seed));
     } finally {
-      Floor.delete(folder);
+      HostTestbed.delete(folder);
     }
   }
 
   private Seen play(Random random) throws Exception {
     floor.start();
-    Callers callers =
-        new Callers(
-            floor, new Callers.Habit(DESKS, KEY_MS, AGAIN, THINK), random.nextLong(), () -> true);
+    TestClients callers =
+        new TestClients(
+            floor, new TestClients.Habit(DESKS, KEY_MS, AGAIN, THINK), random.nextLong(), () -> true);
     callers.start();
     while (callers.repeats() < wanted || seen.kills < kills) {
       killAt(random);
@@ -124,7 +124,7 @@
     Object moment = new Object();
     boolean[] now = {kind == 0};
     floor.watch(
-        new WorkerPool.Moments() {
+        new FakeWorkerPool.Moments() {
           private void take(boolean wanted) {
             if (wanted) {
               synchronized (moment) {
--- a/src/test/java/wharftrestle/prove/ProveRoll.java
+++ b/src/test/java/wharftrestle/prove/ProveRoll.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Collectors;
-import wharftrestle.lab.FleetFloor;
-import wharftrestle.lab.Floor;
-import wharftrestle.lab.Wire;
+import wharftrestle.testbed.FleetTestbed;
+import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.FaultRule;
 
 /**
  * Proves rolling changes with real processes: 14 boxes, each a keeper with its daemon and callers,
@@ -115,15 +115,15 @@
   private static final String JUDGED = BRIEFLY + ", cpu(3), growth(90)";
 
   /** The fleet with its callers, all of it on the first release. */
-  private FleetFloor fleet(Path folder, int boxes, String keeper) throws Exception {
-    FleetFloor floor = new FleetFloor(folder, boxes, ZONES, seed);
+  private FleetTestbed fleet(Path folder, int boxes, String keeper) throws Exception {
+    FleetTestbed floor = new FleetTestbed(folder, boxes, ZONES, seed);
     floor.pack(FIRST, "wharftrestle.Main", "");
     floor.pack("two", "wharftrestle.Main", "");
     floor.pack("three", "wharftrestle.Main", "");
     for (String bad : BAD) {
       floor.pack(bad, "wharftrestle.prove.BadRelease", bad);
     }
-    for (FleetFloor.Box box : floor.boxes().values()) {
+    for (FleetTestbed.Box box : floor.boxes().values()) {
       floor.keep(box, FIRST, keeper);
     }
     if (!floor.awaitAll(FIRST, READY_MS)) {
@@ -136,7 +136,7 @@
   }
 
   /** One change of the fleet, with faults while it goes on. */
-  private Played roll(FleetFloor floor, String release, boolean good, String worse, int troubles)
+  private Played roll(FleetTestbed floor, String release, boolean good, String worse, int troubles)
       throws Exception {
     String name = "d" + ++rolls;
     Path plan = floor.plan(name + ".star", change(release, worse, brief));
@@ -164,7 +164,7 @@
         }
       }
       if (release.equals("crashes")) {
-        floor.boxes().values().forEach(FleetFloor.Box::trouble); // what it has in hand goes with it
+        floor.boxes().values().forEach(FleetTestbed.Box::trouble); // what it has in hand goes with it
       }
       int[] now = floor.answers();
       counts.add(new long[] {System.currentTimeMillis(), now[0], now[1], now[2]});
@@ -261,7 +261,7 @@
    */
   private int twoDrivers(String keeper) throws Exception {
     Path folder = Files.createTempDirectory("prove-roll");
-    try (FleetFloor floor = fleet(folder, 6, keeper)) {
+    try (FleetTestbed floor = fleet(folder, 6, keeper)) {
       String plan =
           "stages = [stage(boxes = 1, hold = 1), stage(share = 1, hold = 1)], worse = [], most_away = 1, "
               + "window = 0.5, watch = 1, warm = 1)";
@@ -281,7 +281,7 @@
               "--take-over");
       second.waitFor(40, TimeUnit.SECONDS);
       first.waitFor(15, TimeUnit.SECONDS);
-      for (FleetFloor.Box box : floor.boxes().values()) {
+      for (FleetTestbed.Box box : floor.boxes().values()) {
         box.callers().stop();
       }
       long from =
@@ -292,11 +292,11 @@
       return (int)
           told(floor, "ann").stream().filter(line -> line.path("at").asLong() > from).count();
     } finally {
-      Floor.delete(folder);
+      HostTestbed.delete(folder);
     }
   }
 
-  private static List<JsonNode> told(FleetFloor floor, String driver) throws IOException {
+  private static List<JsonNode> told(FleetTestbed floor, String driver) throws IOException {
     return floor.told(driver).stream()
         .filter(line -> line.path("what").asText().equals("tells"))
         .toList();
@@ -306,13 +306,13 @@
     return why.length() > 160 ? why.substring(0, 160) : why;
   }
 
-  private static int count(FleetFloor floor, String release) {
+  private static int count(FleetTestbed floor, String release) {
     return (int) floor.boxes().values().stream().filter(box -> box.acts().equals(release)).count();
   }
 
-  private void trouble(FleetFloor floor, Trouble trouble, Process driver) throws Exception {
-    List<FleetFloor.Box> boxes = new ArrayList<>(floor.boxes().values());
-    FleetFloor.Box box = boxes.get(random.nextInt(boxes.size()));
+  private void trouble(FleetTestbed floor, Trouble trouble, Process driver) throws Exception {
+    List<FleetTestbed.Box> boxes = new ArrayList<>(floor.boxes().values());
+    FleetTestbed.Box box = boxes.get(random.nextInt(boxes.size()));
     switch (trouble) {
       case DELAY ->
           boxes.forEach(
@@ -320,11 +320,11 @@
                   later(
                       3000,
                       () -> each.link().heal(),
-                      () -> each.link().trouble(Wire.Trouble.DELAY, 60, 60, true, true)));
+                      () -> each.link().trouble(FaultRule.Trouble.DELAY, 60, 60, true, true)));
       case HOLE_THERE ->
-          zone(boxes, box, each -> each.link().trouble(Wire.Trouble.HOLE, 0, 0, true, false));
+          zone(boxes, box, each -> each.link().trouble(FaultRule.Trouble.HOLE, 0, 0, true, false));
       case HOLE_BACK ->
-          zone(boxes, box, each -> each.link().trouble(Wire.Trouble.HOLE, 0, 0, false, true));
+          zone(boxes, box, each -> each.link().trouble(FaultRule.Trouble.HOLE, 0, 0, false, true));
       case CUT -> zone(boxes, box, each -> each.link().cut());
       case STOP_KEEPER -> stopped(box.keeper().pid(), 2500);
       case KILL_KEEPER -> {
@@ -347,17 +347,17 @@
   }
 
   private interface OnBox {
-    void run(FleetFloor.Box box) throws Exception;
+    void run(FleetTestbed.Box box) throws Exception;
   }
 
-  private static void zone(List<FleetFloor.Box> boxes, FleetFloor.Box of, OnBox fault) {
+  private static void zone(List<FleetTestbed.Box> boxes, FleetTestbed.Box of, OnBox fault) {
     boxes.stream()
         .filter(each -> each.zone().equals(of.zone()))
         .forEach(each -> later(4000, () -> each.link().heal(), () -> fault.run(each)));
   }
 
   private static void stopped(long pid, long ms) {
-    later(ms, () -> FleetFloor.signal(pid, "CONT"), () -> FleetFloor.signal(pid, "STOP"));
+    later(ms, () -> FleetTestbed.signal(pid, "CONT"), () -> FleetTestbed.signal(pid, "STOP"));
   }
 
   /** Does the one now, and the other after so many ms. */
@@ -387,7 +387,7 @@
     boolean unjudged = true;
     int broken;
     Path folder = Files.createTempDirectory("prove-roll");
-    try (FleetFloor floor = fleet(folder, BOXES, "wharftrestle.Main")) {
+    try (FleetTestbed floor = fleet(folder, BOXES, "wharftrestle.Main")) {
       for (String bad : brief ? BAD.subList(0, 1) : BAD) {
         all.add(roll(floor, bad, false, brief ? BRIEFLY : JUDGED, brief ? 0 : 4));
       }
@@ -397,13 +397,13 @@
         Played off = roll(floor, "slow", true, "", 0);
         unjudged = off.arrived();
       }
-      for (FleetFloor.Box box : floor.boxes().values()) {
+      for (FleetTestbed.Box box : floor.boxes().values()) {
         box.callers().stop();
       }
       broken = floor.broken().values().stream().mapToInt(Integer::intValue).sum();
       out.println("  " + floor.served() + " answers, broken: " + floor.broken());
     } finally {
-      Floor.delete(folder);
+      HostTestbed.delete(folder);
     }
     int fenced = 0;
     int unfenced = 1;
--- a/src/test/java/wharftrestle/prove/UnusableStartTest.java
+++ b/src/test/java/wharftrestle/prove/UnusableStartTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.lab.Floor;
+import wharftrestle.testbed.HostTestbed;
 
 /**
  * A configuration, or arguments, with which no daemon can be: one line, exit 2, and no address was
@@ -101,7 +101,7 @@
   /** A configuration with which a daemon could be, but for its address. */
   private String config(int port) throws IOException {
     Path other = Files.createDirectories(folder.resolve("floor"));
-    try (Floor floor = new Floor(other, "", 7, Floor.Play.of(192))) {
+    try (HostTestbed floor = new HostTestbed(other, "", 7, HostTestbed.Play.of(192))) {
       return Files.readString(other.resolve("config.json"))
           .replaceFirst("\"listen\": \"[^\"]*\"", "\"listen\": \"127.0.0.1:" + port + "\"");
     }
--- a/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
+++ b/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
@@ -32,8 +32,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wharftrestle.lab.Desk;
-import wharftrestle.lab.Floor;
+import wharftrestle.testbed.TestClient;
+import wharftrestle.testbed.HostTestbed;
 
 /**
  * Stories of a keeper with real daemons: it changes them, takes back what dies, and is killed
@@ -44,7 +44,7 @@
   private static final SupervisorStateMachine.Limits LIMITS = new SupervisorStateMachine.Limits(15, 1.5, 0.02, 0.05, 20, 0.1, 1, 3);
 
   @TempDir private Path folder;
-  private Floor floor;
+  private HostTestbed floor;
   private Path releases;
   private Path state;
   private HostSupervisor keeper;
@@ -52,7 +52,7 @@
 
   @BeforeEach
   void floor() throws Exception {
-    floor = new Floor(folder, "", 7, Floor.Play.of(192));
+    floor = new HostTestbed(folder, "", 7, HostTestbed.Play.of(192));
     releases = folder.resolve("releases");
     state = folder.resolve("keeper");
     for (String name : List.of("one", "two")) {
@@ -172,7 +172,7 @@
   }
 
   private String ask(String key) throws IOException {
-    try (Desk desk = new Desk(floor.address())) {
+    try (TestClient desk = new TestClient(floor.address())) {
       return desk.ask("save", System.nanoTime(), key, "note of " + key).body();
     }
   }
--- a/src/test/java/wharftrestle/lab/HolderTest.java
+++ b/src/test/java/wharftrestle/testbed/CpuLimiterTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -24,7 +24,7 @@
  * under it.
  */
 @Timeout(60)
-class HolderTest {
+class CpuLimiterTest {
   @TempDir private Path folder;
 
   /**
@@ -32,14 +32,14 @@
    * cost.
    */
   private static final class Held {
-    private final Share share;
+    private final CpuQuota share;
     private double used = 7;
     private double waits;
     private boolean run = true;
     private int stops;
 
     Held(double cores, double turn) {
-      share = new Share(cores, turn, 0, used);
+      share = new CpuQuota(cores, turn, 0, used);
     }
 
     /** From one moment to another with so much work a second. */
@@ -94,14 +94,14 @@
 
   @Test
   void aHeldDaemonStaysWithinItsShareAndKeepsTheRules() throws Exception {
-    try (Floor floor = new Floor(folder, "", 5, Floor.Play.of(192))) {
-      Daemon daemon =
-          floor.begin(new Floor.Version(null, "wharftrestle.Main", floor.settings(), ""));
+    try (HostTestbed floor = new HostTestbed(folder, "", 5, HostTestbed.Play.of(192))) {
+      DaemonProcess daemon =
+          floor.begin(new HostTestbed.Version(null, "wharftrestle.Main", floor.settings(), ""));
       assertTrue(daemon.awaitReady(20_000), daemon.log());
-      Callers callers = new Callers(floor, Callers.Habit.of(16, 9000), 5, () -> false);
+      TestClients callers = new TestClients(floor, TestClients.Habit.of(16, 9000), 5, () -> false);
       double before;
       long began;
-      try (Holder holder = new Holder(() -> List.of(daemon), 0.15)) {
+      try (CpuLimiter holder = new CpuLimiter(() -> List.of(daemon), 0.15)) {
         before = daemon.cpuSeconds();
         began = System.nanoTime();
         callers.start();
@@ -128,11 +128,11 @@
 
   @Test
   void whoeverWasStoppedGoesOnAlsoWhenItIsNoMoreOfTheBox() throws Exception {
-    try (Floor floor = new Floor(folder, "", 6, Floor.Play.of(192))) {
-      Daemon daemon =
-          floor.begin(new Floor.Version(null, "wharftrestle.Main", floor.settings(), ""));
-      AtomicReference<List<Daemon>> box = new AtomicReference<>(List.of(daemon));
-      try (Holder holder = new Holder(box::get, 0.05)) { // its start alone is over that
+    try (HostTestbed floor = new HostTestbed(folder, "", 6, HostTestbed.Play.of(192))) {
+      DaemonProcess daemon =
+          floor.begin(new HostTestbed.Version(null, "wharftrestle.Main", floor.settings(), ""));
+      AtomicReference<List<DaemonProcess>> box = new AtomicReference<>(List.of(daemon));
+      try (CpuLimiter holder = new CpuLimiter(box::get, 0.05)) { // its start alone is over that
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!stopped(daemon) && System.nanoTime() < until) {
           Thread.onSpinWait();
@@ -146,7 +146,7 @@
     }
   }
 
-  private static boolean stopped(Daemon daemon) throws Exception {
+  private static boolean stopped(DaemonProcess daemon) throws Exception {
     String stat = Files.readString(Path.of("/proc/" + daemon.pid() + "/stat"));
     return stat.charAt(stat.lastIndexOf(')') + 2) == 'T';
   }
--- a/src/test/java/wharftrestle/lab/SleeperTest.java
+++ b/src/test/java/wharftrestle/testbed/PausedProcessTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,7 +16,7 @@
  * is killed.
  */
 @Timeout(90)
-class SleeperTest {
+class PausedProcessTest {
   private static final long READY_MS = 20_000;
 
   /** More words than the socket between the two can hold. */
@@ -26,15 +26,15 @@
 
   @Test
   void whatRanWhileTheFormerOwnerSleptDoesNotRunAgain() throws Exception {
-    try (Floor floor = new Floor(folder, "", 12, Floor.Play.of(192))) {
-      Floor.Version version = new Floor.Version(null, "wharftrestle.Main", floor.settings(), "");
-      Daemon old = floor.begin(version);
+    try (HostTestbed floor = new HostTestbed(folder, "", 12, HostTestbed.Play.of(192))) {
+      HostTestbed.Version version = new HostTestbed.Version(null, "wharftrestle.Main", floor.settings(), "");
+      DaemonProcess old = floor.begin(version);
       assertTrue(old.awaitReady(READY_MS), old::toString);
-      Daemon next = floor.begin(version);
+      DaemonProcess next = floor.begin(version);
       assertTrue(next.awaitReady(READY_MS), old::toString);
       old.stopped(true);
       List<String> unheard = new ArrayList<>();
-      try (Desk desk = new Desk(floor.address())) {
+      try (TestClient desk = new TestClient(floor.address())) {
         // A run whose word finds no room in the socket waits a second for it: from the first such
         // one on.
         for (int i = 0; i < MOST && unheard.size() < 3; i++) {
@@ -50,7 +50,7 @@
       next.kill();
       old.stopped(false);
       assertTrue(old.awaitReady(READY_MS), old::toString);
-      try (Desk desk = new Desk(floor.address())) {
+      try (TestClient desk = new TestClient(floor.address())) {
         for (String key : unheard) {
           assertEquals(
               "error",
--- a/src/test/java/wharftrestle/lab/LabTest.java
+++ b/src/test/java/wharftrestle/testbed/TestbedTest.java
@@ -1,4 +1,4 @@
-package wharftrestle.lab;
+package wharftrestle.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -42,7 +42,7 @@
  * see what is wrong.
  */
 @Timeout(60)
-class LabTest {
+class TestbedTest {
   private static final InetAddress HOST = InetAddress.getLoopbackAddress();
 
   // ---- What a link decides ----
@@ -52,9 +52,9 @@
       @ForAll long seed,
       @ForAll @IntRange(max = 200) int jitter,
       @ForAll @IntRange(min = 1, max = 1000) int rate) {
-    Wire wire = new Wire(seed);
-    wire.trouble(Wire.Trouble.DELAY, 10, jitter);
-    wire.trouble(Wire.Trouble.RATE, rate, 0);
+    FaultRule wire = new FaultRule(seed);
+    wire.trouble(FaultRule.Trouble.DELAY, 10, jitter);
+    wire.trouble(FaultRule.Trouble.RATE, rate, 0);
     Random random = new Random(seed);
     double now = 0;
     double last = 0;
@@ -72,14 +72,14 @@
 
   @Test
   void theSameSeedLosesTheSameDatagrams() {
-    Wire one = new Wire(7);
-    Wire two = new Wire(7);
+    FaultRule one = new FaultRule(7);
+    FaultRule two = new FaultRule(7);
     int lost = 0;
     int twice = 0;
-    for (Wire wire : new Wire[] {one, two}) {
-      wire.trouble(Wire.Trouble.DROP, 0.3, 0);
-      wire.trouble(Wire.Trouble.DOUBLE, 0.2, 0);
-      wire.trouble(Wire.Trouble.REORDER, 0.1, 0);
+    for (FaultRule wire : new FaultRule[] {one, two}) {
+      wire.trouble(FaultRule.Trouble.DROP, 0.3, 0);
+      wire.trouble(FaultRule.Trouble.DOUBLE, 0.2, 0);
+      wire.trouble(FaultRule.Trouble.REORDER, 0.1, 0);
     }
     for (int i = 0; i < 1000; i++) {
       double[] copies = one.datagram(i);
@@ -96,13 +96,13 @@
   // ---- Links ----
 
   private interface Story {
-    void tell(Link link, Socket caller, InputStream in) throws Exception;
+    void tell(FaultProxy link, Socket caller, InputStream in) throws Exception;
   }
 
   /** A caller's connection through a link to a server that sends back what it reads. */
   private static void withEcho(Story story) throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, HOST);
-        Link link = new Link((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
+        FaultProxy link = new FaultProxy((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
       Thread echo =
           new Thread(
               () -> {
@@ -138,7 +138,7 @@
         (link, caller, in) -> {
           caller.getOutputStream().write('a');
           assertEquals('a', in.read());
-          link.trouble(Wire.Trouble.HOLE, 0, 0, false, true);
+          link.trouble(FaultRule.Trouble.HOLE, 0, 0, false, true);
           caller.getOutputStream().write('b');
           caller.setSoTimeout(200);
           assertThrows(SocketTimeoutException.class, in::read);
@@ -185,7 +185,7 @@
   void aDelayIsKeptAndAHalfCloseEndsOneWayAlone() throws Exception {
     withEcho(
         (link, caller, in) -> {
-          link.trouble(Wire.Trouble.DELAY, 60, 0, true, true);
+          link.trouble(FaultRule.Trouble.DELAY, 60, 0, true, true);
           long began = System.nanoTime();
           caller.getOutputStream().write('a');
           assertEquals('a', in.read());
@@ -201,7 +201,7 @@
   void datagramsGoThereAndBackAndAHoleLosesThem() throws Exception {
     try (DatagramSocket server = new DatagramSocket(0, HOST);
         DatagramSocket caller = new DatagramSocket(0, HOST);
-        Link link = new Link((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
+        FaultProxy link = new FaultProxy((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
       server.setSoTimeout(5000);
       DatagramPacket told = new DatagramPacket(new byte[10], 10);
       caller.send(new DatagramPacket(BoundedReader.ascii("one"), 3, link.address()));
@@ -211,7 +211,7 @@
       caller.setSoTimeout(5000);
       caller.receive(told);
       assertEquals(4, told.getLength());
-      link.trouble(Wire.Trouble.HOLE, 0, 0, true, false);
+      link.trouble(FaultRule.Trouble.HOLE, 0, 0, true, false);
       caller.send(new DatagramPacket(BoundedReader.ascii("lost"), 4, link.address()));
       server.setSoTimeout(200);
       assertThrows(SocketTimeoutException.class, () -> server.receive(told));
@@ -220,7 +220,7 @@
 
   @Test
   void aLinkLeadsToLoopbackAlone() {
-    assertThrows(IOException.class, () -> new Link(new InetSocketAddress("192.0.2.1", 80), 1));
+    assertThrows(IOException.class, () -> new FaultProxy(new InetSocketAddress("192.0.2.1", 80), 1));
   }
 
   // ---- Scripts ----
@@ -310,8 +310,8 @@
   /**
    * A daemon in one thread that knows each key's result, and breaks one rule where it is told to.
    */
-  private static Callers.Tally play(Mutant mutant) throws Exception {
-    try (WorkerPool pool = new WorkerPool(null, new Random(3), 5, 20);
+  private static TestClients.Tally play(Mutant mutant) throws Exception {
+    try (FakeWorkerPool pool = new FakeWorkerPool(null, new Random(3), 5, 20);
         ServerSocket front = new ServerSocket(0, 50, HOST)) {
       Thread daemon =
           new Thread(
@@ -326,12 +326,12 @@
                 }
               });
       daemon.start();
-      Callers callers =
-          new Callers(
+      TestClients callers =
+          new TestClients(
               (InetSocketAddress) front.getLocalSocketAddress(),
               pool,
               System::currentTimeMillis,
-              Callers.Habit.of(1, 9000),
+              TestClients.Habit.of(1, 9000),
               DUE_MS,
               11,
               () -> false);
@@ -350,7 +350,7 @@
     }
   }
 
-  private static void serve(Socket caller, WorkerPool pool, Mutant mutant) {
+  private static void serve(Socket caller, FakeWorkerPool pool, Mutant mutant) {
     Map<String, byte[]> known = new HashMap<>();
     try (caller;
         Socket workers = new Socket(HOST, pool.address().getPort())) {
@@ -431,7 +431,7 @@
 
   @Test
   void eachCheckerFailsOnADaemonThatBreaksItsRuleAndOnNoOther() throws Exception {
-    Callers.Tally good = play(Mutant.NONE);
+    TestClients.Tally good = play(Mutant.NONE);
     assertTrue(good.holds() && good.again() > 5, good.toString());
     assertTrue(play(Mutant.RUNS_TWICE).runTwice() > 0);
     assertTrue(play(Mutant.REFUSES_AFTER_RUN).refusedAfterRun() > 0);
@@ -444,7 +444,7 @@
   }
 
   private static void takesAnotherThan(int held) throws Exception {
-    Link.Ports pair = Link.ports(held);
+    FaultProxy.Ports pair = FaultProxy.ports(held);
     try (ServerSocket streams = pair.streams();
         DatagramSocket datagrams = pair.datagrams()) {
       assertEquals(streams.getLocalPort(), datagrams.getLocalPort());
@@ -464,7 +464,7 @@
   @Test
   void theStandInPoolRunsARequestOnceHoweverOftenItIsAskedFor() throws Exception {
     byte[] spawn = BoundedReader.ascii("spawn 0000000000000001 save 4\r\nnote\r\n");
-    try (WorkerPool pool = new WorkerPool(null, new Random(3), 50, 20)) {
+    try (FakeWorkerPool pool = new FakeWorkerPool(null, new Random(3), 50, 20)) {
       String first;
       try (Socket link = new Socket(HOST, pool.address().getPort())) {
         link.setSoTimeout(5000);
