--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -1,5 +1,8 @@
 package wharftrestle;
 
+import wharftrestle.daemon.ClassDataTrainingRun;
+import wharftrestle.daemon.Lifecycle;
+import wharftrestle.daemon.SignalHandlers;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -101,7 +104,7 @@
       // The platform names no script: nothing of the settings' language is loaded there.
       DaemonConfig.Appliance extras =
           appliance == null ? DaemonConfig.Appliance.none() : Settings.read(appliance).appliance();
-      Signals signals = new Signals(() -> DaemonConfig.read(System.getenv()));
+      SignalHandlers signals = new SignalHandlers(() -> DaemonConfig.read(System.getenv()));
       Lifecycle life;
       try {
         life = new Lifecycle(config, extras);
@@ -179,7 +182,7 @@
   static final class Rehearse implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
-      Rehearsal.play();
+      ClassDataTrainingRun.play();
       return 0;
     }
   }
--- a/src/main/java/wharftrestle/Rehearsal.java
+++ b/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
@@ -1,4 +1,4 @@
-package wharftrestle;
+package wharftrestle.daemon;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -20,12 +20,12 @@
  * saves a start a fifth of its CPU. It must never be part of a daemon that serves, and decides
  * nothing.
  */
-final class Rehearsal {
-  private Rehearsal() {}
+public final class ClassDataTrainingRun {
+  private ClassDataTrainingRun() {}
 
-  static void play() throws IOException, InterruptedException, DaemonConfig.BadConfigException {
+  public static void play() throws IOException, InterruptedException, DaemonConfig.BadConfigException {
     Path file = Files.createTempFile("rehearsal", ".json");
-    try (InputStream told = Rehearsal.class.getResourceAsStream("/rehearsal.json")) {
+    try (InputStream told = ClassDataTrainingRun.class.getResourceAsStream("/rehearsal.json")) {
       Files.copy(told, file, StandardCopyOption.REPLACE_EXISTING);
       DaemonConfig config = DaemonConfig.read(Map.of("EDGE_CONFIG", file.toString()));
       try (Lifecycle life = new Lifecycle(config, new DaemonConfig.Appliance(null, null, null, "", 24))) {
--- a/src/main/java/wharftrestle/ConfigWatch.java
+++ b/src/main/java/wharftrestle/daemon/ConfigWatcher.java
@@ -1,4 +1,4 @@
-package wharftrestle;
+package wharftrestle.daemon;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -13,7 +13,7 @@
  * tells once that it has changed. It must never read what is in the file for more than that, and
  * runs only where the signal is ignored.
  */
-final class ConfigWatch {
+final class ConfigWatcher {
   /**
    * Milliseconds between two looks: some kilobytes are read, and callers wait seconds for a box
    * that moves.
@@ -24,7 +24,7 @@
   private final Runnable changed;
   private byte[] known;
 
-  ConfigWatch(Path file, Runnable changed) {
+  ConfigWatcher(Path file, Runnable changed) {
     this.file = file;
     this.changed = changed;
     known = read();
--- a/src/main/java/wharftrestle/Succession.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -1,4 +1,4 @@
-package wharftrestle;
+package wharftrestle.daemon;
 
 import java.nio.channels.ServerSocketChannel;
 import java.nio.file.Path;
@@ -26,7 +26,7 @@
  * they meet, and the waiting. It must never decide a step itself, or wait for the other side while
  * its own lock is held.
  */
-final class Succession implements PeerLink.Side {
+final class HandoverCoordinator implements PeerLink.Side {
 
   /** What is done to the process itself; none of it waits for the other process. */
   interface Box {
@@ -114,7 +114,7 @@
   private int rounds; // of hand-overs asked for here, so that a late look knows its own
   private ServerSocketChannel successors;
 
-  Succession(String name, Path meeting, PeerCoordinator partner, Box box, CompatibilityCheck agreement) {
+  HandoverCoordinator(String name, Path meeting, PeerCoordinator partner, Box box, CompatibilityCheck agreement) {
     this.name = name;
     this.meeting = meeting;
     this.partner = partner;
--- a/src/main/java/wharftrestle/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -1,4 +1,4 @@
-package wharftrestle;
+package wharftrestle.daemon;
 
 import java.io.IOException;
 import java.net.BindException;
@@ -36,11 +36,11 @@
 
 /**
  * Owns the daemon from its start to its exit: it puts the parts together, and its named states say
- * how far it has come. Where two processes serve one box {@link Succession} says what it does next.
+ * how far it has come. Where two processes serve one box {@link HandoverCoordinator} says what it does next.
  * It must never go back a state but from ceded to serving, where the new process dies early; never
  * take part in a request, or leave before all that was read has its answer while there is time.
  */
-public final class Lifecycle implements AdminServer.Daemon, Succession.Box, AutoCloseable {
+public final class Lifecycle implements AdminServer.Daemon, HandoverCoordinator.Box, AutoCloseable {
 
   /** From start to exit, in this order; another process serves this box's clients from CEDED on. */
   public enum State {
@@ -140,7 +140,7 @@
   private final int mostCallers;
   private final int mostRequests;
   private final int mostGateways;
-  private final Succession succession;
+  private final HandoverCoordinator succession;
   private final Version version;
   private volatile RolloutStatus fleet = RolloutStatus.NONE;
   private volatile boolean closed;
@@ -218,7 +218,7 @@
       core.record(journal);
     }
     version = BuildInfo.version(config.canonical(appliance));
-    succession = new Succession(config.name(), config.meeting(), core.partner(), this, agreement);
+    succession = new HandoverCoordinator(config.name(), config.meeting(), core.partner(), this, agreement);
     if (!succession.comes()) {
       if (journal != null) {
         core.recovered(journal.open(longestWindow())); // before the first repeat can be read
--- a/src/main/java/wharftrestle/Signals.java
+++ b/src/main/java/wharftrestle/daemon/SignalHandlers.java
@@ -1,4 +1,4 @@
-package wharftrestle;
+package wharftrestle.daemon;
 
 import java.nio.file.Path;
 import org.tinylog.Logger;
@@ -11,14 +11,14 @@
  * Guards against the instant in which callers connect already and a signal would still end the
  * process with all that they sent. It must never wait.
  */
-class Signals {
+public class SignalHandlers {
   private final Lifecycle.Source source;
   private final boolean deafToHangups;
   private Lifecycle life; // null until there is one
   private boolean leave; // told before that
   private boolean reload;
 
-  Signals(Lifecycle.Source source) {
+  public SignalHandlers(Lifecycle.Source source) {
     this.source = source;
     Signal.handle(new Signal("TERM"), signal -> leave());
     Signal.handle(new Signal("INT"), signal -> leave());
@@ -50,10 +50,10 @@
   }
 
   /** A signal was dealt with. */
-  void heard() {}
+  public void heard() {}
 
   /** From now on this one is told, and of what came before. */
-  Signals tell(Lifecycle now) {
+  public SignalHandlers tell(Lifecycle now) {
     boolean missed;
     synchronized (this) {
       life = now;
@@ -69,13 +69,13 @@
   }
 
   /** Looks at the configuration's file instead, where hangups are not heard. */
-  void watch(String file) {
+  public void watch(String file) {
     if (deafToHangups) {
       Logger.warn(
           "SIGHUP is ignored by whoever started this process: {} is looked at every {} ms instead",
           file,
-          ConfigWatch.EVERY_MS);
-      new ConfigWatch(Path.of(file), this::reload).start();
+          ConfigWatcher.EVERY_MS);
+      new ConfigWatcher(Path.of(file), this::reload).start();
     }
   }
 }
--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -3,6 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import wharftrestle.daemon.ClassDataTrainingRun;
+import wharftrestle.daemon.Lifecycle;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -391,7 +393,7 @@
 
   @Test
   void theBuildsRehearsalGoesFromEndToEnd() throws Exception {
-    Rehearsal.play(); // throws where any of its requests has no answer
+    ClassDataTrainingRun.play(); // throws where any of its requests has no answer
     assertTrue(
         Files.readString(Path.of("deploy/balancer.toml"))
             .lines()
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import wharftrestle.daemon.Lifecycle;
+import wharftrestle.daemon.SignalHandlers;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -128,7 +130,7 @@
             throw new DaemonConfig.BadConfigException("half a file");
           });
       DaemonConfig next = site.move(calling());
-      new Signals(() -> next).tell(site.life);
+      new SignalHandlers(() -> next).tell(site.life);
       Signal.raise(new Signal("HUP"));
       assertEquals(new Command("bind", "", "1", ""), site.command(), "numbers of notices go on");
       assertTrue(site.report().startsWith("renew n1 yes"));
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import wharftrestle.daemon.Lifecycle;
+import wharftrestle.daemon.SignalHandlers;
 import java.io.EOFException;
 import java.io.IOException;
 import java.lang.reflect.Proxy;
@@ -224,14 +226,14 @@
     try (Loopback site = new Loopback(Sites.site())) {
       wharftrestle.config.DaemonConfig config = site.move(Sites.site());
       CountDownLatch heard = new CountDownLatch(2);
-      Signals early =
-          new Signals(
+      SignalHandlers early =
+          new SignalHandlers(
               () -> {
                 read.incrementAndGet();
                 return config;
               }) {
             @Override
-            void heard() {
+            public void heard() {
               heard.countDown();
             }
           };
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
+import wharftrestle.daemon.Lifecycle;
 import java.io.BufferedInputStream;
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/test/java/wharftrestle/UpgradeTest.java
+++ b/src/test/java/wharftrestle/UpgradeTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import wharftrestle.daemon.Lifecycle;
 import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
--- a/src/test/java/wharftrestle/ConfigWatchTest.java
+++ b/src/test/java/wharftrestle/daemon/ConfigWatcherTest.java
@@ -1,4 +1,4 @@
-package wharftrestle;
+package wharftrestle.daemon;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The look at a configuration where hangups are not heard. */
-class ConfigWatchTest {
+class ConfigWatcherTest {
   @TempDir private Path folder;
 
   @Test
   void aWatchGoesOnAfterAnError() throws Exception {
     Path file = Files.writeString(folder.resolve("config.json"), "0");
     BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    new ConfigWatch(
+    new ConfigWatcher(
             file,
             () -> {
               told.add("changed");
--- a/src/test/java/wharftrestle/prove/BadRelease.java
+++ b/src/test/java/wharftrestle/prove/BadRelease.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.locks.LockSupport;
 import sun.misc.Signal;
 import sun.misc.Unsafe;
-import wharftrestle.Lifecycle;
+import wharftrestle.daemon.Lifecycle;
 import wharftrestle.transport.Address;
 import wharftrestle.transport.BoundedReader;
 import wharftrestle.config.DaemonConfig;
--- a/src/test/java/wharftrestle/prove/Unagreed.java
+++ b/src/test/java/wharftrestle/prove/Unagreed.java
@@ -1,7 +1,7 @@
 package wharftrestle.prove;
 
 import sun.misc.Signal;
-import wharftrestle.Lifecycle;
+import wharftrestle.daemon.Lifecycle;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.config.DaemonConfig;
 
--- a/src/test/java/wharftrestle/prove/Unbounded.java
+++ b/src/test/java/wharftrestle/prove/Unbounded.java
@@ -1,6 +1,6 @@
 package wharftrestle.prove;
 
-import wharftrestle.Lifecycle;
+import wharftrestle.daemon.Lifecycle;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.config.DaemonConfig;
 
