--- a/src/test/java/wharftrestle/box/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/box/StoredFormatTest.java
@@ -1,6 +1,7 @@
 package wharftrestle.box;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -173,4 +174,26 @@
         Set.of("go 1 two", "go 1 one back", "stand epoch=1&stage=2&verdict=same"),
         Set.copyOf(exchange.orders()));
   }
+
+  // ---- A whole run ----
+
+  @Test
+  void supervisor_inARunOfThreeChanges_writesAndAnswersAsRecorded() throws Exception {
+    SupervisorRun run = SupervisorRun.of(folder);
+
+    assertEquals(Fixtures.jsonLines(Fixtures.path(SupervisorRun.JOURNAL)), run.journal());
+    assertEquals(Fixtures.json(SupervisorRun.ORDERS), JSON.readTree(run.orders().toString()));
+    assertEquals(Fixtures.json(SupervisorRun.HOST), JSON.readTree(run.host().toString()));
+    assertTrue(run.requests().contains(SupervisorRun.STAND), "the process hears of the rollout");
+    assertTrue(run.requests().contains("GET /_figures HTTP/1.1"), run.requests().toString());
+  }
+
+  @Test
+  void exchanges_recorded_showEveryFieldThatASupervisorShowsOfItsHost() throws Exception {
+    JsonNode inRun = Fixtures.json(SupervisorRun.HOST).path("box");
+    JsonNode inExchange =
+        Fixtures.json(SupervisorFixtures.EXCHANGES).path(0).path("answer").path("box");
+
+    assertEquals(Fixtures.fields(inRun), Fixtures.fields(inExchange));
+  }
 }
--- a/src/test/java/wharftrestle/box/SupervisorFixtureWriter.java
+++ b/src/test/java/wharftrestle/box/SupervisorFixtureWriter.java
@@ -23,6 +23,16 @@
     Fixtures.writeJson(fresh(SupervisorFixtures.EXCHANGES), exchange.messages());
   }
 
+  @Test
+  void writeRun() throws Exception {
+    SupervisorRun run = SupervisorRun.of(scratch);
+    StringBuilder lines = new StringBuilder();
+    run.journal().forEach(line -> lines.append(line).append('\n'));
+    Files.writeString(fresh(SupervisorRun.JOURNAL), lines);
+    Fixtures.writeJson(fresh(SupervisorRun.ORDERS), run.orders());
+    Fixtures.writeJson(fresh(SupervisorRun.HOST), run.host());
+  }
+
   private static Path fresh(String name) {
     Path file = Fixtures.path(name);
     if (Files.exists(file)) {
--- /dev/null
+++ b/src/test/java/wharftrestle/box/SupervisorRun.java
@@ -0,0 +1,179 @@
+package wharftrestle.box;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.URI;
+import java.net.http.HttpClient;
+import java.net.http.HttpRequest;
+import java.net.http.HttpResponse;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.Callable;
+import java.util.concurrent.FutureTask;
+import java.util.concurrent.TimeUnit;
+import wharftrestle.Fixtures;
+import wharftrestle.net.Address;
+
+/**
+ * One run of a supervisor with stand-in processes: an order of a controller that fails, a change by
+ * an operator that holds, and the way back. Values that differ from run to run are replaced by
+ * fixed ones of the same type.
+ *
+ * @param journal its entries
+ * @param orders orders at its socket with their answers
+ * @param host what it shows to anybody after the change that failed
+ * @param requests first lines of the requests that the processes had
+ */
+record SupervisorRun(
+    List<JsonNode> journal, JsonNode orders, JsonNode host, List<String> requests) {
+  static final String JOURNAL = "supervisor/run.jsonl";
+  static final String ORDERS = "messages/supervisor-orders.json";
+  static final String HOST = "messages/supervisor-host.json";
+  static final String STAND = "POST /_fleet?epoch=1&stage=2&verdict=same HTTP/1.1";
+
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final HttpClient CLIENT = HttpClient.newHttpClient();
+  private static final Keeper.Limits LIMITS = new Keeper.Limits(15, 0.5, 0.02, 0.05, 20, 0.1, 1, 3);
+
+  static SupervisorRun of(Path folder) throws Exception {
+    Path state = folder.resolve("state");
+    int port = Address.freePort();
+    for (String name : List.of("one", "two", "three")) {
+      new Releases(folder.resolve("releases"))
+          .pack(Files.writeString(folder.resolve("any.jar"), "program " + name), null, name);
+    }
+    BoxKeeper.Places places =
+        new BoxKeeper.Places(
+            state,
+            folder.resolve("releases"),
+            folder.resolve("config.json"),
+            List.of(
+                System.getProperty("java.home") + "/bin/java",
+                "-Xmx40m",
+                "-cp",
+                System.getProperty(
+                    "surefire.test.class.path", System.getProperty("java.class.path")),
+                StandInProcess.class.getName()),
+            "b1",
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+    BoxKeeper keeper =
+        new BoxKeeper(places, LIMITS, new PrintStream(OutputStream.nullOutputStream()));
+    FutureTask<Void> runs =
+        new FutureTask<>(
+            (Callable<Void>)
+                () -> {
+                  keeper.run("one");
+                  return null;
+                });
+    new Thread(runs, "supervisor").start();
+    try {
+      return play(state, port);
+    } finally {
+      keeper.stop();
+      runs.get(30, TimeUnit.SECONDS);
+      keeper.close();
+      for (StepLog.Entry step : JsonLog.read(state.resolve("journal.jsonl"), StepLog.Entry.class)) {
+        if (step.what().equals("started")) {
+          ProcessHandle.of(step.pid()).ifPresent(ProcessHandle::destroyForcibly);
+        }
+      }
+    }
+  }
+
+  private static SupervisorRun play(Path state, int port) throws Exception {
+    ArrayNode orders = JSON.createArrayNode();
+    await(state, "serving", "one", "");
+    order(state, "status", orders);
+    call(port, "/claim", "{\"epoch\":1,\"driver\":\"d1\"}");
+    String asks = "{\"epoch\":1,\"driver\":\"d1\",\"stage\":2,\"verdict\":\"same\"}";
+    long stamp = call(port, "/ask", asks).path("stamp").asLong();
+    String goes = "{\"epoch\":1,\"driver\":\"d1\",\"to\":\"two\",\"stamp\":" + stamp + "}";
+    orders
+        .addObject()
+        .put("order", "go 1 two")
+        .put("answer", call(port, "/order", goes).path("obeyed").asText());
+    await(state, "serving", "one", "it died before it served");
+    ObjectNode host = call(port, "/box", null);
+    for (long until = System.nanoTime() + 10_000_000_000L;
+        !host.path("box").path("settled").asBoolean() && System.nanoTime() < until; ) {
+      TimeUnit.MILLISECONDS.sleep(20);
+      host = call(port, "/box", null);
+    }
+    for (String text : List.of("status", "change none", "change one", "back", "fly")) {
+      order(state, text, orders);
+    }
+    order(state, "change three", orders);
+    await(state, "serving", "three", "");
+    order(state, "back", orders);
+    await(state, "serving", "one", "");
+    List<JsonNode> journal = Fixtures.jsonLines(state.resolve("journal.jsonl"));
+    for (JsonNode line : journal) {
+      fix((ObjectNode) line, "at", "pid", "began", "door");
+    }
+    fix(host, "askedAgo");
+    host.put("incarnation", "1f2e3d4c");
+    fix((ObjectNode) host.path("box"), "pid", "cpu", "ownMb");
+    return new SupervisorRun(journal, orders, host, Files.readAllLines(state.resolve("requests")));
+  }
+
+  /** Replaces numbers that are not 0 by a fixed one. */
+  private static void fix(ObjectNode of, String... fields) {
+    for (String field : fields) {
+      JsonNode value = of.path(field);
+      if (value.isIntegralNumber() && value.asLong() != 0) {
+        of.put(field, 7);
+      } else if (value.isDouble()) {
+        of.put(field, 7.5);
+      }
+    }
+  }
+
+  private static void order(Path state, String text, ArrayNode into) throws IOException {
+    String answer = BoxKeeper.order(state, text);
+    ObjectNode one = into.addObject().put("order", text);
+    if (answer.startsWith("ok {")) {
+      JsonNode status = JSON.readTree(answer.substring(3));
+      fix((ObjectNode) status.path("serves"), "pid", "door");
+      one.set("status", status);
+    } else {
+      one.put("answer", answer.replace(state.getParent().toString(), "FOLDER"));
+    }
+  }
+
+  private static void await(Path state, String wanted, String release, String reason)
+      throws Exception {
+    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+    for (String answer = ""; ; answer = BoxKeeper.order(state, "status")) {
+      if (answer != null && answer.startsWith("ok ")) {
+        JsonNode now = JSON.readTree(answer.substring(3));
+        if (now.path("state").asText().equals(wanted)
+            && now.path("release").asText().equals(release)
+            && now.path("reason").asText().equals(reason)) {
+          return;
+        }
+      }
+      if (System.nanoTime() > until) {
+        throw new AssertionError(wanted + " " + release + " was expected, it is " + answer);
+      }
+      TimeUnit.MILLISECONDS.sleep(20);
+    }
+  }
+
+  private static ObjectNode call(int port, String path, String body) throws Exception {
+    HttpRequest.Builder request =
+        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path));
+    if (body != null) {
+      request.POST(HttpRequest.BodyPublishers.ofString(body));
+    }
+    return (ObjectNode)
+        JSON.readTree(CLIENT.send(request.build(), HttpResponse.BodyHandlers.ofString()).body());
+  }
+}
