--- a/src/test/java/wharftrestle/box/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/box/StoredFormatTest.java
@@ -1,5 +1,6 @@
 package wharftrestle.box;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,16 +9,20 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -175,6 +180,52 @@
         Set.copyOf(exchange.orders()));
   }
 
+  @Test
+  void look_atAHostWhoseFrontIsHealthy_asksAsAnyCallerAndSaysSo() throws Exception {
+    int port = Address.freePort();
+    byte[] probe = "*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n".getBytes(StandardCharsets.US_ASCII);
+    AtomicReference<byte[]> asked = new AtomicReference<>();
+
+    JsonNode answer;
+    try (ServerSocket front = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        FleetDoor door =
+            new FleetDoor(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                "b1",
+                folder,
+                new Releases(folder),
+                order -> "ok",
+                Map::of,
+                (program, settings) -> true)) {
+      Thread answers =
+          new Thread(
+              () -> {
+                try (Socket caller = front.accept()) {
+                  asked.set(caller.getInputStream().readNBytes(probe.length));
+                  caller
+                      .getOutputStream()
+                      .write("$7\r\nhealthy\r\n".getBytes(StandardCharsets.US_ASCII));
+                } catch (IOException closed) {
+                  asked.set(new byte[0]);
+                }
+              },
+              "front");
+      answers.start();
+      String query = "/look?keeper=127.0.0.1:" + port + "&front=127.0.0.1:" + front.getLocalPort();
+      answer =
+          JSON.readTree(
+              HttpClient.newHttpClient()
+                  .send(
+                      HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + query))
+                          .build(),
+                      HttpResponse.BodyHandlers.ofString())
+                  .body());
+    }
+
+    assertEquals(JSON.readTree("{\"heard\":true,\"callers\":true}"), answer);
+    assertArrayEquals(probe, asked.get());
+  }
+
   // ---- A whole run ----
 
   @Test
--- a/src/test/java/wharftrestle/drive/RolloutFixtureWriter.java
+++ b/src/test/java/wharftrestle/drive/RolloutFixtureWriter.java
@@ -24,6 +24,11 @@
     RolloutFixtures.writeLines(fresh(RolloutFixtures.EVENTS), run.events());
   }
 
+  @Test
+  void writeStatus() throws Exception {
+    Fixtures.writeJson(fresh(RolloutFixtures.STATUS), RolloutFixtures.statusWhileWatching(scratch));
+  }
+
   private static Path fresh(String name) {
     Path file = Fixtures.path(name);
     if (Files.exists(file)) {
--- a/src/test/java/wharftrestle/drive/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/drive/RolloutFixtures.java
@@ -35,6 +35,7 @@
   static final String JOURNAL = "rollout/roll.jsonl";
   static final String RUN = "rollout/run.jsonl";
   static final String EVENTS = "rollout/events.jsonl";
+  static final String STATUS = "messages/controller-status.json";
   static final String ORDERS = "messages/controller-orders.json";
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -120,6 +121,70 @@
     return all;
   }
 
+  /** The status of a controller that watches one host and compares one measure. */
+  static JsonNode statusWhileWatching(Path folder) throws Exception {
+    int port = Address.freePort();
+    PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
+    Path state = folder.resolve("watching");
+    try (FleetDoor door =
+            new FleetDoor(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                "b1",
+                Files.createDirectories(folder.resolve("watched")),
+                new Releases(folder),
+                order -> "ok",
+                () ->
+                    Map.of(
+                        "state",
+                        "serving",
+                        "settled",
+                        true,
+                        "acts",
+                        "one",
+                        "classes",
+                        List.of(Map.of("name", "batch work"))),
+                (program, settings) -> true);
+        Driver driver =
+            new Driver(
+                state,
+                PlanScript.parse(
+                    "p.star",
+                    "box(\"b1\", zone = \"north\", keeper = \"127.0.0.1:"
+                        + port
+                        + "\")\nchange(to = \"two\", stages = [stage(boxes = 1)],"
+                        + " worse = [worth(0.03), late(0.1)], watch = 600, window = 60)\n"),
+                "d1",
+                new Events(nowhere, true))) {
+      Thread runs =
+          new Thread(
+              () -> {
+                try {
+                  driver.run();
+                } catch (IOException | InterruptedException e) {
+                  throw new IllegalStateException(e);
+                }
+              },
+              "controller");
+      runs.start();
+      JsonNode status = JSON.createObjectNode();
+      long until = System.nanoTime() + 30_000_000_000L;
+      while (status.path("measures").isEmpty()
+          || !status.path("steering").asText().equals("steering")) {
+        if (System.nanoTime() > until) {
+          throw new AssertionError("measures were expected, it is " + status);
+        }
+        Thread.sleep(50);
+        status =
+            JSON.readTree(OrderSocket.order(state.resolve("roll.sock"), "status").substring(3));
+      }
+      driver.stop();
+      runs.join();
+      ((ObjectNode) status).put("plan", "00");
+      ((ObjectNode) status.path("boxes").path(0)).put("silent", 0.5);
+      return status;
+    }
+  }
+
   // ---- A whole rollout ----
 
   /** What one rollout of one host wrote; times and the plan's digest are fixed. */
--- a/src/test/java/wharftrestle/drive/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/drive/StoredFormatTest.java
@@ -138,6 +138,15 @@
     assertEquals(recorded, JSON.readTree(answered.toString()));
   }
 
+  @Test
+  void status_whileAHostIsWatched_isShownAsRecorded() throws Exception {
+    JsonNode recorded = Fixtures.json(RolloutFixtures.STATUS);
+
+    JsonNode shown = RolloutFixtures.statusWhileWatching(folder);
+
+    assertEquals(recorded, JSON.readTree(shown.toString()));
+  }
+
   // ---- Messages between controller and supervisor ----
 
   /** Answers each request with the next recorded answer, and keeps what was asked. */
