--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -42,12 +42,12 @@
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
 
   @TempDir private Path folder;
-  private final List<Keeper> keepers = new ArrayList<>();
+  private final List<SupervisorStateMachine> keepers = new ArrayList<>();
   private final List<String> obeyed = new CopyOnWriteArrayList<>();
   private ReleaseDirectory releases;
 
   /** A keeper's door, and a box that has every release at once. */
-  private final class Keeper {
+  private final class SupervisorStateMachine {
     private final String name;
     private final int port;
     private ControllerEndpoint door;
@@ -55,7 +55,7 @@
     private volatile String told = "";
     private volatile int attempt;
 
-    Keeper(String name) throws IOException {
+    SupervisorStateMachine(String name) throws IOException {
       this.name = name;
       port = Address.freePort();
       open();
@@ -109,13 +109,13 @@
     releases.pack(jar, null, "one");
     releases.pack(jar, null, "two");
     for (int i = 1; i <= 3; i++) {
-      keepers.add(new Keeper("b" + i));
+      keepers.add(new SupervisorStateMachine("b" + i));
     }
   }
 
   @AfterEach
   void close() throws IOException {
-    for (Keeper each : keepers) {
+    for (SupervisorStateMachine each : keepers) {
       each.door.close();
     }
   }
@@ -220,7 +220,7 @@
 
   @Test
   void aDoorKeepsItsEpochOverRestartsAndAnswersNonsenseWithItsError() throws Exception {
-    Keeper keeper = keepers.get(0);
+    SupervisorStateMachine keeper = keepers.get(0);
     JsonNode granted = keeper.call("/claim", "{\"epoch\":7,\"driver\":\"ann\"}");
     assertEquals("GRANTED", granted.path("answer").asText());
     keeper.door.close();
--- a/src/test/java/wharftrestle/supervisor/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/supervisor/StoredFormatTest.java
@@ -1,22 +1,28 @@
 package wharftrestle.supervisor;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -173,4 +179,72 @@
         Set.of("go 1 two", "go 1 one back", "stand epoch=1&stage=2&verdict=same"),
         Set.copyOf(exchange.orders()));
   }
+
+  @Test
+  void look_atAHostWhoseFrontIsHealthy_asksAsAnyCallerAndSaysSo() throws Exception {
+    int port = Address.freePort();
+    byte[] probe = "*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n".getBytes(StandardCharsets.US_ASCII);
+    AtomicReference<byte[]> asked = new AtomicReference<>();
+
+    JsonNode answer;
+    try (ServerSocket front = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        ControllerEndpoint door =
+            new ControllerEndpoint(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                "b1",
+                folder,
+                new ReleaseDirectory(folder),
+                order -> "ok",
+                Map::of,
+                (program, settings) -> true)) {
+      Thread answers =
+          new Thread(
+              () -> {
+                try (Socket caller = front.accept()) {
+                  asked.set(caller.getInputStream().readNBytes(probe.length));
+                  caller
+                      .getOutputStream()
+                      .write("$7\r\nhealthy\r\n".getBytes(StandardCharsets.US_ASCII));
+                } catch (IOException closed) {
+                  asked.set(new byte[0]);
+                }
+              },
+              "front");
+      answers.start();
+      String query = "/look?keeper=127.0.0.1:" + port + "&front=127.0.0.1:" + front.getLocalPort();
+      answer =
+          JSON.readTree(
+              HttpClient.newHttpClient()
+                  .send(
+                      HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + query))
+                          .build(),
+                      HttpResponse.BodyHandlers.ofString())
+                  .body());
+    }
+
+    assertEquals(JSON.readTree("{\"heard\":true,\"callers\":true}"), answer);
+    assertArrayEquals(probe, asked.get());
+  }
+
+  // ---- A whole run ----
+
+  @Test
+  void supervisor_inARunOfThreeChanges_writesAndAnswersAsRecorded() throws Exception {
+    SupervisorRun run = SupervisorRun.of(folder);
+
+    assertEquals(Fixtures.jsonLines(Fixtures.path(SupervisorRun.JOURNAL)), run.journal());
+    assertEquals(Fixtures.json(SupervisorRun.ORDERS), JSON.readTree(run.orders().toString()));
+    assertEquals(Fixtures.json(SupervisorRun.HOST), JSON.readTree(run.host().toString()));
+    assertTrue(run.requests().contains(SupervisorRun.STAND), "the process hears of the rollout");
+    assertTrue(run.requests().contains("GET /_figures HTTP/1.1"), run.requests().toString());
+  }
+
+  @Test
+  void exchanges_recorded_showEveryFieldThatASupervisorShowsOfItsHost() throws Exception {
+    JsonNode inRun = Fixtures.json(SupervisorRun.HOST).path("box");
+    JsonNode inExchange =
+        Fixtures.json(SupervisorFixtures.EXCHANGES).path(0).path("answer").path("box");
+
+    assertEquals(Fixtures.fields(inRun), Fixtures.fields(inExchange));
+  }
 }
