--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -1,8 +1,5 @@
 package wharftrestle;
 
-import wharftrestle.daemon.ClassDataTrainingRun;
-import wharftrestle.daemon.Lifecycle;
-import wharftrestle.daemon.SignalHandlers;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,18 +13,21 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import wharftrestle.supervisor.SupervisorCommand;
-import wharftrestle.rollout.controller.RolloutCommand;
-import wharftrestle.storage.ResultLogTool;
-import wharftrestle.storage.UnusableStorageException;
-import wharftrestle.testbed.TestbedCommand;
-import wharftrestle.config.DaemonConfig;
 import wharftrestle.admin.AdminConsole;
 import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.config.DaemonConfig;
+import wharftrestle.daemon.ClassDataTrainingRun;
+import wharftrestle.daemon.Lifecycle;
+import wharftrestle.daemon.SignalHandlers;
+import wharftrestle.rollout.controller.RolloutCommand;
 import wharftrestle.settings.BadSettingsException;
 import wharftrestle.settings.Settings;
-import wharftrestle.version.BuildInfo;
 import wharftrestle.simulator.SimulatorAdapter;
+import wharftrestle.storage.ResultLogTool;
+import wharftrestle.storage.UnusableStorageException;
+import wharftrestle.supervisor.SupervisorCommand;
+import wharftrestle.testbed.TestbedCommand;
+import wharftrestle.version.BuildInfo;
 
 /**
  * The command line. It owns arguments, exit codes and signals, and hands over to the part named;
--- a/src/main/java/wharftrestle/admin/AdminServer.java
+++ b/src/main/java/wharftrestle/admin/AdminServer.java
@@ -1,7 +1,5 @@
 package wharftrestle.admin;
 
-import wharftrestle.metrics.Counters;
-import wharftrestle.metrics.ResultMetric;
 import java.io.EOFException;
 import java.io.IOException;
 import java.io.InputStream;
@@ -11,11 +9,13 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Function;
+import wharftrestle.admission.Admission;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.ResultMetric;
 import wharftrestle.transport.BoundedReader;
 import wharftrestle.transport.Connection;
 import wharftrestle.transport.Server;
 import wharftrestle.transport.Server.MalformedException;
-import wharftrestle.admission.Admission;
 import wharftrestle.version.Version;
 
 /**
--- a/src/main/java/wharftrestle/config/DaemonConfig.java
+++ b/src/main/java/wharftrestle/config/DaemonConfig.java
@@ -1,6 +1,5 @@
 package wharftrestle.config;
 
-import wharftrestle.transport.Address;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -12,6 +11,7 @@
 import wharftrestle.admission.Admission;
 import wharftrestle.simulator.MalformedLineException;
 import wharftrestle.simulator.SettingsReader;
+import wharftrestle.transport.Address;
 
 /**
  * Owns what the program is told at its start: the platform's configuration, and where the processes
--- a/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
+++ b/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
@@ -9,10 +9,10 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.Map;
+import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.time.SteadyWallClock;
 import wharftrestle.transport.BoundedReader;
-import wharftrestle.config.DaemonConfig;
-import wharftrestle.admission.Admission.Outcome;
 
 /**
  * One request from end to end in a daemon without a worker pool, whose words are spoken for it
@@ -23,12 +23,14 @@
 public final class ClassDataTrainingRun {
   private ClassDataTrainingRun() {}
 
-  public static void play() throws IOException, InterruptedException, DaemonConfig.BadConfigException {
+  public static void play()
+      throws IOException, InterruptedException, DaemonConfig.BadConfigException {
     Path file = Files.createTempFile("rehearsal", ".json");
     try (InputStream told = ClassDataTrainingRun.class.getResourceAsStream("/rehearsal.json")) {
       Files.copy(told, file, StandardCopyOption.REPLACE_EXISTING);
       DaemonConfig config = DaemonConfig.read(Map.of("EDGE_CONFIG", file.toString()));
-      try (Lifecycle life = new Lifecycle(config, new DaemonConfig.Appliance(null, null, null, "", 24))) {
+      try (Lifecycle life =
+          new Lifecycle(config, new DaemonConfig.Appliance(null, null, null, "", 24))) {
         life.start();
         life.core().bound(false, 0);
         life.core().gauges(new double[] {0.1, 0, 0.1, 1});
--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -4,27 +4,27 @@
 import java.nio.file.Path;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.time.SteadyWallClock;
-import wharftrestle.request.PeerCoordinator;
-import wharftrestle.request.PlatformThreads;
+import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.CompatibilityCheck;
 import wharftrestle.handover.HandoverStateMachine;
 import wharftrestle.handover.HandoverStateMachine.Act;
 import wharftrestle.handover.HandoverStateMachine.Event;
 import wharftrestle.handover.HandoverStateMachine.State;
 import wharftrestle.handover.ProcessPauseDetector;
-import wharftrestle.handover.Capabilities;
-import wharftrestle.transport.PeerLink;
-import wharftrestle.transport.PeerLink.Word;
+import wharftrestle.request.PeerCoordinator;
+import wharftrestle.request.PlatformThreads;
+import wharftrestle.time.SteadyWallClock;
 import wharftrestle.transport.BoundedReader;
 import wharftrestle.transport.OwnershipLock;
+import wharftrestle.transport.PeerLink;
+import wharftrestle.transport.PeerLink.Word;
 import wharftrestle.version.BuildInfo;
 
 /**
- * Carries out the hand-over between the processes of one box: it gives {@link HandoverStateMachine} what was
- * heard, and does what that asks for. It owns the links to the other processes, the place where
- * they meet, and the waiting. It must never decide a step itself, or wait for the other side while
- * its own lock is held.
+ * Carries out the hand-over between the processes of one box: it gives {@link HandoverStateMachine}
+ * what was heard, and does what that asks for. It owns the links to the other processes, the place
+ * where they meet, and the waiting. It must never decide a step itself, or wait for the other side
+ * while its own lock is held.
  */
 final class HandoverCoordinator implements PeerLink.Side {
 
@@ -106,7 +106,8 @@
   private String reason = ""; // of the last no
   private boolean refusedBefore; // what is known could not be carried
   private volatile boolean closed;
-  private volatile ProcessPauseDetector standstill; // since this process handed over; null where it has not
+  private volatile ProcessPauseDetector
+      standstill; // since this process handed over; null where it has not
   private boolean lostHeir; // the one that took over has died, and this process leaves
   private int told; // settled keys
   private int given; // open keys
@@ -114,7 +115,8 @@
   private int rounds; // of hand-overs asked for here, so that a late look knows its own
   private ServerSocketChannel successors;
 
-  HandoverCoordinator(String name, Path meeting, PeerCoordinator partner, Box box, CompatibilityCheck agreement) {
+  HandoverCoordinator(
+      String name, Path meeting, PeerCoordinator partner, Box box, CompatibilityCheck agreement) {
     this.name = name;
     this.meeting = meeting;
     this.partner = partner;
@@ -125,7 +127,8 @@
     // Guards against serving without the keys of a process that is stopped, or lives on after its
     // successor died.
     boolean waits = link == null && seat != null && !seat.alone();
-    steps = waits ? new HandoverStateMachine(State.LOOKING) : new HandoverStateMachine(link != null);
+    steps =
+        waits ? new HandoverStateMachine(State.LOOKING) : new HandoverStateMachine(link != null);
   }
 
   /** True where this process came second and has yet to serve. */
--- a/src/main/java/wharftrestle/daemon/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -9,36 +9,37 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.request.RequestCoordinator;
-import wharftrestle.request.PlatformThreads;
-import wharftrestle.storage.WriteAheadLog;
+import wharftrestle.admin.AdminServer;
+import wharftrestle.admin.RolloutStatus;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.config.DaemonConfig;
+import wharftrestle.discovery.LoadReporter;
 import wharftrestle.frontend.RespFrontend;
 import wharftrestle.frontend.UwsgiFrontend;
-import wharftrestle.handover.CompatibilityCheck;
 import wharftrestle.handover.Capabilities;
-import wharftrestle.idempotency.KeyMemoryBudget;
+import wharftrestle.handover.CompatibilityCheck;
 import wharftrestle.idempotency.IdempotencyTable;
-import wharftrestle.config.DaemonConfig;
-import wharftrestle.transport.DescriptorBudget;
-import wharftrestle.upstream.WorkerPoolClient;
-import wharftrestle.discovery.LoadReporter;
-import wharftrestle.transport.Server;
-import wharftrestle.upstream.StoreClient;
+import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.metrics.Counters;
-import wharftrestle.admin.AdminServer;
-import wharftrestle.admin.RolloutStatus;
 import wharftrestle.metrics.ResultMetric;
+import wharftrestle.request.PlatformThreads;
+import wharftrestle.request.RequestCoordinator;
 import wharftrestle.snmp.SnmpAgent;
-import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.storage.WriteAheadLog;
+import wharftrestle.transport.DescriptorBudget;
+import wharftrestle.transport.Server;
+import wharftrestle.upstream.StoreClient;
+import wharftrestle.upstream.WorkerPoolClient;
 import wharftrestle.version.BuildInfo;
 import wharftrestle.version.Version;
 
 /**
  * Owns the daemon from its start to its exit: it puts the parts together, and its named states say
- * how far it has come. Where two processes serve one box {@link HandoverCoordinator} says what it does next.
- * It must never go back a state but from ceded to serving, where the new process dies early; never
- * take part in a request, or leave before all that was read has its answer while there is time.
+ * how far it has come. Where two processes serve one box {@link HandoverCoordinator} says what it
+ * does next. It must never go back a state but from ceded to serving, where the new process dies
+ * early; never take part in a request, or leave before all that was read has its answer while there
+ * is time.
  */
 public final class Lifecycle implements AdminServer.Daemon, HandoverCoordinator.Box, AutoCloseable {
 
@@ -156,12 +157,17 @@
   }
 
   /** The same with a room for keys that is not the heap's share. */
-  public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget room) throws IOException {
+  public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget room)
+      throws IOException {
     this(config, appliance, room, CompatibilityCheck.STANDING);
   }
 
   /** The same with another rule of who may take over from whom. */
-  public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget room, CompatibilityCheck agreement)
+  public Lifecycle(
+      DaemonConfig config,
+      DaemonConfig.Appliance appliance,
+      KeyMemoryBudget room,
+      CompatibilityCheck agreement)
       throws IOException {
     this.config = config;
     this.appliance = appliance;
@@ -218,7 +224,8 @@
       core.record(journal);
     }
     version = BuildInfo.version(config.canonical(appliance));
-    succession = new HandoverCoordinator(config.name(), config.meeting(), core.partner(), this, agreement);
+    succession =
+        new HandoverCoordinator(config.name(), config.meeting(), core.partner(), this, agreement);
     if (!succession.comes()) {
       if (journal != null) {
         core.recovered(journal.open(longestWindow())); // before the first repeat can be read
--- a/src/main/java/wharftrestle/discovery/LoadReporter.java
+++ b/src/main/java/wharftrestle/discovery/LoadReporter.java
@@ -1,17 +1,17 @@
 package wharftrestle.discovery;
 
-import wharftrestle.transport.BoundedReader;
-import wharftrestle.transport.LogRateLimiter;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetSocketAddress;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.request.RequestCoordinator;
-import wharftrestle.request.PlatformThreads;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
+import wharftrestle.request.PlatformThreads;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.transport.BoundedReader;
+import wharftrestle.transport.LogRateLimiter;
 
 /**
  * Owns the reports to the name service: one datagram many times within the 3 s after which an entry
--- a/src/main/java/wharftrestle/frontend/RespFrontend.java
+++ b/src/main/java/wharftrestle/frontend/RespFrontend.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.locks.LockSupport;
 import java.util.regex.Pattern;
-import wharftrestle.time.SteadyWallClock;
+import wharftrestle.admission.Admission;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
 import wharftrestle.request.RequestCoordinator;
+import wharftrestle.time.SteadyWallClock;
 import wharftrestle.transport.BoundedReader;
 import wharftrestle.transport.Connection;
 import wharftrestle.transport.Server;
 import wharftrestle.transport.Server.MalformedException;
-import wharftrestle.metrics.Counters;
-import wharftrestle.metrics.Counters.Count;
-import wharftrestle.admission.Admission;
 
 /**
  * The platform's front: RESP arrays of bulk strings, parsed and written here. It owns the tags open
@@ -325,7 +325,9 @@
         throw new MalformedException("no bulk string");
       }
       int most = i == MOST_PARTS - 1 ? LONGEST_BODY : LONGEST_WORD;
-      words[i] = BoundedReader.exactly(in, (int) BoundedReader.number(BoundedReader.line(in, LONGEST_COUNT), most));
+      words[i] =
+          BoundedReader.exactly(
+              in, (int) BoundedReader.number(BoundedReader.line(in, LONGEST_COUNT), most));
       BoundedReader.crlf(in);
     }
     return words;
@@ -373,7 +375,8 @@
 
   static byte[] array(String tag, String word, String fields, byte[] body) {
     return BoundedReader.join(
-        BoundedReader.ascii("*4\r\n" + bulk(tag) + bulk(word) + bulk(fields) + "$" + body.length + "\r\n"),
+        BoundedReader.ascii(
+            "*4\r\n" + bulk(tag) + bulk(word) + bulk(fields) + "$" + body.length + "\r\n"),
         body,
         BoundedReader.ascii("\r\n"));
   }
--- a/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
+++ b/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
-import wharftrestle.time.SteadyWallClock;
+import wharftrestle.admission.Admission;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
 import wharftrestle.request.RequestCoordinator;
+import wharftrestle.time.SteadyWallClock;
 import wharftrestle.transport.BoundedReader;
 import wharftrestle.transport.Connection;
 import wharftrestle.transport.Server;
 import wharftrestle.transport.Server.MalformedException;
-import wharftrestle.metrics.Counters;
-import wharftrestle.metrics.Counters.Count;
-import wharftrestle.admission.Admission;
 
 /**
  * The uwsgi front: one request a connection, a packet of variables and a body in, an HTTP response
@@ -86,7 +86,8 @@
       connection.readUntil(connection.openedAt() + REQUEST_MS * 1_000_000L);
       arrival = read(connection.in());
     } catch (Status answered) {
-      connection.send(response(answered.line, "", BoundedReader.ascii(answered.getMessage() + "\n")));
+      connection.send(
+          response(answered.line, "", BoundedReader.ascii(answered.getMessage() + "\n")));
       counters.add(Count.MALFORMED);
       return;
     } catch (MalformedException e) {
--- a/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
+++ b/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import wharftrestle.handover.PeerProcess.Kept;
 import wharftrestle.handover.PeerProcess.Over;
-import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.idempotency.IdempotencyTable;
+import wharftrestle.idempotency.KeyDigest;
 
 /**
  * What becomes of each key while two processes serve one box: the one owns all keys, the other ends
@@ -57,7 +57,8 @@
     public void tell(byte[] result) {
       // A try with another body must be told apart there too: it is told a body that differs.
       byte[] asked = entry.asked().same(body) ? body : Arrays.copyOf(body, body.length + 1);
-      asks.tell(new Kept(key, true, entry.lastDoor(), window + IdempotencyTable.LINGER, asked, result));
+      asks.tell(
+          new Kept(key, true, entry.lastDoor(), window + IdempotencyTable.LINGER, asked, result));
     }
   }
 
--- a/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
+++ b/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
@@ -18,8 +18,8 @@
  *
  * <p>An entry that is over is settled: its try, its text and its body go, the {@link CompactIndex}
  * knows it by its digest, and its result lies in {@link BlockStore} or, where results are kept, on
- * disk. {@link KeyMemoryBudget} says whether a further key fits: who starts a run asks for its {@link
- * #promise} first.
+ * disk. {@link KeyMemoryBudget} says whether a further key fits: who starts a run asks for its
+ * {@link #promise} first.
  *
  * @param <T> a try, as the caller knows it
  */
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -56,7 +56,11 @@
   boolean promised; // room to know its key to the end
   boolean unsent; // a run was decided and turned away: the worker pool never hears of it
 
-  InFlightRequest(long id, RequestCoordinator.Arrival arrival, RequestCoordinator.Caller caller, Condition signal) {
+  InFlightRequest(
+      long id,
+      RequestCoordinator.Arrival arrival,
+      RequestCoordinator.Caller caller,
+      Condition signal) {
     this.id = id;
     this.arrival = arrival;
     this.key =
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import java.util.Set;
 import org.tinylog.Logger;
+import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.handover.PeerProcess.Kept;
 import wharftrestle.handover.PeerProcess.Over;
-import wharftrestle.handover.Capabilities;
-import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.idempotency.IdempotencyTable;
+import wharftrestle.idempotency.KeyDigest;
 
 /**
  * The core's face for the other process of its box: each word of that process enters here, under
- * the core's lock, and {@link KeyOwnershipTransfer} decides what it means. It owns the tries that wait for that
- * process's word. It must never hold the lock while it waits for the other side.
+ * the core's lock, and {@link KeyOwnershipTransfer} decides what it means. It owns the tries that
+ * wait for that process's word. It must never hold the lock while it waits for the other side.
  */
 public final class PeerCoordinator implements KeyOwnershipTransfer.Host<InFlightRequest> {
   private final RequestCoordinator core;
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -13,30 +13,31 @@
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
 import org.tinylog.Logger;
-import wharftrestle.time.SteadyWallClock;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
-import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
 import wharftrestle.metrics.Counters.Result;
 import wharftrestle.metrics.ResultMetric;
-import wharftrestle.admission.Admission;
-import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.time.SteadyWallClock;
 
 /**
  * Owns the requests in hand, the keys with their results, and the one lock that guards the decision
- * module; {@link ResultRecorder} has what concerns the disk, {@link PeerCoordinator} the other process of the
- * box. Events enter the module here, one at a time and with a clock that never goes back; what the
- * module asks for comes back inside the event and only becomes a step of the request concerned,
- * which that request's own thread carries out. It must never read or write a socket under the lock,
- * never decide what the module decides, and never know which wire a request came by.
+ * module; {@link ResultRecorder} has what concerns the disk, {@link PeerCoordinator} the other
+ * process of the box. Events enter the module here, one at a time and with a clock that never goes
+ * back; what the module asks for comes back inside the event and only becomes a step of the request
+ * concerned, which that request's own thread carries out. It must never read or write a socket
+ * under the lock, never decide what the module decides, and never know which wire a request came
+ * by.
  */
 public final class RequestCoordinator implements Admission.Actions {
 
   /**
-   * One try as a front read it; {@code door} is ms on {@link SteadyWallClock}'s even scale, {@code key} is
-   * null where there is none.
+   * One try as a front read it; {@code door} is ms on {@link SteadyWallClock}'s even scale, {@code
+   * key} is null where there is none.
    *
    * @param further its sender marked it as a further try, or a second copy
    * @param cost seconds of work on one core to expect, rough; 0 where not told
@@ -425,7 +426,9 @@
         if (!task.answered) {
           counters.answered(task.arrival.classIndex(), Result.ABORTED);
         }
-        owed = !task.answered || task.steps.removeIf(step -> step.kind() == InFlightRequest.Kind.ANSWER);
+        owed =
+            !task.answered
+                || task.steps.removeIf(step -> step.kind() == InFlightRequest.Kind.ANSWER);
         task.answered = true;
         forget(task);
       } finally {
@@ -514,7 +517,8 @@
       byId.put(task.id, task);
       byRef.put(a.ref(), task);
       sweepKeys(now);
-      IdempotencyTable.Entry<InFlightRequest> prior = task.key == null ? null : keys.meet(task.key, a.door());
+      IdempotencyTable.Entry<InFlightRequest> prior =
+          task.key == null ? null : keys.meet(task.key, a.door());
       boolean repeat = prior != null;
       if (task.key != null && !repeat && partner.unasked(task)) {
         // Guards against a second run of a key, or its refusal after one: the process that owns it
@@ -999,7 +1003,9 @@
   private void endAttached(InFlightRequest task, IdempotencyTable.Entry<InFlightRequest> entry) {
     if (!task.answered && entry != null && entry.onDisk() && keys.result(entry) == null) {
       task.entry = entry;
-      task.step(InFlightRequest.Step.of(InFlightRequest.Kind.REPLAY)); // it lies on disk: no reading here, under the lock
+      task.step(
+          InFlightRequest.Step.of(
+              InFlightRequest.Kind.REPLAY)); // it lies on disk: no reading here, under the lock
       return;
     }
     endWith(task, entry == null ? null : keys.result(entry));
@@ -1129,7 +1135,9 @@
       }
     }
     task.spawned = true;
-    task.step(InFlightRequest.Step.of(recorder.recording(task) ? InFlightRequest.Kind.INTEND : InFlightRequest.Kind.SPAWN));
+    task.step(
+        InFlightRequest.Step.of(
+            recorder.recording(task) ? InFlightRequest.Kind.INTEND : InFlightRequest.Kind.SPAWN));
   }
 
   @Override
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -3,22 +3,22 @@
 import java.io.IOException;
 import java.util.Map;
 import org.tinylog.Logger;
-import wharftrestle.request.RequestCoordinator.Answer;
+import wharftrestle.admission.Admission.Outcome;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
+import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
-import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.metrics.Counters.Count;
 import wharftrestle.metrics.ResultMetric;
-import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.request.RequestCoordinator.Answer;
 
 /**
  * Intents and results of keyed runs on their way to the disk and back: what the request in hand
  * does for it, step by step. It owns which records there are; none of them, and then it does
  * nothing. It must never let a run begin before its intent is kept, or a result go out before it
- * is; the {@link IdempotencyTable} decides what a key may do. Guarded by the core's lock, but for what says
- * otherwise.
+ * is; the {@link IdempotencyTable} decides what a key may do. Guarded by the core's lock, but for
+ * what says otherwise.
  */
 final class ResultRecorder {
   private final RequestCoordinator core;
@@ -28,7 +28,11 @@
   private volatile ResultStore records; // null where no results are kept
   private int most;
 
-  ResultRecorder(RequestCoordinator core, IdempotencyTable<InFlightRequest> keys, KeyMemoryBudget room, KeyOwnershipTransfer<InFlightRequest> between) {
+  ResultRecorder(
+      RequestCoordinator core,
+      IdempotencyTable<InFlightRequest> keys,
+      KeyMemoryBudget room,
+      KeyOwnershipTransfer<InFlightRequest> between) {
     this.core = core;
     this.keys = keys;
     this.room = room;
@@ -150,7 +154,9 @@
       core.answer(task, unrecorded(why));
     }
     task.steps.removeIf(
-        step -> step.kind() == InFlightRequest.Kind.INTEND || step.kind() == InFlightRequest.Kind.SUSPEND);
+        step ->
+            step.kind() == InFlightRequest.Kind.INTEND
+                || step.kind() == InFlightRequest.Kind.SUSPEND);
     core.tellRunOver(task, Outcome.VOID, 0, null);
   }
 
--- a/src/main/java/wharftrestle/rollout/CanaryAnalysis.java
+++ b/src/main/java/wharftrestle/rollout/CanaryAnalysis.java
@@ -15,11 +15,12 @@
  * that slows for all is no fault of the release. It must never call a release good as nothing was
  * seen of it.
  *
- * <p>Each measure is a {@link ConfidenceSequence} of its own, by class where it has any, begun anew with each
- * stage, as a fault may show only then. A release is <em>worse</em> where the loss is surely over a
- * third of the measure's limit, <em>the same</em> where it is surely under the limit, by every
- * measure; else nobody can tell. The probability that one which loses no more than the tolerated
- * third is called worse is at most the plan's, over all stages, measures, classes and moments.
+ * <p>Each measure is a {@link ConfidenceSequence} of its own, by class where it has any, begun anew
+ * with each stage, as a fault may show only then. A release is <em>worse</em> where the loss is
+ * surely over a third of the measure's limit, <em>the same</em> where it is surely under the limit,
+ * by every measure; else nobody can tell. The probability that one which loses no more than the
+ * tolerated third is called worse is at most the plan's, over all stages, measures, classes and
+ * moments.
  */
 public final class CanaryAnalysis {
 
@@ -100,7 +101,8 @@
    * @param limits by measure; those that are absent are not looked at
    * @param errors over everything
    */
-  public CanaryAnalysis(Map<CanaryMetric, Double> limits, List<String> classes, int stages, double errors) {
+  public CanaryAnalysis(
+      Map<CanaryMetric, Double> limits, List<String> classes, int stages, double errors) {
     this.limits = Map.copyOf(limits);
     for (CanaryMetric measure : CanaryMetric.values()) {
       if (!limits.containsKey(measure)) {
@@ -203,7 +205,8 @@
       }
       double difference = difference(of.measure, own, others, box, old);
       ConfidenceSequence before =
-          usual.computeIfAbsent(box.box() + " " + of.measure + "/" + of.about, key -> new ConfidenceSequence());
+          usual.computeIfAbsent(
+              box.box() + " " + of.measure + "/" + of.about, key -> new ConfidenceSequence());
       if (!box.changed()) {
         before.add(difference);
         continue;
--- a/src/main/java/wharftrestle/rollout/Rollout.java
+++ b/src/main/java/wharftrestle/rollout/Rollout.java
@@ -371,7 +371,8 @@
             acts.add(new Act.Undone(box, shows.failed()));
           }
         });
-    if ((state == State.CHANGING || state == State.HOLDING) && verdict.word() == CanaryAnalysis.Word.WORSE) {
+    if ((state == State.CHANGING || state == State.HOLDING)
+        && verdict.word() == CanaryAnalysis.Word.WORSE) {
       if (plan.whenWorse() == RolloutPlan.WhenWorse.BACK) {
         acts.addAll(back("stage " + (stage + 1) + " does worse: " + verdict.why(), now));
       } else {
--- a/src/main/java/wharftrestle/rollout/controller/HostView.java
+++ b/src/main/java/wharftrestle/rollout/controller/HostView.java
@@ -5,9 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import wharftrestle.rollout.EpochFence;
-import wharftrestle.rollout.RolloutPlan;
-import wharftrestle.rollout.Rollout;
 import wharftrestle.rollout.HostSample;
+import wharftrestle.rollout.Rollout;
+import wharftrestle.rollout.RolloutPlan;
 
 /**
  * What a driver last heard of one box: it reads the keeper's words and gives them as the decisions
--- a/src/main/java/wharftrestle/rollout/controller/PlanScript.java
+++ b/src/main/java/wharftrestle/rollout/controller/PlanScript.java
@@ -14,11 +14,11 @@
 import java.util.Set;
 import wharftrestle.rollout.CanaryMetric;
 import wharftrestle.rollout.RolloutPlan;
-import wharftrestle.transport.Address;
 import wharftrestle.settings.BadSettingsException;
 import wharftrestle.settings.Place;
 import wharftrestle.settings.Scripts;
 import wharftrestle.settings.Scripts.RefusedException;
+import wharftrestle.transport.Address;
 
 /**
  * The plan of a rolling change, in the settings' language: {@code box(...)} for each box of the
@@ -156,7 +156,8 @@
       }
       boxes.put(
           name,
-          new RolloutPlan.Box(name, call.text("zone", "", NAME, "a zone's name"), keeper, tenants(call)));
+          new RolloutPlan.Box(
+              name, call.text("zone", "", NAME, "a zone's name"), keeper, tenants(call)));
     }
 
     private static List<String> tenants(Scripts.Call call) throws RefusedException {
--- a/src/main/java/wharftrestle/rollout/controller/RolloutCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutCommand.java
@@ -15,10 +15,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wharftrestle.supervisor.JsonLineJournal;
-import wharftrestle.supervisor.CommandSocket;
-import wharftrestle.rollout.RolloutPlan;
 import wharftrestle.config.DaemonConfig;
+import wharftrestle.rollout.RolloutPlan;
+import wharftrestle.supervisor.CommandSocket;
+import wharftrestle.supervisor.JsonLineJournal;
 
 /** The command line of a fleet. */
 @Command(
@@ -185,7 +185,8 @@
                   + "-"
                   + Long.toHexString(System.nanoTime() & 0xffffff);
       try (RolloutController driver =
-          new RolloutController(folder.toAbsolutePath(), script, mine, new RolloutEventLog(System.out, json))) {
+          new RolloutController(
+              folder.toAbsolutePath(), script, mine, new RolloutEventLog(System.out, json))) {
         Runtime.getRuntime().addShutdownHook(new Thread(driver::stop));
         driver.check(takeOver);
         return switch (driver.run()) {
--- a/src/main/java/wharftrestle/rollout/controller/RolloutController.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutController.java
@@ -22,23 +22,23 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
-import wharftrestle.supervisor.DirectoryLock;
-import wharftrestle.supervisor.JsonLineJournal;
-import wharftrestle.supervisor.CommandSocket;
-import wharftrestle.time.SteadyWallClock;
-import wharftrestle.rollout.EpochFence;
 import wharftrestle.rollout.CanaryAnalysis;
+import wharftrestle.rollout.ControllerLease;
+import wharftrestle.rollout.EpochFence;
 import wharftrestle.rollout.MembershipView;
-import wharftrestle.rollout.RolloutPlan;
 import wharftrestle.rollout.Rollout;
-import wharftrestle.rollout.ControllerLease;
+import wharftrestle.rollout.RolloutPlan;
+import wharftrestle.supervisor.CommandSocket;
+import wharftrestle.supervisor.DirectoryLock;
+import wharftrestle.supervisor.JsonLineJournal;
+import wharftrestle.time.SteadyWallClock;
 
 /**
  * Drives one rolling change: it asks every keeper how its box is, several times within a lease,
- * tells {@link Rollout} what it sees, and carries out what that says. It owns its folder: the journal,
- * the copy of the plan, the socket for operators' words. A driver that ends leaves the fleet as it
- * is; the next one of the folder goes on from the journal. It must never give an order that is not
- * in the journal, nor one that {@link ControllerLease} does not let out at that moment.
+ * tells {@link Rollout} what it sees, and carries out what that says. It owns its folder: the
+ * journal, the copy of the plan, the socket for operators' words. A driver that ends leaves the
+ * fleet as it is; the next one of the folder goes on from the journal. It must never give an order
+ * that is not in the journal, nor one that {@link ControllerLease} does not let out at that moment.
  */
 public final class RolloutController implements Closeable {
 
@@ -414,7 +414,9 @@
         if (judge != null) {
           judge.stage();
         }
-        verdict = new CanaryAnalysis.Verdict(CanaryAnalysis.Word.CANNOT_TELL, "nothing can be compared yet");
+        verdict =
+            new CanaryAnalysis.Verdict(
+                CanaryAnalysis.Word.CANNOT_TELL, "nothing can be compared yet");
         write("stage", "", "", "");
         events.tell(
             steering.epoch(), stage.stage() + 1, "begins stage " + (stage.stage() + 1), "", "");
@@ -522,7 +524,8 @@
   }
 
   /** Takes a keeper's word in; an order that may go out to it now, or null. */
-  private Pending heard(RolloutPlan.Box box, long epoch, SupervisorClient.Heard heard, double askedAt) {
+  private Pending heard(
+      RolloutPlan.Box box, long epoch, SupervisorClient.Heard heard, double askedAt) {
     double now = now();
     steering.heard(box.name(), epoch, heard.said(), askedAt, now);
     if (!heard.whole().path("name").asText().equals(box.name())) {
@@ -680,7 +683,8 @@
     all.put("verdict", word(verdict));
     all.put("verdictWhy", verdict.why());
     List<Map<String, Object>> measures = new ArrayList<>();
-    for (CanaryAnalysis.Line line : judge == null ? List.<CanaryAnalysis.Line>of() : judge.lines()) {
+    for (CanaryAnalysis.Line line :
+        judge == null ? List.<CanaryAnalysis.Line>of() : judge.lines()) {
       Map<String, Object> one = new LinkedHashMap<>();
       one.put("measure", line.measure().word());
       one.put("about", line.about());
--- a/src/main/java/wharftrestle/simulation/ColdStartSimulation.java
+++ b/src/main/java/wharftrestle/simulation/ColdStartSimulation.java
@@ -50,7 +50,8 @@
     SimulatedStore store = new SimulatedStore(agenda);
     store.slow(SLOW);
     SimulatedFleet.Site site = new SimulatedFleet.Site(boxes, 1, RATE, 0.85, 0, 0);
-    Admission.Settings settings = SimulatedFleet.settings(site, alone ? SHARE * boxes : SHARE, true);
+    Admission.Settings settings =
+        SimulatedFleet.settings(site, alone ? SHARE * boxes : SHARE, true);
     double unit = site.load() * settings.cores() / site.rate();
     List<SimulatedHost> all = new ArrayList<>();
     for (int i = 0; i < boxes; i++) {
--- a/src/main/java/wharftrestle/simulation/RolloutSimulation.java
+++ b/src/main/java/wharftrestle/simulation/RolloutSimulation.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import wharftrestle.admission.Admission;
 import wharftrestle.rollout.CanaryAnalysis;
 import wharftrestle.rollout.CanaryMetric;
-import wharftrestle.rollout.RolloutPlan;
-import wharftrestle.rollout.Rollout;
 import wharftrestle.rollout.HostSample;
-import wharftrestle.admission.Admission;
+import wharftrestle.rollout.Rollout;
+import wharftrestle.rollout.RolloutPlan;
 
 /**
  * One rolling change in virtual time: the shipped roll, judge and policy over a made-up fleet. The
@@ -86,7 +86,8 @@
    * @param verdictAt seconds after the first box had it, at which it was stopped; negative for
    *     never
    */
-  public record Result(Rollout.State state, String why, int most, double verdictAt, double minutes) {
+  public record Result(
+      Rollout.State state, String why, int most, double verdictAt, double minutes) {
     /** True where the change was stopped as worse. */
     public boolean stopped() {
       return why.matches("stage [0-9]+ does worse: .*");
@@ -150,7 +151,9 @@
       limits.put(measure, measure.limit());
     }
     List<RolloutPlan.Box> boxes =
-        fleet.boxes.stream().map(box -> new RolloutPlan.Box(box.name, box.zone, "", List.of())).toList();
+        fleet.boxes.stream()
+            .map(box -> new RolloutPlan.Box(box.name, box.zone, "", List.of()))
+            .toList();
     List<RolloutPlan.Stage> stages =
         new ArrayList<>(
             List.of(
--- a/src/main/java/wharftrestle/snmp/SnmpAgent.java
+++ b/src/main/java/wharftrestle/snmp/SnmpAgent.java
@@ -1,9 +1,5 @@
 package wharftrestle.snmp;
 
-import wharftrestle.admin.AdminServer;
-import wharftrestle.admin.RolloutStatus;
-import wharftrestle.metrics.Counters;
-import wharftrestle.metrics.ResultMetric;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -32,7 +28,11 @@
 import org.snmp4j.smi.VariableBinding;
 import org.snmp4j.transport.DefaultUdpTransportMapping;
 import org.tinylog.Logger;
+import wharftrestle.admin.AdminServer;
+import wharftrestle.admin.RolloutStatus;
+import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
+import wharftrestle.metrics.ResultMetric;
 
 /**
  * The SNMP agent: version 2c, read-only, for one community. It serves what mib/WHARFTRESTLE-MIB.txt
--- a/src/main/java/wharftrestle/storage/LogRecord.java
+++ b/src/main/java/wharftrestle/storage/LogRecord.java
@@ -69,7 +69,8 @@
   private static final int FIXED = 1 + 4 + 8 + 8 + 8 + 4 + 8 + 2 + 4;
 
   LogRecord written(boolean last, int inBatch, long atWall, long atSteady) {
-    return new LogRecord(kind, last, inBatch, atWall, atSteady, lastDoor, window, check, key, result);
+    return new LogRecord(
+        kind, last, inBatch, atWall, atSteady, lastDoor, window, check, key, result);
   }
 
   /** Bytes on disk, the gap to the next record included. */
--- a/src/main/java/wharftrestle/storage/SpaceBudget.java
+++ b/src/main/java/wharftrestle/storage/SpaceBudget.java
@@ -38,7 +38,8 @@
    */
   public SpaceBudget(long bytes) {
     segment =
-        (int) Math.max(LEAST_SEGMENT, Math.min(LARGEST_SEGMENT, bytes / SEGMENTS)) & -LogRecord.ALIGN;
+        (int) Math.max(LEAST_SEGMENT, Math.min(LARGEST_SEGMENT, bytes / SEGMENTS))
+            & -LogRecord.ALIGN;
     most = (int) Math.max(2, bytes / segment);
   }
 
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import org.HdrHistogram.Histogram;
 import org.tinylog.Logger;
-import wharftrestle.time.SteadyWallClock;
-import wharftrestle.request.ResultStore;
-import wharftrestle.request.PlatformThreads;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.ResultMetric;
+import wharftrestle.request.PlatformThreads;
+import wharftrestle.request.ResultStore;
+import wharftrestle.time.SteadyWallClock;
 
 /**
  * Carries intents and results to the disk: one thread takes all that waits, writes it as one batch,
@@ -351,7 +351,8 @@
   // The writer counts unsaved as well: of two at once one is lost; nothing is decided by the
   // figure.
   @SuppressWarnings("NonAtomicVolatileUpdate")
-  private void end(LogRecord.Kind kind, ResultStore.Keyed keyed, byte[] result, ResultStore.Written told) {
+  private void end(
+      LogRecord.Kind kind, ResultStore.Keyed keyed, byte[] result, ResultStore.Written told) {
     Ticket ticket = ticket(kind, keyed, result, told);
     if ((result != null && result.length > LogRecord.LONGEST_RESULT)
         || state == State.SHUT
@@ -464,7 +465,8 @@
     }
     for (Ticket ticket : all) {
       boolean end =
-          ticket.record.kind() == LogRecord.Kind.RESULT || ticket.record.kind() == LogRecord.Kind.FAILED;
+          ticket.record.kind() == LogRecord.Kind.RESULT
+              || ticket.record.kind() == LogRecord.Kind.FAILED;
       if (end || (ticket.record.kind() == LogRecord.Kind.INTENT && ticket.place < 0)) {
         settle(ticket.record.key());
       }
--- a/src/main/java/wharftrestle/supervisor/ControllerEndpoint.java
+++ b/src/main/java/wharftrestle/supervisor/ControllerEndpoint.java
@@ -34,8 +34,8 @@
 /**
  * Where drivers of the fleet call a keeper: JSON over HTTP, {@code POST /claim}, {@code /ask} and
  * {@code /order}, {@code GET /box} for anybody, {@code GET /look} to ask this keeper for another.
- * It owns the fence's file and the keeper's incarnation. It decides nothing: {@link EpochFence} does. It
- * must never wait for a daemon, or answer before what it grants is on disk.
+ * It owns the fence's file and the keeper's incarnation. It decides nothing: {@link EpochFence}
+ * does. It must never wait for a daemon, or answer before what it grants is on disk.
  */
 public final class ControllerEndpoint implements Closeable {
   private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/wharftrestle/supervisor/HostSupervisor.java
+++ b/src/main/java/wharftrestle/supervisor/HostSupervisor.java
@@ -24,10 +24,10 @@
 import wharftrestle.transport.Address;
 
 /**
- * Carries out what {@link SupervisorStateMachine} decides: it starts, watches and ends the daemons of one box,
- * keeps the journal, and takes orders at a Unix socket in its folder. It owns that folder while it
- * runs. It must never do a thing before it stands in the journal, or end a daemon with itself: a
- * keeper that goes leaves its daemons, and the next one adopts them.
+ * Carries out what {@link SupervisorStateMachine} decides: it starts, watches and ends the daemons
+ * of one box, keeps the journal, and takes orders at a Unix socket in its folder. It owns that
+ * folder while it runs. It must never do a thing before it stands in the journal, or end a daemon
+ * with itself: a keeper that goes leaves its daemons, and the next one adopts them.
  */
 public final class HostSupervisor implements Closeable {
 
@@ -82,7 +82,8 @@
   private final SupervisorStateMachine keeper;
   private final DirectoryLock lock;
   private final SupervisorJournal journal;
-  private final Map<SupervisorStateMachine.Role, Running> running = new EnumMap<>(SupervisorStateMachine.Role.class);
+  private final Map<SupervisorStateMachine.Role, Running> running =
+      new EnumMap<>(SupervisorStateMachine.Role.class);
   private final List<Running> ending = new ArrayList<>();
   private final BlockingQueue<Order> orders = new LinkedBlockingQueue<>();
   private final PrintStream out;
@@ -90,7 +91,8 @@
   private CommandSocket socket;
   private ControllerEndpoint fleet; // null where no driver may call
   private final Map<String, Integer> deaths = new LinkedHashMap<>(); // by release
-  private final Map<SupervisorStateMachine.Role, DaemonStatus> looks = new EnumMap<>(SupervisorStateMachine.Role.class);
+  private final Map<SupervisorStateMachine.Role, DaemonStatus> looks =
+      new EnumMap<>(SupervisorStateMachine.Role.class);
   private String told = ""; // the release that a driver told last
   private int attempt; // how often, in its epoch
   private String refusal = ""; // why that was not begun
@@ -112,7 +114,11 @@
    * The same with one who is told of each step before it is written, so that tests can end the
    * keeper there.
    */
-  HostSupervisor(Places places, SupervisorStateMachine.Limits limits, PrintStream out, Consumer<SupervisorJournal.Entry> before)
+  HostSupervisor(
+      Places places,
+      SupervisorStateMachine.Limits limits,
+      PrintStream out,
+      Consumer<SupervisorJournal.Entry> before)
       throws IOException, TakenException {
     this.places = places;
     this.out = out;
@@ -145,7 +151,8 @@
               this::reads);
     }
     findStarted();
-    SupervisorRecovery found = SupervisorRecovery.of(journal.entries(), step -> handle(step).isPresent());
+    SupervisorRecovery found =
+        SupervisorRecovery.of(journal.entries(), step -> handle(step).isPresent());
     for (SupervisorJournal.Entry each : found.end()) {
       say(
           "ended",
@@ -341,7 +348,8 @@
     }
     boolean undoes =
         (keeper.state() == SupervisorStateMachine.State.CHANGING && keeper.release().equals(to))
-            || (keeper.state() == SupervisorStateMachine.State.PROBATION && keeper.good().equals(to));
+            || (keeper.state() == SupervisorStateMachine.State.PROBATION
+                && keeper.good().equals(to));
     if (undoes) {
       carryOut(keeper.back(now()));
       return "ok going back to " + to;
@@ -405,7 +413,9 @@
     }
     ending.removeIf(each -> !each.handle().isAlive());
     DaemonStatus serves =
-        running.containsKey(SupervisorStateMachine.Role.SERVES) ? looks.get(SupervisorStateMachine.Role.SERVES) : null;
+        running.containsKey(SupervisorStateMachine.Role.SERVES)
+            ? looks.get(SupervisorStateMachine.Role.SERVES)
+            : null;
     carryOut(keeper.tick(serves == null ? null : serves.figures(), now()));
     if (fleet != null) {
       show();
@@ -420,9 +430,12 @@
     Running serves = running.get(SupervisorStateMachine.Role.SERVES);
     DaemonStatus look = serves == null ? null : looks.get(SupervisorStateMachine.Role.SERVES);
     boolean settled =
-        keeper.state() == SupervisorStateMachine.State.SERVING || keeper.state() == SupervisorStateMachine.State.PROBATION;
+        keeper.state() == SupervisorStateMachine.State.SERVING
+            || keeper.state() == SupervisorStateMachine.State.PROBATION;
     boolean missed =
-        keeper.state() == SupervisorStateMachine.State.SERVING && !told.isEmpty() && !told.equals(keeper.release());
+        keeper.state() == SupervisorStateMachine.State.SERVING
+            && !told.isEmpty()
+            && !told.equals(keeper.release());
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("state", keeper.state().name().toLowerCase(Locale.ROOT));
     all.put("release", keeper.release());
@@ -586,11 +599,25 @@
   }
 
   private void say(
-      String what, SupervisorStateMachine.Role role, String release, long pid, long began, int door, String why)
+      String what,
+      SupervisorStateMachine.Role role,
+      String release,
+      long pid,
+      long began,
+      int door,
+      String why)
       throws IOException {
     SupervisorJournal.Entry entry =
         new SupervisorJournal.Entry(
-            SteadyWallClock.now(), what, role.name(), release, keeper.good(), pid, began, door, why);
+            SteadyWallClock.now(),
+            what,
+            role.name(),
+            release,
+            keeper.good(),
+            pid,
+            began,
+            door,
+            why);
     before.accept(entry);
     try {
       journal.add(entry);
--- a/src/main/java/wharftrestle/supervisor/SupervisorRecovery.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorRecovery.java
@@ -29,7 +29,8 @@
   /**
    * @param lives true where the process of a "started" step lives
    */
-  static SupervisorRecovery of(List<SupervisorJournal.Entry> steps, Predicate<SupervisorJournal.Entry> lives) {
+  static SupervisorRecovery of(
+      List<SupervisorJournal.Entry> steps, Predicate<SupervisorJournal.Entry> lives) {
     String release = "";
     String good = "";
     SupervisorJournal.Entry serves = null;
--- a/src/main/java/wharftrestle/testbed/FakeWorkerPool.java
+++ b/src/main/java/wharftrestle/testbed/FakeWorkerPool.java
@@ -225,7 +225,9 @@
     }
     try {
       synchronized (notices) {
-        link.say(BoundedReader.join(BoundedReader.ascii("finished " + notices.incrementAndGet() + " "), end));
+        link.say(
+            BoundedReader.join(
+                BoundedReader.ascii("finished " + notices.incrementAndGet() + " "), end));
       }
       moment(false);
     } catch (IOException gone) {
--- a/src/main/java/wharftrestle/testbed/FaultProxy.java
+++ b/src/main/java/wharftrestle/testbed/FaultProxy.java
@@ -18,8 +18,8 @@
 
 /**
  * A path between two parties that can be made to fail: a proxy on loopback for TCP and for UDP at
- * one port each, whose {@link FaultRule}s decide what comes through. It owns the sockets. It must never
- * listen or send off loopback.
+ * one port each, whose {@link FaultRule}s decide what comes through. It owns the sockets. It must
+ * never listen or send off loopback.
  */
 public final class FaultProxy implements Closeable {
   private static final InetAddress HOST = InetAddress.getLoopbackAddress();
@@ -145,7 +145,11 @@
 
   /** Something goes wrong on the way there, on the way back, or on both. */
   public void trouble(
-      FaultRule.Trouble what, double value, double more, boolean onTheWayThere, boolean onTheWayBack) {
+      FaultRule.Trouble what,
+      double value,
+      double more,
+      boolean onTheWayThere,
+      boolean onTheWayBack) {
     if (onTheWayThere) {
       synchronized (there) {
         there.trouble(what, value, more);
@@ -225,7 +229,8 @@
     }
   }
 
-  private void pump(Pair pair, Socket from, Socket into, FaultRule wire) throws InterruptedException {
+  private void pump(Pair pair, Socket from, Socket into, FaultRule wire)
+      throws InterruptedException {
     byte[] bytes = new byte[16 * 1024];
     try {
       for (int read = from.getInputStream().read(bytes);
--- a/src/main/java/wharftrestle/testbed/HostTestbed.java
+++ b/src/main/java/wharftrestle/testbed/HostTestbed.java
@@ -137,8 +137,10 @@
     if (linked) {
       links.put("front", new FaultProxy(new InetSocketAddress(HOST, listen), seed));
       links.put("pool", new FaultProxy(pool.address(), seed + 100));
-      links.put("store", new FaultProxy((InetSocketAddress) idle.getLocalSocketAddress(), seed + 200));
-      links.put("names", new FaultProxy((InetSocketAddress) naming.getLocalSocketAddress(), seed + 300));
+      links.put(
+          "store", new FaultProxy((InetSocketAddress) idle.getLocalSocketAddress(), seed + 200));
+      links.put(
+          "names", new FaultProxy((InetSocketAddress) naming.getLocalSocketAddress(), seed + 300));
     }
     version = new Version(null, play.main(), settings(), script);
     soleDoor = Address.freePort();
@@ -273,7 +275,8 @@
     }
     command.addAll(appliance(version.script(), "appliance.star"));
     daemon =
-        new DaemonProcess(command, environment("config.json"), folder.resolve("daemon.log"), soleDoor);
+        new DaemonProcess(
+            command, environment("config.json"), folder.resolve("daemon.log"), soleDoor);
     all.add(daemon);
     return daemon;
   }
--- a/src/main/java/wharftrestle/testbed/RespPeer.java
+++ b/src/main/java/wharftrestle/testbed/RespPeer.java
@@ -75,7 +75,8 @@
   public Reply reply() throws IOException {
     byte[][] words = new byte[Integer.parseInt(BoundedReader.line(in, 20).substring(1))][];
     for (int i = 0; i < words.length; i++) {
-      words[i] = BoundedReader.exactly(in, Integer.parseInt(BoundedReader.line(in, 20).substring(1)));
+      words[i] =
+          BoundedReader.exactly(in, Integer.parseInt(BoundedReader.line(in, 20).substring(1)));
       BoundedReader.crlf(in);
     }
     return new Reply(text(words[0]), text(words[1]), text(words[2]), text(words[3]));
--- a/src/main/java/wharftrestle/testbed/Scenario.java
+++ b/src/main/java/wharftrestle/testbed/Scenario.java
@@ -92,7 +92,9 @@
         Path own = Files.createDirectory(folder.resolve("b" + i));
         boxes.add(
             new Box(
-                "b" + i, new HostTestbed(own, "", script.play().seed() + i, HostTestbed.Play.of(192), true)));
+                "b" + i,
+                new HostTestbed(
+                    own, "", script.play().seed() + i, HostTestbed.Play.of(192), true)));
       }
       for (Box box : boxes) {
         box.serves = begin(box);
@@ -124,7 +126,8 @@
         script.play().kept()
             ? "durable(dir = \"" + box.floor.folder().resolve("results") + "\", max_mb = 16)\n"
             : "";
-    return box.floor.begin(new HostTestbed.Version(jar, "wharftrestle.Main", box.floor.settings(), kept));
+    return box.floor.begin(
+        new HostTestbed.Version(jar, "wharftrestle.Main", box.floor.settings(), kept));
   }
 
   private boolean run(List<Box> boxes) throws IOException, InterruptedException {
@@ -203,7 +206,11 @@
       case HOLE, DELAY, RATE, DROP, DOUBLE, REORDER -> {
         box.troubled |= fault.path().equals("front");
         link.trouble(
-            FaultRule.Trouble.valueOf(fault.kind().name()), fault.value(), fault.more(), there, back);
+            FaultRule.Trouble.valueOf(fault.kind().name()),
+            fault.value(),
+            fault.more(),
+            there,
+            back);
       }
       case STOP, GO -> {
         box.troubled = fault.kind() == FaultScript.Kind.STOP;
--- a/src/main/java/wharftrestle/testbed/TestClients.java
+++ b/src/main/java/wharftrestle/testbed/TestClients.java
@@ -189,7 +189,14 @@
    *     something was killed, cut or stopped
    */
   public TestClients(HostTestbed floor, Habit habit, long seed, BooleanSupplier excused) {
-    this(floor.address(), floor.pool(), floor.clock()::millis, habit, HostTestbed.DUE_MS, seed, excused);
+    this(
+        floor.address(),
+        floor.pool(),
+        floor.clock()::millis,
+        habit,
+        HostTestbed.DUE_MS,
+        seed,
+        excused);
   }
 
   /**
--- a/src/main/java/wharftrestle/testbed/TestbedCommand.java
+++ b/src/main/java/wharftrestle/testbed/TestbedCommand.java
@@ -101,7 +101,8 @@
         throw new DaemonConfig.BadConfigException("a link leads to loopback alone, not to " + to);
       }
       if (hole != null && !hole.matches("both|there|back")) {
-        throw new DaemonConfig.BadConfigException("--hole is both, there or back, not '" + hole + "'");
+        throw new DaemonConfig.BadConfigException(
+            "--hole is both, there or back, not '" + hole + "'");
       }
       FaultProxy link = new FaultProxy(address, seed);
       if (delay > 0 || jitter > 0) {
--- a/src/main/java/wharftrestle/transport/PeerLink.java
+++ b/src/main/java/wharftrestle/transport/PeerLink.java
@@ -18,10 +18,10 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.request.PeerCoordinator;
-import wharftrestle.request.PlatformThreads;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.request.PeerCoordinator;
+import wharftrestle.request.PlatformThreads;
 import wharftrestle.version.VersionRange;
 
 /**
--- a/src/main/java/wharftrestle/transport/Server.java
+++ b/src/main/java/wharftrestle/transport/Server.java
@@ -22,11 +22,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
 import wharftrestle.request.PlatformThreads;
 import wharftrestle.transport.Connection.Merit;
 import wharftrestle.transport.ConnectionState.Phase;
-import wharftrestle.metrics.Counters;
-import wharftrestle.metrics.Counters.Count;
 
 /**
  * Owns one listening address, its connections and a thread for each; how one of them ends is {@link
--- a/src/main/java/wharftrestle/upstream/StoreClient.java
+++ b/src/main/java/wharftrestle/upstream/StoreClient.java
@@ -1,7 +1,5 @@
 package wharftrestle.upstream;
 
-import wharftrestle.transport.BoundedReader;
-import wharftrestle.transport.Server;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -17,11 +15,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
 import org.tinylog.Logger;
-import wharftrestle.request.RequestCoordinator;
-import wharftrestle.request.PlatformThreads;
+import wharftrestle.admission.Admission.Outcome;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
-import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.request.PlatformThreads;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.transport.BoundedReader;
+import wharftrestle.transport.Server;
 
 /**
  * Owns the connections to the store: HTTP/1.1, one call at a time on each, kept for the next while
@@ -119,7 +119,8 @@
     private Socket socket;
     private boolean abandoned;
 
-    Running(String ref, byte[] body, long timeoutMs, boolean again, RequestCoordinator.CallEnd end) {
+    Running(
+        String ref, byte[] body, long timeoutMs, boolean again, RequestCoordinator.CallEnd end) {
       this.ref = ref;
       this.body = body;
       this.again = again;
@@ -251,7 +252,8 @@
   }
 
   @Override
-  public RequestCoordinator.Call begin(String ref, byte[] body, long timeoutMs, boolean again, RequestCoordinator.CallEnd end) {
+  public RequestCoordinator.Call begin(
+      String ref, byte[] body, long timeoutMs, boolean again, RequestCoordinator.CallEnd end) {
     Running call = new Running(ref, body, timeoutMs, again, end);
     threads.execute(call::run);
     return call;
--- a/src/main/java/wharftrestle/upstream/WorkerPoolClient.java
+++ b/src/main/java/wharftrestle/upstream/WorkerPoolClient.java
@@ -1,8 +1,5 @@
 package wharftrestle.upstream;
 
-import wharftrestle.transport.BoundedReader;
-import wharftrestle.transport.LogRateLimiter;
-import wharftrestle.transport.Server;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -20,11 +17,14 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.concurrent.locks.ReentrantLock;
 import org.tinylog.Logger;
-import wharftrestle.request.RequestCoordinator;
-import wharftrestle.request.PlatformThreads;
+import wharftrestle.admission.Admission.Outcome;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
-import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.request.PlatformThreads;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.transport.BoundedReader;
+import wharftrestle.transport.LogRateLimiter;
+import wharftrestle.transport.Server;
 
 /**
  * Owns the link to the worker pool: one socket, and a thread that reads notices. Commands are
--- a/src/main/java/wharftrestle/version/BuildInfo.java
+++ b/src/main/java/wharftrestle/version/BuildInfo.java
@@ -52,7 +52,8 @@
   /** The jar that this program is run from; null where it is run from classes. */
   public static Path jar() {
     try {
-      Path from = Path.of(BuildInfo.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+      Path from =
+          Path.of(BuildInfo.class.getProtectionDomain().getCodeSource().getLocation().toURI());
       return Files.isRegularFile(from) ? from : null;
     } catch (URISyntaxException | RuntimeException e) {
       return null; // no file: nothing is known of it
--- a/src/test/java/wharftrestle/AdmissionLines.java
+++ b/src/test/java/wharftrestle/AdmissionLines.java
@@ -4,10 +4,10 @@
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
-import wharftrestle.policy.Admission;
-import wharftrestle.policy.GroupEdfScheduler;
-import wharftrestle.wire.MalformedLineException;
-import wharftrestle.wire.SettingsReader;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.simulator.MalformedLineException;
+import wharftrestle.simulator.SettingsReader;
 
 /**
  * Drives one instance of the admission control by text lines, past the wire. The lines look like
--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -3,8 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import wharftrestle.daemon.ClassDataTrainingRun;
-import wharftrestle.daemon.Lifecycle;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -36,8 +34,10 @@
 import org.snmp4j.smi.VariableBinding;
 import org.snmp4j.transport.DefaultUdpTransportMapping;
 import wharftrestle.Loopback.Caller;
-import wharftrestle.config.DaemonConfig;
 import wharftrestle.admin.AdminConsole;
+import wharftrestle.config.DaemonConfig;
+import wharftrestle.daemon.ClassDataTrainingRun;
+import wharftrestle.daemon.Lifecycle;
 
 /** Stories of the operator: the console, the SNMP agent, and the file that turns them on. */
 class ApplianceTest {
@@ -53,7 +53,8 @@
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     PrintStream print = new PrintStream(out, true, StandardCharsets.UTF_8);
     int code =
-        new AdminConsole(new ByteArrayInputStream(typed.getBytes(StandardCharsets.UTF_8)), print, print)
+        new AdminConsole(
+                new ByteArrayInputStream(typed.getBytes(StandardCharsets.UTF_8)), print, print)
             .attach(address, command);
     return code + "\n" + out.toString(StandardCharsets.UTF_8);
   }
@@ -236,7 +237,8 @@
   @Test
   void aLameDuckLooksBadServesOnAndComesBack() throws Exception {
     try (Loopback site =
-            new Loopback(Sites.site(), new DaemonConfig.Appliance(Loopback.any(), null, null, "x", 24));
+            new Loopback(
+                Sites.site(), new DaemonConfig.Appliance(Loopback.any(), null, null, "x", 24));
         Caller caller = site.new Caller();
         Caller check = site.new Caller()) {
       for (int i = 1; i <= 2; i++) { // twice is harmless
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -62,7 +62,10 @@
               "java.nio.file..",
               "java.util.concurrent..",
               "org.tinylog..",
-              "wharftrestle.transport..", "wharftrestle.upstream..", "wharftrestle.discovery..", "wharftrestle.config..",
+              "wharftrestle.transport..",
+              "wharftrestle.upstream..",
+              "wharftrestle.discovery..",
+              "wharftrestle.config..",
               "wharftrestle.request..");
 
   @ArchTest
@@ -88,17 +91,23 @@
           .dependOnClassesThat()
           .resideInAnyPackage(
               "wharftrestle.request..",
-              "wharftrestle.transport..", "wharftrestle.upstream..", "wharftrestle.discovery..", "wharftrestle.config..",
+              "wharftrestle.transport..",
+              "wharftrestle.upstream..",
+              "wharftrestle.discovery..",
+              "wharftrestle.config..",
               "wharftrestle.idempotency..",
               "wharftrestle.frontend..",
-              "wharftrestle.admin..", "wharftrestle.metrics..", "wharftrestle.snmp..");
+              "wharftrestle.admin..",
+              "wharftrestle.metrics..",
+              "wharftrestle.snmp..");
 
   @ArchTest
   static final ArchRule theServingPathKnowsNoRigAndNoKeeper =
       noClasses()
           .that()
           .resideOutsideOfPackages(
-              "wharftrestle.testbed..", "wharftrestle.simulation..",
+              "wharftrestle.testbed..",
+              "wharftrestle.simulation..",
               "wharftrestle.supervisor..",
               "wharftrestle.rollout..")
           .and()
@@ -106,7 +115,8 @@
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
-              "wharftrestle.testbed..", "wharftrestle.simulation..",
+              "wharftrestle.testbed..",
+              "wharftrestle.simulation..",
               "wharftrestle.supervisor..",
               "wharftrestle.rollout..");
 
--- a/src/test/java/wharftrestle/ChangeTest.java
+++ b/src/test/java/wharftrestle/ChangeTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Loopback.Caller;
-import wharftrestle.handover.HandoverStateMachine;
 import wharftrestle.config.DaemonConfig;
+import wharftrestle.handover.HandoverStateMachine;
 
 /**
  * Stories of a process that serves and is asked by others that cannot take over, stall, or talk
@@ -27,7 +27,8 @@
  */
 @Timeout(60)
 class ChangeTest {
-  private static final DaemonConfig.Appliance NONE = new DaemonConfig.Appliance(null, null, null, "x", 24);
+  private static final DaemonConfig.Appliance NONE =
+      new DaemonConfig.Appliance(null, null, null, "x", 24);
 
   @TempDir private Path folder;
 
--- a/src/test/java/wharftrestle/CoreTest.java
+++ b/src/test/java/wharftrestle/CoreTest.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
-import wharftrestle.request.RequestCoordinator;
-import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.metrics.Counters;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.idempotency.KeyMemoryBudget;
+import wharftrestle.metrics.Counters;
+import wharftrestle.request.RequestCoordinator;
 
 /** Stories of the core alone, with a module that starts what has a rank and refuses the rest. */
 class CoreTest {
@@ -153,7 +153,8 @@
     while (answers.size() < 31) {
       Thread.onSpinWait();
     }
-    assertEquals(RequestCoordinator.Answer.Kind.SERVED, answers.get(30).kind(), "a repeat needs no room");
+    assertEquals(
+        RequestCoordinator.Answer.Kind.SERVED, answers.get(30).kind(), "a repeat needs no room");
     for (int i = 16; i <= 30; i++) {
       core.accept(keyed(200 + i, "k" + i), answers::add);
     }
@@ -163,7 +164,10 @@
     assertTrue(core.awaitDrained(10));
     assertEquals(
         30,
-        answers.stream().filter(each -> each.kind() == RequestCoordinator.Answer.Kind.SERVED).count() - 1,
+        answers.stream()
+                .filter(each -> each.kind() == RequestCoordinator.Answer.Kind.SERVED)
+                .count()
+            - 1,
         "what was refused came again and ran");
   }
 }
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -4,8 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import wharftrestle.daemon.Lifecycle;
-import wharftrestle.daemon.SignalHandlers;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -19,10 +17,12 @@
 import sun.misc.Signal;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.testbed.RespPeer.Reply;
-import wharftrestle.transport.BoundedReader;
 import wharftrestle.config.DaemonConfig;
+import wharftrestle.daemon.Lifecycle;
+import wharftrestle.daemon.SignalHandlers;
 import wharftrestle.metrics.Counters.Count;
+import wharftrestle.testbed.RespPeer.Reply;
+import wharftrestle.transport.BoundedReader;
 
 /** Stories of the daemon over the platform's wire, one for each failure met or guarded against. */
 class DaemonTest {
@@ -368,7 +368,8 @@
       String fields =
           "txn=00000000000000aa,door=" + System.currentTimeMillis() + ",lb=1,ram=24.5,standing=0.5";
       byte[] begun =
-          BoundedReader.ascii("*5\r\n$3\r\nASK\r\n$1\r\n7\r\n$4\r\nread\r\n$" + fields.length() + "\r\n");
+          BoundedReader.ascii(
+              "*5\r\n$3\r\nASK\r\n$1\r\n7\r\n$4\r\nread\r\n$" + fields.length() + "\r\n");
       first.socket.getOutputStream().write(begun);
       for (int i = 0;
           i < 60;
--- a/src/test/java/wharftrestle/DecisionGenerator.java
+++ b/src/test/java/wharftrestle/DecisionGenerator.java
@@ -20,8 +20,8 @@
 import java.util.Random;
 import java.util.zip.Deflater;
 import java.util.zip.GZIPOutputStream;
-import wharftrestle.policy.GroupEdfScheduler;
-import wharftrestle.wire.WireAdapter;
+import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.simulator.SimulatorAdapter;
 
 /**
  * Makes the recordings that {@link DecisionRecordingTest} replays. A small simulated host plays
@@ -187,7 +187,7 @@
 
   /** The adapter of the wire, one batch at a time. */
   static Endpoint wire() {
-    WireAdapter adapter = new WireAdapter(GroupEdfScheduler::new);
+    SimulatorAdapter adapter = new SimulatorAdapter(GroupEdfScheduler::new);
     return batch -> {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       InputStream in = new ByteArrayInputStream(batch.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -4,8 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import wharftrestle.daemon.Lifecycle;
-import wharftrestle.daemon.SignalHandlers;
 import java.io.EOFException;
 import java.io.IOException;
 import java.lang.reflect.Proxy;
@@ -25,14 +23,16 @@
 import sun.misc.Signal;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.request.RequestCoordinator;
-import wharftrestle.request.PlatformThreads;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.daemon.Lifecycle;
+import wharftrestle.daemon.SignalHandlers;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.testbed.RespPeer.Reply;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
-import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.request.PlatformThreads;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.testbed.RespPeer.Reply;
 
 /**
  * Stories of the instant in which something ends and something else crosses it;
--- a/src/test/java/wharftrestle/FullTableTest.java
+++ b/src/test/java/wharftrestle/FullTableTest.java
@@ -11,14 +11,15 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.testbed.RespPeer.Reply;
 import wharftrestle.config.DaemonConfig;
+import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.metrics.Counters.Count;
+import wharftrestle.testbed.RespPeer.Reply;
 
 /** Stories of a box whose room for what it knows of keys is full. */
 class FullTableTest {
-  private static final DaemonConfig.Appliance NONE = new DaemonConfig.Appliance(null, null, null, "x", 24);
+  private static final DaemonConfig.Appliance NONE =
+      new DaemonConfig.Appliance(null, null, null, "x", 24);
   private static final String LARGE = "r".repeat(KeyMemoryBudget.LONGEST_RESULT);
 
   @TempDir private Path folder;
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
-import wharftrestle.daemon.Lifecycle;
 import java.io.BufferedInputStream;
 import java.io.Closeable;
 import java.io.IOException;
@@ -30,11 +29,12 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import wharftrestle.config.DaemonConfig;
+import wharftrestle.daemon.Lifecycle;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.testbed.WorkerPoolPeer;
 import wharftrestle.testbed.RespPeer;
+import wharftrestle.testbed.WorkerPoolPeer;
 import wharftrestle.transport.BoundedReader;
-import wharftrestle.config.DaemonConfig;
 
 /**
  * The one helper of the daemon's stories: a daemon on loopback with scripted peers all round it.
@@ -103,7 +103,8 @@
     this(site, appliance, 1024);
   }
 
-  private Loopback(Sites.Builder site, DaemonConfig.Appliance appliance, int sockets) throws Exception {
+  private Loopback(Sites.Builder site, DaemonConfig.Appliance appliance, int sockets)
+      throws Exception {
     this(site, appliance, sockets, null, null);
   }
 
@@ -112,7 +113,11 @@
    * over from it.
    */
   Loopback(
-      Sites.Builder site, DaemonConfig.Appliance appliance, int sockets, Path meeting, Loopback elder)
+      Sites.Builder site,
+      DaemonConfig.Appliance appliance,
+      int sockets,
+      Path meeting,
+      Loopback elder)
       throws Exception {
     this(site, appliance, sockets, meeting, elder, KeyMemoryBudget.of(64 << 20));
   }
@@ -398,14 +403,18 @@
             for (; ; ) {
               StringBuilder head = new StringBuilder();
               int length = 0;
-              for (String line = BoundedReader.line(in, 500); !line.isEmpty(); line = BoundedReader.line(in, 500)) {
+              for (String line = BoundedReader.line(in, 500);
+                  !line.isEmpty();
+                  line = BoundedReader.line(in, 500)) {
                 head.append(line).append('\n');
                 length =
                     line.startsWith("Content-Length: ")
                         ? Integer.parseInt(line.substring(16))
                         : length;
               }
-              calls.add(head + new String(BoundedReader.exactly(in, length), StandardCharsets.ISO_8859_1));
+              calls.add(
+                  head
+                      + new String(BoundedReader.exactly(in, length), StandardCharsets.ISO_8859_1));
               String reply = storeReplies.take();
               if (reply.isEmpty()) {
                 socket.close();
--- a/src/test/java/wharftrestle/OtherSitesTest.java
+++ b/src/test/java/wharftrestle/OtherSitesTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.testbed.RespPeer.Reply;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.Counters.Count;
+import wharftrestle.testbed.RespPeer.Reply;
 
 /**
  * Stories of sites unlike the first: no store below, hints of work, marked tries, runs that are
--- a/src/test/java/wharftrestle/ResultsTest.java
+++ b/src/test/java/wharftrestle/ResultsTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.request.ResultStore;
-import wharftrestle.storage.WriteAheadLog;
 import wharftrestle.storage.UnusableStorageException;
+import wharftrestle.storage.WriteAheadLog;
 import wharftrestle.testbed.RespPeer.Reply;
-import wharftrestle.config.DaemonConfig;
 
 /**
  * Stories of results kept over restarts: a daemon is killed where its folder is copied as it
@@ -36,7 +36,12 @@
 
   private static DaemonConfig.Appliance keeping(Path at) {
     return new DaemonConfig.Appliance(
-        null, null, null, "x", 24, new DaemonConfig.Durable(at, 4 << 20, 1000, 1 << 20, 0.3, "group"));
+        null,
+        null,
+        null,
+        "x",
+        24,
+        new DaemonConfig.Durable(at, 4 << 20, 1000, 1 << 20, 0.3, "group"));
   }
 
   /** What the next process finds, were this one killed now. */
@@ -136,12 +141,14 @@
     try (Loopback site = new Loopback(Sites.site(), keeping(first))) {
       assertTrue(site.life.core().ready());
       UnusableStorageException held =
-          assertThrows(UnusableStorageException.class, () -> new Loopback(Sites.site(), keeping(first)));
+          assertThrows(
+              UnusableStorageException.class, () -> new Loopback(Sites.site(), keeping(first)));
       assertTrue(held.getMessage().endsWith("is held by another process"), held.getMessage());
     }
     Path file = Files.createFile(folder.resolve("file"));
     assertTrue(
-        assertThrows(UnusableStorageException.class, () -> new Loopback(Sites.site(), keeping(file)))
+        assertThrows(
+                UnusableStorageException.class, () -> new Loopback(Sites.site(), keeping(file)))
             .getMessage()
             .contains("cannot be written"));
   }
--- a/src/test/java/wharftrestle/UpgradeTest.java
+++ b/src/test/java/wharftrestle/UpgradeTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import wharftrestle.daemon.Lifecycle;
 import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -15,12 +14,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.testbed.RespPeer.Reply;
 import wharftrestle.config.DaemonConfig;
+import wharftrestle.daemon.Lifecycle;
+import wharftrestle.testbed.RespPeer.Reply;
 
 /** Stories of two processes that serve one box while the new one takes over. */
 class UpgradeTest {
-  private static final DaemonConfig.Appliance NONE = new DaemonConfig.Appliance(null, null, null, "x", 24);
+  private static final DaemonConfig.Appliance NONE =
+      new DaemonConfig.Appliance(null, null, null, "x", 24);
 
   @TempDir private Path folder;
 
@@ -228,7 +229,8 @@
     try (Loopback old =
         first(new DaemonConfig.Appliance(Loopback.any(), null, Loopback.any(), "x", 24))) {
       InetSocketAddress agent = old.life.snmpAddress();
-      DaemonConfig.Appliance same = new DaemonConfig.Appliance(old.life.uwsgiAddress(), null, agent, "x", 24);
+      DaemonConfig.Appliance same =
+          new DaemonConfig.Appliance(old.life.uwsgiAddress(), null, agent, "x", 24);
       try (Loopback next = second(old, same)) {
         assertNull(next.life.snmpAddress());
         end(old).join();
--- a/src/test/java/wharftrestle/UwsgiTest.java
+++ b/src/test/java/wharftrestle/UwsgiTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
-import wharftrestle.testbed.RespPeer;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.metrics.Counters.Count;
+import wharftrestle.testbed.RespPeer;
 
 /** Stories of the uwsgi front: a stand-in gateway before it, a stand-in worker pool behind. */
 class UwsgiTest {
--- a/src/test/java/wharftrestle/admin/AdminFormatFixtures.java
+++ b/src/test/java/wharftrestle/admin/AdminFormatFixtures.java
@@ -1,8 +1,5 @@
 package wharftrestle.admin;
 
-import wharftrestle.snmp.SnmpAgent;
-import wharftrestle.metrics.Counters;
-import wharftrestle.metrics.ResultMetric;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -26,10 +23,13 @@
 import org.snmp4j.smi.UdpAddress;
 import org.snmp4j.smi.VariableBinding;
 import org.snmp4j.transport.DefaultUdpTransportMapping;
-import wharftrestle.transport.Server;
 import wharftrestle.admission.Admission;
-import wharftrestle.version.VersionRange;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.ResultMetric;
+import wharftrestle.snmp.SnmpAgent;
+import wharftrestle.transport.Server;
 import wharftrestle.version.Version;
+import wharftrestle.version.VersionRange;
 
 /**
  * Writes what the operators' tools were answered, which {@link AdminFormatTest} reads: every path
--- a/src/test/java/wharftrestle/config/DaemonConfigTest.java
+++ b/src/test/java/wharftrestle/config/DaemonConfigTest.java
@@ -37,7 +37,8 @@
    * A whole configuration whose runs call below as told, with what stands there for 'db'; null for
    * nothing.
    */
-  private DaemonConfig read(String downstream, String db) throws IOException, DaemonConfig.BadConfigException {
+  private DaemonConfig read(String downstream, String db)
+      throws IOException, DaemonConfig.BadConfigException {
     ObjectNode root = whole();
     ((ObjectNode) root.at("/settings/specifics")).put("downstream", downstream);
     root.remove("db");
@@ -49,7 +50,8 @@
 
   private String refused(String downstream, String db) {
     String why =
-        assertThrows(DaemonConfig.BadConfigException.class, () -> read(downstream, db)).getMessage();
+        assertThrows(DaemonConfig.BadConfigException.class, () -> read(downstream, db))
+            .getMessage();
     assertEquals(1, why.lines().count(), why);
     return why;
   }
@@ -80,7 +82,8 @@
     for (String needed : new String[] {"pool", "naming", "listen"}) {
       ObjectNode root = whole();
       root.put(needed, "");
-      String why = assertThrows(DaemonConfig.BadConfigException.class, () -> read(root)).getMessage();
+      String why =
+          assertThrows(DaemonConfig.BadConfigException.class, () -> read(root)).getMessage();
       assertEquals("'" + needed + "' is no address: ''", why);
     }
   }
--- a/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
+++ b/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
@@ -26,7 +26,8 @@
       List<Capabilities.Kind> classes,
       List<String> tenants,
       Capabilities.Room room) {
-    return new Capabilities("a build", speaks, new VersionRange(1, 1), folder, classes, tenants, room, 0);
+    return new Capabilities(
+        "a build", speaks, new VersionRange(1, 1), folder, classes, tenants, room, 0);
   }
 
   private static Capabilities plain(Capabilities.Kind... classes) {
@@ -59,7 +60,8 @@
   void tenantsAreKnownByTheirPlaceToo() {
     Capabilities two = terms(new VersionRange(1, 2), "", List.of(SAVE), List.of("a", "b"), ROOM);
     assertNull(
-        against(two, terms(new VersionRange(1, 2), "", List.of(SAVE), List.of("a", "b", "c"), ROOM)));
+        against(
+            two, terms(new VersionRange(1, 2), "", List.of(SAVE), List.of("a", "b", "c"), ROOM)));
     assertEquals(
         "tenant 1 is 'a' here and 'b' there: keys are known by their tenant's place",
         against(two, terms(new VersionRange(1, 2), "", List.of(SAVE), List.of("b", "a"), ROOM)));
@@ -76,8 +78,10 @@
         against(kept("/a", one), plain(READ, SAVE)));
     assertEquals(
         "results are kept in /a here, and in /b there", against(kept("/a", one), kept("/b", one)));
-    assertTrue(against(kept("/a", new VersionRange(1, 2)), kept("/a", one)).contains("is not read there"));
-    assertTrue(against(kept("/a", one), kept("/a", new VersionRange(1, 2))).contains("no way back"));
+    assertTrue(
+        against(kept("/a", new VersionRange(1, 2)), kept("/a", one)).contains("is not read there"));
+    assertTrue(
+        against(kept("/a", one), kept("/a", new VersionRange(1, 2))).contains("no way back"));
   }
 
   @Test
@@ -86,14 +90,29 @@
     assertNull(
         against(
             serves,
-            terms(new VersionRange(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(0, 110, 0, 0))));
+            terms(
+                new VersionRange(1, 2),
+                "",
+                List.of(SAVE),
+                List.of(),
+                new Capabilities.Room(0, 110, 0, 0))));
     assertEquals(
         "100 keys are known here, and there is room for 109 there",
         against(
             serves,
-            terms(new VersionRange(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(0, 109, 0, 0))));
+            terms(
+                new VersionRange(1, 2),
+                "",
+                List.of(SAVE),
+                List.of(),
+                new Capabilities.Room(0, 109, 0, 0))));
     Capabilities full =
-        terms(new VersionRange(1, 2), "", List.of(SAVE), List.of(), new Capabilities.Room(1000, 1000, 0, 0));
+        terms(
+            new VersionRange(1, 2),
+            "",
+            List.of(SAVE),
+            List.of(),
+            new Capabilities.Room(1000, 1000, 0, 0));
     assertNull(against(full, full), "a full table goes along");
   }
 
@@ -118,10 +137,18 @@
       throws Exception {
     List<Capabilities.Kind> kinds = new ArrayList<>();
     names.forEach(name -> kinds.add(new Capabilities.Kind(name, figure % 2 == 0, figure)));
-    Capabilities said = terms(new VersionRange(1, 2), "/a b\n%0A", kinds, names, new Capabilities.Room(figure, 1, 2, 3));
+    Capabilities said =
+        terms(
+            new VersionRange(1, 2),
+            "/a b\n%0A",
+            kinds,
+            names,
+            new Capabilities.Room(figure, 1, 2, 3));
     assertEquals(said, Capabilities.read(said.text()));
     assertEquals(
-        said, Capabilities.read(said.text() + "later says more\n"), "what is not known is passed over");
+        said,
+        Capabilities.read(said.text() + "later says more\n"),
+        "what is not known is passed over");
   }
 
   @Test
--- a/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
+++ b/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
+import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.idempotency.IdempotencyTable;
 
 /** What one process makes of the keys that another tells it. */
 class KeyOwnershipTransferTest {
@@ -40,7 +40,8 @@
 
   private boolean hear(String name, double secondsLeft, double now) {
     return between.heard(
-        new PeerProcess.Over(KeyDigest.of("1/0/" + name), 50_000, secondsLeft, 3, new byte[] {1}), now);
+        new PeerProcess.Over(KeyDigest.of("1/0/" + name), 50_000, secondsLeft, 3, new byte[] {1}),
+        now);
   }
 
   @Test
--- a/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
+++ b/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
@@ -19,8 +19,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import wharftrestle.idempotency.KeyState.Step;
 import wharftrestle.idempotency.IdempotencyTable.Entry;
+import wharftrestle.idempotency.KeyState.Step;
 
 /**
  * The state machine of keys against a model of what may run, and the steps that the table must not
@@ -32,7 +32,8 @@
 
   private final List<String> ended = new ArrayList<>();
   private final IdempotencyTable<String> keys =
-      new IdempotencyTable<>((rider, entry) -> ended.add(rider + " " + entry.state()), KeyMemoryBudget.of(1 << 20));
+      new IdempotencyTable<>(
+          (rider, entry) -> ended.add(rider + " " + entry.state()), KeyMemoryBudget.of(1 << 20));
 
   @Example
   void aStepThatIsNotInTheTableThrows() {
@@ -145,7 +146,8 @@
 
   @Property(tries = 1500, seed = "29421")
   void noKeyRunsTwiceInItsWindow(@ForAll("acts") List<Act> acts, @ForAll boolean recorded) {
-    IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(1 << 20));
+    IdempotencyTable<String> keys =
+        new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(1 << 20));
     if (recorded) {
       keys.record(3); // fewer than keys: one always stays in memory
     }
@@ -209,7 +211,8 @@
           }
         }
         case "hear" -> {
-          Entry<String> heard = keys.hear(key, IdempotencyTable.Asked.of(BODY), door + 20_000, now + 31);
+          Entry<String> heard =
+              keys.hear(key, IdempotencyTable.Asked.of(BODY), door + 20_000, now + 31);
           if (heard != null) {
             coveredTo.put(key, door + 20_000);
             running.remove(key);
--- a/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
@@ -177,7 +177,8 @@
 
   @Property(tries = 200, seed = "29421")
   void whoIsToldToComeAgainFindsRoomThenAndNotBefore(@ForAll("acts") List<Act> acts) {
-    IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(64 << 10));
+    IdempotencyTable<String> keys =
+        new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(64 << 10));
     double now = 500;
     int number = 0;
     for (Act act : acts) {
@@ -192,7 +193,8 @@
       }
       double in = keys.roomIn(now);
       assertTrue(
-          in > 0 && in <= WINDOW + IdempotencyTable.SLACK + IdempotencyTable.LINGER + 0.5, "come again in " + in);
+          in > 0 && in <= WINDOW + IdempotencyTable.SLACK + IdempotencyTable.LINGER + 0.5,
+          "come again in " + in);
       if (in > 0.5) {
         keys.expire(now + in - 0.5);
         assertFalse(keys.promise(), "there was room before the time that was told");
@@ -215,7 +217,8 @@
 
   @Example
   void aKeyOfTheOtherProcessHasItsRoomAndAFullTableKeepsTheKeyWithoutItsResult() {
-    IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(64 << 10));
+    IdempotencyTable<String> keys =
+        new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(64 << 10));
     int promised = 0;
     while (keys.promise()) {
       promised++;
--- a/src/test/java/wharftrestle/prove/BadRelease.java
+++ b/src/test/java/wharftrestle/prove/BadRelease.java
@@ -21,11 +21,11 @@
 import java.util.concurrent.locks.LockSupport;
 import sun.misc.Signal;
 import sun.misc.Unsafe;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.daemon.Lifecycle;
+import wharftrestle.settings.Settings;
 import wharftrestle.transport.Address;
 import wharftrestle.transport.BoundedReader;
-import wharftrestle.config.DaemonConfig;
-import wharftrestle.settings.Settings;
 
 /**
  * The daemon made worse in one way, which the word in its jar names: what a rolling change has to
@@ -139,7 +139,8 @@
           byte[] body = BoundedReader.exactly(in, Integer.parseInt(words[5]));
           BoundedReader.crlf(in);
           out.write(
-              BoundedReader.ascii(i % 5 < 2 ? line.replace(" good ", " bad ") + "\r\n" : line + "\r\n"));
+              BoundedReader.ascii(
+                  i % 5 < 2 ? line.replace(" good ", " bad ") + "\r\n" : line + "\r\n"));
           out.write(body);
           out.write(BoundedReader.ascii("\r\n"));
         } else {
--- a/src/test/java/wharftrestle/prove/BenchBuilds.java
+++ b/src/test/java/wharftrestle/prove/BenchBuilds.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import wharftrestle.testbed.TestClients;
 import wharftrestle.testbed.DaemonProcess;
 import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.TestClients;
 
 /**
  * CPU of two builds side by side in one run: of a start, and of an answer under steady callers, in
@@ -58,7 +58,8 @@
         throw new IllegalStateException("it did not start:\n" + daemon.log());
       }
       double start = daemon.cpuSeconds();
-      TestClients callers = new TestClients(floor, TestClients.Habit.of(CALLERS, 9000), seed, () -> false);
+      TestClients callers =
+          new TestClients(floor, TestClients.Habit.of(CALLERS, 9000), seed, () -> false);
       callers.start();
       LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(2));
       double before = daemon.cpuSeconds();
--- a/src/test/java/wharftrestle/prove/BenchChange.java
+++ b/src/test/java/wharftrestle/prove/BenchChange.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Stream;
-import wharftrestle.testbed.TestClients;
+import wharftrestle.testbed.CpuLimiter;
 import wharftrestle.testbed.DaemonProcess;
 import wharftrestle.testbed.HostTestbed;
-import wharftrestle.testbed.CpuLimiter;
+import wharftrestle.testbed.TestClients;
 
 /**
  * What a change and the way back cost: answers by the second with none, with a change, and with the
@@ -66,7 +66,8 @@
   }
 
   private void play(boolean over, long seed) throws Exception {
-    HostTestbed.Version one = new HostTestbed.Version(null, "wharftrestle.Main", floor.settings(), "");
+    HostTestbed.Version one =
+        new HostTestbed.Version(null, "wharftrestle.Main", floor.settings(), "");
     HostTestbed.Version two =
         new HostTestbed.Version(
             null,
@@ -82,7 +83,8 @@
     try {
       TestClients.Habit habit = TestClients.Habit.of(CALLERS, 9000);
       if (over) {
-        TestClients all = new TestClients(floor, new TestClients.Habit(CROWD, 9000, 0.4, 1), seed, () -> false);
+        TestClients all =
+            new TestClients(floor, new TestClients.Habit(CROWD, 9000, 0.4, 1), seed, () -> false);
         all.start();
         seconds(all, 4);
         double most = seconds(all, 4).stream().mapToInt(each -> each[0]).average().orElse(0);
--- a/src/test/java/wharftrestle/prove/BenchResults.java
+++ b/src/test/java/wharftrestle/prove/BenchResults.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
-import wharftrestle.testbed.TestClient;
 import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.TestClient;
 
 /**
  * Measures what kept results cost at a real daemon: keyed requests a second and their latency with
@@ -110,7 +110,8 @@
    * Asks new keys for so long; how many were served. Latency is from the moment of asking, one at a
    * time a desk.
    */
-  private static int ask(HostTestbed floor, int desks, double seconds, String note, Histogram latency)
+  private static int ask(
+      HostTestbed floor, int desks, double seconds, String note, Histogram latency)
       throws InterruptedException {
     AtomicInteger served = new AtomicInteger();
     AtomicLong references = new AtomicLong(System.nanoTime());
--- a/src/test/java/wharftrestle/prove/FullDescriptorsTest.java
+++ b/src/test/java/wharftrestle/prove/FullDescriptorsTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.testbed.TestClient;
 import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.TestClient;
 
 /**
  * A real process that may hold few descriptors, and idle clients that would fill them while the
--- a/src/test/java/wharftrestle/prove/HangupTest.java
+++ b/src/test/java/wharftrestle/prove/HangupTest.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.testbed.TestClient;
 import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.TestClient;
 
 /** A daemon that was started where hangups are ignored, as by nohup, and whose parties move. */
 class HangupTest {
--- a/src/test/java/wharftrestle/prove/LinkFlapTest.java
+++ b/src/test/java/wharftrestle/prove/LinkFlapTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.testbed.DaemonProcess;
-import wharftrestle.testbed.TestClient;
 import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.TestClient;
 
 /** A worker pool whose address takes connections and ends each at once, for seconds. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
--- a/src/test/java/wharftrestle/prove/ProveChange.java
+++ b/src/test/java/wharftrestle/prove/ProveChange.java
@@ -14,9 +14,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import wharftrestle.testbed.TestClients;
 import wharftrestle.testbed.DaemonProcess;
 import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.TestClients;
 
 /**
  * Proves that one box can be changed and changed back under load: real processes of this build and
@@ -129,7 +129,10 @@
         new Way(
             "moved",
             new HostTestbed.Version(
-                null, main, new HostTestbed.Settings(set.memoryMb(), set.window(), true, false), script),
+                null,
+                main,
+                new HostTestbed.Settings(set.memoryMb(), set.window(), true, false),
+                script),
             false,
             false));
     if (mutant) {
@@ -159,7 +162,10 @@
         new Way(
             "more",
             new HostTestbed.Version(
-                null, main, new HostTestbed.Settings(set.memoryMb(), set.window(), false, true), script),
+                null,
+                main,
+                new HostTestbed.Settings(set.memoryMb(), set.window(), false, true),
+                script),
             true,
             false));
     all.add(
@@ -222,7 +228,8 @@
   }
 
   /** One change, with what goes wrong in it; the process that serves after it. */
-  private DaemonProcess change(Way serves, DaemonProcess old, Way next, Random random) throws Exception {
+  private DaemonProcess change(Way serves, DaemonProcess old, Way next, Random random)
+      throws Exception {
     seen.changes++;
     long began = System.nanoTime();
     DaemonProcess now = floor.begin(next.version());
--- a/src/test/java/wharftrestle/prove/ProveCold.java
+++ b/src/test/java/wharftrestle/prove/ProveCold.java
@@ -40,7 +40,8 @@
       int many, Ramp ramp, double deaf, Start start, int seeds, long seed) {
     return IntStream.range(0, seeds)
         .parallel()
-        .mapToObj(i -> ColdTrafficSimulation.play(many, new Callers(many, ramp, deaf), start, seed + i))
+        .mapToObj(
+            i -> ColdTrafficSimulation.play(many, new Callers(many, ramp, deaf), start, seed + i))
         .reduce(
             new ColdTrafficSimulation.Result(0, 0),
             (a, b) ->
@@ -65,7 +66,10 @@
               reach(many, Ramp.SHARE, DEAF, Start.COLD, seeds, seed),
               reach(many, Ramp.EACH_ALONE, 0, Start.COLD, seeds, seed));
       double crowd =
-          all.stream().mapToDouble(ColdTrafficSimulation.Result::crowd).max().orElse(Double.POSITIVE_INFINITY);
+          all.stream()
+              .mapToDouble(ColdTrafficSimulation.Result::crowd)
+              .max()
+              .orElse(Double.POSITIVE_INFINITY);
       double open = reach(many, Ramp.NONE, 0, Start.OPEN, seeds, seed).crowd();
       holds &= crowd <= 1 && open > 1 && all.get(3).reached() > 1 == many > 1;
       figures.append(String.format(Locale.ROOT, "; %d", many));
--- a/src/test/java/wharftrestle/prove/ProveMemory.java
+++ b/src/test/java/wharftrestle/prove/ProveMemory.java
@@ -21,9 +21,9 @@
 import java.util.regex.Pattern;
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 import wharftrestle.testbed.DaemonProcess;
-import wharftrestle.testbed.TestClient;
 import wharftrestle.testbed.HostTestbed;
 import wharftrestle.testbed.RespPeer;
+import wharftrestle.testbed.TestClient;
 
 /**
  * Proves that memory holds on long days: real daemons are asked keyed requests with bodies and
--- a/src/test/java/wharftrestle/prove/ProveReady.java
+++ b/src/test/java/wharftrestle/prove/ProveReady.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.locks.LockSupport;
 import wharftrestle.testbed.DaemonProcess;
-import wharftrestle.testbed.TestClient;
 import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.TestClient;
 
 /**
  * Proves that restarted processes are ready again: many are started at once on this machine, and
--- a/src/test/java/wharftrestle/prove/ProveResults.java
+++ b/src/test/java/wharftrestle/prove/ProveResults.java
@@ -6,9 +6,9 @@
 import java.util.Locale;
 import java.util.Random;
 import java.util.concurrent.locks.LockSupport;
-import wharftrestle.testbed.TestClients;
-import wharftrestle.testbed.HostTestbed;
 import wharftrestle.testbed.FakeWorkerPool;
+import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.TestClients;
 
 /**
  * Proves that no keyed request runs twice over restarts: a real daemon is killed at moments drawn
@@ -97,7 +97,10 @@
     floor.start();
     TestClients callers =
         new TestClients(
-            floor, new TestClients.Habit(DESKS, KEY_MS, AGAIN, THINK), random.nextLong(), () -> true);
+            floor,
+            new TestClients.Habit(DESKS, KEY_MS, AGAIN, THINK),
+            random.nextLong(),
+            () -> true);
     callers.start();
     while (callers.repeats() < wanted || seen.kills < kills) {
       killAt(random);
--- a/src/test/java/wharftrestle/prove/ProveRoll.java
+++ b/src/test/java/wharftrestle/prove/ProveRoll.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Collectors;
+import wharftrestle.testbed.FaultRule;
 import wharftrestle.testbed.FleetTestbed;
 import wharftrestle.testbed.HostTestbed;
-import wharftrestle.testbed.FaultRule;
 
 /**
  * Proves rolling changes with real processes: 14 boxes, each a keeper with its daemon and callers,
@@ -164,7 +164,10 @@
         }
       }
       if (release.equals("crashes")) {
-        floor.boxes().values().forEach(FleetTestbed.Box::trouble); // what it has in hand goes with it
+        floor
+            .boxes()
+            .values()
+            .forEach(FleetTestbed.Box::trouble); // what it has in hand goes with it
       }
       int[] now = floor.answers();
       counts.add(new long[] {System.currentTimeMillis(), now[0], now[1], now[2]});
--- a/src/test/java/wharftrestle/prove/Unagreed.java
+++ b/src/test/java/wharftrestle/prove/Unagreed.java
@@ -1,9 +1,9 @@
 package wharftrestle.prove;
 
 import sun.misc.Signal;
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.daemon.Lifecycle;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.config.DaemonConfig;
 
 /**
  * The daemon that hands over to whoever asks: what a proof plays beside the real one, and never
--- a/src/test/java/wharftrestle/prove/Unbounded.java
+++ b/src/test/java/wharftrestle/prove/Unbounded.java
@@ -1,8 +1,8 @@
 package wharftrestle.prove;
 
+import wharftrestle.config.DaemonConfig;
 import wharftrestle.daemon.Lifecycle;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.config.DaemonConfig;
 
 /**
  * The daemon with no bound on what it knows of keys: what a proof plays beside the real one, and
@@ -13,7 +13,10 @@
 
   public static void main(String[] args) throws Exception {
     Lifecycle life =
-        new Lifecycle(DaemonConfig.read(System.getenv()), DaemonConfig.Appliance.none(), KeyMemoryBudget.unbounded());
+        new Lifecycle(
+            DaemonConfig.read(System.getenv()),
+            DaemonConfig.Appliance.none(),
+            KeyMemoryBudget.unbounded());
     life.start();
     life.serveUntilStopped();
   }
--- a/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
+++ b/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
@@ -21,7 +21,8 @@
   private static final int BOXES = 6;
   private final SplittableRandom random = new SplittableRandom(5);
   private final CanaryAnalysis judge =
-      new CanaryAnalysis(Map.of(CanaryMetric.WORTH, 0.03, CanaryMetric.FAILED, 0.03), List.of("save"), 2, 0.05);
+      new CanaryAnalysis(
+          Map.of(CanaryMetric.WORTH, 0.03, CanaryMetric.FAILED, 0.03), List.of("save"), 2, 0.05);
 
   /**
    * So many of 200 requests of each box fail; the first {@code changed} boxes have the new release.
@@ -159,13 +160,17 @@
 
   @Test
   void rollsInVirtualTimeGoThroughOrAreStoppedAndTheSameSeedIsTheSamePlay() {
-    RolloutSimulation.Result good = RolloutSimulation.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3);
+    RolloutSimulation.Result good =
+        RolloutSimulation.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3);
     assertEquals(Rollout.State.DONE, good.state(), good.why());
-    assertEquals(good, RolloutSimulation.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3));
-    RolloutSimulation.Result bad = RolloutSimulation.play(Release.LOSES_10, Trouble.NONE, Judging.SEQUENTIAL, 3);
+    assertEquals(
+        good, RolloutSimulation.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3));
+    RolloutSimulation.Result bad =
+        RolloutSimulation.play(Release.LOSES_10, Trouble.NONE, Judging.SEQUENTIAL, 3);
     assertEquals(Rollout.State.UNDONE, bad.state(), bad.why());
     assertEquals(1, bad.most(), "stopped at the first box");
-    RolloutSimulation.Result slow = RolloutSimulation.play(Release.GOOD, Trouble.SLOW_MACHINE, Judging.PLAIN, 3);
+    RolloutSimulation.Result slow =
+        RolloutSimulation.play(Release.GOOD, Trouble.SLOW_MACHINE, Judging.PLAIN, 3);
     assertTrue(slow.stopped(), "a plain comparison takes a slow machine for a bad release");
   }
 }
--- a/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
+++ b/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
@@ -70,7 +70,9 @@
       next.tick = tick;
       double lease = bug == Bug.NO_STAMPS ? 1e9 : EpochFence.LEASE;
       double pause =
-          bug == Bug.NO_PAUSE ? 0 : bug == Bug.PAUSE_OF_ONE_LEASE ? EpochFence.LEASE : ControllerLease.PAUSE;
+          bug == Bug.NO_PAUSE
+              ? 0
+              : bug == Bug.PAUSE_OF_ONE_LEASE ? EpochFence.LEASE : ControllerLease.PAUSE;
       for (int k = 0; k < KEEPERS; k++) {
         next.fences[k] = new EpochFence(fences[k], kept -> true, lease);
       }
@@ -122,7 +124,9 @@
           + restarted
           + first.state()
           + second.state()
-          + (second.state() == ControllerLease.State.PAUSING ? age(second.pausedSince(), PAUSED) : "")
+          + (second.state() == ControllerLease.State.PAUSING
+              ? age(second.pausedSince(), PAUSED)
+              : "")
           + String.join("&", each);
     }
   }
@@ -160,7 +164,9 @@
         anew.restarted = true;
         anew.fences[k] =
             new EpochFence(
-                bug == Bug.KEEPER_FORGETS ? new EpochFence.Kept(1, "A", "", 0) : at.fences[k].kept(),
+                bug == Bug.KEEPER_FORGETS
+                    ? new EpochFence.Kept(1, "A", "", 0)
+                    : at.fences[k].kept(),
                 1000,
                 kept -> true);
         all.add(anew);
--- a/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
@@ -29,7 +29,8 @@
                 """);
     RolloutPlan plan = script.plan();
     assertEquals(
-        List.of(new RolloutPlan.Stage(1, 0, false, 120), new RolloutPlan.Stage(0, 1, true, 60)), plan.stages());
+        List.of(new RolloutPlan.Stage(1, 0, false, 120), new RolloutPlan.Stage(0, 1, true, 60)),
+        plan.stages());
     assertEquals(Map.of(CanaryMetric.WORTH, 0.02, CanaryMetric.CPU, 0.5), plan.limits());
     assertEquals(List.of("omaruru"), plan.box("b2").tenants());
     assertEquals(Map.of("b2", "127.0.0.1:9002"), script.fronts());
--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -30,8 +30,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.supervisor.ControllerEndpoint;
 import wharftrestle.supervisor.CommandSocket;
+import wharftrestle.supervisor.ControllerEndpoint;
 import wharftrestle.supervisor.ReleaseDirectory;
 import wharftrestle.transport.Address;
 
@@ -136,11 +136,13 @@
   }
 
   private RolloutController driver(String dir, PlanScript script, String name) throws Exception {
-    return new RolloutController(folder.resolve(dir), script, name, new RolloutEventLog(NOWHERE, true));
+    return new RolloutController(
+        folder.resolve(dir), script, name, new RolloutEventLog(NOWHERE, true));
   }
 
   private static FutureTask<RolloutController.End> run(RolloutController driver) {
-    FutureTask<RolloutController.End> end = new FutureTask<>((Callable<RolloutController.End>) driver::run);
+    FutureTask<RolloutController.End> end =
+        new FutureTask<>((Callable<RolloutController.End>) driver::run);
     new Thread(end).start();
     return end;
   }
@@ -160,7 +162,8 @@
       assertEquals(List.of("b1 two"), obeyed, "one box, and the hold goes on");
       try (RolloutController second = driver("d2", plan("two", 0), "bob")) {
         String why =
-            assertThrows(RolloutController.RefusedException.class, () -> second.check(false)).getMessage();
+            assertThrows(RolloutController.RefusedException.class, () -> second.check(false))
+                .getMessage();
         assertTrue(why.contains("ann steers in epoch 1"), why);
         second.check(true);
         FutureTask<RolloutController.End> next = run(second);
@@ -176,14 +179,16 @@
   void whatCannotBeIsRefusedBeforeAnythingMoves() throws Exception {
     try (RolloutController driver = driver("d1", plan("three", 0), "ann")) {
       String why =
-          assertThrows(RolloutController.RefusedException.class, () -> driver.check(false)).getMessage();
+          assertThrows(RolloutController.RefusedException.class, () -> driver.check(false))
+              .getMessage();
       assertTrue(why.startsWith("b1: there is no release 'three'"), why);
     }
     keepers.get(0).door.close();
     keepers.get(1).door.close();
     try (RolloutController driver = driver("d2", plan("two", 0), "ann")) {
       String why =
-          assertThrows(RolloutController.RefusedException.class, () -> driver.check(false)).getMessage();
+          assertThrows(RolloutController.RefusedException.class, () -> driver.check(false))
+              .getMessage();
       assertEquals("1 of 3 keepers answer, which is not more than half", why);
     }
     assertTrue(obeyed.isEmpty());
@@ -202,7 +207,8 @@
       assertEquals(RolloutController.End.STOPPED, end.get(5, TimeUnit.SECONDS));
     }
     String why =
-        assertThrows(RolloutController.RefusedException.class, () -> driver("d1", plan("one", 0), "ann"))
+        assertThrows(
+                RolloutController.RefusedException.class, () -> driver("d1", plan("one", 0), "ann"))
             .getMessage();
     assertTrue(why.startsWith("another change is under way in "), why);
     try (RolloutController next = driver("d1", plan, "bob")) {
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
@@ -18,11 +18,11 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
 import wharftrestle.Fixtures;
+import wharftrestle.rollout.Rollout;
+import wharftrestle.supervisor.CommandSocket;
 import wharftrestle.supervisor.ControllerEndpoint;
 import wharftrestle.supervisor.JsonLineJournal;
-import wharftrestle.supervisor.CommandSocket;
 import wharftrestle.supervisor.ReleaseDirectory;
-import wharftrestle.rollout.Rollout;
 import wharftrestle.transport.Address;
 
 /**
@@ -57,17 +57,34 @@
     triesTwo.put("b3", 2);
     Rollout.State changing = Rollout.State.CHANGING;
     return List.of(
-        line(1, "claim", new Rollout.Kept(changing, changing, 0, none, Map.of(), ""), "", "", "began"),
+        line(
+            1,
+            "claim",
+            new Rollout.Kept(changing, changing, 0, none, Map.of(), ""),
+            "",
+            "",
+            "began"),
         line(2, "stage", new Rollout.Kept(changing, changing, 0, none, Map.of(), ""), "", "", ""),
-        line(3, "order", new Rollout.Kept(changing, changing, 0, from, tries, ""), "b1", "two", "st"),
+        line(
+            3,
+            "order",
+            new Rollout.Kept(changing, changing, 0, from, tries, ""),
+            "b1",
+            "two",
+            "st"),
         enter(4, new Rollout.Kept(Rollout.State.HOLDING, changing, 0, from, tries, "")),
-        enter(5, new Rollout.Kept(Rollout.State.HELD, changing, 0, from, tries, "b1 does worse: 5 %")),
-        enter(6, new Rollout.Kept(Rollout.State.RETURNING, changing, 0, from, Map.of(), "asked for")),
+        enter(
+            5,
+            new Rollout.Kept(Rollout.State.HELD, changing, 0, from, tries, "b1 does worse: 5 %")),
+        enter(
+            6, new Rollout.Kept(Rollout.State.RETURNING, changing, 0, from, Map.of(), "asked for")),
         enter(7, new Rollout.Kept(Rollout.State.UNDONE, changing, 0, from, Map.of(), "asked for")),
         enter(8, new Rollout.Kept(Rollout.State.ABORTED, changing, 0, from, tries, "ended")),
         enter(9, new Rollout.Kept(Rollout.State.DONE, changing, 1, fromTwo, triesTwo, "")),
         enter(
-            10, new Rollout.Kept(Rollout.State.PAUSED, Rollout.State.HOLDING, 1, fromTwo, triesTwo, "mañ")));
+            10,
+            new Rollout.Kept(
+                Rollout.State.PAUSED, Rollout.State.HOLDING, 1, fromTwo, triesTwo, "mañ")));
   }
 
   private static RolloutController.Line enter(long at, Rollout.Kept kept) throws IOException {
@@ -75,14 +92,17 @@
   }
 
   private static RolloutController.Line line(
-      long at, String what, Rollout.Kept kept, String box, String to, String why) throws IOException {
+      long at, String what, Rollout.Kept kept, String box, String to, String why)
+      throws IOException {
     String plan = RolloutController.sha256(Files.readString(Fixtures.path(PLAN)));
-    return new RolloutController.Line(1_765_000_000_000L + at, what, 3, "d1", plan, kept, box, to, why);
+    return new RolloutController.Line(
+        1_765_000_000_000L + at, what, 3, "d1", plan, kept, box, to, why);
   }
 
   static void writeJournal(Path file) throws IOException {
     Files.createDirectories(file.getParent());
-    try (JsonLineJournal<RolloutController.Line> journal = new JsonLineJournal<>(file, RolloutController.Line.class)) {
+    try (JsonLineJournal<RolloutController.Line> journal =
+        new JsonLineJournal<>(file, RolloutController.Line.class)) {
       for (RolloutController.Line line : lines()) {
         journal.add(line);
       }
@@ -97,7 +117,11 @@
     ArrayNode all = JSON.createArrayNode();
     PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
     try (RolloutController driver =
-        new RolloutController(folder, PlanScript.read(Fixtures.path(PLAN)), "d2", new RolloutEventLog(nowhere, true))) {
+        new RolloutController(
+            folder,
+            PlanScript.read(Fixtures.path(PLAN)),
+            "d2",
+            new RolloutEventLog(nowhere, true))) {
       for (String order :
           List.of("status", "broken b1 a rule", "go", "pause", "back", "abort", "fly")) {
         String answer = CommandSocket.order(folder.resolve("roll.sock"), order);
--- a/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
@@ -25,12 +25,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Fixtures;
-import wharftrestle.supervisor.JsonLineJournal;
-import wharftrestle.rollout.EpochFence;
 import wharftrestle.rollout.CanaryMetric;
-import wharftrestle.rollout.RolloutPlan;
-import wharftrestle.rollout.Rollout;
+import wharftrestle.rollout.EpochFence;
 import wharftrestle.rollout.HostSample;
+import wharftrestle.rollout.Rollout;
+import wharftrestle.rollout.RolloutPlan;
+import wharftrestle.supervisor.JsonLineJournal;
 
 /**
  * Files and messages of the rollout controller, as released builds have written them: they are read
@@ -256,8 +256,10 @@
             new EpochFence.Said(EpochFence.Answer.FENCED, 0, first),
             new EpochFence.Said(EpochFence.Answer.OBEYED, 0, toTwo),
             new EpochFence.Said(EpochFence.Answer.TWO_TARGETS, 0, toTwo),
-            new EpochFence.Said(EpochFence.Answer.GRANTED, STAMP, new EpochFence.Kept(2, "d2", "", 0)),
-            new EpochFence.Said(EpochFence.Answer.OBEYED, 0, new EpochFence.Kept(2, "d2", "one", 1))),
+            new EpochFence.Said(
+                EpochFence.Answer.GRANTED, STAMP, new EpochFence.Kept(2, "d2", "", 0)),
+            new EpochFence.Said(
+                EpochFence.Answer.OBEYED, 0, new EpochFence.Kept(2, "d2", "one", 1))),
         said);
     assertEquals(List.of("", "", "", "", "", "", "ok obeyed", "", "", "ok obeyed"), obeyed);
   }
@@ -305,7 +307,9 @@
 
   private static SupervisorClient.Heard obeyed(JsonNode answer) {
     return new SupervisorClient.Heard(
-        new EpochFence.Said(EpochFence.Answer.OBEYED, 0, new EpochFence.Kept(1, "d1", "two", 1)), "", answer);
+        new EpochFence.Said(EpochFence.Answer.OBEYED, 0, new EpochFence.Kept(1, "d1", "two", 1)),
+        "",
+        answer);
   }
 
   private static JsonNode answerToTheOrder() throws IOException {
--- a/src/test/java/wharftrestle/simulation/ServedShareFloorTest.java
+++ b/src/test/java/wharftrestle/simulation/ServedShareFloorTest.java
@@ -117,7 +117,8 @@
     SimulatedFleet.Site site = new SimulatedFleet.Site(14, 3, 12, load, 0.5, 0);
     SimulatedFleet fleet = new SimulatedFleet(site, seed);
     if (refuses > 0) {
-      SimulatedHost.Flaw flaw = new SimulatedHost.Flaw(0, new double[SHARES.length], refuses, 0, 0, 0);
+      SimulatedHost.Flaw flaw =
+          new SimulatedHost.Flaw(0, new double[SHARES.length], refuses, 0, 0, 0);
       fleet.boxes.forEach(each -> each.start(flaw, true));
     }
     double[] worths =
--- a/src/test/java/wharftrestle/storage/ResultLogToolTest.java
+++ b/src/test/java/wharftrestle/storage/ResultLogToolTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.request.ResultStore;
 import wharftrestle.config.DaemonConfig;
+import wharftrestle.request.ResultStore;
 
 /** What operators see of a folder that no daemon has. */
 class ResultLogToolTest {
@@ -60,7 +60,8 @@
         CountDownLatch written = new CountDownLatch(1);
         journal.intend(keyed(key), place -> written.countDown());
         written.await();
-        assertThrows(UnusableStorageException.class, () -> new ResultLogTool(folder), "a daemon has it");
+        assertThrows(
+            UnusableStorageException.class, () -> new ResultLogTool(folder), "a daemon has it");
         if (!key.contains("third")) {
           CountDownLatch ended = new CountDownLatch(1);
           journal.ended(keyed(key), RESULT, place -> ended.countDown());
@@ -131,7 +132,8 @@
     Files.write(first, bytes);
     String hurt = said((results, out) -> results.verify(out));
     assertTrue(!(boolean) answer && hurt.contains("DAMAGED"), hurt);
-    assertThrows(UnusableStorageException.class, () -> said((results, out) -> results.compact(out)));
+    assertThrows(
+        UnusableStorageException.class, () -> said((results, out) -> results.compact(out)));
     Files.delete(first);
     assertTrue(said((results, out) -> results.verify(out)).contains("missing"));
     assertThrows(UnusableStorageException.class, () -> new ResultLogTool(folder.resolve("none")));
--- a/src/test/java/wharftrestle/storage/ResultRecorderTest.java
+++ b/src/test/java/wharftrestle/storage/ResultRecorderTest.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import wharftrestle.SilentPool;
-import wharftrestle.request.RequestCoordinator;
-import wharftrestle.request.RequestCoordinator.Answer;
-import wharftrestle.request.ResultStore;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.ResultMetric;
-import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.request.RequestCoordinator.Answer;
+import wharftrestle.request.ResultStore;
 
 /**
  * The core with a journal on a disk that fails, stalls and fills: what a keyed request gets, and
@@ -27,7 +27,8 @@
  */
 class ResultRecorderTest {
   private final MemorySegmentStore disk = new MemorySegmentStore();
-  private final WriteAheadLog journal = new WriteAheadLog(WriteAheadLogTest.settings(4, "group"), () -> disk);
+  private final WriteAheadLog journal =
+      new WriteAheadLog(WriteAheadLogTest.settings(4, "group"), () -> disk);
   private final BlockingQueue<String> spawned = new LinkedBlockingQueue<>();
   private final RequestCoordinator core =
       new RequestCoordinator(
--- a/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-import wharftrestle.request.ResultStore;
 import wharftrestle.config.DaemonConfig;
+import wharftrestle.request.ResultStore;
 
 /**
  * Writes the stored results folder that {@link StoredFormatTest} reads. It was run once, with the
@@ -247,7 +247,8 @@
   /** What a daemon that starts on the folder knows: a line a key, results as it reads them. */
   static String describeRecovered(Path folder) throws IOException {
     StringJoiner lines = new StringJoiner("\n", "", "\n");
-    WriteAheadLog journal = new WriteAheadLog(settings(folder), () -> new FixedBootDisk(folder, BOOT + 1));
+    WriteAheadLog journal =
+        new WriteAheadLog(settings(folder), () -> new FixedBootDisk(folder, BOOT + 1));
     try {
       ResultStore.Recovered recovered = journal.open(LONGEST_WINDOW_SECONDS);
       lines.add("blind=" + (recovered.blindUntil() > Double.NEGATIVE_INFINITY));
--- a/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
+++ b/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
@@ -27,8 +27,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import wharftrestle.request.ResultStore;
 import wharftrestle.config.DaemonConfig;
+import wharftrestle.request.ResultStore;
 
 /** The log alone: crashes at every byte and every operation, damage, bounds. */
 class WriteAheadLogTest {
@@ -69,7 +69,8 @@
    * Runs one key from intent to result; where the result lies, below 0 where any of it was not
    * written.
    */
-  private static long run(WriteAheadLog journal, String key, byte[] result) throws InterruptedException {
+  private static long run(WriteAheadLog journal, String key, byte[] result)
+      throws InterruptedException {
     Word intent = new Word();
     if (journal.intend(keyed(key), intent) == null || intent.await() < 0) {
       return -2;
@@ -156,7 +157,9 @@
     file.put(Segment.head(1, 3, 7, 4096));
     for (int i = 0; i < 9; i++) {
       LogRecord.Kind kind =
-          i % 3 == 0 ? LogRecord.Kind.INTENT : i % 3 == 1 ? LogRecord.Kind.RESULT : LogRecord.Kind.INTENT;
+          i % 3 == 0
+              ? LogRecord.Kind.INTENT
+              : i % 3 == 1 ? LogRecord.Kind.RESULT : LogRecord.Kind.INTENT;
       LogRecord record =
           new LogRecord(
               kind,
@@ -601,7 +604,16 @@
             LogRecord.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/old", new byte[1]);
     LogRecord young =
         new LogRecord(
-            LogRecord.Kind.RESULT, true, 1, 0, now - 29_000, 1, 20_000, 5, "2/0/young", new byte[1]);
+            LogRecord.Kind.RESULT,
+            true,
+            1,
+            0,
+            now - 29_000,
+            1,
+            20_000,
+            5,
+            "2/0/young",
+            new byte[1]);
     LogRecord before =
         new LogRecord(
             LogRecord.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/boot", new byte[1]);
--- a/src/test/java/wharftrestle/supervisor/FullDiskSupervisor.java
+++ b/src/test/java/wharftrestle/supervisor/FullDiskSupervisor.java
@@ -15,7 +15,8 @@
     try (SupervisorJournal steps = new SupervisorJournal(Path.of(args[0]))) {
       for (int i = 0; i < 1000; i++) {
         steps.add(
-            new SupervisorJournal.Entry(i, "started", "SERVES", "one", "", i, i, i, "x".repeat(i % 70)));
+            new SupervisorJournal.Entry(
+                i, "started", "SERVES", "one", "", i, i, i, "x".repeat(i % 70)));
         written++;
       }
     } catch (IOException full) {
--- a/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
+++ b/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
@@ -32,8 +32,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wharftrestle.testbed.TestClient;
 import wharftrestle.testbed.HostTestbed;
+import wharftrestle.testbed.TestClient;
 
 /**
  * Stories of a keeper with real daemons: it changes them, takes back what dies, and is killed
@@ -41,7 +41,8 @@
  */
 @Timeout(90)
 class HostSupervisorTest {
-  private static final SupervisorStateMachine.Limits LIMITS = new SupervisorStateMachine.Limits(15, 1.5, 0.02, 0.05, 20, 0.1, 1, 3);
+  private static final SupervisorStateMachine.Limits LIMITS =
+      new SupervisorStateMachine.Limits(15, 1.5, 0.02, 0.05, 20, 0.1, 1, 3);
 
   @TempDir private Path folder;
   private HostTestbed floor;
@@ -115,7 +116,8 @@
 
   private void keep(String first, Consumer<SupervisorJournal.Entry> before) throws Exception {
     keeper =
-        new HostSupervisor(places(), LIMITS, new PrintStream(OutputStream.nullOutputStream()), before);
+        new HostSupervisor(
+            places(), LIMITS, new PrintStream(OutputStream.nullOutputStream()), before);
     HostSupervisor mine = keeper;
     runs =
         new Thread(
@@ -212,7 +214,8 @@
     keep("one");
     await("serving", "one");
     Path half = Files.createDirectories(releases.resolve("half"));
-    Files.copy(releases.resolve("two").resolve(ReleaseDirectory.JAR), half.resolve(ReleaseDirectory.JAR));
+    Files.copy(
+        releases.resolve("two").resolve(ReleaseDirectory.JAR), half.resolve(ReleaseDirectory.JAR));
     assertTrue(
         order("change half").startsWith("no release 'half' is not whole"), order("change half"));
     Files.writeString(
@@ -229,7 +232,8 @@
     long pid = await("serving", "one").path("serves").path("pid").asLong();
     HostSupervisor.TakenException taken =
         assertThrows(
-            HostSupervisor.TakenException.class, () -> new HostSupervisor(places(), LIMITS, System.out));
+            HostSupervisor.TakenException.class,
+            () -> new HostSupervisor(places(), LIMITS, System.out));
     assertTrue(taken.getMessage().startsWith("another keeper has this box"));
     stop();
     assertTrue(ProcessHandle.of(pid).isPresent(), "its daemon serves on");
@@ -359,16 +363,21 @@
         "the file was never full: " + written);
     try (SupervisorJournal steps = new SupervisorJournal(file)) {
       assertEquals(written, steps.entries().size());
-      steps.add(new SupervisorJournal.Entry(1, "said", "SERVES", "one", "", 0, 0, 0, "there is room again"));
+      steps.add(
+          new SupervisorJournal.Entry(
+              1, "said", "SERVES", "one", "", 0, 0, 0, "there is room again"));
     }
     assertEquals(
-        written + 1, JsonLineJournal.read(file, SupervisorJournal.Entry.class).size(), "no half step lies between");
+        written + 1,
+        JsonLineJournal.read(file, SupervisorJournal.Entry.class).size(),
+        "no half step lies between");
   }
 
   @Test
   void theJournalIsCutAtItsLastWholeLineAndNeverBelievedInPart() throws Exception {
     Path file = folder.resolve("steps.jsonl");
-    SupervisorJournal.Entry step = new SupervisorJournal.Entry(1, "started", "SERVES", "one", "", 42, 7, 9, "why");
+    SupervisorJournal.Entry step =
+        new SupervisorJournal.Entry(1, "started", "SERVES", "one", "", 42, 7, 9, "why");
     try (SupervisorJournal steps = new SupervisorJournal(file)) {
       steps.add(step);
       steps.add(step);
--- a/src/test/java/wharftrestle/supervisor/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/supervisor/StoredFormatTest.java
@@ -46,7 +46,8 @@
   @Test
   void journal_recorded_isReadToTheSameEntries() throws Exception {
     List<SupervisorJournal.Entry> read =
-        JsonLineJournal.read(Fixtures.path(SupervisorFixtures.JOURNAL), SupervisorJournal.Entry.class);
+        JsonLineJournal.read(
+            Fixtures.path(SupervisorFixtures.JOURNAL), SupervisorJournal.Entry.class);
 
     assertEquals(SupervisorFixtures.steps(), read);
   }
@@ -64,18 +65,21 @@
   @Test
   void journal_recorded_tellsWhichProcessServes() throws Exception {
     List<SupervisorJournal.Entry> read =
-        JsonLineJournal.read(Fixtures.path(SupervisorFixtures.JOURNAL), SupervisorJournal.Entry.class);
+        JsonLineJournal.read(
+            Fixtures.path(SupervisorFixtures.JOURNAL), SupervisorJournal.Entry.class);
 
     SupervisorRecovery found = SupervisorRecovery.of(read, step -> step.pid() == 4_202);
 
-    assertEquals(new SupervisorRecovery("two", "one", read.get(4), false, List.of(), List.of()), found);
+    assertEquals(
+        new SupervisorRecovery("two", "one", read.get(4), false, List.of(), List.of()), found);
   }
 
   // ---- The fence's file ----
 
   @Test
   void fence_recorded_isReadToTheSameStates() throws Exception {
-    List<EpochFence.Kept> read = JsonLineJournal.read(Fixtures.path(SupervisorFixtures.FENCE), EpochFence.Kept.class);
+    List<EpochFence.Kept> read =
+        JsonLineJournal.read(Fixtures.path(SupervisorFixtures.FENCE), EpochFence.Kept.class);
 
     assertEquals(
         List.of(
--- a/src/test/java/wharftrestle/supervisor/SupervisorFixtures.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorFixtures.java
@@ -57,7 +57,8 @@
             1_764_999_999_990L,
             7101,
             "the keeper began"),
-        new SupervisorJournal.Entry(1_765_000_001_000L, "said", serves, "one", "", 0, 0, 0, "serves"),
+        new SupervisorJournal.Entry(
+            1_765_000_001_000L, "said", serves, "one", "", 0, 0, 0, "serves"),
         new SupervisorJournal.Entry(
             1_765_000_002_000L, "starting", comes, "two", "", 0, 0, 7102, "change from one"),
         new SupervisorJournal.Entry(
--- a/src/test/java/wharftrestle/supervisor/SupervisorRun.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorRun.java
@@ -41,7 +41,8 @@
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
-  private static final SupervisorStateMachine.Limits LIMITS = new SupervisorStateMachine.Limits(15, 0.5, 0.02, 0.05, 20, 0.1, 1, 3);
+  private static final SupervisorStateMachine.Limits LIMITS =
+      new SupervisorStateMachine.Limits(15, 0.5, 0.02, 0.05, 20, 0.1, 1, 3);
 
   static SupervisorRun of(Path folder) throws Exception {
     Path state = folder.resolve("state");
@@ -80,7 +81,8 @@
       keeper.stop();
       runs.get(30, TimeUnit.SECONDS);
       keeper.close();
-      for (SupervisorJournal.Entry step : JsonLineJournal.read(state.resolve("journal.jsonl"), SupervisorJournal.Entry.class)) {
+      for (SupervisorJournal.Entry step :
+          JsonLineJournal.read(state.resolve("journal.jsonl"), SupervisorJournal.Entry.class)) {
         if (step.what().equals("started")) {
           ProcessHandle.of(step.pid()).ifPresent(ProcessHandle::destroyForcibly);
         }
--- a/src/test/java/wharftrestle/supervisor/SupervisorStateMachineTest.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorStateMachineTest.java
@@ -18,7 +18,8 @@
 
 /** What a keeper does next, told event by event in made-up time. */
 class SupervisorStateMachineTest {
-  private static final SupervisorStateMachine.Limits LIMITS = new SupervisorStateMachine.Limits(10, 30, 0.02, 0.05, 50, 1, 8, 3);
+  private static final SupervisorStateMachine.Limits LIMITS =
+      new SupervisorStateMachine.Limits(10, 30, 0.02, 0.05, 50, 1, 8, 3);
 
   private final SupervisorStateMachine keeper = new SupervisorStateMachine(LIMITS);
 
--- a/src/test/java/wharftrestle/testbed/PausedProcessTest.java
+++ b/src/test/java/wharftrestle/testbed/PausedProcessTest.java
@@ -27,7 +27,8 @@
   @Test
   void whatRanWhileTheFormerOwnerSleptDoesNotRunAgain() throws Exception {
     try (HostTestbed floor = new HostTestbed(folder, "", 12, HostTestbed.Play.of(192))) {
-      HostTestbed.Version version = new HostTestbed.Version(null, "wharftrestle.Main", floor.settings(), "");
+      HostTestbed.Version version =
+          new HostTestbed.Version(null, "wharftrestle.Main", floor.settings(), "");
       DaemonProcess old = floor.begin(version);
       assertTrue(old.awaitReady(READY_MS), old::toString);
       DaemonProcess next = floor.begin(version);
--- a/src/test/java/wharftrestle/testbed/TestbedTest.java
+++ b/src/test/java/wharftrestle/testbed/TestbedTest.java
@@ -34,8 +34,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wharftrestle.transport.BoundedReader;
 import wharftrestle.settings.BadSettingsException;
+import wharftrestle.transport.BoundedReader;
 
 /**
  * The rig itself: links that fail as told, scripts that are refused with their place, checkers that
@@ -220,7 +220,8 @@
 
   @Test
   void aLinkLeadsToLoopbackAlone() {
-    assertThrows(IOException.class, () -> new FaultProxy(new InetSocketAddress("192.0.2.1", 80), 1));
+    assertThrows(
+        IOException.class, () -> new FaultProxy(new InetSocketAddress("192.0.2.1", 80), 1));
   }
 
   // ---- Scripts ----
@@ -469,9 +470,11 @@
       try (Socket link = new Socket(HOST, pool.address().getPort())) {
         link.setSoTimeout(5000);
         InputStream in = new BufferedInputStream(link.getInputStream());
-        link.getOutputStream().write(BoundedReader.join(BoundedReader.ascii("bind 0\r\n"), spawn, spawn));
+        link.getOutputStream()
+            .write(BoundedReader.join(BoundedReader.ascii("bind 0\r\n"), spawn, spawn));
         assertTrue(
-            BoundedReader.line(in, 100).matches("bound old 6\\d{4}"), "up for a minute, and this story");
+            BoundedReader.line(in, 100).matches("bound old 6\\d{4}"),
+            "up for a minute, and this story");
         first = BoundedReader.line(in, 100);
         assertTrue(first.startsWith("finished 1 0000000000000001 good "), first);
       }
@@ -480,7 +483,8 @@
         InputStream in = new BufferedInputStream(link.getInputStream());
         link.getOutputStream().write(BoundedReader.join(BoundedReader.ascii("bind 7\r\n"), spawn));
         assertTrue(
-            BoundedReader.line(in, 100).matches("bound old 6\\d{4}"), "up for a minute, and this story");
+            BoundedReader.line(in, 100).matches("bound old 6\\d{4}"),
+            "up for a minute, and this story");
         assertEquals(
             first.replace("finished 1 ", "finished 8 "),
             BoundedReader.line(in, 100),
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
@@ -14,15 +14,15 @@
 import java.util.Arrays;
 import java.util.List;
 import wharftrestle.SilentPool;
-import wharftrestle.request.RequestCoordinator;
-import wharftrestle.handover.PeerProcess;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.GroupEdfScheduler;
 import wharftrestle.handover.Capabilities;
+import wharftrestle.handover.PeerProcess;
 import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.idempotency.KeyMemoryBudget;
-import wharftrestle.transport.PeerLink.Word;
 import wharftrestle.metrics.Counters;
-import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.request.RequestCoordinator;
+import wharftrestle.transport.PeerLink.Word;
 import wharftrestle.version.VersionRange;
 
 /**
@@ -118,9 +118,11 @@
     link.tell(new PeerProcess.Kept("1/0/open", false, STAMP + 1, 22.5, bytes("asked"), null));
     link.tell(new PeerProcess.Kept("1/0/failed", true, STAMP + 2, 1.25, bytes(""), null));
     link.tellSurely(
-        new PeerProcess.Kept("1/0/over", true, STAMP + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
+        new PeerProcess.Kept(
+            "1/0/over", true, STAMP + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
     link.tellOver(new PeerProcess.Over(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
-    link.follows(new PeerProcess.Over(new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
+    link.follows(
+        new PeerProcess.Over(new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
     link.ended("1/0/ended", bytes("good"));
     link.ended("1/0/failed", null);
     link.freed("1/0/freed");
--- a/src/test/java/wharftrestle/transport/ServerTest.java
+++ b/src/test/java/wharftrestle/transport/ServerTest.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import wharftrestle.transport.Connection.Merit;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
+import wharftrestle.transport.Connection.Merit;
 
 /**
  * How connections end, on real sockets: a gate in the front or in the peer says which side goes
--- a/src/test/java/wharftrestle/version/VersionTest.java
+++ b/src/test/java/wharftrestle/version/VersionTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Sites;
-import wharftrestle.config.DaemonConfig;
 import wharftrestle.admission.Admission;
+import wharftrestle.config.DaemonConfig;
 
 /** What a version is: its ranges, its digests, and which settings tell two apart. */
 class VersionTest {
@@ -45,7 +45,8 @@
     assertEquals("unknown", BuildInfo.beside(jar));
   }
 
-  private static String canonical(Admission.Settings settings, int port, DaemonConfig.Appliance appliance)
+  private static String canonical(
+      Admission.Settings settings, int port, DaemonConfig.Appliance appliance)
       throws UnknownHostException {
     InetSocketAddress at =
         new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), port);
