--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -113,7 +113,7 @@
       } catch (IOException e) {
         throw new DaemonConfig.BadConfigException("cannot listen: " + e.getMessage());
       }
-      signals.tell(life).watch(System.getenv("EDGE_CONFIG"));
+      signals.attach(life).watch(System.getenv("EDGE_CONFIG"));
       life.start();
       life.serveUntilStopped();
       Logger.info("counters at exit:\n{}", life.counters().table());
@@ -182,7 +182,7 @@
   static final class Rehearse implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
-      ClassDataTrainingRun.play();
+      ClassDataTrainingRun.run();
       return 0;
     }
   }
@@ -362,17 +362,17 @@
     @Override
     public Integer call() throws Exception {
       String settings = appliance == null ? null : Settings.read(appliance).table();
-      wharftrestle.version.Version version = BuildInfo.version(settings);
+      wharftrestle.version.Version version = BuildInfo.describe(settings);
       if (!json) {
-        System.out.println("wharftrestle " + version.line());
+        System.out.println("wharftrestle " + version.summaryLine());
         return 0;
       }
-      Map<String, Object> all = new LinkedHashMap<>(version.parts());
+      Map<String, Object> all = new LinkedHashMap<>(version.publishedFields());
       Path jar = BuildInfo.jar();
       if (jar != null) {
         String digest = BuildInfo.digest(jar);
         all.put("jar", digest);
-        if (!digest.equals(version.build())) {
+        if (!digest.equals(version.jarDigest())) {
           System.err.println("wharftrestle: the jar's digest is not the one beside it");
         }
       }
--- a/src/main/java/wharftrestle/admin/AdminServer.java
+++ b/src/main/java/wharftrestle/admin/AdminServer.java
@@ -243,9 +243,9 @@
         .append("\nhandover ")
         .append(daemon.handover())
         .append("\nbuild ")
-        .append(daemon.version().build())
+        .append(daemon.version().jarDigest())
         .append("\nsettings ")
-        .append(daemon.version().settings())
+        .append(daemon.version().settingsDigest())
         .append(
             String.format(
                 Locale.ROOT,
@@ -365,7 +365,7 @@
         counters.outstanding(),
         keptLine(counters),
         resultsLine(),
-        daemon.version().line(),
+        daemon.version().summaryLine(),
         daemon.handover(),
         daemon.fleet().line());
   }
--- a/src/main/java/wharftrestle/daemon/ConfigWatcher.java
+++ b/src/main/java/wharftrestle/daemon/ConfigWatcher.java
@@ -18,7 +18,7 @@
    * Milliseconds between two looks: some kilobytes are read, and callers wait seconds for a box
    * that moves.
    */
-  static final int EVERY_MS = 250;
+  static final int POLL_INTERVAL_MILLIS = 250;
 
   private final Path file;
   private final Runnable changed;
@@ -35,15 +35,15 @@
             "config-watch",
             () -> {
               for (; ; ) {
-                LockSupport.parkNanos(EVERY_MS * 1_000_000L);
-                look();
+                LockSupport.parkNanos(POLL_INTERVAL_MILLIS * 1_000_000L);
+                poll();
               }
             })
         .start();
   }
 
   /** One look; a file that cannot be read now is looked at again. */
-  void look() {
+  void poll() {
     byte[] now = read();
     if (now.length > 0 && !Arrays.equals(known, now)) {
       known = now;
--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -7,7 +7,7 @@
 import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.CompatibilityCheck;
 import wharftrestle.handover.HandoverStateMachine;
-import wharftrestle.handover.HandoverStateMachine.Act;
+import wharftrestle.handover.HandoverStateMachine.Action;
 import wharftrestle.handover.HandoverStateMachine.Event;
 import wharftrestle.handover.HandoverStateMachine.State;
 import wharftrestle.handover.ProcessPauseDetector;
@@ -17,7 +17,7 @@
 import wharftrestle.transport.BoundedReader;
 import wharftrestle.transport.OwnershipLock;
 import wharftrestle.transport.PeerLink;
-import wharftrestle.transport.PeerLink.Word;
+import wharftrestle.transport.PeerLink.Message;
 import wharftrestle.version.BuildInfo;
 
 /**
@@ -26,7 +26,7 @@
  * where they meet, and the waiting. It must never decide a step itself, or wait for the other side
  * while its own lock is held.
  */
-final class HandoverCoordinator implements PeerLink.Side {
+final class HandoverCoordinator implements PeerLink.MessageHandler {
 
   /** What is done to the process itself; none of it waits for the other process. */
   interface Box {
@@ -123,17 +123,19 @@
     this.box = box;
     this.agreement = agreement;
     seat = meeting == null ? null : new OwnershipLock(meeting);
-    link = meeting == null ? null : PeerLink.meet(meeting, partner, this);
+    link = meeting == null ? null : PeerLink.connect(meeting, partner, this);
     // Guards against serving without the keys of a process that is stopped, or lives on after its
     // successor died.
     boolean waits = link == null && seat != null && !seat.alone();
     steps =
-        waits ? new HandoverStateMachine(State.LOOKING) : new HandoverStateMachine(link != null);
+        waits
+            ? new HandoverStateMachine(State.DISCOVERING_PEER)
+            : new HandoverStateMachine(link != null);
   }
 
   /** True where this process came second and has yet to serve. */
   synchronized boolean comes() {
-    return steps.state() != State.ALONE;
+    return steps.state() != State.ACTIVE;
   }
 
   /** How far it has come. */
@@ -143,7 +145,7 @@
 
   /** Why this process waits; empty where it does not. */
   synchronized String refusal() {
-    return steps.state() == State.REFUSED ? reason : "";
+    return steps.state() == State.AWAITING_PREDECESSOR_EXIT ? reason : "";
   }
 
   /**
@@ -151,7 +153,7 @@
    * still be told.
    */
   synchronized boolean lastHolder() {
-    return lostHeir && steps.state() != State.CEDED;
+    return lostHeir && steps.state() != State.RELINQUISHED;
   }
 
   /** Hears the process that serves, from now on. */
@@ -171,10 +173,10 @@
 
   /** The worker pool is up, and with it all that this process needs to serve. */
   synchronized void poolUp() {
-    if (steps.takes(Event.POOL_UP)) {
-      take(Event.POOL_UP);
-    } else if (steps.state() == State.LOOKING) {
-      act(Act.LOOK);
+    if (steps.accepts(Event.WORKER_POOL_READY)) {
+      take(Event.WORKER_POOL_READY);
+    } else if (steps.state() == State.DISCOVERING_PEER) {
+      act(Action.DISCOVER_PEER);
     }
   }
 
@@ -182,7 +184,7 @@
   synchronized void awaitNext() {
     if (meeting != null && !closed) {
       BoundedReader.closeQuietly(successors);
-      successors = PeerLink.await(meeting, partner, this);
+      successors = PeerLink.listen(meeting, partner, this);
       if (successors != null) {
         seat.share();
       } else {
@@ -217,38 +219,65 @@
   // ---- What is heard ----
 
   @Override
-  public synchronized void heard(PeerLink from, Word word, String detail) {
+  public synchronized void onMessage(PeerLink from, Message word, String detail) {
     if (closed) {
       return;
     }
-    if (word == Word.TAKE) {
+    if (word == Message.TAKEOVER_REQUEST) {
       asked(from, detail);
       return;
     }
     if (from != link) {
-      next = word == Word.LOST && from == next ? null : next;
+      next = word == Message.LINK_LOST && from == next ? null : next;
       return;
     }
-    reason = detail.isEmpty() || word == Word.WHO || word == Word.TERMS ? reason : detail;
+    reason =
+        detail.isEmpty()
+                || word == Message.PREDECESSOR_CAPABILITIES
+                || word == Message.SUCCESSOR_CAPABILITIES
+            ? reason
+            : detail;
     Event event =
         switch (word) {
-          case WHO -> weigh(detail, true) ? Event.WHO_FITS : Event.WHO_DIFFERS;
-          case TERMS -> weigh(detail, false) ? Event.TERMS_FIT : Event.TERMS_DIFFER;
-          default -> Event.valueOf(word.name());
+          case PREDECESSOR_CAPABILITIES ->
+              weigh(detail, true) ? Event.PREDECESSOR_COMPATIBLE : Event.PREDECESSOR_INCOMPATIBLE;
+          case SUCCESSOR_CAPABILITIES ->
+              weigh(detail, false) ? Event.SUCCESSOR_COMPATIBLE : Event.SUCCESSOR_INCOMPATIBLE;
+          default -> eventOf(word);
         };
-    if (word == Word.TAKEN && partner.lagged()) {
-      event = Event.LAGGED;
+    if (word == Message.KEYS_ACKNOWLEDGED && partner.lagged()) {
+      event = Event.SUCCESSOR_LAGGING;
       reason = "too much settled meanwhile";
     }
-    if (word == Word.LOST) {
+    if (word == Message.LINK_LOST) {
       link = null;
     }
     take(event);
     turn();
   }
 
+  /** The event of each message that carries no decision of this process. */
+  private static Event eventOf(Message message) {
+    return switch (message) {
+      case WITHDRAWAL -> Event.SUCCESSOR_WITHDREW;
+      case ACCEPTANCE -> Event.TAKEOVER_ACCEPTED;
+      case REJECTION -> Event.TAKEOVER_REJECTED;
+      case RETRY_LATER -> Event.RETRY_LATER;
+      case KEYS_COMPLETE -> Event.KEYS_COMPLETE;
+      case KEYS_ACKNOWLEDGED -> Event.KEYS_ACKNOWLEDGED;
+      case OWNERSHIP -> Event.OWNERSHIP_RECEIVED;
+      case LEGACY_OWNERSHIP -> Event.LEGACY_OWNERSHIP_RECEIVED;
+      case LISTENING -> Event.SUCCESSOR_LISTENING;
+      case OWNERSHIP_RETURNED -> Event.OWNERSHIP_RETURNED;
+      case RELINQUISHED -> Event.PREDECESSOR_RELINQUISHED;
+      case LINK_LOST -> Event.PEER_LOST;
+      case TAKEOVER_REQUEST, PREDECESSOR_CAPABILITIES, SUCCESSOR_CAPABILITIES ->
+          throw new IllegalArgumentException(message + " is weighed before it is an event");
+    };
+  }
+
   private void asked(PeerLink from, String range) {
-    if (!steps.state().free()) {
+    if (!steps.state().acceptsTakeover()) {
       // Guards against a further process that waits for ever, as the one before this has yet to
       // end.
       if (from != link) {
@@ -261,19 +290,19 @@
     link = from;
     Event event =
         switch (range) {
-          case "0" -> Event.TAKE_OLD;
-          case "1" -> Event.TAKE_FORMER;
-          default -> Event.TAKE;
+          case "0" -> Event.UNSUPPORTED_TAKEOVER_REQUEST;
+          case "1" -> Event.LEGACY_TAKEOVER_REQUEST;
+          default -> Event.TAKEOVER_REQUEST;
         };
     take(event);
-    if (event == Event.TAKE_OLD) {
+    if (event == Event.UNSUPPORTED_TAKEOVER_REQUEST) {
       link = before;
     }
   }
 
   /** Whoever asked meanwhile has its turn once this process can hand over. */
   private void turn() {
-    if (next != null && steps.state().free()) {
+    if (next != null && steps.state().acceptsTakeover()) {
       PeerLink waits = next;
       next = null;
       asked(waits, nextRange);
@@ -282,19 +311,21 @@
 
   private boolean weigh(String said, boolean comes) {
     try {
-      Capabilities theirs = Capabilities.read(said);
+      Capabilities theirs = Capabilities.decode(said);
       Capabilities mine = terms();
-      String against = comes ? agreement.against(theirs, mine) : agreement.against(mine, theirs);
+      String against =
+          comes ? agreement.incompatibility(theirs, mine) : agreement.incompatibility(mine, theirs);
       if (against == null && comes) {
-        if (theirs.scale() != 0) {
+        if (theirs.clockBaseUnixMillis() != 0) {
           SteadyWallClock.adopt(
-              theirs.scale()); // stamps of keys are compared with those of requests read here
+              theirs.clockBaseUnixMillis()); // stamps of keys are compared with those of requests
+          // read here
         }
-        partner.join(link, CompatibilityCheck.stretch(theirs, mine));
+        partner.join(link, CompatibilityCheck.windowExtensionSeconds(theirs, mine));
       }
       reason = against == null ? "" : against;
       return against == null;
-    } catch (Capabilities.UnreadableException e) {
+    } catch (Capabilities.MalformedCapabilitiesException e) {
       reason = e.getMessage();
       return false;
     }
@@ -304,10 +335,10 @@
     Capabilities own = box.terms();
     return new Capabilities(
         own.build(),
-        own.speaks(),
-        own.log(),
-        own.folder(),
-        own.classes(),
+        own.handoverVersions(),
+        own.logVersions(),
+        own.storageDirectory(),
+        own.requestClasses(),
         own.tenants(),
         partner.room(),
         SteadyWallClock.base());
@@ -316,78 +347,78 @@
   // ---- What is done ----
 
   private void take(Event event) {
-    HandoverStateMachine.Step step = steps.take(event);
-    if (step.outOfTurn()) {
+    HandoverStateMachine.Transition step = steps.apply(event);
+    if (step.isIgnored()) {
       Logger.debug("{}: {} while {} changes nothing", name, event, step.from());
       return;
     }
     if (step.from() != step.to()) {
       Logger.info("{}: hand-over {} to {} by {}", name, step.from(), step.to(), event);
     }
-    if (step.to().bounded() && !step.from().bounded()) {
+    if (step.to().hasDeadline() && !step.from().hasDeadline()) {
       lookForSilence(++rounds);
     }
-    step.acts().forEach(this::act);
+    step.actions().forEach(this::act);
   }
 
-  private void act(Act act) {
+  private void act(Action act) {
     switch (act) {
-      case SAY_TAKE -> {
+      case SEND_TAKEOVER_REQUEST -> {
         partner.join(link, 0);
-        link.sayTake(name, BuildInfo.HANDOVER);
+        link.sendTakeoverRequest(name, BuildInfo.HANDOVER_VERSIONS);
       }
-      case SAY_WHO -> link.sayWho(terms().text());
-      case SAY_TERMS -> link.sayTerms(terms().text());
-      case SAY_UNFIT -> link.say(Word.UNFIT, reason);
-      case SAY_AGREED -> link.say(Word.AGREED, "");
-      case SAY_NO_NEVER -> {
+      case SEND_PREDECESSOR_CAPABILITIES -> link.sendPredecessorCapabilities(terms().encode());
+      case SEND_SUCCESSOR_CAPABILITIES -> link.sendSuccessorCapabilities(terms().encode());
+      case SEND_WITHDRAWAL -> link.send(Message.WITHDRAWAL, reason);
+      case SEND_ACCEPTANCE -> link.send(Message.ACCEPTANCE, "");
+      case SEND_REJECTION -> {
         Logger.warn("{}: another process asked to take over and cannot: {}", name, reason);
-        link.say(Word.NO_NEVER, reason);
+        link.send(Message.REJECTION, reason);
       }
-      case SAY_NO_LATER -> {
+      case SEND_RETRY_LATER -> {
         Logger.warn(
             "{}: the process that asked to take over is given up on for now: {}", name, reason);
-        link.say(Word.NO_LATER, reason);
+        link.send(Message.RETRY_LATER, reason);
       }
-      case TELL_SETTLED -> tellSettled(link, rounds);
-      case STOP_TELLING -> partner.stopTelling();
-      case SAY_TOLD -> link.sayTold(told);
-      case SAY_TAKEN -> {
+      case SEND_SETTLED_KEYS -> tellSettled(link, rounds);
+      case STOP_SENDING_KEYS -> partner.stopTelling();
+      case SEND_KEYS_COMPLETE -> link.sendKeysComplete(told);
+      case SEND_KEYS_ACKNOWLEDGED -> {
         seat.share(); // before the keys can come: they may arrive after their owner's death
-        link.say(Word.TAKEN, "");
+        link.send(Message.KEYS_ACKNOWLEDGED, "");
       }
-      case GIVE -> given = give(link);
-      case SAY_YOURS -> link.sayYours(given);
-      case HAND_AS_FORMER -> handAsFormer(link);
-      case PARK ->
+      case TRANSFER_OWNERSHIP -> given = give(link);
+      case SEND_OWNERSHIP -> link.sendOwnership(given);
+      case TRANSFER_OWNERSHIP_LEGACY -> handAsFormer(link);
+      case PARK_LINK ->
           Logger.warn(
               "{}: an older build asks to take over; it can start once this process has ended",
               name);
-      case OPEN_RECORDS -> openRecords();
-      case SAY_BACK -> {
+      case OPEN_STORAGE -> openRecords();
+      case RETURN_OWNERSHIP -> {
         seat.leave();
-        link.say(Word.BACK, reason);
+        link.send(Message.OWNERSHIP_RETURNED, reason);
       }
-      case LISTEN -> {
+      case LISTEN_ALONGSIDE -> {
         box.bind(false);
         box.accept();
       }
-      case SAY_LISTENS -> link.say(Word.LISTENS, "");
-      case CEDE -> box.cede();
-      case SAY_CEDED -> link.say(Word.CEDED, "");
-      case TAKE_BACK -> takeBack();
-      case OTHER_GONE -> otherGone();
-      case SERVE -> {
+      case SEND_LISTENING -> link.send(Message.LISTENING, "");
+      case RELINQUISH -> box.cede();
+      case SEND_RELINQUISHED -> link.send(Message.RELINQUISHED, "");
+      case RECLAIM_OWNERSHIP -> takeBack();
+      case RESOLVE_PEER_LOSS -> otherGone();
+      case LISTEN_ALONE -> {
         box.bind(true);
         box.accept();
       }
-      case READY -> box.serveOn();
-      case LOOK -> later("look", LOOK_MS, () -> look(LOOK_MS));
-      case PAUSE -> {
+      case START_SERVING -> box.serveOn();
+      case DISCOVER_PEER -> later("look", LOOK_MS, () -> look(LOOK_MS));
+      case BACK_OFF -> {
         seat.leave();
         pause();
       }
-      case REFUSED -> {
+      case REPORT_REFUSAL -> {
         refusedBefore = true;
         box.refused(reason);
       }
@@ -404,10 +435,10 @@
             () -> {
               int all = partner.tellSettled(to);
               synchronized (this) {
-                if (to == link && round == rounds && steps.state() == State.DEALING) {
+                if (to == link && round == rounds && steps.state() == State.SENDING_KEYS) {
                   told = all;
                   reason = "it does not take what it is told";
-                  take(all < 0 ? Event.OVERDUE : Event.ALL_TOLD);
+                  take(all < 0 ? Event.DEADLINE_EXCEEDED : Event.ALL_KEYS_SENT);
                   turn();
                 }
               }
@@ -424,9 +455,9 @@
         "box-silence",
         SILENT_MS,
         () -> {
-          if (round == rounds && steps.state().bounded()) {
+          if (round == rounds && steps.state().hasDeadline()) {
             reason = "it was silent for " + SILENT_MS / 1000 + " s";
-            take(Event.OVERDUE);
+            take(Event.DEADLINE_EXCEEDED);
             turn();
           }
         });
@@ -461,7 +492,8 @@
     // Not under this lock, which its end needs: a build of format 1 that stalls is waited for, as
     // it owns all by now.
     PlatformThreads.thread(
-            "box-tell", () -> to.sayHanded(handed + Math.max(0, partner.tellSettledAfter(to))))
+            "box-tell",
+            () -> to.sendLegacyOwnership(handed + Math.max(0, partner.tellSettledAfter(to))))
         .start();
   }
 
@@ -471,7 +503,7 @@
     if (!opened) {
       partner.giveBack();
     }
-    take(opened ? Event.OPENED : Event.UNOPENED);
+    take(opened ? Event.STORAGE_OPENED : Event.STORAGE_UNAVAILABLE);
   }
 
   private static double seconds() {
@@ -482,9 +514,9 @@
   private void lookFor(ProcessPauseDetector mine) {
     while (standstill == mine && !closed) {
       synchronized (mine) {
-        mine.look(seconds());
+        mine.poll(seconds());
       }
-      LockSupport.parkNanos((long) (ProcessPauseDetector.LOOK * 1e9));
+      LockSupport.parkNanos((long) (ProcessPauseDetector.POLL_INTERVAL_SECONDS * 1e9));
     }
   }
 
@@ -494,7 +526,7 @@
       return false;
     }
     synchronized (mine) {
-      return mine.lately(seconds());
+      return mine.hasPausedRecently(seconds());
     }
   }
 
@@ -526,18 +558,18 @@
 
   /** Whoever comes first serves: another process of this box may have waited as well. */
   private void look(long waited) {
-    if (steps.state() != State.LOOKING) {
+    if (steps.state() != State.DISCOVERING_PEER) {
       return;
     }
     seat.leave(); // what it was told in part counts for nothing
-    PeerLink met = PeerLink.meet(meeting, partner, this);
+    PeerLink met = PeerLink.connect(meeting, partner, this);
     if (met != null) {
       link = met;
       pauses = 0;
       met.start();
-      take(Event.MET);
+      take(Event.PEER_FOUND);
     } else if (seat.alone() && box.bind(true)) {
-      take(Event.NOBODY);
+      take(Event.NO_PEER_FOUND);
     } else {
       long longer = Math.min(MOST_LOOK_MS, waited * 2);
       later("look", longer, () -> look(longer));
@@ -550,8 +582,8 @@
         "box-pause",
         again ? PAUSE_MS << pauses : 1,
         () -> {
-          if (steps.state() == State.PAUSING) {
-            take(again ? Event.AGAIN : Event.GIVE_UP);
+          if (steps.state() == State.BACKING_OFF) {
+            take(again ? Event.BACKOFF_ELAPSED : Event.RETRIES_EXHAUSTED);
           }
         });
   }
--- a/src/main/java/wharftrestle/daemon/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -4,7 +4,6 @@
 import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.locks.LockSupport;
@@ -43,19 +42,24 @@
  */
 public final class Lifecycle implements AdminServer.Daemon, HandoverCoordinator.Box, AutoCloseable {
 
-  /** From start to exit, in this order; another process serves this box's clients from CEDED on. */
+  /**
+   * From start to exit, in this order; another process serves this box's clients from RELINQUISHED
+   * on.
+   */
   public enum State {
-    STARTING(1),
-    SERVING(2),
-    CEDED(6),
-    LEAVING(3),
-    CLOSING(4),
-    STOPPED(5);
+    STARTING(1, "starting"),
+    SERVING(2, "serving"),
+    RELINQUISHED(6, "ceded"),
+    DRAINING(3, "leaving"),
+    CLOSING(4, "closing"),
+    STOPPED(5, "stopped");
 
-    private final int number;
+    private final int publishedNumber;
+    private final String publishedName;
 
-    State(int number) {
-      this.number = number;
+    State(int publishedNumber, String publishedName) {
+      this.publishedNumber = publishedNumber;
+      this.publishedName = publishedName;
     }
   }
 
@@ -118,13 +122,13 @@
   private static final int AGAIN_MS = 200;
 
   /** Reads the configuration anew. */
-  public interface Source {
+  public interface ConfigSource {
     DaemonConfig read() throws DaemonConfig.BadConfigException;
   }
 
   private final DaemonConfig config;
   private final Counters counters;
-  private final RequestCoordinator core;
+  private final RequestCoordinator requestCoordinator;
   private final WorkerPoolClient pool;
   private final Server resp;
   private final Server uwsgi;
@@ -159,7 +163,7 @@
   /** The same with a room for keys that is not the heap's share. */
   public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget room)
       throws IOException {
-    this(config, appliance, room, CompatibilityCheck.STANDING);
+    this(config, appliance, room, CompatibilityCheck.DEFAULT);
   }
 
   /** The same with another rule of who may take over from whom. */
@@ -184,10 +188,10 @@
     counters =
         new Counters(
             config.settings().classes().stream().map(Admission.RequestClass::name).toList());
-    core =
+    requestCoordinator =
         new RequestCoordinator(
             config.settings(), config.seed(), mostRequests, room, GroupEdfScheduler::new, counters);
-    pool = new WorkerPoolClient(config.pool(), core, counters);
+    pool = new WorkerPoolClient(config.pool(), requestCoordinator, counters);
     store = new StoreClient(config.db(), descriptors.calls(), counters);
     reporter = new LoadReporter(config.name(), config.naming(), counters);
     resp =
@@ -196,7 +200,7 @@
             config.listen(),
             mostCallers - mostGateways,
             descriptors.leaving() - (mostGateways > 0 ? descriptors.gatewaysLeaving() : 0),
-            new RespFrontend(core, counters),
+            new RespFrontend(requestCoordinator, counters),
             counters);
     uwsgi =
         appliance.uwsgi() == null
@@ -206,7 +210,7 @@
                 appliance.uwsgi(),
                 mostGateways,
                 descriptors.gatewaysLeaving(),
-                new UwsgiFrontend(core, counters, config.seed(), appliance.heldKb()),
+                new UwsgiFrontend(requestCoordinator, counters, config.seed(), appliance.heldKb()),
                 counters);
     InetSocketAddress at = config.console() != null ? config.console() : appliance.control();
     door =
@@ -221,14 +225,16 @@
                 counters);
     journal = appliance.durable() == null ? null : new WriteAheadLog(appliance.durable());
     if (journal != null) {
-      core.record(journal);
+      requestCoordinator.record(journal);
     }
-    version = BuildInfo.version(config.canonical(appliance));
+    version = BuildInfo.describe(config.canonical(appliance));
     succession =
-        new HandoverCoordinator(config.name(), config.meeting(), core.partner(), this, agreement);
+        new HandoverCoordinator(
+            config.name(), config.meeting(), requestCoordinator.partner(), this, agreement);
     if (!succession.comes()) {
       if (journal != null) {
-        core.recovered(journal.open(longestWindow())); // before the first repeat can be read
+        requestCoordinator.recovered(
+            journal.open(longestWindow())); // before the first repeat can be read
       }
       resp.listen(config.meeting() != null, true);
       if (uwsgi != null) {
@@ -268,8 +274,8 @@
   }
 
   public void start() {
-    Logger.info("{} starts: {}", config.name(), version.line());
-    core.open(pool, store, reporter);
+    Logger.info("{} starts: {}", config.name(), version.summaryLine());
+    requestCoordinator.open(pool, store, reporter);
     boolean comes = succession.comes();
     if (comes) {
       halve(true);
@@ -286,7 +292,7 @@
               "take-over",
               () -> {
                 try {
-                  core.awaitReady();
+                  requestCoordinator.awaitReady();
                   succession.poolUp();
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
@@ -303,7 +309,7 @@
   @Override
   public void halve(boolean half) {
     int part = half ? 2 : 1;
-    core.limit(mostRequests / part);
+    requestCoordinator.limit(mostRequests / part);
     resp.limit((mostCallers - mostGateways) / part);
     if (uwsgi != null) {
       uwsgi.limit(mostGateways / part);
@@ -319,9 +325,9 @@
   @Override
   public Capabilities terms() {
     return new Capabilities(
-        version.line(),
-        version.handover(),
-        version.log(),
+        version.summaryLine(),
+        version.handoverVersions(),
+        version.logVersions(),
         appliance.durable() == null
             ? ""
             : appliance.durable().folder().toAbsolutePath().normalize().toString(),
@@ -329,12 +335,12 @@
             .map(
                 each -> {
                   boolean keyed = each.repeat() == Admission.Repeat.KEYED;
-                  return new Capabilities.Kind(
+                  return new Capabilities.RequestClass(
                       each.name(), keyed, keyed ? Math.round(each.window() * 1000) : 0);
                 })
             .toList(),
         config.settings().tenants().stream().map(Admission.Tenant::name).toList(),
-        new Capabilities.Room(0, 0, 0, 0),
+        new Capabilities.KeyCapacity(0, 0, 0, 0),
         0);
   }
 
@@ -343,7 +349,7 @@
   }
 
   private boolean leaves() {
-    return state.compareTo(State.CEDED) > 0;
+    return state.compareTo(State.RELINQUISHED) > 0;
   }
 
   @Override
@@ -372,17 +378,17 @@
         front.start();
       }
     }
-    core.ceded(false);
+    requestCoordinator.ceded(false);
     reporter.pause(leaves());
   }
 
   @Override
   public void cede() {
     reporter.pause(true);
-    core.ceded(true);
+    requestCoordinator.ceded(true);
     stopFronts();
     if (state == State.SERVING) {
-      enter(State.CEDED);
+      enter(State.RELINQUISHED);
     }
   }
 
@@ -393,7 +399,7 @@
     }
     for (int i = 0; i < tries; i++) {
       try {
-        core.recovered(journal.open(longestWindow()));
+        requestCoordinator.recovered(journal.open(longestWindow()));
         return true;
       } catch (IOException e) {
         Logger.warn("kept results: {}", e.getMessage());
@@ -443,7 +449,7 @@
         "{}: keys of the process that has ended are not known here: unknown ones fail for {} s",
         config.name(),
         Math.round(longestWindow()));
-    core.partner().unknownFail(longestWindow());
+    requestCoordinator.partner().unknownFail(longestWindow());
   }
 
   @Override
@@ -469,8 +475,8 @@
     return state;
   }
 
-  public RequestCoordinator core() {
-    return core;
+  public RequestCoordinator requestCoordinator() {
+    return requestCoordinator;
   }
 
   @Override
@@ -481,7 +487,7 @@
   @Override
   public String handover() {
     String why = succession.refusal();
-    return succession.state().name().toLowerCase(Locale.ROOT) + (why.isEmpty() ? "" : ": " + why);
+    return succession.state().publishedName() + (why.isEmpty() ? "" : ": " + why);
   }
 
   @Override
@@ -506,7 +512,7 @@
 
   @Override
   public Map<ResultMetric, Long> results() {
-    return core.results();
+    return requestCoordinator.results();
   }
 
   /** Where the platform's front listens. */
@@ -525,12 +531,12 @@
   }
 
   /** Connections that gateways hold now. */
-  public int uwsgiConnections() {
+  public int gatewayConnections() {
     return uwsgi == null ? 0 : uwsgi.connections().size();
   }
 
   /** Where operators call; null where they cannot. */
-  public InetSocketAddress doorAddress() {
+  public InetSocketAddress adminAddress() {
     return door == null ? null : door.address();
   }
 
@@ -552,20 +558,20 @@
 
   @Override
   public boolean healthy() {
-    return core.healthy();
+    return requestCoordinator.healthy();
   }
 
   @Override
   public boolean ready() {
-    return state == State.SERVING && core.ready() && resp.listening();
+    return state == State.SERVING && requestCoordinator.ready() && resp.listening();
   }
 
   @Override
   public boolean lameDuck(boolean on) {
-    if (!on && state.compareTo(State.CEDED) > 0) {
+    if (!on && state.compareTo(State.RELINQUISHED) > 0) {
       return false; // it leaves for good
     }
-    core.lameDuck(on);
+    requestCoordinator.lameDuck(on);
     Logger.info("{}: lame duck {}", config.name(), on ? "on" : "off");
     return true;
   }
@@ -577,12 +583,12 @@
 
   @Override
   public String phase() {
-    return state.name().toLowerCase(Locale.ROOT);
+    return state.publishedName;
   }
 
   @Override
   public int phaseNumber() {
-    return state.number;
+    return state.publishedNumber;
   }
 
   /**
@@ -590,7 +596,7 @@
    * start. Guards against ending, or going on with half of a file, where the new one cannot be
    * used: then the old one holds.
    */
-  public synchronized void reload(Source source) {
+  public synchronized void reload(ConfigSource source) {
     DaemonConfig next;
     try {
       next = source.read();
@@ -629,11 +635,11 @@
     notice.await();
     boolean alone;
     synchronized (succession) {
-      alone = state != State.CEDED;
-      enter(State.LEAVING);
+      alone = state != State.RELINQUISHED;
+      enter(State.DRAINING);
     }
     if (alone) {
-      core.leave(Math.max(0, left() - SPARE));
+      requestCoordinator.leave(Math.max(0, left() - SPARE));
       double grace =
           Math.min(
                   config.settings().drainGrace() - GroupEdfScheduler.DRAIN_SPARE,
@@ -654,23 +660,24 @@
                       .mapToDouble(Admission.RequestClass::deadline)
                       .max()
                       .orElse(CEDED_MOST));
-      core.leave(Math.max(0, left() - SPARE));
+      requestCoordinator.leave(Math.max(0, left() - SPARE));
     }
     enter(State.CLOSING);
     // From here on nothing that comes may run: callers are better served by a refused connection.
     stopFronts();
     do {
-      core.awaitDrained(Math.max(0, left() - LAST));
+      requestCoordinator.awaitDrained(Math.max(0, left() - LAST));
       Thread.sleep(CLOSE_LOOK_MS);
       // Who is the last to know the keys of this box stays while it may: a further process can
       // still be told.
-    } while (left() > LAST && (succession.lastHolder() || connections() + uwsgiConnections() > 0));
+    } while (left() > LAST
+        && (succession.lastHolder() || connections() + gatewayConnections() > 0));
     // Guards against peers that rest until they are ended: what they send now is not read, and so
     // is not lost.
     for (Server front : fronts()) {
       front.finish();
     }
-    while (left() > LAST / 2 && connections() + uwsgiConnections() > 0) {
+    while (left() > LAST / 2 && connections() + gatewayConnections() > 0) {
       Thread.sleep(CLOSE_LOOK_MS);
     }
     if (journal != null) {
--- a/src/main/java/wharftrestle/daemon/SignalHandlers.java
+++ b/src/main/java/wharftrestle/daemon/SignalHandlers.java
@@ -12,13 +12,13 @@
  * process with all that they sent. It must never wait.
  */
 public class SignalHandlers {
-  private final Lifecycle.Source source;
+  private final Lifecycle.ConfigSource source;
   private final boolean deafToHangups;
   private Lifecycle life; // null until there is one
   private boolean leave; // told before that
   private boolean reload;
 
-  public SignalHandlers(Lifecycle.Source source) {
+  public SignalHandlers(Lifecycle.ConfigSource source) {
     this.source = source;
     Signal.handle(new Signal("TERM"), signal -> leave());
     Signal.handle(new Signal("INT"), signal -> leave());
@@ -34,7 +34,7 @@
     if (life != null) {
       life.leave();
     }
-    heard();
+    onHandled();
   }
 
   private void reload() {
@@ -46,14 +46,14 @@
     if (now != null) {
       now.reload(source);
     }
-    heard();
+    onHandled();
   }
 
   /** A signal was dealt with. */
-  public void heard() {}
+  public void onHandled() {}
 
   /** From now on this one is told, and of what came before. */
-  public SignalHandlers tell(Lifecycle now) {
+  public SignalHandlers attach(Lifecycle now) {
     boolean missed;
     synchronized (this) {
       life = now;
@@ -74,7 +74,7 @@
       Logger.warn(
           "SIGHUP is ignored by whoever started this process: {} is looked at every {} ms instead",
           file,
-          ConfigWatcher.EVERY_MS);
+          ConfigWatcher.POLL_INTERVAL_MILLIS);
       new ConfigWatcher(Path.of(file), this::reload).start();
     }
   }
--- a/src/main/java/wharftrestle/handover/Capabilities.java
+++ b/src/main/java/wharftrestle/handover/Capabilities.java
@@ -23,16 +23,16 @@
  */
 public record Capabilities(
     String build,
-    VersionRange speaks,
-    VersionRange log,
-    String folder,
-    List<Kind> classes,
+    VersionRange handoverVersions,
+    VersionRange logVersions,
+    String storageDirectory,
+    List<RequestClass> requestClasses,
     List<String> tenants,
-    Room room,
-    long scale) {
+    KeyCapacity keyCapacity,
+    long clockBaseUnixMillis) {
 
   /** One class of requests: {@code window} in ms, 0 where it has no keys. */
-  public record Kind(String name, boolean keyed, long window) {}
+  public record RequestClass(String name, boolean isKeyed, long windowMillis) {}
 
   /**
    * Keys and bytes of results.
@@ -42,13 +42,13 @@
    * @param bytes of what is known now, kept in memory
    * @param mostBytes kept in memory at most
    */
-  public record Room(long keys, long mostKeys, long bytes, long mostBytes) {}
+  public record KeyCapacity(long keys, long maxKeys, long resultBytes, long maxResultBytes) {}
 
   /** What a peer said is no terms. */
-  public static final class UnreadableException extends Exception {
+  public static final class MalformedCapabilitiesException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    UnreadableException(String message) {
+    MalformedCapabilitiesException(String message) {
       super(message, null, false, false);
     }
   }
@@ -59,21 +59,30 @@
   private static final int LONGEST = 4000;
 
   /** As it is said. */
-  public String text() {
+  public String encode() {
     StringBuilder text = new StringBuilder();
     line(text, "build", build);
-    line(text, "speaks", speaks.toString());
-    line(text, "log", log.toString());
-    line(text, "folder", folder);
-    for (Kind kind : classes) {
-      line(text, "class", (kind.keyed() ? "keyed " : "plain ") + kind.window() + " " + kind.name());
+    line(text, "speaks", handoverVersions.toString());
+    line(text, "log", logVersions.toString());
+    line(text, "folder", storageDirectory);
+    for (RequestClass kind : requestClasses) {
+      line(
+          text,
+          "class",
+          (kind.isKeyed() ? "keyed " : "plain ") + kind.windowMillis() + " " + kind.name());
     }
     tenants.forEach(name -> line(text, "tenant", name));
     line(
         text,
         "room",
-        room.keys() + " " + room.mostKeys() + " " + room.bytes() + " " + room.mostBytes());
-    line(text, "scale", Long.toString(scale));
+        keyCapacity.keys()
+            + " "
+            + keyCapacity.maxKeys()
+            + " "
+            + keyCapacity.resultBytes()
+            + " "
+            + keyCapacity.maxResultBytes());
+    line(text, "scale", Long.toString(clockBaseUnixMillis));
     return text.toString();
   }
 
@@ -97,18 +106,18 @@
    *
    * @throws UnreadableException in one line
    */
-  public static Capabilities read(String text) throws UnreadableException {
+  public static Capabilities decode(String text) throws MalformedCapabilitiesException {
     String[] lines = text.split("\n");
     if (lines.length > MOST_LINES) {
-      throw new UnreadableException("more than " + MOST_LINES + " lines of terms");
+      throw new MalformedCapabilitiesException("more than " + MOST_LINES + " lines of terms");
     }
     Map<String, String> once = new LinkedHashMap<>();
-    List<Kind> classes = new ArrayList<>();
+    List<RequestClass> classes = new ArrayList<>();
     List<String> tenants = new ArrayList<>();
     for (String line : lines) {
       int blank = line.indexOf(' ');
       if (blank < 1 || line.length() > LONGEST) {
-        throw new UnreadableException(
+        throw new MalformedCapabilitiesException(
             "no line of terms: '" + (line.length() > 40 ? line.substring(0, 40) : line) + "'");
       }
       String name = line.substring(0, blank);
@@ -127,31 +136,32 @@
       }
       return new Capabilities(
           need(once, "build"),
-          VersionRange.of(need(once, "speaks")),
-          VersionRange.of(need(once, "log")),
+          VersionRange.parse(need(once, "speaks")),
+          VersionRange.parse(need(once, "log")),
           need(once, "folder"),
           List.copyOf(classes),
           List.copyOf(tenants),
-          new Room(room[0], room[1], room[2], room[3]),
+          new KeyCapacity(room[0], room[1], room[2], room[3]),
           Long.parseLong(once.getOrDefault("scale", "0")));
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-      throw new UnreadableException("terms cannot be read: " + e.getMessage());
+      throw new MalformedCapabilitiesException("terms cannot be read: " + e.getMessage());
     }
   }
 
-  private static String need(Map<String, String> once, String name) throws UnreadableException {
+  private static String need(Map<String, String> once, String name)
+      throws MalformedCapabilitiesException {
     String value = once.get(name);
     if (value == null) {
-      throw new UnreadableException("terms say no " + name);
+      throw new MalformedCapabilitiesException("terms say no " + name);
     }
     return value;
   }
 
-  private static Kind kind(String value) throws UnreadableException {
+  private static RequestClass kind(String value) throws MalformedCapabilitiesException {
     String[] words = value.split(" ", 3);
     if (words.length < 3 || !words[0].matches("keyed|plain") || !words[1].matches("[0-9]{1,12}")) {
-      throw new UnreadableException("terms name a class that cannot be read");
+      throw new MalformedCapabilitiesException("terms name a class that cannot be read");
     }
-    return new Kind(words[2], words[0].equals("keyed"), Long.parseLong(words[1]));
+    return new RequestClass(words[2], words[0].equals("keyed"), Long.parseLong(words[1]));
   }
 }
--- a/src/main/java/wharftrestle/handover/CompatibilityCheck.java
+++ b/src/main/java/wharftrestle/handover/CompatibilityCheck.java
@@ -16,29 +16,31 @@
    * @param serves the process that serves
    * @param next the one that would take over
    */
-  String against(Capabilities serves, Capabilities next);
+  String incompatibility(Capabilities serves, Capabilities next);
 
   /** One key in so many may come on top of what is known now until all is handed over. */
   int GROWTH = 10;
 
   /** What holds. */
-  CompatibilityCheck STANDING = CompatibilityCheck::standing;
+  CompatibilityCheck DEFAULT = CompatibilityCheck::standing;
 
   private static String standing(Capabilities serves, Capabilities next) {
-    if (serves.speaks().common(next.speaks()) < 2) {
+    if (serves.handoverVersions().newestCommon(next.handoverVersions()) < 2) {
       return "the hand-over's words have no version in common: "
-          + serves.speaks()
+          + serves.handoverVersions()
           + " here, "
-          + next.speaks()
+          + next.handoverVersions()
           + " there";
     }
     String folders = folders(serves, next);
     if (folders != null) {
       return folders;
     }
-    for (int i = 0; i < Math.min(serves.classes().size(), next.classes().size()); i++) {
-      Capabilities.Kind here = serves.classes().get(i);
-      Capabilities.Kind there = next.classes().get(i);
+    for (int i = 0;
+        i < Math.min(serves.requestClasses().size(), next.requestClasses().size());
+        i++) {
+      Capabilities.RequestClass here = serves.requestClasses().get(i);
+      Capabilities.RequestClass there = next.requestClasses().get(i);
       if (!here.name().equals(there.name())) {
         return "class "
             + (i + 1)
@@ -48,11 +50,11 @@
             + there.name()
             + "' there: keys are known by their class's place";
       }
-      if (here.keyed() != there.keyed()) {
+      if (here.isKeyed() != there.isKeyed()) {
         return "class '"
             + here.name()
             + "' has keys "
-            + (here.keyed() ? "here" : "there")
+            + (here.isKeyed() ? "here" : "there")
             + " only";
       }
     }
@@ -68,41 +70,44 @@
    * Where there is as much room there as here, all that can come to be known goes along.
    */
   private static String room(Capabilities serves, Capabilities next) {
-    Capabilities.Room here = serves.room();
-    Capabilities.Room there = next.room();
-    if (there.mostKeys() < here.mostKeys()
-        && here.keys() + here.keys() / GROWTH > there.mostKeys()) {
+    Capabilities.KeyCapacity here = serves.keyCapacity();
+    Capabilities.KeyCapacity there = next.keyCapacity();
+    if (there.maxKeys() < here.maxKeys() && here.keys() + here.keys() / GROWTH > there.maxKeys()) {
       return here.keys()
           + " keys are known here, and there is room for "
-          + there.mostKeys()
+          + there.maxKeys()
           + " there";
     }
     return null;
   }
 
   private static String folders(Capabilities serves, Capabilities next) {
-    if (serves.folder().isEmpty()) {
+    if (serves.storageDirectory().isEmpty()) {
       return null;
     }
-    if (next.folder().isEmpty()) {
-      return "results are kept in " + serves.folder() + " here, and nowhere there";
+    if (next.storageDirectory().isEmpty()) {
+      return "results are kept in " + serves.storageDirectory() + " here, and nowhere there";
     }
-    if (!Objects.equals(serves.folder(), next.folder())) {
-      return "results are kept in " + serves.folder() + " here, and in " + next.folder() + " there";
+    if (!Objects.equals(serves.storageDirectory(), next.storageDirectory())) {
+      return "results are kept in "
+          + serves.storageDirectory()
+          + " here, and in "
+          + next.storageDirectory()
+          + " there";
     }
-    if (!next.log().holds(serves.log().most())) {
+    if (!next.logVersions().contains(serves.logVersions().newest())) {
       return "files of kept results are of version "
-          + serves.log().most()
+          + serves.logVersions().newest()
           + ", which is not read there ("
-          + next.log()
+          + next.logVersions()
           + ")";
     }
-    if (!serves.log().holds(next.log().most())) {
+    if (!serves.logVersions().contains(next.logVersions().newest())) {
       return "files of kept results would be of version "
-          + next.log().most()
+          + next.logVersions().newest()
           + " from then on, which is not read here"
           + " ("
-          + serves.log()
+          + serves.logVersions()
           + "): there would be no way back";
     }
     return null;
@@ -128,12 +133,17 @@
    * Seconds by which what is known is stretched: the longest that a window there is longer than
    * here.
    */
-  static double stretch(Capabilities serves, Capabilities next) {
+  static double windowExtensionSeconds(Capabilities serves, Capabilities next) {
     double most = 0;
-    for (int i = 0; i < Math.min(serves.classes().size(), next.classes().size()); i++) {
+    for (int i = 0;
+        i < Math.min(serves.requestClasses().size(), next.requestClasses().size());
+        i++) {
       most =
           Math.max(
-              most, (next.classes().get(i).window() - serves.classes().get(i).window()) / 1000.0);
+              most,
+              (next.requestClasses().get(i).windowMillis()
+                      - serves.requestClasses().get(i).windowMillis())
+                  / 1000.0);
     }
     return most;
   }
--- a/src/main/java/wharftrestle/handover/HandoverStateMachine.java
+++ b/src/main/java/wharftrestle/handover/HandoverStateMachine.java
@@ -5,301 +5,459 @@
 import java.util.Map;
 
 /**
- * The steps of a hand-over, as one process of a box takes them: first as the new one, later as the
- * one that serves. It owns the table below and must never be gone round: an event that has no row
- * in a state is {@link Step#outOfTurn out of turn}, which changes nothing. It does nothing itself;
- * what is to be done comes back as {@link Act}s, in their order.
+ * The handover protocol of one process of a host, as a state machine without I/O: an event goes in,
+ * the actions to carry out come back in their order. A process passes through it twice, first as
+ * the successor of the process that serves, later as the predecessor of the next one.
  *
- * <p>Of two processes at most one owns the keys of the box: {@link State#owns} says so, and between
- * {@code YOURS} told and heard neither does. A link ends only with a process, so {@code LOST} means
- * that the other one is gone.
+ * <p>At most one of the processes of a host {@linkplain State#ownsKeys owns its keys}; between the
+ * sending and the receipt of {@code OWNERSHIP} neither does. A link ends only with the process at
+ * its other end, so {@link Event#PEER_LOST} means that this process is gone.
  *
- * <pre>
- * state     means                                     event          next      acts
- * the new process
- * SEEKING   one serves; its own pool is not up yet    POOL_UP        ASKING    SAY_TAKE
- *                                                     LOST           LOOKING   LOOK
- * ASKING    asked                                     WHO_FITS       ASKED     SAY_TERMS
- *                                                     WHO_DIFFERS    REFUSED   SAY_UNFIT
- *                                                     NO_LATER       PAUSING   PAUSE
- *                                                     NO_NEVER       REFUSED   REFUSED
- *                                                     HANDED         OPENING   OPEN_RECORDS   (a build of format 1)
- *                                                     LOST           LOOKING   LOOK
- * ASKED     said its terms                            AGREED         TAKING
- *                                                     NO_LATER       PAUSING   PAUSE
- *                                                     NO_NEVER       REFUSED   REFUSED
- *                                                     LOST           LOOKING   LOOK
- * TAKING    is told settled keys, owns nothing        TOLD           HOLDING   SAY_TAKEN
- *                                                     NO_LATER       PAUSING   PAUSE
- *                                                     LOST           LOOKING   LOOK
- * HOLDING   has all settled keys, owns nothing        YOURS          OPENING   OPEN_RECORDS
- *                                                     NO_LATER       PAUSING   PAUSE
- *                                                     LOST           LOOKING   LOOK
- * PAUSING   asks again after a while                  AGAIN          ASKING    SAY_TAKE
- *                                                     GIVE_UP        REFUSED   REFUSED
- *                                                     LOST           LOOKING   LOOK
- * OPENING   owns all keys; opens the folder           OPENED         TAKEN     LISTEN SAY_LISTENS
- *                                                     UNOPENED       REFUSED   SAY_BACK REFUSED
- *                                                     LOST           ALONE     OTHER_GONE SERVE READY
- * TAKEN     owns, listens; the old one may as well    CEDED          SHARING   READY
- *                                                     LOST           ALONE     OTHER_GONE READY
- * SHARING   serves; the old one ends what it has      LOST           ALONE     OTHER_GONE
- * REFUSED   waits until the other has ended           LOST           LOOKING   LOOK
- * LOOKING   the other is gone: is there a further?    MET            ASKING    SAY_TAKE
- *                                                     NOBODY         ALONE     OTHER_GONE SERVE READY
- * the process that serves
- * ALONE     owns and listens                          TAKE           WEIGHING  SAY_WHO
- *                                                     TAKE_FORMER    GIVEN     HAND_AS_FORMER
- *                                                     TAKE_OLD       ALONE     PARK
- * WEIGHING  asked for what the new one is             TERMS_FIT      DEALING   SAY_AGREED TELL_SETTLED
- *                                                     TERMS_DIFFER   ALONE     SAY_NO_NEVER
- *                                                     UNFIT          ALONE
- *                                                     OVERDUE        ALONE     SAY_NO_LATER
- *                                                     LOST           ALONE
- * DEALING   tells settled keys, and serves on         ALL_TOLD       OFFERED   SAY_TOLD
- *                                                     OVERDUE        ALONE     STOP_TELLING SAY_NO_LATER
- *                                                     LOST           ALONE     STOP_TELLING
- * OFFERED   waits for the word that all is there      TAKEN          GIVEN     GIVE SAY_YOURS
- *                                                     LAGGED         ALONE     STOP_TELLING SAY_NO_LATER
- *                                                     OVERDUE        ALONE     STOP_TELLING SAY_NO_LATER
- *                                                     LOST           ALONE     STOP_TELLING
- * GIVEN     owns nothing, still listens               LISTENS        CEDED     CEDE SAY_CEDED
- *                                                     BACK           ALONE     TAKE_BACK
- *                                                     LOST           ALONE     TAKE_BACK
- * CEDED     owns nothing, ends what it has            LOST           ALONE     TAKE_BACK SERVE READY
- * </pre>
+ * <p>An event without a row in the current state is {@linkplain Transition#isIgnored ignored}. Not
+ * thread-safe: the caller's lock guards it.
  */
 public final class HandoverStateMachine {
 
-  /** How far it has come; the table says what each means. */
+  /** How far the handover has come, as seen by this process. */
   public enum State {
-    SEEKING,
-    ASKING,
-    ASKED,
-    TAKING,
-    HOLDING,
-    PAUSING,
-    OPENING,
-    TAKEN,
-    SHARING,
-    REFUSED,
-    LOOKING,
-    ALONE,
-    WEIGHING,
-    DEALING,
-    OFFERED,
-    GIVEN,
-    CEDED;
+    // The successor.
+    /** A process serves; the worker pool of this one is not connected yet. */
+    AWAITING_WORKER_POOL("seeking"),
+    /** Asked to take over; waits for what the predecessor can do. */
+    TAKEOVER_REQUESTED("asking"),
+    /** Sent what this process can do; waits for the predecessor's decision. */
+    CAPABILITIES_SENT("asked"),
+    /** Receives settled keys, owns nothing. */
+    RECEIVING_KEYS("taking"),
+    /** Has all settled keys, owns nothing. */
+    KEYS_RECEIVED("holding"),
+    /** Asks again after a while. */
+    BACKING_OFF("pausing"),
+    /** Owns all keys; opens the stored results. */
+    OPENING_STORAGE("opening"),
+    /** Owns all keys and listens; the predecessor may listen as well. */
+    LISTENING_ALONGSIDE("taken"),
+    /** Serves; the predecessor answers what it has in flight. */
+    PREDECESSOR_DRAINING("sharing"),
+    /** Cannot take over; waits until the predecessor has ended. */
+    AWAITING_PREDECESSOR_EXIT("refused"),
+    /** The peer is gone: looks whether a further one serves. */
+    DISCOVERING_PEER("looking"),
 
-    /** True where this process says what becomes of every key of the box. */
-    public boolean owns() {
+    // The process that serves, later the predecessor.
+    /** Owns all keys and listens; no handover is under way. */
+    ACTIVE("alone"),
+    /** Asked for what the successor can do. */
+    CHECKING_COMPATIBILITY("weighing"),
+    /** Sends settled keys, and serves on. */
+    SENDING_KEYS("dealing"),
+    /** Sent all settled keys; waits for the acknowledgement. */
+    KEYS_SENT("offered"),
+    /** Gave all keys away; listens until the successor does. */
+    OWNERSHIP_TRANSFERRED("given"),
+    /** Takes no more clients; answers what is in flight. */
+    RELINQUISHED("ceded");
+
+    private final String publishedName;
+
+    State(String publishedName) {
+      this.publishedName = publishedName;
+    }
+
+    /** The name under which the admin endpoint and the SNMP agent show this state. */
+    public String publishedName() {
+      return publishedName;
+    }
+
+    /** True where this process decides on every key of the host. */
+    public boolean ownsKeys() {
       return switch (this) {
-        case OPENING, TAKEN, SHARING, ALONE, WEIGHING, DEALING, OFFERED -> true;
+        case OPENING_STORAGE,
+                LISTENING_ALONGSIDE,
+                PREDECESSOR_DRAINING,
+                ACTIVE,
+                CHECKING_COMPATIBILITY,
+                SENDING_KEYS,
+                KEYS_SENT ->
+            true;
         default -> false;
       };
     }
 
-    /** True where a further process has its turn. */
-    public boolean free() {
-      return this == ALONE;
+    /** True where a takeover request of a further process is served now. */
+    public boolean acceptsTakeover() {
+      return this == ACTIVE;
     }
 
-    /**
-     * True where the other process is waited for, and its silence may be given up on without any
-     * loss.
-     */
-    public boolean bounded() {
-      return this == WEIGHING || this == DEALING || this == OFFERED;
+    /** True where the peer's silence ends the handover after a while, at no loss. */
+    public boolean hasDeadline() {
+      return this == CHECKING_COMPATIBILITY || this == SENDING_KEYS || this == KEYS_SENT;
     }
   }
 
-  /** What was heard or has come about. */
+  /** A message of the peer, or a local event. */
   public enum Event {
-    POOL_UP,
-    WHO_FITS,
-    WHO_DIFFERS,
-    AGREED,
-    TOLD,
-    YOURS,
-    HANDED,
-    NO_LATER,
-    NO_NEVER,
-    AGAIN,
-    GIVE_UP,
-    OPENED,
-    UNOPENED,
-    CEDED,
-    MET,
-    NOBODY,
-    TAKE,
-    TAKE_FORMER,
-    TAKE_OLD,
-    TERMS_FIT,
-    TERMS_DIFFER,
-    UNFIT,
-    ALL_TOLD,
-    OVERDUE,
-    TAKEN,
-    LAGGED,
-    LISTENS,
-    BACK,
-    LOST
+    /** The worker pool of this process is connected. */
+    WORKER_POOL_READY,
+    /** The predecessor sent its capabilities, and this process can take over from it. */
+    PREDECESSOR_COMPATIBLE,
+    /** The predecessor sent its capabilities, and this process cannot take over from it. */
+    PREDECESSOR_INCOMPATIBLE,
+    TAKEOVER_ACCEPTED,
+    /** All settled keys have been sent. */
+    KEYS_COMPLETE,
+    OWNERSHIP_RECEIVED,
+    /** The ownership, from a predecessor of handover format 1. */
+    LEGACY_OWNERSHIP_RECEIVED,
+    /** The predecessor gave up on this handover; another request may succeed. */
+    RETRY_LATER,
+    /** The predecessor can never hand over to this process. */
+    TAKEOVER_REJECTED,
+    BACKOFF_ELAPSED,
+    RETRIES_EXHAUSTED,
+    STORAGE_OPENED,
+    STORAGE_UNAVAILABLE,
+    PREDECESSOR_RELINQUISHED,
+    PEER_FOUND,
+    NO_PEER_FOUND,
+    TAKEOVER_REQUEST,
+    /** A request of a process of handover format 1. */
+    LEGACY_TAKEOVER_REQUEST,
+    /** A request of a process of handover format 0, which cannot receive settled keys. */
+    UNSUPPORTED_TAKEOVER_REQUEST,
+    SUCCESSOR_COMPATIBLE,
+    SUCCESSOR_INCOMPATIBLE,
+    /** The successor found that it cannot take over. */
+    SUCCESSOR_WITHDREW,
+    ALL_KEYS_SENT,
+    /** The successor was silent for too long, or does not read. */
+    DEADLINE_EXCEEDED,
+    KEYS_ACKNOWLEDGED,
+    /** The successor acknowledged, but too many keys settled meanwhile to send them all. */
+    SUCCESSOR_LAGGING,
+    SUCCESSOR_LISTENING,
+    /** The successor cannot go on; it has run nothing. */
+    OWNERSHIP_RETURNED,
+    PEER_LOST
   }
 
-  /** What is to be done now. */
-  public enum Act {
-    /** Ask to take over. */
-    SAY_TAKE,
-    /** Say what this process is and has. */
-    SAY_WHO,
-    SAY_TERMS,
-    /** Say that this process cannot take over, and why. */
-    SAY_UNFIT,
-    /** Say that it is agreed, or is not; the reason goes along. */
-    SAY_AGREED,
-    SAY_NO_NEVER,
-    SAY_NO_LATER,
-    /** Tell all settled keys, and from now on what settles; ALL_TOLD or OVERDUE follows. */
-    TELL_SETTLED,
-    STOP_TELLING,
-    SAY_TOLD,
-    SAY_TAKEN,
-    /** In one step hand over all that is open, and with it all keys. */
-    GIVE,
-    SAY_YOURS,
-    /** The same in the words of format 1, with the settled keys after it. */
-    HAND_AS_FORMER,
-    /** Keep a link that is never answered, until it ends. */
-    PARK,
-    /** Take the folder of kept results; OPENED or UNOPENED follows. */
-    OPEN_RECORDS,
-    SAY_BACK,
-    /** Take clients beside the other process. */
-    LISTEN,
-    SAY_LISTENS,
-    /** Take no more clients, and end what is in hand. */
-    CEDE,
-    SAY_CEDED,
-    /** The other process is gone or gave back: own all keys again. */
-    TAKE_BACK,
-    /** The other process is gone: what it had in hand has an unknown end. */
-    OTHER_GONE,
-    /** Take clients alone. */
-    SERVE,
-    /** Say that this process serves. */
-    READY,
-    /** Look whether another process serves; MET or NOBODY follows. */
-    LOOK,
-    /** AGAIN follows after a while, or GIVE_UP where that was done often enough. */
-    PAUSE,
-    /** Say that this process waits for the end of the other, and why. */
-    REFUSED
+  /** What the caller carries out. */
+  public enum Action {
+    SEND_TAKEOVER_REQUEST,
+    SEND_PREDECESSOR_CAPABILITIES,
+    SEND_SUCCESSOR_CAPABILITIES,
+    /** Tells the predecessor that this process cannot take over, with the reason. */
+    SEND_WITHDRAWAL,
+    SEND_ACCEPTANCE,
+    SEND_REJECTION,
+    SEND_RETRY_LATER,
+    /**
+     * Sends all settled keys, and each key that settles from now on; {@link Event#ALL_KEYS_SENT} or
+     * {@link Event#DEADLINE_EXCEEDED} follows.
+     */
+    SEND_SETTLED_KEYS,
+    STOP_SENDING_KEYS,
+    SEND_KEYS_COMPLETE,
+    SEND_KEYS_ACKNOWLEDGED,
+    /** Sends all open keys, and gives up all keys, in one step. */
+    TRANSFER_OWNERSHIP,
+    SEND_OWNERSHIP,
+    /** The same in the messages of format 1, with the settled keys after it. */
+    TRANSFER_OWNERSHIP_LEGACY,
+    /** Keeps a link unanswered until it ends. */
+    PARK_LINK,
+    /**
+     * Opens the stored results; {@link Event#STORAGE_OPENED} or {@link Event#STORAGE_UNAVAILABLE}
+     * follows.
+     */
+    OPEN_STORAGE,
+    RETURN_OWNERSHIP,
+    /** Takes clients beside the predecessor. */
+    LISTEN_ALONGSIDE,
+    SEND_LISTENING,
+    /** Takes no more clients, and answers what is in flight. */
+    RELINQUISH,
+    SEND_RELINQUISHED,
+    /** The successor is gone or returned the ownership: owns all keys again. */
+    RECLAIM_OWNERSHIP,
+    /** The predecessor is gone: how its executions ended is unknown. */
+    RESOLVE_PEER_LOSS,
+    /** Takes clients alone. */
+    LISTEN_ALONE,
+    /** Reports that this process serves. */
+    START_SERVING,
+    /**
+     * Looks whether another process serves; {@link Event#PEER_FOUND} or {@link Event#NO_PEER_FOUND}
+     * follows.
+     */
+    DISCOVER_PEER,
+    /** Waits; {@link Event#BACKOFF_ELAPSED} or {@link Event#RETRIES_EXHAUSTED} follows. */
+    BACK_OFF,
+    /** Reports that this process waits for the end of the other, with the reason. */
+    REPORT_REFUSAL
   }
 
-  /** What an event led to; {@code outOfTurn} where it has no row, and then nothing has changed. */
-  public record Step(State from, State to, List<Act> acts, boolean outOfTurn) {}
+  /**
+   * The effect of one event.
+   *
+   * @param actions to carry out, in this order
+   * @param isIgnored true where the event has no row in this state; nothing has changed then
+   */
+  public record Transition(State from, State to, List<Action> actions, boolean isIgnored) {}
 
-  private record Row(State next, List<Act> acts) {}
+  private record Row(State next, List<Action> actions) {}
 
   private static final Map<State, Map<Event, Row>> TABLE = new EnumMap<>(State.class);
 
   static {
-    on(State.SEEKING, Event.POOL_UP, State.ASKING, Act.SAY_TAKE);
-    on(State.ASKING, Event.WHO_FITS, State.ASKED, Act.SAY_TERMS);
-    on(State.ASKING, Event.WHO_DIFFERS, State.REFUSED, Act.SAY_UNFIT, Act.REFUSED);
-    on(State.ASKING, Event.HANDED, State.OPENING, Act.OPEN_RECORDS);
-    on(State.ASKED, Event.AGREED, State.TAKING);
-    on(State.TAKING, Event.TOLD, State.HOLDING, Act.SAY_TAKEN);
-    on(State.HOLDING, Event.YOURS, State.OPENING, Act.OPEN_RECORDS);
-    for (State asks : List.of(State.ASKING, State.ASKED, State.TAKING, State.HOLDING)) {
-      on(asks, Event.NO_LATER, State.PAUSING, Act.PAUSE);
+    // The successor.
+    addTakeoverRequestRows();
+    addRetryRows();
+    addKeyReceiptRows();
+    addOwnershipReceiptRows();
+    addPredecessorLossRows();
+    // The process that serves, later the predecessor.
+    addCompatibilityCheckRows();
+    addKeySendingRows();
+    addRelinquishRows();
+  }
+
+  private static void addTakeoverRequestRows() {
+    on(
+        State.AWAITING_WORKER_POOL,
+        Event.WORKER_POOL_READY,
+        State.TAKEOVER_REQUESTED,
+        Action.SEND_TAKEOVER_REQUEST);
+    on(
+        State.TAKEOVER_REQUESTED,
+        Event.PREDECESSOR_COMPATIBLE,
+        State.CAPABILITIES_SENT,
+        Action.SEND_SUCCESSOR_CAPABILITIES);
+    on(
+        State.TAKEOVER_REQUESTED,
+        Event.PREDECESSOR_INCOMPATIBLE,
+        State.AWAITING_PREDECESSOR_EXIT,
+        Action.SEND_WITHDRAWAL,
+        Action.REPORT_REFUSAL);
+    for (State waiting : List.of(State.TAKEOVER_REQUESTED, State.CAPABILITIES_SENT)) {
+      on(waiting, Event.TAKEOVER_REJECTED, State.AWAITING_PREDECESSOR_EXIT, Action.REPORT_REFUSAL);
     }
-    on(State.ASKING, Event.NO_NEVER, State.REFUSED, Act.REFUSED);
-    on(State.ASKED, Event.NO_NEVER, State.REFUSED, Act.REFUSED);
-    on(State.PAUSING, Event.AGAIN, State.ASKING, Act.SAY_TAKE);
-    on(State.PAUSING, Event.GIVE_UP, State.REFUSED, Act.REFUSED);
-    on(State.OPENING, Event.OPENED, State.TAKEN, Act.LISTEN, Act.SAY_LISTENS);
-    on(State.OPENING, Event.UNOPENED, State.REFUSED, Act.SAY_BACK, Act.REFUSED);
-    on(State.OPENING, Event.LOST, State.ALONE, Act.OTHER_GONE, Act.SERVE, Act.READY);
-    on(State.TAKEN, Event.CEDED, State.SHARING, Act.READY);
-    on(State.TAKEN, Event.LOST, State.ALONE, Act.OTHER_GONE, Act.READY);
-    on(State.SHARING, Event.LOST, State.ALONE, Act.OTHER_GONE);
-    for (State waits :
+  }
+
+  private static void addRetryRows() {
+    for (State waiting :
         List.of(
-            State.SEEKING,
-            State.ASKING,
-            State.ASKED,
-            State.TAKING,
-            State.HOLDING,
-            State.PAUSING,
-            State.REFUSED)) {
-      on(waits, Event.LOST, State.LOOKING, Act.LOOK);
+            State.TAKEOVER_REQUESTED,
+            State.CAPABILITIES_SENT,
+            State.RECEIVING_KEYS,
+            State.KEYS_RECEIVED)) {
+      on(waiting, Event.RETRY_LATER, State.BACKING_OFF, Action.BACK_OFF);
     }
-    on(State.LOOKING, Event.MET, State.ASKING, Act.SAY_TAKE);
-    on(State.LOOKING, Event.NOBODY, State.ALONE, Act.OTHER_GONE, Act.SERVE, Act.READY);
+    on(
+        State.BACKING_OFF,
+        Event.BACKOFF_ELAPSED,
+        State.TAKEOVER_REQUESTED,
+        Action.SEND_TAKEOVER_REQUEST);
+    on(
+        State.BACKING_OFF,
+        Event.RETRIES_EXHAUSTED,
+        State.AWAITING_PREDECESSOR_EXIT,
+        Action.REPORT_REFUSAL);
+  }
+
+  private static void addKeyReceiptRows() {
+    on(State.CAPABILITIES_SENT, Event.TAKEOVER_ACCEPTED, State.RECEIVING_KEYS);
+    on(
+        State.RECEIVING_KEYS,
+        Event.KEYS_COMPLETE,
+        State.KEYS_RECEIVED,
+        Action.SEND_KEYS_ACKNOWLEDGED);
+    on(State.KEYS_RECEIVED, Event.OWNERSHIP_RECEIVED, State.OPENING_STORAGE, Action.OPEN_STORAGE);
+    on(
+        State.TAKEOVER_REQUESTED,
+        Event.LEGACY_OWNERSHIP_RECEIVED,
+        State.OPENING_STORAGE,
+        Action.OPEN_STORAGE);
+  }
+
+  private static void addOwnershipReceiptRows() {
+    on(
+        State.OPENING_STORAGE,
+        Event.STORAGE_OPENED,
+        State.LISTENING_ALONGSIDE,
+        Action.LISTEN_ALONGSIDE,
+        Action.SEND_LISTENING);
+    on(
+        State.OPENING_STORAGE,
+        Event.STORAGE_UNAVAILABLE,
+        State.AWAITING_PREDECESSOR_EXIT,
+        Action.RETURN_OWNERSHIP,
+        Action.REPORT_REFUSAL);
+    on(
+        State.LISTENING_ALONGSIDE,
+        Event.PREDECESSOR_RELINQUISHED,
+        State.PREDECESSOR_DRAINING,
+        Action.START_SERVING);
+  }
 
-    on(State.ALONE, Event.TAKE, State.WEIGHING, Act.SAY_WHO);
-    on(State.ALONE, Event.TAKE_FORMER, State.GIVEN, Act.HAND_AS_FORMER);
-    on(State.ALONE, Event.TAKE_OLD, State.ALONE, Act.PARK);
-    on(State.WEIGHING, Event.TERMS_FIT, State.DEALING, Act.SAY_AGREED, Act.TELL_SETTLED);
-    on(State.WEIGHING, Event.TERMS_DIFFER, State.ALONE, Act.SAY_NO_NEVER);
-    on(State.WEIGHING, Event.UNFIT, State.ALONE);
-    on(State.WEIGHING, Event.OVERDUE, State.ALONE, Act.SAY_NO_LATER);
-    on(State.WEIGHING, Event.LOST, State.ALONE);
-    on(State.DEALING, Event.ALL_TOLD, State.OFFERED, Act.SAY_TOLD);
-    on(State.OFFERED, Event.TAKEN, State.GIVEN, Act.GIVE, Act.SAY_YOURS);
-    on(State.OFFERED, Event.LAGGED, State.ALONE, Act.STOP_TELLING, Act.SAY_NO_LATER);
-    for (State deals : List.of(State.DEALING, State.OFFERED)) {
-      on(deals, Event.OVERDUE, State.ALONE, Act.STOP_TELLING, Act.SAY_NO_LATER);
-      on(deals, Event.LOST, State.ALONE, Act.STOP_TELLING);
+  private static void addPredecessorLossRows() {
+    for (State ownsNothing :
+        List.of(
+            State.AWAITING_WORKER_POOL,
+            State.TAKEOVER_REQUESTED,
+            State.CAPABILITIES_SENT,
+            State.RECEIVING_KEYS,
+            State.KEYS_RECEIVED,
+            State.BACKING_OFF,
+            State.AWAITING_PREDECESSOR_EXIT)) {
+      on(ownsNothing, Event.PEER_LOST, State.DISCOVERING_PEER, Action.DISCOVER_PEER);
     }
-    on(State.GIVEN, Event.LISTENS, State.CEDED, Act.CEDE, Act.SAY_CEDED);
-    on(State.GIVEN, Event.BACK, State.ALONE, Act.TAKE_BACK);
-    on(State.GIVEN, Event.LOST, State.ALONE, Act.TAKE_BACK);
-    on(State.CEDED, Event.LOST, State.ALONE, Act.TAKE_BACK, Act.SERVE, Act.READY);
+    on(
+        State.OPENING_STORAGE,
+        Event.PEER_LOST,
+        State.ACTIVE,
+        Action.RESOLVE_PEER_LOSS,
+        Action.LISTEN_ALONE,
+        Action.START_SERVING);
+    on(
+        State.LISTENING_ALONGSIDE,
+        Event.PEER_LOST,
+        State.ACTIVE,
+        Action.RESOLVE_PEER_LOSS,
+        Action.START_SERVING);
+    on(State.PREDECESSOR_DRAINING, Event.PEER_LOST, State.ACTIVE, Action.RESOLVE_PEER_LOSS);
+    on(
+        State.DISCOVERING_PEER,
+        Event.PEER_FOUND,
+        State.TAKEOVER_REQUESTED,
+        Action.SEND_TAKEOVER_REQUEST);
+    on(
+        State.DISCOVERING_PEER,
+        Event.NO_PEER_FOUND,
+        State.ACTIVE,
+        Action.RESOLVE_PEER_LOSS,
+        Action.LISTEN_ALONE,
+        Action.START_SERVING);
   }
 
-  private State state;
+  private static void addCompatibilityCheckRows() {
+    on(
+        State.ACTIVE,
+        Event.TAKEOVER_REQUEST,
+        State.CHECKING_COMPATIBILITY,
+        Action.SEND_PREDECESSOR_CAPABILITIES);
+    on(
+        State.ACTIVE,
+        Event.LEGACY_TAKEOVER_REQUEST,
+        State.OWNERSHIP_TRANSFERRED,
+        Action.TRANSFER_OWNERSHIP_LEGACY);
+    on(State.ACTIVE, Event.UNSUPPORTED_TAKEOVER_REQUEST, State.ACTIVE, Action.PARK_LINK);
+    on(
+        State.CHECKING_COMPATIBILITY,
+        Event.SUCCESSOR_COMPATIBLE,
+        State.SENDING_KEYS,
+        Action.SEND_ACCEPTANCE,
+        Action.SEND_SETTLED_KEYS);
+    on(
+        State.CHECKING_COMPATIBILITY,
+        Event.SUCCESSOR_INCOMPATIBLE,
+        State.ACTIVE,
+        Action.SEND_REJECTION);
+    on(State.CHECKING_COMPATIBILITY, Event.SUCCESSOR_WITHDREW, State.ACTIVE);
+    on(
+        State.CHECKING_COMPATIBILITY,
+        Event.DEADLINE_EXCEEDED,
+        State.ACTIVE,
+        Action.SEND_RETRY_LATER);
+    on(State.CHECKING_COMPATIBILITY, Event.PEER_LOST, State.ACTIVE);
+  }
 
-  /**
-   * @param meets true where another process serves this box
-   */
-  public HandoverStateMachine(boolean meets) {
-    this(meets ? State.SEEKING : State.ALONE);
+  private static void addKeySendingRows() {
+    on(State.SENDING_KEYS, Event.ALL_KEYS_SENT, State.KEYS_SENT, Action.SEND_KEYS_COMPLETE);
+    on(
+        State.KEYS_SENT,
+        Event.KEYS_ACKNOWLEDGED,
+        State.OWNERSHIP_TRANSFERRED,
+        Action.TRANSFER_OWNERSHIP,
+        Action.SEND_OWNERSHIP);
+    on(
+        State.KEYS_SENT,
+        Event.SUCCESSOR_LAGGING,
+        State.ACTIVE,
+        Action.STOP_SENDING_KEYS,
+        Action.SEND_RETRY_LATER);
+    for (State sending : List.of(State.SENDING_KEYS, State.KEYS_SENT)) {
+      on(
+          sending,
+          Event.DEADLINE_EXCEEDED,
+          State.ACTIVE,
+          Action.STOP_SENDING_KEYS,
+          Action.SEND_RETRY_LATER);
+      on(sending, Event.PEER_LOST, State.ACTIVE, Action.STOP_SENDING_KEYS);
+    }
   }
 
-  /** In any state, for the search through all of them. */
-  public HandoverStateMachine(State state) {
-    this.state = state;
+  private static void addRelinquishRows() {
+    on(
+        State.OWNERSHIP_TRANSFERRED,
+        Event.SUCCESSOR_LISTENING,
+        State.RELINQUISHED,
+        Action.RELINQUISH,
+        Action.SEND_RELINQUISHED);
+    for (Event ended : List.of(Event.OWNERSHIP_RETURNED, Event.PEER_LOST)) {
+      on(State.OWNERSHIP_TRANSFERRED, ended, State.ACTIVE, Action.RECLAIM_OWNERSHIP);
+    }
+    on(
+        State.RELINQUISHED,
+        Event.PEER_LOST,
+        State.ACTIVE,
+        Action.RECLAIM_OWNERSHIP,
+        Action.LISTEN_ALONE,
+        Action.START_SERVING);
   }
 
-  private static void on(State state, Event event, State next, Act... acts) {
-    Row before =
+  private static void on(State state, Event event, State next, Action... actions) {
+    Row previous =
         TABLE
             .computeIfAbsent(state, key -> new EnumMap<>(Event.class))
-            .put(event, new Row(next, List.of(acts)));
-    if (before != null) {
+            .put(event, new Row(next, List.of(actions)));
+    if (previous != null) {
       throw new IllegalStateException("two rows for " + event + " in " + state);
     }
   }
 
+  private State state;
+
+  /**
+   * @param peerServes true where another process of this host serves already
+   */
+  public HandoverStateMachine(boolean peerServes) {
+    this(peerServes ? State.AWAITING_WORKER_POOL : State.ACTIVE);
+  }
+
+  /** Starts in any state, for a model checker. */
+  public HandoverStateMachine(State state) {
+    this.state = state;
+  }
+
+  /** The current state. */
   public State state() {
     return state;
   }
 
-  /** True where this event has a row now. */
-  public boolean takes(Event event) {
+  /** True where this event has a row in the current state. */
+  public boolean accepts(Event event) {
     return TABLE.get(state).containsKey(event);
   }
 
-  /** Takes one event. */
-  public Step take(Event event) {
+  /** Applies one event and returns what it changed. */
+  public Transition apply(Event event) {
     State from = state;
     Row row = TABLE.get(from).get(event);
     if (row == null) {
-      return new Step(from, from, List.of(), true);
+      return new Transition(from, from, List.of(), true);
     }
     state = row.next();
-    return new Step(from, state, row.acts(), false);
+    return new Transition(from, state, row.actions(), false);
   }
 }
--- a/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
+++ b/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
@@ -2,8 +2,8 @@
 
 import java.util.Arrays;
 import java.util.List;
-import wharftrestle.handover.PeerProcess.Kept;
-import wharftrestle.handover.PeerProcess.Over;
+import wharftrestle.handover.PeerProcess.KeyUpdate;
+import wharftrestle.handover.PeerProcess.SettledKey;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
 
@@ -29,45 +29,46 @@
   /** What the caller does with the tries concerned. */
   public interface Host<T> {
     /** The stamp of a try, Unix ms. */
-    long door(T holder);
+    long arrivalUnixMillis(T holder);
 
     /** Seconds in which this key may come again, with the slack of the table. */
-    double window(String key);
+    double windowSeconds(String key);
 
     /** The run of a key at the other process is over; the result is null unless it ended well. */
-    void finished(IdempotencyTable.Entry<T> entry, byte[] result);
+    void onPeerFinished(IdempotencyTable.Entry<T> entry, byte[] result);
 
     /** A key that the other process had in hand never ran. */
-    void voided(IdempotencyTable.Entry<T> entry);
+    void onPeerReleased(IdempotencyTable.Entry<T> entry);
 
     /** Tries that wait for word of this key look again. */
-    void wake(String key, boolean granted);
+    void wakeWaiters(String key, boolean granted);
   }
 
   /** A claim whose answer lies on disk: it is read without the lock, then told. */
-  public record Reread<T>(
-      PeerProcess asks,
+  public record StoredReply<T>(
+      PeerProcess claimant,
       String key,
       IdempotencyTable.Entry<T> entry,
-      byte[] inMemory,
-      double window,
+      byte[] resultInMemory,
+      double windowSeconds,
       byte[] body) {
 
     /** Tells what is known of the key; the result is null where it has none to give. */
-    public void tell(byte[] result) {
+    public void send(byte[] result) {
       // A try with another body must be told apart there too: it is told a body that differs.
       byte[] asked = entry.asked().same(body) ? body : Arrays.copyOf(body, body.length + 1);
-      asks.tell(
-          new Kept(key, true, entry.lastDoor(), window + IdempotencyTable.LINGER, asked, result));
+      claimant.sendKey(
+          new KeyUpdate(
+              key, true, entry.lastDoor(), windowSeconds + IdempotencyTable.LINGER, asked, result));
     }
   }
 
   private final IdempotencyTable<T> keys;
   private final Host<T> host;
-  private PeerProcess other;
+  private PeerProcess peer;
   private PeerProcess told; // asked to take over, and is told what settles
-  private boolean lagged; // what settled could not all be told
-  private boolean owner = true;
+  private boolean isLagging; // what settled could not all be told
+  private boolean isOwner = true;
   private double stretch;
 
   public KeyOwnershipTransfer(IdempotencyTable<T> keys, Host<T> host) {
@@ -76,13 +77,13 @@
   }
 
   /** The other process; null for none. */
-  public PeerProcess other() {
-    return other;
+  public PeerProcess peer() {
+    return peer;
   }
 
   /** True where this process says what becomes of every key. */
-  public boolean owner() {
-    return owner;
+  public boolean isOwner() {
+    return isOwner;
   }
 
   // ---- Handing over ----
@@ -91,41 +92,41 @@
    * A process asked: from now on it is told what settles. All that are settled now come back, to be
    * told one by one.
    */
-  public List<KeyDigest> tellsSettled(PeerProcess to) {
+  public List<KeyDigest> startSendingKeys(PeerProcess to) {
     told = to;
-    lagged = false;
+    isLagging = false;
     return keys.settled();
   }
 
   /** What was asked will not be: nothing more is told. */
-  public void stopsTelling() {
+  public void stopSendingKeys() {
     told = null;
   }
 
   /** True where what settled meanwhile could not all be told. */
-  public boolean lagged() {
-    return lagged;
+  public boolean isLagging() {
+    return isLagging;
   }
 
   /**
    * One settled key as it is told; null where it is known no more, or its result lies on a disk
    * that both read.
    */
-  public Over settled(KeyDigest key, boolean onDisk, double now) {
+  public SettledKey settledKey(KeyDigest key, boolean onDisk, double now) {
     IdempotencyTable.Settled known = keys.settled(key);
     return known == null || (onDisk && known.result() == null)
         ? null
-        : new Over(key, known.lastDoor(), known.until() - now, known.check(), known.result());
+        : new SettledKey(key, known.lastDoor(), known.until() - now, known.check(), known.result());
   }
 
   /** This key may have come to be over just now. */
-  public void follow(String key, boolean onDisk, double now) {
-    if (told == null || lagged) {
+  public void forwardSettled(String key, boolean onDisk, double now) {
+    if (told == null || isLagging) {
       return;
     }
-    Over over = settled(KeyDigest.of(key), onDisk, now);
+    SettledKey over = settledKey(KeyDigest.of(key), onDisk, now);
     if (over != null) {
-      lagged = !told.follows(over);
+      isLagging = !told.forwardSettledKey(over);
     }
   }
 
@@ -133,25 +134,25 @@
    * In one step hands all keys over, with what is open; their number. What is held or runs here
    * stays here.
    */
-  public int handOver(PeerProcess to, double now) {
+  public int transferTo(PeerProcess to, double now) {
     told = null;
-    other = to;
-    owner = false;
+    peer = to;
+    isOwner = false;
     int[] open = {0};
     keys.each(
         entry -> {
           open[0]++;
           if (entry.over() && entry.asked().body() == null) {
             // Over, and still open as the index is full: its body is not kept any more.
-            to.follows(
-                new Over(
+            to.forwardSettledKey(
+                new SettledKey(
                     KeyDigest.of(entry.key()),
                     entry.lastDoor(),
                     entry.until() - now,
                     entry.asked().brief(),
                     keys.result(entry)));
           } else {
-            to.tell(kept(entry, now));
+            to.sendKey(kept(entry, now));
           }
         });
     return open[0];
@@ -161,8 +162,8 @@
    * This process takes over from that one, whose keys follow; what it hears of is stretched by so
    * many seconds.
    */
-  public void join(PeerProcess from, double longer) {
-    other = from;
+  public void attach(PeerProcess from, double longer) {
+    peer = from;
     stretch = longer;
   }
 
@@ -170,17 +171,17 @@
    * The other process is gone, or never took what it was given: what it had in hand has an unknown
    * end, which fails and never runs again in its window.
    */
-  public void gone() {
-    other = null;
+  public void onPeerLost() {
+    peer = null;
     told = null;
-    owner = true;
+    isOwner = true;
     stretch = 0;
     keys.otherGone();
   }
 
   /** This process gives back what it was given, and asks that one no more: it has run nothing. */
-  public void givesBack() {
-    other = null;
+  public void returnOwnership() {
+    peer = null;
   }
 
   // ---- What the other process says ----
@@ -189,17 +190,17 @@
    * False where there is no room to know it: then no key that is not known runs until its window is
    * over.
    */
-  public boolean heard(Over over, double now) {
+  public boolean onKeyReceived(SettledKey over, double now) {
     // Guards against keys whose window is over taking the room: no request comes here yet that
     // would have them go.
     keys.expire(now);
     double until = now + over.secondsLeft() + stretch;
     if (!keys.hear(
         new IdempotencyTable.Settled(
-            over.key().high(),
-            over.key().low(),
-            stretched(over.lastDoor()),
-            over.check(),
+            over.digest().high(),
+            over.digest().low(),
+            stretched(over.coveredUntilUnixMillis()),
+            over.bodyChecksum(),
             until,
             over.result()))) {
       // Guards against a second run of a key that there is no room to know: less memory than the
@@ -211,34 +212,34 @@
   }
 
   /** The other process has this key in hand, or had. */
-  public void heard(Kept kept, double now) {
+  public void onKeyReceived(KeyUpdate kept, double now) {
     keys.hear(
         kept.key(),
         IdempotencyTable.Asked.of(kept.body()),
-        stretched(kept.lastDoor()),
+        stretched(kept.coveredUntilUnixMillis()),
         now + kept.secondsLeft() + stretch);
     IdempotencyTable.Entry<T> known = keys.find(kept.key());
-    if (kept.finished() && keys.elsewhere(known)) {
-      host.finished(known, kept.result());
+    if (kept.isFinished() && keys.elsewhere(known)) {
+      host.onPeerFinished(known, kept.result());
     }
-    host.wake(kept.key(), false);
+    host.wakeWaiters(kept.key(), false);
   }
 
   private long stretched(long lastDoor) {
     return lastDoor + Math.round(stretch * 1000);
   }
 
-  public void ended(String key, byte[] result) {
+  public void onPeerFinished(String key, byte[] result) {
     IdempotencyTable.Entry<T> entry = keys.find(key);
     if (keys.elsewhere(entry)) {
-      host.finished(entry, result);
+      host.onPeerFinished(entry, result);
     }
   }
 
-  public void freed(String key) {
+  public void onPeerReleased(String key) {
     IdempotencyTable.Entry<T> entry = keys.find(key);
     if (keys.elsewhere(entry)) {
-      host.voided(entry);
+      host.onPeerReleased(entry);
       keys.freed(entry);
     }
   }
@@ -247,12 +248,12 @@
    * The other process asks for a key: it is told, or has it in hand from now on. Not null where a
    * disk has the answer.
    */
-  public Reread<T> claimed(String key, long door, byte[] body, double now) {
+  public StoredReply<T> onClaim(String key, long door, byte[] body, double now) {
     IdempotencyTable.Entry<T> entry = keys.meet(key, door);
-    if (other == null) {
+    if (peer == null) {
       return null;
     }
-    double window = host.window(key);
+    double window = host.windowSeconds(key);
     if (entry == null || keys.elsewhere(entry)) {
       if (entry == null) {
         keys.hear(
@@ -261,50 +262,50 @@
             door + Math.round(window * 1000),
             now + window + IdempotencyTable.LINGER);
       }
-      other.granted(key);
+      peer.sendGrant(key);
       return null;
     }
     if (entry.asked().body() != null) {
-      other.tell(kept(entry, now));
+      peer.sendKey(kept(entry, now));
       return null;
     }
-    return new Reread<>(other, key, entry, keys.result(entry), window, body);
+    return new StoredReply<>(peer, key, entry, keys.result(entry), window, body);
   }
 
   // ---- What this process says ----
 
   /** True where this process may not take a keyed try before the other one was asked. */
-  public boolean mustAsk(String key, long door) {
-    return other != null && !owner && key != null && !known(key, door);
+  public boolean mustClaim(String key, long door) {
+    return peer != null && !isOwner && key != null && !isKnown(key, door);
   }
 
-  public boolean known(String key, long door) {
+  public boolean isKnown(String key, long door) {
     IdempotencyTable.Entry<T> entry = keys.find(key);
     return entry != null && entry.covers(door);
   }
 
   /** What the other process has to know before a run of this key begins; null for nothing. */
-  public Kept beforeRun(IdempotencyTable.Entry<T> entry, double now) {
-    return other == null || !owner || entry == null ? null : kept(entry, now);
+  public KeyUpdate announcementBeforeExecution(IdempotencyTable.Entry<T> entry, double now) {
+    return peer == null || !isOwner || entry == null ? null : kept(entry, now);
   }
 
   /** A run of this process is over. */
-  public void tellEnd(IdempotencyTable.Entry<T> entry, byte[] result) {
-    if (other != null && entry.holder() != null && keys.current(entry)) {
-      other.ended(entry.key(), result);
+  public void sendFinished(IdempotencyTable.Entry<T> entry, byte[] result) {
+    if (peer != null && entry.holder() != null && keys.current(entry)) {
+      peer.sendFinished(entry.key(), result);
     }
   }
 
   /** No try of this key is in hand any more; {@code held} where another one is. */
-  public void tellFree(String key, boolean held) {
-    if (other != null && key != null && !held && keys.find(key) == null) {
-      other.freed(key);
+  public void sendReleased(String key, boolean held) {
+    if (peer != null && key != null && !held && keys.find(key) == null) {
+      peer.sendReleased(key);
     }
   }
 
-  private Kept kept(IdempotencyTable.Entry<T> entry, double now) {
+  private KeyUpdate kept(IdempotencyTable.Entry<T> entry, double now) {
     if (entry.ran()) {
-      return new Kept(
+      return new KeyUpdate(
           entry.key(),
           entry.over(),
           entry.lastDoor(),
@@ -312,11 +313,11 @@
           entry.asked().body(),
           keys.result(entry));
     }
-    double window = host.window(entry.key());
-    return new Kept(
+    double window = host.windowSeconds(entry.key());
+    return new KeyUpdate(
         entry.key(),
         false,
-        host.door(entry.holder()) + Math.round(window * 1000),
+        host.arrivalUnixMillis(entry.holder()) + Math.round(window * 1000),
         window + IdempotencyTable.LINGER,
         entry.asked().body(),
         null);
--- a/src/main/java/wharftrestle/handover/PeerProcess.java
+++ b/src/main/java/wharftrestle/handover/PeerProcess.java
@@ -13,10 +13,10 @@
    * What one process tells the other of a key while two serve one box; the body tells what it was
    * asked.
    */
-  record Kept(
+  record KeyUpdate(
       String key,
-      boolean finished,
-      long lastDoor,
+      boolean isFinished,
+      long coveredUntilUnixMillis,
       double secondsLeft,
       byte[] body,
       byte[] result) {}
@@ -24,45 +24,50 @@
   /**
    * A key that is over, as one process tells it the other: by its digest, as its text is not kept.
    */
-  record Over(KeyDigest key, long lastDoor, double secondsLeft, long check, byte[] result) {}
+  record SettledKey(
+      KeyDigest digest,
+      long coveredUntilUnixMillis,
+      double secondsLeft,
+      long bodyChecksum,
+      byte[] result) {}
 
   /**
    * Tells a key that is over; returns once few such words wait, false where the other side takes
    * none in time.
    */
-  boolean tellOver(Over over);
+  boolean sendSettledKey(SettledKey over);
 
   /**
    * Tells a key that has just come to be over; false where more waits to be told than should. It is
    * told all the same.
    */
-  boolean follows(Over over);
+  boolean forwardSettledKey(SettledKey over);
 
   /** Asks whether this key may be held and run here. */
-  void claim(String key, long door, byte[] body);
+  void sendClaim(String key, long door, byte[] body);
 
-  void granted(String key);
+  void sendGrant(String key);
 
-  void tell(Kept kept);
+  void sendKey(KeyUpdate kept);
 
   /**
    * Returns once the word is on its way, whatever then becomes of this process, or the other is
    * gone.
    */
-  void tellSurely(Kept kept);
+  void sendKeyAndAwaitWrite(KeyUpdate kept);
 
   /** A key of this side has ended; the result is null unless it ended well. */
-  void ended(String key, byte[] result);
+  void sendFinished(String key, byte[] result);
 
   /** A key of this side never ran and is not held any more. */
-  void freed(String key);
+  void sendReleased(String key);
 
   /** Asks the side that writes to have the intent of this side's run on disk. */
-  void intend(String key, long door, byte[] body);
+  void sendIntentRequest(String key, long door, byte[] body);
 
   /** The other side's intent is on disk, or cannot be. */
-  void intended(String key, boolean written);
+  void sendIntentOutcome(String key, boolean written);
 
   /** The result of the other side's run is on disk, or could not be written. */
-  void saved(String key);
+  void sendResultWritten(String key);
 }
--- a/src/main/java/wharftrestle/handover/ProcessPauseDetector.java
+++ b/src/main/java/wharftrestle/handover/ProcessPauseDetector.java
@@ -9,7 +9,7 @@
  */
 public final class ProcessPauseDetector {
   /** Seconds between two looks. */
-  public static final double LOOK = 0.1;
+  public static final double POLL_INTERVAL_SECONDS = 0.1;
 
   /**
    * Seconds without a look that count: just under the second for which a run waits for its word.
@@ -27,7 +27,7 @@
   }
 
   /** A look. */
-  public void look(double now) {
+  public void poll(double now) {
     if (now - last > LONG) {
       woke = now;
     }
@@ -35,8 +35,8 @@
   }
 
   /** True where words of the other process may have been lost, if it is gone now. */
-  public boolean lately(double now) {
-    look(now);
+  public boolean hasPausedRecently(double now) {
+    poll(now);
     return now - woke < AFTER;
   }
 }
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -7,8 +7,8 @@
 import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
-import wharftrestle.handover.PeerProcess.Kept;
-import wharftrestle.handover.PeerProcess.Over;
+import wharftrestle.handover.PeerProcess.KeyUpdate;
+import wharftrestle.handover.PeerProcess.SettledKey;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
 
@@ -43,10 +43,10 @@
   // ---- The steps of a hand-over ----
 
   /** What is known of keys now, and what there is room for. */
-  public Capabilities.Room room() {
+  public Capabilities.KeyCapacity room() {
     core.lock();
     try {
-      return new Capabilities.Room(
+      return new Capabilities.KeyCapacity(
           keys.size(), recorder.mostKeys(), keys.resultBytes(), core.mostResultBytes());
     } finally {
       core.unlock();
@@ -63,7 +63,7 @@
     List<KeyDigest> all;
     core.lock();
     try {
-      all = between.tellsSettled(to);
+      all = between.startSendingKeys(to);
     } finally {
       core.unlock();
     }
@@ -85,15 +85,15 @@
   private int tell(PeerProcess to, List<KeyDigest> all) {
     int told = 0;
     for (KeyDigest key : all) {
-      Over over;
+      SettledKey over;
       core.lock();
       try {
-        over = between.settled(key, recorder.on(), core.now());
+        over = between.settledKey(key, recorder.on(), core.now());
       } finally {
         core.unlock();
       }
       if (over != null) {
-        if (!to.tellOver(over)) {
+        if (!to.sendSettledKey(over)) {
           return -1;
         }
         told++;
@@ -105,7 +105,7 @@
   public void stopTelling() {
     core.lock();
     try {
-      between.stopsTelling();
+      between.stopSendingKeys();
     } finally {
       core.unlock();
     }
@@ -115,7 +115,7 @@
   public boolean lagged() {
     core.lock();
     try {
-      return between.lagged();
+      return between.isLagging();
     } finally {
       core.unlock();
     }
@@ -128,7 +128,7 @@
   public int handOver(PeerProcess to) {
     core.lock();
     try {
-      int handed = between.handOver(to, core.now());
+      int handed = between.transferTo(to, core.now());
       core.halved(true);
       return handed;
     } finally {
@@ -143,7 +143,7 @@
   public void join(PeerProcess from, double stretch) {
     core.lock();
     try {
-      between.join(from, stretch);
+      between.attach(from, stretch);
       core.halved(true);
     } finally {
       core.unlock();
@@ -154,7 +154,7 @@
   public void giveBack() {
     core.lock();
     try {
-      between.givesBack();
+      between.returnOwnership();
       wakeAll();
     } finally {
       core.unlock();
@@ -168,7 +168,7 @@
   public void otherGone() {
     core.lock();
     try {
-      between.gone();
+      between.onPeerLost();
       recorder.saveUnsaved();
       wakeAll();
       core.halved(false);
@@ -196,12 +196,12 @@
 
   // ---- What the other process says ----
 
-  public void heard(Over over) {
+  public void heard(SettledKey over) {
     boolean first = false;
     core.lock();
     try {
       double now = core.now();
-      if (!between.heard(over, now)) {
+      if (!between.onKeyReceived(over, now)) {
         first = now > roomlessUntil;
         roomlessUntil = Math.max(roomlessUntil, now + over.secondsLeft());
       }
@@ -215,10 +215,10 @@
     }
   }
 
-  public void heard(Kept kept) {
+  public void heard(KeyUpdate kept) {
     core.lock();
     try {
-      between.heard(kept, core.now());
+      between.onKeyReceived(kept, core.now());
       core.settleIfUp();
     } finally {
       core.unlock();
@@ -228,7 +228,7 @@
   public void ended(String key, byte[] result) {
     core.lock();
     try {
-      between.ended(key, result);
+      between.onPeerFinished(key, result);
       core.settleIfUp();
     } finally {
       core.unlock();
@@ -238,7 +238,7 @@
   public void freed(String key) {
     core.lock();
     try {
-      between.freed(key);
+      between.onPeerReleased(key);
       core.settleIfUp();
     } finally {
       core.unlock();
@@ -246,17 +246,19 @@
   }
 
   public void claimed(String key, long door, byte[] body) {
-    KeyOwnershipTransfer.Reread<InFlightRequest> reread;
+    KeyOwnershipTransfer.StoredReply<InFlightRequest> reread;
     core.lock();
     try {
-      reread = between.claimed(key, door, body, core.now());
+      reread = between.onClaim(key, door, body, core.now());
     } finally {
       core.unlock();
     }
     if (reread != null) {
       // A settled key: where its result lies on disk it is read there, so not under the lock.
-      reread.tell(
-          reread.entry().onDisk() ? recorder.read(key, reread.entry().place()) : reread.inMemory());
+      reread.send(
+          reread.entry().onDisk()
+              ? recorder.read(key, reread.entry().place())
+              : reread.resultInMemory());
     }
   }
 
@@ -297,7 +299,7 @@
   public void granted(String key) {
     core.lock();
     try {
-      wake(key, true);
+      wakeWaiters(key, true);
     } finally {
       core.unlock();
     }
@@ -317,12 +319,12 @@
       }
       RequestCoordinator.Arrival a = task.arrival;
       asking.add(task);
-      between.other().claim(task.key, a.door(), a.body());
+      between.peer().sendClaim(task.key, a.door(), a.body());
       double due = core.due(a, core.now());
-      while (between.other() != null
+      while (between.peer() != null
           && !task.granted
           && !task.answered
-          && !between.known(task.key, a.door())
+          && !between.isKnown(task.key, a.door())
           && core.now() < due) {
         task.signal.awaitNanos((long) ((due - core.now()) * 1e9) + 1);
       }
@@ -340,7 +342,7 @@
   boolean mustAsk(InFlightRequest task) {
     core.lock();
     try {
-      return between.mustAsk(task.key, task.arrival.door());
+      return between.mustClaim(task.key, task.arrival.door());
     } finally {
       core.unlock();
     }
@@ -351,7 +353,7 @@
    * lock.
    */
   boolean unasked(InFlightRequest task) {
-    return between.other() != null && !between.owner() && !task.granted;
+    return between.peer() != null && !between.isOwner() && !task.granted;
   }
 
   /**
@@ -360,55 +362,55 @@
    */
   void tellBeforeRun(InFlightRequest task) {
     PeerProcess told;
-    Kept kept;
+    KeyUpdate kept;
     core.lock();
     try {
-      told = between.other();
-      kept = between.beforeRun(task.entry, core.now());
+      told = between.peer();
+      kept = between.announcementBeforeExecution(task.entry, core.now());
     } finally {
       core.unlock();
     }
     if (kept != null) {
-      told.tellSurely(kept);
+      told.sendKeyAndAwaitWrite(kept);
     }
   }
 
   /** This try is forgotten; the others in hand say whether its key is; under the lock. */
   void forgotten(InFlightRequest task, Iterable<InFlightRequest> inHand) {
-    if (between.other() == null || task.key == null) {
+    if (between.peer() == null || task.key == null) {
       return;
     }
     boolean held = asking.stream().anyMatch(task::sameKey);
     for (InFlightRequest each : inHand) {
       held |= each.key != null && task.sameKey(each);
     }
-    between.tellFree(task.key, held);
+    between.sendReleased(task.key, held);
   }
 
   // ---- What Between needs of the tries ----
 
   @Override
-  public long door(InFlightRequest holder) {
+  public long arrivalUnixMillis(InFlightRequest holder) {
     return holder.arrival.door();
   }
 
   @Override
-  public double window(String key) {
+  public double windowSeconds(String key) {
     return core.window(InFlightRequest.classOf(key)) + IdempotencyTable.SLACK;
   }
 
   @Override
-  public void finished(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  public void onPeerFinished(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
     core.finish(entry, result);
   }
 
   @Override
-  public void voided(IdempotencyTable.Entry<InFlightRequest> entry) {
+  public void onPeerReleased(IdempotencyTable.Entry<InFlightRequest> entry) {
     recorder.voided(entry);
   }
 
   @Override
-  public void wake(String key, boolean granted) {
+  public void wakeWaiters(String key, boolean granted) {
     for (InFlightRequest task : asking) {
       if (key.equals(task.key)) {
         task.granted |= granted;
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -479,7 +479,7 @@
       }
       IdempotencyTable.Entry<InFlightRequest> known = task.key == null ? null : keys.find(task.key);
       boolean ran =
-          (known != null && known.ran()) || (task.key != null && !partner.between().owner());
+          (known != null && known.ran()) || (task.key != null && !partner.between().isOwner());
       if (byId.size() >= most) {
         // Guards against threads filling the memory in a flood: what finds none is turned away
         // unread by
@@ -964,13 +964,13 @@
    * for the disk.
    */
   boolean finish(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
-    partner.between().tellEnd(entry, result);
+    partner.between().sendFinished(entry, result);
     boolean ran = entry.state() == KeyState.RUNNING || entry.state() == KeyState.ELSEWHERE;
     keys.ran(entry, result);
     if (ran) {
       recorder.ended(entry, result);
     }
-    partner.between().follow(entry.key(), recorder.on(), now());
+    partner.between().forwardSettled(entry.key(), recorder.on(), now());
     return entry.state() == KeyState.SAVING;
   }
 
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -75,7 +75,7 @@
 
   /** Why a new key cannot be recorded now; null where it can, or need not. */
   ResultStore.Refusal refusal() {
-    return records == null || !between.owner()
+    return records == null || !between.isOwner()
         ? null
         : keys.size() >= most ? ResultStore.Refusal.KEYS_FULL : records.refusal();
   }
@@ -104,10 +104,10 @@
     if (!recording(task)) {
       return;
     }
-    if (!between.owner() && between.other() != null) {
+    if (!between.isOwner() && between.peer() != null) {
       // The other process writes: its word comes by intendedElsewhere.
       task.recordBy = core.now() + 2 * records.patience();
-      between.other().intend(task.key, task.arrival.door(), task.arrival.body());
+      between.peer().sendIntentRequest(task.key, task.arrival.door(), task.arrival.body());
       return;
     }
     task.recordBy = core.now() + records.patience();
@@ -162,7 +162,7 @@
 
   /** A run of this key was never begun. */
   void voided(IdempotencyTable.Entry<InFlightRequest> entry) {
-    if (records != null && between.owner()) {
+    if (records != null && between.isOwner()) {
       records.voided(keyed(entry));
     }
   }
@@ -171,7 +171,7 @@
    * A run of this key is over, and the key knows it; the result is null where it has none to give.
    */
   void ended(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
-    if (records != null && between.owner()) {
+    if (records != null && between.isOwner()) {
       save(entry, result);
     }
   }
@@ -208,30 +208,31 @@
     keys.saved(entry, place);
     if (entry.holder() != null) {
       core.answer(entry.holder(), Answer.served(keys.result(entry)));
-      if (between.other() != null && !between.owner()) {
+      if (between.peer() != null && !between.isOwner()) {
         // It was on its way when the keys were handed over.
-        between.other().ended(entry.key(), keys.result(entry));
+        between.peer().sendFinished(entry.key(), keys.result(entry));
       }
-    } else if (between.other() != null) {
-      between.other().saved(entry.key());
+    } else if (between.peer() != null) {
+      between.peer().sendResultWritten(entry.key());
     }
-    between.follow(entry.key(), true, core.now());
+    between.forwardSettled(entry.key(), true, core.now());
     core.settleSoonIfUp();
   }
 
   /** The other process is about to run a key that it has in hand: its intent is written here. */
   void intendElsewhere(String key) {
     IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
-    PeerProcess asks = between.other();
+    PeerProcess asks = between.peer();
     if (asks == null) {
       return;
     }
     boolean asked =
         records != null
             && keys.elsewhere(entry)
-            && records.intend(keyed(entry), place -> asks.intended(key, place >= 0)) != null;
+            && records.intend(keyed(entry), place -> asks.sendIntentOutcome(key, place >= 0))
+                != null;
     if (!asked) {
-      asks.intended(key, false);
+      asks.sendIntentOutcome(key, false);
     }
   }
 
--- a/src/main/java/wharftrestle/snmp/SnmpAgent.java
+++ b/src/main/java/wharftrestle/snmp/SnmpAgent.java
@@ -104,7 +104,7 @@
           figure.counts() ? new Counter64(value) : new Gauge32(Math.min(value, MOST_GAUGE)));
     }
     int part = 0;
-    for (String said : daemon.version().parts().values()) {
+    for (String said : daemon.version().publishedFields().values()) {
       put(objects, below(ROOT, 1, 5), ++part, text(said));
     }
     put(objects, below(ROOT, 1, 5), ++part, text(daemon.handover()));
--- a/src/main/java/wharftrestle/transport/PeerLink.java
+++ b/src/main/java/wharftrestle/transport/PeerLink.java
@@ -35,28 +35,28 @@
 public final class PeerLink implements PeerProcess, Closeable {
 
   /** The steps of a hand-over, as the other process says them. */
-  public enum Word {
-    TAKE,
-    WHO,
-    TERMS,
-    UNFIT,
-    AGREED,
-    NO_NEVER,
-    NO_LATER,
-    TOLD,
-    TAKEN,
-    YOURS,
-    HANDED,
-    LISTENS,
-    BACK,
-    CEDED,
-    LOST
+  public enum Message {
+    TAKEOVER_REQUEST,
+    PREDECESSOR_CAPABILITIES,
+    SUCCESSOR_CAPABILITIES,
+    WITHDRAWAL,
+    ACCEPTANCE,
+    REJECTION,
+    RETRY_LATER,
+    KEYS_COMPLETE,
+    KEYS_ACKNOWLEDGED,
+    OWNERSHIP,
+    LEGACY_OWNERSHIP,
+    LISTENING,
+    OWNERSHIP_RETURNED,
+    RELINQUISHED,
+    LINK_LOST
   }
 
   /** Told of each word, in order; LOST is the last. */
-  public interface Side {
+  public interface MessageHandler {
     /** The detail is what came with the word: terms, a reason; empty for none. */
-    void heard(PeerLink link, Word word, String detail);
+    void onMessage(PeerLink link, Message word, String detail);
   }
 
   private static final int LONGEST_LINE = 1024;
@@ -98,14 +98,14 @@
 
   private final SocketChannel channel;
   private final PeerCoordinator core;
-  private final Side side;
+  private final MessageHandler side;
   private final LinkedBlockingQueue<byte[]> words = new LinkedBlockingQueue<>();
   private long queued;
   private long written;
   private boolean over;
   private volatile boolean mute;
 
-  private PeerLink(SocketChannel channel, PeerCoordinator core, Side side) {
+  private PeerLink(SocketChannel channel, PeerCoordinator core, MessageHandler side) {
     this.channel = channel;
     this.core = core;
     this.side = side;
@@ -115,7 +115,7 @@
    * The link to a process that serves already; null where none does. Nothing is heard before {@link
    * #start}.
    */
-  public static PeerLink meet(Path at, PeerCoordinator core, Side side) {
+  public static PeerLink connect(Path at, PeerCoordinator core, MessageHandler side) {
     try {
       return new PeerLink(SocketChannel.open(UnixDomainSocketAddress.of(at)), core, side);
     } catch (IOException | RuntimeException none) {
@@ -127,7 +127,7 @@
    * Waits for further processes at this file, which may be a stale one; null where it cannot be
    * had.
    */
-  public static ServerSocketChannel await(Path at, PeerCoordinator core, Side side) {
+  public static ServerSocketChannel listen(Path at, PeerCoordinator core, MessageHandler side) {
     ServerSocketChannel server;
     try {
       Files.deleteIfExists(at);
@@ -186,8 +186,8 @@
   // ---- The steps, as this side says them ----
 
   /** Asks to take over; a build of format 1 reads the first words alone. */
-  public void sayTake(String name, VersionRange speaks) {
-    say(
+  public void sendTakeoverRequest(String name, VersionRange speaks) {
+    send(
         "take "
             + URLEncoder.encode(name, StandardCharsets.ISO_8859_1)
             + " "
@@ -196,50 +196,50 @@
             + speaks);
   }
 
-  public void sayWho(String terms) {
+  public void sendPredecessorCapabilities(String terms) {
     sayText("who", terms);
   }
 
-  public void sayTerms(String terms) {
+  public void sendSuccessorCapabilities(String terms) {
     sayText("terms", terms);
   }
 
   private void sayText(String word, String text) {
     byte[] body = text.getBytes(StandardCharsets.UTF_8);
-    say(word + " " + body.length, body);
+    send(word + " " + body.length, body);
   }
 
   /** Says one step; the reason is for people. */
-  public void say(Word word, String reason) {
+  public void send(Message word, String reason) {
     String text =
         switch (word) {
-          case AGREED -> "agreed";
-          case NO_NEVER -> "no never";
-          case NO_LATER -> "no later";
-          case UNFIT -> "unfit";
-          case BACK -> "back";
-          case TAKEN -> "taken";
-          case LISTENS -> "listens";
-          case CEDED -> "ceded";
+          case ACCEPTANCE -> "agreed";
+          case REJECTION -> "no never";
+          case RETRY_LATER -> "no later";
+          case WITHDRAWAL -> "unfit";
+          case OWNERSHIP_RETURNED -> "back";
+          case KEYS_ACKNOWLEDGED -> "taken";
+          case LISTENING -> "listens";
+          case RELINQUISHED -> "ceded";
           default -> throw new IllegalArgumentException("has more to say: " + word);
         };
     String brief = reason.length() > LONGEST_REASON ? reason.substring(0, LONGEST_REASON) : reason;
-    say(brief.isEmpty() ? text : text + " " + URLEncoder.encode(brief, StandardCharsets.UTF_8));
+    send(brief.isEmpty() ? text : text + " " + URLEncoder.encode(brief, StandardCharsets.UTF_8));
   }
 
   /** Says that so many keys have been told, which this side owns still. */
-  public void sayTold(int keys) {
-    say("told " + keys);
+  public void sendKeysComplete(int keys) {
+    send("told " + keys);
   }
 
   /** Says that so many open keys have been told, and that the other side owns all. */
-  public void sayYours(int keys) {
-    say("yours " + keys);
+  public void sendOwnership(int keys) {
+    send("yours " + keys);
   }
 
   /** The same to a process of format 1. */
-  public void sayHanded(int keys) {
-    say("handed " + keys);
+  public void sendLegacyOwnership(int keys) {
+    send("handed " + keys);
   }
 
   // ---- Reading ----
@@ -276,7 +276,7 @@
       Logger.info("the other process of this box has ended its link ({})", e.getMessage());
     } finally {
       close();
-      side.heard(this, Word.LOST, "");
+      side.onMessage(this, Message.LINK_LOST, "");
     }
   }
 
@@ -285,29 +285,29 @@
     switch (words[0]) {
       case "take" ->
           step(
-              Word.TAKE,
+              Message.TAKEOVER_REQUEST,
               words.length < 3 || !words[2].equals(KNOWS_OVER)
                   ? "0"
                   : words.length < 4 ? "1" : words[3]);
-      case "who" -> step(Word.WHO, text(words, in));
-      case "terms" -> step(Word.TERMS, text(words, in));
-      case "unfit" -> step(Word.UNFIT, reason(words, 1));
-      case "agreed" -> step(Word.AGREED, "");
+      case "who" -> step(Message.PREDECESSOR_CAPABILITIES, text(words, in));
+      case "terms" -> step(Message.SUCCESSOR_CAPABILITIES, text(words, in));
+      case "unfit" -> step(Message.WITHDRAWAL, reason(words, 1));
+      case "agreed" -> step(Message.ACCEPTANCE, "");
       case "no" -> {
         need(words, 2);
-        step(words[1].equals("never") ? Word.NO_NEVER : Word.NO_LATER, reason(words, 2));
+        step(words[1].equals("never") ? Message.REJECTION : Message.RETRY_LATER, reason(words, 2));
       }
-      case "told" -> step(Word.TOLD, "");
-      case "taken" -> step(Word.TAKEN, "");
-      case "yours" -> step(Word.YOURS, "");
-      case "handed" -> step(Word.HANDED, "");
-      case "listens" -> step(Word.LISTENS, "");
-      case "back" -> step(Word.BACK, reason(words, 1));
-      case "ceded" -> step(Word.CEDED, "");
+      case "told" -> step(Message.KEYS_COMPLETE, "");
+      case "taken" -> step(Message.KEYS_ACKNOWLEDGED, "");
+      case "yours" -> step(Message.OWNERSHIP, "");
+      case "handed" -> step(Message.LEGACY_OWNERSHIP, "");
+      case "listens" -> step(Message.LISTENING, "");
+      case "back" -> step(Message.OWNERSHIP_RETURNED, reason(words, 1));
+      case "ceded" -> step(Message.RELINQUISHED, "");
       case "over" -> {
         need(words, 7);
         core.heard(
-            new Over(
+            new SettledKey(
                 new KeyDigest(Long.parseLong(words[1]), Long.parseLong(words[2])),
                 Long.parseLong(words[3]),
                 BoundedReader.duration(words[4]),
@@ -319,7 +319,7 @@
         byte[] body = body(in, words[5]);
         byte[] result = words[6].equals("-") ? null : body(in, words[6]);
         core.heard(
-            new Kept(
+            new KeyUpdate(
                 key(words[1]),
                 words[2].equals("over"),
                 Long.parseLong(words[3]),
@@ -351,8 +351,8 @@
     }
   }
 
-  private void step(Word word, String detail) {
-    side.heard(this, word, detail);
+  private void step(Message word, String detail) {
+    side.onMessage(this, word, detail);
   }
 
   private static void need(String[] words, int least) throws IOException {
@@ -407,7 +407,7 @@
   }
 
   /** The words stand in the order of the core's events, which tells them under its lock. */
-  private long say(String line, byte[]... bodies) {
+  private long send(String line, byte[]... bodies) {
     byte[] all = BoundedReader.ascii(line + "\r\n");
     for (byte[] body : bodies) {
       all = body == null ? all : BoundedReader.join(all, body, CRLF);
@@ -429,26 +429,26 @@
   }
 
   @Override
-  public void claim(String key, long door, byte[] body) {
-    say("claim " + word(key) + " " + door + " " + body.length, body);
+  public void sendClaim(String key, long door, byte[] body) {
+    send("claim " + word(key) + " " + door + " " + body.length, body);
   }
 
   @Override
-  public void granted(String key) {
-    say("granted " + word(key));
+  public void sendGrant(String key) {
+    send("granted " + word(key));
   }
 
   @Override
-  public void tell(Kept kept) {
+  public void sendKey(KeyUpdate kept) {
     told(kept);
   }
 
-  private long told(Kept kept) {
-    return say(
+  private long told(KeyUpdate kept) {
+    return send(
         "key "
             + word(kept.key())
-            + (kept.finished() ? " over " : " open ")
-            + kept.lastDoor()
+            + (kept.isFinished() ? " over " : " open ")
+            + kept.coveredUntilUnixMillis()
             + " "
             + Math.round(kept.secondsLeft() * 1000)
             + " "
@@ -460,34 +460,34 @@
   }
 
   @Override
-  public void tellSurely(Kept kept) {
+  public void sendKeyAndAwaitWrite(KeyUpdate kept) {
     awaitWritten(told(kept), SURELY_MS);
   }
 
-  private long told(Over key) {
-    return say(
+  private long told(SettledKey key) {
+    return send(
         "over "
-            + key.key().high()
+            + key.digest().high()
             + " "
-            + key.key().low()
+            + key.digest().low()
             + " "
-            + key.lastDoor()
+            + key.coveredUntilUnixMillis()
             + " "
             + Math.round(key.secondsLeft() * 1000)
             + " "
-            + key.check()
+            + key.bodyChecksum()
             + " "
             + length(key.result()),
         key.result());
   }
 
   @Override
-  public boolean tellOver(Over key) {
+  public boolean sendSettledKey(SettledKey key) {
     return awaitWritten(told(key) - MOST_OVER, PATIENCE_MS);
   }
 
   @Override
-  public boolean follows(Over key) {
+  public boolean forwardSettledKey(SettledKey key) {
     long mine = told(key);
     synchronized (words) {
       return mine - written <= MOST_FOLLOW;
@@ -512,28 +512,28 @@
   }
 
   @Override
-  public void ended(String key, byte[] result) {
-    say("ended " + word(key) + " " + length(result), result);
+  public void sendFinished(String key, byte[] result) {
+    send("ended " + word(key) + " " + length(result), result);
   }
 
   @Override
-  public void freed(String key) {
-    say("freed " + word(key));
+  public void sendReleased(String key) {
+    send("freed " + word(key));
   }
 
   @Override
-  public void intend(String key, long door, byte[] body) {
-    say("intend " + word(key) + " " + door + " " + body.length, body);
+  public void sendIntentRequest(String key, long door, byte[] body) {
+    send("intend " + word(key) + " " + door + " " + body.length, body);
   }
 
   @Override
-  public void intended(String key, boolean written) {
-    say("intended " + word(key) + (written ? " yes" : " no"));
+  public void sendIntentOutcome(String key, boolean written) {
+    send("intended " + word(key) + (written ? " yes" : " no"));
   }
 
   @Override
-  public void saved(String key) {
-    say("saved " + word(key));
+  public void sendResultWritten(String key) {
+    send("saved " + word(key));
   }
 
   /** Says nothing more; what waits to be said is dropped, and whoever waits for it goes on. */
--- a/src/main/java/wharftrestle/version/BuildInfo.java
+++ b/src/main/java/wharftrestle/version/BuildInfo.java
@@ -18,13 +18,13 @@
  */
 public final class BuildInfo {
   /** Words between two processes: 1 hands over at once, 2 agrees first. */
-  public static final VersionRange HANDOVER = new VersionRange(1, 2);
+  public static final VersionRange HANDOVER_VERSIONS = new VersionRange(1, 2);
 
   /** Files of kept results ({@code durable.Segment}). */
-  public static final VersionRange LOG = new VersionRange(1, 1);
+  public static final VersionRange LOG_VERSIONS = new VersionRange(1, 1);
 
   /** The operators' settings. */
-  public static final VersionRange LANGUAGE = new VersionRange(1, 1);
+  public static final VersionRange SETTINGS_LANGUAGE_VERSIONS = new VersionRange(1, 1);
 
   /** What is written beside a jar, as sha256sum has it: the digest, two blanks, the file's name. */
   private static final String BESIDE = ".sha256";
@@ -35,18 +35,18 @@
   private BuildInfo() {}
 
   /** This build, with these effective settings in their canonical form; null for none. */
-  public static Version version(String settings) {
+  public static Version describe(String settings) {
     String said = BuildInfo.class.getPackage().getImplementationVersion();
     int plus = said == null ? -1 : said.indexOf('+');
     Path jar = jar();
     return new Version(
         said == null ? "unpackaged" : plus < 0 ? said : said.substring(0, plus),
         plus < 0 || plus + 1 == said.length() ? Version.UNKNOWN : said.substring(plus + 1),
-        jar == null ? Version.UNKNOWN : beside(jar),
+        jar == null ? Version.UNKNOWN : recordedDigest(jar),
         settings == null ? "none" : digest(settings),
-        HANDOVER,
-        LOG,
-        LANGUAGE);
+        HANDOVER_VERSIONS,
+        LOG_VERSIONS,
+        SETTINGS_LANGUAGE_VERSIONS);
   }
 
   /** The jar that this program is run from; null where it is run from classes. */
@@ -61,7 +61,7 @@
   }
 
   /** The digest that was written beside a jar; "unknown" where there is none. */
-  public static String beside(Path jar) {
+  public static String recordedDigest(Path jar) {
     try {
       String text =
           Files.readString(
--- a/src/main/java/wharftrestle/version/Version.java
+++ b/src/main/java/wharftrestle/version/Version.java
@@ -19,11 +19,11 @@
 public record Version(
     String program,
     String commit,
-    String build,
-    String settings,
-    VersionRange handover,
-    VersionRange log,
-    VersionRange language) {
+    String jarDigest,
+    String settingsDigest,
+    VersionRange handoverVersions,
+    VersionRange logVersions,
+    VersionRange settingsLanguageVersions) {
 
   /** What is not known. */
   public static final String UNKNOWN = "unknown";
@@ -32,22 +32,22 @@
   private static final int BRIEF = 12;
 
   /** Each part under its one name, in the order in which it is shown. */
-  public Map<String, String> parts() {
+  public Map<String, String> publishedFields() {
     Map<String, String> parts = new LinkedHashMap<>();
     parts.put("program", program);
     parts.put("commit", commit);
-    parts.put("build", build);
-    parts.put("settings", settings);
-    parts.put("handover", handover.toString());
-    parts.put("log", log.toString());
-    parts.put("language", language.toString());
+    parts.put("build", jarDigest);
+    parts.put("settings", settingsDigest);
+    parts.put("handover", handoverVersions.toString());
+    parts.put("log", logVersions.toString());
+    parts.put("language", settingsLanguageVersions.toString());
     return parts;
   }
 
   /** One line for people: long digests are cut. */
-  public String line() {
+  public String summaryLine() {
     StringBuilder line = new StringBuilder();
-    parts()
+    publishedFields()
         .forEach(
             (name, value) ->
                 line.append(line.length() == 0 ? "" : " ")
@@ -63,7 +63,8 @@
   /** A line a part, {@code name value}. */
   public String table() {
     StringBuilder lines = new StringBuilder();
-    parts().forEach((name, value) -> lines.append(String.format("%-9s %s%n", name, value)));
+    publishedFields()
+        .forEach((name, value) -> lines.append(String.format("%-9s %s%n", name, value)));
     return lines.toString();
   }
 }
--- a/src/main/java/wharftrestle/version/VersionRange.java
+++ b/src/main/java/wharftrestle/version/VersionRange.java
@@ -4,11 +4,11 @@
  * The versions of one format that a program speaks, both ends included; written {@code 1-2}, or
  * {@code 1}.
  */
-public record VersionRange(int least, int most) {
+public record VersionRange(int oldest, int newest) {
 
   public VersionRange {
-    if (least < 0 || most < least) {
-      throw new IllegalArgumentException("no range: " + least + " to " + most);
+    if (oldest < 0 || newest < oldest) {
+      throw new IllegalArgumentException("no range: " + oldest + " to " + newest);
     }
   }
 
@@ -17,7 +17,7 @@
    *
    * @throws IllegalArgumentException for anything else
    */
-  public static VersionRange of(String text) {
+  public static VersionRange parse(String text) {
     String[] ends = text.split("-", -1);
     if (ends.length > 2 || !text.matches("[0-9]{1,6}(-[0-9]{1,6})?")) {
       throw new IllegalArgumentException("no range: '" + text + "'");
@@ -26,17 +26,17 @@
   }
 
   /** The newest version that both speak; -1 for none. */
-  public int common(VersionRange other) {
-    int best = Math.min(most, other.most);
-    return best >= Math.max(least, other.least) ? best : -1;
+  public int newestCommon(VersionRange other) {
+    int best = Math.min(newest, other.newest);
+    return best >= Math.max(oldest, other.oldest) ? best : -1;
   }
 
-  public boolean holds(int version) {
-    return version >= least && version <= most;
+  public boolean contains(int version) {
+    return version >= oldest && version <= newest;
   }
 
   @Override
   public String toString() {
-    return least == most ? Integer.toString(least) : least + "-" + most;
+    return oldest == newest ? Integer.toString(oldest) : oldest + "-" + newest;
   }
 }
--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -97,7 +97,7 @@
   void theConsoleShowsAndDrains() throws Exception {
     try (Loopback site = site()) {
       serveOne(site);
-      InetSocketAddress control = site.life.doorAddress();
+      InetSocketAddress control = site.life.adminAddress();
       String shown = console(control, "help\nstatus\nnonsense\nquit\n", null);
       assertTrue(shown.startsWith("0\n"), shown);
       for (String part :
@@ -136,7 +136,7 @@
       for (int i = 0; i < 40; i++) {
         Socket socket = new Socket();
         half.add(socket);
-        socket.connect(site.life.doorAddress());
+        socket.connect(site.life.adminAddress());
         socket.setSoTimeout(2000);
         socket
             .getOutputStream()
@@ -395,7 +395,7 @@
 
   @Test
   void theBuildsRehearsalGoesFromEndToEnd() throws Exception {
-    ClassDataTrainingRun.play(); // throws where any of its requests has no answer
+    ClassDataTrainingRun.run(); // throws where any of its requests has no answer
     assertTrue(
         Files.readString(Path.of("deploy/balancer.toml"))
             .lines()
--- a/src/test/java/wharftrestle/ChangeTest.java
+++ b/src/test/java/wharftrestle/ChangeTest.java
@@ -12,7 +12,6 @@
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
-import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -80,7 +79,7 @@
 
   private static void awaitStep(Loopback site, HandoverStateMachine.State wanted) {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-    while (!site.life.handover().startsWith(wanted.name().toLowerCase(Locale.ROOT))) {
+    while (!site.life.handover().startsWith(wanted.publishedName())) {
       assertTrue(System.nanoTime() < until, "it is " + site.life.handover());
       Thread.onSpinWait();
     }
@@ -99,18 +98,18 @@
       serves(old, caller, 1, "before");
       try (Loopback next =
           new Loopback(Sites.swapped(), NONE, 1024, folder.resolve("n1.sock"), old)) {
-        awaitStep(next, HandoverStateMachine.State.REFUSED);
+        awaitStep(next, HandoverStateMachine.State.AWAITING_PREDECESSOR_EXIT);
         assertTrue(
             next.life.handover().contains("keys are known by their class's place"),
             next.life.handover());
         assertTrue(next.get("/_status").contains("class 1 is"), "the door says why");
         assertTrue(next.get("/_ready").startsWith("HTTP/1.1 503 "));
-        awaitStep(old, HandoverStateMachine.State.ALONE);
+        awaitStep(old, HandoverStateMachine.State.ACTIVE);
         serves(old, caller, 2, "meanwhile");
         caller.ask(3, "keyed", "before", "x");
         assertEquals("fine 1", caller.reply().body());
         old.life.close(); // as by a kill: what it knew was not carried along
-        awaitStep(next, HandoverStateMachine.State.ALONE);
+        awaitStep(next, HandoverStateMachine.State.ACTIVE);
         next.awaitTaking();
         try (Caller after = next.new Caller()) {
           after.ask(1, "keyed", "before", "x");
@@ -150,7 +149,7 @@
         asker.until("yours 1");
         assertEquals("given", old.life.handover());
       }
-      awaitStep(old, HandoverStateMachine.State.ALONE); // it died before it listened
+      awaitStep(old, HandoverStateMachine.State.ACTIVE); // it died before it listened
       old.finish(run.ref(), "good", 1, "fine");
       assertEquals("fine", caller.reply().body());
       serves(old, caller, 2, "after");
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -130,7 +130,7 @@
             throw new DaemonConfig.BadConfigException("half a file");
           });
       DaemonConfig next = site.move(calling());
-      new SignalHandlers(() -> next).tell(site.life);
+      new SignalHandlers(() -> next).attach(site.life);
       Signal.raise(new Signal("HUP"));
       assertEquals(new Command("bind", "", "1", ""), site.command(), "numbers of notices go on");
       assertTrue(site.report().startsWith("renew n1 yes"));
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -233,7 +233,7 @@
                 return config;
               }) {
             @Override
-            public void heard() {
+            public void onHandled() {
               heard.countDown();
             }
           };
@@ -241,7 +241,7 @@
       Signal.raise(new Signal("TERM"));
       assertTrue(heard.await(STOP_MS, TimeUnit.MILLISECONDS));
       assertEquals(Lifecycle.State.SERVING, site.life.state());
-      early.tell(site.life);
+      early.attach(site.life);
       assertEquals(1, read.get(), "the hangup is made up for");
       Thread stopping = site.stopping();
       stopping.join(STOP_MS);
@@ -408,7 +408,7 @@
         Thread.onSpinWait();
       }
       site.finish(ref(1), "cut", 5, ""); // at its call, as its caller is gone
-      assertTrue(site.life.core().awaitDrained(5));
+      assertTrue(site.life.requestCoordinator().awaitDrained(5));
       site.storeReplies.add(Loopback.http("200 OK", "", "of the first"));
       while (!site.storeReplies.isEmpty()) {
         Thread.onSpinWait(); // the store gives it, to a connection that was given up
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -172,7 +172,7 @@
         sockets,
         192,
         elsewhere,
-        life.core().settings());
+        life.requestCoordinator().settings());
   }
 
   private void servePeers() {
@@ -324,7 +324,7 @@
 
   private void awaitBound() throws InterruptedException {
     command();
-    while (!life.core().ready()) {
+    while (!life.requestCoordinator().ready()) {
       Thread.onSpinWait();
     }
   }
@@ -442,7 +442,7 @@
   /** One call at the operators' door, as it is written; the whole answer. */
   String call(String text) throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(life.doorAddress());
+      socket.connect(life.adminAddress());
       socket.setSoTimeout((int) WAIT_S * 1000);
       write(socket, text);
       return response(socket);
--- a/src/test/java/wharftrestle/ResultsTest.java
+++ b/src/test/java/wharftrestle/ResultsTest.java
@@ -139,7 +139,7 @@
   void aFolderThatCannotBeHadEndsTheStartInOneLine() throws Exception {
     Path first = folder.resolve("first");
     try (Loopback site = new Loopback(Sites.site(), keeping(first))) {
-      assertTrue(site.life.core().ready());
+      assertTrue(site.life.requestCoordinator().ready());
       UnusableStorageException held =
           assertThrows(
               UnusableStorageException.class, () -> new Loopback(Sites.site(), keeping(first)));
--- a/src/test/java/wharftrestle/UwsgiTest.java
+++ b/src/test/java/wharftrestle/UwsgiTest.java
@@ -235,10 +235,10 @@
       site.finish(site.command().ref(), "good", 1, "fine");
       Loopback.response(asks);
       long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_S);
-      while (site.life.uwsgiConnections() > 0 && System.nanoTime() < end) {
+      while (site.life.gatewayConnections() > 0 && System.nanoTime() < end) {
         Thread.onSpinWait();
       }
-      assertEquals(0, site.life.uwsgiConnections());
+      assertEquals(0, site.life.gatewayConnections());
       asks.close();
     }
   }
--- a/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
+++ b/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
@@ -16,21 +16,24 @@
 
 /** Who may take over from whom, and what is said where it may not be. */
 class CompatibilityCheckTest {
-  private static final Capabilities.Kind READ = new Capabilities.Kind("read", false, 0);
-  private static final Capabilities.Kind SAVE = new Capabilities.Kind("save", true, 12_000);
-  private static final Capabilities.Room ROOM = new Capabilities.Room(100, 1000, 5000, 50_000);
+  private static final Capabilities.RequestClass READ =
+      new Capabilities.RequestClass("read", false, 0);
+  private static final Capabilities.RequestClass SAVE =
+      new Capabilities.RequestClass("save", true, 12_000);
+  private static final Capabilities.KeyCapacity ROOM =
+      new Capabilities.KeyCapacity(100, 1000, 5000, 50_000);
 
   private static Capabilities terms(
       VersionRange speaks,
       String folder,
-      List<Capabilities.Kind> classes,
+      List<Capabilities.RequestClass> classes,
       List<String> tenants,
-      Capabilities.Room room) {
+      Capabilities.KeyCapacity room) {
     return new Capabilities(
         "a build", speaks, new VersionRange(1, 1), folder, classes, tenants, room, 0);
   }
 
-  private static Capabilities plain(Capabilities.Kind... classes) {
+  private static Capabilities plain(Capabilities.RequestClass... classes) {
     return terms(new VersionRange(1, 2), "", List.of(classes), List.of(), ROOM);
   }
 
@@ -40,12 +43,12 @@
   }
 
   private static String against(Capabilities serves, Capabilities next) {
-    return CompatibilityCheck.STANDING.against(serves, next);
+    return CompatibilityCheck.DEFAULT.incompatibility(serves, next);
   }
 
   @Test
   void aClassMoreOrLessAtTheEndIsTakenAndOneMovedIsNot() {
-    Capabilities more = plain(READ, SAVE, new Capabilities.Kind("new", true, 5000));
+    Capabilities more = plain(READ, SAVE, new Capabilities.RequestClass("new", true, 5000));
     assertNull(against(plain(READ, SAVE), more));
     assertNull(against(more, plain(READ, SAVE)));
     assertEquals(
@@ -53,7 +56,7 @@
         against(plain(READ, SAVE), plain(SAVE, READ)));
     assertEquals(
         "class 'save' has keys here only",
-        against(plain(READ, SAVE), plain(READ, new Capabilities.Kind("save", false, 0))));
+        against(plain(READ, SAVE), plain(READ, new Capabilities.RequestClass("save", false, 0))));
   }
 
   @Test
@@ -95,7 +98,7 @@
                 "",
                 List.of(SAVE),
                 List.of(),
-                new Capabilities.Room(0, 110, 0, 0))));
+                new Capabilities.KeyCapacity(0, 110, 0, 0))));
     assertEquals(
         "100 keys are known here, and there is room for 109 there",
         against(
@@ -105,14 +108,14 @@
                 "",
                 List.of(SAVE),
                 List.of(),
-                new Capabilities.Room(0, 109, 0, 0))));
+                new Capabilities.KeyCapacity(0, 109, 0, 0))));
     Capabilities full =
         terms(
             new VersionRange(1, 2),
             "",
             List.of(SAVE),
             List.of(),
-            new Capabilities.Room(1000, 1000, 0, 0));
+            new Capabilities.KeyCapacity(1000, 1000, 0, 0));
     assertNull(against(full, full), "a full table goes along");
   }
 
@@ -126,28 +129,28 @@
 
   @Test
   void whatIsKnownIsStretchedByTheLongestDifference() {
-    Capabilities longer = plain(READ, new Capabilities.Kind("save", true, 20_500));
-    assertEquals(8.5, CompatibilityCheck.stretch(plain(READ, SAVE), longer));
-    assertEquals(0, CompatibilityCheck.stretch(longer, plain(READ, SAVE)));
+    Capabilities longer = plain(READ, new Capabilities.RequestClass("save", true, 20_500));
+    assertEquals(8.5, CompatibilityCheck.windowExtensionSeconds(plain(READ, SAVE), longer));
+    assertEquals(0, CompatibilityCheck.windowExtensionSeconds(longer, plain(READ, SAVE)));
   }
 
   @Property(tries = 200)
   void termsComeThroughAsTheyWereSaid(
       @ForAll @Size(max = 5) List<String> names, @ForAll @IntRange(min = 0) int figure)
       throws Exception {
-    List<Capabilities.Kind> kinds = new ArrayList<>();
-    names.forEach(name -> kinds.add(new Capabilities.Kind(name, figure % 2 == 0, figure)));
+    List<Capabilities.RequestClass> kinds = new ArrayList<>();
+    names.forEach(name -> kinds.add(new Capabilities.RequestClass(name, figure % 2 == 0, figure)));
     Capabilities said =
         terms(
             new VersionRange(1, 2),
             "/a b\n%0A",
             kinds,
             names,
-            new Capabilities.Room(figure, 1, 2, 3));
-    assertEquals(said, Capabilities.read(said.text()));
+            new Capabilities.KeyCapacity(figure, 1, 2, 3));
+    assertEquals(said, Capabilities.decode(said.encode()));
     assertEquals(
         said,
-        Capabilities.read(said.text() + "later says more\n"),
+        Capabilities.decode(said.encode() + "later says more\n"),
         "what is not known is passed over");
   }
 
@@ -158,12 +161,13 @@
           "",
           "build",
           "build x\n",
-          plain(SAVE).text().replace("room 100", "room x"),
-          plain(SAVE).text().replace("keyed 12000", "locked 12000"),
+          plain(SAVE).encode().replace("room 100", "room x"),
+          plain(SAVE).encode().replace("keyed 12000", "locked 12000"),
           "build x\n".repeat(3000)
         }) {
-      Capabilities.UnreadableException e =
-          assertThrows(Capabilities.UnreadableException.class, () -> Capabilities.read(bad));
+      Capabilities.MalformedCapabilitiesException e =
+          assertThrows(
+              Capabilities.MalformedCapabilitiesException.class, () -> Capabilities.decode(bad));
       assertTrue(!e.getMessage().contains("\n"), e.getMessage());
     }
   }
--- a/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
+++ b/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import wharftrestle.handover.HandoverStateMachine.Act;
+import wharftrestle.handover.HandoverStateMachine.Action;
 import wharftrestle.handover.HandoverStateMachine.Event;
 import wharftrestle.handover.HandoverStateMachine.State;
 
@@ -122,7 +122,7 @@
         }
       }
       all[0].alive = true;
-      all[0].state = State.ALONE;
+      all[0].state = State.ACTIVE;
       all[0].listens = true;
       all[0].holds = true;
       meeting = 0;
@@ -183,7 +183,9 @@
 
     void say(int from, Word word) {
       int to = all[from].peer;
-      if (to >= 0 && all[to].alive && (all[to].peer == from || word.event() == Event.TAKE)) {
+      if (to >= 0
+          && all[to].alive
+          && (all[to].peer == from || word.event() == Event.TAKEOVER_REQUEST)) {
         words[from][to].add(word);
       }
     }
@@ -191,64 +193,64 @@
     void take(int i, Event event) {
       ModelProcess process = all[i];
       HandoverStateMachine steps = new HandoverStateMachine(process.state);
-      HandoverStateMachine.Step step = steps.take(event);
+      HandoverStateMachine.Transition step = steps.apply(event);
       process.state = step.to();
-      step.acts().forEach(act -> act(i, act));
+      step.actions().forEach(act -> act(i, act));
     }
 
-    void act(int i, Act act) {
+    void act(int i, Action act) {
       ModelProcess p = all[i];
       switch (act) {
-        case SAY_TAKE -> say(i, Word.of(Event.TAKE));
-        case SAY_WHO -> say(i, Word.of(Event.WHO_FITS));
-        case SAY_TERMS -> say(i, Word.of(Event.TERMS_FIT));
-        case SAY_AGREED -> say(i, Word.of(Event.AGREED));
-        case SAY_NO_LATER -> say(i, Word.of(Event.NO_LATER));
-        case TELL_SETTLED -> {
+        case SEND_TAKEOVER_REQUEST -> say(i, Word.of(Event.TAKEOVER_REQUEST));
+        case SEND_PREDECESSOR_CAPABILITIES -> say(i, Word.of(Event.PREDECESSOR_COMPATIBLE));
+        case SEND_SUCCESSOR_CAPABILITIES -> say(i, Word.of(Event.SUCCESSOR_COMPATIBLE));
+        case SEND_ACCEPTANCE -> say(i, Word.of(Event.TAKEOVER_ACCEPTED));
+        case SEND_RETRY_LATER -> say(i, Word.of(Event.RETRY_LATER));
+        case SEND_SETTLED_KEYS -> {
           p.tells = bug != Bug.SETTLED_NOT_FOLLOWED;
           if (p.knows == Knows.OVER) {
             say(i, new Word(null, true, true));
           }
         }
-        case STOP_TELLING -> p.tells = false;
-        case SAY_TOLD -> say(i, Word.of(Event.TOLD));
-        case SAY_TAKEN -> {
+        case STOP_SENDING_KEYS -> p.tells = false;
+        case SEND_KEYS_COMPLETE -> say(i, Word.of(Event.KEYS_COMPLETE));
+        case SEND_KEYS_ACKNOWLEDGED -> {
           p.holds = true;
-          say(i, Word.of(Event.TAKEN));
+          say(i, Word.of(Event.KEYS_ACKNOWLEDGED));
         }
-        case GIVE -> {
+        case TRANSFER_OWNERSHIP -> {
           p.tells = false;
           p.linked = true;
           if (p.knows == Knows.OPEN && bug != Bug.OPEN_KEYS_NOT_TOLD) {
             say(i, new Word(null, true, false));
           }
         }
-        case SAY_YOURS -> say(i, Word.of(Event.YOURS));
-        case OPEN_RECORDS -> {
+        case SEND_OWNERSHIP -> say(i, Word.of(Event.OWNERSHIP_RECEIVED));
+        case OPEN_STORAGE -> {
           p.linked = true;
-          take(i, Event.OPENED);
+          take(i, Event.STORAGE_OPENED);
         }
-        case LISTEN -> p.listens = true;
-        case SAY_LISTENS -> say(i, Word.of(Event.LISTENS));
-        case CEDE -> p.listens = false;
-        case SAY_CEDED -> say(i, Word.of(Event.CEDED));
-        case TAKE_BACK, OTHER_GONE -> {
+        case LISTEN_ALONGSIDE -> p.listens = true;
+        case SEND_LISTENING -> say(i, Word.of(Event.SUCCESSOR_LISTENING));
+        case RELINQUISH -> p.listens = false;
+        case SEND_RELINQUISHED -> say(i, Word.of(Event.PREDECESSOR_RELINQUISHED));
+        case RECLAIM_OWNERSHIP, RESOLVE_PEER_LOSS -> {
           p.linked = false;
           p.holds = true;
         }
-        case SERVE -> p.listens = bug != Bug.SERVES_NOT_AGAIN;
-        case READY -> meeting = i;
-        case LOOK, PAUSE -> p.holds = false;
-        case REFUSED, PARK -> {}
+        case LISTEN_ALONE -> p.listens = bug != Bug.SERVES_NOT_AGAIN;
+        case START_SERVING -> meeting = i;
+        case DISCOVER_PEER, BACK_OFF -> p.holds = false;
+        case REPORT_REFUSAL, PARK_LINK -> {}
         default -> throw new IllegalStateException("not in this model: " + act);
       }
     }
 
     boolean owns(int i) {
       State state = all[i].state;
-      return state.owns()
-          || (bug == Bug.KEEPS_OWNING && state == State.GIVEN)
-          || (bug == Bug.OWNS_BEFORE_YOURS && state == State.HOLDING);
+      return state.ownsKeys()
+          || (bug == Bug.KEEPS_OWNING && state == State.OWNERSHIP_TRANSFERRED)
+          || (bug == Bug.OWNS_BEFORE_YOURS && state == State.KEYS_RECEIVED);
     }
 
     /** The key runs at this process. */
@@ -282,7 +284,7 @@
     void hear(int from, int to) {
       Word word = words[from][to].poll();
       ModelProcess p = all[to];
-      if (p.peer != from && word.event() != Event.TAKE) {
+      if (p.peer != from && word.event() != Event.TAKEOVER_REQUEST) {
         return; // of a link that was given up on
       }
       if (word.key()) {
@@ -292,28 +294,30 @@
         // A claim: granted where nothing is known, and then it is the other's.
         if (p.knows == Knows.NOTHING) {
           p.knows = Knows.OPEN;
-          say(to, Word.of(Event.MET)); // stands for granted, which no step of the hand-over is
+          say(
+              to,
+              Word.of(Event.PEER_FOUND)); // stands for granted, which no step of the hand-over is
         } else {
           say(to, new Word(null, true, p.knows == Knows.OVER));
         }
-      } else if (word.event() == Event.MET) {
+      } else if (word.event() == Event.PEER_FOUND) {
         if (p.asks) {
           p.asks = false;
           if (p.knows == Knows.NOTHING) {
             run(to);
           }
         }
-      } else if (word.event() == Event.TAKE && p.peer != from) {
-        if (p.state == State.ALONE) {
+      } else if (word.event() == Event.TAKEOVER_REQUEST && p.peer != from) {
+        if (p.state == State.ACTIVE) {
           p.peer = from;
           take(to, word.event());
         } else {
           words[from][to].addFirst(word); // its turn comes
         }
       } else if (bug == Bug.OWNS_WHAT_WAS_WITHDRAWN
-          && word.event() == Event.NO_LATER
-          && p.state == State.HOLDING) {
-        take(to, Event.YOURS);
+          && word.event() == Event.RETRY_LATER
+          && p.state == State.KEYS_RECEIVED) {
+        take(to, Event.OWNERSHIP_RECEIVED);
       } else {
         take(to, word.event());
       }
@@ -322,7 +326,10 @@
     /** It owns all keys, or knows what their owner knows. */
     boolean full(int i) {
       ModelProcess p = all[i];
-      return p.alive && (p.state.owns() || p.state == State.GIVEN || p.state == State.CEDED);
+      return p.alive
+          && (p.state.ownsKeys()
+              || p.state == State.OWNERSHIP_TRANSFERRED
+              || p.state == State.RELINQUISHED);
     }
 
     void kill(int i) {
@@ -336,7 +343,8 @@
       for (int j = 0; j < PROCESSES; j++) {
         // What an asker was told in part counts for nothing: it owns nothing yet.
         boolean given =
-            all[j].alive && words[i][j].stream().anyMatch(word -> word.event() == Event.YOURS);
+            all[j].alive
+                && words[i][j].stream().anyMatch(word -> word.event() == Event.OWNERSHIP_RECEIVED);
         known |= full(j) || given;
       }
       if (!known) {
@@ -370,7 +378,7 @@
                     w -> {
                       w.starts--;
                       w.all[me].alive = true;
-                      w.all[me].state = State.SEEKING;
+                      w.all[me].state = State.AWAITING_WORKER_POOL;
                       w.all[me].peer = w.meeting;
                     }));
           }
@@ -407,7 +415,10 @@
           int from = j;
           Word first = words[j][i].peek();
           boolean waits =
-              first != null && first.event() == Event.TAKE && p.peer != j && p.state != State.ALONE;
+              first != null
+                  && first.event() == Event.TAKEOVER_REQUEST
+                  && p.peer != j
+                  && p.state != State.ACTIVE;
           if (first != null && !waits) {
             all.add(after(w -> w.hear(from, me)));
           }
@@ -417,7 +428,7 @@
               after(
                   w -> {
                     w.all[me].peer = -1;
-                    w.take(me, Event.LOST);
+                    w.take(me, Event.PEER_LOST);
                     w.all[me].asks = false;
                   }));
         }
@@ -427,37 +438,42 @@
 
     private void local(int me, ModelProcess p, List<World> all) {
       switch (p.state) {
-        case SEEKING -> all.add(after(w -> w.joins(me)));
-        case DEALING -> all.add(after(w -> w.take(me, Event.ALL_TOLD)));
-        case PAUSING -> all.add(after(w -> w.take(me, Event.AGAIN)));
-        case LOOKING -> {
+        case AWAITING_WORKER_POOL -> all.add(after(w -> w.joins(me)));
+        case SENDING_KEYS -> all.add(after(w -> w.take(me, Event.ALL_KEYS_SENT)));
+        case BACKING_OFF -> all.add(after(w -> w.take(me, Event.BACKOFF_ELAPSED)));
+        case DISCOVERING_PEER -> {
           if (meetable(meeting) && meeting != me) {
             all.add(
                 after(
                     w -> {
                       w.all[me].peer = w.meeting;
-                      w.take(me, Event.MET);
+                      w.take(me, Event.PEER_FOUND);
                     }));
           } else if (vacant(me)) {
-            all.add(after(w -> w.take(me, Event.NOBODY)));
+            all.add(after(w -> w.take(me, Event.NO_PEER_FOUND)));
           }
         }
         default -> {}
       }
       boolean bounded =
-          p.state.bounded() || (bug == Bug.TAKES_BACK_FROM_THE_SILENT && p.state == State.GIVEN);
+          p.state.hasDeadline()
+              || (bug == Bug.TAKES_BACK_FROM_THE_SILENT && p.state == State.OWNERSHIP_TRANSFERRED);
       if (bounded && overdue > 0) {
         all.add(
             after(
                 w -> {
                   w.overdue--;
-                  w.take(me, p.state == State.GIVEN ? Event.BACK : Event.OVERDUE);
+                  w.take(
+                      me,
+                      p.state == State.OWNERSHIP_TRANSFERRED
+                          ? Event.OWNERSHIP_RETURNED
+                          : Event.DEADLINE_EXCEEDED);
                 }));
       }
     }
 
     private void joins(int me) {
-      take(me, Event.POOL_UP);
+      take(me, Event.WORKER_POOL_READY);
     }
 
     private World after(Consumer<World> change) {
@@ -543,10 +559,10 @@
     for (State state : State.values()) {
       for (Event event : Event.values()) {
         HandoverStateMachine steps = new HandoverStateMachine(state);
-        boolean takes = steps.takes(event);
-        HandoverStateMachine.Step step = steps.take(event);
-        assertEquals(!takes, step.outOfTurn());
-        assertTrue(takes || (steps.state() == state && step.acts().isEmpty()));
+        boolean takes = steps.accepts(event);
+        HandoverStateMachine.Transition step = steps.apply(event);
+        assertEquals(!takes, step.isIgnored());
+        assertTrue(takes || (steps.state() == state && step.actions().isEmpty()));
       }
     }
   }
--- a/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
+++ b/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
@@ -19,28 +19,29 @@
           keys,
           new KeyOwnershipTransfer.Host<>() {
             @Override
-            public long door(String holder) {
+            public long arrivalUnixMillis(String holder) {
               return 0;
             }
 
             @Override
-            public double window(String key) {
+            public double windowSeconds(String key) {
               return 20;
             }
 
             @Override
-            public void finished(IdempotencyTable.Entry<String> entry, byte[] result) {}
+            public void onPeerFinished(IdempotencyTable.Entry<String> entry, byte[] result) {}
 
             @Override
-            public void voided(IdempotencyTable.Entry<String> entry) {}
+            public void onPeerReleased(IdempotencyTable.Entry<String> entry) {}
 
             @Override
-            public void wake(String key, boolean granted) {}
+            public void wakeWaiters(String key, boolean granted) {}
           });
 
   private boolean hear(String name, double secondsLeft, double now) {
-    return between.heard(
-        new PeerProcess.Over(KeyDigest.of("1/0/" + name), 50_000, secondsLeft, 3, new byte[] {1}),
+    return between.onKeyReceived(
+        new PeerProcess.SettledKey(
+            KeyDigest.of("1/0/" + name), 50_000, secondsLeft, 3, new byte[] {1}),
         now);
   }
 
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
@@ -22,7 +22,7 @@
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.metrics.Counters;
 import wharftrestle.request.RequestCoordinator;
-import wharftrestle.transport.PeerLink.Word;
+import wharftrestle.transport.PeerLink.Message;
 import wharftrestle.version.VersionRange;
 
 /**
@@ -56,7 +56,7 @@
     Files.createDirectories(FOLDER);
     Path sockets = Files.createTempDirectory("link");
     Files.write(SENT, sentMessages(sockets.resolve("sent")));
-    Files.writeString(TERMS, terms().text());
+    Files.writeString(TERMS, terms().encode());
     Files.write(ANSWERS, exchange(sockets.resolve("answers"), questions()));
     System.exit(0);
   }
@@ -68,11 +68,11 @@
         new VersionRange(1, 1),
         "/var/lib/results of n1",
         List.of(
-            new Capabilities.Kind("read", false, 0),
-            new Capabilities.Kind("save all", true, 12_500),
-            new Capabilities.Kind("", true, 1)),
+            new Capabilities.RequestClass("read", false, 0),
+            new Capabilities.RequestClass("save all", true, 12_500),
+            new Capabilities.RequestClass("", true, 1)),
         List.of("gold", "no name"),
-        new Capabilities.Room(3, 1000, 4096, 1 << 20),
+        new Capabilities.KeyCapacity(3, 1000, 4096, 1 << 20),
         1_796_284_000_123L);
   }
 
@@ -80,56 +80,57 @@
   static List<String> sentMessages(Path socket) throws Exception {
     try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
       server.bind(UnixDomainSocketAddress.of(socket));
-      try (PeerLink link = PeerLink.meet(socket, null, (from, word, detail) -> {});
+      try (PeerLink link = PeerLink.connect(socket, null, (from, word, detail) -> {});
           SocketChannel reader = server.accept()) {
         link.start();
         sayEverything(link);
-        link.freed("9/0/last");
+        link.sendReleased("9/0/last");
         return messages(readToLast(reader));
       }
     }
   }
 
   private static void sayEverything(PeerLink link) {
-    link.sayTake("n1/left box", new VersionRange(1, 2));
-    link.sayWho(terms().text());
-    link.sayTerms(terms().text());
-    for (Word word :
+    link.sendTakeoverRequest("n1/left box", new VersionRange(1, 2));
+    link.sendPredecessorCapabilities(terms().encode());
+    link.sendSuccessorCapabilities(terms().encode());
+    for (Message word :
         List.of(
-            Word.AGREED,
-            Word.NO_NEVER,
-            Word.NO_LATER,
-            Word.UNFIT,
-            Word.BACK,
-            Word.TAKEN,
-            Word.LISTENS,
-            Word.CEDED)) {
-      link.say(word, "");
+            Message.ACCEPTANCE,
+            Message.REJECTION,
+            Message.RETRY_LATER,
+            Message.WITHDRAWAL,
+            Message.OWNERSHIP_RETURNED,
+            Message.KEYS_ACKNOWLEDGED,
+            Message.LISTENING,
+            Message.RELINQUISHED)) {
+      link.send(word, "");
     }
-    link.say(Word.NO_NEVER, "classes differ: 'save' is 50% longer\u20ac");
-    link.say(Word.NO_LATER, "busy");
-    link.say(Word.UNFIT, "no class 'read'");
-    link.say(Word.BACK, "the folder is held");
-    link.sayTold(3);
-    link.sayYours(2);
-    link.sayHanded(5);
-    link.claim("1/0/a key/\u00fc", STAMP, bytes("body"));
-    link.granted("1/0/granted");
-    link.tell(new PeerProcess.Kept("1/0/open", false, STAMP + 1, 22.5, bytes("asked"), null));
-    link.tell(new PeerProcess.Kept("1/0/failed", true, STAMP + 2, 1.25, bytes(""), null));
-    link.tellSurely(
-        new PeerProcess.Kept(
+    link.send(Message.REJECTION, "classes differ: 'save' is 50% longer\u20ac");
+    link.send(Message.RETRY_LATER, "busy");
+    link.send(Message.WITHDRAWAL, "no class 'read'");
+    link.send(Message.OWNERSHIP_RETURNED, "the folder is held");
+    link.sendKeysComplete(3);
+    link.sendOwnership(2);
+    link.sendLegacyOwnership(5);
+    link.sendClaim("1/0/a key/\u00fc", STAMP, bytes("body"));
+    link.sendGrant("1/0/granted");
+    link.sendKey(
+        new PeerProcess.KeyUpdate("1/0/open", false, STAMP + 1, 22.5, bytes("asked"), null));
+    link.sendKey(new PeerProcess.KeyUpdate("1/0/failed", true, STAMP + 2, 1.25, bytes(""), null));
+    link.sendKeyAndAwaitWrite(
+        new PeerProcess.KeyUpdate(
             "1/0/over", true, STAMP + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
-    link.tellOver(new PeerProcess.Over(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
-    link.follows(
-        new PeerProcess.Over(new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
-    link.ended("1/0/ended", bytes("good"));
-    link.ended("1/0/failed", null);
-    link.freed("1/0/freed");
-    link.intend("1/0/intend", STAMP + 6, bytes("asked"));
-    link.intended("1/0/intend", true);
-    link.intended("1/0/not", false);
-    link.saved("1/0/saved");
+    link.sendSettledKey(new PeerProcess.SettledKey(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
+    link.forwardSettledKey(
+        new PeerProcess.SettledKey(new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
+    link.sendFinished("1/0/ended", bytes("good"));
+    link.sendFinished("1/0/failed", null);
+    link.sendReleased("1/0/freed");
+    link.sendIntentRequest("1/0/intend", STAMP + 6, bytes("asked"));
+    link.sendIntentOutcome("1/0/intend", true);
+    link.sendIntentOutcome("1/0/not", false);
+    link.sendResultWritten("1/0/saved");
   }
 
   /** What another process asks, in an order in which most questions have an answer. */
@@ -165,16 +166,16 @@
   static List<String> exchange(Path socket, List<String> questions) throws Exception {
     RequestCoordinator core = core();
     List<String> lines = new ArrayList<>();
-    PeerLink.Side side =
+    PeerLink.MessageHandler side =
         (link, word, detail) -> {
-          if (word == Word.TAKE) {
+          if (word == Message.TAKEOVER_REQUEST) {
             core.partner().join(link, 0);
           }
-          if (word != Word.LOST) {
-            link.freed("9/0/last");
+          if (word != Message.LINK_LOST) {
+            link.sendReleased("9/0/last");
           }
         };
-    try (ServerSocketChannel server = PeerLink.await(socket, core.partner(), side);
+    try (ServerSocketChannel server = PeerLink.listen(socket, core.partner(), side);
         SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
       write(other, "take n2 over 1-2\\x0d\\x0a");
       readToLast(other);
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatTest.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.handover.Capabilities;
-import wharftrestle.transport.PeerLink.Word;
+import wharftrestle.transport.PeerLink.Message;
 
 /**
  * Holds the messages between the two processes of a host against those that an earlier build said:
@@ -27,12 +27,12 @@
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class PeerLinkFormatTest {
-  private static final Heard END = new Heard(Word.LOST, "");
+  private static final Heard END = new Heard(Message.LINK_LOST, "");
 
   @TempDir private Path folder;
 
   /** A step as the other side is told of it. */
-  private record Heard(Word word, String detail) {}
+  private record Heard(Message word, String detail) {}
 
   @Test
   void everyMessageIsSaidInTheRecordedBytes() throws Exception {
@@ -46,29 +46,29 @@
   @Test
   void everyRecordedMessageIsHeardAsTheStepItWas() throws Exception {
     List<String> recorded = Files.readAllLines(SENT);
-    String terms = PeerLinkFormatFixtures.terms().text();
+    String terms = PeerLinkFormatFixtures.terms().encode();
     List<Heard> expected =
         List.of(
-            new Heard(Word.TAKE, "1-2"),
-            new Heard(Word.WHO, terms),
-            new Heard(Word.TERMS, terms),
-            new Heard(Word.AGREED, ""),
-            new Heard(Word.NO_NEVER, ""),
-            new Heard(Word.NO_LATER, ""),
-            new Heard(Word.UNFIT, ""),
-            new Heard(Word.BACK, ""),
-            new Heard(Word.TAKEN, ""),
-            new Heard(Word.LISTENS, ""),
-            new Heard(Word.CEDED, ""),
-            new Heard(Word.NO_NEVER, "classes differ: 'save' is 50% longer\u20ac"),
-            new Heard(Word.NO_LATER, "busy"),
-            new Heard(Word.UNFIT, "no class 'read'"),
-            new Heard(Word.BACK, "the folder is held"),
-            new Heard(Word.TOLD, ""),
-            new Heard(Word.YOURS, ""),
-            new Heard(Word.HANDED, ""),
+            new Heard(Message.TAKEOVER_REQUEST, "1-2"),
+            new Heard(Message.PREDECESSOR_CAPABILITIES, terms),
+            new Heard(Message.SUCCESSOR_CAPABILITIES, terms),
+            new Heard(Message.ACCEPTANCE, ""),
+            new Heard(Message.REJECTION, ""),
+            new Heard(Message.RETRY_LATER, ""),
+            new Heard(Message.WITHDRAWAL, ""),
+            new Heard(Message.OWNERSHIP_RETURNED, ""),
+            new Heard(Message.KEYS_ACKNOWLEDGED, ""),
+            new Heard(Message.LISTENING, ""),
+            new Heard(Message.RELINQUISHED, ""),
+            new Heard(Message.REJECTION, "classes differ: 'save' is 50% longer\u20ac"),
+            new Heard(Message.RETRY_LATER, "busy"),
+            new Heard(Message.WITHDRAWAL, "no class 'read'"),
+            new Heard(Message.OWNERSHIP_RETURNED, "the folder is held"),
+            new Heard(Message.KEYS_COMPLETE, ""),
+            new Heard(Message.OWNERSHIP, ""),
+            new Heard(Message.LEGACY_OWNERSHIP, ""),
             // Heard only where all messages of keys between it and the one before were understood.
-            new Heard(Word.CEDED, ""),
+            new Heard(Message.RELINQUISHED, ""),
             END);
 
     List<Heard> actual = heardOf(recorded, "ceded\\x0d\\x0a");
@@ -85,7 +85,10 @@
 
     assertEquals(
         List.of(
-            new Heard(Word.TAKE, "0"), new Heard(Word.TAKE, "1"), new Heard(Word.TAKE, "2-3"), END),
+            new Heard(Message.TAKEOVER_REQUEST, "0"),
+            new Heard(Message.TAKEOVER_REQUEST, "1"),
+            new Heard(Message.TAKEOVER_REQUEST, "2-3"),
+            END),
         actual);
   }
 
@@ -107,7 +110,7 @@
   void termsAreSaidInTheRecordedLines() throws Exception {
     String expected = Files.readString(TERMS);
 
-    String actual = PeerLinkFormatFixtures.terms().text();
+    String actual = PeerLinkFormatFixtures.terms().encode();
 
     assertEquals(expected, actual);
   }
@@ -116,7 +119,7 @@
   void theRecordedTermsAreReadWithEachOfTheirFields() throws Exception {
     String recorded = Files.readString(TERMS);
 
-    Capabilities actual = Capabilities.read(recorded);
+    Capabilities actual = Capabilities.decode(recorded);
 
     assertEquals(PeerLinkFormatFixtures.terms(), actual);
   }
@@ -125,19 +128,19 @@
   void termsWithALineThatIsNotKnownAndWithoutAScaleAreRead() throws Exception {
     String recorded = Files.readString(TERMS).replaceFirst("scale .*\n", "later some thing\n");
 
-    Capabilities actual = Capabilities.read(recorded);
+    Capabilities actual = Capabilities.decode(recorded);
 
-    assertEquals(0, actual.scale());
-    assertEquals(PeerLinkFormatFixtures.terms().room(), actual.room());
+    assertEquals(0, actual.clockBaseUnixMillis());
+    assertEquals(PeerLinkFormatFixtures.terms().keyCapacity(), actual.keyCapacity());
   }
 
   /** Says all this on one link, and gives what its other side is told, the end included. */
   private List<Heard> heardOf(List<String> messages, String last) throws Exception {
     BlockingQueue<Heard> heard = new LinkedBlockingQueue<>();
-    PeerLink.Side side = (link, word, detail) -> heard.add(new Heard(word, detail));
+    PeerLink.MessageHandler side = (link, word, detail) -> heard.add(new Heard(word, detail));
     Path socket = folder.resolve("n1");
     try (ServerSocketChannel server =
-            PeerLink.await(socket, PeerLinkFormatFixtures.core().partner(), side);
+            PeerLink.listen(socket, PeerLinkFormatFixtures.core().partner(), side);
         SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
       for (String message : messages) {
         PeerLinkFormatFixtures.write(other, message);
--- a/src/test/java/wharftrestle/transport/PeerLinkTest.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharftrestle.transport.PeerLink.Word;
+import wharftrestle.transport.PeerLink.Message;
 
 /** The link between two processes of a box, where one of them has a fault of its own. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
@@ -26,26 +26,26 @@
   private static final int LINKS = 6;
 
   @TempDir private Path folder;
-  private final BlockingQueue<Word> heard = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Message> heard = new LinkedBlockingQueue<>();
 
-  private Word next() throws InterruptedException {
+  private Message next() throws InterruptedException {
     return heard.poll(10, TimeUnit.SECONDS);
   }
 
   @Test
   void anErrorWhileHearingMakesDeafButNeitherEndsTheLinkNorKeepsItsPlace() throws Exception {
     Path at = folder.resolve("n1");
-    PeerLink.Side side =
+    PeerLink.MessageHandler side =
         (link, word, detail) -> {
           heard.add(word);
           throw new OutOfMemoryError("made up");
         };
-    try (ServerSocketChannel server = PeerLink.await(at, null, side)) {
+    try (ServerSocketChannel server = PeerLink.listen(at, null, side)) {
       assertTrue(server.isOpen());
       for (int i = 0; i < LINKS; i++) {
         try (SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(at))) {
           other.write(ByteBuffer.wrap(BoundedReader.ascii("taken\r\n")));
-          assertEquals(Word.TAKEN, next(), "link " + i);
+          assertEquals(Message.KEYS_ACKNOWLEDGED, next(), "link " + i);
           ByteBuffer more = ByteBuffer.allocate(MUCH);
           while (more.hasRemaining()) {
             other.write(
@@ -53,7 +53,7 @@
           }
           assertTrue(heard.isEmpty());
         }
-        assertEquals(Word.LOST, next(), "the end of the other side alone");
+        assertEquals(Message.LINK_LOST, next(), "the end of the other side alone");
       }
     }
   }
--- a/src/test/java/wharftrestle/version/VersionTest.java
+++ b/src/test/java/wharftrestle/version/VersionTest.java
@@ -24,11 +24,11 @@
 
   @Test
   void rangesHaveTheNewestVersionInCommonOrNone() {
-    assertEquals(2, VersionRange.of("1-2").common(VersionRange.of("2-5")));
-    assertEquals(-1, VersionRange.of("1-2").common(VersionRange.of("3")));
-    assertEquals("1-2", VersionRange.of("1-2").toString());
+    assertEquals(2, VersionRange.parse("1-2").newestCommon(VersionRange.parse("2-5")));
+    assertEquals(-1, VersionRange.parse("1-2").newestCommon(VersionRange.parse("3")));
+    assertEquals("1-2", VersionRange.parse("1-2").toString());
     for (String bad : new String[] {"", "2-1", "1-2-3", "x", "-1", "1-"}) {
-      assertThrows(IllegalArgumentException.class, () -> VersionRange.of(bad), bad);
+      assertThrows(IllegalArgumentException.class, () -> VersionRange.parse(bad), bad);
     }
   }
 
@@ -36,13 +36,14 @@
   void whatIsBesideTheJarIsReadAndWhatIsNoDigestIsNotBelieved(@TempDir Path folder)
       throws Exception {
     Path jar = Files.writeString(folder.resolve("a.jar"), "bytes");
-    assertEquals("unknown", BuildInfo.beside(jar));
+    assertEquals("unknown", BuildInfo.recordedDigest(jar));
     Files.writeString(folder.resolve("a.jar.sha256"), BuildInfo.digest(jar) + "  a.jar\n");
-    assertEquals(BuildInfo.digest(jar), BuildInfo.beside(jar));
+    assertEquals(BuildInfo.digest(jar), BuildInfo.recordedDigest(jar));
     assertEquals(
-        "277089d91c0bdf4f2e6862ba7e4a07605119431f5d13f726dd352b06f1b206a9", BuildInfo.beside(jar));
+        "277089d91c0bdf4f2e6862ba7e4a07605119431f5d13f726dd352b06f1b206a9",
+        BuildInfo.recordedDigest(jar));
     Files.writeString(folder.resolve("a.jar.sha256"), "half");
-    assertEquals("unknown", BuildInfo.beside(jar));
+    assertEquals("unknown", BuildInfo.recordedDigest(jar));
   }
 
   private static String canonical(
