--- a/src/test/java/wharftrestle/NoDeploymentTest.java
+++ b/src/test/java/wharftrestle/NoDeploymentTest.java
@@ -119,7 +119,7 @@
       for (Path file : (Iterable<Path>) files.filter(Files::isRegularFile).sorted()::iterator) {
         String where = root.relativize(file).toString();
         String text = Files.readString(file);
-        if (where.contains("wharftrestle/lab/")) {
+        if (where.contains("wharftrestle/testbed/") || where.contains("wharftrestle/simulation/")) {
           continue;
         }
         if (where.endsWith(".java")) {
@@ -164,7 +164,7 @@
                     static final String PLAIN = "an outcomes";
                 }
                 """);
-    Path rig = Files.createDirectories(planted.resolve("java/wharftrestle/lab"));
+    Path rig = Files.createDirectories(planted.resolve("java/wharftrestle/testbed"));
     Files.writeString(rig.resolve("B.java"), "class B { String name = \"outcome\"; }\n");
     Files.writeString(planted.resolve("run.json"), "{\"name\": \"mooring-fee\", \"ms\": 3137}\n");
     assertEquals(
