--- /dev/null
+++ b/src/main/java/wharftrestle/cli/AdapterCommand.java
@@ -0,0 +1,19 @@
+package wharftrestle.cli;
+
+import java.io.IOException;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.simulator.SimulatorAdapter;
+
+/** Runs the daemon's admission code on the simulator's protocol. */
+@Command(
+    name = "adapter",
+    description = "decide on the simulator's wire, on standard input and output")
+public final class AdapterCommand implements Callable<Integer> {
+  @Override
+  public Integer call() throws IOException {
+    new SimulatorAdapter(GroupEdfScheduler::new).serve(System.in, System.out);
+    return 0;
+  }
+}
--- a/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
+++ b/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
@@ -11,86 +11,117 @@
 import java.util.Map;
 import wharftrestle.admission.Admission.Outcome;
 import wharftrestle.config.DaemonConfig;
+import wharftrestle.request.RequestCoordinator;
 import wharftrestle.time.SteadyWallClock;
 import wharftrestle.transport.BoundedReader;
 
 /**
- * One request from end to end in a daemon without a worker pool, whose words are spoken for it
- * here. The build runs it once so that the JVM can keep the classes it loads in an archive, which
- * saves a start a fifth of its CPU. It must never be part of a daemon that serves, and decides
- * nothing.
+ * The class-data-sharing training run: requests from end to end in a daemon without a worker pool,
+ * whose messages are played here. The build runs it once, so that the JVM archives the classes that a
+ * daemon loads. Never part of a daemon that serves.
  */
 public final class ClassDataTrainingRun {
+  private static final String CONFIGURATION = "/rehearsal.json";
+  private static final int REQUESTS = 4;
+
+  /** Requests after this one also call the store, at whose address nothing listens. */
+  private static final int LAST_REQUEST_WITHOUT_CALL = 2;
+
+  private static final double[] WORKER_POOL_GAUGES = {0.1, 0, 0.1, 1};
+  private static final double EXECUTION_SECONDS = 0.01;
+
   private ClassDataTrainingRun() {}
 
+  /**
+   * Runs a daemon from start to stop.
+   *
+   * @throws IOException where a request has no answer
+   */
   public static void run()
       throws IOException, InterruptedException, DaemonConfig.BadConfigException {
     Path file = Files.createTempFile("rehearsal", ".json");
-    try (InputStream told = ClassDataTrainingRun.class.getResourceAsStream("/rehearsal.json")) {
-      Files.copy(told, file, StandardCopyOption.REPLACE_EXISTING);
-      DaemonConfig config = DaemonConfig.read(Map.of("EDGE_CONFIG", file.toString()));
-      try (Lifecycle life =
-          new Lifecycle(config, new DaemonConfig.Appliance(null, null, null, "", 24))) {
-        life.start();
-        life.requestCoordinator().bound(false, 0);
-        life.requestCoordinator().gauges(new double[] {0.1, 0, 0.1, 1});
-        exchange(life.adminAddress(), "GET /_vars HTTP/1.1\r\n\r\n", 200);
-        try (Socket caller = new Socket()) {
-          caller.connect(life.respAddress());
-          for (int i = 1; i <= 4; i++) {
-            ask(life, caller, i);
-          }
-        }
-        life.leave();
-        life.serveUntilStopped();
-      }
+    try (InputStream configuration =
+        ClassDataTrainingRun.class.getResourceAsStream(CONFIGURATION)) {
+      Files.copy(configuration, file, StandardCopyOption.REPLACE_EXISTING);
+      run(DaemonConfig.read(Map.of("EDGE_CONFIG", file.toString())));
     } finally {
       Files.delete(file);
     }
   }
 
-  private static void ask(Lifecycle life, Socket caller, int tag) throws IOException {
-    String ref = String.format("%016x", tag);
+  private static void run(DaemonConfig config) throws IOException, InterruptedException {
+    try (Lifecycle daemon =
+        new Lifecycle(config, new DaemonConfig.Appliance(null, null, null, "", 24))) {
+      daemon.start();
+      daemon.requestCoordinator().bound(false, 0);
+      daemon.requestCoordinator().gauges(WORKER_POOL_GAUGES);
+      getVariables(daemon.adminAddress());
+      sendRequests(daemon);
+      daemon.leave();
+      daemon.serveUntilStopped();
+    }
+  }
+
+  private static void getVariables(InetSocketAddress admin) throws IOException {
+    try (Socket socket = new Socket()) {
+      socket.connect(admin);
+      socket.getOutputStream().write(BoundedReader.ascii("GET /_vars HTTP/1.1\r\n\r\n"));
+      readUntil(socket.getInputStream(), " 200 ");
+    }
+  }
+
+  private static void sendRequests(Lifecycle daemon) throws IOException {
+    try (Socket client = new Socket()) {
+      client.connect(daemon.respAddress());
+      for (int tag = 1; tag <= REQUESTS; tag++) {
+        sendRequest(daemon.requestCoordinator(), client, tag);
+      }
+    }
+  }
+
+  private static void sendRequest(RequestCoordinator requests, Socket client, int tag)
+      throws IOException {
+    String reference = String.format("%016x", tag);
+    OutputStream out = client.getOutputStream();
+    InputStream in = client.getInputStream();
+    out.write(BoundedReader.ascii(requestMessage(tag, reference) + statusMessage(tag)));
+    readUntil(in, "healthy"); // Answered once the request before it has been read.
+    if (tag > LAST_REQUEST_WITHOUT_CALL) {
+      requests.blocked(reference, tag, new byte[0]);
+    }
+    requests.finished(reference, Outcome.SUCCESS, EXECUTION_SECONDS, new byte[0]);
+    readUntil(in, "\r\n$0\r\n\r\n$0\r\n\r\n");
+  }
+
+  private static String requestMessage(int tag, String reference) {
+    boolean isKeyed = tag % 2 == 0;
     String fields =
         "txn="
-            + ref
+            + reference
             + ",door="
             + SteadyWallClock.now()
             + ",lb=1,team=one,ram=24.5,standing=0.5"
-            + (tag % 2 == 0 ? ",unique=k" + tag : "");
-    StringBuilder text = new StringBuilder("*5\r\n");
-    for (String word :
-        new String[] {"ASK", "" + tag, tag % 2 == 0 ? "save" : "read", fields, "x"}) {
-      text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
-    }
-    OutputStream out = caller.getOutputStream();
-    out.write(BoundedReader.ascii(text + "*3\r\n$6\r\nSTATUS\r\n$2\r\n9" + tag + "\r\n$0\r\n\r\n"));
-    InputStream in = caller.getInputStream();
-    read(in, "healthy"); // all that was sent before it has been read
-    if (tag > 2) {
-      life.requestCoordinator()
-          .blocked(ref, tag, new byte[0]); // nobody listens at the store's address
+            + (isKeyed ? ",unique=k" + tag : "");
+    StringBuilder message = new StringBuilder("*5\r\n");
+    for (String argument :
+        new String[] {"ASK", Integer.toString(tag), isKeyed ? "save" : "read", fields, "x"}) {
+      message.append('$').append(argument.length()).append("\r\n").append(argument).append("\r\n");
     }
-    life.requestCoordinator().finished(ref, Outcome.SUCCESS, 0.01, new byte[0]);
-    read(in, "\r\n$0\r\n\r\n$0\r\n\r\n");
+    return message.toString();
   }
 
-  private static void read(InputStream in, String end) throws IOException {
-    StringBuilder seen = new StringBuilder();
-    while (seen.indexOf(end) < 0) {
+  private static String statusMessage(int tag) {
+    return "*3\r\n$6\r\nSTATUS\r\n$2\r\n9" + tag + "\r\n$0\r\n\r\n";
+  }
+
+  private static void readUntil(InputStream in, String end) throws IOException {
+    StringBuilder received = new StringBuilder();
+    while (received.indexOf(end) < 0) {
       int next = in.read();
       if (next < 0) {
-        throw new IOException("ended within the rehearsal: " + seen);
+        throw new IOException("connection ended before '" + end + "', received: " + received);
       }
-      seen.append((char) next);
-    }
-  }
-
-  private static void exchange(InetSocketAddress at, String call, int status) throws IOException {
-    try (Socket socket = new Socket()) {
-      socket.connect(at);
-      socket.getOutputStream().write(BoundedReader.ascii(call));
-      read(socket.getInputStream(), " " + status + " ");
+      received.append((char) next);
     }
   }
 }
--- a/src/main/java/wharftrestle/daemon/ConfigWatcher.java
+++ b/src/main/java/wharftrestle/daemon/ConfigWatcher.java
@@ -9,45 +9,41 @@
 import wharftrestle.request.PlatformThreads;
 
 /**
- * Stands in for SIGHUP where that cannot be heard: owns the look at the configuration's file, and
- * tells once that it has changed. It must never read what is in the file for more than that, and
- * runs only where the signal is ignored.
+ * Polls the configuration file where SIGHUP is ignored, on a thread of its own, and notifies a
+ * listener of each change. It compares the file's bytes and does not interpret them.
  */
 final class ConfigWatcher {
-  /**
-   * Milliseconds between two looks: some kilobytes are read, and callers wait seconds for a box
-   * that moves.
-   */
   static final int POLL_INTERVAL_MILLIS = 250;
 
+  private static final byte[] UNREADABLE = new byte[0];
+
   private final Path file;
-  private final Runnable changed;
-  private byte[] known;
+  private final Runnable listener;
+  private byte[] lastContent;
 
-  ConfigWatcher(Path file, Runnable changed) {
+  ConfigWatcher(Path file, Runnable listener) {
     this.file = file;
-    this.changed = changed;
-    known = read();
+    this.listener = listener;
+    lastContent = read();
   }
 
   void start() {
-    PlatformThreads.lasting(
-            "config-watch",
-            () -> {
-              for (; ; ) {
-                LockSupport.parkNanos(POLL_INTERVAL_MILLIS * 1_000_000L);
-                poll();
-              }
-            })
-        .start();
+    PlatformThreads.lasting("config-watch", this::pollForever).start();
+  }
+
+  private void pollForever() {
+    while (true) {
+      LockSupport.parkNanos(POLL_INTERVAL_MILLIS * 1_000_000L);
+      poll();
+    }
   }
 
-  /** One look; a file that cannot be read now is looked at again. */
-  void poll() {
-    byte[] now = read();
-    if (now.length > 0 && !Arrays.equals(known, now)) {
-      known = now;
-      changed.run();
+  /** A file that cannot be read now is read again at the next poll. */
+  private void poll() {
+    byte[] content = read();
+    if (content.length > 0 && !Arrays.equals(lastContent, content)) {
+      lastContent = content;
+      listener.run();
     }
   }
 
@@ -56,7 +52,7 @@
       return Files.readAllBytes(file);
     } catch (IOException e) {
       Logger.debug("configuration: {}", e.toString());
-      return new byte[0];
+      return UNREADABLE;
     }
   }
 }
--- /dev/null
+++ b/src/main/java/wharftrestle/daemon/DaemonAdmin.java
@@ -0,0 +1,119 @@
+package wharftrestle.daemon;
+
+import java.util.List;
+import java.util.Map;
+import org.tinylog.Logger;
+import wharftrestle.admin.AdminServer;
+import wharftrestle.admin.RolloutStatus;
+import wharftrestle.admission.Admission;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.ResultMetric;
+import wharftrestle.version.Version;
+
+/** The daemon as the admin endpoint and the SNMP agent see it. Thread-safe. */
+final class DaemonAdmin implements AdminServer.Daemon {
+  private final DaemonParts parts;
+  private final LifecycleState state;
+  private final HandoverCoordinator handover;
+  private final Runnable shutdownRequest;
+  private volatile RolloutStatus rolloutStatus = RolloutStatus.NONE;
+
+  /**
+   * @param leaveNotice gives the daemon the notice to leave
+   */
+  DaemonAdmin(
+      DaemonParts parts, LifecycleState state, HandoverCoordinator handover, Runnable leaveNotice) {
+    this.parts = parts;
+    this.state = state;
+    this.handover = handover;
+    this.shutdownRequest = leaveNotice;
+  }
+
+  @Override
+  public String name() {
+    return parts.config().name();
+  }
+
+  @Override
+  public String phase() {
+    return state.current().publishedName();
+  }
+
+  @Override
+  public int phaseNumber() {
+    return state.current().publishedNumber();
+  }
+
+  @Override
+  public boolean ready() {
+    return state.current() == Lifecycle.State.SERVING
+        && parts.requests().ready()
+        && parts.frontends().isListening();
+  }
+
+  @Override
+  public boolean linked() {
+    return parts.workerPool().linked();
+  }
+
+  @Override
+  public boolean healthy() {
+    return parts.requests().healthy();
+  }
+
+  @Override
+  public double upSeconds() {
+    return state.uptimeSeconds();
+  }
+
+  @Override
+  public Counters counters() {
+    return parts.counters();
+  }
+
+  @Override
+  public Map<ResultMetric, Long> results() {
+    return parts.requests().results();
+  }
+
+  @Override
+  public Version version() {
+    return parts.version();
+  }
+
+  @Override
+  public String handover() {
+    String reason = handover.refusalReason();
+    return handover.state().publishedName() + (reason.isEmpty() ? "" : ": " + reason);
+  }
+
+  @Override
+  public List<Admission.RequestClass> classes() {
+    return parts.config().settings().classes();
+  }
+
+  @Override
+  public RolloutStatus fleet() {
+    return rolloutStatus;
+  }
+
+  @Override
+  public void fleet(RolloutStatus status) {
+    rolloutStatus = status;
+  }
+
+  @Override
+  public boolean lameDuck(boolean isOn) {
+    if (!isOn && state.isLeaving()) {
+      return false;
+    }
+    parts.requests().lameDuck(isOn);
+    Logger.info("{}: lame duck {}", name(), isOn ? "on" : "off");
+    return true;
+  }
+
+  @Override
+  public void leave() {
+    shutdownRequest.run();
+  }
+}
--- /dev/null
+++ b/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
@@ -0,0 +1,121 @@
+package wharftrestle.daemon;
+
+import org.tinylog.Logger;
+import wharftrestle.admission.Admission;
+import wharftrestle.handover.Capabilities;
+
+/** What a handover does to the parts of the daemon. */
+final class DaemonHandoverHost implements HandoverHost {
+  private static final Capabilities.KeyCapacity CAPACITY_NOT_STATED =
+      new Capabilities.KeyCapacity(0, 0, 0, 0);
+
+  private static final long CLOCK_BASE_NOT_STATED = 0;
+
+  private final DaemonParts parts;
+  private final LifecycleState state;
+  private final Runnable peerExitListener;
+
+  DaemonHandoverHost(DaemonParts parts, LifecycleState state, Runnable peerEndedListener) {
+    this.parts = parts;
+    this.state = state;
+    this.peerExitListener = peerEndedListener;
+  }
+
+  @Override
+  public Capabilities capabilities() {
+    Admission.Settings settings = parts.config().settings();
+    return new Capabilities(
+        parts.version().summaryLine(),
+        parts.version().handoverVersions(),
+        parts.version().logVersions(),
+        parts.storedResults().directory(),
+        settings.classes().stream().map(DaemonHandoverHost::requestClass).toList(),
+        settings.tenants().stream().map(Admission.Tenant::name).toList(),
+        CAPACITY_NOT_STATED,
+        CLOCK_BASE_NOT_STATED);
+  }
+
+  private static Capabilities.RequestClass requestClass(Admission.RequestClass settings) {
+    boolean isKeyed = settings.repeat() == Admission.Repeat.KEYED;
+    return new Capabilities.RequestClass(
+        settings.name(), isKeyed, isKeyed ? Math.round(settings.window() * 1000) : 0);
+  }
+
+  @Override
+  public boolean listen(boolean isAlone) {
+    return state.isLeaving()
+        ? parts.frontends().isListening()
+        : parts.frontends().listen(isAlone);
+  }
+
+  @Override
+  public void acceptClients() {
+    parts.frontends().accept();
+    parts.requests().ceded(false);
+    parts.loadReporter().pause(state.isLeaving());
+  }
+
+  @Override
+  public void relinquishClients() {
+    parts.loadReporter().pause(true);
+    parts.requests().ceded(true);
+    parts.frontends().stopListening();
+    if (state.current() == Lifecycle.State.SERVING) {
+      state.enter(Lifecycle.State.RELINQUISHED);
+    }
+  }
+
+  @Override
+  public void shareResources(boolean isShared) {
+    parts.requests().limit(parts.limits().maxRequests() / (isShared ? 2 : 1));
+    parts.frontends().shareConnections(isShared);
+  }
+
+  @Override
+  public boolean openStorage(int attempts) {
+    return parts.storedResults().open(attempts);
+  }
+
+  @Override
+  public boolean storesResults() {
+    return parts.storedResults().isEnabled();
+  }
+
+  @Override
+  public void closeStorage() {
+    parts.storedResults().closeForHandover();
+  }
+
+  @Override
+  public boolean isLeaving() {
+    return state.isLeaving();
+  }
+
+  @Override
+  public void enterServing() {
+    state.enter(Lifecycle.State.SERVING);
+  }
+
+  @Override
+  public void reportRefusal(String reason) {
+    Logger.error(
+        "{} cannot take over from the process that serves: {}; it starts once that one has ended",
+        parts.config().name(),
+        reason);
+  }
+
+  @Override
+  public void failUnknownKeys() {
+    double seconds = parts.longestWindowSeconds();
+    Logger.warn(
+        "{}: keys of the process that has ended are not known here: unknown ones fail for {} s",
+        parts.config().name(),
+        Math.round(seconds));
+    parts.requests().partner().unknownFail(seconds);
+  }
+
+  @Override
+  public void onPeerExit() {
+    peerExitListener.run();
+  }
+}
--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -1,8 +1,9 @@
 package wharftrestle.daemon;
 
-import java.nio.channels.ServerSocketChannel;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.locks.LockSupport;
+import java.util.function.BooleanSupplier;
 import org.tinylog.Logger;
 import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.CompatibilityCheck;
@@ -10,581 +11,350 @@
 import wharftrestle.handover.HandoverStateMachine.Action;
 import wharftrestle.handover.HandoverStateMachine.Event;
 import wharftrestle.handover.HandoverStateMachine.State;
-import wharftrestle.handover.ProcessPauseDetector;
+import wharftrestle.handover.HandoverStateMachine.Transition;
 import wharftrestle.request.PeerCoordinator;
 import wharftrestle.request.PlatformThreads;
 import wharftrestle.time.SteadyWallClock;
-import wharftrestle.transport.BoundedReader;
-import wharftrestle.transport.OwnershipLock;
 import wharftrestle.transport.PeerLink;
 import wharftrestle.transport.PeerLink.Message;
-import wharftrestle.version.BuildInfo;
 
 /**
- * Carries out the hand-over between the processes of one box: it gives {@link HandoverStateMachine}
- * what was heard, and does what that asks for. It owns the links to the other processes, the place
- * where they meet, and the waiting. It must never decide a step itself, or wait for the other side
- * while its own lock is held.
+ * Drives the handover between the processes of a host: turns messages of the peer and timers into
+ * events of the {@link HandoverStateMachine}, and has its actions carried out by {@link
+ * HandoverActions}. One lock, this object's, guards the state machine, the links and the actions; it
+ * is never held while the peer is waited for.
  */
-final class HandoverCoordinator implements PeerLink.MessageHandler {
+final class HandoverCoordinator implements PeerLink.MessageHandler, HandoverActions.Events {
 
-  /** What is done to the process itself; none of it waits for the other process. */
-  interface Box {
-    /** What this process says of itself, but for the room that its keys have. */
-    Capabilities terms();
+  /** A silent successor is given up on after that; nothing has moved by then. */
+  private static final long SUCCESSOR_SILENCE_MILLIS = 10_000;
 
-    /**
-     * Has the clients' addresses, beside the other process or alone; false where the platform's
-     * cannot be had.
-     */
-    boolean bind(boolean alone);
-
-    /** Takes clients at the addresses that it has. */
-    void accept();
-
-    /** Takes no more clients. */
-    void cede();
-
-    /** Half of all threads and connections, or the whole; who is too many then is sent away. */
-    void halve(boolean half);
-
-    /** Takes the folder of kept results; false where it cannot be had. */
-    boolean openRecords(int tries);
-
-    /** True where what ran is known from a disk, whoever ended. */
-    boolean keepsRecords();
-
-    /** Gives the folder back, once what waits for it is written or has waited long enough. */
-    void closeRecords();
-
-    /** This process serves from now on. */
-    void serveOn();
-
-    /** This process waits until the other one has ended. */
-    void refused(String reason);
-
-    /**
-     * What ran at the process that has ended could not be carried: no key that is not known runs
-     * for a window.
-     */
-    void unknownFail();
-
-    /** The other process has ended: what it had besides its clients can be had. */
-    void otherEnded();
-  }
-
-  /** Milliseconds after which a silent asker is given up on: nothing was lost or moved by then. */
-  private static final long SILENT_MS = 10_000;
+  private final String name;
+  private final PeerCoordinator peerKeys;
+  private final HandoverHost host;
+  private final CompatibilityCheck compatibilityCheck;
+  private final HandoverLinks links;
+  private final HandoverActions actions;
+  private final HandoverStateMachine stateMachine;
 
-  /** Milliseconds of the first pause before it is asked again, and how often it is. */
-  private static final long PAUSE_MS = 200;
+  /** Why the last handover failed, as operators and the peer are shown it. */
+  private String failureReason = "";
 
-  private static final int MOST_PAUSES = 5;
+  private int attempt;
 
-  /** Milliseconds between two looks whether a process serves, at first and at most. */
-  private static final long LOOK_MS = 50;
+  /** True where the successor has died and this process leaves: only it knows the keys. */
+  private boolean leavesAsLastHolder;
 
-  private static final long MOST_LOOK_MS = 1000;
+  private volatile boolean isClosed;
 
   /**
-   * Tries for a folder that a process which has just ended had, and for one that was given back.
+   * Connects to the process that serves this host, if one does.
+   *
+   * @param socket where the processes of the host meet; null where handovers are off
    */
-  private static final int TRIES_AFTER_DEATH = 20;
-
-  private static final int TRIES_GIVEN = 2;
-
-  private final String name;
-  private final Path meeting; // null where there is no hand-over
-  private final PeerCoordinator partner;
-  private final Box box;
-  private final CompatibilityCheck agreement;
-  private final HandoverStateMachine steps;
-  private final OwnershipLock seat; // null where there is no hand-over
-  private PeerLink link; // to the other process of the hand-over under way
-  private PeerLink next; // asked meanwhile: its turn comes after
-  private String nextRange;
-  private String reason = ""; // of the last no
-  private boolean refusedBefore; // what is known could not be carried
-  private volatile boolean closed;
-  private volatile ProcessPauseDetector
-      standstill; // since this process handed over; null where it has not
-  private boolean lostHeir; // the one that took over has died, and this process leaves
-  private int told; // settled keys
-  private int given; // open keys
-  private int pauses;
-  private int rounds; // of hand-overs asked for here, so that a late look knows its own
-  private ServerSocketChannel successors;
-
   HandoverCoordinator(
-      String name, Path meeting, PeerCoordinator partner, Box box, CompatibilityCheck agreement) {
+      String name,
+      Path socket,
+      PeerCoordinator peerKeys,
+      HandoverHost host,
+      CompatibilityCheck compatibilityCheck) {
     this.name = name;
-    this.meeting = meeting;
-    this.partner = partner;
-    this.box = box;
-    this.agreement = agreement;
-    seat = meeting == null ? null : new OwnershipLock(meeting);
-    link = meeting == null ? null : PeerLink.connect(meeting, partner, this);
-    // Guards against serving without the keys of a process that is stopped, or lives on after its
-    // successor died.
-    boolean waits = link == null && seat != null && !seat.alone();
-    steps =
-        waits
-            ? new HandoverStateMachine(State.DISCOVERING_PEER)
-            : new HandoverStateMachine(link != null);
+    this.peerKeys = peerKeys;
+    this.host = host;
+    this.compatibilityCheck = compatibilityCheck;
+    links = new HandoverLinks(socket, peerKeys, this);
+    actions = new HandoverActions(name, links, peerKeys, host, this);
+    stateMachine = new HandoverStateMachine(initialState(links));
+  }
+
+  /** A process that holds the keys may be stopped, or outlive its successor: it is waited for. */
+  private static State initialState(HandoverLinks links) {
+    if (links.current() != null) {
+      return State.AWAITING_WORKER_POOL;
+    }
+    return links.isOnlyKeyHolder() ? State.ACTIVE : State.DISCOVERING_PEER;
   }
 
-  /** True where this process came second and has yet to serve. */
-  synchronized boolean comes() {
-    return steps.state() != State.ACTIVE;
+  // ---- The life of this process ----
+
+  /** True where another process serves, or holds the keys, and this one has yet to serve. */
+  synchronized boolean isStandby() {
+    return stateMachine.state() != State.ACTIVE;
   }
 
-  /** How far it has come. */
-  synchronized State state() {
-    return steps.state();
+  @Override
+  public synchronized State state() {
+    return stateMachine.state();
   }
 
-  /** Why this process waits; empty where it does not. */
-  synchronized String refusal() {
-    return steps.state() == State.AWAITING_PREDECESSOR_EXIT ? reason : "";
+  /** Why this process cannot take over; empty where it can, or has. */
+  synchronized String refusalReason() {
+    return stateMachine.state() == State.AWAITING_PREDECESSOR_EXIT ? failureReason : "";
   }
 
-  /**
-   * True where this process leaves, and what it knows is known nowhere else: a further one can
-   * still be told.
-   */
-  synchronized boolean lastHolder() {
-    return lostHeir && steps.state() != State.RELINQUISHED;
+  /** True where this process leaves, and a further one could still receive the keys from it. */
+  synchronized boolean isLastHolder() {
+    return leavesAsLastHolder && stateMachine.state() != State.RELINQUISHED;
   }
 
-  /** Hears the process that serves, from now on. */
+  /** Reads messages of the process that serves from now on. */
   void start() {
-    PeerLink elder;
+    PeerLink predecessor;
     synchronized (this) {
-      elder = link;
+      predecessor = links.current();
     }
-    if (elder != null) {
-      elder.start();
+    if (predecessor != null) {
+      predecessor.start();
     } else {
       Logger.warn(
-          "{}: a process that knows the keys of this box lives and cannot be met now: it is waited for",
+          "{}: a process that knows the keys of this box lives and cannot be met now: it is waited"
+              + " for",
           name);
     }
   }
 
-  /** The worker pool is up, and with it all that this process needs to serve. */
-  synchronized void poolUp() {
-    if (steps.accepts(Event.WORKER_POOL_READY)) {
-      take(Event.WORKER_POOL_READY);
-    } else if (steps.state() == State.DISCOVERING_PEER) {
-      act(Action.DISCOVER_PEER);
+  /** The worker pool is connected, and with it all that this process needs to serve. */
+  synchronized void onWorkerPoolReady() {
+    if (stateMachine.accepts(Event.WORKER_POOL_READY)) {
+      apply(Event.WORKER_POOL_READY);
+    } else if (stateMachine.state() == State.DISCOVERING_PEER) {
+      actions.execute(Action.DISCOVER_PEER, failureReason);
     }
   }
 
-  /** A further process can meet this one from now on. */
-  synchronized void awaitNext() {
-    if (meeting != null && !closed) {
-      BoundedReader.closeQuietly(successors);
-      successors = PeerLink.listen(meeting, partner, this);
-      if (successors != null) {
-        seat.share();
-      } else {
-        seat.leave(); // whoever comes cannot meet this process, and must not wait for it
-      }
+  /**
+   * This process serves from now on. It can be reached by successors before it reports so: one that
+   * is started on that report must not meet the process before this one.
+   */
+  @Override
+  public synchronized void startServing() {
+    if (host.isLeaving()) {
+      leavesAsLastHolder = true;
+      acceptSuccessors();
+    } else {
+      acceptSuccessors();
+      host.enterServing();
     }
   }
 
-  /**
-   * This process has to end while what it handed over has died with the other one; it can be met
-   * until then.
-   */
-  synchronized void leavesAsLast() {
-    lostHeir = true;
-    awaitNext();
+  private void acceptSuccessors() {
+    if (links.isEnabled() && !isClosed) {
+      links.listen();
+    }
   }
 
+  /** Evaluates this while no event is applied. */
+  synchronized boolean locked(BooleanSupplier supplier) {
+    return supplier.getAsBoolean();
+  }
+
+  /** Ends all links, as at the end of the process. */
   synchronized void close() {
-    closed = true;
-    BoundedReader.closeQuietly(successors);
-    if (seat != null) {
-      seat.close();
-    }
-    if (link != null) {
-      link.close();
-    }
-    if (next != null) {
-      next.close();
-    }
+    isClosed = true;
+    actions.close();
+    links.close();
   }
 
-  // ---- What is heard ----
+  // ---- Messages of the peer ----
 
   @Override
-  public synchronized void onMessage(PeerLink from, Message word, String detail) {
-    if (closed) {
+  public synchronized void onMessage(PeerLink link, Message message, String detail) {
+    if (isClosed) {
       return;
     }
-    if (word == Message.TAKEOVER_REQUEST) {
-      asked(from, detail);
-      return;
-    }
-    if (from != link) {
-      next = word == Message.LINK_LOST && from == next ? null : next;
-      return;
+    if (message == Message.TAKEOVER_REQUEST) {
+      onTakeoverRequest(link, detail);
+    } else if (link == links.current()) {
+      onPeerMessage(message, detail);
+    } else if (message == Message.LINK_LOST) {
+      links.removeWaiting(link);
     }
-    reason =
-        detail.isEmpty()
-                || word == Message.PREDECESSOR_CAPABILITIES
-                || word == Message.SUCCESSOR_CAPABILITIES
-            ? reason
-            : detail;
+  }
+
+  private void onPeerMessage(Message message, String detail) {
     Event event =
-        switch (word) {
-          case PREDECESSOR_CAPABILITIES ->
-              weigh(detail, true) ? Event.PREDECESSOR_COMPATIBLE : Event.PREDECESSOR_INCOMPATIBLE;
-          case SUCCESSOR_CAPABILITIES ->
-              weigh(detail, false) ? Event.SUCCESSOR_COMPATIBLE : Event.SUCCESSOR_INCOMPATIBLE;
-          default -> eventOf(word);
+        switch (message) {
+          case PREDECESSOR_CAPABILITIES -> onPredecessorCapabilities(detail);
+          case SUCCESSOR_CAPABILITIES -> onSuccessorCapabilities(detail);
+          case KEYS_ACKNOWLEDGED -> onKeysAcknowledged();
+          default -> eventOf(message);
         };
-    if (word == Message.KEYS_ACKNOWLEDGED && partner.lagged()) {
-      event = Event.SUCCESSOR_LAGGING;
-      reason = "too much settled meanwhile";
+    if (!detail.isEmpty() && carriesReason(message)) {
+      failureReason = detail;
     }
-    if (word == Message.LINK_LOST) {
-      link = null;
+    if (message == Message.LINK_LOST) {
+      links.setCurrent(null);
     }
-    take(event);
-    turn();
+    apply(event);
+    serveWaitingRequest();
   }
 
-  /** The event of each message that carries no decision of this process. */
-  private static Event eventOf(Message message) {
-    return switch (message) {
-      case WITHDRAWAL -> Event.SUCCESSOR_WITHDREW;
-      case ACCEPTANCE -> Event.TAKEOVER_ACCEPTED;
-      case REJECTION -> Event.TAKEOVER_REJECTED;
-      case RETRY_LATER -> Event.RETRY_LATER;
-      case KEYS_COMPLETE -> Event.KEYS_COMPLETE;
-      case KEYS_ACKNOWLEDGED -> Event.KEYS_ACKNOWLEDGED;
-      case OWNERSHIP -> Event.OWNERSHIP_RECEIVED;
-      case LEGACY_OWNERSHIP -> Event.LEGACY_OWNERSHIP_RECEIVED;
-      case LISTENING -> Event.SUCCESSOR_LISTENING;
-      case OWNERSHIP_RETURNED -> Event.OWNERSHIP_RETURNED;
-      case RELINQUISHED -> Event.PREDECESSOR_RELINQUISHED;
-      case LINK_LOST -> Event.PEER_LOST;
-      case TAKEOVER_REQUEST, PREDECESSOR_CAPABILITIES, SUCCESSOR_CAPABILITIES ->
-          throw new IllegalArgumentException(message + " is weighed before it is an event");
-    };
+  private static boolean carriesReason(Message message) {
+    return message != Message.PREDECESSOR_CAPABILITIES && message != Message.SUCCESSOR_CAPABILITIES;
   }
 
-  private void asked(PeerLink from, String range) {
-    if (!steps.state().acceptsTakeover()) {
-      // Guards against a further process that waits for ever, as the one before this has yet to
-      // end.
-      if (from != link) {
-        next = from;
-        nextRange = range;
-      }
-      return;
+  private void onTakeoverRequest(PeerLink link, String versions) {
+    if (stateMachine.state().acceptsTakeover()) {
+      serveTakeoverRequest(link, versions);
+    } else if (link != links.current()) {
+      links.enqueue(new HandoverLinks.WaitingRequest(link, versions));
     }
-    PeerLink before = link;
-    link = from;
+  }
+
+  private void serveTakeoverRequest(PeerLink link, String versions) {
+    PeerLink previous = links.current();
+    links.setCurrent(link);
     Event event =
-        switch (range) {
+        switch (versions) {
           case "0" -> Event.UNSUPPORTED_TAKEOVER_REQUEST;
           case "1" -> Event.LEGACY_TAKEOVER_REQUEST;
           default -> Event.TAKEOVER_REQUEST;
         };
-    take(event);
+    apply(event);
     if (event == Event.UNSUPPORTED_TAKEOVER_REQUEST) {
-      link = before;
+      links.setCurrent(previous);
     }
   }
 
-  /** Whoever asked meanwhile has its turn once this process can hand over. */
-  private void turn() {
-    if (next != null && steps.state().acceptsTakeover()) {
-      PeerLink waits = next;
-      next = null;
-      asked(waits, nextRange);
+  private void serveWaitingRequest() {
+    if (!stateMachine.state().acceptsTakeover()) {
+      return;
+    }
+    HandoverLinks.WaitingRequest request = links.pollWaiting();
+    if (request != null) {
+      serveTakeoverRequest(request.link(), request.versions());
     }
   }
 
-  private boolean weigh(String said, boolean comes) {
+  private Event onPredecessorCapabilities(String text) {
     try {
-      Capabilities theirs = Capabilities.decode(said);
-      Capabilities mine = terms();
-      String against =
-          comes ? agreement.incompatibility(theirs, mine) : agreement.incompatibility(mine, theirs);
-      if (against == null && comes) {
-        if (theirs.clockBaseUnixMillis() != 0) {
-          SteadyWallClock.adopt(
-              theirs.clockBaseUnixMillis()); // stamps of keys are compared with those of requests
-          // read here
-        }
-        partner.join(link, CompatibilityCheck.windowExtensionSeconds(theirs, mine));
+      Capabilities predecessor = Capabilities.decode(text);
+      Capabilities own = actions.capabilities();
+      Optional<String> reason = compatibilityCheck.incompatibility(predecessor, own);
+      failureReason = reason.orElse("");
+      if (reason.isPresent()) {
+        return Event.PREDECESSOR_INCOMPATIBLE;
       }
-      reason = against == null ? "" : against;
-      return against == null;
+      if (predecessor.clockBaseUnixMillis() != 0) {
+        // Timestamps of its keys are compared with those of requests that are read here.
+        SteadyWallClock.adopt(predecessor.clockBaseUnixMillis());
+      }
+      peerKeys.join(links.current(), CompatibilityCheck.windowExtensionSeconds(predecessor, own));
+      return Event.PREDECESSOR_COMPATIBLE;
     } catch (Capabilities.MalformedCapabilitiesException e) {
-      reason = e.getMessage();
-      return false;
+      failureReason = e.getMessage();
+      return Event.PREDECESSOR_INCOMPATIBLE;
     }
   }
 
-  private Capabilities terms() {
-    Capabilities own = box.terms();
-    return new Capabilities(
-        own.build(),
-        own.handoverVersions(),
-        own.logVersions(),
-        own.storageDirectory(),
-        own.requestClasses(),
-        own.tenants(),
-        partner.room(),
-        SteadyWallClock.base());
+  private Event onSuccessorCapabilities(String text) {
+    try {
+      Capabilities successor = Capabilities.decode(text);
+      Optional<String> reason =
+          compatibilityCheck.incompatibility(actions.capabilities(), successor);
+      failureReason = reason.orElse("");
+      return reason.isPresent() ? Event.SUCCESSOR_INCOMPATIBLE : Event.SUCCESSOR_COMPATIBLE;
+    } catch (Capabilities.MalformedCapabilitiesException e) {
+      failureReason = e.getMessage();
+      return Event.SUCCESSOR_INCOMPATIBLE;
+    }
   }
 
-  // ---- What is done ----
-
-  private void take(Event event) {
-    HandoverStateMachine.Transition step = steps.apply(event);
-    if (step.isIgnored()) {
-      Logger.debug("{}: {} while {} changes nothing", name, event, step.from());
-      return;
-    }
-    if (step.from() != step.to()) {
-      Logger.info("{}: hand-over {} to {} by {}", name, step.from(), step.to(), event);
+  private Event onKeysAcknowledged() {
+    if (peerKeys.lagged()) {
+      failureReason = "too much settled meanwhile";
+      return Event.SUCCESSOR_LAGGING;
     }
-    if (step.to().hasDeadline() && !step.from().hasDeadline()) {
-      lookForSilence(++rounds);
-    }
-    step.actions().forEach(this::act);
+    return Event.KEYS_ACKNOWLEDGED;
   }
 
-  private void act(Action act) {
-    switch (act) {
-      case SEND_TAKEOVER_REQUEST -> {
-        partner.join(link, 0);
-        link.sendTakeoverRequest(name, BuildInfo.HANDOVER_VERSIONS);
-      }
-      case SEND_PREDECESSOR_CAPABILITIES -> link.sendPredecessorCapabilities(terms().encode());
-      case SEND_SUCCESSOR_CAPABILITIES -> link.sendSuccessorCapabilities(terms().encode());
-      case SEND_WITHDRAWAL -> link.send(Message.WITHDRAWAL, reason);
-      case SEND_ACCEPTANCE -> link.send(Message.ACCEPTANCE, "");
-      case SEND_REJECTION -> {
-        Logger.warn("{}: another process asked to take over and cannot: {}", name, reason);
-        link.send(Message.REJECTION, reason);
-      }
-      case SEND_RETRY_LATER -> {
-        Logger.warn(
-            "{}: the process that asked to take over is given up on for now: {}", name, reason);
-        link.send(Message.RETRY_LATER, reason);
-      }
-      case SEND_SETTLED_KEYS -> tellSettled(link, rounds);
-      case STOP_SENDING_KEYS -> partner.stopTelling();
-      case SEND_KEYS_COMPLETE -> link.sendKeysComplete(told);
-      case SEND_KEYS_ACKNOWLEDGED -> {
-        seat.share(); // before the keys can come: they may arrive after their owner's death
-        link.send(Message.KEYS_ACKNOWLEDGED, "");
-      }
-      case TRANSFER_OWNERSHIP -> given = give(link);
-      case SEND_OWNERSHIP -> link.sendOwnership(given);
-      case TRANSFER_OWNERSHIP_LEGACY -> handAsFormer(link);
-      case PARK_LINK ->
-          Logger.warn(
-              "{}: an older build asks to take over; it can start once this process has ended",
-              name);
-      case OPEN_STORAGE -> openRecords();
-      case RETURN_OWNERSHIP -> {
-        seat.leave();
-        link.send(Message.OWNERSHIP_RETURNED, reason);
-      }
-      case LISTEN_ALONGSIDE -> {
-        box.bind(false);
-        box.accept();
-      }
-      case SEND_LISTENING -> link.send(Message.LISTENING, "");
-      case RELINQUISH -> box.cede();
-      case SEND_RELINQUISHED -> link.send(Message.RELINQUISHED, "");
-      case RECLAIM_OWNERSHIP -> takeBack();
-      case RESOLVE_PEER_LOSS -> otherGone();
-      case LISTEN_ALONE -> {
-        box.bind(true);
-        box.accept();
-      }
-      case START_SERVING -> box.serveOn();
-      case DISCOVER_PEER -> later("look", LOOK_MS, () -> look(LOOK_MS));
-      case BACK_OFF -> {
-        seat.leave();
-        pause();
-      }
-      case REPORT_REFUSAL -> {
-        refusedBefore = true;
-        box.refused(reason);
-      }
-      default -> throw new IllegalStateException("nothing does " + act);
-    }
+  /** The event of each message that needs no decision here. */
+  private static Event eventOf(Message message) {
+    return switch (message) {
+      case WITHDRAWAL -> Event.SUCCESSOR_WITHDREW;
+      case ACCEPTANCE -> Event.TAKEOVER_ACCEPTED;
+      case REJECTION -> Event.TAKEOVER_REJECTED;
+      case RETRY_LATER -> Event.RETRY_LATER;
+      case KEYS_COMPLETE -> Event.KEYS_COMPLETE;
+      case KEYS_ACKNOWLEDGED -> Event.KEYS_ACKNOWLEDGED;
+      case OWNERSHIP -> Event.OWNERSHIP_RECEIVED;
+      case LEGACY_OWNERSHIP -> Event.LEGACY_OWNERSHIP_RECEIVED;
+      case LISTENING -> Event.SUCCESSOR_LISTENING;
+      case OWNERSHIP_RETURNED -> Event.OWNERSHIP_RETURNED;
+      case RELINQUISHED -> Event.PREDECESSOR_RELINQUISHED;
+      case LINK_LOST -> Event.PEER_LOST;
+      case TAKEOVER_REQUEST, PREDECESSOR_CAPABILITIES, SUCCESSOR_CAPABILITIES ->
+          throw new IllegalArgumentException("decided before it is an event: " + message);
+    };
   }
 
-  /**
-   * Tells without the lock, as the other side may be slow; the end of it is an event of its own.
-   */
-  private void tellSettled(PeerLink to, int round) {
-    PlatformThreads.thread(
-            "box-tell",
-            () -> {
-              int all = partner.tellSettled(to);
-              synchronized (this) {
-                if (to == link && round == rounds && steps.state() == State.SENDING_KEYS) {
-                  told = all;
-                  reason = "it does not take what it is told";
-                  take(all < 0 ? Event.DEADLINE_EXCEEDED : Event.ALL_KEYS_SENT);
-                  turn();
-                }
-              }
-            })
-        .start();
+  // ---- Events and timers ----
+
+  @Override
+  public synchronized void apply(Event event, String reason) {
+    failureReason = reason;
+    apply(event);
   }
 
-  /**
-   * Guards against a process that asked and stalls: this one waits for it without loss, but not for
-   * ever.
-   */
-  private void lookForSilence(int round) {
-    later(
-        "box-silence",
-        SILENT_MS,
+  @Override
+  public synchronized void apply(Event event) {
+    Transition transition = stateMachine.apply(event);
+    if (transition.isIgnored()) {
+      Logger.debug("{}: handover event ignored event={} state={}", name, event, transition.from());
+      return;
+    }
+    if (transition.from() != transition.to()) {
+      Logger.info(
+          "{}: handover from={} to={} event={}", name, transition.from(), transition.to(), event);
+    }
+    if (transition.to().hasDeadline() && !transition.from().hasDeadline()) {
+      attempt++;
+      scheduleSilenceDeadline(attempt);
+    }
+    transition.actions().forEach(action -> actions.execute(action, failureReason));
+  }
+
+  private void scheduleSilenceDeadline(int ofAttempt) {
+    schedule(
+        "handover-silence",
+        SUCCESSOR_SILENCE_MILLIS,
         () -> {
-          if (round == rounds && steps.state().hasDeadline()) {
-            reason = "it was silent for " + SILENT_MS / 1000 + " s";
-            take(Event.DEADLINE_EXCEEDED);
-            turn();
+          if (ofAttempt == attempt && stateMachine.state().hasDeadline()) {
+            apply(
+                Event.DEADLINE_EXCEEDED,
+                "it was silent for " + SUCCESSOR_SILENCE_MILLIS / 1000 + " s");
+            serveWaitingRequest();
           }
         });
   }
 
-  private void later(String what, long ms, Runnable then) {
+  @Override
+  public int attempt() {
+    return attempt;
+  }
+
+  @Override
+  public void schedule(String threadName, long delayMillis, Runnable step) {
     PlatformThreads.thread(
-            what,
+            threadName,
             () -> {
-              LockSupport.parkNanos(ms * 1_000_000);
+              LockSupport.parkNanos(delayMillis * 1_000_000);
               synchronized (this) {
-                if (!closed) {
-                  then.run();
+                if (!isClosed) {
+                  step.run();
                 }
               }
             })
         .start();
   }
 
-  private int give(PeerLink to) {
-    box.halve(true);
-    int open = partner.handOver(to);
-    box.closeRecords(); // only the owner of the keys writes, and it reads what is on disk by now
-    ProcessPauseDetector mine = new ProcessPauseDetector(seconds());
-    standstill = mine;
-    PlatformThreads.thread("box-awake", () -> lookFor(mine)).start();
-    return open;
-  }
-
-  private void handAsFormer(PeerLink to) {
-    int handed = give(to);
-    // Not under this lock, which its end needs: a build of format 1 that stalls is waited for, as
-    // it owns all by now.
-    PlatformThreads.thread(
-            "box-tell",
-            () -> to.sendLegacyOwnership(handed + Math.max(0, partner.tellSettledAfter(to))))
-        .start();
-  }
-
-  private void openRecords() {
-    boolean opened = box.openRecords(TRIES_GIVEN);
-    reason = opened ? reason : "its folder of kept results cannot be had";
-    if (!opened) {
-      partner.giveBack();
-    }
-    take(opened ? Event.STORAGE_OPENED : Event.STORAGE_UNAVAILABLE);
-  }
-
-  private static double seconds() {
-    return System.nanoTime() / 1e9;
-  }
-
-  /** Not under this lock, which may be held for longer than a look. */
-  private void lookFor(ProcessPauseDetector mine) {
-    while (standstill == mine && !closed) {
-      synchronized (mine) {
-        mine.poll(seconds());
-      }
-      LockSupport.parkNanos((long) (ProcessPauseDetector.POLL_INTERVAL_SECONDS * 1e9));
-    }
-  }
-
-  private boolean stoodStill() {
-    ProcessPauseDetector mine = standstill;
-    if (mine == null) {
-      return false;
-    }
-    synchronized (mine) {
-      return mine.hasPausedRecently(seconds());
-    }
-  }
-
-  private void takeBack() {
-    if (stoodStill() && !box.keepsRecords()) {
-      // Guards against a second run of a key whose word the other one could not write while this
-      // process stood still.
-      box.unknownFail();
-    }
-    standstill = null;
-    box.openRecords(TRIES_AFTER_DEATH);
-    partner.otherGone();
-    box.halve(false);
-    Logger.warn("{}: the process that took over is gone, this one owns its keys again", name);
-  }
-
-  private void otherGone() {
-    if (!box.openRecords(TRIES_AFTER_DEATH)) {
-      Logger.error("{}: kept results cannot be had, keyed requests are refused", name);
-    }
-    partner.otherGone();
-    box.halve(false);
-    if (refusedBefore) {
-      refusedBefore = false;
-      box.unknownFail();
-    }
-    box.otherEnded();
-  }
-
-  /** Whoever comes first serves: another process of this box may have waited as well. */
-  private void look(long waited) {
-    if (steps.state() != State.DISCOVERING_PEER) {
-      return;
-    }
-    seat.leave(); // what it was told in part counts for nothing
-    PeerLink met = PeerLink.connect(meeting, partner, this);
-    if (met != null) {
-      link = met;
-      pauses = 0;
-      met.start();
-      take(Event.PEER_FOUND);
-    } else if (seat.alone() && box.bind(true)) {
-      take(Event.NO_PEER_FOUND);
-    } else {
-      long longer = Math.min(MOST_LOOK_MS, waited * 2);
-      later("look", longer, () -> look(longer));
+  @Override
+  public synchronized void whileSendingKeys(PeerLink successor, int ofAttempt, Runnable step) {
+    if (successor == links.current()
+        && ofAttempt == attempt
+        && stateMachine.state() == State.SENDING_KEYS) {
+      step.run();
+      serveWaitingRequest();
     }
   }
-
-  private void pause() {
-    boolean again = ++pauses <= MOST_PAUSES;
-    later(
-        "box-pause",
-        again ? PAUSE_MS << pauses : 1,
-        () -> {
-          if (steps.state() == State.BACKING_OFF) {
-            take(again ? Event.BACKOFF_ELAPSED : Event.RETRIES_EXHAUSTED);
-          }
-        });
-  }
 }
--- /dev/null
+++ b/src/main/java/wharftrestle/daemon/HandoverLinks.java
@@ -0,0 +1,126 @@
+package wharftrestle.daemon;
+
+import java.nio.channels.ServerSocketChannel;
+import java.nio.file.Path;
+import wharftrestle.request.PeerCoordinator;
+import wharftrestle.transport.BoundedReader;
+import wharftrestle.transport.OwnershipLock;
+import wharftrestle.transport.PeerLink;
+
+/**
+ * The links of this process to the other processes of its host, the socket at which further ones
+ * reach it, and the ownership lock. Guarded by the lock of {@link HandoverCoordinator}.
+ */
+final class HandoverLinks {
+  private final Path socket; // null where handovers are off
+  private final PeerCoordinator peerKeys;
+  private final PeerLink.MessageHandler handler;
+  private final OwnershipLock ownershipLock; // null where handovers are off
+
+  /** To the peer of the handover under way; null for none. */
+  private PeerLink current;
+
+  private WaitingRequest waiting;
+  private ServerSocketChannel listener;
+
+  /** A takeover request that came while another handover was under way. */
+  record WaitingRequest(PeerLink link, String versions) {}
+
+  /** Connects to the process that serves, if one does. Nothing is read before {@link
+   * PeerLink#start}. */
+  HandoverLinks(Path socket, PeerCoordinator peerKeys, PeerLink.MessageHandler handler) {
+    this.socket = socket;
+    this.peerKeys = peerKeys;
+    this.handler = handler;
+    ownershipLock = socket == null ? null : new OwnershipLock(socket);
+    current = connect();
+  }
+
+  private PeerLink connect() {
+    return socket == null ? null : PeerLink.connect(socket, peerKeys, handler);
+  }
+
+  boolean isEnabled() {
+    return socket != null;
+  }
+
+  /** The link of the handover under way; null for none. */
+  PeerLink current() {
+    return current;
+  }
+
+  void setCurrent(PeerLink link) {
+    current = link;
+  }
+
+  /** Connects anew and reads; false where no process can be reached. */
+  boolean reconnect() {
+    ownershipLock.release(); // Keys that were received in part count for nothing.
+    PeerLink link = connect();
+    if (link == null) {
+      return false;
+    }
+    current = link;
+    link.start();
+    return true;
+  }
+
+  /** True where no other process knows the keys of this host. */
+  boolean isOnlyKeyHolder() {
+    return !isEnabled() || ownershipLock.tryAcquireExclusive();
+  }
+
+  /** From here on this process knows the keys of its host, or is about to. */
+  void holdKeys() {
+    ownershipLock.acquireShared();
+  }
+
+  /** This process knows nothing of the keys that others do not. */
+  void releaseKeys() {
+    ownershipLock.release();
+  }
+
+  /** Lets further processes reach this one from now on. */
+  void listen() {
+    BoundedReader.closeQuietly(listener);
+    listener = PeerLink.listen(socket, peerKeys, handler);
+    if (listener != null) {
+      holdKeys();
+    } else {
+      releaseKeys(); // A further process cannot reach this one, and must not wait for it.
+    }
+  }
+
+  /** Keeps a request until the handover under way has ended. */
+  void enqueue(WaitingRequest request) {
+    waiting = request;
+  }
+
+  /** Forgets the waiting request of a link that has ended. */
+  void removeWaiting(PeerLink ended) {
+    if (waiting != null && waiting.link() == ended) {
+      waiting = null;
+    }
+  }
+
+  /** Removes and returns the waiting request; null for none. */
+  WaitingRequest pollWaiting() {
+    WaitingRequest request = waiting;
+    waiting = null;
+    return request;
+  }
+
+  /** Closes all links and the socket, and releases the lock. */
+  void close() {
+    BoundedReader.closeQuietly(listener);
+    if (ownershipLock != null) {
+      ownershipLock.close();
+    }
+    if (current != null) {
+      current.close();
+    }
+    if (waiting != null) {
+      waiting.link().close();
+    }
+  }
+}
--- a/src/main/java/wharftrestle/daemon/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -3,48 +3,24 @@
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetSocketAddress;
-import java.util.List;
-import java.util.Map;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.admin.AdminServer;
-import wharftrestle.admin.RolloutStatus;
-import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
 import wharftrestle.config.DaemonConfig;
-import wharftrestle.discovery.LoadReporter;
-import wharftrestle.frontend.RespFrontend;
-import wharftrestle.frontend.UwsgiFrontend;
-import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.CompatibilityCheck;
-import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.metrics.Counters;
-import wharftrestle.metrics.ResultMetric;
 import wharftrestle.request.PlatformThreads;
 import wharftrestle.request.RequestCoordinator;
-import wharftrestle.snmp.SnmpAgent;
-import wharftrestle.storage.WriteAheadLog;
-import wharftrestle.transport.DescriptorBudget;
-import wharftrestle.transport.Server;
-import wharftrestle.upstream.StoreClient;
-import wharftrestle.upstream.WorkerPoolClient;
-import wharftrestle.version.BuildInfo;
-import wharftrestle.version.Version;
 
 /**
- * Owns the daemon from its start to its exit: it puts the parts together, and its named states say
- * how far it has come. Where two processes serve one box {@link HandoverCoordinator} says what it
- * does next. It must never go back a state but from ceded to serving, where the new process dies
- * early; never take part in a request, or leave before all that was read has its answer while there
- * is time.
+ * A daemon from its start to its exit: it assembles the {@linkplain DaemonParts parts}, and runs the
+ * start sequence. Where two processes serve one host, {@link HandoverCoordinator} decides what
+ * follows; {@link GracefulShutdown} runs the end. Thread-safe.
  */
-public final class Lifecycle implements AdminServer.Daemon, HandoverCoordinator.Box, AutoCloseable {
+public final class Lifecycle implements AutoCloseable {
 
   /**
-   * From start to exit, in this order; another process serves this box's clients from RELINQUISHED
-   * on.
+   * From start to exit, in this order; from RELINQUISHED on another process serves the clients of
+   * this host. The only way back is from RELINQUISHED to SERVING, where the successor dies early.
    */
   public enum State {
     STARTING(1, "starting"),
@@ -61,663 +37,203 @@
       this.publishedNumber = publishedNumber;
       this.publishedName = publishedName;
     }
-  }
-
-  /**
-   * Connections for each core of its share. Whoever holds a process to its share by stopping it
-   * wakes each of its threads every time, at its cost: 0.9 ms a second for a thread, idle or not.
-   * With 490 of them at half a core that was 0.45 of the half, so that one that went over its share
-   * for a second never came back under it.
-   */
-  private static final int CALLERS_PER_CORE = 320;
-
-  /** MB that the program takes besides its heap and the threads of connections and requests. */
-  private static final double BASE_MB = 28;
-
-  /** MB that its heap takes at most: deploy/run.sh gives it less where memory is short. */
-  private static final double HEAP_MB = 40;
-
-  /** Part of its memory that stays free. */
-  private static final double MARGIN = 0.08;
-
-  /** MB of a thread: about 110 kB resident, whatever its stack, and its buffers. */
-  private static final double THREAD_MB = 0.12;
-
-  /** Threads for requests in hand, and the least for these and for connections. */
-  private static final int MOST_IN_HAND = 192;
-
-  private static final int LEAST = 16;
-
-  /** Part of that which uwsgi gateways have, where they are let in. */
-  private static final double UWSGI_PART = 0.25;
 
-  /** Seconds before the process is stopped by which all answers are out, even on crowded cores. */
-  private static final double SPARE = 0.5;
-
-  /** Seconds before the stop at which peers that have not closed are no longer waited for. */
-  private static final double LAST = 0.35;
-
-  /** Seconds past the grace in which what crosses its end on the way is still taken. */
-  private static final double CROSSING = 0.05;
-
-  /** Milliseconds between two looks at whether the peers have closed. */
-  private static final int CLOSE_LOOK_MS = 10;
-
-  /**
-   * Seconds after the notice in which a process that has ceded must be gone: its longest deadline,
-   * or this.
-   */
-  private static final double CEDED_MOST = 3;
-
-  /** Seconds beyond that. */
-  private static final double CEDED_MORE = 0.7;
-
-  /** Milliseconds between two tries for the folder of kept results. */
-  private static final int LOCK_MS = 50;
-
-  /** Milliseconds for which what waits for the disk holds up a hand-over. */
-  private static final int HAND_MS = 1000;
+    /** The number under which the SNMP agent and the admin endpoint show this state. */
+    int publishedNumber() {
+      return publishedNumber;
+    }
 
-  /** Milliseconds between two tries for an address that the ceding process still has. */
-  private static final int AGAIN_MS = 200;
+    /** The name under which they show it. */
+    String publishedName() {
+      return publishedName;
+    }
+  }
 
   /** Reads the configuration anew. */
   public interface ConfigSource {
+    /**
+     * The configuration as it is now.
+     *
+     * @throws DaemonConfig.BadConfigException where it cannot be used
+     */
     DaemonConfig read() throws DaemonConfig.BadConfigException;
   }
 
-  private final DaemonConfig config;
-  private final Counters counters;
-  private final RequestCoordinator requestCoordinator;
-  private final WorkerPoolClient pool;
-  private final Server resp;
-  private final Server uwsgi;
-  private final Server door;
-  private final DaemonConfig.Appliance appliance;
-  private volatile SnmpAgent snmp;
-  private final StoreClient store;
-  private final LoadReporter reporter;
-  private final WriteAheadLog journal; // null where no results are kept
-  private final CountDownLatch notice = new CountDownLatch(1);
-  private volatile State state = State.STARTING;
-  private volatile long noticedAt;
-  private volatile double stopSeconds;
-  private final int mostCallers;
-  private final int mostRequests;
-  private final int mostGateways;
-  private final HandoverCoordinator succession;
-  private final Version version;
-  private volatile RolloutStatus fleet = RolloutStatus.NONE;
-  private volatile boolean closed;
-  private final long startedAt = System.nanoTime();
+  private final DaemonParts parts;
+  private final LifecycleState state;
+  private final HandoverCoordinator handover;
+  private final DaemonHandoverHost handoverHost;
+  private final DaemonAdmin admin;
+  private final OperatorEndpoints operators;
+  private final GracefulShutdown shutdown;
+  private final ConfigReload configReload;
 
   /**
-   * Takes every address at once, so that one that cannot be had ends the start; but where a process
-   * of this box serves already, its clients' addresses come with the take-over, and others when
-   * that one has ended.
+   * Assembles a daemon and binds its addresses. Where a process of this host serves already, the
+   * clients' addresses are bound when this one takes over, and the operators' when that one has
+   * ended.
+   *
+   * @throws IOException where an address cannot be bound, or the stored results cannot be opened
    */
   public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance) throws IOException {
     this(config, appliance, KeyMemoryBudget.ofHeap(Runtime.getRuntime().maxMemory()));
   }
 
-  /** The same with a room for keys that is not the heap's share. */
-  public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget room)
+  /** The same with a memory budget of keys that is not derived from the heap. */
+  public Lifecycle(
+      DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget keyMemory)
       throws IOException {
-    this(config, appliance, room, CompatibilityCheck.DEFAULT);
+    this(config, appliance, keyMemory, CompatibilityCheck.DEFAULT);
   }
 
-  /** The same with another rule of who may take over from whom. */
+  /** The same with another rule of which process may take over from which. */
   public Lifecycle(
       DaemonConfig config,
       DaemonConfig.Appliance appliance,
-      KeyMemoryBudget room,
-      CompatibilityCheck agreement)
+      KeyMemoryBudget keyMemory,
+      CompatibilityCheck compatibilityCheck)
       throws IOException {
-    this.config = config;
-    this.appliance = appliance;
-    stopSeconds = config.stopSeconds();
-    // Guards against being killed for memory: threads for requests come first, connections have the
-    // rest.
-    double heap = Math.min(HEAP_MB, Runtime.getRuntime().maxMemory() / 1048576.0);
-    int threads = (int) (((1 - MARGIN) * config.memoryMb() - BASE_MB - heap) / THREAD_MB);
-    mostRequests = Math.max(LEAST, Math.min(MOST_IN_HAND, threads / 2));
-    DescriptorBudget descriptors = DescriptorBudget.of(config.sockets());
-    int callers = (int) Math.min(descriptors.callers(), CALLERS_PER_CORE * config.cores());
-    mostCallers = Math.max(LEAST, Math.min(callers, threads - mostRequests));
-    mostGateways = appliance.uwsgi() == null ? 0 : (int) (UWSGI_PART * mostCallers);
-    counters =
-        new Counters(
-            config.settings().classes().stream().map(Admission.RequestClass::name).toList());
-    requestCoordinator =
-        new RequestCoordinator(
-            config.settings(), config.seed(), mostRequests, room, GroupEdfScheduler::new, counters);
-    pool = new WorkerPoolClient(config.pool(), requestCoordinator, counters);
-    store = new StoreClient(config.db(), descriptors.calls(), counters);
-    reporter = new LoadReporter(config.name(), config.naming(), counters);
-    resp =
-        new Server(
-            "resp",
-            config.listen(),
-            mostCallers - mostGateways,
-            descriptors.leaving() - (mostGateways > 0 ? descriptors.gatewaysLeaving() : 0),
-            new RespFrontend(requestCoordinator, counters),
-            counters);
-    uwsgi =
-        appliance.uwsgi() == null
-            ? null
-            : new Server(
-                "uwsgi",
-                appliance.uwsgi(),
-                mostGateways,
-                descriptors.gatewaysLeaving(),
-                new UwsgiFrontend(requestCoordinator, counters, config.seed(), appliance.heldKb()),
-                counters);
-    InetSocketAddress at = config.console() != null ? config.console() : appliance.control();
-    door =
-        at == null
-            ? null
-            : new Server(
-                "door",
-                at,
-                descriptors.operators(),
-                descriptors.operatorsLeaving(),
-                new AdminServer(this),
-                counters);
-    journal = appliance.durable() == null ? null : new WriteAheadLog(appliance.durable());
-    if (journal != null) {
-      requestCoordinator.record(journal);
-    }
-    version = BuildInfo.describe(config.canonical(appliance));
-    succession =
+    parts = DaemonParts.assemble(config, appliance, keyMemory);
+    state = new LifecycleState(config.name());
+    handoverHost = new DaemonHandoverHost(parts, state, this::openOperatorsWhenFree);
+    handover =
         new HandoverCoordinator(
-            config.name(), config.meeting(), requestCoordinator.partner(), this, agreement);
-    if (!succession.comes()) {
-      if (journal != null) {
-        requestCoordinator.recovered(
-            journal.open(longestWindow())); // before the first repeat can be read
-      }
-      resp.listen(config.meeting() != null, true);
-      if (uwsgi != null) {
-        uwsgi.listen(config.meeting() != null, true);
-      }
-    }
-    if (!operatorsIn() && !succession.comes()) {
+            config.name(),
+            config.meeting(),
+            parts.requests().partner(),
+            handoverHost,
+            compatibilityCheck);
+    admin = new DaemonAdmin(parts, state, handover, this::leave);
+    operators = new OperatorEndpoints(parts, appliance, admin);
+    shutdown = new GracefulShutdown(parts, state, handover);
+    configReload = new ConfigReload(parts);
+    bind();
+  }
+
+  private void bind() throws IOException {
+    boolean isStandby = handover.isStandby();
+    if (!isStandby) {
+      parts.storedResults().open();
+      parts.frontends().listenAtStart();
+    }
+    if (!operators.open() && !isStandby) {
       close();
       throw new BindException("the operators' addresses are taken");
     }
   }
 
-  /** Seconds in which a key of any class may come again, with the slack of the table. */
-  private double longestWindow() {
-    return IdempotencyTable.SLACK
-        + config.settings().classes().stream()
-            .mapToDouble(Admission.RequestClass::window)
-            .max()
-            .orElse(0);
-  }
-
-  /** Lets operators in; false where an address of theirs cannot be had now. */
-  private synchronized boolean operatorsIn() {
-    try {
-      if (door != null && !door.listening()) {
-        door.listen(false, true);
-        door.start();
-      }
-      if (appliance.snmp() != null && snmp == null) {
-        snmp = new SnmpAgent(this, appliance.snmp(), appliance.community());
-      }
-      return true;
-    } catch (IOException | RuntimeException taken) {
-      Logger.debug("operators: {}", taken.getMessage());
-      return false;
-    }
+  private void openOperatorsWhenFree() {
+    operators.openWhenFree();
   }
 
+  /** Starts to serve, or to take over from the process that serves. */
   public void start() {
-    Logger.info("{} starts: {}", config.name(), version.summaryLine());
-    requestCoordinator.open(pool, store, reporter);
-    boolean comes = succession.comes();
-    if (comes) {
-      halve(true);
-    }
-    pool.start();
-    reporter.pause(comes);
-    reporter.start();
-    if (!comes) {
-      accept();
-      serveOn();
+    Logger.info("{} starts: {}", parts.config().name(), parts.version().summaryLine());
+    parts.requests().open(parts.workerPool(), parts.store(), parts.loadReporter());
+    boolean isStandby = handover.isStandby();
+    if (isStandby) {
+      handoverHost.shareResources(true);
+    }
+    parts.workerPool().start();
+    parts.loadReporter().pause(isStandby);
+    parts.loadReporter().start();
+    if (isStandby) {
+      handover.start();
+      PlatformThreads.thread("handover-worker-pool", this::requestTakeoverOnceWorkerPoolIsReady).start();
     } else {
-      succession.start();
-      PlatformThreads.thread(
-              "take-over",
-              () -> {
-                try {
-                  requestCoordinator.awaitReady();
-                  succession.poolUp();
-                } catch (InterruptedException e) {
-                  Thread.currentThread().interrupt();
-                }
-              })
-          .start();
+      handoverHost.acceptClients();
+      handover.startServing();
     }
   }
 
-  /**
-   * Guards against the two processes of an upgrade having more threads and connections than one
-   * may.
-   */
-  @Override
-  public void halve(boolean half) {
-    int part = half ? 2 : 1;
-    requestCoordinator.limit(mostRequests / part);
-    resp.limit((mostCallers - mostGateways) / part);
-    if (uwsgi != null) {
-      uwsgi.limit(mostGateways / part);
-    }
-    if (half) {
-      // Guards against the connections of both being more than one process may have.
-      resp.sendAway((mostCallers - mostGateways) / 2);
-    }
-  }
-
-  // ---- What a hand-over does to this process ----
-
-  @Override
-  public Capabilities terms() {
-    return new Capabilities(
-        version.summaryLine(),
-        version.handoverVersions(),
-        version.logVersions(),
-        appliance.durable() == null
-            ? ""
-            : appliance.durable().folder().toAbsolutePath().normalize().toString(),
-        config.settings().classes().stream()
-            .map(
-                each -> {
-                  boolean keyed = each.repeat() == Admission.Repeat.KEYED;
-                  return new Capabilities.RequestClass(
-                      each.name(), keyed, keyed ? Math.round(each.window() * 1000) : 0);
-                })
-            .toList(),
-        config.settings().tenants().stream().map(Admission.Tenant::name).toList(),
-        new Capabilities.KeyCapacity(0, 0, 0, 0),
-        0);
-  }
-
-  private Server[] fronts() {
-    return uwsgi == null ? new Server[] {resp} : new Server[] {resp, uwsgi};
-  }
-
-  private boolean leaves() {
-    return state.compareTo(State.RELINQUISHED) > 0;
-  }
-
-  @Override
-  public boolean bind(boolean alone) {
-    for (Server front : fronts()) {
-      try {
-        if (!leaves() && !front.listening()) {
-          front.listen(config.meeting() != null, alone);
-        }
-      } catch (IOException e) {
-        // Guards against one address that is taken ending the process that others rely on.
-        Logger.error("cannot listen at {}: {}", front.address(), e.getMessage());
-      }
-      if (!resp.listening()) {
-        break; // without the first there is no use in the other, which would take connections and
-        // serve none
-      }
-    }
-    return resp.listening();
-  }
-
-  @Override
-  public void accept() {
-    for (Server front : fronts()) {
-      if (front.listening()) {
-        front.start();
-      }
-    }
-    requestCoordinator.ceded(false);
-    reporter.pause(leaves());
-  }
-
-  @Override
-  public void cede() {
-    reporter.pause(true);
-    requestCoordinator.ceded(true);
-    stopFronts();
-    if (state == State.SERVING) {
-      enter(State.RELINQUISHED);
-    }
-  }
-
-  @Override
-  public boolean openRecords(int tries) {
-    if (journal == null || journal.state() != WriteAheadLog.State.SHUT) {
-      return true;
-    }
-    for (int i = 0; i < tries; i++) {
-      try {
-        requestCoordinator.recovered(journal.open(longestWindow()));
-        return true;
-      } catch (IOException e) {
-        Logger.warn("kept results: {}", e.getMessage());
-        LockSupport.parkNanos(LOCK_MS * 1_000_000L);
-      }
-    }
-    return false;
-  }
-
-  @Override
-  public boolean keepsRecords() {
-    return journal != null;
-  }
-
-  @Override
-  public void closeRecords() {
-    if (journal != null) {
-      journal.close(HAND_MS);
+  private void requestTakeoverOnceWorkerPoolIsReady() {
+    try {
+      parts.requests().awaitReady();
+      handover.onWorkerPoolReady();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
   }
 
   /**
-   * This process serves from now on. Guards against a successor that is started on the word 'ready'
-   * and then meets the process before this one: it can be met before it says so.
+   * Applies the addresses of a new configuration while serving; all else in it needs a new start. One
+   * that cannot be used changes nothing.
    */
-  @Override
-  public void serveOn() {
-    if (leaves()) {
-      succession.leavesAsLast();
-      return;
-    }
-    succession.awaitNext();
-    enter(State.SERVING);
+  public void reload(ConfigSource source) {
+    configReload.apply(source);
   }
 
-  @Override
-  public void refused(String reason) {
-    Logger.error(
-        "{} cannot take over from the process that serves: {}; it starts once that one has ended",
-        config.name(),
-        reason);
+  /** Gives the notice to leave; only the first one counts. */
+  public void leave() {
+    shutdown.request();
   }
 
-  @Override
-  public void unknownFail() {
-    Logger.warn(
-        "{}: keys of the process that has ended are not known here: unknown ones fail for {} s",
-        config.name(),
-        Math.round(longestWindow()));
-    requestCoordinator.partner().unknownFail(longestWindow());
+  /** Waits for the notice, answers all that was read, and returns when the process may end. */
+  public void serveUntilStopped() throws InterruptedException {
+    shutdown.awaitRequestAndDrain();
   }
 
+  /** Gives all addresses back; what is open is cut. */
   @Override
-  public void otherEnded() {
-    PlatformThreads.thread("operators", this::awaitOperators).start();
-  }
-
-  private void awaitOperators() {
-    while (!operatorsIn() && !closed) {
-      LockSupport.parkNanos(AGAIN_MS * 1_000_000L);
-    }
-  }
-
-  private void stopFronts() {
-    resp.stopListening();
-    resp.goAway();
-    if (uwsgi != null) {
-      uwsgi.stopListening();
-    }
+  public void close() {
+    handover.close();
+    parts.frontends().close();
+    operators.close();
+    parts.storedResults().close();
   }
 
+  /** The state between start and exit. */
   public State state() {
-    return state;
+    return state.current();
   }
 
+  /** The requests in flight. */
   public RequestCoordinator requestCoordinator() {
-    return requestCoordinator;
+    return parts.requests();
   }
 
-  @Override
-  public Version version() {
-    return version;
+  /** What the daemon counts. */
+  public Counters counters() {
+    return parts.counters();
   }
 
-  @Override
+  /** How far a handover is, as operators are shown it. */
   public String handover() {
-    String why = succession.refusal();
-    return succession.state().publishedName() + (why.isEmpty() ? "" : ": " + why);
-  }
-
-  @Override
-  public List<Admission.RequestClass> classes() {
-    return config.settings().classes();
+    return admin.handover();
   }
 
-  @Override
-  public RolloutStatus fleet() {
-    return fleet;
-  }
-
-  @Override
-  public void fleet(RolloutStatus said) {
-    fleet = said;
-  }
-
-  @Override
-  public Counters counters() {
-    return counters;
-  }
-
-  @Override
-  public Map<ResultMetric, Long> results() {
-    return requestCoordinator.results();
+  /** True while the host reports itself as healthy. */
+  public boolean healthy() {
+    return admin.healthy();
   }
 
-  /** Where the platform's front listens. */
+  /** Where the platform's front ends connect. */
   public InetSocketAddress respAddress() {
-    return resp.address();
+    return parts.frontends().platformAddress();
   }
 
-  /** Where the uwsgi front listens; null where it is off. */
+  /** Where uwsgi gateways connect; null where they are off. */
   public InetSocketAddress uwsgiAddress() {
-    return uwsgi == null ? null : uwsgi.address();
+    return parts.frontends().gatewayAddress();
   }
 
-  /** Connections that front ends hold now. */
+  /** Open connections of the platform's front ends. */
   public int connections() {
-    return resp.connections().size();
+    return parts.frontends().platformConnections();
   }
 
-  /** Connections that gateways hold now. */
+  /** Open connections of uwsgi gateways. */
   public int gatewayConnections() {
-    return uwsgi == null ? 0 : uwsgi.connections().size();
+    return parts.frontends().gatewayConnections();
   }
 
-  /** Where operators call; null where they cannot. */
+  /** Where the admin endpoint listens; null where it is off. */
   public InetSocketAddress adminAddress() {
-    return door == null ? null : door.address();
+    return operators.adminAddress();
   }
 
-  /** Where the SNMP agent answers; null where it is off. */
+  /** Where the SNMP agent answers; null where it does not. */
   public InetSocketAddress snmpAddress() {
-    SnmpAgent agent = snmp;
-    return agent == null ? null : agent.address();
-  }
-
-  @Override
-  public String name() {
-    return config.name();
-  }
-
-  @Override
-  public boolean linked() {
-    return pool.linked();
-  }
-
-  @Override
-  public boolean healthy() {
-    return requestCoordinator.healthy();
-  }
-
-  @Override
-  public boolean ready() {
-    return state == State.SERVING && requestCoordinator.ready() && resp.listening();
-  }
-
-  @Override
-  public boolean lameDuck(boolean on) {
-    if (!on && state.compareTo(State.RELINQUISHED) > 0) {
-      return false; // it leaves for good
-    }
-    requestCoordinator.lameDuck(on);
-    Logger.info("{}: lame duck {}", config.name(), on ? "on" : "off");
-    return true;
-  }
-
-  @Override
-  public double upSeconds() {
-    return (System.nanoTime() - startedAt) / 1e9;
-  }
-
-  @Override
-  public String phase() {
-    return state.publishedName;
-  }
-
-  @Override
-  public int phaseNumber() {
-    return state.publishedNumber;
-  }
-
-  /**
-   * Takes over the addresses of a new configuration while serving; all else in it needs a new
-   * start. Guards against ending, or going on with half of a file, where the new one cannot be
-   * used: then the old one holds.
-   */
-  public synchronized void reload(ConfigSource source) {
-    DaemonConfig next;
-    try {
-      next = source.read();
-    } catch (DaemonConfig.BadConfigException | RuntimeException e) {
-      Logger.warn("the new configuration cannot be used, the old one holds: {}", e.getMessage());
-      return;
-    }
-    if (next.db() == null && config.settings().downstream() != Admission.Downstream.NONE) {
-      // Guards against a file of another site leaving runs that call below without their store.
-      Logger.warn("the new configuration cannot be used, the old one holds: it names no store");
-      return;
-    }
-    pool.moveTo(next.pool());
-    store.moveTo(next.db());
-    reporter.moveTo(next.naming());
-    counters.add(Counters.Count.RELOADS);
-    Logger.info(
-        "{} has a new configuration: pool {}, store {}, name service {}",
-        config.name(),
-        next.pool(),
-        next.db() == null ? "none" : next.db(),
-        next.naming());
-  }
-
-  /** The notice to leave; only the first counts. */
-  @Override
-  public void leave() {
-    if (notice.getCount() > 0) {
-      noticedAt = System.nanoTime();
-      notice.countDown();
-    }
-  }
-
-  /** Waits for the notice, answers all that was read, and returns when the process may end. */
-  public void serveUntilStopped() throws InterruptedException {
-    notice.await();
-    boolean alone;
-    synchronized (succession) {
-      alone = state != State.RELINQUISHED;
-      enter(State.DRAINING);
-    }
-    if (alone) {
-      requestCoordinator.leave(Math.max(0, left() - SPARE));
-      double grace =
-          Math.min(
-                  config.settings().drainGrace() - GroupEdfScheduler.DRAIN_SPARE,
-                  config.stopSeconds() - 2 * SPARE)
-              + CROSSING;
-      double open = grace - (config.stopSeconds() - left());
-      if (open > 0) {
-        Thread.sleep((long) (open * 1000));
-      }
-    } else {
-      // No notice to the box: another process serves it. What is in hand ends here, in the time
-      // there is.
-      stopSeconds =
-          CEDED_MORE
-              + Math.min(
-                  CEDED_MOST,
-                  config.settings().classes().stream()
-                      .mapToDouble(Admission.RequestClass::deadline)
-                      .max()
-                      .orElse(CEDED_MOST));
-      requestCoordinator.leave(Math.max(0, left() - SPARE));
-    }
-    enter(State.CLOSING);
-    // From here on nothing that comes may run: callers are better served by a refused connection.
-    stopFronts();
-    do {
-      requestCoordinator.awaitDrained(Math.max(0, left() - LAST));
-      Thread.sleep(CLOSE_LOOK_MS);
-      // Who is the last to know the keys of this box stays while it may: a further process can
-      // still be told.
-    } while (left() > LAST
-        && (succession.lastHolder() || connections() + gatewayConnections() > 0));
-    // Guards against peers that rest until they are ended: what they send now is not read, and so
-    // is not lost.
-    for (Server front : fronts()) {
-      front.finish();
-    }
-    while (left() > LAST / 2 && connections() + gatewayConnections() > 0) {
-      Thread.sleep(CLOSE_LOOK_MS);
-    }
-    if (journal != null) {
-      journal.close(Math.max(0, (long) (left() * 1000))); // the last result is on disk
-    }
-    enter(State.STOPPED);
-  }
-
-  /** Gives all addresses back; what is open is cut. */
-  @Override
-  public void close() {
-    closed = true;
-    succession.close();
-    synchronized (this) {
-      closeAll();
-    }
-  }
-
-  private void closeAll() {
-    resp.close();
-    if (uwsgi != null) {
-      uwsgi.close();
-    }
-    if (door != null) {
-      door.close();
-    }
-    if (journal != null) {
-      journal.close();
-    }
-    if (snmp != null) {
-      snmp.close();
-    }
-  }
-
-  private double left() {
-    return stopSeconds - (System.nanoTime() - noticedAt) / 1e9;
-  }
-
-  private void enter(State next) {
-    state = next;
-    Logger.info("{} is {}", config.name(), phase());
+    return operators.snmpAddress();
   }
 }
--- a/src/main/java/wharftrestle/daemon/SignalHandlers.java
+++ b/src/main/java/wharftrestle/daemon/SignalHandlers.java
@@ -6,71 +6,72 @@
 import sun.misc.SignalHandler;
 
 /**
- * Owns the process's signals: TERM and INT are the notice to leave, and HUP, which would end the
- * program, has the configuration read anew. It hears them from before the first address is taken.
- * Guards against the instant in which callers connect already and a signal would still end the
- * process with all that they sent. It must never wait.
+ * Handles the signals of the process: TERM and INT give the daemon the notice to leave, HUP has its
+ * configuration read anew. Installed before the first address is bound, as clients may connect from
+ * then on, and a signal without a handler would end the process with all that they sent. Signals that
+ * come before there is a daemon are remembered. Thread-safe; no handler waits.
  */
 public class SignalHandlers {
-  private final Lifecycle.ConfigSource source;
-  private final boolean deafToHangups;
-  private Lifecycle life; // null until there is one
-  private boolean leave; // told before that
-  private boolean reload;
+  private final Lifecycle.ConfigSource configSource;
 
-  public SignalHandlers(Lifecycle.ConfigSource source) {
-    this.source = source;
+  /** Under nohup, and some supervisors, hangups are ignored from the start, and the JVM leaves it so. */
+  private final boolean ignoresHangups;
+
+  private Lifecycle daemon; // null until there is one
+  private boolean isShutdownRequested;
+  private boolean isReloadRequested;
+
+  /** Installs the handlers. */
+  public SignalHandlers(Lifecycle.ConfigSource configSource) {
+    this.configSource = configSource;
     Signal.handle(new Signal("TERM"), signal -> leave());
     Signal.handle(new Signal("INT"), signal -> leave());
-    // Guards against a box that can never move: under nohup, and some supervisors, hangups are
-    // ignored from the
-    // start, the JVM leaves it so, and the addresses of a new configuration would never be taken
-    // over.
-    deafToHangups = Signal.handle(new Signal("HUP"), signal -> reload()) == SignalHandler.SIG_IGN;
+    ignoresHangups =
+        Signal.handle(new Signal("HUP"), signal -> reload()) == SignalHandler.SIG_IGN;
   }
 
   private synchronized void leave() {
-    leave = true;
-    if (life != null) {
-      life.leave();
+    isShutdownRequested = true;
+    if (daemon != null) {
+      daemon.leave();
     }
     onHandled();
   }
 
   private void reload() {
-    Lifecycle now;
+    Lifecycle attached;
     synchronized (this) {
-      reload = true;
-      now = life;
+      isReloadRequested = true;
+      attached = daemon;
     }
-    if (now != null) {
-      now.reload(source);
+    if (attached != null) {
+      attached.reload(configSource);
     }
     onHandled();
   }
 
-  /** A signal was dealt with. */
+  /** Called after each handled signal, for tests. */
   public void onHandled() {}
 
-  /** From now on this one is told, and of what came before. */
-  public SignalHandlers attach(Lifecycle now) {
-    boolean missed;
+  /** Passes signals on to this daemon from now on, those that came before included. */
+  public SignalHandlers attach(Lifecycle started) {
+    boolean reloads;
     synchronized (this) {
-      life = now;
-      missed = reload;
-      if (leave) {
-        life.leave();
+      daemon = started;
+      reloads = isReloadRequested;
+      if (isShutdownRequested) {
+        started.leave();
       }
     }
-    if (missed) {
-      now.reload(source);
+    if (reloads) {
+      started.reload(configSource);
     }
     return this;
   }
 
-  /** Looks at the configuration's file instead, where hangups are not heard. */
+  /** Watches the configuration file instead, where hangups are ignored. */
   public void watch(String file) {
-    if (deafToHangups) {
+    if (ignoresHangups) {
       Logger.warn(
           "SIGHUP is ignored by whoever started this process: {} is looked at every {} ms instead",
           file,
--- a/src/main/java/wharftrestle/handover/CompatibilityCheck.java
+++ b/src/main/java/wharftrestle/handover/CompatibilityCheck.java
@@ -1,150 +1,145 @@
 package wharftrestle.handover;
 
 import java.util.List;
-import java.util.Objects;
+import java.util.Optional;
+import wharftrestle.handover.Capabilities.KeyCapacity;
+import wharftrestle.handover.Capabilities.RequestClass;
+import wharftrestle.version.VersionRange;
 
 /**
- * Whether one process can hand over to another, told from what both say of themselves. Both sides
- * ask it, so that a later build can know of a reason that an earlier one does not. It must never
- * let through what would be lost: what cannot be carried is a reason here.
+ * Decides from the capabilities of two processes whether one can take over from the other. Both
+ * processes ask it, so that a later build can know of a reason that an earlier one does not. Whatever
+ * a takeover would lose is a reason here. Stateless.
  */
 public interface CompatibilityCheck {
 
   /**
-   * Why it cannot be; null where it can.
+   * Why the one cannot take over from the other, in one line; empty where it can.
    *
-   * @param serves the process that serves
-   * @param next the one that would take over
+   * @param predecessor the process that serves
+   * @param successor the process that would take over
    */
-  String incompatibility(Capabilities serves, Capabilities next);
+  Optional<String> incompatibility(Capabilities predecessor, Capabilities successor);
 
-  /** One key in so many may come on top of what is known now until all is handed over. */
-  int GROWTH = 10;
+  /** The check of every shipped build. */
+  CompatibilityCheck DEFAULT = CompatibilityCheck::firstIncompatibility;
 
-  /** What holds. */
-  CompatibilityCheck DEFAULT = CompatibilityCheck::standing;
+  /** One further key for so many known ones may come to be known during the handover. */
+  int KEYS_PER_ADDITIONAL_KEY = 10;
 
-  private static String standing(Capabilities serves, Capabilities next) {
-    if (serves.handoverVersions().newestCommon(next.handoverVersions()) < 2) {
-      return "the hand-over's words have no version in common: "
-          + serves.handoverVersions()
-          + " here, "
-          + next.handoverVersions()
-          + " there";
-    }
-    String folders = folders(serves, next);
-    if (folders != null) {
-      return folders;
-    }
-    for (int i = 0;
-        i < Math.min(serves.requestClasses().size(), next.requestClasses().size());
-        i++) {
-      Capabilities.RequestClass here = serves.requestClasses().get(i);
-      Capabilities.RequestClass there = next.requestClasses().get(i);
-      if (!here.name().equals(there.name())) {
-        return "class "
-            + (i + 1)
-            + " is '"
-            + here.name()
-            + "' here and '"
-            + there.name()
-            + "' there: keys are known by their class's place";
-      }
-      if (here.isKeyed() != there.isKeyed()) {
-        return "class '"
-            + here.name()
-            + "' has keys "
-            + (here.isKeyed() ? "here" : "there")
-            + " only";
-      }
-    }
-    String tenants = tenants(serves.tenants(), next.tenants());
-    if (tenants != null) {
-      return tenants;
-    }
-    return room(serves, next);
-  }
+  /** The oldest handover format that compares capabilities. */
+  int OLDEST_COMPARING_VERSION = 2;
 
   /**
-   * Keys must fit; where their results do not, those are let go, the key stays and its tries fail.
-   * Where there is as much room there as here, all that can come to be known goes along.
+   * Seconds by which keys that a successor receives stay known for longer: the longest difference by
+   * which one of its idempotency windows exceeds the predecessor's.
    */
-  private static String room(Capabilities serves, Capabilities next) {
-    Capabilities.KeyCapacity here = serves.keyCapacity();
-    Capabilities.KeyCapacity there = next.keyCapacity();
-    if (there.maxKeys() < here.maxKeys() && here.keys() + here.keys() / GROWTH > there.maxKeys()) {
-      return here.keys()
-          + " keys are known here, and there is room for "
-          + there.maxKeys()
-          + " there";
+  static double windowExtensionSeconds(Capabilities predecessor, Capabilities successor) {
+    long longestMillis = 0;
+    for (int i = 0; i < commonClasses(predecessor, successor); i++) {
+      longestMillis =
+          Math.max(
+              longestMillis,
+              successor.requestClasses().get(i).windowMillis()
+                  - predecessor.requestClasses().get(i).windowMillis());
     }
-    return null;
+    return longestMillis / 1000.0;
+  }
+
+  private static int commonClasses(Capabilities predecessor, Capabilities successor) {
+    return Math.min(predecessor.requestClasses().size(), successor.requestClasses().size());
+  }
+
+  private static Optional<String> firstIncompatibility(
+      Capabilities predecessor, Capabilities successor) {
+    return incompatibleHandover(predecessor.handoverVersions(), successor.handoverVersions())
+        .or(() -> incompatibleStorage(predecessor, successor))
+        .or(() -> incompatibleClasses(predecessor, successor))
+        .or(() -> incompatibleTenants(predecessor.tenants(), successor.tenants()))
+        .or(() -> insufficientKeyCapacity(predecessor.keyCapacity(), successor.keyCapacity()));
   }
 
-  private static String folders(Capabilities serves, Capabilities next) {
-    if (serves.storageDirectory().isEmpty()) {
-      return null;
+  private static Optional<String> incompatibleHandover(VersionRange here, VersionRange there) {
+    return here.newestCommon(there) >= OLDEST_COMPARING_VERSION
+        ? Optional.empty()
+        : Optional.of(
+            "the hand-over's words have no version in common: " + here + " here, " + there
+                + " there");
+  }
+
+  private static Optional<String> incompatibleStorage(
+      Capabilities predecessor, Capabilities successor) {
+    String here = predecessor.storageDirectory();
+    String there = successor.storageDirectory();
+    if (here.isEmpty()) {
+      return Optional.empty();
     }
-    if (next.storageDirectory().isEmpty()) {
-      return "results are kept in " + serves.storageDirectory() + " here, and nowhere there";
+    if (there.isEmpty()) {
+      return Optional.of("results are kept in " + here + " here, and nowhere there");
     }
-    if (!Objects.equals(serves.storageDirectory(), next.storageDirectory())) {
-      return "results are kept in "
-          + serves.storageDirectory()
-          + " here, and in "
-          + next.storageDirectory()
-          + " there";
+    if (!here.equals(there)) {
+      return Optional.of("results are kept in " + here + " here, and in " + there + " there");
     }
-    if (!next.logVersions().contains(serves.logVersions().newest())) {
-      return "files of kept results are of version "
-          + serves.logVersions().newest()
-          + ", which is not read there ("
-          + next.logVersions()
-          + ")";
+    return incompatibleLog(predecessor.logVersions(), successor.logVersions());
+  }
+
+  private static Optional<String> incompatibleLog(VersionRange here, VersionRange there) {
+    if (!there.contains(here.newest())) {
+      return Optional.of(
+          "files of kept results are of version " + here.newest() + ", which is not read there ("
+              + there + ")");
     }
-    if (!serves.logVersions().contains(next.logVersions().newest())) {
-      return "files of kept results would be of version "
-          + next.logVersions().newest()
-          + " from then on, which is not read here"
-          + " ("
-          + serves.logVersions()
-          + "): there would be no way back";
+    if (!here.contains(there.newest())) {
+      return Optional.of(
+          "files of kept results would be of version " + there.newest()
+              + " from then on, which is not read here (" + here + "): there would be no way back");
     }
-    return null;
+    return Optional.empty();
   }
 
-  private static String tenants(List<String> here, List<String> there) {
+  private static Optional<String> incompatibleClasses(
+      Capabilities predecessor, Capabilities successor) {
+    for (int i = 0; i < commonClasses(predecessor, successor); i++) {
+      RequestClass here = predecessor.requestClasses().get(i);
+      RequestClass there = successor.requestClasses().get(i);
+      if (!here.name().equals(there.name())) {
+        return Optional.of(
+            "class " + (i + 1) + " is '" + here.name() + "' here and '" + there.name()
+                + "' there: keys are known by their class's place");
+      }
+      if (here.isKeyed() != there.isKeyed()) {
+        return Optional.of(
+            "class '" + here.name() + "' has keys " + (here.isKeyed() ? "here" : "there")
+                + " only");
+      }
+    }
+    return Optional.empty();
+  }
+
+  private static Optional<String> incompatibleTenants(List<String> here, List<String> there) {
     for (int i = 0; i < Math.min(here.size(), there.size()); i++) {
       if (!here.get(i).equals(there.get(i))) {
-        return "tenant "
-            + (i + 1)
-            + " is '"
-            + here.get(i)
-            + "' here and '"
-            + there.get(i)
-            + "' there: keys are known by their tenant's place";
+        return Optional.of(
+            "tenant " + (i + 1) + " is '" + here.get(i) + "' here and '" + there.get(i)
+                + "' there: keys are known by their tenant's place");
       }
     }
-    // With tenants on one side alone, what has none here would be the first tenant's there.
-    return here.isEmpty() == there.isEmpty() ? null : "only one of both has tenants";
+    // With tenants on one side alone, a request of no tenant here would be the first tenant's there.
+    return here.isEmpty() == there.isEmpty()
+        ? Optional.empty()
+        : Optional.of("only one of both has tenants");
   }
 
   /**
-   * Seconds by which what is known is stretched: the longest that a window there is longer than
-   * here.
+   * Keys must fit. Results need not: one that finds no space is dropped, its key stays known, and
+   * duplicates of it fail. A successor with as much space can take whatever the predecessor knows.
    */
-  static double windowExtensionSeconds(Capabilities serves, Capabilities next) {
-    double most = 0;
-    for (int i = 0;
-        i < Math.min(serves.requestClasses().size(), next.requestClasses().size());
-        i++) {
-      most =
-          Math.max(
-              most,
-              (next.requestClasses().get(i).windowMillis()
-                      - serves.requestClasses().get(i).windowMillis())
-                  / 1000.0);
-    }
-    return most;
+  private static Optional<String> insufficientKeyCapacity(KeyCapacity here, KeyCapacity there) {
+    return there.maxKeys() < here.maxKeys()
+            && here.keys() + here.keys() / KEYS_PER_ADDITIONAL_KEY > there.maxKeys()
+        ? Optional.of(
+            here.keys() + " keys are known here, and there is room for " + there.maxKeys()
+                + " there")
+        : Optional.empty();
   }
 }
--- a/src/main/java/wharftrestle/handover/HandoverStateMachine.java
+++ b/src/main/java/wharftrestle/handover/HandoverStateMachine.java
@@ -27,12 +27,12 @@
     TAKEOVER_REQUESTED("asking"),
     /** Sent what this process can do; waits for the predecessor's decision. */
     CAPABILITIES_SENT("asked"),
-    /** Receives settled keys, owns nothing. */
+    /** Receives completed keys, owns nothing. */
     RECEIVING_KEYS("taking"),
-    /** Has all settled keys, owns nothing. */
+    /** Has all completed keys, owns nothing. */
     KEYS_RECEIVED("holding"),
     /** Asks again after a while. */
-    BACKING_OFF("pausing"),
+    IN_BACKOFF("pausing"),
     /** Owns all keys; opens the stored results. */
     OPENING_STORAGE("opening"),
     /** Owns all keys and listens; the predecessor may listen as well. */
@@ -49,9 +49,9 @@
     ACTIVE("alone"),
     /** Asked for what the successor can do. */
     CHECKING_COMPATIBILITY("weighing"),
-    /** Sends settled keys, and serves on. */
+    /** Sends completed keys, and serves on. */
     SENDING_KEYS("dealing"),
-    /** Sent all settled keys; waits for the acknowledgement. */
+    /** Sent all completed keys; waits for the acknowledgement. */
     KEYS_SENT("offered"),
     /** Gave all keys away; listens until the successor does. */
     OWNERSHIP_TRANSFERRED("given"),
@@ -104,7 +104,7 @@
     /** The predecessor sent its capabilities, and this process cannot take over from it. */
     PREDECESSOR_INCOMPATIBLE,
     TAKEOVER_ACCEPTED,
-    /** All settled keys have been sent. */
+    /** All completed keys have been sent. */
     KEYS_COMPLETE,
     OWNERSHIP_RECEIVED,
     /** The ownership, from a predecessor of handover format 1. */
@@ -118,12 +118,12 @@
     STORAGE_OPENED,
     STORAGE_UNAVAILABLE,
     PREDECESSOR_RELINQUISHED,
-    PEER_FOUND,
-    NO_PEER_FOUND,
+    PEER_DISCOVERED,
+    NO_PEER_DISCOVERED,
     TAKEOVER_REQUEST,
     /** A request of a process of handover format 1. */
     LEGACY_TAKEOVER_REQUEST,
-    /** A request of a process of handover format 0, which cannot receive settled keys. */
+    /** A request of a process of handover format 0, which cannot receive completed keys. */
     UNSUPPORTED_TAKEOVER_REQUEST,
     SUCCESSOR_COMPATIBLE,
     SUCCESSOR_INCOMPATIBLE,
@@ -133,7 +133,7 @@
     /** The successor was silent for too long, or does not read. */
     DEADLINE_EXCEEDED,
     KEYS_ACKNOWLEDGED,
-    /** The successor acknowledged, but too many keys settled meanwhile to send them all. */
+    /** The successor acknowledged, but too many keys completed meanwhile to send them all. */
     SUCCESSOR_LAGGING,
     SUCCESSOR_LISTENING,
     /** The successor cannot go on; it has run nothing. */
@@ -152,17 +152,17 @@
     SEND_REJECTION,
     SEND_RETRY_LATER,
     /**
-     * Sends all settled keys, and each key that settles from now on; {@link Event#ALL_KEYS_SENT} or
+     * Sends all completed keys, and each key that completes from now on; {@link Event#ALL_KEYS_SENT} or
      * {@link Event#DEADLINE_EXCEEDED} follows.
      */
-    SEND_SETTLED_KEYS,
+    SEND_COMPLETED_KEYS,
     STOP_SENDING_KEYS,
     SEND_KEYS_COMPLETE,
     SEND_KEYS_ACKNOWLEDGED,
     /** Sends all open keys, and gives up all keys, in one step. */
     TRANSFER_OWNERSHIP,
     SEND_OWNERSHIP,
-    /** The same in the messages of format 1, with the settled keys after it. */
+    /** The same in the messages of format 1, with the completed keys after it. */
     TRANSFER_OWNERSHIP_LEGACY,
     /** Keeps a link unanswered until it ends. */
     PARK_LINK,
@@ -187,12 +187,12 @@
     /** Reports that this process serves. */
     START_SERVING,
     /**
-     * Looks whether another process serves; {@link Event#PEER_FOUND} or {@link Event#NO_PEER_FOUND}
+     * Looks whether another process serves; {@link Event#PEER_DISCOVERED} or {@link Event#NO_PEER_DISCOVERED}
      * follows.
      */
     DISCOVER_PEER,
     /** Waits; {@link Event#BACKOFF_ELAPSED} or {@link Event#RETRIES_EXHAUSTED} follows. */
-    BACK_OFF,
+    START_BACKOFF,
     /** Reports that this process waits for the end of the other, with the reason. */
     REPORT_REFUSAL
   }
@@ -251,15 +251,15 @@
             State.CAPABILITIES_SENT,
             State.RECEIVING_KEYS,
             State.KEYS_RECEIVED)) {
-      on(waiting, Event.RETRY_LATER, State.BACKING_OFF, Action.BACK_OFF);
+      on(waiting, Event.RETRY_LATER, State.IN_BACKOFF, Action.START_BACKOFF);
     }
     on(
-        State.BACKING_OFF,
+        State.IN_BACKOFF,
         Event.BACKOFF_ELAPSED,
         State.TAKEOVER_REQUESTED,
         Action.SEND_TAKEOVER_REQUEST);
     on(
-        State.BACKING_OFF,
+        State.IN_BACKOFF,
         Event.RETRIES_EXHAUSTED,
         State.AWAITING_PREDECESSOR_EXIT,
         Action.REPORT_REFUSAL);
@@ -308,7 +308,7 @@
             State.CAPABILITIES_SENT,
             State.RECEIVING_KEYS,
             State.KEYS_RECEIVED,
-            State.BACKING_OFF,
+            State.IN_BACKOFF,
             State.AWAITING_PREDECESSOR_EXIT)) {
       on(ownsNothing, Event.PEER_LOST, State.DISCOVERING_PEER, Action.DISCOVER_PEER);
     }
@@ -328,12 +328,12 @@
     on(State.PREDECESSOR_DRAINING, Event.PEER_LOST, State.ACTIVE, Action.RESOLVE_PEER_LOSS);
     on(
         State.DISCOVERING_PEER,
-        Event.PEER_FOUND,
+        Event.PEER_DISCOVERED,
         State.TAKEOVER_REQUESTED,
         Action.SEND_TAKEOVER_REQUEST);
     on(
         State.DISCOVERING_PEER,
-        Event.NO_PEER_FOUND,
+        Event.NO_PEER_DISCOVERED,
         State.ACTIVE,
         Action.RESOLVE_PEER_LOSS,
         Action.LISTEN_ALONE,
@@ -357,7 +357,7 @@
         Event.SUCCESSOR_COMPATIBLE,
         State.SENDING_KEYS,
         Action.SEND_ACCEPTANCE,
-        Action.SEND_SETTLED_KEYS);
+        Action.SEND_COMPLETED_KEYS);
     on(
         State.CHECKING_COMPATIBILITY,
         Event.SUCCESSOR_INCOMPATIBLE,
--- a/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
+++ b/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
@@ -3,48 +3,53 @@
 import java.util.Arrays;
 import java.util.List;
 import wharftrestle.handover.PeerProcess.KeyUpdate;
-import wharftrestle.handover.PeerProcess.SettledKey;
+import wharftrestle.handover.PeerProcess.CompletedKey;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
 
 /**
- * What becomes of each key while two processes serve one box: the one owns all keys, the other ends
- * what it has in hand and asks before it takes more. It owns which of both this process is, whom it
- * tells, and what is told. It must never let a key run here that the other may run, or say of a key
- * what is not known. Not thread-safe: its caller's lock guards it, and {@code now} is passed in, in
- * seconds on the caller's clock.
+ * Decides on each idempotency key while two processes serve one host: one process owns all keys, the
+ * other answers what it has in flight and claims a key before it executes more of it. No key is
+ * executed here that the peer may execute.
  *
  * <pre>
- * owner  other   this process
- * yes    none    serves alone; with {@link #tellsSettled} it tells a process that asked what settles
- * yes    there   took over: grants and answers claims, tells each run before it begins
- * no     there   handed over: a keyed request is claimed first, an end is told
- * no     none    never: {@link #gone} makes it the owner
+ * owner  peer   this process
+ * yes    none   serves alone; after {@link #startSendingKeys} it also sends what completes to a process
+ *               that asked to take over
+ * yes    there  took over: answers claims, announces each execution before it begins
+ * no     there  gave its keys away: claims a key before a request of it is taken, reports each end
+ * no     none   never: {@link #onPeerLost} makes it the owner
  * </pre>
  *
- * @param <T> a try, as the caller knows it
+ * <p>Not thread-safe: its caller's lock guards it. Times are passed in, in seconds on the caller's
+ * clock.
+ *
+ * @param <T> a request, as the caller holds it
  */
 public final class KeyOwnershipTransfer<T> {
 
-  /** What the caller does with the tries concerned. */
+  /** The caller's requests. */
   public interface Host<T> {
-    /** The stamp of a try, Unix ms. */
+    /** When this request arrived at the host, Unix milliseconds. */
     long arrivalUnixMillis(T holder);
 
-    /** Seconds in which this key may come again, with the slack of the table. */
+    /** Idempotency window of this key's class, with the slack of the table. */
     double windowSeconds(String key);
 
-    /** The run of a key at the other process is over; the result is null unless it ended well. */
-    void onPeerFinished(IdempotencyTable.Entry<T> entry, byte[] result);
+    /** An execution of the peer has ended; the result is null unless it succeeded. */
+    void onPeerCompletion(IdempotencyTable.Entry<T> entry, byte[] result);
 
-    /** A key that the other process had in hand never ran. */
-    void onPeerReleased(IdempotencyTable.Entry<T> entry);
+    /** The peer held this key and never executed it. */
+    void onPeerRelease(IdempotencyTable.Entry<T> entry);
 
-    /** Tries that wait for word of this key look again. */
-    void wakeWaiters(String key, boolean granted);
+    /** Lets requests that wait for the owner's answer about this key look at it again. */
+    void wakeWaiters(String key, boolean isGranted);
   }
 
-  /** A claim whose answer lies on disk: it is read without the lock, then told. */
+  /**
+   * The answer to a claim of a completed key. Where its result is on disk it is read first, without the
+   * caller's lock.
+   */
   public record StoredReply<T>(
       PeerProcess claimant,
       String key,
@@ -53,24 +58,36 @@
       double windowSeconds,
       byte[] body) {
 
-    /** Tells what is known of the key; the result is null where it has none to give. */
+    /** Sends what is known of the key; the result is null where there is none. */
     public void send(byte[] result) {
-      // A try with another body must be told apart there too: it is told a body that differs.
-      byte[] asked = entry.asked().same(body) ? body : Arrays.copyOf(body, body.length + 1);
+      // A duplicate with another body must be told apart by the claimant too: it gets one that
+      // differs.
+      byte[] firstBody = entry.asked().same(body) ? body : Arrays.copyOf(body, body.length + 1);
       claimant.sendKey(
           new KeyUpdate(
-              key, true, entry.lastDoor(), windowSeconds + IdempotencyTable.LINGER, asked, result));
+              key,
+              true,
+              entry.lastDoor(),
+              windowSeconds + IdempotencyTable.LINGER,
+              firstBody,
+              result));
     }
   }
 
   private final IdempotencyTable<T> keys;
   private final Host<T> host;
+
+  /** The process that took over from this one, or that this one took over from; null for none. */
   private PeerProcess peer;
-  private PeerProcess told; // asked to take over, and is told what settles
-  private boolean isLagging; // what settled could not all be told
+
+  /** The process that asked to take over and gets each key that completes; null for none. */
+  private PeerProcess completedKeyReceiver;
+
+  private boolean isLagging;
   private boolean isOwner = true;
-  private double stretch;
+  private double windowExtensionSeconds;
 
+  /** A process that serves alone and owns these keys. */
   public KeyOwnershipTransfer(IdempotencyTable<T> keys, Host<T> host) {
     this.keys = keys;
     this.host = host;
@@ -81,229 +98,237 @@
     return peer;
   }
 
-  /** True where this process says what becomes of every key. */
+  /** True where this process decides on every key. */
   public boolean isOwner() {
     return isOwner;
   }
 
-  // ---- Handing over ----
+  // ---- Giving all keys away ----
 
-  /**
-   * A process asked: from now on it is told what settles. All that are settled now come back, to be
-   * told one by one.
-   */
-  public List<KeyDigest> startSendingKeys(PeerProcess to) {
-    told = to;
+  /** Sends each key that completes from now on, and returns those that are completed already. */
+  public List<KeyDigest> startSendingKeys(PeerProcess receiver) {
+    completedKeyReceiver = receiver;
     isLagging = false;
     return keys.settled();
   }
 
-  /** What was asked will not be: nothing more is told. */
+  /** The takeover was given up: nothing more is sent. */
   public void stopSendingKeys() {
-    told = null;
+    completedKeyReceiver = null;
   }
 
-  /** True where what settled meanwhile could not all be told. */
+  /** True where not all that completed meanwhile could be sent. */
   public boolean isLagging() {
     return isLagging;
   }
 
   /**
-   * One settled key as it is told; null where it is known no more, or its result lies on a disk
-   * that both read.
+   * One completed key as it is sent; null where it is no longer known, or its result is on a disk that
+   * both processes read.
    */
-  public SettledKey settledKey(KeyDigest key, boolean onDisk, double now) {
-    IdempotencyTable.Settled known = keys.settled(key);
-    return known == null || (onDisk && known.result() == null)
-        ? null
-        : new SettledKey(key, known.lastDoor(), known.until() - now, known.check(), known.result());
+  public CompletedKey completedKey(KeyDigest digest, boolean hasDisk, double now) {
+    IdempotencyTable.Settled completed = keys.settled(digest);
+    if (completed == null || (hasDisk && completed.result() == null)) {
+      return null;
+    }
+    return new CompletedKey(
+        digest, completed.lastDoor(), completed.until() - now, completed.check(), completed.result());
   }
 
-  /** This key may have come to be over just now. */
-  public void forwardSettled(String key, boolean onDisk, double now) {
-    if (told == null || isLagging) {
+  /** Sends this key to the process that asked to take over, if it has just completed. */
+  public void forwardCompleted(String key, boolean hasDisk, double now) {
+    if (completedKeyReceiver == null || isLagging) {
       return;
     }
-    SettledKey over = settledKey(KeyDigest.of(key), onDisk, now);
-    if (over != null) {
-      isLagging = !told.forwardSettledKey(over);
+    CompletedKey completed = completedKey(KeyDigest.of(key), hasDisk, now);
+    if (completed != null) {
+      isLagging = !completedKeyReceiver.forwardCompletedKey(completed);
     }
   }
 
   /**
-   * In one step hands all keys over, with what is open; their number. What is held or runs here
-   * stays here.
+   * Gives all keys away in one step, and sends those that are open. Requests and executions in flight
+   * stay here.
+   *
+   * @return how many open keys were sent
    */
-  public int transferTo(PeerProcess to, double now) {
-    told = null;
-    peer = to;
+  public int transferTo(PeerProcess successor, double now) {
+    completedKeyReceiver = null;
+    peer = successor;
     isOwner = false;
-    int[] open = {0};
+    int[] openKeys = {0};
     keys.each(
         entry -> {
-          open[0]++;
-          if (entry.over() && entry.asked().body() == null) {
-            // Over, and still open as the index is full: its body is not kept any more.
-            to.forwardSettledKey(
-                new SettledKey(
-                    KeyDigest.of(entry.key()),
-                    entry.lastDoor(),
-                    entry.until() - now,
-                    entry.asked().brief(),
-                    keys.result(entry)));
-          } else {
-            to.sendKey(kept(entry, now));
-          }
+          openKeys[0]++;
+          sendOpenKey(successor, entry, now);
         });
-    return open[0];
+    return openKeys[0];
   }
 
-  /**
-   * This process takes over from that one, whose keys follow; what it hears of is stretched by so
-   * many seconds.
-   */
-  public void attach(PeerProcess from, double longer) {
-    peer = from;
-    stretch = longer;
+  private void sendOpenKey(PeerProcess successor, IdempotencyTable.Entry<T> entry, double now) {
+    if (entry.over() && entry.asked().body() == null) {
+      // Finished, and open only as the index of completed keys is full: its body is gone.
+      successor.forwardCompletedKey(
+          new CompletedKey(
+              KeyDigest.of(entry.key()),
+              entry.lastDoor(),
+              entry.until() - now,
+              entry.asked().brief(),
+              keys.result(entry)));
+    } else {
+      successor.sendKey(update(entry, now));
+    }
+  }
+
+  // ---- Taking all keys over ----
+
+  /** Takes over from this process; keys that it sends stay known for so many seconds more. */
+  public void attach(PeerProcess predecessor, double extensionSeconds) {
+    peer = predecessor;
+    windowExtensionSeconds = extensionSeconds;
+  }
+
+  /** Returns the ownership: this process has executed nothing. */
+  public void returnOwnership() {
+    peer = null;
   }
 
   /**
-   * The other process is gone, or never took what it was given: what it had in hand has an unknown
-   * end, which fails and never runs again in its window.
+   * The peer is gone, or returned the ownership. How its executions in flight ended is unknown: their
+   * keys fail, and are not executed again in their window.
    */
   public void onPeerLost() {
     peer = null;
-    told = null;
+    completedKeyReceiver = null;
     isOwner = true;
-    stretch = 0;
+    windowExtensionSeconds = 0;
     keys.otherGone();
   }
 
-  /** This process gives back what it was given, and asks that one no more: it has run nothing. */
-  public void returnOwnership() {
-    peer = null;
-  }
-
-  // ---- What the other process says ----
+  // ---- Messages of the peer ----
 
   /**
-   * False where there is no room to know it: then no key that is not known runs until its window is
-   * over.
+   * A completed key of the peer. Where memory has no space for it, no unknown key is executed until its
+   * window is over, as it may be this one.
+   *
+   * @return false where there was no space
    */
-  public boolean onKeyReceived(SettledKey over, double now) {
-    // Guards against keys whose window is over taking the room: no request comes here yet that
-    // would have them go.
+  public boolean onKeyReceived(CompletedKey completed, double now) {
+    // No request comes here yet that would expire keys whose window is over.
     keys.expire(now);
-    double until = now + over.secondsLeft() + stretch;
-    if (!keys.hear(
-        new IdempotencyTable.Settled(
-            over.digest().high(),
-            over.digest().low(),
-            stretched(over.coveredUntilUnixMillis()),
-            over.bodyChecksum(),
-            until,
-            over.result()))) {
-      // Guards against a second run of a key that there is no room to know: less memory than the
-      // other had.
+    double until = now + completed.remainingSeconds() + windowExtensionSeconds;
+    boolean isKnown =
+        keys.hear(
+            new IdempotencyTable.Settled(
+                completed.digest().high(),
+                completed.digest().low(),
+                extended(completed.coveredUntilUnixMillis()),
+                completed.bodyChecksum(),
+                until,
+                completed.result()));
+    if (!isKnown) {
       keys.blind(until);
-      return false;
     }
-    return true;
+    return isKnown;
   }
 
-  /** The other process has this key in hand, or had. */
-  public void onKeyReceived(KeyUpdate kept, double now) {
+  /** A key of the peer whose execution is in flight, or has finished. */
+  public void onKeyReceived(KeyUpdate update, double now) {
     keys.hear(
-        kept.key(),
-        IdempotencyTable.Asked.of(kept.body()),
-        stretched(kept.coveredUntilUnixMillis()),
-        now + kept.secondsLeft() + stretch);
-    IdempotencyTable.Entry<T> known = keys.find(kept.key());
-    if (kept.isFinished() && keys.elsewhere(known)) {
-      host.onPeerFinished(known, kept.result());
+        update.key(),
+        IdempotencyTable.Asked.of(update.body()),
+        extended(update.coveredUntilUnixMillis()),
+        now + update.remainingSeconds() + windowExtensionSeconds);
+    IdempotencyTable.Entry<T> entry = keys.find(update.key());
+    if (update.isCompleted() && keys.elsewhere(entry)) {
+      host.onPeerCompletion(entry, update.result());
     }
-    host.wakeWaiters(kept.key(), false);
+    host.wakeWaiters(update.key(), false);
   }
 
-  private long stretched(long lastDoor) {
-    return lastDoor + Math.round(stretch * 1000);
+  private long extended(long coveredUntilUnixMillis) {
+    return coveredUntilUnixMillis + Math.round(windowExtensionSeconds * 1000);
   }
 
-  public void onPeerFinished(String key, byte[] result) {
+  /** An execution of the peer has ended; the result is null unless it succeeded. */
+  public void onPeerCompletion(String key, byte[] result) {
     IdempotencyTable.Entry<T> entry = keys.find(key);
     if (keys.elsewhere(entry)) {
-      host.onPeerFinished(entry, result);
+      host.onPeerCompletion(entry, result);
     }
   }
 
-  public void onPeerReleased(String key) {
+  /** The peer never executed this key and no longer holds it. */
+  public void onPeerRelease(String key) {
     IdempotencyTable.Entry<T> entry = keys.find(key);
     if (keys.elsewhere(entry)) {
-      host.onPeerReleased(entry);
+      host.onPeerRelease(entry);
       keys.freed(entry);
     }
   }
 
   /**
-   * The other process asks for a key: it is told, or has it in hand from now on. Not null where a
-   * disk has the answer.
+   * The peer claims a key: it is granted to the peer, or what is known of it is sent.
+   *
+   * @return the answer where a disk may hold the result; null where the claim is answered
    */
-  public StoredReply<T> onClaim(String key, long door, byte[] body, double now) {
-    IdempotencyTable.Entry<T> entry = keys.meet(key, door);
+  public StoredReply<T> onClaim(String key, long arrivalUnixMillis, byte[] body, double now) {
+    IdempotencyTable.Entry<T> entry = keys.meet(key, arrivalUnixMillis);
     if (peer == null) {
       return null;
     }
-    double window = host.windowSeconds(key);
+    double windowSeconds = host.windowSeconds(key);
+    if (entry == null) {
+      keys.hear(
+          key,
+          IdempotencyTable.Asked.of(body),
+          arrivalUnixMillis + Math.round(windowSeconds * 1000),
+          now + windowSeconds + IdempotencyTable.LINGER);
+    }
     if (entry == null || keys.elsewhere(entry)) {
-      if (entry == null) {
-        keys.hear(
-            key,
-            IdempotencyTable.Asked.of(body),
-            door + Math.round(window * 1000),
-            now + window + IdempotencyTable.LINGER);
-      }
       peer.sendGrant(key);
       return null;
     }
     if (entry.asked().body() != null) {
-      peer.sendKey(kept(entry, now));
+      peer.sendKey(update(entry, now));
       return null;
     }
-    return new StoredReply<>(peer, key, entry, keys.result(entry), window, body);
+    return new StoredReply<>(peer, key, entry, keys.result(entry), windowSeconds, body);
   }
 
-  // ---- What this process says ----
+  // ---- Requests of this process ----
 
-  /** True where this process may not take a keyed try before the other one was asked. */
-  public boolean mustClaim(String key, long door) {
-    return peer != null && !isOwner && key != null && !isKnown(key, door);
+  /** True where a request of this key may not be taken before the owner was asked. */
+  public boolean mustClaim(String key, long arrivalUnixMillis) {
+    return peer != null && !isOwner && key != null && !isKnown(key, arrivalUnixMillis);
   }
 
-  public boolean isKnown(String key, long door) {
+  /** True where a request that arrived then is a duplicate of what is known here. */
+  public boolean isKnown(String key, long arrivalUnixMillis) {
     IdempotencyTable.Entry<T> entry = keys.find(key);
-    return entry != null && entry.covers(door);
+    return entry != null && entry.covers(arrivalUnixMillis);
   }
 
-  /** What the other process has to know before a run of this key begins; null for nothing. */
+  /** What the peer has to know before an execution of this key begins; null for nothing. */
   public KeyUpdate announcementBeforeExecution(IdempotencyTable.Entry<T> entry, double now) {
-    return peer == null || !isOwner || entry == null ? null : kept(entry, now);
+    return peer == null || !isOwner || entry == null ? null : update(entry, now);
   }
 
-  /** A run of this process is over. */
-  public void sendFinished(IdempotencyTable.Entry<T> entry, byte[] result) {
+  /** Reports to the peer that an execution of this process has ended. */
+  public void sendCompletion(IdempotencyTable.Entry<T> entry, byte[] result) {
     if (peer != null && entry.holder() != null && keys.current(entry)) {
-      peer.sendFinished(entry.key(), result);
+      peer.sendCompletion(entry.key(), result);
     }
   }
 
-  /** No try of this key is in hand any more; {@code held} where another one is. */
-  public void sendReleased(String key, boolean held) {
-    if (peer != null && key != null && !held && keys.find(key) == null) {
-      peer.sendReleased(key);
+  /** Reports to the peer that no request of this key is in flight, unless one still is. */
+  public void sendRelease(String key, boolean isInFlight) {
+    if (peer != null && key != null && !isInFlight && keys.find(key) == null) {
+      peer.sendRelease(key);
     }
   }
 
-  private KeyUpdate kept(IdempotencyTable.Entry<T> entry, double now) {
+  private KeyUpdate update(IdempotencyTable.Entry<T> entry, double now) {
     if (entry.ran()) {
       return new KeyUpdate(
           entry.key(),
@@ -313,12 +338,12 @@
           entry.asked().body(),
           keys.result(entry));
     }
-    double window = host.windowSeconds(entry.key());
+    double windowSeconds = host.windowSeconds(entry.key());
     return new KeyUpdate(
         entry.key(),
         false,
-        host.arrivalUnixMillis(entry.holder()) + Math.round(window * 1000),
-        window + IdempotencyTable.LINGER,
+        host.arrivalUnixMillis(entry.holder()) + Math.round(windowSeconds * 1000),
+        windowSeconds + IdempotencyTable.LINGER,
         entry.asked().body(),
         null);
   }
--- a/src/main/java/wharftrestle/handover/PeerProcess.java
+++ b/src/main/java/wharftrestle/handover/PeerProcess.java
@@ -3,71 +3,79 @@
 import wharftrestle.idempotency.KeyDigest;
 
 /**
- * The other process of this box, as one tells it of keys. Only {@link #tellSurely} and {@link
- * #tellOver} may wait; all others return at once and may be called under the core's lock, and what
- * they tell arrives in that order.
+ * The other process of this host, as the receiver of messages about keys. Messages arrive in the
+ * order in which they were sent. Only {@link #sendCompletedKey} and {@link #sendKeyAndAwaitWrite} may
+ * wait; all others return at once and may be called under the lock of the requests.
  */
 public interface PeerProcess {
 
   /**
-   * What one process tells the other of a key while two serve one box; the body tells what it was
-   * asked.
+   * What one process knows of a key, sent to the other while both serve.
+   *
+   * @param isFinished false while its execution is in flight
+   * @param coveredUntilUnixMillis requests that arrived until then are duplicates
+   * @param secondsLeft until the key is forgotten
+   * @param body of the first request, against which duplicates are compared
+   * @param result null where there is none
    */
   record KeyUpdate(
       String key,
-      boolean isFinished,
+      boolean isCompleted,
       long coveredUntilUnixMillis,
-      double secondsLeft,
+      double remainingSeconds,
       byte[] body,
       byte[] result) {}
 
   /**
-   * A key that is over, as one process tells it the other: by its digest, as its text is not kept.
+   * A key whose execution has finished, by its digest, as its text is no longer held.
+   *
+   * @param coveredUntilUnixMillis requests that arrived until then are duplicates
+   * @param secondsLeft until the key is forgotten
+   * @param bodyChecksum of the first request's body
+   * @param result null where there is none
    */
-  record SettledKey(
+  record CompletedKey(
       KeyDigest digest,
       long coveredUntilUnixMillis,
-      double secondsLeft,
+      double remainingSeconds,
       long bodyChecksum,
       byte[] result) {}
 
   /**
-   * Tells a key that is over; returns once few such words wait, false where the other side takes
-   * none in time.
+   * Sends a completed key and waits until few such messages are unwritten; false where the peer does
+   * not read in time.
    */
-  boolean sendSettledKey(SettledKey over);
+  boolean sendCompletedKey(CompletedKey completed);
 
   /**
-   * Tells a key that has just come to be over; false where more waits to be told than should. It is
-   * told all the same.
+   * Sends a key that has just completed, without waiting; false where too many messages are unwritten.
    */
-  boolean forwardSettledKey(SettledKey over);
+  boolean forwardCompletedKey(CompletedKey completed);
 
-  /** Asks whether this key may be held and run here. */
-  void sendClaim(String key, long door, byte[] body);
+  /** Asks whether this process may execute this key. */
+  void sendClaim(String key, long arrivalUnixMillis, byte[] body);
 
+  /** Answers a claim: the peer may execute this key. */
   void sendGrant(String key);
 
-  void sendKey(KeyUpdate kept);
+  /** Sends what is known of a key. */
+  void sendKey(KeyUpdate update);
 
-  /**
-   * Returns once the word is on its way, whatever then becomes of this process, or the other is
-   * gone.
-   */
-  void sendKeyAndAwaitWrite(KeyUpdate kept);
+  /** Sends what is known of a key, and waits until it is written or the peer is gone. */
+  void sendKeyAndAwaitWrite(KeyUpdate update);
 
-  /** A key of this side has ended; the result is null unless it ended well. */
-  void sendFinished(String key, byte[] result);
+  /** Reports the end of an execution; the result is null unless it succeeded. */
+  void sendCompletion(String key, byte[] result);
 
-  /** A key of this side never ran and is not held any more. */
-  void sendReleased(String key);
+  /** Reports that a key was never executed and is no longer held. */
+  void sendRelease(String key);
 
-  /** Asks the side that writes to have the intent of this side's run on disk. */
-  void sendIntentRequest(String key, long door, byte[] body);
+  /** Asks the process that owns the write-ahead log to write an intent record for this one. */
+  void sendIntentRequest(String key, long arrivalUnixMillis, byte[] body);
 
-  /** The other side's intent is on disk, or cannot be. */
-  void sendIntentOutcome(String key, boolean written);
+  /** Answers an intent request: the record is on disk, or could not be written. */
+  void sendIntentOutcome(String key, boolean isWritten);
 
-  /** The result of the other side's run is on disk, or could not be written. */
+  /** Reports that the result of the peer's execution is on disk, or could not be written. */
   void sendResultWritten(String key);
 }
--- a/src/main/java/wharftrestle/handover/ProcessPauseDetector.java
+++ b/src/main/java/wharftrestle/handover/ProcessPauseDetector.java
@@ -1,42 +1,41 @@
 package wharftrestle.handover;
 
 /**
- * Whether this process stood still of late, by the gaps between its own looks. A process that owns
- * keys waits a second for the other one to hear of a run, and then begins it all the same; what it
- * could not say is lost with it. So a former owner that stood still as long, and then finds the
- * other one gone, cannot know what ran. Time is passed in, seconds on a clock that goes on while a
- * process is stopped.
+ * Detects that this process did not run for a while, by the gaps between its own polls. A process
+ * that owns keys announces each execution to its peer, waits at most a second for the announcement
+ * to be written, and then begins all the same. So a former owner that paused as long, and then finds
+ * the owner gone, cannot know what ran. Times are seconds on a clock that goes on while a process is
+ * stopped. Not thread-safe: its caller guards it.
  */
 public final class ProcessPauseDetector {
-  /** Seconds between two looks. */
+  /** Seconds between two polls. */
   public static final double POLL_INTERVAL_SECONDS = 0.1;
 
-  /**
-   * Seconds without a look that count: just under the second for which a run waits for its word.
-   */
-  private static final double LONG = 0.8;
+  /** The shortest gap that counts: just under the wait for an announcement. */
+  private static final double MIN_PAUSE_SECONDS = 0.8;
 
-  /** Seconds after it woke up within which the other one may have had words left to say. */
-  private static final double AFTER = 1;
+  /** Seconds after a pause within which the owner may still have had messages to write. */
+  private static final double RECENT_SECONDS = 1;
 
-  private double last;
-  private double woke = Double.NEGATIVE_INFINITY;
+  private double lastPollSeconds;
+  private double resumedAtSeconds = Double.NEGATIVE_INFINITY;
 
-  public ProcessPauseDetector(double now) {
-    last = now;
+  /** Begins to observe at this time. */
+  public ProcessPauseDetector(double nowSeconds) {
+    lastPollSeconds = nowSeconds;
   }
 
-  /** A look. */
-  public void poll(double now) {
-    if (now - last > LONG) {
-      woke = now;
+  /** Notes that this process runs at this time. */
+  public void poll(double nowSeconds) {
+    if (nowSeconds - lastPollSeconds > MIN_PAUSE_SECONDS) {
+      resumedAtSeconds = nowSeconds;
     }
-    last = now;
+    lastPollSeconds = nowSeconds;
   }
 
-  /** True where words of the other process may have been lost, if it is gone now. */
-  public boolean hasPausedRecently(double now) {
-    poll(now);
-    return now - woke < AFTER;
+  /** True where messages of the peer may be lost if it is gone now. */
+  public boolean hasPausedRecently(double nowSeconds) {
+    poll(nowSeconds);
+    return nowSeconds - resumedAtSeconds < RECENT_SECONDS;
   }
 }
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -8,7 +8,7 @@
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.handover.PeerProcess.KeyUpdate;
-import wharftrestle.handover.PeerProcess.SettledKey;
+import wharftrestle.handover.PeerProcess.CompletedKey;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
 
@@ -85,15 +85,15 @@
   private int tell(PeerProcess to, List<KeyDigest> all) {
     int told = 0;
     for (KeyDigest key : all) {
-      SettledKey over;
+      CompletedKey over;
       core.lock();
       try {
-        over = between.settledKey(key, recorder.on(), core.now());
+        over = between.completedKey(key, recorder.on(), core.now());
       } finally {
         core.unlock();
       }
       if (over != null) {
-        if (!to.sendSettledKey(over)) {
+        if (!to.sendCompletedKey(over)) {
           return -1;
         }
         told++;
@@ -196,14 +196,14 @@
 
   // ---- What the other process says ----
 
-  public void heard(SettledKey over) {
+  public void heard(CompletedKey over) {
     boolean first = false;
     core.lock();
     try {
       double now = core.now();
       if (!between.onKeyReceived(over, now)) {
         first = now > roomlessUntil;
-        roomlessUntil = Math.max(roomlessUntil, now + over.secondsLeft());
+        roomlessUntil = Math.max(roomlessUntil, now + over.remainingSeconds());
       }
     } finally {
       core.unlock();
@@ -211,7 +211,7 @@
     if (first) {
       Logger.warn(
           "there is no room for all keys of the other process: unknown ones fail for up to {} s",
-          Math.round(over.secondsLeft()));
+          Math.round(over.remainingSeconds()));
     }
   }
 
@@ -228,7 +228,7 @@
   public void ended(String key, byte[] result) {
     core.lock();
     try {
-      between.onPeerFinished(key, result);
+      between.onPeerCompletion(key, result);
       core.settleIfUp();
     } finally {
       core.unlock();
@@ -238,7 +238,7 @@
   public void freed(String key) {
     core.lock();
     try {
-      between.onPeerReleased(key);
+      between.onPeerRelease(key);
       core.settleIfUp();
     } finally {
       core.unlock();
@@ -384,7 +384,7 @@
     for (InFlightRequest each : inHand) {
       held |= each.key != null && task.sameKey(each);
     }
-    between.sendReleased(task.key, held);
+    between.sendRelease(task.key, held);
   }
 
   // ---- What Between needs of the tries ----
@@ -400,12 +400,12 @@
   }
 
   @Override
-  public void onPeerFinished(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  public void onPeerCompletion(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
     core.finish(entry, result);
   }
 
   @Override
-  public void onPeerReleased(IdempotencyTable.Entry<InFlightRequest> entry) {
+  public void onPeerRelease(IdempotencyTable.Entry<InFlightRequest> entry) {
     recorder.voided(entry);
   }
 
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -964,13 +964,13 @@
    * for the disk.
    */
   boolean finish(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
-    partner.between().sendFinished(entry, result);
+    partner.between().sendCompletion(entry, result);
     boolean ran = entry.state() == KeyState.RUNNING || entry.state() == KeyState.ELSEWHERE;
     keys.ran(entry, result);
     if (ran) {
       recorder.ended(entry, result);
     }
-    partner.between().forwardSettled(entry.key(), recorder.on(), now());
+    partner.between().forwardCompleted(entry.key(), recorder.on(), now());
     return entry.state() == KeyState.SAVING;
   }
 
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -210,12 +210,12 @@
       core.answer(entry.holder(), Answer.served(keys.result(entry)));
       if (between.peer() != null && !between.isOwner()) {
         // It was on its way when the keys were handed over.
-        between.peer().sendFinished(entry.key(), keys.result(entry));
+        between.peer().sendCompletion(entry.key(), keys.result(entry));
       }
     } else if (between.peer() != null) {
       between.peer().sendResultWritten(entry.key());
     }
-    between.forwardSettled(entry.key(), true, core.now());
+    between.forwardCompleted(entry.key(), true, core.now());
     core.settleSoonIfUp();
   }
 
--- a/src/main/java/wharftrestle/transport/OwnershipLock.java
+++ b/src/main/java/wharftrestle/transport/OwnershipLock.java
@@ -10,10 +10,10 @@
 import org.tinylog.Logger;
 
 /**
- * Says whether a process lives that knows the keys of this box, or is about to: each such process
- * shares the lock of one file, and whoever would start without those keys has to have it alone. The
- * kernel gives a lock back when its process ends, and not before, so a stopped process keeps its
- * own. Where files cannot be locked it says what it can: nothing.
+ * A file lock that lives as long as a process that knows the keys of this host, or is about to: each
+ * such process holds it shared, and whoever would start without those keys has to hold it alone. The
+ * kernel releases it when its process ends, and not before, so a stopped process keeps it. Where
+ * files cannot be locked, no other process is assumed. Thread-safe.
  */
 public final class OwnershipLock implements Closeable {
   private final Path file;
@@ -21,26 +21,26 @@
   private FileLock lock;
 
   /**
-   * @param meeting where the processes of the box meet; the file lies beside it
+   * @param socket where the processes of the host meet; the file lies beside it
    */
-  public OwnershipLock(Path meeting) {
-    file = meeting.resolveSibling(meeting.getFileName() + ".seat");
+  public OwnershipLock(Path socket) {
+    file = socket.resolveSibling(socket.getFileName() + ".seat");
   }
 
-  /** This process knows the keys of its box, or is about to. */
-  public synchronized void share() {
+  /** Holds the lock shared: this process knows the keys of its host, or is about to. */
+  public synchronized void acquireShared() {
     if (lock == null || !lock.isShared()) {
-      leave();
+      release();
       lock = tryLock(true);
     }
   }
 
   /**
-   * True where no other process does, or that cannot be told; this one has the file alone until it
-   * shares or leaves.
+   * Tries to hold the lock alone, until it is held shared or released. True where no other process
+   * holds it, or that cannot be told.
    */
-  public synchronized boolean alone() {
-    leave();
+  public synchronized boolean tryAcquireExclusive() {
+    release();
     try {
       lock = lockOf(false);
       return lock != null;
@@ -52,8 +52,8 @@
     }
   }
 
-  /** This process knows no more than it would by itself. */
-  public synchronized void leave() {
+  /** Holds the lock no more: this process knows nothing that others do not. */
+  public synchronized void release() {
     if (lock != null) {
       try {
         lock.release();
@@ -84,7 +84,7 @@
 
   @Override
   public synchronized void close() {
-    leave();
+    release();
     if (channel != null) {
       BoundedReader.closeQuietly(channel);
       channel = null;
--- a/src/main/java/wharftrestle/transport/PeerLink.java
+++ b/src/main/java/wharftrestle/transport/PeerLink.java
@@ -307,7 +307,7 @@
       case "over" -> {
         need(words, 7);
         core.heard(
-            new SettledKey(
+            new CompletedKey(
                 new KeyDigest(Long.parseLong(words[1]), Long.parseLong(words[2])),
                 Long.parseLong(words[3]),
                 BoundedReader.duration(words[4]),
@@ -447,10 +447,10 @@
     return send(
         "key "
             + word(kept.key())
-            + (kept.isFinished() ? " over " : " open ")
+            + (kept.isCompleted() ? " over " : " open ")
             + kept.coveredUntilUnixMillis()
             + " "
-            + Math.round(kept.secondsLeft() * 1000)
+            + Math.round(kept.remainingSeconds() * 1000)
             + " "
             + kept.body().length
             + " "
@@ -464,7 +464,7 @@
     awaitWritten(told(kept), SURELY_MS);
   }
 
-  private long told(SettledKey key) {
+  private long told(CompletedKey key) {
     return send(
         "over "
             + key.digest().high()
@@ -473,7 +473,7 @@
             + " "
             + key.coveredUntilUnixMillis()
             + " "
-            + Math.round(key.secondsLeft() * 1000)
+            + Math.round(key.remainingSeconds() * 1000)
             + " "
             + key.bodyChecksum()
             + " "
@@ -482,12 +482,12 @@
   }
 
   @Override
-  public boolean sendSettledKey(SettledKey key) {
+  public boolean sendCompletedKey(CompletedKey key) {
     return awaitWritten(told(key) - MOST_OVER, PATIENCE_MS);
   }
 
   @Override
-  public boolean forwardSettledKey(SettledKey key) {
+  public boolean forwardCompletedKey(CompletedKey key) {
     long mine = told(key);
     synchronized (words) {
       return mine - written <= MOST_FOLLOW;
@@ -512,12 +512,12 @@
   }
 
   @Override
-  public void sendFinished(String key, byte[] result) {
+  public void sendCompletion(String key, byte[] result) {
     send("ended " + word(key) + " " + length(result), result);
   }
 
   @Override
-  public void sendReleased(String key) {
+  public void sendRelease(String key) {
     send("freed " + word(key));
   }
 
--- a/src/main/java/wharftrestle/version/BuildInfo.java
+++ b/src/main/java/wharftrestle/version/BuildInfo.java
@@ -12,82 +12,111 @@
 import wharftrestle.idempotency.KeyDigest;
 
 /**
- * Which build this is, and what it speaks. It owns the ranges of formats: who adds a version of one
- * changes it here. The figure beside the jar is read, the jar is not, unless {@link #digest} is
- * asked.
+ * Describes the running build, and holds the ranges of the formats that it speaks: whoever adds a
+ * version of a format changes its range here. Stateless. A daemon's start reads the digest that the
+ * build wrote beside the jar, not the jar itself.
  */
 public final class BuildInfo {
-  /** Words between two processes: 1 hands over at once, 2 agrees first. */
+  /** The handover between two processes; 2 compares capabilities first. */
   public static final VersionRange HANDOVER_VERSIONS = new VersionRange(1, 2);
 
-  /** Files of kept results ({@code durable.Segment}). */
+  /** The write-ahead log of results ({@code storage.Segment}). */
   public static final VersionRange LOG_VERSIONS = new VersionRange(1, 1);
 
-  /** The operators' settings. */
+  /** The language of the operators' settings. */
   public static final VersionRange SETTINGS_LANGUAGE_VERSIONS = new VersionRange(1, 1);
 
-  /** What is written beside a jar, as sha256sum has it: the digest, two blanks, the file's name. */
-  private static final String BESIDE = ".sha256";
+  private static final String UNPACKAGED = "unpackaged";
+  private static final String NO_SETTINGS = "none";
 
-  private static final int DIGITS = 64;
-  private static final int CHUNK = 64 * 1024;
+  /** Separates the program's version from its commit in the jar's manifest. */
+  private static final char COMMIT_SEPARATOR = '+';
+
+  /** Of the file beside a jar, in the form of sha256sum. */
+  private static final String DIGEST_SUFFIX = ".sha256";
+
+  private static final int SHA_256_HEX_DIGITS = 64;
+  private static final int READ_BUFFER_BYTES = 64 * 1024;
 
   private BuildInfo() {}
 
-  /** This build, with these effective settings in their canonical form; null for none. */
+  /**
+   * Describes this build.
+   *
+   * @param settings canonical form of the effective settings; null where none are read
+   */
   public static Version describe(String settings) {
-    String said = BuildInfo.class.getPackage().getImplementationVersion();
-    int plus = said == null ? -1 : said.indexOf('+');
+    String manifestVersion = BuildInfo.class.getPackage().getImplementationVersion();
     Path jar = jar();
     return new Version(
-        said == null ? "unpackaged" : plus < 0 ? said : said.substring(0, plus),
-        plus < 0 || plus + 1 == said.length() ? Version.UNKNOWN : said.substring(plus + 1),
+        programVersion(manifestVersion),
+        commit(manifestVersion),
         jar == null ? Version.UNKNOWN : recordedDigest(jar),
-        settings == null ? "none" : digest(settings),
+        settings == null ? NO_SETTINGS : digest(settings),
         HANDOVER_VERSIONS,
         LOG_VERSIONS,
         SETTINGS_LANGUAGE_VERSIONS);
   }
 
-  /** The jar that this program is run from; null where it is run from classes. */
+  private static String programVersion(String manifestVersion) {
+    if (manifestVersion == null) {
+      return UNPACKAGED;
+    }
+    int separator = manifestVersion.indexOf(COMMIT_SEPARATOR);
+    return separator < 0 ? manifestVersion : manifestVersion.substring(0, separator);
+  }
+
+  private static String commit(String manifestVersion) {
+    int separator = manifestVersion == null ? -1 : manifestVersion.indexOf(COMMIT_SEPARATOR);
+    return separator < 0 || separator + 1 == manifestVersion.length()
+        ? Version.UNKNOWN
+        : manifestVersion.substring(separator + 1);
+  }
+
+  /** The jar that this program runs from; null where it runs from class files. */
   public static Path jar() {
     try {
-      Path from =
+      Path source =
           Path.of(BuildInfo.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-      return Files.isRegularFile(from) ? from : null;
+      return Files.isRegularFile(source) ? source : null;
     } catch (URISyntaxException | RuntimeException e) {
-      return null; // no file: nothing is known of it
+      return null; // The code source is no file.
     }
   }
 
-  /** The digest that was written beside a jar; "unknown" where there is none. */
+  /** The digest that the build wrote beside a jar; "unknown" where there is none. */
   public static String recordedDigest(Path jar) {
+    Path digestFile = jar.resolveSibling(jar.getFileName() + DIGEST_SUFFIX);
     try {
-      String text =
-          Files.readString(
-              jar.resolveSibling(jar.getFileName() + BESIDE), StandardCharsets.ISO_8859_1);
-      String digits = text.length() < DIGITS ? "" : text.substring(0, DIGITS);
-      return digits.matches("[0-9a-f]+") ? digits : Version.UNKNOWN;
+      String text = Files.readString(digestFile, StandardCharsets.ISO_8859_1);
+      return text.length() >= SHA_256_HEX_DIGITS
+              && Version.isHex(text.substring(0, SHA_256_HEX_DIGITS))
+          ? text.substring(0, SHA_256_HEX_DIGITS)
+          : Version.UNKNOWN;
     } catch (IOException e) {
       return Version.UNKNOWN;
     }
   }
 
-  /** SHA-256 of a file's bytes, in hex. */
+  /**
+   * SHA-256 of a file, in hex.
+   *
+   * @throws IOException where the file cannot be read
+   */
   public static String digest(Path file) throws IOException {
     try (InputStream in = Files.newInputStream(file)) {
-      MessageDigest sha = MessageDigest.getInstance("SHA-256");
-      byte[] chunk = new byte[CHUNK];
-      for (int read = in.read(chunk); read >= 0; read = in.read(chunk)) {
-        sha.update(chunk, 0, read);
+      MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
+      byte[] buffer = new byte[READ_BUFFER_BYTES];
+      for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+        sha256.update(buffer, 0, count);
       }
-      return HexFormat.of().formatHex(sha.digest());
+      return HexFormat.of().formatHex(sha256.digest());
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException("every Java has SHA-256", e);
     }
   }
 
-  /** 128 bits of a text, in hex. */
+  /** 128 bits that tell texts apart, in hex. */
   public static String digest(String text) {
     KeyDigest digest = KeyDigest.of(text);
     return HexFormat.of().toHexDigits(digest.high()) + HexFormat.of().toHexDigits(digest.low());
--- a/src/main/java/wharftrestle/version/Version.java
+++ b/src/main/java/wharftrestle/version/Version.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * What a version is.
+ * A version of the program: its build, its effective settings, and the formats that it speaks.
+ * Immutable. Its published names are given in {@link #publishedFields} alone.
  *
- * @param program the program's number, of its project file
- * @param commit what it was made from; "unknown" where no history was there
- * @param build SHA-256 of the jar, in hex, as the build wrote it beside the jar; "unknown" where it
- *     did not
- * @param settings digest of the effective settings' canonical form, in hex; "none" where none are
- *     read
- * @param handover words of the hand-over between two processes
- * @param log files of kept results that it reads; it writes the newest
- * @param language the operators' settings
+ * @param program version of the project
+ * @param commit that it was built from; "unknown" where the build had no history
+ * @param jarDigest SHA-256 of the jar in hex, as the build recorded it; "unknown" where it did not
+ * @param settingsDigest digest of the effective settings' canonical form, in hex; "none" where none
+ *     are read
+ * @param handoverVersions formats of the handover between two processes
+ * @param logVersions formats of the write-ahead log that it reads; it writes the newest
+ * @param settingsLanguageVersions versions of the language of the operators' settings
  */
 public record Version(
     String program,
@@ -25,42 +25,49 @@
     VersionRange logVersions,
     VersionRange settingsLanguageVersions) {
 
-  /** What is not known. */
+  /** Stands for a part that is not known. */
   public static final String UNKNOWN = "unknown";
 
-  /** Hexadecimal digits by which people tell builds and settings apart. */
-  private static final int BRIEF = 12;
+  /** Hex digits of a digest that an operator is shown. */
+  private static final int DISPLAYED_HEX_DIGITS = 12;
 
-  /** Each part under its one name, in the order in which it is shown. */
+  /** Each part under its published name, in the order in which it is shown. */
   public Map<String, String> publishedFields() {
-    Map<String, String> parts = new LinkedHashMap<>();
-    parts.put("program", program);
-    parts.put("commit", commit);
-    parts.put("build", jarDigest);
-    parts.put("settings", settingsDigest);
-    parts.put("handover", handoverVersions.toString());
-    parts.put("log", logVersions.toString());
-    parts.put("language", settingsLanguageVersions.toString());
-    return parts;
+    Map<String, String> fields = new LinkedHashMap<>();
+    fields.put("program", program);
+    fields.put("commit", commit);
+    fields.put("build", jarDigest);
+    fields.put("settings", settingsDigest);
+    fields.put("handover", handoverVersions.toString());
+    fields.put("log", logVersions.toString());
+    fields.put("language", settingsLanguageVersions.toString());
+    return fields;
   }
 
-  /** One line for people: long digests are cut. */
+  /** One operator-facing line, with long digests cut. */
   public String summaryLine() {
     StringBuilder line = new StringBuilder();
     publishedFields()
         .forEach(
             (name, value) ->
-                line.append(line.length() == 0 ? "" : " ")
+                line.append(line.isEmpty() ? "" : " ")
                     .append(name)
                     .append(' ')
-                    .append(
-                        value.length() > BRIEF && value.matches("[0-9a-f]+")
-                            ? value.substring(0, BRIEF)
-                            : value));
+                    .append(displayed(value)));
     return line.toString();
   }
 
-  /** A line a part, {@code name value}. */
+  private static String displayed(String value) {
+    return value.length() > DISPLAYED_HEX_DIGITS && isHex(value)
+        ? value.substring(0, DISPLAYED_HEX_DIGITS)
+        : value;
+  }
+
+  static boolean isHex(String text) {
+    return text.matches("[0-9a-f]+");
+  }
+
+  /** A line of {@code name value} for each part. */
   public String table() {
     StringBuilder lines = new StringBuilder();
     publishedFields()
--- a/src/main/java/wharftrestle/version/VersionRange.java
+++ b/src/main/java/wharftrestle/version/VersionRange.java
@@ -1,11 +1,13 @@
 package wharftrestle.version;
 
 /**
- * The versions of one format that a program speaks, both ends included; written {@code 1-2}, or
- * {@code 1}.
+ * The versions of one format that a program speaks, both included; written {@code 1-2}, or
+ * {@code 1}. Immutable.
  */
 public record VersionRange(int oldest, int newest) {
+  private static final int NONE_IN_COMMON = -1;
 
+  /** Checks that the range is not empty. */
   public VersionRange {
     if (oldest < 0 || newest < oldest) {
       throw new IllegalArgumentException("no range: " + oldest + " to " + newest);
@@ -15,22 +17,23 @@
   /**
    * Reads {@code 1-2} or {@code 1}.
    *
-   * @throws IllegalArgumentException for anything else
+   * @throws IllegalArgumentException for any other text
    */
   public static VersionRange parse(String text) {
-    String[] ends = text.split("-", -1);
-    if (ends.length > 2 || !text.matches("[0-9]{1,6}(-[0-9]{1,6})?")) {
+    if (!text.matches("[0-9]{1,6}(-[0-9]{1,6})?")) {
       throw new IllegalArgumentException("no range: '" + text + "'");
     }
-    return new VersionRange(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]));
+    String[] bounds = text.split("-", -1);
+    return new VersionRange(Integer.parseInt(bounds[0]), Integer.parseInt(bounds[bounds.length - 1]));
   }
 
   /** The newest version that both speak; -1 for none. */
-  public int newestCommon(VersionRange other) {
-    int best = Math.min(newest, other.newest);
-    return best >= Math.max(oldest, other.oldest) ? best : -1;
+  public int newestCommon(VersionRange that) {
+    int candidate = Math.min(newest, that.newest);
+    return candidate >= Math.max(oldest, that.oldest) ? candidate : NONE_IN_COMMON;
   }
 
+  /** True where this range includes the version. */
   public boolean contains(int version) {
     return version >= oldest && version <= newest;
   }
--- a/src/main/java/wharftrestle/version/package-info.java
+++ b/src/main/java/wharftrestle/version/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What a version of the program is: its build, its effective settings, the formats that it speaks.
- * One record, under the same names wherever it is shown. It must never do work at a daemon's start
- * beyond reading some hundred bytes.
+ * Versions of the program: its build, its effective settings, and the formats that it speaks. {@link
+ * wharftrestle.version.BuildInfo} describes the running build as a {@link
+ * wharftrestle.version.Version}, whose published names are the same wherever it is shown. All types
+ * are immutable or stateless. A daemon's start reads no more than the short file beside the jar.
  */
 package wharftrestle.version;
--- a/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
+++ b/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
@@ -206,7 +206,7 @@
         case SEND_SUCCESSOR_CAPABILITIES -> say(i, Word.of(Event.SUCCESSOR_COMPATIBLE));
         case SEND_ACCEPTANCE -> say(i, Word.of(Event.TAKEOVER_ACCEPTED));
         case SEND_RETRY_LATER -> say(i, Word.of(Event.RETRY_LATER));
-        case SEND_SETTLED_KEYS -> {
+        case SEND_COMPLETED_KEYS -> {
           p.tells = bug != Bug.SETTLED_NOT_FOLLOWED;
           if (p.knows == Knows.OVER) {
             say(i, new Word(null, true, true));
@@ -240,7 +240,7 @@
         }
         case LISTEN_ALONE -> p.listens = bug != Bug.SERVES_NOT_AGAIN;
         case START_SERVING -> meeting = i;
-        case DISCOVER_PEER, BACK_OFF -> p.holds = false;
+        case DISCOVER_PEER, START_BACKOFF -> p.holds = false;
         case REPORT_REFUSAL, PARK_LINK -> {}
         default -> throw new IllegalStateException("not in this model: " + act);
       }
@@ -296,11 +296,11 @@
           p.knows = Knows.OPEN;
           say(
               to,
-              Word.of(Event.PEER_FOUND)); // stands for granted, which no step of the hand-over is
+              Word.of(Event.PEER_DISCOVERED)); // stands for granted, which no step of the hand-over is
         } else {
           say(to, new Word(null, true, p.knows == Knows.OVER));
         }
-      } else if (word.event() == Event.PEER_FOUND) {
+      } else if (word.event() == Event.PEER_DISCOVERED) {
         if (p.asks) {
           p.asks = false;
           if (p.knows == Knows.NOTHING) {
@@ -440,17 +440,17 @@
       switch (p.state) {
         case AWAITING_WORKER_POOL -> all.add(after(w -> w.joins(me)));
         case SENDING_KEYS -> all.add(after(w -> w.take(me, Event.ALL_KEYS_SENT)));
-        case BACKING_OFF -> all.add(after(w -> w.take(me, Event.BACKOFF_ELAPSED)));
+        case IN_BACKOFF -> all.add(after(w -> w.take(me, Event.BACKOFF_ELAPSED)));
         case DISCOVERING_PEER -> {
           if (meetable(meeting) && meeting != me) {
             all.add(
                 after(
                     w -> {
                       w.all[me].peer = w.meeting;
-                      w.take(me, Event.PEER_FOUND);
+                      w.take(me, Event.PEER_DISCOVERED);
                     }));
           } else if (vacant(me)) {
-            all.add(after(w -> w.take(me, Event.NO_PEER_FOUND)));
+            all.add(after(w -> w.take(me, Event.NO_PEER_DISCOVERED)));
           }
         }
         default -> {}
--- a/src/test/java/wharftrestle/handover/ProcessPauseDetectorTest.java
+++ b/src/test/java/wharftrestle/handover/ProcessPauseDetectorTest.java
@@ -5,34 +5,34 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a process may have missed what the other one could not say. */
+/** When messages of the peer may be lost to a process that paused. */
 class ProcessPauseDetectorTest {
-  private final ProcessPauseDetector still = new ProcessPauseDetector(0);
+  private final ProcessPauseDetector detector = new ProcessPauseDetector(0);
 
-  private void awake(double from, double to) {
+  private void pollBetween(double from, double to) {
     for (double now = from; now < to; now += ProcessPauseDetector.POLL_INTERVAL_SECONDS) {
-      still.poll(now);
+      detector.poll(now);
     }
   }
 
   @Test
-  void whoWasAwakeMissedNothing() {
-    awake(0, 30);
-    assertFalse(still.hasPausedRecently(30));
+  void processThatWasPolledThroughout_hasNotPaused() {
+    pollBetween(0, 30);
+    assertFalse(detector.hasPausedRecently(30));
   }
 
   @Test
-  void whoWakesUpToAnEndMayHaveMissedWhatWasSaidLast() {
-    awake(0, 5);
-    assertTrue(still.hasPausedRecently(6), "also before its first look");
-    awake(6, 6.8);
-    assertTrue(still.hasPausedRecently(6.9), "the other one may have been writing what waited");
+  void processThatResumed_hasPausedRecently() {
+    pollBetween(0, 5);
+    assertTrue(detector.hasPausedRecently(6), "also before its first look");
+    pollBetween(6, 6.8);
+    assertTrue(detector.hasPausedRecently(6.9), "the other one may have been writing what waited");
   }
 
   @Test
-  void whoLivedOnWithTheOtherHeardWhatWaited() {
-    awake(0, 5);
-    awake(6, 8);
-    assertFalse(still.hasPausedRecently(8));
+  void processThatResumedLongerAgo_hasNotPausedRecently() {
+    pollBetween(0, 5);
+    pollBetween(6, 8);
+    assertFalse(detector.hasPausedRecently(8));
   }
 }
--- a/src/test/java/wharftrestle/prove/Unagreed.java
+++ b/src/test/java/wharftrestle/prove/Unagreed.java
@@ -1,14 +1,12 @@
 package wharftrestle.prove;
 
+import java.util.Optional;
 import sun.misc.Signal;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.daemon.Lifecycle;
 import wharftrestle.idempotency.KeyMemoryBudget;
 
-/**
- * The daemon that hands over to whoever asks: what a proof plays beside the real one, and never
- * more.
- */
+/** The daemon that hands over to whoever asks, as a test runs it against the real one. */
 public final class Unagreed {
   private Unagreed() {}
 
@@ -18,7 +16,7 @@
             DaemonConfig.read(System.getenv()),
             DaemonConfig.Appliance.none(),
             KeyMemoryBudget.ofHeap(Runtime.getRuntime().maxMemory()),
-            (serves, next) -> null);
+            (predecessor, successor) -> Optional.empty());
     Signal.handle(new Signal("TERM"), signal -> life.leave());
     life.start();
     life.serveUntilStopped();
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
@@ -84,7 +84,7 @@
           SocketChannel reader = server.accept()) {
         link.start();
         sayEverything(link);
-        link.sendReleased("9/0/last");
+        link.sendRelease("9/0/last");
         return messages(readToLast(reader));
       }
     }
@@ -121,12 +121,12 @@
     link.sendKeyAndAwaitWrite(
         new PeerProcess.KeyUpdate(
             "1/0/over", true, STAMP + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
-    link.sendSettledKey(new PeerProcess.SettledKey(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
-    link.forwardSettledKey(
-        new PeerProcess.SettledKey(new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
-    link.sendFinished("1/0/ended", bytes("good"));
-    link.sendFinished("1/0/failed", null);
-    link.sendReleased("1/0/freed");
+    link.sendCompletedKey(new PeerProcess.CompletedKey(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
+    link.forwardCompletedKey(
+        new PeerProcess.CompletedKey(new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
+    link.sendCompletion("1/0/ended", bytes("good"));
+    link.sendCompletion("1/0/failed", null);
+    link.sendRelease("1/0/freed");
     link.sendIntentRequest("1/0/intend", STAMP + 6, bytes("asked"));
     link.sendIntentOutcome("1/0/intend", true);
     link.sendIntentOutcome("1/0/not", false);
@@ -172,7 +172,7 @@
             core.partner().join(link, 0);
           }
           if (word != Message.LINK_LOST) {
-            link.sendReleased("9/0/last");
+            link.sendRelease("9/0/last");
           }
         };
     try (ServerSocketChannel server = PeerLink.listen(socket, core.partner(), side);
