--- a/src/main/java/wharftrestle/rollout/CanaryAnalysis.java
+++ b/src/main/java/wharftrestle/rollout/CanaryAnalysis.java
@@ -25,14 +25,25 @@
 public final class CanaryAnalysis {
 
   /** What it says. */
-  public enum Word {
-    SAME,
-    WORSE,
-    CANNOT_TELL
+  public enum Outcome {
+    PASS("same"),
+    FAIL("worse"),
+    INCONCLUSIVE("cannot-tell");
+
+    private final String publishedName;
+
+    Outcome(String publishedName) {
+      this.publishedName = publishedName;
+    }
+
+    /** Its name in status, events and the daemons' metrics. */
+    public String publishedName() {
+      return publishedName;
+    }
   }
 
   /** A verdict with its reason; one line. */
-  public record Verdict(Word word, String why) {}
+  public record Verdict(Outcome outcome, String reason) {}
 
   /**
    * One measure now, for tables.
@@ -42,58 +53,59 @@
    * @param least of it, surely
    * @param most of it, surely
    */
-  public record Line(
-      CanaryMetric measure,
-      String about,
+  public record Reading(
+      CanaryMetric metric,
+      String requestClass,
       double loss,
-      double least,
-      double most,
+      double lowerBound,
+      double upperBound,
       double limit,
-      long seen) {}
+      long windows) {}
 
   /** Part of the limit that is tolerated for good. */
-  private static final double TOLERATED = 1.0 / 3;
+  private static final double TOLERATED_FRACTION = 1.0 / 3;
 
   /** Part of all requests under which a class holds nobody up: it may still be worse. */
-  private static final double SMALL_CLASS = 0.05;
+  private static final double SMALL_CLASS_FRACTION = 0.05;
 
   /** Old boxes below which nobody knows by how much boxes differ. */
-  private static final int LEAST_OLD = 3;
+  private static final int MIN_BASELINE_HOSTS = 3;
 
   /** Requests of a box in a window under which the window says nothing of it. */
-  private static final long LEAST_ASKED = 5;
+  private static final long MIN_REQUESTS = 5;
 
   /** Deaths at one box that are a crash loop, over all stages. */
-  private static final int LOOP = 2;
+  private static final int CRASH_LOOP_DEATHS = 2;
 
   /** Probability at which more deaths at the new boxes than at the old ones are no accident. */
-  private static final double ACCIDENT = 0.001;
+  private static final double COINCIDENCE_PROBABILITY = 0.001;
 
   private final Map<CanaryMetric, Double> limits;
-  private final double error; // of one measure in one stage
-  private final Map<String, ConfidenceSequence> usual =
+  private final double errorPerSeries; // of one measure in one stage
+  private final Map<String, ConfidenceSequence> baselines =
       new LinkedHashMap<>(); // by box and series: its difference when it was old
-  private final Map<String, Series> series = new LinkedHashMap<>();
-  private final Map<String, Integer> deaths =
+  private final Map<String, MetricSeries> series = new LinkedHashMap<>();
+  private final Map<String, Integer> deathsByHost =
       new LinkedHashMap<>(); // at each box that has the new release
-  private final Map<String, Integer> takenBack = new LinkedHashMap<>();
+  private final Map<String, Integer> rollbacksByHost = new LinkedHashMap<>();
   private int newDeaths;
   private int oldDeaths;
-  private double newTime; // windows of all new boxes
-  private double oldTime;
-  private String broken = "";
-  private long judged;
-
-  private static final class Series {
-    private final CanaryMetric measure;
-    private final String about;
-    private ConfidenceSequence drift = new ConfidenceSequence();
-    private double usualVariance; // of the mean of what is usual, over the boxes of the last window
-    private long asked; // by the new release in this stage
-
-    Series(CanaryMetric measure, String about) {
-      this.measure = measure;
-      this.about = about;
+  private double newHostWindows; // windows of all new boxes
+  private double oldHostWindows;
+  private String violation = "";
+  private long comparedWindows;
+
+  private static final class MetricSeries {
+    private final CanaryMetric metric;
+    private final String requestClass;
+    private ConfidenceSequence losses = new ConfidenceSequence();
+    private double
+        baselineVariance; // of the mean of what is usual, over the boxes of the last window
+    private long requests; // by the new release in this stage
+
+    MetricSeries(CanaryMetric metric, String requestClass) {
+      this.metric = metric;
+      this.requestClass = requestClass;
     }
   }
 
@@ -102,47 +114,50 @@
    * @param errors over everything
    */
   public CanaryAnalysis(
-      Map<CanaryMetric, Double> limits, List<String> classes, int stages, double errors) {
+      Map<CanaryMetric, Double> limits, List<String> classes, int stages, double errorProbability) {
     this.limits = Map.copyOf(limits);
-    for (CanaryMetric measure : CanaryMetric.values()) {
-      if (!limits.containsKey(measure)) {
+    for (CanaryMetric metric : CanaryMetric.values()) {
+      if (!limits.containsKey(metric)) {
         continue;
       }
-      switch (measure) {
-        case FAILED, REFUSED, LATE -> classes.forEach(name -> add(measure, name));
-        default -> add(measure, "");
+      switch (metric) {
+        case FAILED, REJECTED, LATE -> classes.forEach(name -> add(metric, name));
+        default -> add(metric, "");
       }
     }
-    error = errors / Math.max(1, series.size() * stages);
+    errorPerSeries = errorProbability / Math.max(1, series.size() * stages);
   }
 
-  private void add(CanaryMetric measure, String about) {
-    series.put(measure + "/" + about, new Series(measure, about));
+  private void add(CanaryMetric metric, String requestClass) {
+    series.put(metric + "/" + requestClass, new MetricSeries(metric, requestClass));
   }
 
   /** A stage begins: what was seen of the new release before does not hide what shows only now. */
-  public void stage() {
+  public void beginStage() {
     series
         .values()
         .forEach(
             each -> {
-              each.drift = new ConfidenceSequence();
-              each.asked = 0;
+              each.losses = new ConfidenceSequence();
+              each.requests = 0;
             });
-    judged = 0;
+    comparedWindows = 0;
   }
 
   /** A daemon died by itself; {@code changed} where it was of the new release. */
-  public void died(String box, boolean changed) {
-    if (!changed) {
+  public void onDaemonDeath(String host, boolean onNewRelease) {
+    if (!onNewRelease) {
       oldDeaths++;
       return;
     }
     newDeaths++;
-    if (deaths.merge(box, 1, Integer::sum) >= LOOP) {
-      broken = "the new release died " + deaths.get(box) + " times at " + box;
-    } else if (newDeaths > LOOP && newTime > 0 && accident() < ACCIDENT) {
-      broken = "the new release died " + newDeaths + " times, the old one " + oldDeaths + " times";
+    if (deathsByHost.merge(host, 1, Integer::sum) >= CRASH_LOOP_DEATHS) {
+      violation = "the new release died " + deathsByHost.get(host) + " times at " + host;
+    } else if (newDeaths > CRASH_LOOP_DEATHS
+        && newHostWindows > 0
+        && coincidenceProbability() < COINCIDENCE_PROBABILITY) {
+      violation =
+          "the new release died " + newDeaths + " times, the old one " + oldDeaths + " times";
     }
   }
 
@@ -150,9 +165,10 @@
    * A box's keeper took the new release back by itself: once may be the box's own trouble, twice at
    * one box is not.
    */
-  public void takenBack(String box, String why) {
-    if (takenBack.merge(box, 1, Integer::sum) >= LOOP) {
-      broken = box + " took it back by itself " + takenBack.get(box) + " times: " + why;
+  public void onHostRollback(String host, String reason) {
+    if (rollbacksByHost.merge(host, 1, Integer::sum) >= CRASH_LOOP_DEATHS) {
+      violation =
+          host + " took it back by itself " + rollbacksByHost.get(host) + " times: " + reason;
     }
   }
 
@@ -160,164 +176,189 @@
    * Probability of so many of all deaths falling on the new boxes, by their share of the time
    * (binomial tail).
    */
-  private double accident() {
+  private double coincidenceProbability() {
     int all = newDeaths + oldDeaths;
-    double share = Math.min(0.999, newTime / (newTime + oldTime));
-    double term = Math.pow(share, all); // all of them on the new boxes
+    double newFraction = Math.min(0.999, newHostWindows / (newHostWindows + oldHostWindows));
+    double term = Math.pow(newFraction, all); // all of them on the new boxes
     double sum = 0;
     for (int i = all; i >= newDeaths; i--) {
       sum += term;
-      term *= i / (all - i + 1.0) * (1 - share) / share;
+      term *= i / (all - i + 1.0) * (1 - newFraction) / newFraction;
     }
     return sum;
   }
 
   /** The new release broke a rule at a box: there is nothing to weigh. */
-  public void broke(String box, String what) {
-    broken = what + " at " + box;
+  public void onViolation(String host, String violated) {
+    violation = violated + " at " + host;
   }
 
   /** One window of all boxes. */
-  public void window(List<HostSample> boxes) {
-    long changed = boxes.stream().filter(HostSample::changed).count();
-    newTime += changed;
-    oldTime += boxes.size() - changed;
+  public void addWindow(List<HostSample> samples) {
+    long onNewRelease = samples.stream().filter(HostSample::onNewRelease).count();
+    newHostWindows += onNewRelease;
+    oldHostWindows += samples.size() - onNewRelease;
     List<HostSample> usable =
-        boxes.stream().filter(each -> each.steady() && each.asked() >= LEAST_ASKED).toList();
+        samples.stream().filter(each -> each.steady() && each.requests() >= MIN_REQUESTS).toList();
     boolean any = false;
-    for (Series each : series.values()) {
-      any |= window(each, usable);
+    for (MetricSeries each : series.values()) {
+      any |= addWindow(each, usable);
     }
-    judged += any ? 1 : 0;
+    comparedWindows += any ? 1 : 0;
   }
 
-  private boolean window(Series of, List<HostSample> boxes) {
-    List<HostSample> old = boxes.stream().filter(each -> !each.changed()).toList();
+  private boolean addWindow(MetricSeries series, List<HostSample> samples) {
+    List<HostSample> oldSamples = samples.stream().filter(each -> !each.onNewRelease()).toList();
     double sum = 0;
     double variance = 0;
-    int many = 0;
-    long asked = 0;
-    for (HostSample box : boxes) {
-      double own = value(of, box);
-      double others = reference(of, box, old);
-      if (Double.isNaN(own) || Double.isNaN(others)) {
+    int compared = 0;
+    long requests = 0;
+    for (HostSample host : samples) {
+      double ownLoss = loss(series, host);
+      double referenceLoss = reference(series, host, oldSamples);
+      if (Double.isNaN(ownLoss) || Double.isNaN(referenceLoss)) {
         continue;
       }
-      double difference = difference(of.measure, own, others, box, old);
-      ConfidenceSequence before =
-          usual.computeIfAbsent(
-              box.box() + " " + of.measure + "/" + of.about, key -> new ConfidenceSequence());
-      if (!box.changed()) {
-        before.add(difference);
+      double difference = difference(series.metric, ownLoss, referenceLoss, host, oldSamples);
+      ConfidenceSequence baseline =
+          baselines.computeIfAbsent(
+              host.host() + " " + series.metric + "/" + series.requestClass,
+              key -> new ConfidenceSequence());
+      if (!host.onNewRelease()) {
+        baseline.add(difference);
         continue;
       }
       // A driver that followed another one never saw what is usual of the boxes that had gone
       // before: what the old
       // ones differ by among themselves stands in for it.
-      boolean known = before.count() >= ConfidenceSequence.LEAST;
-      double spread = known ? before.variance() / before.count() : spread(of, old);
+      boolean hasBaseline = baseline.count() >= ConfidenceSequence.MIN_VALUES;
+      double spread =
+          hasBaseline
+              ? baseline.variance() / baseline.count()
+              : baselineVariance(series, oldSamples);
       if (!Double.isNaN(spread)) {
-        sum += difference - (known ? before.mean() : 0);
+        sum += difference - (hasBaseline ? baseline.mean() : 0);
         variance += spread;
-        many++;
-        asked += asked(of, box);
+        compared++;
+        requests += requests(series, host);
       }
     }
-    if (many > 0) {
-      of.drift.add(sum / many);
-      of.usualVariance = variance / ((double) many * many);
-      of.asked += asked;
+    if (compared > 0) {
+      series.losses.add(sum / compared);
+      series.baselineVariance = variance / ((double) compared * compared);
+      series.requests += requests;
     }
-    return many > 0;
+    return compared > 0;
   }
 
   /** Variance of what is usual, over the old boxes; NaN with too few of them. */
-  private double spread(Series of, List<HostSample> old) {
-    int many = 0;
+  private double baselineVariance(MetricSeries series, List<HostSample> oldSamples) {
+    int compared = 0;
     double squares = 0;
-    for (HostSample box : old) {
-      ConfidenceSequence each = usual.get(box.box() + " " + of.measure + "/" + of.about);
-      if (each != null && each.count() >= ConfidenceSequence.LEAST) {
+    for (HostSample host : oldSamples) {
+      ConfidenceSequence each =
+          baselines.get(host.host() + " " + series.metric + "/" + series.requestClass);
+      if (each != null && each.count() >= ConfidenceSequence.MIN_VALUES) {
         // The mean over them is nothing: each is held against the others.
         squares += each.mean() * each.mean();
-        many++;
+        compared++;
       }
     }
-    return many < LEAST_OLD ? Double.NaN : squares / (many - 1);
+    return compared < MIN_BASELINE_HOSTS ? Double.NaN : squares / (compared - 1);
   }
 
-  private static long asked(Series of, HostSample box) {
-    return of.about.isEmpty()
-        ? box.asked()
-        : box.classes().stream()
-            .filter(each -> each.name().equals(of.about))
-            .mapToLong(HostSample.Counts::asked)
+  private static long requests(MetricSeries series, HostSample host) {
+    return series.requestClass.isEmpty()
+        ? host.requests()
+        : host.classCounts().stream()
+            .filter(each -> each.name().equals(series.requestClass))
+            .mapToLong(HostSample.Counts::requests)
             .sum();
   }
 
   /** The old boxes of the same zone besides; of all zones where it has none. */
-  private static double reference(Series of, HostSample box, List<HostSample> old) {
-    double zone =
+  private static double reference(
+      MetricSeries series, HostSample host, List<HostSample> oldSamples) {
+    double zoneMean =
         mean(
-            of,
-            old.stream()
-                .filter(each -> !each.box().equals(box.box()) && each.zone().equals(box.zone()))
+            series,
+            oldSamples.stream()
+                .filter(each -> !each.host().equals(host.host()) && each.zone().equals(host.zone()))
                 .toList());
-    return Double.isNaN(zone)
-        ? mean(of, old.stream().filter(each -> !each.box().equals(box.box())).toList())
-        : zone;
+    return Double.isNaN(zoneMean)
+        ? mean(
+            series, oldSamples.stream().filter(each -> !each.host().equals(host.host())).toList())
+        : zoneMean;
   }
 
-  private static double mean(Series of, List<HostSample> boxes) {
-    return boxes.stream()
-        .mapToDouble(each -> value(of, each))
+  private static double mean(MetricSeries series, List<HostSample> samples) {
+    return samples.stream()
+        .mapToDouble(each -> loss(series, each))
         .filter(each -> !Double.isNaN(each))
         .average()
         .orElse(Double.NaN);
   }
 
   private static double difference(
-      CanaryMetric measure, double own, double others, HostSample box, List<HostSample> old) {
-    return switch (measure) {
-      case CPU, MEMORY -> others <= 0 ? 0 : own / others - 1;
-      case GROWTH -> {
+      CanaryMetric metric,
+      double ownLoss,
+      double referenceLoss,
+      HostSample host,
+      List<HostSample> oldSamples) {
+    return switch (metric) {
+      case CPU, MEMORY -> referenceLoss <= 0 ? 0 : ownLoss / referenceLoss - 1;
+      case MEMORY_GROWTH -> {
         // A young process grows into the room that an old one has taken already: only what is
         // beyond that counts.
         double level =
-            old.stream().mapToDouble(HostSample::ownMb).average().orElse(Double.POSITIVE_INFINITY);
-        yield box.changed() && box.ownMb() < level ? Math.min(0, own - others) : own - others;
+            oldSamples.stream()
+                .mapToDouble(HostSample::memoryMb)
+                .average()
+                .orElse(Double.POSITIVE_INFINITY);
+        yield host.onNewRelease() && host.memoryMb() < level
+            ? Math.min(0, ownLoss - referenceLoss)
+            : ownLoss - referenceLoss;
       }
-      default -> own - others;
+      default -> ownLoss - referenceLoss;
     };
   }
 
   /** One box's loss by one measure; NaN where the window says nothing of it. */
-  private static double value(Series of, HostSample box) {
-    return switch (of.measure) {
-      case WORTH -> {
+  private static double loss(MetricSeries series, HostSample host) {
+    return switch (series.metric) {
+      case LOST_WEIGHT -> {
         double all = 0;
         double lost = 0;
-        for (HostSample.Counts each : box.classes()) {
-          all += each.worth() * each.asked();
+        for (HostSample.Counts each : host.classCounts()) {
+          all += each.priorityWeight() * each.requests();
           lost +=
-              each.worth() * (each.asked() - each.served() + each.late() * (1 - each.lateWorth()));
+              each.priorityWeight()
+                  * (each.requests()
+                      - each.served()
+                      + each.late() * (1 - each.lateWeightFraction()));
         }
         yield all > 0 ? lost / all : Double.NaN;
       }
-      case FAILED -> part(of, box, HostSample.Counts::failed);
-      case REFUSED -> part(of, box, HostSample.Counts::refused);
-      case LATE -> part(of, box, HostSample.Counts::late);
-      case STORE -> box.calls() > 0 ? (double) box.badCalls() / box.calls() : Double.NaN;
-      case CPU -> box.cpu() / box.asked();
-      case MEMORY -> box.ownMb();
-      case GROWTH -> box.grownMb();
+      case FAILED -> fraction(series, host, HostSample.Counts::failed);
+      case REJECTED -> fraction(series, host, HostSample.Counts::rejected);
+      case LATE -> fraction(series, host, HostSample.Counts::late);
+      case DEPENDENCY ->
+          host.dependencyCalls() > 0
+              ? (double) host.failedDependencyCalls() / host.dependencyCalls()
+              : Double.NaN;
+      case CPU -> host.cpuSeconds() / host.requests();
+      case MEMORY -> host.memoryMb();
+      case MEMORY_GROWTH -> host.memoryGrowthMbPerMinute();
     };
   }
 
-  private static double part(Series of, HostSample box, ToLongFunction<HostSample.Counts> what) {
-    for (HostSample.Counts each : box.classes()) {
-      if (each.name().equals(of.about)) {
-        return each.asked() > 0 ? (double) what.applyAsLong(each) / each.asked() : Double.NaN;
+  private static double fraction(
+      MetricSeries series, HostSample host, ToLongFunction<HostSample.Counts> violated) {
+    for (HostSample.Counts each : host.classCounts()) {
+      if (each.name().equals(series.requestClass)) {
+        return each.requests() > 0
+            ? (double) violated.applyAsLong(each) / each.requests()
+            : Double.NaN;
       }
     }
     return Double.NaN;
@@ -326,87 +367,89 @@
   // ---- What it says ----
 
   /** All measures as they stand in this stage. */
-  public List<Line> lines() {
-    List<Line> all = new ArrayList<>();
-    for (Series each : series.values()) {
-      double width = width(each);
-      double mean = each.drift.mean();
+  public List<Reading> readings() {
+    List<Reading> all = new ArrayList<>();
+    for (MetricSeries each : series.values()) {
+      double width = halfWidth(each);
+      double mean = each.losses.mean();
       all.add(
-          new Line(
-              each.measure,
-              each.about,
+          new Reading(
+              each.metric,
+              each.requestClass,
               mean,
               mean - width,
               mean + width,
-              limits.get(each.measure),
-              each.drift.count()));
+              limits.get(each.metric),
+              each.losses.count()));
     }
     return all;
   }
 
-  private double width(Series of) {
-    if (of.drift.count() < ConfidenceSequence.LEAST) {
+  private double halfWidth(MetricSeries series) {
+    if (series.losses.count() < ConfidenceSequence.MIN_VALUES) {
       return Double.POSITIVE_INFINITY;
     }
     // What is usual of a box is known as well as its windows before say: its error stays while the
     // other one shrinks.
-    double before = -2 * Math.log(error) * of.usualVariance;
-    double after = of.drift.width(error);
-    return Math.sqrt(after * after + before);
+    double baseline = -2 * Math.log(errorPerSeries) * series.baselineVariance;
+    double after = series.losses.halfWidth(errorPerSeries);
+    return Math.sqrt(after * after + baseline);
   }
 
   /** The verdict on this stage now. */
   public Verdict verdict() {
-    if (!broken.isEmpty()) {
-      return new Verdict(Word.WORSE, broken);
+    if (!violation.isEmpty()) {
+      return new Verdict(Outcome.FAIL, violation);
     }
     if (series.isEmpty()) {
-      return new Verdict(Word.SAME, "the plan compares nothing");
+      return new Verdict(Outcome.PASS, "the plan compares nothing");
     }
     long all =
         series.values().stream()
-            .filter(each -> each.measure == CanaryMetric.FAILED)
-            .mapToLong(each -> each.asked)
+            .filter(each -> each.metric == CanaryMetric.FAILED)
+            .mapToLong(each -> each.requests)
             .sum();
     String open = "";
-    for (Map.Entry<String, Series> entry : series.entrySet()) {
-      Series each = entry.getValue();
-      double limit = limits.get(each.measure);
-      double width = width(each);
-      if (each.drift.mean() - width > TOLERATED * limit) {
-        return new Verdict(Word.WORSE, line(each, width, limit));
+    for (Map.Entry<String, MetricSeries> entry : series.entrySet()) {
+      MetricSeries each = entry.getValue();
+      double limit = limits.get(each.metric);
+      double width = halfWidth(each);
+      if (each.losses.mean() - width > TOLERATED_FRACTION * limit) {
+        return new Verdict(Outcome.FAIL, summary(each, width, limit));
       }
-      boolean small = !each.about.isEmpty() && each.asked < SMALL_CLASS * all;
+      boolean small = !each.requestClass.isEmpty() && each.requests < SMALL_CLASS_FRACTION * all;
       // Guards against a loss of nothing in a handful of requests being taken for none.
-      boolean few = each.measure.part() && each.asked * limit < -Math.log(error);
-      if (!small && open.isEmpty() && (few || each.drift.mean() + width >= limit)) {
+      boolean few = each.metric.isFraction() && each.requests * limit < -Math.log(errorPerSeries);
+      if (!small && open.isEmpty() && (few || each.losses.mean() + width >= limit)) {
         open =
             few
-                ? name(each) + ": " + each.asked + " requests are too few"
-                : line(each, width, limit);
+                ? describe(each) + ": " + each.requests + " requests are too few"
+                : summary(each, width, limit);
       }
     }
-    return open.isEmpty() && judged > 0
-        ? new Verdict(Word.SAME, "every measure is surely within its limit")
-        : new Verdict(Word.CANNOT_TELL, judged == 0 ? "nothing can be compared yet" : open);
+    return open.isEmpty() && comparedWindows > 0
+        ? new Verdict(Outcome.PASS, "every measure is surely within its limit")
+        : new Verdict(
+            Outcome.INCONCLUSIVE, comparedWindows == 0 ? "nothing can be compared yet" : open);
   }
 
-  private static String name(Series of) {
-    return of.measure.word() + (of.about.isEmpty() ? "" : " of " + of.about);
+  private static String describe(MetricSeries series) {
+    return series.metric.publishedName()
+        + (series.requestClass.isEmpty() ? "" : " of " + series.requestClass);
   }
 
-  private static String line(Series of, double width, double limit) {
-    boolean parts = of.measure != CanaryMetric.GROWTH;
+  private static String summary(MetricSeries series, double width, double limit) {
+    boolean parts = series.metric != CanaryMetric.MEMORY_GROWTH;
     ToDoubleFunction<Double> shown = value -> parts ? 100 * value : value;
     String unit = parts ? "%" : " MB a minute";
     return String.format(
         Locale.ROOT,
         "%s: %+.1f%s beyond the old release, surely from %+.1f to %+.1f, limit %.1f",
-        name(of),
-        shown.applyAsDouble(of.drift.mean()),
+        describe(series),
+        shown.applyAsDouble(series.losses.mean()),
         unit,
-        shown.applyAsDouble(of.drift.mean() - width),
-        shown.applyAsDouble(of.drift.mean() + width),
+        shown.applyAsDouble(series.losses.mean() - width),
+        shown.applyAsDouble(series.losses.mean() + width),
         shown.applyAsDouble(limit));
   }
 }
--- a/src/main/java/wharftrestle/rollout/CanaryMetric.java
+++ b/src/main/java/wharftrestle/rollout/CanaryMetric.java
@@ -7,44 +7,58 @@
  */
 public enum CanaryMetric {
   /** Part of the worth asked for that was not served, over all classes. */
-  WORTH("worth", 0.03, true),
+  LOST_WEIGHT("worth", 0.03, true),
   /** Part of a class's requests that failed; of the worst class. */
   FAILED("failed", 0.03, true),
   /** Part of a class's requests that were refused; of the worst class. */
-  REFUSED("refused", 0.1, true),
+  REJECTED("refused", 0.1, true),
   /** Part of a class's requests that were served after their aim; of the worst class. */
   LATE("late", 0.1, true),
   /** Part of store calls that ended badly. */
-  STORE("store", 0.05, true),
+  DEPENDENCY("store", 0.05, true),
   /** CPU for a request, as a part of what the old release takes. */
   CPU("cpu", 0.5, false),
   /** Own memory of the daemon, as a part of what the old release has. */
   MEMORY("memory", 0.5, false),
   /** Growth of own memory, MB a minute, beyond that of the old release. */
-  GROWTH("growth", 6, false);
+  MEMORY_GROWTH("growth", 6, false);
 
-  private final String word;
-  private final double limit;
-  private final boolean part;
+  private final String publishedName;
+  private final double defaultLimit;
+  private final boolean isFraction;
 
-  CanaryMetric(String word, double limit, boolean part) {
-    this.word = word;
-    this.limit = limit;
-    this.part = part;
+  CanaryMetric(String publishedName, double defaultLimit, boolean isFraction) {
+    this.publishedName = publishedName;
+    this.defaultLimit = defaultLimit;
+    this.isFraction = isFraction;
   }
 
   /** Its name in plans, tables and logs. */
-  public String word() {
-    return word;
+  public String publishedName() {
+    return publishedName;
+  }
+
+  /**
+   * The metric of this name.
+   *
+   * @throws IllegalArgumentException if there is none
+   */
+  public static CanaryMetric ofPublishedName(String publishedName) {
+    for (CanaryMetric metric : values()) {
+      if (metric.publishedName.equals(publishedName)) {
+        return metric;
+      }
+    }
+    throw new IllegalArgumentException("expected the name of a metric, got " + publishedName);
   }
 
   /** Its limit where a plan names none. */
-  public double limit() {
-    return limit;
+  public double defaultLimit() {
+    return defaultLimit;
   }
 
   /** True where it is a part of requests, and so a limit is at most 1. */
-  public boolean part() {
-    return part;
+  public boolean isFraction() {
+    return isFraction;
   }
 }
--- a/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
+++ b/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
@@ -11,33 +11,33 @@
  */
 public final class ConfidenceSequence {
   /** Values below which nothing is said: the variance is not known before. */
-  public static final int LEAST = 8;
+  public static final int MIN_VALUES = 8;
 
-  /** The number of values at which the bounds are tightest; see {@link #mixture}. */
-  private static final double TIGHTEST = 40;
+  /** The number of values at which the bounds are tightest; see {@link #mixtureVariance}. */
+  private static final double TIGHTEST_AT_VALUES = 40;
 
   /** Values for which the variance is taken for as much larger again. */
-  private static final double FEW = 4;
+  private static final double SMALL_SAMPLE_VALUES = 4;
 
   /** Correlation of neighbours that is reckoned with at most. */
-  private static final double MOST_TIED = 0.8;
+  private static final double MAX_CORRELATION = 0.8;
 
   private long count;
   private double mean;
-  private double squares; // of distances from the mean
-  private double tied; // products of neighbours' distances from the mean as it was
-  private double last;
+  private double squaredDeviations; // of distances from the mean
+  private double neighbourProducts; // products of neighbours' distances from the mean as it was
+  private double lastValue;
 
   /** Takes the next value. */
   public void add(double value) {
     count++;
-    double before = value - mean;
+    double deviation = value - mean;
     if (count > 1) {
-      tied += (last - mean) * before;
+      neighbourProducts += (lastValue - mean) * deviation;
     }
-    mean += before / count;
-    squares += before * (value - mean);
-    last = value;
+    mean += deviation / count;
+    squaredDeviations += deviation * (value - mean);
+    lastValue = value;
   }
 
   public long count() {
@@ -54,21 +54,26 @@
    * (Kendall's correction).
    */
   public double variance() {
-    if (count < 2 || squares <= 0) {
+    if (count < 2 || squaredDeviations <= 0) {
       return 0;
     }
-    double seen = tied / squares;
-    double common = Math.max(0, Math.min(MOST_TIED, seen + (1 + 3 * seen) / count));
-    return squares / (count - 1) * (1 + FEW / count) * (1 + common) / (1 - common);
+    double estimate = neighbourProducts / squaredDeviations;
+    double correlation =
+        Math.max(0, Math.min(MAX_CORRELATION, estimate + (1 + 3 * estimate) / count));
+    return squaredDeviations
+        / (count - 1)
+        * (1 + SMALL_SAMPLE_VALUES / count)
+        * (1 + correlation)
+        / (1 - correlation);
   }
 
   /**
    * The mixture's spread for which the bounds at {@code tightest} values are least, for an error of
    * {@code error}.
    */
-  private static double mixture(double error, double tightest) {
-    double log = -2 * Math.log(error);
-    return (log + Math.log(log) + 1) / tightest; // squared
+  private static double mixtureVariance(double error, double atValues) {
+    double logError = -2 * Math.log(error);
+    return (logError + Math.log(logError) + 1) / atValues; // squared
   }
 
   /**
@@ -77,18 +82,22 @@
    *
    * @param error probability that the mean is ever outside, at any moment of the sequence
    */
-  public double width(double error) {
-    if (count < LEAST) {
+  public double halfWidth(double error) {
+    if (count < MIN_VALUES) {
       return Double.POSITIVE_INFINITY;
     }
-    return width(error, (double) count, variance());
+    return halfWidth(error, (double) count, variance());
   }
 
-  static double width(double error, double count, double variance) {
-    double both = 2 * error; // the sequence is two-sided
-    double spread = mixture(both, TIGHTEST);
-    double grown = count * spread + 1;
+  static double halfWidth(double error, double count, double variance) {
+    double twoSidedError = 2 * error; // the sequence is two-sided
+    double spread = mixtureVariance(twoSidedError, TIGHTEST_AT_VALUES);
+    double scale = count * spread + 1;
     return Math.sqrt(
-        variance * 2 * grown / (count * count * spread) * Math.log(Math.sqrt(grown) / both));
+        variance
+            * 2
+            * scale
+            / (count * count * spread)
+            * Math.log(Math.sqrt(scale) / twoSidedError));
   }
 }
--- a/src/main/java/wharftrestle/rollout/ControllerLease.java
+++ b/src/main/java/wharftrestle/rollout/ControllerLease.java
@@ -12,8 +12,8 @@
  *
  * <p>Why no two steer at once: this driver's grants and an earlier one's answers share a keeper,
  * which answers the earlier one no more; so its last look at its lease is over one lease after
- * these grants, and a stamp it had until then one lease later. {@link #PAUSE} is twice the lease
- * and something for clocks that run at different rates.
+ * these grants, and a stamp it had until then one lease later. {@link #EXPIRY_WAIT_SECONDS} is
+ * twice the lease and something for clocks that run at different rates.
  *
  * <pre>
  * state     means                                          goes to
@@ -27,65 +27,78 @@
 
   /** How far it is. */
   public enum State {
-    CLAIMING,
-    PAUSING,
-    STEERING,
-    LOST
+    CLAIMING("claiming"),
+    AWAITING_EXPIRY("pausing"),
+    HELD("steering"),
+    LOST("lost");
+
+    private final String publishedName;
+
+    State(String publishedName) {
+      this.publishedName = publishedName;
+    }
+
+    /** Its name in the controller's status. */
+    public String publishedName() {
+      return publishedName;
+    }
   }
 
   /** Seconds between the grants and the first order. */
-  public static final double PAUSE = 2 * EpochFence.LEASE * 1.05;
+  public static final double EXPIRY_WAIT_SECONDS = 2 * EpochFence.LEASE_SECONDS * 1.05;
 
-  private final String driver;
-  private final int keepers;
-  private final double pause;
+  private final String controller;
+  private final int supervisors;
+  private final double expiryWaitSeconds;
   private State state = State.CLAIMING;
   private long epoch;
-  private long highest; // that any keeper is known to have granted, or this driver to have claimed
-  private String lostTo = "";
-  private double grantedAt;
-  private final Set<String> granted = new HashSet<>();
-  private final Map<String, Double> confirmed = new HashMap<>(); // when what was answered was asked
-  private final Map<String, Long> stamps = new HashMap<>();
+  private long
+      highestEpoch; // that any keeper is known to have granted, or this driver to have claimed
+  private String supersededBy = "";
+  private double quorumGrantedAt;
+  private final Set<String> grantedBy = new HashSet<>();
+  private final Map<String, Double> acknowledgedAt =
+      new HashMap<>(); // when what was answered was asked
+  private final Map<String, Long> tokens = new HashMap<>();
 
   /**
    * @param driver a name that no other driver has
    * @param keepers of the whole fleet, reached or not
    * @param last the highest epoch that this driver's journal names
    */
-  public ControllerLease(String driver, int keepers, long last) {
-    this.driver = driver;
-    this.keepers = keepers;
-    pause = PAUSE;
-    highest = last;
+  public ControllerLease(String controller, int supervisors, long lastEpoch) {
+    this.controller = controller;
+    this.supervisors = supervisors;
+    expiryWaitSeconds = EXPIRY_WAIT_SECONDS;
+    highestEpoch = lastEpoch;
   }
 
   /**
    * As that one is now, with another pause and number of keepers: for those who explore what can
    * come of it.
    */
-  ControllerLease(ControllerLease other, int keepers, double pause) {
-    driver = other.driver;
-    this.keepers = keepers;
-    this.pause = pause;
+  ControllerLease(ControllerLease other, int supervisors, double expiryWaitSeconds) {
+    controller = other.controller;
+    this.supervisors = supervisors;
+    this.expiryWaitSeconds = expiryWaitSeconds;
     state = other.state;
     epoch = other.epoch;
-    highest = other.highest;
-    lostTo = other.lostTo;
-    grantedAt = other.grantedAt;
-    granted.addAll(other.granted);
-    confirmed.putAll(other.confirmed);
-    stamps.putAll(other.stamps);
+    highestEpoch = other.highestEpoch;
+    supersededBy = other.supersededBy;
+    quorumGrantedAt = other.quorumGrantedAt;
+    grantedBy.addAll(other.grantedBy);
+    acknowledgedAt.putAll(other.acknowledgedAt);
+    tokens.putAll(other.tokens);
   }
 
   /** When what this keeper last answered in this epoch was asked; NaN for never. */
-  double confirmedAt(String box) {
-    return confirmed.getOrDefault(box, Double.NaN);
+  double acknowledgedAt(String host) {
+    return acknowledgedAt.getOrDefault(host, Double.NaN);
   }
 
   /** When more than half had granted; of no meaning before. */
-  double pausedSince() {
-    return grantedAt;
+  double quorumGrantedAt() {
+    return quorumGrantedAt;
   }
 
   public State state() {
@@ -96,29 +109,29 @@
     return epoch;
   }
 
-  public String driver() {
-    return driver;
+  public String controller() {
+    return controller;
   }
 
   /** Who steers instead; empty for nobody known. */
-  public String lostTo() {
-    return lostTo;
+  public String supersededBy() {
+    return supersededBy;
   }
 
   /** A keeper is known to have granted this epoch: the next one claimed lies above it. */
-  public void knows(long granted) {
-    highest = Math.max(highest, granted);
+  public void observeEpoch(long grantedEpoch) {
+    highestEpoch = Math.max(highestEpoch, grantedEpoch);
   }
 
   /** Claims a new epoch: the caller writes it to its journal before it asks anybody for it. */
   public long claim() {
-    epoch = Math.max(highest, epoch) + 1;
-    highest = epoch;
+    epoch = Math.max(highestEpoch, epoch) + 1;
+    highestEpoch = epoch;
     state = State.CLAIMING;
-    granted.clear();
-    confirmed.clear();
-    stamps.clear();
-    lostTo = "";
+    grantedBy.clear();
+    acknowledgedAt.clear();
+    tokens.clear();
+    supersededBy = "";
     return epoch;
   }
 
@@ -126,52 +139,54 @@
    * A keeper answered what was asked of it at {@code askedAt} in that epoch; {@code now} is when it
    * came.
    */
-  public void heard(String box, long inEpoch, EpochFence.Said said, double askedAt, double now) {
-    highest = Math.max(highest, said.kept().epoch());
+  public void onReply(
+      String host, long inEpoch, EpochFence.Reply reply, double sentAt, double now) {
+    highestEpoch = Math.max(highestEpoch, reply.grant().epoch());
     if (inEpoch != epoch || epoch == 0) {
       return; // an answer to an epoch given up
     }
-    if (said.answer() == EpochFence.Answer.FENCED) {
-      if (said.kept().epoch() > epoch
-          || (said.kept().epoch() == epoch && !said.kept().driver().equals(driver))) {
+    if (reply.answer() == EpochFence.Answer.FENCED) {
+      if (reply.grant().epoch() > epoch
+          || (reply.grant().epoch() == epoch && !reply.grant().controller().equals(controller))) {
         state = State.LOST;
-        lostTo = said.kept().driver();
+        supersededBy = reply.grant().controller();
       }
       return;
     }
-    if (said.stamp() != 0) {
-      stamps.put(box, said.stamp());
+    if (reply.leaseToken() != 0) {
+      tokens.put(host, reply.leaseToken());
     }
-    confirmed.merge(box, askedAt, Math::max);
-    granted.add(box);
-    if (state == State.CLAIMING && granted.size() * 2 > keepers) {
-      state = State.PAUSING;
-      grantedAt = now;
+    acknowledgedAt.merge(host, sentAt, Math::max);
+    grantedBy.add(host);
+    if (state == State.CLAIMING && grantedBy.size() * 2 > supervisors) {
+      state = State.AWAITING_EXPIRY;
+      quorumGrantedAt = now;
     }
-    look(now);
+    tick(now);
   }
 
   /** A while has passed. */
-  public void look(double now) {
-    if (state == State.PAUSING && now >= grantedAt + pause) {
-      state = State.STEERING;
+  public void tick(double now) {
+    if (state == State.AWAITING_EXPIRY && now >= quorumGrantedAt + expiryWaitSeconds) {
+      state = State.HELD;
     }
   }
 
   /** True where this keeper has yet to be asked for the epoch. */
-  public boolean asks(String box) {
-    return state != State.LOST && !granted.contains(box);
+  public boolean needsClaim(String host) {
+    return state != State.LOST && !grantedBy.contains(host);
   }
 
   /** True where an order may go out now. */
-  public boolean maySteer(double now) {
-    look(now);
-    long fresh = confirmed.values().stream().filter(at -> now - at <= EpochFence.LEASE).count();
-    return state == State.STEERING && fresh * 2 > keepers;
+  public boolean mayOrder(double now) {
+    tick(now);
+    long acknowledged =
+        acknowledgedAt.values().stream().filter(at -> now - at <= EpochFence.LEASE_SECONDS).count();
+    return state == State.HELD && acknowledged * 2 > supervisors;
   }
 
   /** The stamp that an order to this box carries; 0 where it has given none in this epoch. */
-  public long stamp(String box) {
-    return stamps.getOrDefault(box, 0L);
+  public long token(String host) {
+    return tokens.getOrDefault(host, 0L);
   }
 }
--- a/src/main/java/wharftrestle/rollout/EpochFence.java
+++ b/src/main/java/wharftrestle/rollout/EpochFence.java
@@ -1,5 +1,7 @@
 package wharftrestle.rollout;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /**
  * A keeper's side of who may steer its box. It owns the highest epoch that it has granted, and what
  * it was told in that epoch; both are on disk before anybody hears of them. It must never grant an
@@ -33,136 +35,167 @@
    * @param target the release told in it; empty for none yet
    * @param attempt how often it was told
    */
-  public record Kept(long epoch, String driver, String target, int attempt) {
+  public record Grant(
+      long epoch,
+      @JsonProperty("driver") String controller,
+      @JsonProperty("target") String targetRelease,
+      int attempt) {
     /** Nothing was ever granted. */
-    public static final Kept NONE = new Kept(0, "", "", 0);
+    public static final Grant NONE = new Grant(0, "", "", 0);
   }
 
   /** How a keeper answers. */
   public enum Answer {
-    GRANTED,
-    STAMPED,
-    OBEYED,
-    FENCED,
-    STALE,
-    TWO_TARGETS
+    GRANTED("GRANTED"),
+    RENEWED("STAMPED"),
+    ACCEPTED("OBEYED"),
+    FENCED("FENCED"),
+    STALE("STALE"),
+    CONFLICTING_TARGET("TWO_TARGETS");
+
+    private final String publishedName;
+
+    Answer(String publishedName) {
+      this.publishedName = publishedName;
+    }
+
+    /** Its name in the messages between controller and supervisor. */
+    public String publishedName() {
+      return publishedName;
+    }
+
+    /**
+     * The answer that is published under this name.
+     *
+     * @throws IllegalArgumentException if there is none
+     */
+    public static Answer ofPublishedName(String publishedName) {
+      for (Answer answer : values()) {
+        if (answer.publishedName.equals(publishedName)) {
+          return answer;
+        }
+      }
+      throw new IllegalArgumentException("expected the name of an answer, got " + publishedName);
+    }
   }
 
   /** Writes what is kept, and returns once it lasts. */
-  public interface Store {
+  public interface GrantStore {
     /** False where it could not be written: then nothing is granted or obeyed. */
-    boolean write(Kept kept);
+    boolean persist(Grant grant);
   }
 
   /** An answer with a stamp; 0 where there is none. */
-  public record Said(Answer answer, long stamp, Kept kept) {}
+  public record Reply(Answer answer, long leaseToken, Grant grant) {}
 
   /**
    * Seconds for which a stamp holds, and an answer of a majority: a driver looks at all boxes
    * several times meanwhile.
    */
-  public static final double LEASE = 2;
+  public static final double LEASE_SECONDS = 2;
 
-  private final Store store;
-  private final double lease;
-  private Kept kept;
-  private long stamp;
-  private double stampedAt = Double.NEGATIVE_INFINITY;
+  private final GrantStore store;
+  private final double leaseSeconds;
+  private Grant grant;
+  private long leaseToken;
+  private double tokenIssuedAt = Double.NEGATIVE_INFINITY;
 
   /**
    * @param from the last stamp that an earlier keeper of this box may have given; stamps go on
    *     beyond it
    */
-  public EpochFence(Kept kept, long from, Store store) {
-    this.kept = kept;
+  public EpochFence(Grant grant, long lastToken, GrantStore store) {
+    this.grant = grant;
     this.store = store;
-    lease = LEASE;
-    stamp = from;
+    leaseSeconds = LEASE_SECONDS;
+    leaseToken = lastToken;
   }
 
   /** As that one is now, with another lease: for those who explore what can come of it. */
-  EpochFence(EpochFence other, Store store, double lease) {
-    this.kept = other.kept;
+  EpochFence(EpochFence other, GrantStore store, double leaseSeconds) {
+    this.grant = other.grant;
     this.store = store;
-    this.lease = lease;
-    stamp = other.stamp;
-    stampedAt = other.stampedAt;
+    this.leaseSeconds = leaseSeconds;
+    leaseToken = other.leaseToken;
+    tokenIssuedAt = other.tokenIssuedAt;
   }
 
   /**
    * Seconds since the driver that has the epoch asked last; infinite where it has not since this
    * keeper began.
    */
-  public double askedAgo(double now) {
-    return now - stampedAt;
+  public double secondsSinceHeartbeat(double now) {
+    return now - tokenIssuedAt;
   }
 
   /** The last stamp given. */
-  long stamp() {
-    return stamp;
+  long leaseToken() {
+    return leaseToken;
   }
 
   /** When it was. */
-  double stampedAt() {
-    return stampedAt;
+  double tokenIssuedAt() {
+    return tokenIssuedAt;
   }
 
   /** What is kept. */
-  public Kept kept() {
-    return kept;
+  public Grant grant() {
+    return grant;
   }
 
-  private boolean write(Kept next) {
-    if (!store.write(next)) {
+  private boolean persist(Grant next) {
+    if (!store.persist(next)) {
       return false;
     }
-    kept = next;
+    grant = next;
     return true;
   }
 
-  private Said said(Answer answer) {
-    return new Said(answer, 0, kept);
+  private Reply reply(Answer answer) {
+    return new Reply(answer, 0, grant);
   }
 
-  private Said stamped(Answer answer, double now) {
-    stampedAt = now;
-    return new Said(answer, ++stamp, kept);
+  private Reply replyWithToken(Answer answer, double now) {
+    tokenIssuedAt = now;
+    return new Reply(answer, ++leaseToken, grant);
   }
 
-  private boolean known(long epoch, String driver) {
-    return epoch == kept.epoch() && epoch > 0 && driver.equals(kept.driver());
+  private boolean isHolder(long epoch, String controller) {
+    return epoch == grant.epoch() && epoch > 0 && controller.equals(grant.controller());
   }
 
   /** A driver wants to steer in this epoch. */
-  public Said claim(long epoch, String driver, double now) {
-    if (known(epoch, driver)) {
-      return stamped(Answer.GRANTED, now);
+  public Reply claim(long epoch, String controller, double now) {
+    if (isHolder(epoch, controller)) {
+      return replyWithToken(Answer.GRANTED, now);
     }
-    if (epoch <= kept.epoch() || driver.isEmpty() || !write(new Kept(epoch, driver, "", 0))) {
-      return said(Answer.FENCED);
+    if (epoch <= grant.epoch()
+        || controller.isEmpty()
+        || !persist(new Grant(epoch, controller, "", 0))) {
+      return reply(Answer.FENCED);
     }
-    return stamped(Answer.GRANTED, now);
+    return replyWithToken(Answer.GRANTED, now);
   }
 
   /** A driver asks how this box is; only the one that steers has a stamp. */
-  public Said ask(long epoch, String driver, double now) {
-    return known(epoch, driver) ? stamped(Answer.STAMPED, now) : said(Answer.FENCED);
+  public Reply heartbeat(long epoch, String controller, double now) {
+    return isHolder(epoch, controller) ? replyWithToken(Answer.RENEWED, now) : reply(Answer.FENCED);
   }
 
   /** A driver has this box go to a release. */
-  public Said order(long epoch, String driver, long withStamp, String target, double now) {
-    if (!known(epoch, driver)) {
-      return said(Answer.FENCED);
+  public Reply order(long epoch, String controller, long token, String targetRelease, double now) {
+    if (!isHolder(epoch, controller)) {
+      return reply(Answer.FENCED);
     }
-    if (withStamp != stamp || now - stampedAt > lease) {
-      return said(Answer.STALE);
+    if (token != leaseToken || now - tokenIssuedAt > leaseSeconds) {
+      return reply(Answer.STALE);
     }
-    if (!kept.target().isEmpty() && !kept.target().equals(target)) {
-      return said(Answer.TWO_TARGETS);
+    if (!grant.targetRelease().isEmpty() && !grant.targetRelease().equals(targetRelease)) {
+      return reply(Answer.CONFLICTING_TARGET);
     }
-    if (!write(new Kept(epoch, driver, target, kept.attempt() + 1))) {
-      return said(Answer.STALE);
+    if (!persist(new Grant(epoch, controller, targetRelease, grant.attempt() + 1))) {
+      return reply(Answer.STALE);
     }
-    return said(Answer.OBEYED);
+    return reply(Answer.ACCEPTED);
   }
 }
--- a/src/main/java/wharftrestle/rollout/HostSample.java
+++ b/src/main/java/wharftrestle/rollout/HostSample.java
@@ -16,16 +16,16 @@
  * @param grownMb by how much it grew in the window, MB a minute
  */
 public record HostSample(
-    String box,
+    String host,
     String zone,
-    boolean changed,
+    boolean onNewRelease,
     boolean steady,
-    List<Counts> classes,
-    long calls,
-    long badCalls,
-    double cpu,
-    double ownMb,
-    double grownMb) {
+    List<Counts> classCounts,
+    long dependencyCalls,
+    long failedDependencyCalls,
+    double cpuSeconds,
+    double memoryMb,
+    double memoryGrowthMbPerMinute) {
 
   /**
    * One class.
@@ -37,16 +37,16 @@
    */
   public record Counts(
       String name,
-      long asked,
+      long requests,
       long served,
       long late,
-      long refused,
+      long rejected,
       long failed,
-      double worth,
-      double lateWorth) {}
+      double priorityWeight,
+      double lateWeightFraction) {}
 
   /** Requests of all classes. */
-  public long asked() {
-    return classes.stream().mapToLong(Counts::asked).sum();
+  public long requests() {
+    return classCounts.stream().mapToLong(Counts::requests).sum();
   }
 }
--- a/src/main/java/wharftrestle/rollout/MembershipView.java
+++ b/src/main/java/wharftrestle/rollout/MembershipView.java
@@ -13,33 +13,44 @@
  * <pre>
  * contact    means                                                         goes to
  * NEVER      not heard yet                                                 HEARD, CUT_OFF
- * HEARD      answered within {@link #SUSPECT}                              SUSPECTED
+ * HEARD      answered within {@link #SUSPECT_AFTER_SECONDS}                              SUSPECTED
  * SUSPECTED  silent, and nobody else has heard it of late                  HEARD, CUT_OFF, GONE
  * CUT_OFF    silent here, heard by another box or serving its callers      HEARD, SUSPECTED
- * GONE       silent for {@link #GONE_AFTER}, to all that were asked        HEARD, CUT_OFF
+ * GONE       silent for {@link #LOST_AFTER_SECONDS}, to all that were asked        HEARD, CUT_OFF
  * DOUBLE     two keepers answer under this name in turn                    HEARD, once one of them is silent
  * </pre>
  */
 public final class MembershipView {
 
   /** How a box is in contact; the table says what each means. */
-  public enum Contact {
-    NEVER,
-    HEARD,
-    SUSPECTED,
-    CUT_OFF,
-    GONE,
-    DOUBLE
+  public enum Reachability {
+    UNKNOWN("never"),
+    REACHABLE("heard"),
+    SUSPECTED("suspected"),
+    PARTITIONED("cut_off"),
+    LOST("gone"),
+    DUPLICATE("double");
+
+    private final String publishedName;
+
+    Reachability(String publishedName) {
+      this.publishedName = publishedName;
+    }
+
+    /** Its name in the controller's status and events. */
+    public String publishedName() {
+      return publishedName;
+    }
   }
 
   /** Seconds of silence after which a box is suspected, and others are asked for it. */
-  public static final double SUSPECT = 2.5;
+  public static final double SUSPECT_AFTER_SECONDS = 2.5;
 
   /** Seconds of silence to all after which it counts as gone; it may still come back. */
-  public static final double GONE_AFTER = 15;
+  public static final double LOST_AFTER_SECONDS = 15;
 
   /** Seconds for which another box's word counts. */
-  private static final double WORD = 5;
+  private static final double PROBE_VALID_SECONDS = 5;
 
   /**
    * What is known of one box.
@@ -50,114 +61,119 @@
    * @param callers true where that one found it serving its callers
    * @param returns times it came back under the same name
    */
-  public record Seen(
-      Contact contact,
-      double heardAt,
+  public record HostStatus(
+      Reachability reachability,
+      double lastHeartbeatAt,
       String incarnation,
       String witness,
-      boolean callers,
-      int returns) {}
+      boolean servesClients,
+      int rejoins) {}
 
   /** A change of contact, for logs. */
-  public record Change(String box, Contact from, Contact to, String why) {}
+  public record Transition(String host, Reachability from, Reachability to, String reason) {}
 
-  private static final class One {
-    private Contact contact = Contact.NEVER;
-    private double heardAt = Double.NEGATIVE_INFINITY;
+  private static final class Member {
+    private Reachability reachability = Reachability.UNKNOWN;
+    private double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
     private String incarnation = "";
-    private String before = ""; // the incarnation heard before this one
-    private double beforeAt = Double.NEGATIVE_INFINITY;
-    private double doubleAt = Double.NEGATIVE_INFINITY;
+    private String previousIncarnation = ""; // the incarnation heard before this one
+    private double previousHeartbeatAt = Double.NEGATIVE_INFINITY;
+    private double duplicateAt = Double.NEGATIVE_INFINITY;
     private String witness = "";
-    private boolean callers;
-    private double wordAt = Double.NEGATIVE_INFINITY;
-    private int returns;
+    private boolean servesClients;
+    private double probedAt = Double.NEGATIVE_INFINITY;
+    private int rejoins;
   }
 
-  private final Map<String, One> all = new LinkedHashMap<>();
-  private final List<Change> changes = new ArrayList<>();
-  private final double began;
+  private final Map<String, Member> members = new LinkedHashMap<>();
+  private final List<Transition> transitions = new ArrayList<>();
+  private final double startedAt;
 
-  public MembershipView(List<String> boxes, double now) {
-    boxes.forEach(box -> all.put(box, new One()));
-    began = now;
+  public MembershipView(List<String> hosts, double now) {
+    hosts.forEach(host -> members.put(host, new Member()));
+    startedAt = now;
   }
 
-  private void enter(String box, One one, Contact to, String why) {
-    if (one.contact != to) {
-      changes.add(new Change(box, one.contact, to, why));
-      one.contact = to;
+  private void transition(String host, Member member, Reachability next, String reason) {
+    if (member.reachability != next) {
+      transitions.add(new Transition(host, member.reachability, next, reason));
+      member.reachability = next;
     }
   }
 
   /** A box's keeper answered this driver. */
-  public void heard(String box, String incarnation, double now) {
-    One one = all.get(box);
-    if (one == null) {
+  public void onHeartbeat(String host, String incarnation, double now) {
+    Member member = members.get(host);
+    if (member == null) {
       return; // no box of this fleet
     }
-    if (!one.incarnation.isEmpty() && !incarnation.equals(one.incarnation)) {
+    if (!member.incarnation.isEmpty() && !incarnation.equals(member.incarnation)) {
       // Guards against two boxes under one name: a start is never heard again after the start that
       // followed it.
-      if (incarnation.equals(one.before) && now - one.beforeAt <= GONE_AFTER) {
-        one.doubleAt = now;
+      if (incarnation.equals(member.previousIncarnation)
+          && now - member.previousHeartbeatAt <= LOST_AFTER_SECONDS) {
+        member.duplicateAt = now;
       } else {
-        one.returns++;
+        member.rejoins++;
       }
-      one.before = one.incarnation;
-      one.beforeAt = one.heardAt;
+      member.previousIncarnation = member.incarnation;
+      member.previousHeartbeatAt = member.lastHeartbeatAt;
     }
-    one.incarnation = incarnation;
-    one.heardAt = now;
-    if (now - one.doubleAt <= GONE_AFTER) {
-      enter(box, one, Contact.DOUBLE, "two keepers answer under this name");
+    member.incarnation = incarnation;
+    member.lastHeartbeatAt = now;
+    if (now - member.duplicateAt <= LOST_AFTER_SECONDS) {
+      transition(host, member, Reachability.DUPLICATE, "two keepers answer under this name");
     } else {
-      enter(box, one, Contact.HEARD, "answered");
+      transition(host, member, Reachability.REACHABLE, "answered");
     }
   }
 
   /** Another box says whether it can hear this one, and whether it serves its callers. */
-  public void heardBy(String box, String witness, boolean heard, boolean callers, double now) {
-    One one = all.get(box);
-    if (one != null && (heard || callers)) {
-      one.witness = witness;
-      one.callers = callers;
-      one.wordAt = now;
+  public void onIndirectProbe(
+      String host, String witness, boolean reachable, boolean servesClients, double now) {
+    Member member = members.get(host);
+    if (member != null && (reachable || servesClients)) {
+      member.witness = witness;
+      member.servesClients = servesClients;
+      member.probedAt = now;
     }
   }
 
   /** A while has passed; what changed since the last look. */
-  public List<Change> look(double now) {
-    all.forEach(
-        (box, one) -> {
-          double silent = now - Math.max(one.heardAt, began);
-          if (one.heardAt > Double.NEGATIVE_INFINITY && now - one.heardAt <= SUSPECT) {
+  public List<Transition> tick(double now) {
+    members.forEach(
+        (host, member) -> {
+          double silent = now - Math.max(member.lastHeartbeatAt, startedAt);
+          if (member.lastHeartbeatAt > Double.NEGATIVE_INFINITY
+              && now - member.lastHeartbeatAt <= SUSPECT_AFTER_SECONDS) {
             return;
           }
-          if (now - one.wordAt <= WORD) {
-            enter(
-                box,
-                one,
-                Contact.CUT_OFF,
-                one.witness + (one.callers ? " finds it serving" : " hears it"));
-          } else if (silent > GONE_AFTER) {
-            enter(box, one, Contact.GONE, "silent to all for " + Math.round(silent) + " s");
-          } else if (silent > SUSPECT && one.contact != Contact.NEVER) {
-            enter(box, one, Contact.SUSPECTED, "silent");
+          if (now - member.probedAt <= PROBE_VALID_SECONDS) {
+            transition(
+                host,
+                member,
+                Reachability.PARTITIONED,
+                member.witness + (member.servesClients ? " finds it serving" : " hears it"));
+          } else if (silent > LOST_AFTER_SECONDS) {
+            transition(
+                host, member, Reachability.LOST, "silent to all for " + Math.round(silent) + " s");
+          } else if (silent > SUSPECT_AFTER_SECONDS
+              && member.reachability != Reachability.UNKNOWN) {
+            transition(host, member, Reachability.SUSPECTED, "silent");
           }
         });
-    List<Change> told = List.copyOf(changes);
-    changes.clear();
-    return told;
+    List<Transition> reported = List.copyOf(transitions);
+    transitions.clear();
+    return reported;
   }
 
   /** Boxes that others are to be asked for. */
-  public List<String> silent(double now) {
+  public List<String> silentHosts(double now) {
     List<String> names = new ArrayList<>();
-    all.forEach(
-        (box, one) -> {
-          if (now - Math.max(one.heardAt, began) > SUSPECT) {
-            names.add(box);
+    members.forEach(
+        (host, member) -> {
+          if (now - Math.max(member.lastHeartbeatAt, startedAt) > SUSPECT_AFTER_SECONDS) {
+            names.add(host);
           }
         });
     return names;
@@ -166,27 +182,32 @@
   /** Boxes that can be asked for others: heard of late. */
   public List<String> witnesses(double now) {
     List<String> names = new ArrayList<>();
-    all.forEach(
-        (box, one) -> {
-          if (now - one.heardAt <= SUSPECT) {
-            names.add(box);
+    members.forEach(
+        (host, member) -> {
+          if (now - member.lastHeartbeatAt <= SUSPECT_AFTER_SECONDS) {
+            names.add(host);
           }
         });
     return names;
   }
 
   /** What is known of a box; null where it is none of this fleet. */
-  public Seen seen(String box) {
-    One one = all.get(box);
-    return one == null
+  public HostStatus status(String host) {
+    Member member = members.get(host);
+    return member == null
         ? null
-        : new Seen(
-            one.contact, one.heardAt, one.incarnation, one.witness, one.callers, one.returns);
+        : new HostStatus(
+            member.reachability,
+            member.lastHeartbeatAt,
+            member.incarnation,
+            member.witness,
+            member.servesClients,
+            member.rejoins);
   }
 
   /** True where its answers count as of now. */
-  public boolean inContact(String box) {
-    One one = all.get(box);
-    return one != null && one.contact == Contact.HEARD;
+  public boolean isReachable(String host) {
+    Member member = members.get(host);
+    return member != null && member.reachability == Reachability.REACHABLE;
   }
 }
--- a/src/main/java/wharftrestle/rollout/Rollout.java
+++ b/src/main/java/wharftrestle/rollout/Rollout.java
@@ -1,5 +1,7 @@
 package wharftrestle.rollout;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.EnumSet;
@@ -7,6 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 
@@ -16,7 +19,7 @@
  * from what they were told: a box that came back cold with the old release is behind again, one
  * that says it is changed and is not never counts. Time is passed in, in seconds on a clock that
  * never goes back. It must never have more boxes away than planned, tell a box two releases in one
- * epoch, take a box of a rule of {@link RolloutPlan#against}, or go on without a verdict.
+ * epoch, take a box of a rule of {@link RolloutPlan#blockingReason}, or go on without a verdict.
  *
  * <pre>
  * state      means                                              goes to
@@ -36,38 +39,63 @@
 
   /** How far it is; the table says what each means. */
   public enum State {
-    CHANGING,
-    HOLDING,
-    HELD,
-    PAUSED,
-    RETURNING,
-    DONE,
-    UNDONE,
-    ABORTED;
+    PROGRESSING("CHANGING"),
+    OBSERVING("HOLDING"),
+    HELD("HELD"),
+    PAUSED("PAUSED"),
+    ROLLING_BACK("RETURNING"),
+    COMPLETED("DONE"),
+    ROLLED_BACK("UNDONE"),
+    ABORTED("ABORTED");
+
+    private final String storedName;
+
+    State(String storedName) {
+      this.storedName = storedName;
+    }
+
+    /** Its name in the controller's journal. */
+    @JsonValue
+    public String storedName() {
+      return storedName;
+    }
+
+    /** Its name in the controller's status and events. */
+    public String publishedName() {
+      return storedName.toLowerCase(Locale.ROOT);
+    }
 
     /** True where nothing more will come of it. */
-    public boolean over() {
-      return this == DONE || this == UNDONE || this == ABORTED;
+    public boolean isFinal() {
+      return this == COMPLETED || this == ROLLED_BACK || this == ABORTED;
     }
   }
 
-  private static final Map<State, Set<State>> NEXT = new EnumMap<>(State.class);
+  private static final Map<State, Set<State>> TRANSITIONS = new EnumMap<>(State.class);
 
   static {
-    NEXT.put(
-        State.CHANGING,
-        EnumSet.of(State.HOLDING, State.RETURNING, State.HELD, State.PAUSED, State.ABORTED));
-    NEXT.put(
-        State.HOLDING,
+    TRANSITIONS.put(
+        State.PROGRESSING,
+        EnumSet.of(State.OBSERVING, State.ROLLING_BACK, State.HELD, State.PAUSED, State.ABORTED));
+    TRANSITIONS.put(
+        State.OBSERVING,
         EnumSet.of(
-            State.CHANGING, State.DONE, State.RETURNING, State.HELD, State.PAUSED, State.ABORTED));
-    NEXT.put(State.HELD, EnumSet.of(State.CHANGING, State.DONE, State.RETURNING, State.ABORTED));
-    NEXT.put(
-        State.PAUSED, EnumSet.of(State.CHANGING, State.HOLDING, State.RETURNING, State.ABORTED));
-    NEXT.put(State.RETURNING, EnumSet.of(State.UNDONE, State.ABORTED));
-    NEXT.put(State.DONE, EnumSet.noneOf(State.class));
-    NEXT.put(State.UNDONE, EnumSet.noneOf(State.class));
-    NEXT.put(State.ABORTED, EnumSet.noneOf(State.class));
+            State.PROGRESSING,
+            State.COMPLETED,
+            State.ROLLING_BACK,
+            State.HELD,
+            State.PAUSED,
+            State.ABORTED));
+    TRANSITIONS.put(
+        State.HELD,
+        EnumSet.of(State.PROGRESSING, State.COMPLETED, State.ROLLING_BACK, State.ABORTED));
+    TRANSITIONS.put(
+        State.PAUSED,
+        EnumSet.of(State.PROGRESSING, State.OBSERVING, State.ROLLING_BACK, State.ABORTED));
+    TRANSITIONS.put(State.ROLLING_BACK, EnumSet.of(State.ROLLED_BACK, State.ABORTED));
+    TRANSITIONS.put(State.COMPLETED, EnumSet.noneOf(State.class));
+    TRANSITIONS.put(State.ROLLED_BACK, EnumSet.noneOf(State.class));
+    TRANSITIONS.put(State.ABORTED, EnumSet.noneOf(State.class));
   }
 
   /**
@@ -80,88 +108,94 @@
    * @param attempt how often it was told
    * @param failed why its last change was undone by itself; empty for nothing
    */
-  public record Shows(
-      boolean contact, String acts, boolean settled, String target, int attempt, String failed) {}
+  public record ReportedState(
+      boolean reachable,
+      String runningRelease,
+      boolean settled,
+      String orderedRelease,
+      int attempt,
+      String failure) {}
 
   /** What is to be done; each is written to the journal before it is done. */
-  public sealed interface Act {
+  public sealed interface Action {
     /** Tell a box to go to a release. */
-    record Order(String box, String to, String why) implements Act {}
+    record Order(String host, String release, String reason) implements Action {}
 
     /**
      * Claim a new epoch: a box that was told one release may be told another only in another epoch.
      */
-    record Claim(String why) implements Act {}
+    record ClaimEpoch(String reason) implements Action {}
 
     /** A stage begins: the judge begins anew. */
-    record Stage(int stage) implements Act {}
+    record BeginStage(int stage) implements Action {}
 
     /**
      * A box's keeper undid its change by itself: it died, was not ready, or did worse than before
      * there.
      */
-    record Undone(String box, String why) implements Act {}
+    record HostRolledBack(String host, String reason) implements Action {}
 
     /** Its state changed; for the journal and people. */
-    record Enter(State state, int stage, String why) implements Act {}
+    record EnterState(State state, int stage, String reason) implements Action {}
   }
 
   /** What a journal keeps of it. */
-  public record Kept(
+  public record Snapshot(
       State state,
-      State resumed,
+      @JsonProperty("resumed") State resumeState,
       int stage,
-      Map<String, String> from,
-      Map<String, Integer> tries,
-      String why) {}
+      @JsonProperty("from") Map<String, String> previousReleases,
+      @JsonProperty("tries") Map<String, Integer> attempts,
+      @JsonProperty("why") String reason) {}
 
   private final RolloutPlan plan;
-  private State state = State.CHANGING;
-  private State resumed = State.CHANGING; // where a pause goes on
+  private State state = State.PROGRESSING;
+  private State resumeState = State.PROGRESSING; // where a pause goes on
   private int stage;
-  private double since;
-  private String why = "";
-  private boolean begun;
-  private final Map<String, String> from =
+  private double enteredAt;
+  private String reason = "";
+  private boolean started;
+  private final Map<String, String> previousReleases =
       new LinkedHashMap<>(); // by box, in the order in which they were told
-  private final Map<String, Integer> tries = new LinkedHashMap<>();
-  private final Map<String, Integer> told = new HashMap<>(); // orders in this epoch
-  private final Map<String, Integer> undone =
+  private final Map<String, Integer> attempts = new LinkedHashMap<>();
+  private final Map<String, Integer> ordersInEpoch = new HashMap<>(); // orders in this epoch
+  private final Map<String, Integer> reportedFailures =
       new HashMap<>(); // attempts of it whose failure was seen
   private final Map<String, Double> orderedAt = new LinkedHashMap<>();
-  private final Map<String, String> given =
+  private final Map<String, String> orderedReleases =
       new HashMap<>(); // release last told by this driver in this epoch
-  private final List<Act> acts = new ArrayList<>();
+  private final List<Action> actions = new ArrayList<>();
 
   /** Boxes whose tries are spent, after which no further one is tried. */
-  private static final int MOST_FAILED = 2;
+  private static final int MAX_FAILED_HOSTS = 2;
 
   /** Seconds after an order in which a box that shows nothing of it is away all the same. */
-  static final double ORDER_AWAY = 10;
+  static final double ORDER_UNAVAILABLE_SECONDS = 10;
 
   /** The same for one that is out of contact since, where the plan goes on without those. */
-  static final double CUT_AWAY = 120;
+  static final double UNREACHABLE_UNAVAILABLE_SECONDS = 120;
 
   public Rollout(RolloutPlan plan, double now) {
     this.plan = plan;
-    since = now;
+    enteredAt = now;
   }
 
   /** Goes on with what a journal kept; a stage that was watched is watched anew. */
-  public Rollout(RolloutPlan plan, Kept kept, double now) {
+  public Rollout(RolloutPlan plan, Snapshot snapshot, double now) {
     this(plan, now);
-    stage = kept.stage();
-    from.putAll(kept.from());
-    tries.putAll(kept.tries());
-    why = kept.why();
-    state = kept.state();
-    resumed = kept.resumed();
+    stage = snapshot.stage();
+    previousReleases.putAll(snapshot.previousReleases());
+    attempts.putAll(snapshot.attempts());
+    reason = snapshot.reason();
+    state = snapshot.state();
+    resumeState = snapshot.resumeState();
     // Whom the driver before told is away until it shows otherwise: an order may just have gone
     // out.
-    from.forEach(
-        (box, before) -> {
-          given.put(box, state == State.RETURNING ? before : plan.to());
-          orderedAt.put(box, now);
+    previousReleases.forEach(
+        (host, previousRelease) -> {
+          orderedReleases.put(
+              host, state == State.ROLLING_BACK ? previousRelease : plan.targetRelease());
+          orderedAt.put(host, now);
         });
   }
 
@@ -175,111 +209,119 @@
   }
 
   /** Why it is where it is; empty for nothing special. */
-  public String why() {
-    return why;
+  public String reason() {
+    return reason;
   }
 
   /** What a journal keeps. */
-  public Kept kept() {
-    return new Kept(
-        state, resumed, stage, new LinkedHashMap<>(from), new LinkedHashMap<>(tries), why);
+  public Snapshot snapshot() {
+    return new Snapshot(
+        state,
+        resumeState,
+        stage,
+        new LinkedHashMap<>(previousReleases),
+        new LinkedHashMap<>(attempts),
+        reason);
   }
 
   /** Seconds in this state. */
-  public double inState(double now) {
-    return now - since;
+  public double secondsInState(double now) {
+    return now - enteredAt;
   }
 
-  private void enter(State next, String reason, double now) {
-    if (!NEXT.get(state).contains(next)) {
+  private void enter(State next, String enterReason, double now) {
+    if (!TRANSITIONS.get(state).contains(next)) {
       throw new IllegalStateException("no way from " + state + " to " + next);
     }
     state = next;
-    since = now;
-    why = reason;
-    acts.add(new Act.Enter(next, stage, reason));
+    enteredAt = now;
+    reason = enterReason;
+    actions.add(new Action.EnterState(next, stage, enterReason));
   }
 
-  private List<Act> done() {
-    List<Act> all = List.copyOf(acts);
-    acts.clear();
+  private List<Action> drainActions() {
+    List<Action> all = List.copyOf(actions);
+    actions.clear();
     return all;
   }
 
   // ---- Operators ----
 
   /** Nothing more is begun. Empty where it cannot be paused now. */
-  public List<Act> pause(double now) {
-    if (state == State.CHANGING || state == State.HOLDING) {
-      resumed = state;
+  public List<Action> pause(double now) {
+    if (state == State.PROGRESSING || state == State.OBSERVING) {
+      resumeState = state;
       enter(State.PAUSED, "an operator paused it", now);
     }
-    return done();
+    return drainActions();
   }
 
   /**
    * Goes on from a pause; from HELD with the same stage, or the next one where this one's boxes
    * have gone; while boxes are taken back, those that failed are tried anew.
    */
-  public List<Act> go(Map<String, Shows> boxes, double now) {
-    if (state == State.RETURNING) {
-      tries.clear(); // boxes that could not be taken back are tried anew
+  public List<Action> resume(Map<String, ReportedState> reported, double now) {
+    if (state == State.ROLLING_BACK) {
+      attempts.clear(); // boxes that could not be taken back are tried anew
     } else if (state == State.PAUSED) {
-      enter(resumed, "an operator said go", now);
+      enter(resumeState, "an operator said go", now);
     } else if (state == State.HELD) {
-      tries.clear();
+      attempts.clear();
       boolean last = stage + 1 == plan.stages().size();
-      boolean gone = behind(boxes).isEmpty();
-      enter(gone && last ? State.DONE : State.CHANGING, "an operator said go", now);
-      if (gone && !last) {
+      boolean changed = remaining(reported).isEmpty();
+      enter(changed && last ? State.COMPLETED : State.PROGRESSING, "an operator said go", now);
+      if (changed && !last) {
         nextStage();
-      } else if (!gone) {
-        acts.add(new Act.Stage(stage));
+      } else if (!changed) {
+        actions.add(new Action.BeginStage(stage));
       }
     }
-    return done();
+    return drainActions();
   }
 
   /** Takes all changed boxes back. Empty where that cannot be now. */
-  public List<Act> back(String reason, double now) {
-    if (!state.over() && state != State.RETURNING) {
-      acts.add(new Act.Claim(reason));
-      enter(State.RETURNING, reason, now);
-      tries.clear();
-      claimed();
+  public List<Action> rollBack(String rollBackReason, double now) {
+    if (!state.isFinal() && state != State.ROLLING_BACK) {
+      actions.add(new Action.ClaimEpoch(rollBackReason));
+      enter(State.ROLLING_BACK, rollBackReason, now);
+      attempts.clear();
+      onEpochClaimed();
     }
-    return done();
+    return drainActions();
   }
 
   /** Leaves all as it is. */
-  public List<Act> abort(double now) {
-    if (!state.over()) {
+  public List<Action> abort(double now) {
+    if (!state.isFinal()) {
       enter(State.ABORTED, "an operator ended it", now);
     }
-    return done();
+    return drainActions();
   }
 
   // ---- What is seen ----
 
   /** A new epoch was granted: what was told in the one before counts for nothing. */
-  public void claimed() {
-    undone.clear();
-    told.clear(); // what was told before may still be going on, so when it was told stands
+  public void onEpochClaimed() {
+    reportedFailures.clear();
+    ordersInEpoch.clear(); // what was told before may still be going on, so when it was told stands
   }
 
   /**
    * A box said that it did not obey the order it was just given: it may be told anew, at no cost.
    */
-  public void notObeyed(String box) {
-    orderedAt.remove(box);
-    given.remove(box);
-    told.merge(box, -1, Integer::sum);
-    tries.computeIfPresent(box, (name, many) -> many - 1);
+  public void onOrderRefused(String host) {
+    orderedAt.remove(host);
+    orderedReleases.remove(host);
+    ordersInEpoch.merge(host, -1, Integer::sum);
+    attempts.computeIfPresent(host, (name, many) -> many - 1);
   }
 
   /** True where a box has the release, by what its daemon is. */
-  private boolean has(String release, Shows shows) {
-    return shows != null && shows.contact() && shows.settled() && release.equals(shows.acts());
+  private boolean runs(String release, ReportedState reportedState) {
+    return reportedState != null
+        && reportedState.reachable()
+        && reportedState.settled()
+        && release.equals(reportedState.runningRelease());
   }
 
   /**
@@ -287,61 +329,68 @@
    * contact after it was told may be in its change still: it is away until it is heard, or for a
    * while where the plan goes on without those that are cut.
    */
-  Set<String> away(Map<String, Shows> boxes, double now) {
+  Set<String> unavailable(Map<String, ReportedState> reported, double now) {
     Set<String> all = new LinkedHashSet<>();
-    for (RolloutPlan.Box box : plan.boxes()) {
-      Shows shows = boxes.get(box.name());
-      double ago = now - orderedAt.getOrDefault(box.name(), Double.NEGATIVE_INFINITY);
-      boolean contact = shows != null && shows.contact();
+    for (RolloutPlan.Host host : plan.hosts()) {
+      ReportedState reportedState = reported.get(host.name());
+      double ago = now - orderedAt.getOrDefault(host.name(), Double.NEGATIVE_INFINITY);
+      boolean contact = reportedState != null && reportedState.reachable();
       boolean open =
           ago < Double.POSITIVE_INFINITY
-              && !(contact && has(given.get(box.name()), shows))
+              && !(contact && runs(orderedReleases.get(host.name()), reportedState))
               && !(contact
-                  && shows.attempt() >= told.getOrDefault(box.name(), 0)
-                  && !shows.failed().isEmpty());
-      boolean cutAway = !contact && (plan.whenCut() == RolloutPlan.WhenCut.HOLD || ago < CUT_AWAY);
-      if ((open && (ago < ORDER_AWAY || cutAway)) || (contact && !shows.settled())) {
-        all.add(box.name());
+                  && reportedState.attempt() >= ordersInEpoch.getOrDefault(host.name(), 0)
+                  && !reportedState.failure().isEmpty());
+      boolean cutAway =
+          !contact
+              && (plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.HOLD
+                  || ago < UNREACHABLE_UNAVAILABLE_SECONDS);
+      if ((open && (ago < ORDER_UNAVAILABLE_SECONDS || cutAway))
+          || (contact && !reportedState.settled())) {
+        all.add(host.name());
       }
     }
     return all;
   }
 
-  private int tried(RolloutPlan.Box box) {
-    return tries.getOrDefault(box.name(), 0);
+  private int attempts(RolloutPlan.Host host) {
+    return attempts.getOrDefault(host.name(), 0);
   }
 
-  private Set<String> cut(Map<String, Shows> boxes) {
+  private Set<String> unreachable(Map<String, ReportedState> reported) {
     Set<String> all = new LinkedHashSet<>();
-    for (RolloutPlan.Box box : plan.boxes()) {
-      Shows shows = boxes.get(box.name());
-      if (shows == null || !shows.contact()) {
-        all.add(box.name());
+    for (RolloutPlan.Host host : plan.hosts()) {
+      ReportedState reportedState = reported.get(host.name());
+      if (reportedState == null || !reportedState.reachable()) {
+        all.add(host.name());
       }
     }
     return all;
   }
 
-  private Set<String> gone(Map<String, Shows> boxes) {
+  private Set<String> changed(Map<String, ReportedState> reported) {
     Set<String> all = new LinkedHashSet<>();
-    for (RolloutPlan.Box box : plan.boxes()) {
+    for (RolloutPlan.Host host : plan.hosts()) {
       // One that is cut off and was seen with the release counts: it was told, and nobody takes it
       // back unasked.
-      Shows shows = boxes.get(box.name());
-      if (has(plan.to(), shows)
-          || (shows != null && !shows.contact() && plan.to().equals(shows.acts()))) {
-        all.add(box.name());
+      ReportedState reportedState = reported.get(host.name());
+      if (runs(plan.targetRelease(), reportedState)
+          || (reportedState != null
+              && !reportedState.reachable()
+              && plan.targetRelease().equals(reportedState.runningRelease()))) {
+        all.add(host.name());
       }
     }
     return all;
   }
 
   /** Boxes that this stage still has to change. */
-  private List<RolloutPlan.Box> behind(Map<String, Shows> boxes) {
-    Set<String> gone = gone(boxes);
-    int target = Math.min(plan.stages().get(stage).target(plan.boxes().size()), plan.movable());
-    List<RolloutPlan.Box> wanted = plan.wanted(stage, gone);
-    return wanted.subList(0, Math.max(0, Math.min(wanted.size(), target - gone.size())));
+  private List<RolloutPlan.Host> remaining(Map<String, ReportedState> reported) {
+    Set<String> changed = changed(reported);
+    int target =
+        Math.min(plan.stages().get(stage).targetHosts(plan.hosts().size()), plan.changeableHosts());
+    List<RolloutPlan.Host> wanted = plan.candidates(stage, changed);
+    return wanted.subList(0, Math.max(0, Math.min(wanted.size(), target - changed.size())));
   }
 
   // ---- What comes next ----
@@ -353,109 +402,118 @@
    * @param verdict of the judge on this stage
    * @param maySteer an order may go out now
    */
-  public List<Act> look(
-      Map<String, Shows> boxes, CanaryAnalysis.Verdict verdict, boolean maySteer, double now) {
-    if (!begun) {
-      begun = true;
-      acts.add(new Act.Stage(stage));
+  public List<Action> tick(
+      Map<String, ReportedState> reported,
+      CanaryAnalysis.Verdict verdict,
+      boolean mayOrder,
+      double now) {
+    if (!started) {
+      started = true;
+      actions.add(new Action.BeginStage(stage));
     }
-    boxes.forEach(
-        (box, shows) -> {
+    reported.forEach(
+        (host, reportedState) -> {
           boolean ours =
-              shows.contact()
-                  && shows.settled()
-                  && plan.to().equals(shows.target())
-                  && !shows.failed().isEmpty();
-          if (ours && undone.getOrDefault(box, 0) < shows.attempt()) {
-            undone.put(box, shows.attempt());
-            acts.add(new Act.Undone(box, shows.failed()));
+              reportedState.reachable()
+                  && reportedState.settled()
+                  && plan.targetRelease().equals(reportedState.orderedRelease())
+                  && !reportedState.failure().isEmpty();
+          if (ours && reportedFailures.getOrDefault(host, 0) < reportedState.attempt()) {
+            reportedFailures.put(host, reportedState.attempt());
+            actions.add(new Action.HostRolledBack(host, reportedState.failure()));
           }
         });
-    if ((state == State.CHANGING || state == State.HOLDING)
-        && verdict.word() == CanaryAnalysis.Word.WORSE) {
-      if (plan.whenWorse() == RolloutPlan.WhenWorse.BACK) {
-        acts.addAll(back("stage " + (stage + 1) + " does worse: " + verdict.why(), now));
+    if ((state == State.PROGRESSING || state == State.OBSERVING)
+        && verdict.outcome() == CanaryAnalysis.Outcome.FAIL) {
+      if (plan.regressionPolicy() == RolloutPlan.RegressionPolicy.ROLL_BACK) {
+        actions.addAll(rollBack("stage " + (stage + 1) + " does worse: " + verdict.reason(), now));
       } else {
-        enter(State.HELD, "stage " + (stage + 1) + " does worse: " + verdict.why(), now);
+        enter(State.HELD, "stage " + (stage + 1) + " does worse: " + verdict.reason(), now);
       }
     }
     switch (state) {
-      case CHANGING -> change(boxes, maySteer, now);
-      case HOLDING -> hold(boxes, verdict, now);
-      case RETURNING -> takeBack(boxes, maySteer, now);
+      case PROGRESSING -> progress(reported, mayOrder, now);
+      case OBSERVING -> observe(reported, verdict, now);
+      case ROLLING_BACK -> continueRollBack(reported, mayOrder, now);
       default -> {}
     }
-    return done();
+    return drainActions();
   }
 
-  private void tell(RolloutPlan.Box box, String to, String reason, double now) {
-    tries.merge(box.name(), 1, Integer::sum);
-    told.merge(box.name(), 1, Integer::sum);
-    given.put(box.name(), to);
-    orderedAt.put(box.name(), now);
-    acts.add(new Act.Order(box.name(), to, reason));
+  private void order(RolloutPlan.Host host, String release, String orderReason, double now) {
+    attempts.merge(host.name(), 1, Integer::sum);
+    ordersInEpoch.merge(host.name(), 1, Integer::sum);
+    orderedReleases.put(host.name(), release);
+    orderedAt.put(host.name(), now);
+    actions.add(new Action.Order(host.name(), release, orderReason));
   }
 
-  private void change(Map<String, Shows> boxes, boolean maySteer, double now) {
-    List<RolloutPlan.Box> behind = behind(boxes);
-    Set<String> away = away(boxes, now);
-    if (behind.isEmpty()) {
-      if (away.isEmpty()) {
-        enter(State.HOLDING, "", now);
+  private void progress(Map<String, ReportedState> reported, boolean mayOrder, double now) {
+    List<RolloutPlan.Host> remaining = remaining(reported);
+    Set<String> unavailable = unavailable(reported, now);
+    if (remaining.isEmpty()) {
+      if (unavailable.isEmpty()) {
+        enter(State.OBSERVING, "", now);
       }
       return;
     }
-    Set<String> cut = cut(boxes);
-    boolean waits = false;
-    String stuck = "";
-    int failed = 0;
-    for (RolloutPlan.Box box : plan.wanted(stage, gone(boxes))) {
-      if (away.size() >= Math.min(plan.mostAway(), behind.size())) {
-        waits = true;
+    Set<String> unreachable = unreachable(reported);
+    boolean waiting = false;
+    String obstacle = "";
+    int failedHosts = 0;
+    for (RolloutPlan.Host host : plan.candidates(stage, changed(reported))) {
+      if (unavailable.size() >= Math.min(plan.maxUnavailable(), remaining.size())) {
+        waiting = true;
         break;
       }
-      if (away.contains(box.name())) {
-        waits = true;
-      } else if (cut.contains(box.name())) {
-        stuck = stuck.isEmpty() ? box.name() + " cannot be reached" : stuck;
-      } else if (tried(box) >= plan.tries()) {
-        stuck = box.name() + " failed " + tried(box) + " times: " + boxes.get(box.name()).failed();
-        if (++failed >= MOST_FAILED) {
+      if (unavailable.contains(host.name())) {
+        waiting = true;
+      } else if (unreachable.contains(host.name())) {
+        obstacle = obstacle.isEmpty() ? host.name() + " cannot be reached" : obstacle;
+      } else if (attempts(host) >= plan.maxAttempts()) {
+        obstacle =
+            host.name()
+                + " failed "
+                + attempts(host)
+                + " times: "
+                + reported.get(host.name()).failure();
+        if (++failedHosts >= MAX_FAILED_HOSTS) {
           // Guards against trying a release that cannot go anywhere at every box of the fleet.
           break;
         }
-      } else if (!maySteer) {
-        waits = true;
+      } else if (!mayOrder) {
+        waiting = true;
       } else {
-        String against = against(box, away, cut);
-        if (!against.isEmpty()) {
-          waits |= !away.isEmpty();
-          stuck = stuck.isEmpty() && away.isEmpty() ? box.name() + ": " + against : stuck;
+        String blocked = blockingReason(host, unavailable, unreachable);
+        if (!blocked.isEmpty()) {
+          waiting |= !unavailable.isEmpty();
+          obstacle =
+              obstacle.isEmpty() && unavailable.isEmpty() ? host.name() + ": " + blocked : obstacle;
           continue;
         }
-        from.putIfAbsent(box.name(), boxes.get(box.name()).acts());
-        tell(box, plan.to(), "stage " + (stage + 1), now);
-        away.add(box.name());
-        waits = true;
+        previousReleases.putIfAbsent(host.name(), reported.get(host.name()).runningRelease());
+        order(host, plan.targetRelease(), "stage " + (stage + 1), now);
+        unavailable.add(host.name());
+        waiting = true;
       }
     }
-    Set<String> silent = new LinkedHashSet<>(away);
-    silent.retainAll(cut);
-    if (!silent.isEmpty() && silent.size() == away.size()) {
-      waits = false;
-      stuck =
-          stuck.isEmpty()
-              ? String.join(", ", silent) + " was told and cannot be reached since"
-              : stuck;
+    Set<String> unreachableOrdered = new LinkedHashSet<>(unavailable);
+    unreachableOrdered.retainAll(unreachable);
+    if (!unreachableOrdered.isEmpty() && unreachableOrdered.size() == unavailable.size()) {
+      waiting = false;
+      obstacle =
+          obstacle.isEmpty()
+              ? String.join(", ", unreachableOrdered) + " was told and cannot be reached since"
+              : obstacle;
     }
-    if (failed >= MOST_FAILED && away.isEmpty()) {
-      enter(State.HELD, failed + " boxes could not go, at last " + stuck, now);
-    } else if (!waits && !stuck.isEmpty()) {
-      boolean onlyCut = behind.stream().allMatch(box -> cut.contains(box.name()));
-      if (onlyCut && plan.whenCut() == RolloutPlan.WhenCut.GO) {
-        enter(State.HOLDING, stuck + "; it goes on without", now);
-      } else if (now - since > plan.patience()) {
-        enter(State.HELD, stuck, now);
+    if (failedHosts >= MAX_FAILED_HOSTS && unavailable.isEmpty()) {
+      enter(State.HELD, failedHosts + " boxes could not go, at last " + obstacle, now);
+    } else if (!waiting && !obstacle.isEmpty()) {
+      boolean onlyCut = remaining.stream().allMatch(host -> unreachable.contains(host.name()));
+      if (onlyCut && plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.CONTINUE) {
+        enter(State.OBSERVING, obstacle + "; it goes on without", now);
+      } else if (now - enteredAt > plan.verdictTimeoutSeconds()) {
+        enter(State.HELD, obstacle, now);
       }
     }
   }
@@ -463,21 +521,22 @@
   /**
    * A box of a tenant or small zone is not taken while others of it are away, or cannot be reached.
    */
-  private String against(RolloutPlan.Box box, Set<String> away, Set<String> cut) {
-    String against = plan.against(box, away);
-    if (!against.isEmpty()) {
-      return against;
+  private String blockingReason(
+      RolloutPlan.Host host, Set<String> unavailable, Set<String> unreachable) {
+    String blocked = plan.blockingReason(host, unavailable);
+    if (!blocked.isEmpty()) {
+      return blocked;
     }
-    for (String tenant : box.tenants()) {
+    for (String tenant : host.tenants()) {
       @SuppressWarnings("ReferenceEquality") // box is one of these very objects
       boolean served =
-          plan.boxes().stream()
+          plan.hosts().stream()
               .anyMatch(
                   each ->
-                      each != box
+                      each != host
                           && each.tenants().contains(tenant)
-                          && !away.contains(each.name())
-                          && !cut.contains(each.name()));
+                          && !unavailable.contains(each.name())
+                          && !unreachable.contains(each.name()));
       if (!served) {
         return "no other box that is in contact owns " + tenant;
       }
@@ -487,33 +546,37 @@
 
   private void nextStage() {
     stage++;
-    acts.add(new Act.Stage(stage));
+    actions.add(new Action.BeginStage(stage));
   }
 
-  private void hold(Map<String, Shows> boxes, CanaryAnalysis.Verdict verdict, double now) {
-    double held = now - since;
-    double hold = plan.stages().get(stage).hold();
+  private void observe(
+      Map<String, ReportedState> reported, CanaryAnalysis.Verdict verdict, double now) {
+    double held = now - enteredAt;
+    double hold = plan.stages().get(stage).holdSeconds();
     boolean cutOff =
-        plan.whenCut() == RolloutPlan.WhenCut.HOLD && cut(boxes).size() * 2 >= plan.boxes().size();
-    if (!behind(boxes).isEmpty() && plan.whenCut() == RolloutPlan.WhenCut.HOLD) {
-      enter(State.CHANGING, "a box of this stage is behind again", now);
+        plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.HOLD
+            && unreachable(reported).size() * 2 >= plan.hosts().size();
+    if (!remaining(reported).isEmpty()
+        && plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.HOLD) {
+      enter(State.PROGRESSING, "a box of this stage is behind again", now);
       return;
     }
     boolean last = stage + 1 == plan.stages().size();
     // Once no old box is left there is nothing to hold the new ones against: deaths and broken
     // rules still count.
-    boolean alone = last && gone(boxes).size() + cut(boxes).size() >= plan.boxes().size();
-    if (held >= hold && !cutOff && (verdict.word() == CanaryAnalysis.Word.SAME || alone)) {
+    boolean alone =
+        last && changed(reported).size() + unreachable(reported).size() >= plan.hosts().size();
+    if (held >= hold && !cutOff && (verdict.outcome() == CanaryAnalysis.Outcome.PASS || alone)) {
       if (last) {
-        enter(State.DONE, "", now);
+        enter(State.COMPLETED, "", now);
       } else {
-        enter(State.CHANGING, verdict.why(), now);
+        enter(State.PROGRESSING, verdict.reason(), now);
         nextStage();
       }
-    } else if (held >= hold + plan.patience()) {
+    } else if (held >= hold + plan.verdictTimeoutSeconds()) {
       enter(
           State.HELD,
-          "nobody can tell whether stage " + (stage + 1) + " does worse: " + verdict.why(),
+          "nobody can tell whether stage " + (stage + 1) + " does worse: " + verdict.reason(),
           now);
     }
   }
@@ -522,37 +585,37 @@
    * Newest first, with the same care; a box that cannot be reached is waited for, and the roll is
    * not over without it.
    */
-  private void takeBack(Map<String, Shows> boxes, boolean maySteer, double now) {
-    Set<String> away = away(boxes, now);
-    Set<String> cut = cut(boxes);
-    List<String> order = new ArrayList<>(from.keySet());
+  private void continueRollBack(Map<String, ReportedState> reported, boolean mayOrder, double now) {
+    Set<String> unavailable = unavailable(reported, now);
+    Set<String> unreachable = unreachable(reported);
+    List<String> order = new ArrayList<>(previousReleases.keySet());
     boolean all = true;
-    String stuck = "";
+    String obstacle = "";
     for (int i = order.size() - 1; i >= 0; i--) {
-      RolloutPlan.Box box = plan.box(order.get(i));
-      String to = from.get(box.name());
-      Shows shows = boxes.get(box.name());
-      if (has(to, shows)) {
+      RolloutPlan.Host host = plan.host(order.get(i));
+      String release = previousReleases.get(host.name());
+      ReportedState reportedState = reported.get(host.name());
+      if (runs(release, reportedState)) {
         continue;
       }
       all = false;
-      if (cut.contains(box.name())) {
-        stuck = box.name() + " cannot be reached, and is taken back when it is heard";
-      } else if (!away.contains(box.name())
-          && maySteer
-          && tried(box) < plan.tries()
-          && against(box, away, cut).isEmpty()) {
-        tell(box, to, why, now);
-        away.add(box.name());
-      } else if (tried(box) >= plan.tries() && !away.contains(box.name())) {
-        stuck = box.name() + " could not be taken back in " + tried(box) + " tries";
+      if (unreachable.contains(host.name())) {
+        obstacle = host.name() + " cannot be reached, and is taken back when it is heard";
+      } else if (!unavailable.contains(host.name())
+          && mayOrder
+          && attempts(host) < plan.maxAttempts()
+          && blockingReason(host, unavailable, unreachable).isEmpty()) {
+        order(host, release, reason, now);
+        unavailable.add(host.name());
+      } else if (attempts(host) >= plan.maxAttempts() && !unavailable.contains(host.name())) {
+        obstacle = host.name() + " could not be taken back in " + attempts(host) + " tries";
       }
     }
-    if (all && away.isEmpty()) {
-      enter(State.UNDONE, why, now);
-    } else if (!stuck.isEmpty() && !why.contains(stuck)) {
-      why = why.split("; still: ")[0] + "; still: " + stuck;
-      acts.add(new Act.Enter(state, stage, why));
+    if (all && unavailable.isEmpty()) {
+      enter(State.ROLLED_BACK, reason, now);
+    } else if (!obstacle.isEmpty() && !reason.contains(obstacle)) {
+      reason = reason.split("; still: ")[0] + "; still: " + obstacle;
+      actions.add(new Action.EnterState(state, stage, reason));
     }
   }
 }
--- a/src/main/java/wharftrestle/rollout/RolloutPlan.java
+++ b/src/main/java/wharftrestle/rollout/RolloutPlan.java
@@ -25,17 +25,17 @@
  * @param whenWorse with a stage that does worse
  */
 public record RolloutPlan(
-    String to,
-    List<Box> boxes,
+    String targetRelease,
+    List<Host> hosts,
     List<Stage> stages,
     Map<CanaryMetric, Double> limits,
-    double errors,
-    int mostAway,
-    int tries,
-    double warm,
-    double patience,
-    WhenCut whenCut,
-    WhenWorse whenWorse) {
+    double errorProbability,
+    int maxUnavailable,
+    int maxAttempts,
+    double warmUpSeconds,
+    double verdictTimeoutSeconds,
+    UnreachablePolicy unreachablePolicy,
+    RegressionPolicy regressionPolicy) {
 
   /**
    * One box.
@@ -44,7 +44,7 @@
    * @param keeper where its keeper answers, HOST:PORT
    * @param tenants whose traffic it owns; empty where all boxes serve all
    */
-  public record Box(String name, String zone, String keeper, List<String> tenants) {}
+  public record Host(String name, String zone, String supervisor, List<String> tenants) {}
 
   /**
    * One stage: so many boxes in all have the release at its end.
@@ -54,77 +54,77 @@
    * @param spread boxes of all zones in turn, instead of the listed order
    * @param hold seconds for which the stage is watched once all of its boxes have the release
    */
-  public record Stage(int boxes, double share, boolean spread, double hold) {
+  public record Stage(int hosts, double fraction, boolean spreadOverZones, double holdSeconds) {
     /** Boxes in all at its end. */
-    public int target(int fleet) {
-      return boxes > 0 ? Math.min(boxes, fleet) : (int) Math.ceil(share * fleet - 1e-9);
+    public int targetHosts(int fleetSize) {
+      return hosts > 0 ? Math.min(hosts, fleetSize) : (int) Math.ceil(fraction * fleetSize - 1e-9);
     }
   }
 
   /** What is done where boxes cannot be reached. */
-  public enum WhenCut {
+  public enum UnreachablePolicy {
     HOLD,
-    GO
+    CONTINUE
   }
 
   /** What is done where a stage does worse. */
-  public enum WhenWorse {
-    BACK,
+  public enum RegressionPolicy {
+    ROLL_BACK,
     HOLD
   }
 
   /** Boxes of a zone under which no two of it may be away together. */
-  static final int SMALL_ZONE = 4;
+  static final int SMALL_ZONE_HOSTS = 4;
 
   /** A box, when it goes, and why then. */
-  public record Turn(int stage, int round, Box box, String why) {}
+  public record ScheduledChange(int stage, int round, Host host, String reason) {}
 
   /** Who goes when, and what cannot be met. */
-  public record Order(List<Turn> turns, List<String> unmet) {}
+  public record Schedule(List<ScheduledChange> changes, List<String> unmet) {}
 
   /** The box of this name; null for none. */
-  public Box box(String name) {
-    return boxes.stream().filter(each -> each.name().equals(name)).findFirst().orElse(null);
+  public Host host(String name) {
+    return hosts.stream().filter(each -> each.name().equals(name)).findFirst().orElse(null);
   }
 
   /** Boxes of this zone. */
-  int zone(String name) {
-    return (int) boxes.stream().filter(each -> each.zone().equals(name)).count();
+  int zoneSize(String name) {
+    return (int) hosts.stream().filter(each -> each.zone().equals(name)).count();
   }
 
   /** True where no further box owns a tenant of this one: it is never changed by a roll. */
-  public boolean lastOwner(Box box) {
-    return box.tenants().stream()
+  public boolean isSoleOwner(Host host) {
+    return host.tenants().stream()
         .anyMatch(
-            tenant -> boxes.stream().filter(each -> each.tenants().contains(tenant)).count() < 2);
+            tenant -> hosts.stream().filter(each -> each.tenants().contains(tenant)).count() < 2);
   }
 
   /** Boxes that a roll may change. */
-  public int movable() {
-    return (int) boxes.stream().filter(each -> !lastOwner(each)).count();
+  public int changeableHosts() {
+    return (int) hosts.stream().filter(each -> !isSoleOwner(each)).count();
   }
 
   /** Why this box may not go while these are away; empty where it may. */
-  public String against(Box box, Set<String> away) {
-    if (away.size() >= mostAway) {
-      return away.size() + " are away, which is the most";
+  public String blockingReason(Host host, Set<String> unavailable) {
+    if (unavailable.size() >= maxUnavailable) {
+      return unavailable.size() + " are away, which is the most";
     }
-    boolean small = !box.zone().isEmpty() && zone(box.zone()) < SMALL_ZONE;
-    for (String name : away) {
-      Box other = box(name);
-      if (small && other != null && other.zone().equals(box.zone())) {
+    boolean small = !host.zone().isEmpty() && zoneSize(host.zone()) < SMALL_ZONE_HOSTS;
+    for (String name : unavailable) {
+      Host other = host(name);
+      if (small && other != null && other.zone().equals(host.zone())) {
         return name + " of the same small zone is away";
       }
     }
-    for (String tenant : box.tenants()) {
+    for (String tenant : host.tenants()) {
       @SuppressWarnings("ReferenceEquality") // box is one of these very objects
       boolean served =
-          boxes.stream()
+          hosts.stream()
               .anyMatch(
                   each ->
-                      each != box
+                      each != host
                           && each.tenants().contains(tenant)
-                          && !away.contains(each.name()));
+                          && !unavailable.contains(each.name()));
       if (!served) {
         return "no other box that is there owns " + tenant;
       }
@@ -136,88 +136,93 @@
    * All movable boxes in the order in which stage {@code at} takes them on, given those that have
    * gone.
    */
-  List<Box> wanted(int at, Set<String> gone) {
-    List<Box> left = new ArrayList<>();
-    for (Box box : boxes) {
-      if (!gone.contains(box.name()) && !lastOwner(box)) {
-        left.add(box);
+  List<Host> candidates(int stage, Set<String> changed) {
+    List<Host> remaining = new ArrayList<>();
+    for (Host host : hosts) {
+      if (!changed.contains(host.name()) && !isSoleOwner(host)) {
+        remaining.add(host);
       }
     }
-    if (!stages.get(at).spread()) {
-      return left;
+    if (!stages.get(stage).spreadOverZones()) {
+      return remaining;
     }
-    Map<String, Integer> taken = new LinkedHashMap<>();
-    for (Box box : boxes) {
-      taken.merge(box.zone(), gone.contains(box.name()) ? 1 : 0, Integer::sum);
+    Map<String, Integer> changedByZone = new LinkedHashMap<>();
+    for (Host host : hosts) {
+      changedByZone.merge(host.zone(), changed.contains(host.name()) ? 1 : 0, Integer::sum);
     }
-    List<Box> order = new ArrayList<>();
-    while (!left.isEmpty()) {
-      Box next = null;
-      double least = Double.POSITIVE_INFINITY;
-      for (Box box : left) {
-        double part = (double) taken.get(box.zone()) / zone(box.zone());
-        if (part < least - 1e-12) {
-          least = part;
-          next = box;
+    List<Host> order = new ArrayList<>();
+    while (!remaining.isEmpty()) {
+      Host next = null;
+      double lowestFraction = Double.POSITIVE_INFINITY;
+      for (Host host : remaining) {
+        double fraction = (double) changedByZone.get(host.zone()) / zoneSize(host.zone());
+        if (fraction < lowestFraction - 1e-12) {
+          lowestFraction = fraction;
+          next = host;
         }
       }
-      left.remove(next);
-      taken.merge(next.zone(), 1, Integer::sum);
+      remaining.remove(next);
+      changedByZone.merge(next.zone(), 1, Integer::sum);
       order.add(next);
     }
     return order;
   }
 
   /** Who goes when if all goes well, and what of the plan cannot be met. */
-  public Order order() {
-    List<Turn> turns = new ArrayList<>();
+  public Schedule schedule() {
+    List<ScheduledChange> turns = new ArrayList<>();
     List<String> unmet = new ArrayList<>();
-    Set<String> gone = new LinkedHashSet<>();
-    for (Box box : boxes) {
-      if (lastOwner(box)) {
+    Set<String> changed = new LinkedHashSet<>();
+    for (Host host : hosts) {
+      if (isSoleOwner(host)) {
         unmet.add(
-            box.name() + " stays as it is: no other box owns " + String.join(", ", box.tenants()));
+            host.name()
+                + " stays as it is: no other box owns "
+                + String.join(", ", host.tenants()));
       }
     }
-    for (int at = 0; at < stages.size(); at++) {
-      int target = Math.min(stages.get(at).target(boxes.size()), movable());
-      if (stages.get(at).target(boxes.size()) > movable()) {
+    for (int stage = 0; stage < stages.size(); stage++) {
+      int target = Math.min(stages.get(stage).targetHosts(hosts.size()), changeableHosts());
+      if (stages.get(stage).targetHosts(hosts.size()) > changeableHosts()) {
         unmet.add(
             "stage "
-                + (at + 1)
+                + (stage + 1)
                 + " reaches "
-                + movable()
+                + changeableHosts()
                 + " of "
-                + stages.get(at).target(boxes.size())
+                + stages.get(stage).targetHosts(hosts.size())
                 + " boxes");
       }
       int round = 0;
-      while (gone.size() < target) {
-        Set<String> away = new LinkedHashSet<>();
-        String why =
-            stages.get(at).spread() ? "its zone has the least of the new release" : "as listed";
-        for (Box box : wanted(at, gone)) {
-          if (gone.size() + away.size() < target && against(box, away).isEmpty()) {
-            away.add(box.name());
-            turns.add(new Turn(at, round, box, why));
+      while (changed.size() < target) {
+        Set<String> unavailable = new LinkedHashSet<>();
+        String reason =
+            stages.get(stage).spreadOverZones()
+                ? "its zone has the least of the new release"
+                : "as listed";
+        for (Host host : candidates(stage, changed)) {
+          if (changed.size() + unavailable.size() < target
+              && blockingReason(host, unavailable).isEmpty()) {
+            unavailable.add(host.name());
+            turns.add(new ScheduledChange(stage, round, host, reason));
           }
         }
-        if (away.isEmpty()) {
+        if (unavailable.isEmpty()) {
           unmet.add(
               "stage "
-                  + (at + 1)
+                  + (stage + 1)
                   + " stops at "
-                  + gone.size()
+                  + changed.size()
                   + " of "
                   + target
                   + " boxes: "
-                  + against(wanted(at, gone).get(0), Set.of()));
+                  + blockingReason(candidates(stage, changed).get(0), Set.of()));
           break;
         }
-        gone.addAll(away);
+        changed.addAll(unavailable);
         round++;
       }
     }
-    return new Order(List.copyOf(turns), List.copyOf(unmet));
+    return new Schedule(List.copyOf(turns), List.copyOf(unmet));
   }
 }
--- a/src/main/java/wharftrestle/rollout/controller/HostView.java
+++ b/src/main/java/wharftrestle/rollout/controller/HostView.java
@@ -15,27 +15,27 @@
  */
 final class HostView {
   /** A box at the edge of a window. */
-  private record Edge(JsonNode box, double at) {}
+  private record WindowStart(JsonNode reported, double at) {}
 
-  private final RolloutPlan.Box box;
-  private JsonNode shown = MissingNode.getInstance();
-  private EpochFence.Kept fence = EpochFence.Kept.NONE;
+  private final RolloutPlan.Host host;
+  private JsonNode reported = MissingNode.getInstance();
+  private EpochFence.Grant grant = EpochFence.Grant.NONE;
   private String incarnation = "";
-  private Edge edge;
+  private WindowStart windowStart;
   private JsonNode deaths = MissingNode.getInstance();
 
-  HostView(RolloutPlan.Box box) {
-    this.box = box;
+  HostView(RolloutPlan.Host host) {
+    this.host = host;
   }
 
   /**
    * Takes what a keeper said; the releases whose daemons have died since the last word, one for
    * each death.
    */
-  List<String> take(SupervisorClient.Heard heard) {
-    JsonNode now = heard.whole().path("box");
+  List<String> update(SupervisorClient.Answer heard) {
+    JsonNode now = heard.body().path("box");
     JsonNode died = now.path("deaths");
-    String start = heard.whole().path("incarnation").asText();
+    String start = heard.body().path("incarnation").asText();
     List<String> releases = new ArrayList<>();
     boolean same = start.equals(incarnation);
     died.fields()
@@ -48,8 +48,8 @@
             });
     deaths = died;
     incarnation = start;
-    shown = now;
-    fence = heard.said().kept();
+    reported = now;
+    grant = heard.reply().grant();
     return releases;
   }
 
@@ -58,34 +58,34 @@
   }
 
   /** The release that its daemon is; empty for none known. */
-  String acts() {
-    return shown.path("acts").asText();
+  String runningRelease() {
+    return reported.path("acts").asText();
   }
 
   String state() {
-    return shown.path("state").asText("unknown");
+    return reported.path("state").asText("unknown");
   }
 
-  String failed() {
-    return shown.path("failed").asText();
+  String failure() {
+    return reported.path("failed").asText();
   }
 
   /** As a roll sees it, in this epoch. */
-  Rollout.Shows shows(boolean contact, long epoch) {
-    boolean ours = fence.epoch() == epoch && !fence.target().isEmpty();
+  Rollout.ReportedState reportedState(boolean contact, long epoch) {
+    boolean ours = grant.epoch() == epoch && !grant.targetRelease().isEmpty();
     // A keeper writes an order down before it carries it out: until then nothing that it shows is
     // an answer to it.
     boolean carried =
         ours
-            && shown.path("told").asText().equals(fence.target())
-            && shown.path("attempt").asInt() == fence.attempt();
-    return new Rollout.Shows(
+            && reported.path("told").asText().equals(grant.targetRelease())
+            && reported.path("attempt").asInt() == grant.attempt();
+    return new Rollout.ReportedState(
         contact,
-        acts(),
-        shown.path("settled").asBoolean(),
-        ours ? fence.target() : "",
-        !ours ? 0 : carried ? fence.attempt() : fence.attempt() - 1,
-        carried ? failed() : "");
+        runningRelease(),
+        reported.path("settled").asBoolean(),
+        ours ? grant.targetRelease() : "",
+        !ours ? 0 : carried ? grant.attempt() : grant.attempt() - 1,
+        carried ? failure() : "");
   }
 
   /**
@@ -93,27 +93,27 @@
    *
    * @param warm seconds of a daemon's life that do not count
    */
-  HostSample window(boolean contact, String to, double warm, double now) {
-    Edge last = edge;
-    edge = new Edge(shown, now);
-    if (last == null || !shown.has("pid") || !last.box().has("pid")) {
+  HostSample sampleWindow(boolean contact, String to, double warm, double now) {
+    WindowStart last = windowStart;
+    windowStart = new WindowStart(reported, now);
+    if (last == null || !reported.has("pid") || !last.reported().has("pid")) {
       return null;
     }
-    JsonNode before = last.box();
+    JsonNode before = last.reported();
     double span = now - last.at();
     boolean same =
-        before.path("pid").asLong() == shown.path("pid").asLong()
-            && before.path("acts").asText().equals(acts());
+        before.path("pid").asLong() == reported.path("pid").asLong()
+            && before.path("acts").asText().equals(runningRelease());
     boolean steady =
         contact
             && same
-            && shown.path("settled").asBoolean()
+            && reported.path("settled").asBoolean()
             && before.path("settled").asBoolean()
-            && shown.path("up").asDouble() - span >= warm;
+            && reported.path("up").asDouble() - span >= warm;
     List<HostSample.Counts> classes = new ArrayList<>();
-    for (int i = 0; same && i < shown.path("classes").size(); i++) {
+    for (int i = 0; same && i < reported.path("classes").size(); i++) {
       JsonNode a = before.path("classes").path(i);
-      JsonNode b = shown.path("classes").path(i);
+      JsonNode b = reported.path("classes").path(i);
       classes.add(
           new HostSample.Counts(
               b.path("name").asText(),
@@ -126,16 +126,16 @@
               b.path("lateWorth").asDouble()));
     }
     return new HostSample(
-        box.name(),
-        box.zone(),
-        acts().equals(to),
+        host.name(),
+        host.zone(),
+        runningRelease().equals(to),
         steady,
         classes,
-        grown(before, shown, "calls"),
-        grown(before, shown, "badCalls"),
-        shown.path("cpu").asDouble() - before.path("cpu").asDouble(),
-        shown.path("ownMb").asDouble(),
-        (shown.path("ownMb").asDouble() - before.path("ownMb").asDouble()) * 60 / span);
+        grown(before, reported, "calls"),
+        grown(before, reported, "badCalls"),
+        reported.path("cpu").asDouble() - before.path("cpu").asDouble(),
+        reported.path("ownMb").asDouble(),
+        (reported.path("ownMb").asDouble() - before.path("ownMb").asDouble()) * 60 / span);
   }
 
   private static long grown(JsonNode before, JsonNode after, String what) {
@@ -143,9 +143,9 @@
   }
 
   /** The classes it told of. */
-  List<String> classes() {
+  List<String> requestClasses() {
     List<String> names = new ArrayList<>();
-    shown.path("classes").forEach(each -> names.add(each.path("name").asText()));
+    reported.path("classes").forEach(each -> names.add(each.path("name").asText()));
     return names;
   }
 }
--- a/src/main/java/wharftrestle/rollout/controller/PlanScript.java
+++ b/src/main/java/wharftrestle/rollout/controller/PlanScript.java
@@ -32,19 +32,33 @@
  * @param text as it was read
  */
 public record PlanScript(
-    RolloutPlan plan, Map<String, String> fronts, double window, double watch, String text) {
-  private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
-  private static final long LONGEST = 256 * 1024;
+    RolloutPlan plan,
+    Map<String, String> clientAddresses,
+    double windowSeconds,
+    double observationSeconds,
+    String text) {
+  private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
+  private static final long MAX_FILE_BYTES = 256 * 1024;
 
   /** Windows of a box that a judge needs before it is changed. */
-  private static final int LEAST_WINDOWS = 8;
+  private static final int MIN_BASELINE_WINDOWS = 8;
 
-  private static final Map<String, List<String>> WORDS = new LinkedHashMap<>();
+  private static final Map<String, RolloutPlan.UnreachablePolicy> UNREACHABLE_POLICIES =
+      Map.of(
+          "hold", RolloutPlan.UnreachablePolicy.HOLD,
+          "go", RolloutPlan.UnreachablePolicy.CONTINUE);
+
+  private static final Map<String, RolloutPlan.RegressionPolicy> REGRESSION_POLICIES =
+      Map.of(
+          "back", RolloutPlan.RegressionPolicy.ROLL_BACK,
+          "hold", RolloutPlan.RegressionPolicy.HOLD);
+
+  private static final Map<String, List<String>> PARAMETERS = new LinkedHashMap<>();
 
   static {
-    WORDS.put("box", List.of("name", "zone", "keeper", "tenants", "front"));
-    WORDS.put("stage", List.of("boxes", "share", "spread", "hold"));
-    WORDS.put(
+    PARAMETERS.put("box", List.of("name", "zone", "keeper", "tenants", "front"));
+    PARAMETERS.put("stage", List.of("boxes", "share", "spread", "hold"));
+    PARAMETERS.put(
         "change",
         List.of(
             "to",
@@ -60,11 +74,11 @@
             "window",
             "watch"));
     for (CanaryMetric measure : CanaryMetric.values()) {
-      WORDS.put(measure.word(), List.of("limit"));
+      PARAMETERS.put(measure.publishedName(), List.of("limit"));
     }
   }
 
-  private record Limit(CanaryMetric measure, double value) {}
+  private record Limit(CanaryMetric metric, double value) {}
 
   /**
    * Reads a plan.
@@ -73,8 +87,8 @@
    */
   public static PlanScript read(Path file) throws BadSettingsException {
     try {
-      if (Files.size(file) > LONGEST) {
-        throw new BadSettingsException(file + ": longer than " + LONGEST + " bytes");
+      if (Files.size(file) > MAX_FILE_BYTES) {
+        throw new BadSettingsException(file + ": longer than " + MAX_FILE_BYTES + " bytes");
       }
       return parse(file.toString(), Files.readString(file));
     } catch (IOException e) {
@@ -91,29 +105,29 @@
       throw new BadSettingsException(name + ": has no change(to = ..., stages = [...])");
     }
     try {
-      return reader.whole(text);
+      return reader.toPlanScript(text);
     } catch (RefusedException wrong) {
       throw new BadSettingsException(name, wrong.place(), wrong.getMessage());
     }
   }
 
   private static final class Reader implements Scripts.Words {
-    private final Map<String, RolloutPlan.Box> boxes = new LinkedHashMap<>();
-    private final Map<String, String> fronts = new LinkedHashMap<>();
+    private final Map<String, RolloutPlan.Host> hosts = new LinkedHashMap<>();
+    private final Map<String, String> clientAddresses = new LinkedHashMap<>();
     private Scripts.Call change;
     private List<RolloutPlan.Stage> stages;
     private Map<CanaryMetric, Double> limits;
 
     @Override
     public List<String> values(String word) {
-      return WORDS.get(word);
+      return PARAMETERS.get(word);
     }
 
     @Override
     public Object called(Scripts.Call call) throws RefusedException {
       switch (call.word()) {
         case "box" -> {
-          box(call);
+          addHost(call);
           return null;
         }
         case "stage" -> {
@@ -131,33 +145,39 @@
         default -> {
           CanaryMetric measure = measure(call.word());
           return new Limit(
-              measure, call.number("limit", measure.limit(), 1e-4, measure.part() ? 1 : 1e6));
+              measure,
+              call.number("limit", measure.defaultLimit(), 1e-4, measure.isFraction() ? 1 : 1e6));
         }
       }
     }
 
     private static CanaryMetric measure(String word) {
-      return CanaryMetric.valueOf(word.toUpperCase(Locale.ROOT));
+      return CanaryMetric.ofPublishedName(word);
     }
 
-    private void box(Scripts.Call call) throws RefusedException {
-      String name = call.text("name", null, NAME, "a name of letters, digits, '.', '_' and '-'");
-      if (boxes.containsKey(name)) {
+    private void addHost(Scripts.Call call) throws RefusedException {
+      String name =
+          call.text("name", null, NAME_PATTERN, "a name of letters, digits, '.', '_' and '-'");
+      if (hosts.containsKey(name)) {
         throw new RefusedException(call.place(), "box " + name + " stands twice");
       }
-      String keeper = address(call, "keeper", true);
-      String front = address(call, "front", false);
-      if (boxes.values().stream().anyMatch(each -> each.keeper().equals(keeper))) {
+      String supervisor = address(call, "keeper", true);
+      String clientAddress = address(call, "front", false);
+      if (hosts.values().stream().anyMatch(each -> each.supervisor().equals(supervisor))) {
         throw new RefusedException(
-            call.values().get("keeper").place(), "the keeper at " + keeper + " has another box");
+            call.values().get("keeper").place(),
+            "the keeper at " + supervisor + " has another box");
       }
-      if (!front.isEmpty()) {
-        fronts.put(name, front);
+      if (!clientAddress.isEmpty()) {
+        clientAddresses.put(name, clientAddress);
       }
-      boxes.put(
+      hosts.put(
           name,
-          new RolloutPlan.Box(
-              name, call.text("zone", "", NAME, "a zone's name"), keeper, tenants(call)));
+          new RolloutPlan.Host(
+              name,
+              call.text("zone", "", NAME_PATTERN, "a zone's name"),
+              supervisor,
+              tenants(call)));
     }
 
     private static List<String> tenants(Scripts.Call call) throws RefusedException {
@@ -206,7 +226,7 @@
       Map<CanaryMetric, Double> all = new EnumMap<>(CanaryMetric.class);
       if (!call.values().containsKey("worse")) {
         for (CanaryMetric measure : CanaryMetric.values()) {
-          all.put(measure, measure.limit());
+          all.put(measure, measure.defaultLimit());
         }
         return all;
       }
@@ -216,23 +236,23 @@
               call.values().get("worse").place(),
               "change.worse: expected measures, such as worth(0.03), got " + each);
         }
-        if (all.put(limit.measure(), limit.value()) != null) {
+        if (all.put(limit.metric(), limit.value()) != null) {
           throw new RefusedException(
               call.values().get("worse").place(),
-              "change.worse: " + limit.measure().word() + " stands twice");
+              "change.worse: " + limit.metric().publishedName() + " stands twice");
         }
       }
       return all;
     }
 
-    private PlanScript whole(String text) throws RefusedException {
+    private PlanScript toPlanScript(String text) throws RefusedException {
       Place at = change.place();
-      if (boxes.isEmpty()) {
+      if (hosts.isEmpty()) {
         throw new RefusedException(at, "there is no box: name each with box(name, zone, keeper)");
       }
       int before = 0;
       for (RolloutPlan.Stage stage : stages) {
-        int target = stage.target(boxes.size());
+        int target = stage.targetHosts(hosts.size());
         if (target <= before) {
           throw new RefusedException(
               change.values().get("stages").place(),
@@ -245,20 +265,20 @@
         before = target;
       }
       double window = change.number("window", 10, 0.5, 600);
-      double watch = change.number("watch", LEAST_WINDOWS * window + 20, 0, 86_400);
-      if (watch < LEAST_WINDOWS * window && !limits.isEmpty()) {
+      double watch = change.number("watch", MIN_BASELINE_WINDOWS * window + 20, 0, 86_400);
+      if (watch < MIN_BASELINE_WINDOWS * window && !limits.isEmpty()) {
         throw new RefusedException(
             change.values().get("watch").place(),
             "change.watch: expected "
-                + LEAST_WINDOWS
+                + MIN_BASELINE_WINDOWS
                 + " windows at least, or nothing can be compared: "
-                + LEAST_WINDOWS * window
+                + MIN_BASELINE_WINDOWS * window
                 + " s");
       }
       RolloutPlan plan =
           new RolloutPlan(
-              change.text("to", null, NAME, "the name of a release"),
-              List.copyOf(boxes.values()),
+              change.text("to", null, NAME_PATTERN, "the name of a release"),
+              List.copyOf(hosts.values()),
               List.copyOf(stages),
               limits,
               change.number("errors", 0.05, 1e-6, 0.5),
@@ -266,15 +286,11 @@
               (int) change.number("tries", 2, 1, 100),
               change.number("warm", 30, 0, 3600),
               change.number("patience", 1800, 0, 86_400),
-              RolloutPlan.WhenCut.valueOf(
-                  change
-                      .text("when_cut", "hold", "hold|go", "\"hold\" or \"go\"")
-                      .toUpperCase(Locale.ROOT)),
-              RolloutPlan.WhenWorse.valueOf(
-                  change
-                      .text("when_worse", "back", "back|hold", "\"back\" or \"hold\"")
-                      .toUpperCase(Locale.ROOT)));
-      return new PlanScript(plan, fronts, window, watch, text);
+              UNREACHABLE_POLICIES.get(
+                  change.text("when_cut", "hold", "hold|go", "\"hold\" or \"go\"")),
+              REGRESSION_POLICIES.get(
+                  change.text("when_worse", "back", "back|hold", "\"back\" or \"hold\"")));
+      return new PlanScript(plan, clientAddresses, window, watch, text);
     }
 
     private static String address(Scripts.Call call, String name, boolean needed)
@@ -298,23 +314,23 @@
   }
 
   /** What a plan that can be carried out should still be looked at for. */
-  public List<String> warnings(double longestWindow) {
+  public List<String> warnings(double idempotencyWindowSeconds) {
     List<String> all = new ArrayList<>();
     Set<String> zones = new HashSet<>();
-    plan.boxes().forEach(box -> zones.add(box.zone()));
+    plan.hosts().forEach(box -> zones.add(box.zone()));
     for (int i = 0; i + 1 < plan.stages().size(); i++) {
-      if (plan.stages().get(i).hold() < longestWindow) {
+      if (plan.stages().get(i).holdSeconds() < idempotencyWindowSeconds) {
         all.add(
             String.format(
                 Locale.ROOT,
                 "stage %d holds %.0f s, less than the longest window of keys (%.0f s): what "
                     + "shows only after it shows in no stage",
                 i + 1,
-                plan.stages().get(i).hold(),
-                longestWindow));
+                plan.stages().get(i).holdSeconds(),
+                idempotencyWindowSeconds));
       }
     }
-    if (zones.size() > 1 && plan.stages().stream().noneMatch(RolloutPlan.Stage::spread)) {
+    if (zones.size() > 1 && plan.stages().stream().noneMatch(RolloutPlan.Stage::spreadOverZones)) {
       all.add("no stage spreads over zones: a whole zone may go first");
     }
     if (plan.limits().isEmpty()) {
--- a/src/main/java/wharftrestle/rollout/controller/RolloutCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutCommand.java
@@ -24,22 +24,22 @@
 @Command(
     name = "fleet",
     description = "change a fleet of boxes in stages",
-    subcommands = {RolloutCommand.Show.class, RolloutCommand.RollCommand.class})
+    subcommands = {RolloutCommand.PlanCommand.class, RolloutCommand.RollCommand.class})
 public final class RolloutCommand implements Runnable {
   /** The change arrived everywhere. */
-  static final int DONE = 0;
+  static final int EXIT_COMPLETED = 0;
 
   /** It was taken back or ended, or an order was not obeyed. */
-  static final int UNDONE = 1;
+  static final int EXIT_ROLLED_BACK = 1;
 
   /** Another driver steers. */
-  static final int FENCED = 3;
+  static final int EXIT_FENCED = 3;
 
   /** It waits for an operator. */
-  static final int HELD = 4;
+  static final int EXIT_HELD = 4;
 
   /** It is under way. */
-  static final int UNDER_WAY = 5;
+  static final int EXIT_UNDER_WAY = 5;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -53,7 +53,7 @@
   @Command(
       name = "plan",
       description = "which box goes when and why, and what cannot be met; nothing is started")
-  static final class Show implements Callable<Integer> {
+  static final class PlanCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "such as docs/examples/roll.star")
     private Path file;
 
@@ -70,14 +70,14 @@
     @Override
     public Integer call() throws Exception {
       PlanScript script = PlanScript.read(file);
-      RolloutPlan.Order order = script.plan().order();
+      RolloutPlan.Schedule order = script.plan().schedule();
       List<String> warnings = script.warnings(window);
       if (json) {
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("to", script.plan().to());
+        all.put("to", script.plan().targetRelease());
         all.put(
             "turns",
-            order.turns().stream()
+            order.changes().stream()
                 .map(
                     turn ->
                         Map.of(
@@ -86,32 +86,32 @@
                             "round",
                             turn.round() + 1,
                             "box",
-                            turn.box().name(),
+                            turn.host().name(),
                             "zone",
-                            turn.box().zone(),
+                            turn.host().zone(),
                             "why",
-                            turn.why()))
+                            turn.reason()))
                 .toList());
         all.put("unmet", order.unmet());
         all.put("warnings", warnings);
         System.out.println(new ObjectMapper().writeValueAsString(all));
-        return order.unmet().isEmpty() ? DONE : UNDONE;
+        return order.unmet().isEmpty() ? EXIT_COMPLETED : EXIT_ROLLED_BACK;
       }
       System.out.printf(
           Locale.ROOT, "%-6s %-6s %-16s %-12s %s%n", "stage", "round", "box", "zone", "why");
-      for (RolloutPlan.Turn turn : order.turns()) {
+      for (RolloutPlan.ScheduledChange turn : order.changes()) {
         System.out.printf(
             Locale.ROOT,
             "%-6d %-6d %-16s %-12s %s%n",
             turn.stage() + 1,
             turn.round() + 1,
-            turn.box().name(),
-            turn.box().zone(),
-            turn.why());
+            turn.host().name(),
+            turn.host().zone(),
+            turn.reason());
       }
       order.unmet().forEach(each -> System.out.println("not met: " + each));
       warnings.forEach(each -> System.out.println("look at: " + each));
-      return order.unmet().isEmpty() ? DONE : UNDONE;
+      return order.unmet().isEmpty() ? EXIT_COMPLETED : EXIT_ROLLED_BACK;
     }
   }
 
@@ -120,13 +120,13 @@
       name = "roll",
       description = "drive a rolling change, and steer the one that is under way",
       subcommands = {
-        Start.class,
-        Status.class,
-        Pause.class,
-        Go.class,
-        Back.class,
-        Abort.class,
-        Broken.class
+        StartCommand.class,
+        StatusCommand.class,
+        PauseCommand.class,
+        GoCommand.class,
+        BackCommand.class,
+        AbortCommand.class,
+        BrokenCommand.class
       })
   static final class RollCommand implements Runnable {
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -146,7 +146,7 @@
         "drive the change of a plan, in the foreground; where it is under way, go on",
         "exit: 0 it arrived, 1 taken back or ended or refused, 2 bad use, 3 another driver steers"
       })
-  static final class Start implements Callable<Integer> {
+  static final class StartCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
     private Path file;
 
@@ -190,19 +190,19 @@
         Runtime.getRuntime().addShutdownHook(new Thread(driver::stop));
         driver.check(takeOver);
         return switch (driver.run()) {
-          case DONE -> DONE;
-          case FENCED -> FENCED;
-          default -> UNDONE;
+          case COMPLETED -> EXIT_COMPLETED;
+          case FENCED -> EXIT_FENCED;
+          default -> EXIT_ROLLED_BACK;
         };
       } catch (RolloutController.RefusedException e) {
         System.err.println("wharftrestle: " + e.getMessage());
-        return UNDONE;
+        return EXIT_ROLLED_BACK;
       }
     }
   }
 
   /** What sends one order to the driver. */
-  abstract static class Ordered implements Callable<Integer> {
+  abstract static class OrderCommand implements Callable<Integer> {
     @Option(
         names = "--dir",
         paramLabel = "DIR",
@@ -218,21 +218,21 @@
 
     @Override
     public Integer call() throws Exception {
-      String answer = CommandSocket.order(folder().resolve(RolloutController.SOCKET), order());
+      String answer = CommandSocket.order(folder().resolve(RolloutController.SOCKET_FILE), order());
       if (answer == null) {
         System.err.println("wharftrestle: no driver answers in " + folder);
-        return UNDONE;
+        return EXIT_ROLLED_BACK;
       }
       boolean obeyed = answer.startsWith("ok ");
       (obeyed ? System.out : System.err)
           .println((obeyed ? "" : "wharftrestle: ") + answer.substring(3));
-      return obeyed ? DONE : UNDONE;
+      return obeyed ? EXIT_COMPLETED : EXIT_ROLLED_BACK;
     }
   }
 
   /** Begins nothing more. */
   @Command(name = "pause", description = "begin nothing more; what is going on ends")
-  static final class Pause extends Ordered {
+  static final class PauseCommand extends OrderCommand {
     @Override
     String order() {
       return "pause";
@@ -241,7 +241,7 @@
 
   /** Goes on. */
   @Command(name = "go", description = "go on from a pause, or with a change that is held")
-  static final class Go extends Ordered {
+  static final class GoCommand extends OrderCommand {
     @Override
     String order() {
       return "go";
@@ -250,7 +250,7 @@
 
   /** Takes it back. */
   @Command(name = "back", description = "take all changed boxes back, newest first")
-  static final class Back extends Ordered {
+  static final class BackCommand extends OrderCommand {
     @Override
     String order() {
       return "back";
@@ -261,7 +261,7 @@
   @Command(
       name = "broken",
       description = "a rule was broken at a box by the new release: the stage is worse at once")
-  static final class Broken extends Ordered {
+  static final class BrokenCommand extends OrderCommand {
     @Parameters(paramLabel = "BOX", index = "0")
     private String box;
 
@@ -276,7 +276,7 @@
 
   /** Ends it. */
   @Command(name = "abort", description = "end the change and leave every box as it is")
-  static final class Abort extends Ordered {
+  static final class AbortCommand extends OrderCommand {
     @Override
     String order() {
       return "abort";
@@ -290,7 +290,7 @@
         "how the change is; from the journal where no driver runs",
         "exit: 0 it arrived, 1 taken back or ended, 4 it waits for an operator, 5 under way"
       })
-  static final class Status extends Ordered {
+  static final class StatusCommand extends OrderCommand {
     @Option(names = "--json", description = "one JSON object")
     private boolean json;
 
@@ -305,13 +305,14 @@
     @Override
     public Integer call() throws Exception {
       for (; ; ) {
-        String answer = CommandSocket.order(folder().resolve(RolloutController.SOCKET), "status");
+        String answer =
+            CommandSocket.order(folder().resolve(RolloutController.SOCKET_FILE), "status");
         JsonNode now =
             answer == null ? journal() : new ObjectMapper().readTree(answer.substring(3));
         if (now == null) {
           System.err.println(
               "wharftrestle: no driver answers in " + folder() + ", and it has no journal");
-          return UNDONE;
+          return EXIT_ROLLED_BACK;
         }
         if (follow && !json) {
           System.out.print("\033[H\033[2J");
@@ -319,7 +320,7 @@
         System.out.println(json ? now.toString() : table(now, answer != null));
         System.out.flush();
         int code = code(now.path("state").asText());
-        if (!follow || code == DONE || code == UNDONE || answer == null) {
+        if (!follow || code == EXIT_COMPLETED || code == EXIT_ROLLED_BACK || answer == null) {
           return code;
         }
         TimeUnit.SECONDS.sleep(1);
@@ -328,30 +329,31 @@
 
     private static int code(String state) {
       return switch (state) {
-        case "done" -> DONE;
-        case "undone", "aborted" -> UNDONE;
-        case "held", "paused" -> HELD;
-        default -> UNDER_WAY;
+        case "done" -> EXIT_COMPLETED;
+        case "undone", "aborted" -> EXIT_ROLLED_BACK;
+        case "held", "paused" -> EXIT_HELD;
+        default -> EXIT_UNDER_WAY;
       };
     }
 
     private JsonNode journal() throws IOException {
-      Path file = folder().resolve(RolloutController.JOURNAL);
+      Path file = folder().resolve(RolloutController.JOURNAL_FILE);
       if (!Files.exists(file)) {
         return null;
       }
-      List<RolloutController.Line> lines = JsonLineJournal.read(file, RolloutController.Line.class);
+      List<RolloutController.JournalEntry> lines =
+          JsonLineJournal.read(file, RolloutController.JournalEntry.class);
       if (lines.isEmpty()) {
         return null;
       }
-      RolloutController.Line last = lines.get(lines.size() - 1);
+      RolloutController.JournalEntry last = lines.get(lines.size() - 1);
       Map<String, Object> all = new LinkedHashMap<>();
-      all.put("plan", last.plan().substring(0, 12));
-      all.put("state", last.roll().state().name().toLowerCase(Locale.ROOT));
-      all.put("why", last.roll().why());
-      all.put("stage", last.roll().stage() + 1);
+      all.put("plan", last.planDigest().substring(0, 12));
+      all.put("state", last.rollout().state().publishedName());
+      all.put("why", last.rollout().reason());
+      all.put("stage", last.rollout().stage() + 1);
       all.put("epoch", last.epoch());
-      all.put("driver", last.driver());
+      all.put("driver", last.controller());
       return new ObjectMapper().valueToTree(all);
     }
 
--- a/src/main/java/wharftrestle/rollout/controller/RolloutController.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutController.java
@@ -1,5 +1,6 @@
 package wharftrestle.rollout.controller;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.Closeable;
@@ -43,9 +44,9 @@
 public final class RolloutController implements Closeable {
 
   /** How it ended. */
-  public enum End {
-    DONE,
-    UNDONE,
+  public enum Outcome {
+    COMPLETED,
+    ROLLED_BACK,
     ABORTED,
     FENCED,
     STOPPED
@@ -58,16 +59,16 @@
    * @param what "claim", "order", "enter", "stage"
    * @param plan SHA-256 of the plan's text
    */
-  record Line(
-      long at,
-      String what,
+  record JournalEntry(
+      @JsonProperty("at") long timestampMs,
+      @JsonProperty("what") String event,
       long epoch,
-      String driver,
-      String plan,
-      Rollout.Kept roll,
-      String box,
-      String to,
-      String why) {}
+      @JsonProperty("driver") String controller,
+      @JsonProperty("plan") String planDigest,
+      @JsonProperty("roll") Rollout.Snapshot rollout,
+      @JsonProperty("box") String host,
+      @JsonProperty("to") String release,
+      @JsonProperty("why") String reason) {}
 
   /** The change cannot begin, or the folder is another driver's. */
   public static final class RefusedException extends Exception {
@@ -78,55 +79,56 @@
     }
   }
 
-  static final String JOURNAL = "roll.jsonl";
-  static final String SOCKET = "roll.sock";
+  static final String JOURNAL_FILE = "roll.jsonl";
+  static final String SOCKET_FILE = "roll.sock";
 
   /** Milliseconds between two calls of a keeper: several within a lease. */
-  private static final long POLL_MS = 500;
+  private static final long POLL_INTERVAL_MS = 500;
 
-  private static final long LOOK_MS = 100;
+  private static final long TICK_INTERVAL_MS = 100;
 
   /** Seconds for which an order waits for its box to be reached. */
-  private static final double ORDER_PATIENCE = 2;
+  private static final double ORDER_TIMEOUT_SECONDS = 2;
 
   /** Seconds since which a driver that asked last counts as alive. */
-  private static final double ALIVE = 10;
+  private static final double CONTROLLER_ALIVE_SECONDS = 10;
 
   /** Keepers asked for a box that is silent here. */
-  private static final int WITNESSES = 2;
+  private static final int WITNESSES_PER_HOST = 2;
 
-  private static final int LONGEST_WHY = 400;
+  private static final int MAX_REASON_CHARACTERS = 400;
 
   /** How a keeper begins where a release could not be tried at all. */
-  private static final String CANNOT = "it cannot take over";
+  private static final String UNTRIED_PREFIX = "it cannot take over";
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private record Pending(String to, boolean back, double since) {}
+  private record PendingOrder(String release, boolean rollback, double queuedAt) {}
 
   private final PlanScript script;
   private final RolloutPlan plan;
   private final String digest;
   private final RolloutEventLog events;
-  private final SupervisorClient calls = new SupervisorClient();
+  private final SupervisorClient supervisors = new SupervisorClient();
   private final DirectoryLock lock;
-  private final JsonLineJournal<Line> journal;
+  private final JsonLineJournal<JournalEntry> journal;
   private final CommandSocket socket;
-  private final ControllerLease steering;
-  private final MembershipView members;
+  private final ControllerLease lease;
+  private final MembershipView membership;
   private final Map<String, HostView> views = new LinkedHashMap<>();
-  private final Map<String, Pending> orders = new HashMap<>();
-  private Rollout roll;
-  private CanaryAnalysis judge; // null until classes are known
-  private final Set<String> ours =
+  private final Map<String, PendingOrder> orders = new HashMap<>();
+  private Rollout rollout;
+  private CanaryAnalysis analysis; // null until classes are known
+  private final Set<String> ownControllers =
       new HashSet<>(); // drivers of this folder: whoever steered from here has ended
   private CanaryAnalysis.Verdict verdict =
-      new CanaryAnalysis.Verdict(CanaryAnalysis.Word.CANNOT_TELL, "nothing can be compared yet");
-  private final boolean goesOn; // a change that is under way
-  private double watchedFrom;
-  private double edgeAt;
-  private boolean stageBegun;
-  private volatile boolean over;
+      new CanaryAnalysis.Verdict(
+          CanaryAnalysis.Outcome.INCONCLUSIVE, "nothing can be compared yet");
+  private final boolean resuming; // a change that is under way
+  private double observedFrom;
+  private double windowStartedAt;
+  private boolean stageStarted;
+  private volatile boolean stopped;
 
   /**
    * Takes the folder, and what its journal says of an unfinished change of this plan.
@@ -146,27 +148,28 @@
     if (lock == null) {
       throw new RefusedException("another driver has " + folder);
     }
-    journal = new JsonLineJournal<>(folder.resolve(JOURNAL), Line.class);
-    Line last = journal.last();
-    goesOn = last != null && !last.roll().state().over();
-    if (goesOn && !last.plan().equals(digest)) {
+    journal = new JsonLineJournal<>(folder.resolve(JOURNAL_FILE), JournalEntry.class);
+    JournalEntry last = journal.last();
+    resuming = last != null && !last.rollout().state().isFinal();
+    if (resuming && !last.planDigest().equals(digest)) {
       close(null);
       throw new RefusedException(
           "another change is under way in "
               + folder
               + ": go on with its own copy, "
-              + folder.resolve(copy(last.plan()))
+              + folder.resolve(copy(last.planDigest()))
               + ", or end it there by 'back' or 'abort' first");
     }
     Files.writeString(folder.resolve(copy(digest)), script.text());
     double now = now();
-    long highest = journal.entries().stream().mapToLong(Line::epoch).max().orElse(0);
-    journal.entries().forEach(line -> ours.add(line.driver()));
-    steering = new ControllerLease(name, plan.boxes().size(), highest);
-    members = new MembershipView(plan.boxes().stream().map(RolloutPlan.Box::name).toList(), now);
-    plan.boxes().forEach(box -> views.put(box.name(), new HostView(box)));
-    roll = goesOn ? new Rollout(plan, last.roll(), now) : new Rollout(plan, now);
-    socket = new CommandSocket(folder.resolve(SOCKET), this::obey);
+    long highest = journal.entries().stream().mapToLong(JournalEntry::epoch).max().orElse(0);
+    journal.entries().forEach(line -> ownControllers.add(line.controller()));
+    lease = new ControllerLease(name, plan.hosts().size(), highest);
+    membership =
+        new MembershipView(plan.hosts().stream().map(RolloutPlan.Host::name).toList(), now);
+    plan.hosts().forEach(box -> views.put(box.name(), new HostView(box)));
+    rollout = resuming ? new Rollout(plan, last.rollout(), now) : new Rollout(plan, now);
+    socket = new CommandSocket(folder.resolve(SOCKET_FILE), this::obey);
   }
 
   private static String copy(String digest) {
@@ -206,14 +209,14 @@
   public void check(boolean takeOver) throws RefusedException, InterruptedException {
     Map<String, JsonNode> releases = new LinkedHashMap<>();
     Map<String, JsonNode> boxes = new LinkedHashMap<>();
-    CountDownLatch asked = new CountDownLatch(plan.boxes().size());
-    for (RolloutPlan.Box box : plan.boxes()) {
+    CountDownLatch asked = new CountDownLatch(plan.hosts().size());
+    for (RolloutPlan.Host box : plan.hosts()) {
       thread(
           "check",
           () -> {
             try {
-              JsonNode is = calls.box(box.keeper());
-              JsonNode can = calls.release(box.keeper(), plan.to());
+              JsonNode is = supervisors.hostStatus(box.supervisor());
+              JsonNode can = supervisors.checkRelease(box.supervisor(), plan.targetRelease());
               synchronized (boxes) {
                 boxes.put(box.name(), is);
                 releases.put(box.name(), can);
@@ -227,26 +230,26 @@
     }
     asked.await();
     List<String> against = new ArrayList<>();
-    if (!goesOn && boxes.size() * 2 <= plan.boxes().size()) {
+    if (!resuming && boxes.size() * 2 <= plan.hosts().size()) {
       against.add(
           boxes.size()
               + " of "
-              + plan.boxes().size()
+              + plan.hosts().size()
               + " keepers answer, which is not more than half");
     }
     String build = "";
-    for (RolloutPlan.Box box : plan.boxes()) {
+    for (RolloutPlan.Host box : plan.hosts()) {
       JsonNode is = boxes.get(box.name());
       if (is == null) {
         continue;
       }
       synchronized (this) {
-        steering.knows(is.path("epoch").asLong());
+        lease.observeEpoch(is.path("epoch").asLong());
       }
       if (!is.path("name").asText().equals(box.name())) {
         against.add(
             "the keeper at "
-                + box.keeper()
+                + box.supervisor()
                 + " is of box '"
                 + is.path("name").asText()
                 + "', not "
@@ -255,8 +258,8 @@
       String driver = is.path("driver").asText();
       if (!takeOver
           && !driver.isEmpty()
-          && !ours.contains(driver)
-          && is.path("askedAgo").asDouble() < ALIVE) {
+          && !ownControllers.contains(driver)
+          && is.path("askedAgo").asDouble() < CONTROLLER_ALIVE_SECONDS) {
         against.add(
             String.format(
                 Locale.ROOT,
@@ -268,7 +271,7 @@
                 is.path("askedAgo").asDouble()));
       }
       JsonNode can = releases.get(box.name());
-      if (goesOn) {
+      if (resuming) {
         continue; // where a box could go was asked before it began
       }
       if (!can.path("against").asText().isEmpty()) {
@@ -279,10 +282,11 @@
         against.add(
             box.name()
                 + ": its release '"
-                + plan.to()
+                + plan.targetRelease()
                 + "' has another program than the first box's");
       }
-      if (!can.path("back").asText().isEmpty() && plan.whenWorse() == RolloutPlan.WhenWorse.BACK) {
+      if (!can.path("back").asText().isEmpty()
+          && plan.regressionPolicy() == RolloutPlan.RegressionPolicy.ROLL_BACK) {
         against.add(box.name() + " could not be taken back: " + can.path("back").asText());
       }
     }
@@ -296,214 +300,224 @@
   // ---- The change ----
 
   /** Drives the change to its end, or until {@link #stop}. */
-  public End run() throws IOException, InterruptedException {
+  public Outcome run() throws IOException, InterruptedException {
     synchronized (this) {
       claim("the driver began");
-      watchedFrom = now();
-      edgeAt = watchedFrom;
+      observedFrom = now();
+      windowStartedAt = observedFrom;
     }
-    for (RolloutPlan.Box box : plan.boxes()) {
+    for (RolloutPlan.Host box : plan.hosts()) {
       thread("poll " + box.name(), () -> poll(box));
     }
     thread("witnesses", this::askWitnesses);
-    End end = null;
+    Outcome end = null;
     while (end == null) {
-      TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+      TimeUnit.MILLISECONDS.sleep(TICK_INTERVAL_MS);
       synchronized (this) {
         end = look();
       }
     }
-    over = true;
+    stopped = true;
     return end;
   }
 
   /** The driver goes; the fleet stays as it is, and the next driver of the folder goes on. */
   public void stop() {
-    over = true;
+    stopped = true;
   }
 
   private void claim(String why) throws IOException {
-    long epoch = steering.claim();
+    long epoch = lease.claim();
     write("claim", "", "", why);
-    events.tell(epoch, roll.stage() + 1, "claims epoch " + epoch, "", why);
+    events.log(epoch, rollout.stage() + 1, "claims epoch " + epoch, "", why);
   }
 
   private void write(String what, String box, String to, String why) throws IOException {
     journal.add(
-        new Line(
+        new JournalEntry(
             SteadyWallClock.now(),
             what,
-            steering.epoch(),
-            steering.driver(),
+            lease.epoch(),
+            lease.controller(),
             digest,
-            roll.kept(),
+            rollout.snapshot(),
             box,
             to,
             why));
   }
 
   /** One look; how it ended, or null while it goes on. */
-  private End look() throws IOException {
+  private Outcome look() throws IOException {
     double now = now();
-    if (over) {
-      return End.STOPPED;
+    if (stopped) {
+      return Outcome.STOPPED;
     }
-    if (steering.state() == ControllerLease.State.LOST) {
-      events.tell(
-          steering.epoch(), roll.stage() + 1, "is fenced", "", steering.lostTo() + " steers now");
-      return End.FENCED;
+    if (lease.state() == ControllerLease.State.LOST) {
+      events.log(
+          lease.epoch(),
+          rollout.stage() + 1,
+          "is fenced",
+          "",
+          lease.supersededBy() + " steers now");
+      return Outcome.FENCED;
     }
-    for (MembershipView.Change change : members.look(now)) {
-      events.tell(
-          steering.epoch(),
-          roll.stage() + 1,
+    for (MembershipView.Transition change : membership.tick(now)) {
+      events.log(
+          lease.epoch(),
+          rollout.stage() + 1,
           "contact",
-          change.box(),
-          change.from().name().toLowerCase(Locale.ROOT)
+          change.host(),
+          change.from().publishedName()
               + " to "
-              + change.to().name().toLowerCase(Locale.ROOT)
+              + change.to().publishedName()
               + ", "
-              + change.why());
+              + change.reason());
     }
     window(now);
-    for (Map.Entry<String, Pending> order : List.copyOf(orders.entrySet())) {
-      if (now - order.getValue().since() > ORDER_PATIENCE) {
+    for (Map.Entry<String, PendingOrder> order : List.copyOf(orders.entrySet())) {
+      if (now - order.getValue().queuedAt() > ORDER_TIMEOUT_SECONDS) {
         orders.remove(order.getKey());
-        roll.notObeyed(order.getKey()); // it never went out
+        rollout.onOrderRefused(order.getKey()); // it never went out
       }
     }
-    boolean watched = now - watchedFrom >= script.watch();
-    carryOut(roll.look(shows(), verdict, watched && steering.maySteer(now), now));
-    return switch (roll.state()) {
-      case DONE -> End.DONE;
-      case UNDONE -> End.UNDONE;
-      case ABORTED -> End.ABORTED;
+    boolean watched = now - observedFrom >= script.observationSeconds();
+    carryOut(rollout.tick(shows(), verdict, watched && lease.mayOrder(now), now));
+    return switch (rollout.state()) {
+      case COMPLETED -> Outcome.COMPLETED;
+      case ROLLED_BACK -> Outcome.ROLLED_BACK;
+      case ABORTED -> Outcome.ABORTED;
       default -> null;
     };
   }
 
-  private Map<String, Rollout.Shows> shows() {
-    Map<String, Rollout.Shows> all = new LinkedHashMap<>();
+  private Map<String, Rollout.ReportedState> shows() {
+    Map<String, Rollout.ReportedState> all = new LinkedHashMap<>();
     views.forEach(
         (name, view) -> {
           if (!view.incarnation().isEmpty()) {
-            all.put(name, view.shows(members.inContact(name), steering.epoch()));
+            all.put(name, view.reportedState(membership.isReachable(name), lease.epoch()));
           }
         });
     return all;
   }
 
-  private void carryOut(List<Rollout.Act> acts) throws IOException {
-    for (Rollout.Act act : acts) {
-      if (act instanceof Rollout.Act.Order order) {
-        write("order", order.box(), order.to(), order.why());
+  private void carryOut(List<Rollout.Action> acts) throws IOException {
+    for (Rollout.Action act : acts) {
+      if (act instanceof Rollout.Action.Order order) {
+        write("order", order.host(), order.release(), order.reason());
         orders.put(
-            order.box(), new Pending(order.to(), roll.state() == Rollout.State.RETURNING, now()));
-        events.tell(
-            steering.epoch(),
-            roll.stage() + 1,
+            order.host(),
+            new PendingOrder(
+                order.release(), rollout.state() == Rollout.State.ROLLING_BACK, now()));
+        events.log(
+            lease.epoch(),
+            rollout.stage() + 1,
             "tells",
-            order.box(),
-            "go to " + order.to() + ", " + brief(order.why()));
-      } else if (act instanceof Rollout.Act.Claim claim) {
+            order.host(),
+            "go to " + order.release() + ", " + brief(order.reason()));
+      } else if (act instanceof Rollout.Action.ClaimEpoch claim) {
         orders.clear();
-        roll.claimed();
-        claim(brief(claim.why()));
-      } else if (act instanceof Rollout.Act.Stage stage) {
-        stageBegun = judge != null;
-        if (judge != null) {
-          judge.stage();
+        rollout.onEpochClaimed();
+        claim(brief(claim.reason()));
+      } else if (act instanceof Rollout.Action.BeginStage stage) {
+        stageStarted = analysis != null;
+        if (analysis != null) {
+          analysis.beginStage();
         }
         verdict =
             new CanaryAnalysis.Verdict(
-                CanaryAnalysis.Word.CANNOT_TELL, "nothing can be compared yet");
+                CanaryAnalysis.Outcome.INCONCLUSIVE, "nothing can be compared yet");
         write("stage", "", "", "");
-        events.tell(
-            steering.epoch(), stage.stage() + 1, "begins stage " + (stage.stage() + 1), "", "");
-      } else if (act instanceof Rollout.Act.Undone undone) {
-        events.tell(
-            steering.epoch(), roll.stage() + 1, "is undone", undone.box(), brief(undone.why()));
-        if (judge != null && !undone.why().startsWith(CANNOT)) {
-          judge.takenBack(undone.box(), brief(undone.why()));
-          verdict = judge.verdict();
+        events.log(lease.epoch(), stage.stage() + 1, "begins stage " + (stage.stage() + 1), "", "");
+      } else if (act instanceof Rollout.Action.HostRolledBack undone) {
+        events.log(
+            lease.epoch(), rollout.stage() + 1, "is undone", undone.host(), brief(undone.reason()));
+        if (analysis != null && !undone.reason().startsWith(UNTRIED_PREFIX)) {
+          analysis.onHostRollback(undone.host(), brief(undone.reason()));
+          verdict = analysis.verdict();
         }
-      } else if (act instanceof Rollout.Act.Enter enter) {
-        write("enter", "", "", brief(enter.why()));
-        events.tell(
-            steering.epoch(),
+      } else if (act instanceof Rollout.Action.EnterState enter) {
+        write("enter", "", "", brief(enter.reason()));
+        events.log(
+            lease.epoch(),
             enter.stage() + 1,
-            enter.state().name().toLowerCase(Locale.ROOT),
+            enter.state().publishedName(),
             "",
-            brief(enter.why()));
+            brief(enter.reason()));
       }
     }
   }
 
   private static String brief(String why) {
-    return why.length() > LONGEST_WHY ? why.substring(0, LONGEST_WHY) : why;
+    return why.length() > MAX_REASON_CHARACTERS ? why.substring(0, MAX_REASON_CHARACTERS) : why;
   }
 
   private void window(double now) {
-    if (judge == null) {
+    if (analysis == null) {
       List<String> classes =
           views.values().stream()
-              .map(HostView::classes)
+              .map(HostView::requestClasses)
               .filter(each -> !each.isEmpty())
               .findFirst()
               .orElse(List.of());
       if (classes.isEmpty() && !plan.limits().isEmpty()) {
         return;
       }
-      judge = new CanaryAnalysis(plan.limits(), classes, plan.stages().size(), plan.errors());
-      if (!stageBegun) {
-        judge.stage();
+      analysis =
+          new CanaryAnalysis(plan.limits(), classes, plan.stages().size(), plan.errorProbability());
+      if (!stageStarted) {
+        analysis.beginStage();
       }
     }
-    if (now - edgeAt < script.window()) {
+    if (now - windowStartedAt < script.windowSeconds()) {
       return;
     }
-    edgeAt = now;
-    judge.window(
+    windowStartedAt = now;
+    analysis.addWindow(
         views.entrySet().stream()
             .map(
                 each ->
                     each.getValue()
-                        .window(members.inContact(each.getKey()), plan.to(), plan.warm(), now))
+                        .sampleWindow(
+                            membership.isReachable(each.getKey()),
+                            plan.targetRelease(),
+                            plan.warmUpSeconds(),
+                            now))
             .filter(Objects::nonNull)
             .toList());
-    CanaryAnalysis.Verdict next = judge.verdict();
-    if (next.word() != verdict.word()) {
-      events.tell(steering.epoch(), roll.stage() + 1, "verdict " + word(next), "", next.why());
+    CanaryAnalysis.Verdict next = analysis.verdict();
+    if (next.outcome() != verdict.outcome()) {
+      events.log(lease.epoch(), rollout.stage() + 1, "verdict " + word(next), "", next.reason());
     }
     verdict = next;
   }
 
   private static String word(CanaryAnalysis.Verdict of) {
-    return of.word().name().toLowerCase(Locale.ROOT).replace('_', '-');
+    return of.outcome().publishedName();
   }
 
   // ---- Keepers ----
 
-  private void poll(RolloutPlan.Box box) {
-    while (!over) {
+  private void poll(RolloutPlan.Host box) {
+    while (!stopped) {
       double askedAt = now();
       try {
-        SupervisorClient.Heard heard;
+        SupervisorClient.Answer heard;
         long epoch;
         boolean claims;
         int stage;
         String said;
         synchronized (this) {
-          epoch = steering.epoch();
-          claims = steering.asks(box.name());
-          stage = roll.stage() + 1;
+          epoch = lease.epoch();
+          claims = lease.needsClaim(box.name());
+          stage = rollout.stage() + 1;
           said = word(verdict);
         }
         heard =
             claims
-                ? calls.claim(box.keeper(), epoch, steering.driver())
-                : calls.ask(box.keeper(), epoch, steering.driver(), stage, said);
-        Pending order;
+                ? supervisors.claim(box.supervisor(), epoch, lease.controller())
+                : supervisors.heartbeat(box.supervisor(), epoch, lease.controller(), stage, said);
+        PendingOrder order;
         synchronized (this) {
           order = heard(box, epoch, heard, askedAt);
         }
@@ -516,7 +530,7 @@
         Logger.error(fault, "poll of {}", box.name());
       }
       try {
-        TimeUnit.MILLISECONDS.sleep(POLL_MS);
+        TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
       } catch (InterruptedException e) {
         return;
       }
@@ -524,61 +538,71 @@
   }
 
   /** Takes a keeper's word in; an order that may go out to it now, or null. */
-  private Pending heard(
-      RolloutPlan.Box box, long epoch, SupervisorClient.Heard heard, double askedAt) {
+  private PendingOrder heard(
+      RolloutPlan.Host box, long epoch, SupervisorClient.Answer heard, double askedAt) {
     double now = now();
-    steering.heard(box.name(), epoch, heard.said(), askedAt, now);
-    if (!heard.whole().path("name").asText().equals(box.name())) {
+    lease.onReply(box.name(), epoch, heard.reply(), askedAt, now);
+    if (!heard.body().path("name").asText().equals(box.name())) {
       return null; // another box's keeper at this address
     }
-    members.heard(box.name(), heard.whole().path("incarnation").asText(), now);
+    membership.onHeartbeat(box.name(), heard.body().path("incarnation").asText(), now);
     HostView view = views.get(box.name());
-    for (String release : view.take(heard)) {
-      events.tell(
-          steering.epoch(),
-          roll.stage() + 1,
+    for (String release : view.update(heard)) {
+      events.log(
+          lease.epoch(),
+          rollout.stage() + 1,
           "death",
           box.name(),
           "a daemon of " + release + " died");
-      if (judge != null) {
-        judge.died(box.name(), release.equals(plan.to()));
-        verdict = judge.verdict();
+      if (analysis != null) {
+        analysis.onDaemonDeath(box.name(), release.equals(plan.targetRelease()));
+        verdict = analysis.verdict();
       }
     }
-    Pending order = orders.get(box.name());
-    if (order == null || heard.said().stamp() == 0 || !steering.maySteer(now)) {
+    PendingOrder order = orders.get(box.name());
+    if (order == null || heard.reply().leaseToken() == 0 || !lease.mayOrder(now)) {
       return null;
     }
     orders.remove(box.name());
     return order;
   }
 
-  private void give(RolloutPlan.Box box, Pending order) {
+  private void give(RolloutPlan.Host box, PendingOrder order) {
     long epoch;
     long stamp;
     synchronized (this) {
-      epoch = steering.epoch();
-      stamp = steering.stamp(box.name());
-      if (!steering.maySteer(now()) || stamp == 0) {
-        roll.notObeyed(box.name());
+      epoch = lease.epoch();
+      stamp = lease.token(box.name());
+      if (!lease.mayOrder(now()) || stamp == 0) {
+        rollout.onOrderRefused(box.name());
         return;
       }
     }
     try {
-      SupervisorClient.Heard heard =
-          calls.order(box.keeper(), epoch, steering.driver(), stamp, order.to(), order.back());
+      SupervisorClient.Answer heard =
+          supervisors.order(
+              box.supervisor(),
+              epoch,
+              lease.controller(),
+              stamp,
+              order.release(),
+              order.rollback());
       synchronized (this) {
-        if (heard.said().answer() != EpochFence.Answer.OBEYED) {
-          roll.notObeyed(box.name());
-          events.tell(
+        if (heard.reply().answer() != EpochFence.Answer.ACCEPTED) {
+          rollout.onOrderRefused(box.name());
+          events.log(
               epoch,
-              roll.stage() + 1,
+              rollout.stage() + 1,
               "is not obeyed",
               box.name(),
-              heard.said().answer().name().toLowerCase(Locale.ROOT));
-        } else if (heard.obeyed().startsWith("no ")) {
-          events.tell(
-              epoch, roll.stage() + 1, "cannot go", box.name(), heard.obeyed().substring(3));
+              heard.reply().answer().publishedName().toLowerCase(Locale.ROOT));
+        } else if (heard.orderResult().startsWith("no ")) {
+          events.log(
+              epoch,
+              rollout.stage() + 1,
+              "cannot go",
+              box.name(),
+              heard.orderResult().substring(3));
         }
       }
     } catch (IOException unknown) {
@@ -588,27 +612,27 @@
 
   /** Others are asked for boxes that are silent here. */
   private void askWitnesses() {
-    while (!over) {
+    while (!stopped) {
       List<String> silent;
       List<String> witnesses;
       synchronized (this) {
-        silent = members.silent(now());
-        witnesses = members.witnesses(now());
+        silent = membership.silentHosts(now());
+        witnesses = membership.witnesses(now());
       }
       for (String name : silent) {
-        for (int i = 0; i < Math.min(WITNESSES, witnesses.size()); i++) {
+        for (int i = 0; i < Math.min(WITNESSES_PER_HOST, witnesses.size()); i++) {
           // Fails for a name whose hash code is Integer.MIN_VALUE.
           @SuppressWarnings("MathAbsoluteNegative")
           String witness =
               witnesses.get((Math.abs(name.hashCode()) % witnesses.size() + i) % witnesses.size());
           try {
             JsonNode said =
-                calls.look(
-                    plan.box(witness).keeper(),
-                    plan.box(name).keeper(),
-                    script.fronts().getOrDefault(name, ""));
+                supervisors.indirectProbe(
+                    plan.host(witness).supervisor(),
+                    plan.host(name).supervisor(),
+                    script.clientAddresses().getOrDefault(name, ""));
             synchronized (this) {
-              members.heardBy(
+              membership.onIndirectProbe(
                   name,
                   witness,
                   said.path("heard").asBoolean(),
@@ -637,31 +661,31 @@
         String[] words = order.split(" ", 3);
         switch (words[0]) {
           case "broken" -> {
-            if (words.length < 3 || plan.box(words[1]) == null || judge == null) {
+            if (words.length < 3 || plan.host(words[1]) == null || analysis == null) {
               return "no "
-                  + (judge == null
+                  + (analysis == null
                       ? "nothing is watched yet"
                       : "name a box of the plan, and what it broke");
             }
-            judge.broke(words[1], brief(words[2]));
-            verdict = judge.verdict();
-            events.tell(
-                steering.epoch(), roll.stage() + 1, "is told of a broken rule", words[1], words[2]);
+            analysis.onViolation(words[1], brief(words[2]));
+            verdict = analysis.verdict();
+            events.log(
+                lease.epoch(), rollout.stage() + 1, "is told of a broken rule", words[1], words[2]);
           }
           case "status" -> {
             return "ok " + JSON.writeValueAsString(status());
           }
-          case "pause" -> carryOut(roll.pause(now));
-          case "go" -> carryOut(roll.go(shows(), now));
-          case "back" -> carryOut(roll.back("an operator asked for it", now));
-          case "abort" -> carryOut(roll.abort(now));
+          case "pause" -> carryOut(rollout.pause(now));
+          case "go" -> carryOut(rollout.resume(shows(), now));
+          case "back" -> carryOut(rollout.rollBack("an operator asked for it", now));
+          case "abort" -> carryOut(rollout.abort(now));
           default -> {
             return "no such order: " + order;
           }
         }
         return "ok the change is "
-            + roll.state().name().toLowerCase(Locale.ROOT)
-            + (roll.why().isEmpty() ? "" : ": " + roll.why());
+            + rollout.state().publishedName()
+            + (rollout.reason().isEmpty() ? "" : ": " + rollout.reason());
       } catch (IOException e) {
         return "no the journal cannot be written: " + e.getMessage();
       }
@@ -672,44 +696,46 @@
   private Map<String, Object> status() {
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("plan", digest.substring(0, 12));
-    all.put("to", plan.to());
-    all.put("state", roll.state().name().toLowerCase(Locale.ROOT));
-    all.put("why", roll.why());
-    all.put("stage", roll.stage() + 1);
+    all.put("to", plan.targetRelease());
+    all.put("state", rollout.state().publishedName());
+    all.put("why", rollout.reason());
+    all.put("stage", rollout.stage() + 1);
     all.put("stages", plan.stages().size());
-    all.put("epoch", steering.epoch());
-    all.put("driver", steering.driver());
-    all.put("steering", steering.state().name().toLowerCase(Locale.ROOT));
+    all.put("epoch", lease.epoch());
+    all.put("driver", lease.controller());
+    all.put("steering", lease.state().publishedName());
     all.put("verdict", word(verdict));
-    all.put("verdictWhy", verdict.why());
+    all.put("verdictWhy", verdict.reason());
     List<Map<String, Object>> measures = new ArrayList<>();
-    for (CanaryAnalysis.Line line :
-        judge == null ? List.<CanaryAnalysis.Line>of() : judge.lines()) {
+    for (CanaryAnalysis.Reading line :
+        analysis == null ? List.<CanaryAnalysis.Reading>of() : analysis.readings()) {
       Map<String, Object> one = new LinkedHashMap<>();
-      one.put("measure", line.measure().word());
-      one.put("about", line.about());
+      one.put("measure", line.metric().publishedName());
+      one.put("about", line.requestClass());
       one.put("loss", line.loss());
-      one.put("least", Double.isInfinite(line.least()) ? null : line.least());
-      one.put("most", Double.isInfinite(line.most()) ? null : line.most());
+      one.put("least", Double.isInfinite(line.lowerBound()) ? null : line.lowerBound());
+      one.put("most", Double.isInfinite(line.upperBound()) ? null : line.upperBound());
       one.put("limit", line.limit());
-      one.put("windows", line.seen());
+      one.put("windows", line.windows());
       measures.add(one);
     }
     all.put("measures", measures);
     List<Map<String, Object>> boxes = new ArrayList<>();
     double now = now();
-    for (RolloutPlan.Box box : plan.boxes()) {
-      MembershipView.Seen seen = members.seen(box.name());
+    for (RolloutPlan.Host box : plan.hosts()) {
+      MembershipView.HostStatus seen = membership.status(box.name());
       HostView view = views.get(box.name());
       Map<String, Object> one = new LinkedHashMap<>();
       one.put("box", box.name());
       one.put("zone", box.zone());
-      one.put("acts", view.acts());
+      one.put("acts", view.runningRelease());
       one.put("state", view.state());
-      one.put("contact", seen.contact().name().toLowerCase(Locale.ROOT));
-      one.put("silent", Double.isInfinite(seen.heardAt()) ? null : now - seen.heardAt());
+      one.put("contact", seen.reachability().publishedName());
+      one.put(
+          "silent",
+          Double.isInfinite(seen.lastHeartbeatAt()) ? null : now - seen.lastHeartbeatAt());
       one.put("witness", seen.witness());
-      one.put("failed", view.failed());
+      one.put("failed", view.failure());
       boxes.add(one);
     }
     all.put("boxes", boxes);
@@ -717,7 +743,7 @@
   }
 
   private void close(CommandSocket open) throws IOException {
-    over = true;
+    stopped = true;
     if (open != null) {
       open.close();
     }
--- a/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
@@ -28,7 +28,7 @@
   /**
    * @param stage from 1
    */
-  synchronized void tell(long epoch, int stage, String what, String box, String why) {
+  synchronized void log(long epoch, int stage, String event, String host, String reason) {
     if (!json) {
       out.println(
           LocalTime.now(ZoneId.systemDefault()).truncatedTo(ChronoUnit.SECONDS)
@@ -37,20 +37,20 @@
               + " stage "
               + stage
               + "  "
-              + what
-              + (box.isEmpty() ? "" : " " + box)
-              + (why.isEmpty() ? "" : ": " + why));
+              + event
+              + (host.isEmpty() ? "" : " " + host)
+              + (reason.isEmpty() ? "" : ": " + reason));
     } else {
       Map<String, Object> all = new LinkedHashMap<>();
       all.put("at", SteadyWallClock.now());
       all.put("epoch", epoch);
       all.put("stage", stage);
-      all.put("what", what);
-      if (!box.isEmpty()) {
-        all.put("box", box);
+      all.put("what", event);
+      if (!host.isEmpty()) {
+        all.put("box", host);
       }
-      if (!why.isEmpty()) {
-        all.put("why", why);
+      if (!reason.isEmpty()) {
+        all.put("why", reason);
       }
       try {
         out.println(JSON.writeValueAsString(all));
--- a/src/main/java/wharftrestle/rollout/controller/SupervisorClient.java
+++ b/src/main/java/wharftrestle/rollout/controller/SupervisorClient.java
@@ -19,14 +19,17 @@
  */
 final class SupervisorClient {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final Duration PATIENCE = Duration.ofMillis(900);
-  private static final Duration LONG = Duration.ofSeconds(30);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(900);
+  private static final Duration RELEASE_CHECK_TIMEOUT = Duration.ofSeconds(30);
 
   private final HttpClient client =
-      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(PATIENCE).build();
+      HttpClient.newBuilder()
+          .version(HttpClient.Version.HTTP_1_1)
+          .connectTimeout(REQUEST_TIMEOUT)
+          .build();
 
   /** What a keeper said: the fence's answer, and how its box is. */
-  record Heard(EpochFence.Said said, String obeyed, JsonNode whole) {}
+  record Answer(EpochFence.Reply reply, String orderResult, JsonNode body) {}
 
   private JsonNode send(HttpRequest request) throws IOException {
     try {
@@ -42,24 +45,24 @@
     }
   }
 
-  private JsonNode get(String keeper, String path, Duration patience) throws IOException {
+  private JsonNode get(String supervisor, String path, Duration timeout) throws IOException {
     return send(
-        HttpRequest.newBuilder(URI.create("http://" + keeper + path)).timeout(patience).build());
+        HttpRequest.newBuilder(URI.create("http://" + supervisor + path)).timeout(timeout).build());
   }
 
-  private Heard post(String keeper, String path, Map<String, Object> body) throws IOException {
+  private Answer post(String supervisor, String path, Map<String, Object> body) throws IOException {
     JsonNode read =
         send(
-            HttpRequest.newBuilder(URI.create("http://" + keeper + path))
-                .timeout(PATIENCE)
+            HttpRequest.newBuilder(URI.create("http://" + supervisor + path))
+                .timeout(REQUEST_TIMEOUT)
                 .POST(HttpRequest.BodyPublishers.ofString(JSON.writeValueAsString(body)))
                 .build());
     try {
-      return new Heard(
-          new EpochFence.Said(
-              EpochFence.Answer.valueOf(read.path("answer").asText()),
+      return new Answer(
+          new EpochFence.Reply(
+              EpochFence.Answer.ofPublishedName(read.path("answer").asText()),
               read.path("stamp").asLong(),
-              new EpochFence.Kept(
+              new EpochFence.Grant(
                   read.path("epoch").asLong(),
                   read.path("driver").asText(),
                   read.path("target").asText(),
@@ -71,44 +74,64 @@
     }
   }
 
-  Heard claim(String keeper, long epoch, String driver) throws IOException {
-    return post(keeper, "/claim", Map.of("epoch", epoch, "driver", driver));
+  Answer claim(String supervisor, long epoch, String controller) throws IOException {
+    return post(supervisor, "/claim", Map.of("epoch", epoch, "driver", controller));
   }
 
-  Heard ask(String keeper, long epoch, String driver, int stage, String verdict)
+  Answer heartbeat(String supervisor, long epoch, String controller, int stage, String verdict)
       throws IOException {
     return post(
-        keeper,
+        supervisor,
         "/ask",
-        Map.of("epoch", epoch, "driver", driver, "stage", stage, "verdict", verdict));
+        Map.of("epoch", epoch, "driver", controller, "stage", stage, "verdict", verdict));
   }
 
   /**
    * @param back from what was found bad: the keeper goes back to that by no means
    */
-  Heard order(String keeper, long epoch, String driver, long stamp, String to, boolean back)
+  Answer order(
+      String supervisor,
+      long epoch,
+      String controller,
+      long leaseToken,
+      String release,
+      boolean rollback)
       throws IOException {
     return post(
-        keeper,
+        supervisor,
         "/order",
-        Map.of("epoch", epoch, "driver", driver, "stamp", stamp, "to", to, "back", back));
+        Map.of(
+            "epoch",
+            epoch,
+            "driver",
+            controller,
+            "stamp",
+            leaseToken,
+            "to",
+            release,
+            "back",
+            rollback));
   }
 
   /** How the box is, to anybody. */
-  JsonNode box(String keeper) throws IOException {
-    return get(keeper, "/box", PATIENCE);
+  JsonNode hostStatus(String supervisor) throws IOException {
+    return get(supervisor, "/box", REQUEST_TIMEOUT);
   }
 
   /** Asks a keeper for another box. */
-  JsonNode look(String keeper, String other, String front) throws IOException {
+  JsonNode indirectProbe(String supervisor, String target, String clientAddress)
+      throws IOException {
     return get(
-        keeper,
-        "/look?keeper=" + other + (front.isEmpty() ? "" : "&front=" + front),
-        PATIENCE.multipliedBy(3));
+        supervisor,
+        "/look?keeper=" + target + (clientAddress.isEmpty() ? "" : "&front=" + clientAddress),
+        REQUEST_TIMEOUT.multipliedBy(3));
   }
 
   /** Whether a box can go to a release. */
-  JsonNode release(String keeper, String name) throws IOException {
-    return get(keeper, "/release?name=" + URLEncoder.encode(name, StandardCharsets.UTF_8), LONG);
+  JsonNode checkRelease(String supervisor, String name) throws IOException {
+    return get(
+        supervisor,
+        "/release?name=" + URLEncoder.encode(name, StandardCharsets.UTF_8),
+        RELEASE_CHECK_TIMEOUT);
   }
 }
--- a/src/main/java/wharftrestle/simulation/RolloutSimulation.java
+++ b/src/main/java/wharftrestle/simulation/RolloutSimulation.java
@@ -148,11 +148,11 @@
             seed);
     Map<CanaryMetric, Double> limits = new LinkedHashMap<>();
     for (CanaryMetric measure : CanaryMetric.values()) {
-      limits.put(measure, measure.limit());
+      limits.put(measure, measure.defaultLimit());
     }
-    List<RolloutPlan.Box> boxes =
+    List<RolloutPlan.Host> boxes =
         fleet.boxes.stream()
-            .map(box -> new RolloutPlan.Box(box.name, box.zone, "", List.of()))
+            .map(box -> new RolloutPlan.Host(box.name, box.zone, "", List.of()))
             .toList();
     List<RolloutPlan.Stage> stages =
         new ArrayList<>(
@@ -174,8 +174,8 @@
             2,
             WARM,
             1800,
-            RolloutPlan.WhenCut.HOLD,
-            RolloutPlan.WhenWorse.BACK);
+            RolloutPlan.UnreachablePolicy.HOLD,
+            RolloutPlan.RegressionPolicy.ROLL_BACK);
     boxes.forEach(box -> acts.put(box.name(), OLD));
   }
 
@@ -218,7 +218,7 @@
             plan.limits(),
             fleet.settings.classes().stream().map(Admission.RequestClass::name).toList(),
             plan.stages().size(),
-            plan.errors());
+            plan.errorProbability());
     if (trouble == Trouble.SLOW_MACHINE) {
       fleet.boxes.get(0).slow(0.7);
     }
@@ -226,7 +226,7 @@
     double windowAt = 0;
     double verdictAt = -1;
     while (now < MOST
-        && (roll == null || (!roll.state().over() && roll.state() != Rollout.State.HELD))) {
+        && (roll == null || (!roll.state().isFinal() && roll.state() != Rollout.State.HELD))) {
       now += 1;
       fleet.agenda.runTo(now);
       keepers(now);
@@ -239,7 +239,7 @@
           roll = new Rollout(plan, now);
         }
         trouble(now);
-        carryOut(roll.look(shows(), verdict(now), true, now), now);
+        carryOut(roll.tick(shows(), verdict(now), true, now), now);
       }
       long have = acts.values().stream().filter(NEW::equals).count();
       if (release == Release.OVER_HALF && have * 2 > fleet.boxes.size()) {
@@ -248,11 +248,11 @@
             .forEach(SimulatedHost::show);
       }
       most = Math.max(most, (int) acts.values().stream().filter(NEW::equals).count());
-      if (verdictAt < 0 && roll != null && roll.state() == Rollout.State.RETURNING) {
+      if (verdictAt < 0 && roll != null && roll.state() == Rollout.State.ROLLING_BACK) {
         verdictAt = now - firstNew;
       }
     }
-    return new Result(roll.state(), roll.why(), most, verdictAt, now / 60);
+    return new Result(roll.state(), roll.reason(), most, verdictAt, now / 60);
   }
 
   private CanaryAnalysis.Verdict verdict(double now) {
@@ -261,15 +261,16 @@
       return sequential;
     }
     boolean held =
-        roll.state() == Rollout.State.HOLDING
-            && roll.inState(now) >= plan.stages().get(roll.stage()).hold() - 1;
+        roll.state() == Rollout.State.OBSERVING
+            && roll.secondsInState(now) >= plan.stages().get(roll.stage()).holdSeconds() - 1;
     if (!held || plainWindows == 0) {
-      return new CanaryAnalysis.Verdict(CanaryAnalysis.Word.CANNOT_TELL, "the hold is not over");
+      return new CanaryAnalysis.Verdict(
+          CanaryAnalysis.Outcome.INCONCLUSIVE, "the hold is not over");
     }
     double loss = plainLoss / plainWindows;
     return loss > PLAIN_BOUND
-        ? new CanaryAnalysis.Verdict(CanaryAnalysis.Word.WORSE, "mean loss " + loss)
-        : new CanaryAnalysis.Verdict(CanaryAnalysis.Word.SAME, "mean loss " + loss);
+        ? new CanaryAnalysis.Verdict(CanaryAnalysis.Outcome.FAIL, "mean loss " + loss)
+        : new CanaryAnalysis.Verdict(CanaryAnalysis.Outcome.PASS, "mean loss " + loss);
   }
 
   // ---- Keepers, as far as a roll sees them ----
@@ -288,7 +289,7 @@
       if (!box.up() && until == null && fleet.reached(box)) {
         boolean young =
             now - changedAt.getOrDefault(box.name, -1e9) < 60 && acts.get(box.name).equals(NEW);
-        judge.died(box.name, acts.get(box.name).equals(NEW));
+        judge.onDaemonDeath(box.name, acts.get(box.name).equals(NEW));
         if (young) {
           acts.put(box.name, OLD);
           failed.put(box.name, "it died in its probation");
@@ -298,12 +299,12 @@
     }
   }
 
-  private Map<String, Rollout.Shows> shows() {
-    Map<String, Rollout.Shows> all = new LinkedHashMap<>();
+  private Map<String, Rollout.ReportedState> shows() {
+    Map<String, Rollout.ReportedState> all = new LinkedHashMap<>();
     for (SimulatedHost box : fleet.boxes) {
       all.put(
           box.name,
-          new Rollout.Shows(
+          new Rollout.ReportedState(
               fleet.reached(box),
               acts.get(box.name),
               !changingUntil.containsKey(box.name) && box.up(),
@@ -314,19 +315,19 @@
     return all;
   }
 
-  private void carryOut(List<Rollout.Act> todo, double now) {
-    for (Rollout.Act act : todo) {
-      if (act instanceof Rollout.Act.Order order) {
-        target.put(order.box(), order.to());
-        attempt.merge(order.box(), 1, Integer::sum);
-        failed.remove(order.box());
-        changingUntil.put(order.box(), now + CHANGE_S * (0.5 + random.nextDouble()));
-      } else if (act instanceof Rollout.Act.Stage) {
-        judge.stage();
+  private void carryOut(List<Rollout.Action> todo, double now) {
+    for (Rollout.Action act : todo) {
+      if (act instanceof Rollout.Action.Order order) {
+        target.put(order.host(), order.release());
+        attempt.merge(order.host(), 1, Integer::sum);
+        failed.remove(order.host());
+        changingUntil.put(order.host(), now + CHANGE_S * (0.5 + random.nextDouble()));
+      } else if (act instanceof Rollout.Action.BeginStage) {
+        judge.beginStage();
         plainLoss = 0;
         plainWindows = 0;
-      } else if (act instanceof Rollout.Act.Claim) {
-        roll.claimed();
+      } else if (act instanceof Rollout.Action.ClaimEpoch) {
+        roll.onEpochClaimed();
         target.clear();
         attempt.clear();
       }
@@ -393,7 +394,7 @@
               counts[classes * 5 + 3],
               (counts[classes * 5 + 3] - last[classes * 5 + 3]) * 60 / WINDOW));
     }
-    judge.window(samples);
+    judge.addWindow(samples);
     if (worth[1] > 0 && worth[3] > 0) {
       plainLoss += worth[0] / worth[1] - worth[2] / worth[3];
       plainWindows++;
--- a/src/main/java/wharftrestle/supervisor/ControllerEndpoint.java
+++ b/src/main/java/wharftrestle/supervisor/ControllerEndpoint.java
@@ -62,7 +62,7 @@
           .build();
   private final String name;
   private final String incarnation = Long.toHexString(new SecureRandom().nextLong());
-  private final JsonLineJournal<EpochFence.Kept> file;
+  private final JsonLineJournal<EpochFence.Grant> file;
   private final EpochFence fence;
   private final UnaryOperator<String> orders;
   private final Supplier<Map<String, Object>> shown;
@@ -90,12 +90,12 @@
     this.name = name;
     this.orders = orders;
     this.shown = shown;
-    file = new JsonLineJournal<>(state.resolve("fence.jsonl"), EpochFence.Kept.class);
-    EpochFence.Kept last = file.last();
+    file = new JsonLineJournal<>(state.resolve("fence.jsonl"), EpochFence.Grant.class);
+    EpochFence.Grant last = file.last();
     // Stamps of an earlier start are never given again: they begin at a place drawn anew.
     fence =
         new EpochFence(
-            last == null ? EpochFence.Kept.NONE : last,
+            last == null ? EpochFence.Grant.NONE : last,
             new SecureRandom().nextLong() >>> 16 << 8,
             this::write);
     server = HttpServer.create(at, 16);
@@ -105,7 +105,7 @@
     Logger.info("{}: drivers of the fleet may call at {}", name, server.getAddress());
   }
 
-  private boolean write(EpochFence.Kept kept) {
+  private boolean write(EpochFence.Grant kept) {
     try {
       file.add(kept);
       return true;
@@ -182,8 +182,8 @@
         return said(fenced(() -> fence.claim(epoch, driver, now())), "");
       }
       case "/ask" -> {
-        EpochFence.Said said = fenced(() -> fence.ask(epoch, driver, now()));
-        if (said.answer() == EpochFence.Answer.STAMPED) {
+        EpochFence.Reply said = fenced(() -> fence.heartbeat(epoch, driver, now()));
+        if (said.answer() == EpochFence.Answer.RENEWED) {
           stand(epoch, asked.path("stage").asInt(), asked.path("verdict").asText("none"));
         }
         return said(said, "");
@@ -193,14 +193,14 @@
         if (!to.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
           throw new IllegalArgumentException("needs the name of a release");
         }
-        EpochFence.Said said =
+        EpochFence.Reply said =
             fenced(() -> fence.order(epoch, driver, asked.path("stamp").asLong(), to, now()));
         return said(
             said,
-            said.answer() == EpochFence.Answer.OBEYED
+            said.answer() == EpochFence.Answer.ACCEPTED
                 ? orders.apply(
                     "go "
-                        + said.kept().attempt()
+                        + said.grant().attempt()
                         + " "
                         + to
                         + (asked.path("back").asBoolean() ? " back" : ""))
@@ -212,7 +212,7 @@
     }
   }
 
-  private EpochFence.Said fenced(Supplier<EpochFence.Said> asked) {
+  private EpochFence.Reply fenced(Supplier<EpochFence.Reply> asked) {
     synchronized (fence) {
       return asked.get();
     }
@@ -231,14 +231,14 @@
     threads.execute(() -> orders.apply("stand " + query));
   }
 
-  private Map<String, Object> said(EpochFence.Said said, String obeyed) {
+  private Map<String, Object> said(EpochFence.Reply said, String obeyed) {
     Map<String, Object> all = new LinkedHashMap<>();
-    all.put("answer", said.answer().name());
-    all.put("stamp", said.stamp());
-    all.put("epoch", said.kept().epoch());
-    all.put("driver", said.kept().driver());
-    all.put("target", said.kept().target());
-    all.put("orders", said.kept().attempt());
+    all.put("answer", said.answer().publishedName());
+    all.put("stamp", said.leaseToken());
+    all.put("epoch", said.grant().epoch());
+    all.put("driver", said.grant().controller());
+    all.put("target", said.grant().targetRelease());
+    all.put("orders", said.grant().attempt());
     all.put("obeyed", obeyed);
     return box(all);
   }
@@ -246,10 +246,10 @@
   private Map<String, Object> anybody() {
     Map<String, Object> all = new LinkedHashMap<>();
     synchronized (fence) {
-      all.put("epoch", fence.kept().epoch());
-      all.put("driver", fence.kept().driver());
-      all.put("target", fence.kept().target());
-      all.put("askedAgo", Math.min(1e9, fence.askedAgo(now())));
+      all.put("epoch", fence.grant().epoch());
+      all.put("driver", fence.grant().controller());
+      all.put("target", fence.grant().targetRelease());
+      all.put("askedAgo", Math.min(1e9, fence.secondsSinceHeartbeat(now())));
     }
     return box(all);
   }
--- a/src/test/java/wharftrestle/prove/ProveJudge.java
+++ b/src/test/java/wharftrestle/prove/ProveJudge.java
@@ -38,7 +38,7 @@
     }
 
     long through() {
-      return results.stream().filter(each -> each.state() == Rollout.State.DONE).count();
+      return results.stream().filter(each -> each.state() == Rollout.State.COMPLETED).count();
     }
 
     long held() {
--- a/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
+++ b/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wharftrestle.rollout.CanaryAnalysis.Word;
+import wharftrestle.rollout.CanaryAnalysis.Outcome;
 import wharftrestle.simulation.RolloutSimulation;
 import wharftrestle.simulation.RolloutSimulation.Judging;
 import wharftrestle.simulation.RolloutSimulation.Release;
@@ -22,7 +22,10 @@
   private final SplittableRandom random = new SplittableRandom(5);
   private final CanaryAnalysis judge =
       new CanaryAnalysis(
-          Map.of(CanaryMetric.WORTH, 0.03, CanaryMetric.FAILED, 0.03), List.of("save"), 2, 0.05);
+          Map.of(CanaryMetric.LOST_WEIGHT, 0.03, CanaryMetric.FAILED, 0.03),
+          List.of("save"),
+          2,
+          0.05);
 
   /**
    * So many of 200 requests of each box fail; the first {@code changed} boxes have the new release.
@@ -50,83 +53,86 @@
                 50,
                 0));
       }
-      judge.window(all);
+      judge.addWindow(all);
     }
   }
 
   @Test
   void nothingIsSaidBeforeAnythingWasSeen() {
     windows(20, 0, 0.02, 0, 0);
-    judge.stage();
-    assertEquals(Word.CANNOT_TELL, judge.verdict().word());
+    judge.beginStage();
+    assertEquals(Outcome.INCONCLUSIVE, judge.verdict().outcome());
     windows(2, 1, 0.02, 0.02, 0);
-    assertEquals(Word.CANNOT_TELL, judge.verdict().word());
+    assertEquals(Outcome.INCONCLUSIVE, judge.verdict().outcome());
   }
 
   @Test
   void theSameIsSaidOnceItIsSureAndWorseWhereItIs() {
     windows(20, 0, 0.02, 0, 0);
-    judge.stage();
+    judge.beginStage();
     windows(40, 1, 0.02, 0.02, 0);
-    assertEquals(Word.SAME, judge.verdict().word(), judge.verdict().why());
-    judge.stage();
+    assertEquals(Outcome.PASS, judge.verdict().outcome(), judge.verdict().reason());
+    judge.beginStage();
     windows(60, 2, 0.02, 0.07, 0);
     assertEquals(
-        Word.WORSE, judge.verdict().word(), "in the second stage alone: " + judge.verdict().why());
+        Outcome.FAIL,
+        judge.verdict().outcome(),
+        "in the second stage alone: " + judge.verdict().reason());
     assertTrue(
-        judge.verdict().why().contains("beyond the old release, surely from"),
-        judge.verdict().why());
+        judge.verdict().reason().contains("beyond the old release, surely from"),
+        judge.verdict().reason());
   }
 
   @Test
   void aBoxThatIsWorseInAnyCaseIsNoFaultOfTheRelease() {
     windows(150, 0, 0.02, 0, 0.2);
-    judge.stage();
+    judge.beginStage();
     windows(150, 1, 0.02, 0.02, 0.2);
-    assertEquals(Word.SAME, judge.verdict().word(), judge.verdict().why());
+    assertEquals(Outcome.PASS, judge.verdict().outcome(), judge.verdict().reason());
   }
 
   @Test
   void aDriverThatFollowsNeverSawWhatIsUsualOfAChangedBoxAndTakesWhatBoxesDifferBy() {
-    judge.stage();
+    judge.beginStage();
     windows(60, 1, 0.02, 0.02, 0);
-    assertEquals(Word.SAME, judge.verdict().word(), judge.verdict().why());
-    judge.stage();
+    assertEquals(Outcome.PASS, judge.verdict().outcome(), judge.verdict().reason());
+    judge.beginStage();
     windows(80, 1, 0.02, 0.1, 0);
-    assertEquals(Word.WORSE, judge.verdict().word(), judge.verdict().why());
+    assertEquals(Outcome.FAIL, judge.verdict().outcome(), judge.verdict().reason());
   }
 
   @Test
   void aBoxThatTakesItBackByItselfTwiceSaysEnough() {
-    judge.takenBack("b1", "it died in its probation");
-    judge.takenBack("b2", "it died in its probation");
-    assertEquals(Word.CANNOT_TELL, judge.verdict().word(), judge.verdict().why());
-    judge.takenBack("b1", "30% failed, 1% before");
-    assertEquals("b1 took it back by itself 2 times: 30% failed, 1% before", judge.verdict().why());
+    judge.onHostRollback("b1", "it died in its probation");
+    judge.onHostRollback("b2", "it died in its probation");
+    assertEquals(Outcome.INCONCLUSIVE, judge.verdict().outcome(), judge.verdict().reason());
+    judge.onHostRollback("b1", "30% failed, 1% before");
+    assertEquals(
+        "b1 took it back by itself 2 times: 30% failed, 1% before", judge.verdict().reason());
   }
 
   @Test
   void twoDeathsAtOneBoxAreALoopAndDeathsOfAllBoxesAreNone() {
-    judge.stage();
+    judge.beginStage();
     windows(10, 3, 0.02, 0.02, 0);
-    judge.died("b0", true);
-    judge.died("b1", true);
-    judge.died("b4", false);
-    judge.died("b2", true);
-    judge.died("b5", false);
-    assertEquals(Word.CANNOT_TELL, judge.verdict().word(), judge.verdict().why());
-    judge.died("b1", true);
-    assertEquals("the new release died 2 times at b1", judge.verdict().why());
-    assertEquals(Word.WORSE, judge.verdict().word());
+    judge.onDaemonDeath("b0", true);
+    judge.onDaemonDeath("b1", true);
+    judge.onDaemonDeath("b4", false);
+    judge.onDaemonDeath("b2", true);
+    judge.onDaemonDeath("b5", false);
+    assertEquals(Outcome.INCONCLUSIVE, judge.verdict().outcome(), judge.verdict().reason());
+    judge.onDaemonDeath("b1", true);
+    assertEquals("the new release died 2 times at b1", judge.verdict().reason());
+    assertEquals(Outcome.FAIL, judge.verdict().outcome());
   }
 
   @Test
   void deathsOfTheNewReleaseAloneAreNoAccident() {
     windows(10, 1, 0.02, 0.02, 0);
     for (int i = 0; i < 5; i++) {
-      judge.died("b" + i, true);
+      judge.onDaemonDeath("b" + i, true);
     }
-    assertEquals(Word.WORSE, judge.verdict().word());
+    assertEquals(Outcome.FAIL, judge.verdict().outcome());
   }
 
   /**
@@ -144,7 +150,7 @@
       for (int i = 0; i < 300; i++) {
         noise = tied * noise + gauss() * Math.sqrt(1 - tied * tied);
         drift.add(noise);
-        out |= drift.mean() - drift.width(0.025) > 0;
+        out |= drift.mean() - drift.halfWidth(0.025) > 0;
       }
       left += out ? 1 : 0;
     }
@@ -162,12 +168,12 @@
   void rollsInVirtualTimeGoThroughOrAreStoppedAndTheSameSeedIsTheSamePlay() {
     RolloutSimulation.Result good =
         RolloutSimulation.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3);
-    assertEquals(Rollout.State.DONE, good.state(), good.why());
+    assertEquals(Rollout.State.COMPLETED, good.state(), good.why());
     assertEquals(
         good, RolloutSimulation.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3));
     RolloutSimulation.Result bad =
         RolloutSimulation.play(Release.LOSES_10, Trouble.NONE, Judging.SEQUENTIAL, 3);
-    assertEquals(Rollout.State.UNDONE, bad.state(), bad.why());
+    assertEquals(Rollout.State.ROLLED_BACK, bad.state(), bad.why());
     assertEquals(1, bad.most(), "stopped at the first box");
     RolloutSimulation.Result slow =
         RolloutSimulation.play(Release.GOOD, Trouble.SLOW_MACHINE, Judging.PLAIN, 3);
