--- a/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
+++ b/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
@@ -38,14 +38,14 @@
   private static final int KEEPERS = 3;
 
   /** Seconds of a tick: a lease. */
-  private static final double TICK = EpochFence.LEASE;
+  private static final double TICK = EpochFence.LEASE_SECONDS;
 
   /** Ticks after which a stamp, an answer, and the pause are over. */
   private static final int LAPSED = 2;
 
   private static final int PAUSED = 3;
 
-  private record Reply(EpochFence.Said said, double askedAt) {}
+  private record Reply(EpochFence.Reply said, double askedAt) {}
 
   private record Order(int keeper, long stamp) {}
 
@@ -68,11 +68,13 @@
     World copy(Bug bug) {
       World next = new World();
       next.tick = tick;
-      double lease = bug == Bug.NO_STAMPS ? 1e9 : EpochFence.LEASE;
+      double lease = bug == Bug.NO_STAMPS ? 1e9 : EpochFence.LEASE_SECONDS;
       double pause =
           bug == Bug.NO_PAUSE
               ? 0
-              : bug == Bug.PAUSE_OF_ONE_LEASE ? EpochFence.LEASE : ControllerLease.PAUSE;
+              : bug == Bug.PAUSE_OF_ONE_LEASE
+                  ? EpochFence.LEASE_SECONDS
+                  : ControllerLease.EXPIRY_WAIT_SECONDS;
       for (int k = 0; k < KEEPERS; k++) {
         next.fences[k] = new EpochFence(fences[k], kept -> true, lease);
       }
@@ -102,21 +104,21 @@
         EpochFence fence = fences[k];
         Reply reply = replies[k];
         each[k] =
-            fence.kept().epoch()
-                + fence.kept().driver()
-                + age(Math.max(-1e6, fence.stampedAt()), LAPSED)
+            fence.grant().epoch()
+                + fence.grant().controller()
+                + age(Math.max(-1e6, fence.tokenIssuedAt()), LAPSED)
                 + (reply == null
                     ? ""
                     : "r"
                         + reply.said().answer()
                         + age(reply.askedAt(), LAPSED)
-                        + (reply.said().stamp() == fence.stamp()))
+                        + (reply.said().leaseToken() == fence.leaseToken()))
                 + (order == null || order.keeper() != k
                     ? ""
-                    : "o" + (order.stamp() == fence.stamp()))
-                + (first.stamp("k" + k) == fence.stamp())
-                + age(first.confirmedAt("k" + k), LAPSED)
-                + second.asks("k" + k);
+                    : "o" + (order.stamp() == fence.leaseToken()))
+                + (first.token("k" + k) == fence.leaseToken())
+                + age(first.acknowledgedAt("k" + k), LAPSED)
+                + second.needsClaim("k" + k);
       }
       Arrays.sort(each);
       return obeyedLater
@@ -124,8 +126,8 @@
           + restarted
           + first.state()
           + second.state()
-          + (second.state() == ControllerLease.State.PAUSING
-              ? age(second.pausedSince(), PAUSED)
+          + (second.state() == ControllerLease.State.AWAITING_EXPIRY
+              ? age(second.quorumGrantedAt(), PAUSED)
               : "")
           + String.join("&", each);
     }
@@ -136,14 +138,14 @@
     ControllerLease steers = new ControllerLease("A", KEEPERS, 0);
     steers.claim();
     for (int k = 0; k < KEEPERS; k++) {
-      world.fences[k] = new EpochFence(EpochFence.Kept.NONE, 0, kept -> true);
-      steers.heard("k" + k, 1, world.fences[k].claim(1, "A", -20), -20, -20);
+      world.fences[k] = new EpochFence(EpochFence.Grant.NONE, 0, kept -> true);
+      steers.onReply("k" + k, 1, world.fences[k].claim(1, "A", -20), -20, -20);
     }
-    steers.look(-1);
+    steers.tick(-1);
     for (int k = 0; k < KEEPERS; k++) {
-      steers.heard("k" + k, 1, world.fences[k].ask(1, "A", 0), 0, 0);
+      steers.onReply("k" + k, 1, world.fences[k].heartbeat(1, "A", 0), 0, 0);
     }
-    assertTrue(steers.maySteer(0));
+    assertTrue(steers.mayOrder(0));
     world.first = steers;
     world.second = new ControllerLease("B", KEEPERS, bug == Bug.ONE_EPOCH_FOR_TWO ? 0 : 1);
     world.second.claim();
@@ -154,19 +156,19 @@
     List<World> all = new ArrayList<>();
     World later = at.copy(bug);
     later.tick++;
-    later.first.look(later.now());
-    later.second.look(later.now());
+    later.first.tick(later.now());
+    later.second.tick(later.now());
     all.add(later);
     for (int k = 0; k < KEEPERS; k++) {
       String name = "k" + k;
-      if (!at.restarted && at.fences[k].kept().epoch() > 1) {
+      if (!at.restarted && at.fences[k].grant().epoch() > 1) {
         World anew = at.copy(bug);
         anew.restarted = true;
         anew.fences[k] =
             new EpochFence(
                 bug == Bug.KEEPER_FORGETS
-                    ? new EpochFence.Kept(1, "A", "", 0)
-                    : at.fences[k].kept(),
+                    ? new EpochFence.Grant(1, "A", "", 0)
+                    : at.fences[k].grant(),
                 1000,
                 kept -> true);
         all.add(anew);
@@ -175,14 +177,14 @@
         // A new question overtakes an answer that is late: so answers are lost as well.
         World asked = at.copy(bug);
         asked.replies[k] =
-            new Reply(asked.fences[k].ask(1, who(at, bug, k), asked.now()), asked.now());
+            new Reply(asked.fences[k].heartbeat(1, who(at, bug, k), asked.now()), asked.now());
         all.add(asked);
       }
       if (at.replies[k] != null) {
         World heard = at.copy(bug);
         Reply reply = heard.replies[k];
         heard.replies[k] = null;
-        heard.first.heard(
+        heard.first.onReply(
             name,
             1,
             reply.said(),
@@ -192,11 +194,11 @@
       }
       boolean may =
           bug == Bug.LEASE_NOT_LOOKED_AT
-              ? at.first.state() == ControllerLease.State.STEERING
-              : at.first.maySteer(at.now());
-      if (at.order == null && may && at.first.stamp(name) != 0) {
+              ? at.first.state() == ControllerLease.State.HELD
+              : at.first.mayOrder(at.now());
+      if (at.order == null && may && at.first.token(name) != 0) {
         World sent = at.copy(bug);
-        sent.order = new Order(k, sent.first.stamp(name));
+        sent.order = new Order(k, sent.first.token(name));
         all.add(sent);
       }
       if (at.second.state() != ControllerLease.State.LOST && !at.obeyedLater) {
@@ -209,7 +211,7 @@
       int k = at.order.keeper();
       EpochFence.Answer answer =
           obeyed.fences[k].order(1, who(at, bug, k), at.order.stamp(), "x", obeyed.now()).answer();
-      obeyed.broken = answer == EpochFence.Answer.OBEYED && obeyed.obeyedLater;
+      obeyed.broken = answer == EpochFence.Answer.ACCEPTED && obeyed.obeyedLater;
       all.add(obeyed);
     }
     return all;
@@ -217,7 +219,7 @@
 
   /** The first driver, or whoever has its epoch where keepers look at that alone. */
   private static String who(World at, Bug bug, int k) {
-    return bug == Bug.ONE_EPOCH_FOR_TWO ? at.fences[k].kept().driver() : "A";
+    return bug == Bug.ONE_EPOCH_FOR_TWO ? at.fences[k].grant().controller() : "A";
   }
 
   /** The second driver asks a keeper, hears at once, and gives its order as soon as it may. */
@@ -225,18 +227,18 @@
     World next = at.copy(bug);
     String name = "k" + k;
     long epoch = next.second.epoch();
-    if (bug == Bug.ONE_EPOCH_FOR_TWO && next.second.asks(name)) {
-      next.fences[k] = new EpochFence(new EpochFence.Kept(epoch, "B", "", 0), 500, kept -> true);
+    if (bug == Bug.ONE_EPOCH_FOR_TWO && next.second.needsClaim(name)) {
+      next.fences[k] = new EpochFence(new EpochFence.Grant(epoch, "B", "", 0), 500, kept -> true);
     }
-    EpochFence.Said said =
-        next.second.asks(name)
+    EpochFence.Reply said =
+        next.second.needsClaim(name)
             ? next.fences[k].claim(epoch, "B", next.now())
-            : next.fences[k].ask(epoch, "B", next.now());
-    next.second.heard(name, epoch, said, next.now(), next.now());
-    if (next.second.maySteer(next.now())) {
-      EpochFence.Said obeyed =
-          next.fences[k].order(epoch, "B", next.second.stamp(name), "y", next.now());
-      next.obeyedLater |= obeyed.answer() == EpochFence.Answer.OBEYED;
+            : next.fences[k].heartbeat(epoch, "B", next.now());
+    next.second.onReply(name, epoch, said, next.now(), next.now());
+    if (next.second.mayOrder(next.now())) {
+      EpochFence.Reply obeyed =
+          next.fences[k].order(epoch, "B", next.second.token(name), "y", next.now());
+      next.obeyedLater |= obeyed.answer() == EpochFence.Answer.ACCEPTED;
     }
     return next;
   }
--- a/src/test/java/wharftrestle/rollout/RolloutPlanTest.java
+++ b/src/test/java/wharftrestle/rollout/RolloutPlanTest.java
@@ -16,28 +16,28 @@
 
 /** Which box goes when, and who may be away together. */
 class RolloutPlanTest {
-  static RolloutPlan plan(List<RolloutPlan.Box> boxes, int mostAway, RolloutPlan.Stage... stages) {
+  static RolloutPlan plan(List<RolloutPlan.Host> boxes, int mostAway, RolloutPlan.Stage... stages) {
     return new RolloutPlan(
         "new",
         boxes,
         List.of(stages),
-        Map.of(CanaryMetric.WORTH, 0.03),
+        Map.of(CanaryMetric.LOST_WEIGHT, 0.03),
         0.05,
         mostAway,
         2,
         10,
         60,
-        RolloutPlan.WhenCut.HOLD,
-        RolloutPlan.WhenWorse.BACK);
+        RolloutPlan.UnreachablePolicy.HOLD,
+        RolloutPlan.RegressionPolicy.ROLL_BACK);
   }
 
-  static RolloutPlan.Box box(String name, String zone, String... tenants) {
-    return new RolloutPlan.Box(name, zone, "127.0.0.1:1", List.of(tenants));
+  static RolloutPlan.Host box(String name, String zone, String... tenants) {
+    return new RolloutPlan.Host(name, zone, "127.0.0.1:1", List.of(tenants));
   }
 
   private static List<String> names(RolloutPlan plan) {
-    return plan.order().turns().stream()
-        .map(turn -> turn.stage() + "." + turn.round() + " " + turn.box().name())
+    return plan.schedule().changes().stream()
+        .map(turn -> turn.stage() + "." + turn.round() + " " + turn.host().name())
         .toList();
   }
 
@@ -51,7 +51,7 @@
             new RolloutPlan.Stage(0, 0.5, true, 1),
             new RolloutPlan.Stage(0, 1, true, 1));
     assertEquals(List.of("0.0 a1", "1.0 b1", "2.0 a2", "2.0 b2"), names(plan));
-    assertEquals(List.of(), plan.order().unmet());
+    assertEquals(List.of(), plan.schedule().unmet());
   }
 
   @Test
@@ -77,7 +77,7 @@
         "and the two owners of one tenant go one after the other");
     assertEquals(
         List.of("a stays as it is: no other box owns alone", "stage 1 reaches 2 of 3 boxes"),
-        plan.order().unmet());
+        plan.schedule().unmet());
   }
 
   /** Whatever the fleet, every round keeps the rules, and every box that may go goes once. */
@@ -87,7 +87,7 @@
       @ForAll @IntRange(min = 1, max = 5) int mostAway,
       @ForAll @IntRange(max = 3) int tenants,
       @ForAll boolean spread) {
-    List<RolloutPlan.Box> boxes = new ArrayList<>();
+    List<RolloutPlan.Host> boxes = new ArrayList<>();
     for (int i = 0; i < zones.size(); i++) {
       boxes.add(
           box(
@@ -102,27 +102,28 @@
             new RolloutPlan.Stage(1, 0, spread, 1),
             new RolloutPlan.Stage(0, 0.3, spread, 1),
             new RolloutPlan.Stage(0, 1, spread, 1));
-    RolloutPlan.Order order = plan.order();
+    RolloutPlan.Schedule order = plan.schedule();
     assertEquals(
-        plan.movable(), order.turns().stream().map(turn -> turn.box().name()).distinct().count());
-    assertEquals(plan.movable(), order.turns().size());
-    Map<String, List<RolloutPlan.Turn>> rounds =
-        order.turns().stream()
+        plan.changeableHosts(),
+        order.changes().stream().map(turn -> turn.host().name()).distinct().count());
+    assertEquals(plan.changeableHosts(), order.changes().size());
+    Map<String, List<RolloutPlan.ScheduledChange>> rounds =
+        order.changes().stream()
             .collect(Collectors.groupingBy(turn -> turn.stage() + "." + turn.round()));
-    for (List<RolloutPlan.Turn> round : rounds.values()) {
+    for (List<RolloutPlan.ScheduledChange> round : rounds.values()) {
       assertTrue(round.size() <= mostAway);
-      for (RolloutPlan.Turn turn : round) {
+      for (RolloutPlan.ScheduledChange turn : round) {
         Set<String> others =
             round.stream()
                 .filter(each -> !each.equals(turn))
-                .map(each -> each.box().name())
+                .map(each -> each.host().name())
                 .collect(Collectors.toSet());
         assertTrue(
             others.size() >= mostAway
-                || plan.against(turn.box(), others).isEmpty()
+                || plan.blockingReason(turn.host(), others).isEmpty()
                 || (others.size() + 1 <= mostAway
-                    && plan.against(turn.box(), others).contains("which is the most")),
-            turn.box().name() + ": " + plan.against(turn.box(), others));
+                    && plan.blockingReason(turn.host(), others).contains("which is the most")),
+            turn.host().name() + ": " + plan.blockingReason(turn.host(), others));
       }
     }
   }
--- a/src/test/java/wharftrestle/rollout/RolloutTest.java
+++ b/src/test/java/wharftrestle/rollout/RolloutTest.java
@@ -15,14 +15,14 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
+import wharftrestle.rollout.CanaryAnalysis.Outcome;
 import wharftrestle.rollout.CanaryAnalysis.Verdict;
-import wharftrestle.rollout.CanaryAnalysis.Word;
 
 /** What a roll does next, told event by event in made-up time over made-up keepers. */
 class RolloutTest {
-  private static final Verdict SAME = new Verdict(Word.SAME, "all the same");
-  private static final Verdict WORSE = new Verdict(Word.WORSE, "it loses");
-  private static final Verdict OPEN = new Verdict(Word.CANNOT_TELL, "too little was seen");
+  private static final Verdict SAME = new Verdict(Outcome.PASS, "all the same");
+  private static final Verdict WORSE = new Verdict(Outcome.FAIL, "it loses");
+  private static final Verdict OPEN = new Verdict(Outcome.INCONCLUSIVE, "too little was seen");
 
   /** A keeper and its daemon, as far as a roll sees them. */
   private static final class Box {
@@ -52,17 +52,17 @@
 
     World(RolloutPlan plan) {
       this.plan = plan;
-      plan.boxes().forEach(each -> boxes.put(each.name(), new Box()));
+      plan.hosts().forEach(each -> boxes.put(each.name(), new Box()));
       roll = new Rollout(plan, now);
     }
 
-    Map<String, Rollout.Shows> shows() {
-      Map<String, Rollout.Shows> all = new LinkedHashMap<>();
+    Map<String, Rollout.ReportedState> shows() {
+      Map<String, Rollout.ReportedState> all = new LinkedHashMap<>();
       boxes.forEach(
           (name, each) ->
               all.put(
                   name,
-                  new Rollout.Shows(
+                  new Rollout.ReportedState(
                       each.contact,
                       each.acts,
                       !each.changing(now),
@@ -73,17 +73,17 @@
     }
 
     void look(Verdict verdict) {
-      carryOut(roll.look(shows(), verdict, true, now));
+      carryOut(roll.tick(shows(), verdict, true, now));
       long away = boxes.values().stream().filter(each -> each.changing(now)).count();
-      assertTrue(away <= plan.mostAway(), away + " are away");
+      assertTrue(away <= plan.maxUnavailable(), away + " are away");
     }
 
-    void carryOut(List<Rollout.Act> acts) {
-      for (Rollout.Act act : acts) {
-        if (act instanceof Rollout.Act.Claim) {
+    void carryOut(List<Rollout.Action> acts) {
+      for (Rollout.Action act : acts) {
+        if (act instanceof Rollout.Action.ClaimEpoch) {
           epochs++;
           toldInEpoch.clear();
-          roll.claimed();
+          roll.onEpochClaimed();
           boxes
               .values()
               .forEach(
@@ -91,35 +91,35 @@
                     each.target = "";
                     each.attempt = 0;
                   });
-        } else if (act instanceof Rollout.Act.Order order) {
+        } else if (act instanceof Rollout.Action.Order order) {
           obey(order);
-        } else if (act instanceof Rollout.Act.Enter enter) {
+        } else if (act instanceof Rollout.Action.EnterState enter) {
           entered.add(enter.state().name());
         }
       }
     }
 
-    private void obey(Rollout.Act.Order order) {
-      Box box = boxes.get(order.box());
-      told.merge(order.box(), 1, Integer::sum);
-      toldInEpoch.add(order.box() + " " + order.to());
+    private void obey(Rollout.Action.Order order) {
+      Box box = boxes.get(order.host());
+      told.merge(order.host(), 1, Integer::sum);
+      toldInEpoch.add(order.host() + " " + order.release());
       long targets =
-          toldInEpoch.stream().filter(each -> each.startsWith(order.box() + " ")).count();
-      assertEquals(1, targets, order.box() + " is told two releases in one epoch");
+          toldInEpoch.stream().filter(each -> each.startsWith(order.host() + " ")).count();
+      assertEquals(1, targets, order.host() + " is told two releases in one epoch");
       assertTrue(box.contact, "told though it cannot be reached");
-      for (RolloutPlan.Box other : plan.boxes()) {
+      for (RolloutPlan.Host other : plan.hosts()) {
         boolean away =
-            !other.equals(plan.box(order.box())) && boxes.get(other.name()).changing(now);
+            !other.equals(plan.host(order.host())) && boxes.get(other.name()).changing(now);
         boolean sameZone =
-            other.zone().equals(plan.box(order.box()).zone()) && !other.zone().isEmpty();
+            other.zone().equals(plan.host(order.host()).zone()) && !other.zone().isEmpty();
         assertTrue(
-            !(away && sameZone && plan.zone(other.zone()) < RolloutPlan.SMALL_ZONE),
+            !(away && sameZone && plan.zoneSize(other.zone()) < RolloutPlan.SMALL_ZONE_HOSTS),
             "two of a small zone");
       }
       if (loses) {
         return;
       }
-      box.target = order.to();
+      box.target = order.release();
       box.attempt++;
       box.failed = "";
       box.until = now + 3;
@@ -127,7 +127,7 @@
         box.failed = "it died before it served";
         fails = false;
       } else {
-        box.acts = order.to();
+        box.acts = order.release();
       }
     }
 
@@ -140,7 +140,7 @@
   }
 
   private static RolloutPlan plan(int boxes, int mostAway) {
-    List<RolloutPlan.Box> all = new ArrayList<>();
+    List<RolloutPlan.Host> all = new ArrayList<>();
     for (int i = 0; i < boxes; i++) {
       all.add(RolloutPlanTest.box("b" + i, "z" + i % 2));
     }
@@ -162,7 +162,7 @@
     world.pass(8, SAME);
     assertEquals(1, have(world, "new"), "the first stage is watched");
     world.pass(100, SAME);
-    assertEquals(Rollout.State.DONE, world.roll.state());
+    assertEquals(Rollout.State.COMPLETED, world.roll.state());
     assertEquals(6, have(world, "new"));
   }
 
@@ -171,11 +171,11 @@
     World world = new World(plan(6, 1));
     world.pass(200, OPEN);
     assertEquals(Rollout.State.HELD, world.roll.state());
-    assertTrue(world.roll.why().startsWith("nobody can tell"), world.roll.why());
+    assertTrue(world.roll.reason().startsWith("nobody can tell"), world.roll.reason());
     assertEquals(1, have(world, "new"));
-    world.carryOut(world.roll.go(world.shows(), world.now));
+    world.carryOut(world.roll.resume(world.shows(), world.now));
     world.pass(100, SAME);
-    assertEquals(Rollout.State.DONE, world.roll.state());
+    assertEquals(Rollout.State.COMPLETED, world.roll.state());
   }
 
   @Test
@@ -184,10 +184,10 @@
     world.pass(30, SAME);
     assertTrue(have(world, "new") > 1);
     world.pass(40, WORSE);
-    assertEquals(Rollout.State.UNDONE, world.roll.state());
+    assertEquals(Rollout.State.ROLLED_BACK, world.roll.state());
     assertEquals(6, have(world, "old"));
     assertEquals(2, world.epochs);
-    assertTrue(world.roll.why().contains("does worse: it loses"));
+    assertTrue(world.roll.reason().contains("does worse: it loses"));
   }
 
   @Test
@@ -209,7 +209,7 @@
     world.boxes.get("b0").acts = "old";
     world.pass(6, OPEN);
     assertEquals("new", world.boxes.get("b0").acts);
-    assertTrue(world.entered.contains("CHANGING"));
+    assertTrue(world.entered.contains("PROGRESSING"));
   }
 
   @Test
@@ -218,14 +218,14 @@
     world.pass(8, SAME);
     world.boxes.get("b0").contact = false;
     world.pass(3, WORSE);
-    assertEquals(Rollout.State.RETURNING, world.roll.state());
+    assertEquals(Rollout.State.ROLLING_BACK, world.roll.state());
     world.pass(300, OPEN);
     assertTrue(
-        world.roll.why().contains("b0 cannot be reached, and is taken back when it is heard"),
-        world.roll.why());
+        world.roll.reason().contains("b0 cannot be reached, and is taken back when it is heard"),
+        world.roll.reason());
     world.boxes.get("b0").contact = true;
     world.pass(10, OPEN);
-    assertEquals(Rollout.State.UNDONE, world.roll.state());
+    assertEquals(Rollout.State.ROLLED_BACK, world.roll.state());
     assertEquals(4, have(world, "old"));
   }
 
@@ -233,13 +233,13 @@
   void aDriverThatFollowsGoesOnFromTheJournal() {
     World world = new World(plan(6, 1));
     world.pass(30, SAME);
-    Rollout.Kept kept = world.roll.kept();
+    Rollout.Snapshot kept = world.roll.snapshot();
     world.roll = new Rollout(world.plan, kept, world.now);
     world.epochs++;
     world.toldInEpoch.clear();
     world.boxes.values().forEach(each -> each.attempt = 0);
     world.pass(100, SAME);
-    assertEquals(Rollout.State.DONE, world.roll.state());
+    assertEquals(Rollout.State.COMPLETED, world.roll.state());
   }
 
   @Test
@@ -247,12 +247,12 @@
     World world = new World(plan(4, 1));
     world.pass(2, OPEN);
     world.carryOut(world.roll.pause(world.now));
-    world.roll = new Rollout(world.plan, world.roll.kept(), world.now);
+    world.roll = new Rollout(world.plan, world.roll.snapshot(), world.now);
     world.pass(50, SAME);
     assertEquals(Rollout.State.PAUSED, world.roll.state());
-    world.carryOut(world.roll.go(world.shows(), world.now));
+    world.carryOut(world.roll.resume(world.shows(), world.now));
     world.pass(100, SAME);
-    assertEquals(Rollout.State.DONE, world.roll.state());
+    assertEquals(Rollout.State.COMPLETED, world.roll.state());
   }
 
   /**
@@ -274,17 +274,17 @@
         case 1 -> box.contact = true;
         case 2 -> world.fails = true;
         case 3 -> world.loses = !world.loses;
-        case 4 -> box.acts = world.roll.state().over() ? box.acts : "old"; // it came back cold
+        case 4 -> box.acts = world.roll.state().isFinal() ? box.acts : "old"; // it came back cold
         case 5 -> world.carryOut(world.roll.pause(world.now));
-        case 6 -> world.carryOut(world.roll.go(world.shows(), world.now));
+        case 6 -> world.carryOut(world.roll.resume(world.shows(), world.now));
         case 7 -> {
           if (at % 3 == 0) {
-            world.carryOut(world.roll.back("asked for", world.now));
+            world.carryOut(world.roll.rollBack("asked for", world.now));
           }
         }
         case 8 -> {
           // The driver dies, and the next one steers in another epoch.
-          world.roll = new Rollout(world.plan, world.roll.kept(), world.now);
+          world.roll = new Rollout(world.plan, world.roll.snapshot(), world.now);
           world.epochs++;
           world.toldInEpoch.clear();
           world
@@ -304,11 +304,11 @@
     world.loses = false;
     world.fails = false;
     world.boxes.values().forEach(each -> each.contact = true);
-    for (int i = 0; i < 40 && !world.roll.state().over(); i++) {
-      world.carryOut(world.roll.go(world.shows(), world.now));
+    for (int i = 0; i < 40 && !world.roll.state().isFinal(); i++) {
+      world.carryOut(world.roll.resume(world.shows(), world.now));
       world.pass(30, SAME);
     }
-    assertTrue(world.roll.state().over(), world.roll.state() + " " + world.roll.why());
-    assertEquals(boxes, have(world, world.roll.state() == Rollout.State.DONE ? "new" : "old"));
+    assertTrue(world.roll.state().isFinal(), world.roll.state() + " " + world.roll.reason());
+    assertEquals(boxes, have(world, world.roll.state() == Rollout.State.COMPLETED ? "new" : "old"));
   }
 }
--- a/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
@@ -31,12 +31,12 @@
     assertEquals(
         List.of(new RolloutPlan.Stage(1, 0, false, 120), new RolloutPlan.Stage(0, 1, true, 60)),
         plan.stages());
-    assertEquals(Map.of(CanaryMetric.WORTH, 0.02, CanaryMetric.CPU, 0.5), plan.limits());
-    assertEquals(List.of("omaruru"), plan.box("b2").tenants());
-    assertEquals(Map.of("b2", "127.0.0.1:9002"), script.fronts());
-    assertEquals(RolloutPlan.WhenCut.GO, plan.whenCut());
-    assertEquals(RolloutPlan.WhenWorse.HOLD, plan.whenWorse());
-    assertEquals(100, script.watch(), "eight windows and some");
+    assertEquals(Map.of(CanaryMetric.LOST_WEIGHT, 0.02, CanaryMetric.CPU, 0.5), plan.limits());
+    assertEquals(List.of("omaruru"), plan.host("b2").tenants());
+    assertEquals(Map.of("b2", "127.0.0.1:9002"), script.clientAddresses());
+    assertEquals(RolloutPlan.UnreachablePolicy.CONTINUE, plan.unreachablePolicy());
+    assertEquals(RolloutPlan.RegressionPolicy.HOLD, plan.regressionPolicy());
+    assertEquals(100, script.observationSeconds(), "eight windows and some");
     assertTrue(
         script
             .warnings(150)
@@ -112,8 +112,9 @@
 
   @Test
   void thePlanThatShipsCanBeReadAndMet() throws Exception {
-    RolloutPlan.Order order = PlanScript.read(Path.of("docs/examples/roll.star")).plan().order();
+    RolloutPlan.Schedule order =
+        PlanScript.read(Path.of("docs/examples/roll.star")).plan().schedule();
     assertEquals(List.of(), order.unmet());
-    assertEquals(6, order.turns().size());
+    assertEquals(6, order.changes().size());
   }
 }
--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -140,22 +140,22 @@
         folder.resolve(dir), script, name, new RolloutEventLog(NOWHERE, true));
   }
 
-  private static FutureTask<RolloutController.End> run(RolloutController driver) {
-    FutureTask<RolloutController.End> end =
-        new FutureTask<>((Callable<RolloutController.End>) driver::run);
+  private static FutureTask<RolloutController.Outcome> run(RolloutController driver) {
+    FutureTask<RolloutController.Outcome> end =
+        new FutureTask<>((Callable<RolloutController.Outcome>) driver::run);
     new Thread(end).start();
     return end;
   }
 
   private String order(String dir, String text) {
-    return CommandSocket.order(folder.resolve(dir).resolve(RolloutController.SOCKET), text);
+    return CommandSocket.order(folder.resolve(dir).resolve(RolloutController.SOCKET_FILE), text);
   }
 
   @Test
   void aSecondDriverIsRefusedUntilItTakesOverAndThenTheFirstIsFenced() throws Exception {
     try (RolloutController first = driver("d1", plan("two", 600), "ann")) {
       first.check(false);
-      FutureTask<RolloutController.End> end = run(first);
+      FutureTask<RolloutController.Outcome> end = run(first);
       while (obeyed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
@@ -166,10 +166,10 @@
                 .getMessage();
         assertTrue(why.contains("ann steers in epoch 1"), why);
         second.check(true);
-        FutureTask<RolloutController.End> next = run(second);
-        assertEquals(RolloutController.End.FENCED, end.get(20, TimeUnit.SECONDS));
+        FutureTask<RolloutController.Outcome> next = run(second);
+        assertEquals(RolloutController.Outcome.FENCED, end.get(20, TimeUnit.SECONDS));
         assertTrue(order("d2", "status").contains("\"driver\":\"bob\""));
-        assertEquals(RolloutController.End.DONE, next.get(30, TimeUnit.SECONDS));
+        assertEquals(RolloutController.Outcome.COMPLETED, next.get(30, TimeUnit.SECONDS));
         assertEquals(List.of("b1 two", "b2 two", "b3 two"), obeyed, "and b1 was not told again");
       }
     }
@@ -199,12 +199,12 @@
     PlanScript plan = plan("two", 600);
     try (RolloutController first = driver("d1", plan, "ann")) {
       assertThrows(RolloutController.RefusedException.class, () -> driver("d1", plan, "bob"));
-      FutureTask<RolloutController.End> end = run(first);
+      FutureTask<RolloutController.Outcome> end = run(first);
       while (obeyed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
       first.stop();
-      assertEquals(RolloutController.End.STOPPED, end.get(5, TimeUnit.SECONDS));
+      assertEquals(RolloutController.Outcome.STOPPED, end.get(5, TimeUnit.SECONDS));
     }
     String why =
         assertThrows(
@@ -213,13 +213,13 @@
     assertTrue(why.startsWith("another change is under way in "), why);
     try (RolloutController next = driver("d1", plan, "bob")) {
       next.check(false); // whoever steered from this folder has ended
-      FutureTask<RolloutController.End> end = run(next);
+      FutureTask<RolloutController.Outcome> end = run(next);
       while (!order("d1", "status").contains("\"steering\":\"steering\"")) {
         TimeUnit.MILLISECONDS.sleep(50);
       }
       assertEquals("no name a box of the plan, and what it broke", order("d1", "broken b9 x"));
       assertTrue(order("d1", "broken b1 a key ran twice").startsWith("ok "));
-      assertEquals(RolloutController.End.UNDONE, end.get(20, TimeUnit.SECONDS));
+      assertEquals(RolloutController.Outcome.ROLLED_BACK, end.get(20, TimeUnit.SECONDS));
       assertEquals(List.of("b1 two", "b1 one"), obeyed, "a broken rule is worse at once");
     }
   }
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
@@ -45,7 +45,7 @@
   // ---- The journal ----
 
   /** Each kind of line, and each state of a rollout; the last one can be gone on from. */
-  static List<RolloutController.Line> lines() throws IOException {
+  static List<RolloutController.JournalEntry> lines() throws IOException {
     Map<String, String> none = Map.of();
     Map<String, String> from = new LinkedHashMap<>();
     from.put("b1", "one");
@@ -55,55 +55,68 @@
     fromTwo.put("b3", "zero");
     Map<String, Integer> triesTwo = new LinkedHashMap<>(tries);
     triesTwo.put("b3", 2);
-    Rollout.State changing = Rollout.State.CHANGING;
+    Rollout.State changing = Rollout.State.PROGRESSING;
     return List.of(
         line(
             1,
             "claim",
-            new Rollout.Kept(changing, changing, 0, none, Map.of(), ""),
+            new Rollout.Snapshot(changing, changing, 0, none, Map.of(), ""),
             "",
             "",
             "began"),
-        line(2, "stage", new Rollout.Kept(changing, changing, 0, none, Map.of(), ""), "", "", ""),
+        line(
+            2,
+            "stage",
+            new Rollout.Snapshot(changing, changing, 0, none, Map.of(), ""),
+            "",
+            "",
+            ""),
         line(
             3,
             "order",
-            new Rollout.Kept(changing, changing, 0, from, tries, ""),
+            new Rollout.Snapshot(changing, changing, 0, from, tries, ""),
             "b1",
             "two",
             "st"),
-        enter(4, new Rollout.Kept(Rollout.State.HOLDING, changing, 0, from, tries, "")),
+        enter(4, new Rollout.Snapshot(Rollout.State.OBSERVING, changing, 0, from, tries, "")),
         enter(
             5,
-            new Rollout.Kept(Rollout.State.HELD, changing, 0, from, tries, "b1 does worse: 5 %")),
+            new Rollout.Snapshot(
+                Rollout.State.HELD, changing, 0, from, tries, "b1 does worse: 5 %")),
         enter(
-            6, new Rollout.Kept(Rollout.State.RETURNING, changing, 0, from, Map.of(), "asked for")),
-        enter(7, new Rollout.Kept(Rollout.State.UNDONE, changing, 0, from, Map.of(), "asked for")),
-        enter(8, new Rollout.Kept(Rollout.State.ABORTED, changing, 0, from, tries, "ended")),
-        enter(9, new Rollout.Kept(Rollout.State.DONE, changing, 1, fromTwo, triesTwo, "")),
+            6,
+            new Rollout.Snapshot(
+                Rollout.State.ROLLING_BACK, changing, 0, from, Map.of(), "asked for")),
+        enter(
+            7,
+            new Rollout.Snapshot(
+                Rollout.State.ROLLED_BACK, changing, 0, from, Map.of(), "asked for")),
+        enter(8, new Rollout.Snapshot(Rollout.State.ABORTED, changing, 0, from, tries, "ended")),
+        enter(9, new Rollout.Snapshot(Rollout.State.COMPLETED, changing, 1, fromTwo, triesTwo, "")),
         enter(
             10,
-            new Rollout.Kept(
-                Rollout.State.PAUSED, Rollout.State.HOLDING, 1, fromTwo, triesTwo, "mañ")));
+            new Rollout.Snapshot(
+                Rollout.State.PAUSED, Rollout.State.OBSERVING, 1, fromTwo, triesTwo, "mañ")));
   }
 
-  private static RolloutController.Line enter(long at, Rollout.Kept kept) throws IOException {
-    return line(at, "enter", kept, "", "", kept.why());
+  private static RolloutController.JournalEntry enter(long at, Rollout.Snapshot kept)
+      throws IOException {
+    return line(at, "enter", kept, "", "", kept.reason());
   }
 
-  private static RolloutController.Line line(
-      long at, String what, Rollout.Kept kept, String box, String to, String why)
+  private static RolloutController.JournalEntry line(
+      long at, String what, Rollout.Snapshot kept, String box, String to, String why)
       throws IOException {
     String plan = RolloutController.sha256(Files.readString(Fixtures.path(PLAN)));
-    return new RolloutController.Line(
+    return new RolloutController.JournalEntry(
         1_765_000_000_000L + at, what, 3, "d1", plan, kept, box, to, why);
   }
 
   static void writeJournal(Path file) throws IOException {
     Files.createDirectories(file.getParent());
-    try (JsonLineJournal<RolloutController.Line> journal =
-        new JsonLineJournal<>(file, RolloutController.Line.class)) {
-      for (RolloutController.Line line : lines()) {
+    try (JsonLineJournal<RolloutController.JournalEntry> journal =
+        new JsonLineJournal<>(file, RolloutController.JournalEntry.class)) {
+      for (RolloutController.JournalEntry line : lines()) {
         journal.add(line);
       }
     }
@@ -113,7 +126,7 @@
 
   /** Orders at the socket of a controller that goes on with the recorded journal, with answers. */
   static JsonNode orders(Path folder) throws Exception {
-    Files.copy(Fixtures.path(JOURNAL), folder.resolve(RolloutController.JOURNAL));
+    Files.copy(Fixtures.path(JOURNAL), folder.resolve(RolloutController.JOURNAL_FILE));
     ArrayNode all = JSON.createArrayNode();
     PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
     try (RolloutController driver =
@@ -267,7 +280,8 @@
     }
     Path said = Files.write(folder.resolve("events"), events.toByteArray());
     return new Run(
-        fixed(Fixtures.jsonLines(folder.resolve("rollout").resolve(RolloutController.JOURNAL))),
+        fixed(
+            Fixtures.jsonLines(folder.resolve("rollout").resolve(RolloutController.JOURNAL_FILE))),
         fixed(Fixtures.jsonLines(said)));
   }
 
--- a/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
@@ -47,8 +47,9 @@
 
   @Test
   void journal_recorded_isReadToTheSameLines() throws Exception {
-    List<RolloutController.Line> read =
-        JsonLineJournal.read(Fixtures.path(RolloutFixtures.JOURNAL), RolloutController.Line.class);
+    List<RolloutController.JournalEntry> read =
+        JsonLineJournal.read(
+            Fixtures.path(RolloutFixtures.JOURNAL), RolloutController.JournalEntry.class);
 
     assertEquals(RolloutFixtures.lines(), read);
   }
@@ -92,30 +93,30 @@
         new RolloutPlan(
             "two",
             List.of(
-                new RolloutPlan.Box("b1", "north", "127.0.0.1:7501", List.of("omaruru", "swakop")),
-                new RolloutPlan.Box("b2", "north", "127.0.0.1:7502", List.of("omaruru")),
-                new RolloutPlan.Box("b3", "south", "127.0.0.1:7503", List.of("swakop"))),
+                new RolloutPlan.Host("b1", "north", "127.0.0.1:7501", List.of("omaruru", "swakop")),
+                new RolloutPlan.Host("b2", "north", "127.0.0.1:7502", List.of("omaruru")),
+                new RolloutPlan.Host("b3", "south", "127.0.0.1:7503", List.of("swakop"))),
             List.of(new RolloutPlan.Stage(1, 0, false, 120), new RolloutPlan.Stage(0, 1, true, 60)),
             Map.of(
-                CanaryMetric.WORTH, 0.02,
+                CanaryMetric.LOST_WEIGHT, 0.02,
                 CanaryMetric.FAILED, 0.04,
-                CanaryMetric.REFUSED, 0.2,
+                CanaryMetric.REJECTED, 0.2,
                 CanaryMetric.LATE, 0.3,
-                CanaryMetric.STORE, 0.06,
+                CanaryMetric.DEPENDENCY, 0.06,
                 CanaryMetric.CPU, 0.7,
                 CanaryMetric.MEMORY, 0.8,
-                CanaryMetric.GROWTH, 9.0),
+                CanaryMetric.MEMORY_GROWTH, 9.0),
             0.01,
             2,
             3,
             45,
             600,
-            RolloutPlan.WhenCut.GO,
-            RolloutPlan.WhenWorse.HOLD),
+            RolloutPlan.UnreachablePolicy.CONTINUE,
+            RolloutPlan.RegressionPolicy.HOLD),
         read.plan());
-    assertEquals(Map.of("b1", "127.0.0.1:9001"), read.fronts());
-    assertEquals(5, read.window());
-    assertEquals(50, read.watch());
+    assertEquals(Map.of("b1", "127.0.0.1:9001"), read.clientAddresses());
+    assertEquals(5, read.windowSeconds());
+    assertEquals(50, read.observationSeconds());
   }
 
   @Test
@@ -206,7 +207,7 @@
     return request;
   }
 
-  private static SupervisorClient.Heard post(String at, JsonNode exchange) throws IOException {
+  private static SupervisorClient.Answer post(String at, JsonNode exchange) throws IOException {
     SupervisorClient calls = new SupervisorClient();
     JsonNode request = exchange.path("request");
     long epoch = request.path("epoch").asLong();
@@ -214,7 +215,7 @@
     return switch (exchange.path("path").asText()) {
       case "/claim" -> calls.claim(at, epoch, driver);
       case "/ask" ->
-          calls.ask(
+          calls.heartbeat(
               at, epoch, driver, request.path("stage").asInt(), request.path("verdict").asText());
       default ->
           calls.order(
@@ -230,36 +231,36 @@
   @Test
   void posts_ofEveryKind_areSentAsRecordedAndTheirAnswersAreRead() throws Exception {
     List<JsonNode> recorded = exchanges(true, "POST");
-    List<EpochFence.Said> said = new ArrayList<>();
+    List<EpochFence.Reply> said = new ArrayList<>();
     List<String> obeyed = new ArrayList<>();
 
     try (RecordedSupervisor supervisor = new RecordedSupervisor()) {
       for (JsonNode each : recorded) {
         supervisor.next = each;
-        SupervisorClient.Heard heard = post(supervisor.address(), each);
-        said.add(heard.said());
-        obeyed.add(heard.obeyed());
+        SupervisorClient.Answer heard = post(supervisor.address(), each);
+        said.add(heard.reply());
+        obeyed.add(heard.orderResult());
       }
       assertEquals(
           recorded.stream().map(StoredFormatTest::asked).toList(), List.copyOf(supervisor.asked));
     }
 
-    EpochFence.Kept first = new EpochFence.Kept(1, "d1", "", 0);
-    EpochFence.Kept toTwo = new EpochFence.Kept(1, "d1", "two", 1);
+    EpochFence.Grant first = new EpochFence.Grant(1, "d1", "", 0);
+    EpochFence.Grant toTwo = new EpochFence.Grant(1, "d1", "two", 1);
     assertEquals(
         List.of(
-            new EpochFence.Said(EpochFence.Answer.GRANTED, STAMP, first),
-            new EpochFence.Said(EpochFence.Answer.FENCED, 0, first),
-            new EpochFence.Said(EpochFence.Answer.STAMPED, STAMP, first),
-            new EpochFence.Said(EpochFence.Answer.FENCED, 0, first),
-            new EpochFence.Said(EpochFence.Answer.STALE, 0, first),
-            new EpochFence.Said(EpochFence.Answer.FENCED, 0, first),
-            new EpochFence.Said(EpochFence.Answer.OBEYED, 0, toTwo),
-            new EpochFence.Said(EpochFence.Answer.TWO_TARGETS, 0, toTwo),
-            new EpochFence.Said(
-                EpochFence.Answer.GRANTED, STAMP, new EpochFence.Kept(2, "d2", "", 0)),
-            new EpochFence.Said(
-                EpochFence.Answer.OBEYED, 0, new EpochFence.Kept(2, "d2", "one", 1))),
+            new EpochFence.Reply(EpochFence.Answer.GRANTED, STAMP, first),
+            new EpochFence.Reply(EpochFence.Answer.FENCED, 0, first),
+            new EpochFence.Reply(EpochFence.Answer.RENEWED, STAMP, first),
+            new EpochFence.Reply(EpochFence.Answer.FENCED, 0, first),
+            new EpochFence.Reply(EpochFence.Answer.STALE, 0, first),
+            new EpochFence.Reply(EpochFence.Answer.FENCED, 0, first),
+            new EpochFence.Reply(EpochFence.Answer.ACCEPTED, 0, toTwo),
+            new EpochFence.Reply(EpochFence.Answer.CONFLICTING_TARGET, 0, toTwo),
+            new EpochFence.Reply(
+                EpochFence.Answer.GRANTED, STAMP, new EpochFence.Grant(2, "d2", "", 0)),
+            new EpochFence.Reply(
+                EpochFence.Answer.ACCEPTED, 0, new EpochFence.Grant(2, "d2", "one", 1))),
         said);
     assertEquals(List.of("", "", "", "", "", "", "ok obeyed", "", "", "ok obeyed"), obeyed);
   }
@@ -276,11 +277,13 @@
         String other = "127.0.0.1:7501";
         JsonNode answer;
         if (path.equals("/box")) {
-          answer = calls.box(supervisor.address());
+          answer = calls.hostStatus(supervisor.address());
         } else if (path.startsWith("/release")) {
-          answer = calls.release(supervisor.address(), path.substring("/release?name=".length()));
+          answer =
+              calls.checkRelease(supervisor.address(), path.substring("/release?name=".length()));
         } else {
-          answer = calls.look(supervisor.address(), other, path.contains("front") ? other : "");
+          answer =
+              calls.indirectProbe(supervisor.address(), other, path.contains("front") ? other : "");
         }
         assertEquals(each.path("answer"), answer);
       }
@@ -297,7 +300,9 @@
       for (JsonNode each : recorded) {
         supervisor.next = each;
         String reason =
-            assertThrows(IOException.class, () -> new SupervisorClient().box(supervisor.address()))
+            assertThrows(
+                    IOException.class,
+                    () -> new SupervisorClient().hostStatus(supervisor.address()))
                 .getMessage();
         assertEquals(
             each.path("status").asInt() + ": " + each.path("answer").path("why").asText(), reason);
@@ -305,9 +310,10 @@
     }
   }
 
-  private static SupervisorClient.Heard obeyed(JsonNode answer) {
-    return new SupervisorClient.Heard(
-        new EpochFence.Said(EpochFence.Answer.OBEYED, 0, new EpochFence.Kept(1, "d1", "two", 1)),
+  private static SupervisorClient.Answer obeyed(JsonNode answer) {
+    return new SupervisorClient.Answer(
+        new EpochFence.Reply(
+            EpochFence.Answer.ACCEPTED, 0, new EpochFence.Grant(1, "d1", "two", 1)),
         "",
         answer);
   }
@@ -318,33 +324,33 @@
 
   @Test
   void host_inARecordedAnswer_isShownToTheRollout() throws Exception {
-    HostView view = new HostView(new RolloutPlan.Box("b1", "north", "127.0.0.1:7501", List.of()));
+    HostView view = new HostView(new RolloutPlan.Host("b1", "north", "127.0.0.1:7501", List.of()));
 
-    List<String> deaths = view.take(obeyed(answerToTheOrder()));
+    List<String> deaths = view.update(obeyed(answerToTheOrder()));
 
     assertEquals(List.of(), deaths, "those before the first answer are no news");
     assertEquals(
-        new Rollout.Shows(true, "one", true, "two", 1, "it died before it served"),
-        view.shows(true, 1));
+        new Rollout.ReportedState(true, "one", true, "two", 1, "it died before it served"),
+        view.reportedState(true, 1));
     assertEquals("1f2e3d4c", view.incarnation());
     assertEquals("serving", view.state());
-    assertEquals(List.of("batch work"), view.classes());
+    assertEquals(List.of("batch work"), view.requestClasses());
   }
 
   @Test
   void host_inTwoRecordedAnswers_givesTheCountsBetweenThem() throws Exception {
-    HostView view = new HostView(new RolloutPlan.Box("b1", "north", "127.0.0.1:7501", List.of()));
+    HostView view = new HostView(new RolloutPlan.Host("b1", "north", "127.0.0.1:7501", List.of()));
     JsonNode later = answerToTheOrder().deepCopy();
     ObjectNode host = (ObjectNode) later.path("box");
     ObjectNode counts = (ObjectNode) host.path("classes").path(0);
     counts.put("asked", 150).put("served", 110).put("late", 9).put("refused", 25).put("failed", 15);
     host.put("calls", 20).put("badCalls", 4).put("cpu", 2.0).put("ownMb", 23.5);
     ((ObjectNode) host.path("deaths")).put("two", 3);
-    view.take(obeyed(answerToTheOrder()));
-    view.window(true, "two", 30, 100);
+    view.update(obeyed(answerToTheOrder()));
+    view.sampleWindow(true, "two", 30, 100);
 
-    List<String> deaths = view.take(obeyed(later));
-    HostSample sample = view.window(true, "two", 30, 110);
+    List<String> deaths = view.update(obeyed(later));
+    HostSample sample = view.sampleWindow(true, "two", 30, 110);
 
     assertEquals(List.of("two", "two"), deaths);
     assertEquals(
--- a/src/test/java/wharftrestle/supervisor/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/supervisor/StoredFormatTest.java
@@ -78,15 +78,15 @@
 
   @Test
   void fence_recorded_isReadToTheSameStates() throws Exception {
-    List<EpochFence.Kept> read =
-        JsonLineJournal.read(Fixtures.path(SupervisorFixtures.FENCE), EpochFence.Kept.class);
+    List<EpochFence.Grant> read =
+        JsonLineJournal.read(Fixtures.path(SupervisorFixtures.FENCE), EpochFence.Grant.class);
 
     assertEquals(
         List.of(
-            new EpochFence.Kept(1, "d1", "", 0),
-            new EpochFence.Kept(1, "d1", "two", 1),
-            new EpochFence.Kept(2, "d2", "", 0),
-            new EpochFence.Kept(2, "d2", "one", 1)),
+            new EpochFence.Grant(1, "d1", "", 0),
+            new EpochFence.Grant(1, "d1", "two", 1),
+            new EpochFence.Grant(2, "d2", "", 0),
+            new EpochFence.Grant(2, "d2", "one", 1)),
         read);
   }
 
