--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -74,7 +74,7 @@
 
   /** Why a new key cannot be recorded now; null where it can, or need not. */
   ResultStore.RejectionReason refusal() {
-    return records == null || !between.owner()
+    return records == null || !between.isOwner()
         ? null
         : keys.size() >= most ? ResultStore.RejectionReason.KEYS_FULL : records.rejectionReason();
   }
@@ -104,10 +104,12 @@
     if (!recording(task)) {
       return;
     }
-    if (!between.owner() && between.other() != null) {
+    if (!between.isOwner() && between.peer() != null) {
       // The other process writes: its word comes by intendedElsewhere.
       task.recordBy = core.now() + 2 * records.intentTimeoutSeconds();
-      between.other().intend(task.key, task.arrival.receivedAtMillis(), task.arrival.body());
+      between
+          .peer()
+          .sendIntentRequest(task.key, task.arrival.receivedAtMillis(), task.arrival.body());
       return;
     }
     task.recordBy = core.now() + records.intentTimeoutSeconds();
@@ -162,7 +164,7 @@
 
   /** A run of this key was never begun. */
   void voided(IdempotencyTable.Entry<InFlightRequest> entry) {
-    if (records != null && between.owner()) {
+    if (records != null && between.isOwner()) {
       records.discardIntent(keyed(entry));
     }
   }
@@ -171,7 +173,7 @@
    * A run of this key is over, and the key knows it; the result is null where it has none to give.
    */
   void ended(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
-    if (records != null && between.owner()) {
+    if (records != null && between.isOwner()) {
       save(entry, result);
     }
   }
@@ -208,30 +210,31 @@
     keys.saved(entry, place);
     if (entry.holder() != null) {
       core.answer(entry.holder(), Answer.served(keys.result(entry)));
-      if (between.other() != null && !between.owner()) {
+      if (between.peer() != null && !between.isOwner()) {
         // It was on its way when the keys were handed over.
-        between.other().ended(entry.key(), keys.result(entry));
+        between.peer().sendFinished(entry.key(), keys.result(entry));
       }
-    } else if (between.other() != null) {
-      between.other().saved(entry.key());
+    } else if (between.peer() != null) {
+      between.peer().sendResultWritten(entry.key());
     }
-    between.follow(entry.key(), true, core.now());
+    between.forwardSettled(entry.key(), true, core.now());
     core.settleSoonIfUp();
   }
 
   /** The other process is about to run a key that it has in hand: its intent is written here. */
   void intendElsewhere(String key) {
     IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
-    PeerProcess asks = between.other();
+    PeerProcess asks = between.peer();
     if (asks == null) {
       return;
     }
     boolean asked =
         records != null
             && keys.elsewhere(entry)
-            && records.writeIntent(keyed(entry), place -> asks.intended(key, place >= 0)) != null;
+            && records.writeIntent(keyed(entry), place -> asks.sendIntentOutcome(key, place >= 0))
+                != null;
     if (!asked) {
-      asks.intended(key, false);
+      asks.sendIntentOutcome(key, false);
     }
   }
 
