--- a/src/main/java/wharftrestle/daemon/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -225,15 +225,15 @@
                 counters);
     journal = appliance.durable() == null ? null : new WriteAheadLog(appliance.durable());
     if (journal != null) {
-      requestCoordinator.record(journal);
+      requestCoordinator.useResultStore(journal);
     }
     version = BuildInfo.describe(config.canonical(appliance));
     succession =
         new HandoverCoordinator(
-            config.name(), config.meeting(), requestCoordinator.partner(), this, agreement);
+            config.name(), config.meeting(), requestCoordinator.peer(), this, agreement);
     if (!succession.comes()) {
       if (journal != null) {
-        requestCoordinator.recovered(
+        requestCoordinator.restore(
             journal.open(longestWindow())); // before the first repeat can be read
       }
       resp.listen(config.meeting() != null, true);
@@ -275,7 +275,7 @@
 
   public void start() {
     Logger.info("{} starts: {}", config.name(), version.summaryLine());
-    requestCoordinator.open(pool, store, reporter);
+    requestCoordinator.start(pool, store, reporter);
     boolean comes = succession.comes();
     if (comes) {
       halve(true);
@@ -309,7 +309,7 @@
   @Override
   public void halve(boolean half) {
     int part = half ? 2 : 1;
-    requestCoordinator.limit(mostRequests / part);
+    requestCoordinator.setMaxInFlight(mostRequests / part);
     resp.limit((mostCallers - mostGateways) / part);
     if (uwsgi != null) {
       uwsgi.limit(mostGateways / part);
@@ -378,14 +378,14 @@
         front.start();
       }
     }
-    requestCoordinator.ceded(false);
+    requestCoordinator.setRelinquished(false);
     reporter.pause(leaves());
   }
 
   @Override
   public void cede() {
     reporter.pause(true);
-    requestCoordinator.ceded(true);
+    requestCoordinator.setRelinquished(true);
     stopFronts();
     if (state == State.SERVING) {
       enter(State.RELINQUISHED);
@@ -399,7 +399,7 @@
     }
     for (int i = 0; i < tries; i++) {
       try {
-        requestCoordinator.recovered(journal.open(longestWindow()));
+        requestCoordinator.restore(journal.open(longestWindow()));
         return true;
       } catch (IOException e) {
         Logger.warn("kept results: {}", e.getMessage());
@@ -449,7 +449,7 @@
         "{}: keys of the process that has ended are not known here: unknown ones fail for {} s",
         config.name(),
         Math.round(longestWindow()));
-    requestCoordinator.partner().unknownFail(longestWindow());
+    requestCoordinator.peer().failUnknownKeysFor(longestWindow());
   }
 
   @Override
@@ -512,7 +512,7 @@
 
   @Override
   public Map<ResultMetric, Long> results() {
-    return requestCoordinator.results();
+    return requestCoordinator.resultMetrics();
   }
 
   /** Where the platform's front listens. */
@@ -558,12 +558,12 @@
 
   @Override
   public boolean healthy() {
-    return requestCoordinator.healthy();
+    return requestCoordinator.isHealthy();
   }
 
   @Override
   public boolean ready() {
-    return state == State.SERVING && requestCoordinator.ready() && resp.listening();
+    return state == State.SERVING && requestCoordinator.isReady() && resp.listening();
   }
 
   @Override
@@ -571,7 +571,7 @@
     if (!on && state.compareTo(State.RELINQUISHED) > 0) {
       return false; // it leaves for good
     }
-    requestCoordinator.lameDuck(on);
+    requestCoordinator.setDraining(on);
     Logger.info("{}: lame duck {}", config.name(), on ? "on" : "off");
     return true;
   }
@@ -639,7 +639,7 @@
       enter(State.DRAINING);
     }
     if (alone) {
-      requestCoordinator.leave(Math.max(0, left() - SPARE));
+      requestCoordinator.beginShutdown(Math.max(0, left() - SPARE));
       double grace =
           Math.min(
                   config.settings().drainGrace() - GroupEdfScheduler.DRAIN_SPARE,
@@ -660,7 +660,7 @@
                       .mapToDouble(Admission.RequestClass::deadline)
                       .max()
                       .orElse(CEDED_MOST));
-      requestCoordinator.leave(Math.max(0, left() - SPARE));
+      requestCoordinator.beginShutdown(Math.max(0, left() - SPARE));
     }
     enter(State.CLOSING);
     // From here on nothing that comes may run: callers are better served by a refused connection.
