--- a/src/main/java/wharftrestle/cli/ServeCommand.java
+++ b/src/main/java/wharftrestle/cli/ServeCommand.java
@@ -43,9 +43,7 @@
 
   /** Without a script, nothing of the settings' language is loaded. */
   private DaemonConfig.Appliance readAppliance() throws Exception {
-    return appliance == null
-        ? DaemonConfig.Appliance.none()
-        : Settings.read(appliance).appliance();
+    return appliance == null ? DaemonConfig.Appliance.none() : Settings.read(appliance).appliance();
   }
 
   private static Lifecycle assemble(DaemonConfig config, DaemonConfig.Appliance appliance)
--- a/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
+++ b/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
@@ -17,8 +17,8 @@
 
 /**
  * The class-data-sharing training run: requests from end to end in a daemon without a worker pool,
- * whose messages are played here. The build runs it once, so that the JVM archives the classes that a
- * daemon loads. Never part of a daemon that serves.
+ * whose messages are played here. The build runs it once, so that the JVM archives the classes that
+ * a daemon loads. Never part of a daemon that serves.
  */
 public final class ClassDataTrainingRun {
   private static final String CONFIGURATION = "/rehearsal.json";
@@ -53,8 +53,8 @@
     try (Lifecycle daemon =
         new Lifecycle(config, new DaemonConfig.Appliance(null, null, null, "", 24))) {
       daemon.start();
-      daemon.requestCoordinator().bound(false, 0);
-      daemon.requestCoordinator().gauges(WORKER_POOL_GAUGES);
+      daemon.requestCoordinator().workerPoolStarted(false, 0);
+      daemon.requestCoordinator().gaugesReceived(WORKER_POOL_GAUGES);
       getVariables(daemon.adminAddress());
       sendRequests(daemon);
       daemon.leave();
@@ -87,9 +87,9 @@
     out.write(BoundedReader.ascii(requestMessage(tag, reference) + statusMessage(tag)));
     readUntil(in, "healthy"); // Answered once the request before it has been read.
     if (tag > LAST_REQUEST_WITHOUT_CALL) {
-      requests.blocked(reference, tag, new byte[0]);
+      requests.executionBlocked(reference, tag, new byte[0]);
     }
-    requests.finished(reference, Outcome.SUCCESS, EXECUTION_SECONDS, new byte[0]);
+    requests.executionCompleted(reference, Outcome.SUCCESS, EXECUTION_SECONDS, new byte[0]);
     readUntil(in, "\r\n$0\r\n\r\n$0\r\n\r\n");
   }
 
--- a/src/main/java/wharftrestle/daemon/ConfigReload.java
+++ b/src/main/java/wharftrestle/daemon/ConfigReload.java
@@ -34,8 +34,7 @@
 
   /** A file of another site would leave executions that call the store without it. */
   private boolean lacksStore(DaemonConfig next) {
-    return next.db() == null
-        && parts.config().settings().downstream() != Admission.Downstream.NONE;
+    return next.db() == null && parts.config().settings().downstream() != Admission.Downstream.NONE;
   }
 
   private void moveTo(DaemonConfig next) {
--- a/src/main/java/wharftrestle/daemon/ConfigWatcher.java
+++ b/src/main/java/wharftrestle/daemon/ConfigWatcher.java
@@ -28,7 +28,7 @@
   }
 
   void start() {
-    PlatformThreads.lasting("config-watch", this::pollForever).start();
+    PlatformThreads.restartingThread("config-watch", this::pollForever).start();
   }
 
   private void pollForever() {
--- a/src/main/java/wharftrestle/daemon/DaemonAdmin.java
+++ b/src/main/java/wharftrestle/daemon/DaemonAdmin.java
@@ -19,14 +19,14 @@
   private volatile RolloutStatus rolloutStatus = RolloutStatus.NONE;
 
   /**
-   * @param leaveNotice gives the daemon the notice to leave
+   * @param shutdownRequest gives the daemon the notice to leave
    */
   DaemonAdmin(
-      DaemonParts parts, LifecycleState state, HandoverCoordinator handover, Runnable leaveNotice) {
+      DaemonParts parts, LifecycleState state, HandoverCoordinator handover, Runnable shutdownRequest) {
     this.parts = parts;
     this.state = state;
     this.handover = handover;
-    this.shutdownRequest = leaveNotice;
+    this.shutdownRequest = shutdownRequest;
   }
 
   @Override
@@ -47,7 +47,7 @@
   @Override
   public boolean ready() {
     return state.current() == Lifecycle.State.SERVING
-        && parts.requests().ready()
+        && parts.requests().isReady()
         && parts.frontends().isListening();
   }
 
@@ -58,7 +58,7 @@
 
   @Override
   public boolean healthy() {
-    return parts.requests().healthy();
+    return parts.requests().isHealthy();
   }
 
   @Override
@@ -73,7 +73,7 @@
 
   @Override
   public Map<ResultMetric, Long> results() {
-    return parts.requests().results();
+    return parts.requests().resultMetrics();
   }
 
   @Override
@@ -107,7 +107,7 @@
     if (!isOn && state.isLeaving()) {
       return false;
     }
-    parts.requests().lameDuck(isOn);
+    parts.requests().setDraining(isOn);
     Logger.info("{}: lame duck {}", name(), isOn ? "on" : "off");
     return true;
   }
--- a/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
+++ b/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
@@ -15,10 +15,10 @@
   private final LifecycleState state;
   private final Runnable peerExitListener;
 
-  DaemonHandoverHost(DaemonParts parts, LifecycleState state, Runnable peerEndedListener) {
+  DaemonHandoverHost(DaemonParts parts, LifecycleState state, Runnable peerExitListener) {
     this.parts = parts;
     this.state = state;
-    this.peerExitListener = peerEndedListener;
+    this.peerExitListener = peerExitListener;
   }
 
   @Override
@@ -43,22 +43,20 @@
 
   @Override
   public boolean listen(boolean isAlone) {
-    return state.isLeaving()
-        ? parts.frontends().isListening()
-        : parts.frontends().listen(isAlone);
+    return state.isLeaving() ? parts.frontends().isListening() : parts.frontends().listen(isAlone);
   }
 
   @Override
   public void acceptClients() {
     parts.frontends().accept();
-    parts.requests().ceded(false);
+    parts.requests().setRelinquished(false);
     parts.loadReporter().pause(state.isLeaving());
   }
 
   @Override
   public void relinquishClients() {
     parts.loadReporter().pause(true);
-    parts.requests().ceded(true);
+    parts.requests().setRelinquished(true);
     parts.frontends().stopListening();
     if (state.current() == Lifecycle.State.SERVING) {
       state.enter(Lifecycle.State.RELINQUISHED);
@@ -67,7 +65,7 @@
 
   @Override
   public void shareResources(boolean isShared) {
-    parts.requests().limit(parts.limits().maxRequests() / (isShared ? 2 : 1));
+    parts.requests().setMaxInFlight(parts.limits().maxRequests() / (isShared ? 2 : 1));
     parts.frontends().shareConnections(isShared);
   }
 
@@ -111,7 +109,7 @@
         "{}: keys of the process that has ended are not known here: unknown ones fail for {} s",
         parts.config().name(),
         Math.round(seconds));
-    parts.requests().partner().unknownFail(seconds);
+    parts.requests().peer().failUnknownKeysFor(seconds);
   }
 
   @Override
--- a/src/main/java/wharftrestle/daemon/DaemonParts.java
+++ b/src/main/java/wharftrestle/daemon/DaemonParts.java
@@ -14,8 +14,8 @@
 import wharftrestle.version.Version;
 
 /**
- * The parts of a daemon that serve requests, assembled from its configuration. Nothing is opened and
- * no thread is started by the assembly.
+ * The parts of a daemon that serve requests, assembled from its configuration. Nothing is opened
+ * and no thread is started by the assembly.
  */
 record DaemonParts(
     DaemonConfig config,
@@ -32,8 +32,7 @@
   static DaemonParts assemble(
       DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget keyMemory) {
     ResourceLimits limits =
-        ResourceLimits.of(
-            config, appliance.uwsgi() != null, Runtime.getRuntime().maxMemory());
+        ResourceLimits.of(config, appliance.uwsgi() != null, Runtime.getRuntime().maxMemory());
     Counters counters =
         new Counters(
             config.settings().classes().stream().map(Admission.RequestClass::name).toList());
--- a/src/main/java/wharftrestle/daemon/Frontends.java
+++ b/src/main/java/wharftrestle/daemon/Frontends.java
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Binds the addresses that are not bound. One that is taken does not end a process on which others
-   * rely: it is logged.
+   * Binds the addresses that are not bound. One that is taken does not end a process on which
+   * others rely: it is logged.
    *
    * @return false where the platform's address cannot be bound; gateways' connections are not taken
    *     then either, as nothing would serve them
--- a/src/main/java/wharftrestle/daemon/GracefulShutdown.java
+++ b/src/main/java/wharftrestle/daemon/GracefulShutdown.java
@@ -94,7 +94,9 @@
     }
   }
 
-  /** The host is served by the successor: what is in flight here ends in the time of its deadlines. */
+  /**
+   * The host is served by the successor: what is in flight here ends in the time of its deadlines.
+   */
   private void drainBesideSuccessor() {
     double longestDeadlineSeconds =
         parts.config().settings().classes().stream()
@@ -107,10 +109,12 @@
   }
 
   private void leaveRequests() {
-    parts.requests().leave(Math.max(0, remainingSeconds() - ANSWER_MARGIN_SECONDS));
+    parts.requests().beginShutdown(Math.max(0, remainingSeconds() - ANSWER_MARGIN_SECONDS));
   }
 
-  /** The last process that knows the keys of the host stays, so that a further one can receive them. */
+  /**
+   * The last process that knows the keys of the host stays, so that a further one can receive them.
+   */
   private void awaitAnswersAndDisconnects() throws InterruptedException {
     do {
       parts.requests().awaitDrained(Math.max(0, remainingSeconds() - CONNECTION_MARGIN_SECONDS));
--- a/src/main/java/wharftrestle/daemon/HandoverActions.java
+++ b/src/main/java/wharftrestle/daemon/HandoverActions.java
@@ -81,7 +81,7 @@
 
   /** What this process states of itself now. */
   Capabilities capabilities() {
-    return host.capabilities().with(peerKeys.room(), SteadyWallClock.base());
+    return host.capabilities().with(peerKeys.keyCapacity(), SteadyWallClock.base());
   }
 
   /** Ends the threads of this process's actions. */
@@ -102,7 +102,7 @@
       case SEND_REJECTION -> reject(reason);
       case SEND_RETRY_LATER -> giveUpForNow(reason);
       case SEND_COMPLETED_KEYS -> sendCompletedKeys();
-      case STOP_SENDING_KEYS -> peerKeys.stopTelling();
+      case STOP_SENDING_KEYS -> peerKeys.stopSendingSettledKeys();
       case SEND_KEYS_COMPLETE -> links.current().sendKeysComplete(completedKeysSent);
       case SEND_KEYS_ACKNOWLEDGED -> acknowledgeKeys();
       case TRANSFER_OWNERSHIP -> openKeysSent = transferKeysTo(links.current());
@@ -132,7 +132,7 @@
   // ---- The successor ----
 
   private void requestTakeover() {
-    peerKeys.join(links.current(), 0);
+    peerKeys.joinPeer(links.current(), 0);
     links.current().sendTakeoverRequest(name, BuildInfo.HANDOVER_VERSIONS);
   }
 
@@ -145,7 +145,7 @@
     if (host.openStorage(STORAGE_ATTEMPTS_AFTER_TRANSFER)) {
       events.apply(Event.STORAGE_OPENED);
     } else {
-      peerKeys.giveBack();
+      peerKeys.returnKeys();
       events.apply(Event.STORAGE_UNAVAILABLE, "its folder of kept results cannot be had");
     }
   }
@@ -203,7 +203,7 @@
     if (!host.openStorage(STORAGE_ATTEMPTS_AFTER_PEER_EXIT)) {
       Logger.error("{}: kept results cannot be had, keyed requests are refused", name);
     }
-    peerKeys.otherGone();
+    peerKeys.peerGone();
     host.shareResources(false);
     if (lacksPredecessorKeys) {
       lacksPredecessorKeys = false;
@@ -220,8 +220,7 @@
   }
 
   private void giveUpForNow(String reason) {
-    Logger.warn(
-        "{}: the process that asked to take over is given up on for now: {}", name, reason);
+    Logger.warn("{}: the process that asked to take over is given up on for now: {}", name, reason);
     links.current().send(Message.RETRY_LATER, reason);
   }
 
@@ -232,7 +231,7 @@
     PlatformThreads.thread(
             "handover-keys",
             () -> {
-              int sent = peerKeys.tellSettled(successor);
+              int sent = peerKeys.sendSettledKeys(successor);
               events.whileSendingKeys(successor, attempt, () -> onCompletedKeysSent(sent));
             })
         .start();
@@ -250,7 +249,7 @@
 
   private int transferKeysTo(PeerLink successor) {
     host.shareResources(true);
-    int openKeys = peerKeys.handOver(successor);
+    int openKeys = peerKeys.handOverKeys(successor);
     host.closeStorage(); // Only the owner of the keys writes, and it reads what is on disk by now.
     pauseWatch.start();
     return openKeys;
@@ -264,7 +263,7 @@
             "handover-keys",
             () ->
                 successor.sendLegacyOwnership(
-                    openKeys + Math.max(0, peerKeys.tellSettledAfter(successor))))
+                    openKeys + Math.max(0, peerKeys.sendSettledKeysAfterHandover(successor))))
         .start();
   }
 
@@ -275,7 +274,7 @@
     }
     pauseWatch.stop();
     host.openStorage(STORAGE_ATTEMPTS_AFTER_PEER_EXIT);
-    peerKeys.otherGone();
+    peerKeys.peerGone();
     host.shareResources(false);
     Logger.warn("{}: the process that took over is gone, this one owns its keys again", name);
   }
--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -21,8 +21,8 @@
 /**
  * Drives the handover between the processes of a host: turns messages of the peer and timers into
  * events of the {@link HandoverStateMachine}, and has its actions carried out by {@link
- * HandoverActions}. One lock, this object's, guards the state machine, the links and the actions; it
- * is never held while the peer is waited for.
+ * HandoverActions}. One lock, this object's, guards the state machine, the links and the actions;
+ * it is never held while the peer is waited for.
  */
 final class HandoverCoordinator implements PeerLink.MessageHandler, HandoverActions.Events {
 
@@ -239,7 +239,8 @@
         // Timestamps of its keys are compared with those of requests that are read here.
         SteadyWallClock.adopt(predecessor.clockBaseUnixMillis());
       }
-      peerKeys.join(links.current(), CompatibilityCheck.windowExtensionSeconds(predecessor, own));
+      peerKeys.joinPeer(
+          links.current(), CompatibilityCheck.windowExtensionSeconds(predecessor, own));
       return Event.PREDECESSOR_COMPATIBLE;
     } catch (Capabilities.MalformedCapabilitiesException e) {
       failureReason = e.getMessage();
@@ -261,7 +262,7 @@
   }
 
   private Event onKeysAcknowledged() {
-    if (peerKeys.lagged()) {
+    if (peerKeys.hasUnsentKeys()) {
       failureReason = "too much settled meanwhile";
       return Event.SUCCESSOR_LAGGING;
     }
--- a/src/main/java/wharftrestle/daemon/HandoverLinks.java
+++ b/src/main/java/wharftrestle/daemon/HandoverLinks.java
@@ -26,8 +26,10 @@
   /** A takeover request that came while another handover was under way. */
   record WaitingRequest(PeerLink link, String versions) {}
 
-  /** Connects to the process that serves, if one does. Nothing is read before {@link
-   * PeerLink#start}. */
+  /**
+   * Connects to the process that serves, if one does. Nothing is read before {@link
+   * PeerLink#start}.
+   */
   HandoverLinks(Path socket, PeerCoordinator peerKeys, PeerLink.MessageHandler handler) {
     this.socket = socket;
     this.peerKeys = peerKeys;
@@ -97,8 +99,8 @@
   }
 
   /** Forgets the waiting request of a link that has ended. */
-  void removeWaiting(PeerLink ended) {
-    if (waiting != null && waiting.link() == ended) {
+  void removeWaiting(PeerLink lost) {
+    if (waiting != null && waiting.link() == lost) {
       waiting = null;
     }
   }
--- a/src/main/java/wharftrestle/daemon/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -12,8 +12,8 @@
 import wharftrestle.request.RequestCoordinator;
 
 /**
- * A daemon from its start to its exit: it assembles the {@linkplain DaemonParts parts}, and runs the
- * start sequence. Where two processes serve one host, {@link HandoverCoordinator} decides what
+ * A daemon from its start to its exit: it assembles the {@linkplain DaemonParts parts}, and runs
+ * the start sequence. Where two processes serve one host, {@link HandoverCoordinator} decides what
  * follows; {@link GracefulShutdown} runs the end. Thread-safe.
  */
 public final class Lifecycle implements AutoCloseable {
@@ -80,8 +80,7 @@
   }
 
   /** The same with a memory budget of keys that is not derived from the heap. */
-  public Lifecycle(
-      DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget keyMemory)
+  public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget keyMemory)
       throws IOException {
     this(config, appliance, keyMemory, CompatibilityCheck.DEFAULT);
   }
@@ -100,7 +99,7 @@
         new HandoverCoordinator(
             config.name(),
             config.meeting(),
-            parts.requests().partner(),
+            parts.requests().peer(),
             handoverHost,
             compatibilityCheck);
     admin = new DaemonAdmin(parts, state, handover, this::leave);
@@ -129,7 +128,7 @@
   /** Starts to serve, or to take over from the process that serves. */
   public void start() {
     Logger.info("{} starts: {}", parts.config().name(), parts.version().summaryLine());
-    parts.requests().open(parts.workerPool(), parts.store(), parts.loadReporter());
+    parts.requests().start(parts.workerPool(), parts.store(), parts.loadReporter());
     boolean isStandby = handover.isStandby();
     if (isStandby) {
       handoverHost.shareResources(true);
@@ -139,7 +138,8 @@
     parts.loadReporter().start();
     if (isStandby) {
       handover.start();
-      PlatformThreads.thread("handover-worker-pool", this::requestTakeoverOnceWorkerPoolIsReady).start();
+      PlatformThreads.thread("handover-worker-pool", this::requestTakeoverOnceWorkerPoolIsReady)
+          .start();
     } else {
       handoverHost.acceptClients();
       handover.startServing();
@@ -156,8 +156,8 @@
   }
 
   /**
-   * Applies the addresses of a new configuration while serving; all else in it needs a new start. One
-   * that cannot be used changes nothing.
+   * Applies the addresses of a new configuration while serving; all else in it needs a new start.
+   * One that cannot be used changes nothing.
    */
   public void reload(ConfigSource source) {
     configReload.apply(source);
--- a/src/main/java/wharftrestle/daemon/ResourceLimits.java
+++ b/src/main/java/wharftrestle/daemon/ResourceLimits.java
@@ -14,12 +14,11 @@
  * @param descriptors what each part of the process may open
  */
 record ResourceLimits(
-    int maxRequests,
-    int maxConnections,
-    int maxGatewayConnections,
-    DescriptorBudget descriptors) {
+    int maxRequests, int maxConnections, int maxGatewayConnections, DescriptorBudget descriptors) {
 
-  /** An external CPU limiter wakes each thread, idle or not, every time that it stops the process. */
+  /**
+   * An external CPU limiter wakes each thread, idle or not, every time that it stops the process.
+   */
   private static final int CONNECTIONS_PER_CORE = 320;
 
   /** Memory of the program besides its heap and its threads. */
@@ -50,10 +49,8 @@
     int threads = threads(config.memoryMb(), heapBytes);
     int maxRequests = Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, threads / 2));
     DescriptorBudget descriptors = DescriptorBudget.of(config.sockets());
-    int connections =
-        (int) Math.min(descriptors.callers(), CONNECTIONS_PER_CORE * config.cores());
-    int maxConnections =
-        Math.max(MIN_CONNECTIONS, Math.min(connections, threads - maxRequests));
+    int connections = (int) Math.min(descriptors.callers(), CONNECTIONS_PER_CORE * config.cores());
+    int maxConnections = Math.max(MIN_CONNECTIONS, Math.min(connections, threads - maxRequests));
     int maxGatewayConnections =
         hasGateways ? (int) (GATEWAY_CONNECTION_FRACTION * maxConnections) : 0;
     return new ResourceLimits(maxRequests, maxConnections, maxGatewayConnections, descriptors);
@@ -72,7 +69,6 @@
 
   /** Descriptors for connections of the platform's front ends that are on their way out. */
   int frontendLeavingDescriptors() {
-    return descriptors.leaving()
-        - (maxGatewayConnections > 0 ? descriptors.gatewaysLeaving() : 0);
+    return descriptors.leaving() - (maxGatewayConnections > 0 ? descriptors.gatewaysLeaving() : 0);
   }
 }
--- a/src/main/java/wharftrestle/daemon/SignalHandlers.java
+++ b/src/main/java/wharftrestle/daemon/SignalHandlers.java
@@ -8,13 +8,16 @@
 /**
  * Handles the signals of the process: TERM and INT give the daemon the notice to leave, HUP has its
  * configuration read anew. Installed before the first address is bound, as clients may connect from
- * then on, and a signal without a handler would end the process with all that they sent. Signals that
- * come before there is a daemon are remembered. Thread-safe; no handler waits.
+ * then on, and a signal without a handler would end the process with all that they sent. Signals
+ * that come before there is a daemon are remembered. Thread-safe; no handler waits.
  */
 public class SignalHandlers {
   private final Lifecycle.ConfigSource configSource;
 
-  /** Under nohup, and some supervisors, hangups are ignored from the start, and the JVM leaves it so. */
+  /**
+   * Under nohup, and some supervisors, hangups are ignored from the start, and the JVM leaves it
+   * so.
+   */
   private final boolean ignoresHangups;
 
   private Lifecycle daemon; // null until there is one
@@ -26,8 +29,7 @@
     this.configSource = configSource;
     Signal.handle(new Signal("TERM"), signal -> leave());
     Signal.handle(new Signal("INT"), signal -> leave());
-    ignoresHangups =
-        Signal.handle(new Signal("HUP"), signal -> reload()) == SignalHandler.SIG_IGN;
+    ignoresHangups = Signal.handle(new Signal("HUP"), signal -> reload()) == SignalHandler.SIG_IGN;
   }
 
   private synchronized void leave() {
--- a/src/main/java/wharftrestle/daemon/StoredResults.java
+++ b/src/main/java/wharftrestle/daemon/StoredResults.java
@@ -35,7 +35,7 @@
     this.requests = requests;
     this.longestWindowSeconds = longestWindowSeconds;
     if (log != null) {
-      requests.record(log);
+      requests.useResultStore(log);
     }
   }
 
@@ -55,7 +55,7 @@
    */
   void open() throws IOException {
     if (log != null) {
-      requests.recovered(log.open(longestWindowSeconds));
+      requests.restore(log.open(longestWindowSeconds));
     }
   }
 
--- a/src/main/java/wharftrestle/handover/Capabilities.java
+++ b/src/main/java/wharftrestle/handover/Capabilities.java
@@ -14,8 +14,8 @@
  * @param requestClasses in the order of the settings, as keys hold the index of their class
  * @param tenants names, in the order of the settings, as keys hold the index of their tenant
  * @param keyCapacity keys that it knows, and can know
- * @param clockBaseUnixMillis wall time at which its {@link wharftrestle.time.SteadyWallClock} begins;
- *     0 where it does not say, as earlier builds do not
+ * @param clockBaseUnixMillis wall time at which its {@link wharftrestle.time.SteadyWallClock}
+ *     begins; 0 where it does not say, as earlier builds do not
  */
 public record Capabilities(
     String build,
--- a/src/main/java/wharftrestle/handover/CapabilitiesCodec.java
+++ b/src/main/java/wharftrestle/handover/CapabilitiesCodec.java
@@ -10,8 +10,8 @@
 import wharftrestle.version.VersionRange;
 
 /**
- * The text form of {@link Capabilities}: lines of {@code name value}. Lines with an unknown name are
- * skipped, so that later builds may state more. The form is fixed, as two builds exchange it.
+ * The text form of {@link Capabilities}: lines of {@code name value}. Lines with an unknown name
+ * are skipped, so that later builds may state more. The form is fixed, as two builds exchange it.
  */
 final class CapabilitiesCodec {
   private static final String BUILD = "build";
--- a/src/main/java/wharftrestle/handover/CompatibilityCheck.java
+++ b/src/main/java/wharftrestle/handover/CompatibilityCheck.java
@@ -8,8 +8,8 @@
 
 /**
  * Decides from the capabilities of two processes whether one can take over from the other. Both
- * processes ask it, so that a later build can know of a reason that an earlier one does not. Whatever
- * a takeover would lose is a reason here. Stateless.
+ * processes ask it, so that a later build can know of a reason that an earlier one does not.
+ * Whatever a takeover would lose is a reason here. Stateless.
  */
 public interface CompatibilityCheck {
 
@@ -31,8 +31,8 @@
   int OLDEST_COMPARING_VERSION = 2;
 
   /**
-   * Seconds by which keys that a successor receives stay known for longer: the longest difference by
-   * which one of its idempotency windows exceeds the predecessor's.
+   * Seconds by which keys that a successor receives stay known for longer: the longest difference
+   * by which one of its idempotency windows exceeds the predecessor's.
    */
   static double windowExtensionSeconds(Capabilities predecessor, Capabilities successor) {
     long longestMillis = 0;
@@ -63,7 +63,10 @@
     return here.newestCommon(there) >= OLDEST_COMPARING_VERSION
         ? Optional.empty()
         : Optional.of(
-            "the hand-over's words have no version in common: " + here + " here, " + there
+            "the hand-over's words have no version in common: "
+                + here
+                + " here, "
+                + there
                 + " there");
   }
 
@@ -86,13 +89,19 @@
   private static Optional<String> incompatibleLog(VersionRange here, VersionRange there) {
     if (!there.contains(here.newest())) {
       return Optional.of(
-          "files of kept results are of version " + here.newest() + ", which is not read there ("
-              + there + ")");
+          "files of kept results are of version "
+              + here.newest()
+              + ", which is not read there ("
+              + there
+              + ")");
     }
     if (!here.contains(there.newest())) {
       return Optional.of(
-          "files of kept results would be of version " + there.newest()
-              + " from then on, which is not read here (" + here + "): there would be no way back");
+          "files of kept results would be of version "
+              + there.newest()
+              + " from then on, which is not read here ("
+              + here
+              + "): there would be no way back");
     }
     return Optional.empty();
   }
@@ -104,12 +113,20 @@
       RequestClass there = successor.requestClasses().get(i);
       if (!here.name().equals(there.name())) {
         return Optional.of(
-            "class " + (i + 1) + " is '" + here.name() + "' here and '" + there.name()
+            "class "
+                + (i + 1)
+                + " is '"
+                + here.name()
+                + "' here and '"
+                + there.name()
                 + "' there: keys are known by their class's place");
       }
       if (here.isKeyed() != there.isKeyed()) {
         return Optional.of(
-            "class '" + here.name() + "' has keys " + (here.isKeyed() ? "here" : "there")
+            "class '"
+                + here.name()
+                + "' has keys "
+                + (here.isKeyed() ? "here" : "there")
                 + " only");
       }
     }
@@ -120,11 +137,17 @@
     for (int i = 0; i < Math.min(here.size(), there.size()); i++) {
       if (!here.get(i).equals(there.get(i))) {
         return Optional.of(
-            "tenant " + (i + 1) + " is '" + here.get(i) + "' here and '" + there.get(i)
+            "tenant "
+                + (i + 1)
+                + " is '"
+                + here.get(i)
+                + "' here and '"
+                + there.get(i)
                 + "' there: keys are known by their tenant's place");
       }
     }
-    // With tenants on one side alone, a request of no tenant here would be the first tenant's there.
+    // With tenants on one side alone, a request of no tenant here would be the first tenant's
+    // there.
     return here.isEmpty() == there.isEmpty()
         ? Optional.empty()
         : Optional.of("only one of both has tenants");
@@ -138,7 +161,9 @@
     return there.maxKeys() < here.maxKeys()
             && here.keys() + here.keys() / KEYS_PER_ADDITIONAL_KEY > there.maxKeys()
         ? Optional.of(
-            here.keys() + " keys are known here, and there is room for " + there.maxKeys()
+            here.keys()
+                + " keys are known here, and there is room for "
+                + there.maxKeys()
                 + " there")
         : Optional.empty();
   }
--- a/src/main/java/wharftrestle/handover/HandoverStateMachine.java
+++ b/src/main/java/wharftrestle/handover/HandoverStateMachine.java
@@ -152,8 +152,8 @@
     SEND_REJECTION,
     SEND_RETRY_LATER,
     /**
-     * Sends all completed keys, and each key that completes from now on; {@link Event#ALL_KEYS_SENT} or
-     * {@link Event#DEADLINE_EXCEEDED} follows.
+     * Sends all completed keys, and each key that completes from now on; {@link
+     * Event#ALL_KEYS_SENT} or {@link Event#DEADLINE_EXCEEDED} follows.
      */
     SEND_COMPLETED_KEYS,
     STOP_SENDING_KEYS,
@@ -187,8 +187,8 @@
     /** Reports that this process serves. */
     START_SERVING,
     /**
-     * Looks whether another process serves; {@link Event#PEER_DISCOVERED} or {@link Event#NO_PEER_DISCOVERED}
-     * follows.
+     * Looks whether another process serves; {@link Event#PEER_DISCOVERED} or {@link
+     * Event#NO_PEER_DISCOVERED} follows.
      */
     DISCOVER_PEER,
     /** Waits; {@link Event#BACKOFF_ELAPSED} or {@link Event#RETRIES_EXHAUSTED} follows. */
@@ -404,8 +404,8 @@
         State.RELINQUISHED,
         Action.RELINQUISH,
         Action.SEND_RELINQUISHED);
-    for (Event ended : List.of(Event.OWNERSHIP_RETURNED, Event.PEER_LOST)) {
-      on(State.OWNERSHIP_TRANSFERRED, ended, State.ACTIVE, Action.RECLAIM_OWNERSHIP);
+    for (Event end : List.of(Event.OWNERSHIP_RETURNED, Event.PEER_LOST)) {
+      on(State.OWNERSHIP_TRANSFERRED, end, State.ACTIVE, Action.RECLAIM_OWNERSHIP);
     }
     on(
         State.RELINQUISHED,
--- a/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
+++ b/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
@@ -2,14 +2,14 @@
 
 import java.util.Arrays;
 import java.util.List;
-import wharftrestle.handover.PeerProcess.KeyUpdate;
 import wharftrestle.handover.PeerProcess.CompletedKey;
+import wharftrestle.handover.PeerProcess.KeyUpdate;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
 
 /**
- * Decides on each idempotency key while two processes serve one host: one process owns all keys, the
- * other answers what it has in flight and claims a key before it executes more of it. No key is
+ * Decides on each idempotency key while two processes serve one host: one process owns all keys,
+ * the other answers what it has in flight and claims a key before it executes more of it. No key is
  * executed here that the peer may execute.
  *
  * <pre>
@@ -47,8 +47,8 @@
   }
 
   /**
-   * The answer to a claim of a completed key. Where its result is on disk it is read first, without the
-   * caller's lock.
+   * The answer to a claim of a completed key. Where its result is on disk it is read first, without
+   * the caller's lock.
    */
   public record StoredReply<T>(
       PeerProcess claimant,
@@ -123,8 +123,8 @@
   }
 
   /**
-   * One completed key as it is sent; null where it is no longer known, or its result is on a disk that
-   * both processes read.
+   * One completed key as it is sent; null where it is no longer known, or its result is on a disk
+   * that both processes read.
    */
   public CompletedKey completedKey(KeyDigest digest, boolean hasDisk, double now) {
     IdempotencyTable.Settled completed = keys.settled(digest);
@@ -132,7 +132,11 @@
       return null;
     }
     return new CompletedKey(
-        digest, completed.lastDoor(), completed.until() - now, completed.check(), completed.result());
+        digest,
+        completed.lastDoor(),
+        completed.until() - now,
+        completed.check(),
+        completed.result());
   }
 
   /** Sends this key to the process that asked to take over, if it has just completed. */
@@ -147,8 +151,8 @@
   }
 
   /**
-   * Gives all keys away in one step, and sends those that are open. Requests and executions in flight
-   * stay here.
+   * Gives all keys away in one step, and sends those that are open. Requests and executions in
+   * flight stay here.
    *
    * @return how many open keys were sent
    */
@@ -194,8 +198,8 @@
   }
 
   /**
-   * The peer is gone, or returned the ownership. How its executions in flight ended is unknown: their
-   * keys fail, and are not executed again in their window.
+   * The peer is gone, or returned the ownership. How its executions in flight ended is unknown:
+   * their keys fail, and are not executed again in their window.
    */
   public void onPeerLost() {
     peer = null;
@@ -208,8 +212,8 @@
   // ---- Messages of the peer ----
 
   /**
-   * A completed key of the peer. Where memory has no space for it, no unknown key is executed until its
-   * window is over, as it may be this one.
+   * A completed key of the peer. Where memory has no space for it, no unknown key is executed until
+   * its window is over, as it may be this one.
    *
    * @return false where there was no space
    */
--- a/src/main/java/wharftrestle/handover/PeerProcess.java
+++ b/src/main/java/wharftrestle/handover/PeerProcess.java
@@ -4,17 +4,17 @@
 
 /**
  * The other process of this host, as the receiver of messages about keys. Messages arrive in the
- * order in which they were sent. Only {@link #sendCompletedKey} and {@link #sendKeyAndAwaitWrite} may
- * wait; all others return at once and may be called under the lock of the requests.
+ * order in which they were sent. Only {@link #sendCompletedKey} and {@link #sendKeyAndAwaitWrite}
+ * may wait; all others return at once and may be called under the lock of the requests.
  */
 public interface PeerProcess {
 
   /**
    * What one process knows of a key, sent to the other while both serve.
    *
-   * @param isFinished false while its execution is in flight
+   * @param isCompleted false while its execution is in flight
    * @param coveredUntilUnixMillis requests that arrived until then are duplicates
-   * @param secondsLeft until the key is forgotten
+   * @param remainingSeconds until the key is forgotten
    * @param body of the first request, against which duplicates are compared
    * @param result null where there is none
    */
@@ -30,7 +30,7 @@
    * A key whose execution has finished, by its digest, as its text is no longer held.
    *
    * @param coveredUntilUnixMillis requests that arrived until then are duplicates
-   * @param secondsLeft until the key is forgotten
+   * @param remainingSeconds until the key is forgotten
    * @param bodyChecksum of the first request's body
    * @param result null where there is none
    */
@@ -42,13 +42,14 @@
       byte[] result) {}
 
   /**
-   * Sends a completed key and waits until few such messages are unwritten; false where the peer does
-   * not read in time.
+   * Sends a completed key and waits until few such messages are unwritten; false where the peer
+   * does not read in time.
    */
   boolean sendCompletedKey(CompletedKey completed);
 
   /**
-   * Sends a key that has just completed, without waiting; false where too many messages are unwritten.
+   * Sends a key that has just completed, without waiting; false where too many messages are
+   * unwritten.
    */
   boolean forwardCompletedKey(CompletedKey completed);
 
--- a/src/main/java/wharftrestle/handover/ProcessPauseDetector.java
+++ b/src/main/java/wharftrestle/handover/ProcessPauseDetector.java
@@ -3,9 +3,9 @@
 /**
  * Detects that this process did not run for a while, by the gaps between its own polls. A process
  * that owns keys announces each execution to its peer, waits at most a second for the announcement
- * to be written, and then begins all the same. So a former owner that paused as long, and then finds
- * the owner gone, cannot know what ran. Times are seconds on a clock that goes on while a process is
- * stopped. Not thread-safe: its caller guards it.
+ * to be written, and then begins all the same. So a former owner that paused as long, and then
+ * finds the owner gone, cannot know what ran. Times are seconds on a clock that goes on while a
+ * process is stopped. Not thread-safe: its caller guards it.
  */
 public final class ProcessPauseDetector {
   /** Seconds between two polls. */
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -7,8 +7,8 @@
 import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
-import wharftrestle.handover.PeerProcess.KeyUpdate;
 import wharftrestle.handover.PeerProcess.CompletedKey;
+import wharftrestle.handover.PeerProcess.KeyUpdate;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
 
@@ -43,7 +43,7 @@
   // ---- The steps of a hand-over ----
 
   /** What is known of keys now, and what there is room for. */
-  public Capabilities.KeyCapacity room() {
+  public Capabilities.KeyCapacity keyCapacity() {
     core.lock();
     try {
       return new Capabilities.KeyCapacity(
@@ -59,7 +59,7 @@
    *
    * @return how many, or -1 where the other side did not take them, or nobody wants them any more
    */
-  public int tellSettled(PeerProcess to) {
+  public int sendSettledKeys(PeerProcess to) {
     List<KeyDigest> all;
     core.lock();
     try {
@@ -71,7 +71,7 @@
   }
 
   /** The same for a process of format 1, which has been handed all by now. */
-  public int tellSettledAfter(PeerProcess to) {
+  public int sendSettledKeysAfterHandover(PeerProcess to) {
     List<KeyDigest> all;
     core.lock();
     try {
@@ -102,7 +102,7 @@
     return told;
   }
 
-  public void stopTelling() {
+  public void stopSendingSettledKeys() {
     core.lock();
     try {
       between.stopSendingKeys();
@@ -112,7 +112,7 @@
   }
 
   /** True where what settled while all was told could not be told. */
-  public boolean lagged() {
+  public boolean hasUnsentKeys() {
     core.lock();
     try {
       return between.isLagging();
@@ -125,7 +125,7 @@
    * In one step hands all keys over, and with them the say about every further one. What is held or
    * runs here stays here; its end is told.
    */
-  public int handOver(PeerProcess to) {
+  public int handOverKeys(PeerProcess to) {
     core.lock();
     try {
       int handed = between.transferTo(to, core.now());
@@ -140,7 +140,7 @@
    * From here on the other process of this box is known; its keys follow, and this one is to own
    * them all.
    */
-  public void join(PeerProcess from, double stretch) {
+  public void joinPeer(PeerProcess from, double stretch) {
     core.lock();
     try {
       between.attach(from, stretch);
@@ -151,7 +151,7 @@
   }
 
   /** This process took over and cannot go on: it has run nothing and gives all back. */
-  public void giveBack() {
+  public void returnKeys() {
     core.lock();
     try {
       between.returnOwnership();
@@ -165,7 +165,7 @@
    * The other process is gone: what it had in hand has an unknown end, which fails and never runs
    * again.
    */
-  public void otherGone() {
+  public void peerGone() {
     core.lock();
     try {
       between.onPeerLost();
@@ -181,7 +181,7 @@
    * Until a window is over no key that is not known may run: what ran here could not be carried
    * along.
    */
-  public void unknownFail(double seconds) {
+  public void failUnknownKeysFor(double seconds) {
     core.lock();
     try {
       keys.blind(core.now() + seconds);
@@ -196,7 +196,7 @@
 
   // ---- What the other process says ----
 
-  public void heard(CompletedKey over) {
+  public void keySettled(CompletedKey over) {
     boolean first = false;
     core.lock();
     try {
@@ -215,7 +215,7 @@
     }
   }
 
-  public void heard(KeyUpdate kept) {
+  public void keyUpdated(KeyUpdate kept) {
     core.lock();
     try {
       between.onKeyReceived(kept, core.now());
@@ -225,7 +225,7 @@
     }
   }
 
-  public void ended(String key, byte[] result) {
+  public void executionCompleted(String key, byte[] result) {
     core.lock();
     try {
       between.onPeerCompletion(key, result);
@@ -235,7 +235,7 @@
     }
   }
 
-  public void freed(String key) {
+  public void keyReleased(String key) {
     core.lock();
     try {
       between.onPeerRelease(key);
@@ -245,7 +245,7 @@
     }
   }
 
-  public void claimed(String key, long door, byte[] body) {
+  public void keyClaimed(String key, long door, byte[] body) {
     KeyOwnershipTransfer.StoredReply<InFlightRequest> reread;
     core.lock();
     try {
@@ -262,7 +262,7 @@
     }
   }
 
-  public void intendElsewhere(String key) {
+  public void intentRequested(String key) {
     core.lock();
     try {
       recorder.intendElsewhere(key);
@@ -271,7 +271,7 @@
     }
   }
 
-  public void intendedElsewhere(String key, boolean written) {
+  public void intentWritten(String key, boolean written) {
     core.lock();
     try {
       IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
@@ -284,7 +284,7 @@
     }
   }
 
-  public void savedElsewhere(String key) {
+  public void resultSaved(String key) {
     core.lock();
     try {
       IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
@@ -296,7 +296,7 @@
     }
   }
 
-  public void granted(String key) {
+  public void keyGranted(String key) {
     core.lock();
     try {
       wakeWaiters(key, true);
@@ -317,14 +317,14 @@
       if (!mustAsk(task)) {
         return;
       }
-      RequestCoordinator.Arrival a = task.arrival;
+      IncomingRequest a = task.arrival;
       asking.add(task);
-      between.peer().sendClaim(task.key, a.door(), a.body());
+      between.peer().sendClaim(task.key, a.receivedAtMillis(), a.body());
       double due = core.due(a, core.now());
       while (between.peer() != null
           && !task.granted
           && !task.answered
-          && !between.isKnown(task.key, a.door())
+          && !between.isKnown(task.key, a.receivedAtMillis())
           && core.now() < due) {
         task.signal.awaitNanos((long) ((due - core.now()) * 1e9) + 1);
       }
@@ -342,7 +342,7 @@
   boolean mustAsk(InFlightRequest task) {
     core.lock();
     try {
-      return between.mustClaim(task.key, task.arrival.door());
+      return between.mustClaim(task.key, task.arrival.receivedAtMillis());
     } finally {
       core.unlock();
     }
@@ -391,7 +391,7 @@
 
   @Override
   public long arrivalUnixMillis(InFlightRequest holder) {
-    return holder.arrival.door();
+    return holder.arrival.receivedAtMillis();
   }
 
   @Override
--- a/src/main/java/wharftrestle/transport/OwnershipLock.java
+++ b/src/main/java/wharftrestle/transport/OwnershipLock.java
@@ -10,10 +10,10 @@
 import org.tinylog.Logger;
 
 /**
- * A file lock that lives as long as a process that knows the keys of this host, or is about to: each
- * such process holds it shared, and whoever would start without those keys has to hold it alone. The
- * kernel releases it when its process ends, and not before, so a stopped process keeps it. Where
- * files cannot be locked, no other process is assumed. Thread-safe.
+ * A file lock that lives as long as a process that knows the keys of this host, or is about to:
+ * each such process holds it shared, and whoever would start without those keys has to hold it
+ * alone. The kernel releases it when its process ends, and not before, so a stopped process keeps
+ * it. Where files cannot be locked, no other process is assumed. Thread-safe.
  */
 public final class OwnershipLock implements Closeable {
   private final Path file;
--- a/src/main/java/wharftrestle/version/VersionRange.java
+++ b/src/main/java/wharftrestle/version/VersionRange.java
@@ -1,8 +1,8 @@
 package wharftrestle.version;
 
 /**
- * The versions of one format that a program speaks, both included; written {@code 1-2}, or
- * {@code 1}. Immutable.
+ * The versions of one format that a program speaks, both included; written {@code 1-2}, or {@code
+ * 1}. Immutable.
  */
 public record VersionRange(int oldest, int newest) {
   private static final int NONE_IN_COMMON = -1;
@@ -24,7 +24,8 @@
       throw new IllegalArgumentException("no range: '" + text + "'");
     }
     String[] bounds = text.split("-", -1);
-    return new VersionRange(Integer.parseInt(bounds[0]), Integer.parseInt(bounds[bounds.length - 1]));
+    return new VersionRange(
+        Integer.parseInt(bounds[0]), Integer.parseInt(bounds[bounds.length - 1]));
   }
 
   /** The newest version that both speak; -1 for none. */
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -324,7 +324,7 @@
 
   private void awaitBound() throws InterruptedException {
     command();
-    while (!life.requestCoordinator().ready()) {
+    while (!life.requestCoordinator().isReady()) {
       Thread.onSpinWait();
     }
   }
--- a/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
+++ b/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
@@ -30,7 +30,14 @@
       List<String> tenants,
       Capabilities.KeyCapacity keyCapacity) {
     return new Capabilities(
-        "a build", handoverVersions, new VersionRange(1, 1), storageDirectory, requestClasses, tenants, keyCapacity, 0);
+        "a build",
+        handoverVersions,
+        new VersionRange(1, 1),
+        storageDirectory,
+        requestClasses,
+        tenants,
+        keyCapacity,
+        0);
   }
 
   private static Capabilities withClasses(Capabilities.RequestClass... classes) {
@@ -39,7 +46,14 @@
 
   private static Capabilities storing(String folder, VersionRange log) {
     return new Capabilities(
-        "a build", new VersionRange(1, 2), log, folder, List.of(READ, SAVE), List.of(), CAPACITY, 0);
+        "a build",
+        new VersionRange(1, 2),
+        log,
+        folder,
+        List.of(READ, SAVE),
+        List.of(),
+        CAPACITY,
+        0);
   }
 
   private static String incompatibility(Capabilities predecessor, Capabilities successor) {
@@ -48,7 +62,8 @@
 
   @Test
   void classAddedOrRemovedAtTheEnd_isCompatible_movedOneIsNot() {
-    Capabilities extended = withClasses(READ, SAVE, new Capabilities.RequestClass("new", true, 5000));
+    Capabilities extended =
+        withClasses(READ, SAVE, new Capabilities.RequestClass("new", true, 5000));
     assertNull(incompatibility(withClasses(READ, SAVE), extended));
     assertNull(incompatibility(extended, withClasses(READ, SAVE)));
     assertEquals(
@@ -56,18 +71,25 @@
         incompatibility(withClasses(READ, SAVE), withClasses(SAVE, READ)));
     assertEquals(
         "class 'save' has keys here only",
-        incompatibility(withClasses(READ, SAVE), withClasses(READ, new Capabilities.RequestClass("save", false, 0))));
+        incompatibility(
+            withClasses(READ, SAVE),
+            withClasses(READ, new Capabilities.RequestClass("save", false, 0))));
   }
 
   @Test
   void tenantAddedAtTheEnd_isCompatible_movedOneIsNot() {
-    Capabilities two = capabilities(new VersionRange(1, 2), "", List.of(SAVE), List.of("a", "b"), CAPACITY);
+    Capabilities two =
+        capabilities(new VersionRange(1, 2), "", List.of(SAVE), List.of("a", "b"), CAPACITY);
     assertNull(
         incompatibility(
-            two, capabilities(new VersionRange(1, 2), "", List.of(SAVE), List.of("a", "b", "c"), CAPACITY)));
+            two,
+            capabilities(
+                new VersionRange(1, 2), "", List.of(SAVE), List.of("a", "b", "c"), CAPACITY)));
     assertEquals(
         "tenant 1 is 'a' here and 'b' there: keys are known by their tenant's place",
-        incompatibility(two, capabilities(new VersionRange(1, 2), "", List.of(SAVE), List.of("b", "a"), CAPACITY)));
+        incompatibility(
+            two,
+            capabilities(new VersionRange(1, 2), "", List.of(SAVE), List.of("b", "a"), CAPACITY)));
     assertEquals("only one of both has tenants", incompatibility(two, withClasses(SAVE)));
   }
 
@@ -80,11 +102,14 @@
         "results are kept in /a here, and nowhere there",
         incompatibility(storing("/a", one), withClasses(READ, SAVE)));
     assertEquals(
-        "results are kept in /a here, and in /b there", incompatibility(storing("/a", one), storing("/b", one)));
+        "results are kept in /a here, and in /b there",
+        incompatibility(storing("/a", one), storing("/b", one)));
     assertTrue(
-        incompatibility(storing("/a", new VersionRange(1, 2)), storing("/a", one)).contains("is not read there"));
+        incompatibility(storing("/a", new VersionRange(1, 2)), storing("/a", one))
+            .contains("is not read there"));
     assertTrue(
-        incompatibility(storing("/a", one), storing("/a", new VersionRange(1, 2))).contains("no way back"));
+        incompatibility(storing("/a", one), storing("/a", new VersionRange(1, 2)))
+            .contains("no way back"));
   }
 
   @Test
@@ -121,7 +146,8 @@
 
   @Test
   void handoverVersionsWithoutOverlap_areIncompatible() {
-    Capabilities later = capabilities(new VersionRange(3, 4), "", List.of(SAVE), List.of(), CAPACITY);
+    Capabilities later =
+        capabilities(new VersionRange(3, 4), "", List.of(SAVE), List.of(), CAPACITY);
     assertEquals(
         "the hand-over's words have no version in common: 1-2 here, 3-4 there",
         incompatibility(withClasses(SAVE), later));
@@ -167,7 +193,8 @@
         }) {
       Capabilities.MalformedCapabilitiesException e =
           assertThrows(
-              Capabilities.MalformedCapabilitiesException.class, () -> Capabilities.decode(malformed));
+              Capabilities.MalformedCapabilitiesException.class,
+              () -> Capabilities.decode(malformed));
       assertTrue(!e.getMessage().contains("\n"), e.getMessage());
     }
   }
--- a/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
+++ b/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
@@ -296,7 +296,8 @@
           p.knows = Knows.OPEN;
           say(
               to,
-              Word.of(Event.PEER_DISCOVERED)); // stands for granted, which no step of the hand-over is
+              Word.of(
+                  Event.PEER_DISCOVERED)); // stands for granted, which no step of the hand-over is
         } else {
           say(to, new Word(null, true, p.knows == Knows.OVER));
         }
--- a/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
+++ b/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
@@ -13,7 +13,8 @@
 /** What a process makes of the keys that its predecessor sends. */
 class KeyOwnershipTransferTest {
   private final KeyMemoryBudget budget = KeyMemoryBudget.of(64 << 10);
-  private final IdempotencyTable<String> keys = new IdempotencyTable<>((waiter, entry) -> {}, budget);
+  private final IdempotencyTable<String> keys =
+      new IdempotencyTable<>((waiter, entry) -> {}, budget);
   private final KeyOwnershipTransfer<String> transfer =
       new KeyOwnershipTransfer<>(
           keys,
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
@@ -121,9 +121,11 @@
     link.sendKeyAndAwaitWrite(
         new PeerProcess.KeyUpdate(
             "1/0/over", true, STAMP + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
-    link.sendCompletedKey(new PeerProcess.CompletedKey(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
+    link.sendCompletedKey(
+        new PeerProcess.CompletedKey(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
     link.forwardCompletedKey(
-        new PeerProcess.CompletedKey(new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
+        new PeerProcess.CompletedKey(
+            new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
     link.sendCompletion("1/0/ended", bytes("good"));
     link.sendCompletion("1/0/failed", null);
     link.sendRelease("1/0/freed");
@@ -169,13 +171,13 @@
     PeerLink.MessageHandler side =
         (link, word, detail) -> {
           if (word == Message.TAKEOVER_REQUEST) {
-            core.partner().join(link, 0);
+            core.peer().joinPeer(link, 0);
           }
           if (word != Message.LINK_LOST) {
             link.sendRelease("9/0/last");
           }
         };
-    try (ServerSocketChannel server = PeerLink.listen(socket, core.partner(), side);
+    try (ServerSocketChannel server = PeerLink.listen(socket, core.peer(), side);
         SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
       write(other, "take n2 over 1-2\\x0d\\x0a");
       readToLast(other);
@@ -201,8 +203,8 @@
             KeyMemoryBudget.of(1 << 20),
             GroupEdfScheduler::new,
             new Counters(List.of("read", "keyed")));
-    core.open(new SilentPool(), null, good -> {});
-    core.bound(false, 100);
+    core.start(new SilentPool(), null, good -> {});
+    core.workerPoolStarted(false, 100);
     return core;
   }
 
