--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import wharftrestle.admin.AdminConsole;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.daemon.ClassDataTrainingRun;
 import wharftrestle.daemon.Lifecycle;
@@ -129,7 +129,7 @@
   static final class Adapter implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
-      new SimulatorAdapter(GroupEdfScheduler::new).serve(System.in, System.out);
+      new SimulatorAdapter(AdmissionController::new).serve(System.in, System.out);
       return 0;
     }
   }
--- a/src/main/java/wharftrestle/admin/AdminServer.java
+++ b/src/main/java/wharftrestle/admin/AdminServer.java
@@ -267,8 +267,8 @@
               counters.lateOnes(i),
               refused,
               failed,
-              classes.get(i).worth(),
-              classes.get(i).lateWorth(),
+              classes.get(i).weight(),
+              classes.get(i).weightAfterObjective(),
               classes.get(i).name()));
     }
     return lines.toString();
--- a/src/main/java/wharftrestle/admission/Admission.java
+++ b/src/main/java/wharftrestle/admission/Admission.java
@@ -3,52 +3,69 @@
 import java.util.List;
 
 /**
- * The face between a server and its admission control. The server (the host) tells what happens
- * through {@link Events}, and the control answers through {@link Actions}.
+ * The interface between a host and its admission control: the host reports what happens through
+ * {@link Events}, and the control answers through {@link Actions}.
  *
  * <p>Units: all times and durations are seconds, all memory is kilobytes. {@code now} is the host's
- * monotonic clock; it starts anywhere and never goes back.
+ * monotonic clock; it has no fixed origin and never goes back.
  *
- * <p>Threading: one thread per instance. Events are told one after another; actions are called back
- * on the same thread, within the event. After the events of one instant the host calls {@link
- * Events#settled}, in which most decisions are taken.
+ * <p>Threading: events of one instance are delivered one after another, by one thread or under one
+ * lock. Actions are called back on the same thread, within the event. After the events of one
+ * instant the host calls {@link Events#batchCompleted}, in which most decisions are taken.
  */
 public interface Admission {
 
-  /** Whether a request may run more than once. */
-  enum Repeat {
-    SAFE,
-    KEYED,
-    UNSAFE
+  /** Whether a request may be executed more than once. */
+  enum Idempotency {
+    /** May be executed any number of times. */
+    IDEMPOTENT,
+    /** Is executed at most once for each idempotency key within the key's window. */
+    IDEMPOTENCY_KEY,
+    /** Is executed at most once and names no key. */
+    NON_IDEMPOTENT
   }
 
-  /** What the host can do to work that is running. */
+  /** What the host can do to an execution. */
   enum Preemption {
+    /** Executions run to their end. */
     NONE,
+    /** An execution can be dropped. */
     DROP,
+    /** An execution can be paused, and resumed or dropped later. */
     PAUSE
   }
 
-  /** Where the calls of running requests go. */
-  enum Downstream {
+  /** Where the dependency calls of executions go. */
+  enum Dependency {
+    /** Executions call nothing. */
     NONE,
+    /** One dependency that all hosts share; this host has a quota of calls. */
     SHARED,
+    /** A tier that protects itself. */
     TIER
   }
 
-  /** How a run, an attachment or a call ended. */
+  /** How an execution, an attachment or a dependency call ended. */
   enum Outcome {
+    /** Carried out, with a result. */
     SUCCESS,
+    /** Carried out, without a usable result. */
     FAILURE,
+    /** Rejected by the other side before it was started. */
     OVERLOADED,
+    /** Given up after its time limit; it may have been carried out. */
     TIMED_OUT,
+    /** The other side could not be connected to. */
     UNREACHABLE,
+    /** The connection broke; it may have been carried out. */
     BROKEN,
+    /** Cancelled by this host. */
     WITHDRAWN,
+    /** Known never to have been started. */
     VOID;
 
-    /** True where this outcome proves that nothing was carried out. */
-    public boolean neverRan() {
+    /** Returns whether this outcome proves that nothing was carried out. */
+    public boolean neverExecuted() {
       return this == OVERLOADED || this == UNREACHABLE || this == VOID;
     }
   }
@@ -57,248 +74,269 @@
    * One class of requests.
    *
    * @param name for logs only
-   * @param aim an answer within this time earns its full worth
-   * @param aimStretch the aim grows by this multiple of the request's own work, up to the deadline
-   * @param deadline how long a client waits in all
-   * @param worth what an answer within the aim is worth
-   * @param lateWorth part of the worth still paid between aim and deadline
-   * @param repeat whether a request may run again
-   * @param window KEYED: how long after its arrival the request may come again
-   * @param calls its requests may call below
-   * @param skipWorth part of the worth kept when a call is left out; 0 where it may not be left out
+   * @param latencyObjectiveSeconds an answer within this time has its full weight
+   * @param latencyObjectiveStretch multiple of the request's estimated run time that is added to
+   *     the objective, up to the deadline
+   * @param deadlineSeconds how long a client waits in all
+   * @param weight priority weight of an answer within the latency objective
+   * @param weightAfterObjective fraction of the weight that remains between objective and deadline
+   * @param idempotency whether a request may be executed again
+   * @param idempotencyWindowSeconds with idempotency keys: how long after its arrival a request may
+   *     come again
+   * @param callsDependency its executions may call the dependency
+   * @param weightWithoutCall fraction of the weight of an answer made without its dependency call;
+   *     0 where the call may not be skipped
    */
   record RequestClass(
       String name,
-      double aim,
-      double aimStretch,
-      double deadline,
-      double worth,
-      double lateWorth,
-      Repeat repeat,
-      double window,
-      boolean calls,
-      double skipWorth) {}
+      double latencyObjectiveSeconds,
+      double latencyObjectiveStretch,
+      double deadlineSeconds,
+      double weight,
+      double weightAfterObjective,
+      Idempotency idempotency,
+      double idempotencyWindowSeconds,
+      boolean callsDependency,
+      double weightWithoutCall) {}
 
   /**
    * One tenant.
    *
    * @param name for logs only
-   * @param allowance requests a second within its share, over the whole fleet
-   * @param portion its part of the service
+   * @param quotaPerSecond requests a second within its quota, over the whole fleet
+   * @param serviceFraction its part of the service
    */
-  record Tenant(String name, double allowance, double portion) {}
+  record Tenant(String name, double quotaPerSecond, double serviceFraction) {}
 
   /**
-   * What an instance is told when it starts. Absent optional values arrive as 0, false or an empty
-   * list.
+   * What an instance knows when it starts. Absent optional values are 0, false or an empty list.
    *
    * @param classes request classes, by position
    * @param tenants tenants, by position; may be empty
-   * @param peers instances of this service when this one started, this one included
+   * @param hosts instances of this service when this one started, this one included
    * @param callers callers when this one started
-   * @param cores cores of this machine
-   * @param memory memory for held and running requests and kept keys, kB
-   * @param runFactor memory of a running request, as a multiple of a held one
-   * @param keyMemory memory of one kept key, kB
-   * @param shareFor how long the answer of a read may serve others; 0 for never
-   * @param preemption what can be done to running work
-   * @param downstream where calls go
-   * @param callShare calls in hand this instance may have, as a mean over callsOver
-   * @param callsOver the span of that mean
-   * @param linger longest time an abandoned call stays in the dependency's hands
-   * @param tellsGone the host says when a caller has gone
-   * @param realChecks health checks do real work unless answered from store
-   * @param listFollows the callers' list of servers follows the health set here
-   * @param answerSlack an answer this long after its due time still counts
-   * @param drainGrace what arrives later than this after the notice to leave may not run
-   * @param crowdMultiple requests on the cores, per core, that a warm machine survives
-   * @param crowdOver the span of that mean
-   * @param justStarted the machine is cold
-   * @param coldFrom least share of speed of a cold machine
-   * @param coldFor it is warm after this time at the latest
-   * @param maxRetryAfter longest advice to stay away that is observed; 0 where advice is not passed
-   *     on
-   * @param worthByWork worth is counted per unit of work, not per request
-   * @param overShareWorth part of the worth of what exceeds its tenant's share
-   * @param marksRetry further tries are marked
-   * @param tick shortest gap between two instants of the host
-   * @param gauges names of the gauges that come with timers, by position
+   * @param cores cores of this host
+   * @param memoryKb memory for queued and executing requests and retained keys
+   * @param executionMemoryFactor memory of an executing request, as a multiple of a queued one
+   * @param keyMemoryKb memory of one retained key
+   * @param resultSharingSeconds how long the result of an idempotent request may answer others; 0
+   *     for never
+   * @param preemption what can be done to executions
+   * @param dependency where dependency calls go
+   * @param callQuota dependency calls in flight that this instance may have, as a mean over the
+   *     window
+   * @param callQuotaWindowSeconds the span of that mean
+   * @param abandonedCallSeconds longest time for which an abandoned call still occupies the
+   *     dependency
+   * @param notifiesCallerGone the host reports when a caller has gone
+   * @param healthChecksExecute health checks are executed unless answered from the cache
+   * @param endpointListFollowsHealth the callers' endpoint list follows the health reported here
+   * @param answerSlackSeconds an answer this long after its deadline still counts
+   * @param drainGraceSeconds what arrives later than this after the start of draining may not be
+   *     executed
+   * @param survivableConcurrencyPerCore executions per core that a warm host survives
+   * @param concurrencyWindowSeconds the span of that mean
+   * @param coldStart the host has just started
+   * @param coldSpeedFraction least fraction of its full speed while cold
+   * @param warmUpSeconds it is warm after this time at the latest
+   * @param maxRetryAfterSeconds longest Retry-After that is observed; 0 where none is passed on
+   * @param weightPerWork weight is counted per unit of work, not per request
+   * @param weightOverQuota fraction of the weight of what exceeds its tenant's quota
+   * @param marksRetries clients mark retries
+   * @param tickSeconds shortest gap between two instants of the host
+   * @param gauges names of the gauges that come with the timer, by position
    */
   record Settings(
       List<RequestClass> classes,
       List<Tenant> tenants,
-      int peers,
+      int hosts,
       int callers,
       int cores,
-      double memory,
-      double runFactor,
-      double keyMemory,
-      double shareFor,
+      double memoryKb,
+      double executionMemoryFactor,
+      double keyMemoryKb,
+      double resultSharingSeconds,
       Preemption preemption,
-      Downstream downstream,
-      double callShare,
-      double callsOver,
-      double linger,
-      boolean tellsGone,
-      boolean realChecks,
-      boolean listFollows,
-      double answerSlack,
-      double drainGrace,
-      double crowdMultiple,
-      double crowdOver,
-      boolean justStarted,
-      double coldFrom,
-      double coldFor,
-      double maxRetryAfter,
-      boolean worthByWork,
-      double overShareWorth,
-      boolean marksRetry,
-      double tick,
+      Dependency dependency,
+      double callQuota,
+      double callQuotaWindowSeconds,
+      double abandonedCallSeconds,
+      boolean notifiesCallerGone,
+      boolean healthChecksExecute,
+      boolean endpointListFollowsHealth,
+      double answerSlackSeconds,
+      double drainGraceSeconds,
+      double survivableConcurrencyPerCore,
+      double concurrencyWindowSeconds,
+      boolean coldStart,
+      double coldSpeedFraction,
+      double warmUpSeconds,
+      double maxRetryAfterSeconds,
+      boolean weightPerWork,
+      double weightOverQuota,
+      boolean marksRetries,
+      double tickSeconds,
       List<String> gauges) {
 
-    /** The same for a server that may have started cold, whatever the configuration says. */
-    public Settings started(boolean cold) {
+    /** Returns the same settings for a host that may have started cold. */
+    public Settings withColdStart(boolean cold) {
       return new Settings(
           classes,
           tenants,
-          peers,
+          hosts,
           callers,
           cores,
-          memory,
-          runFactor,
-          keyMemory,
-          shareFor,
+          memoryKb,
+          executionMemoryFactor,
+          keyMemoryKb,
+          resultSharingSeconds,
           preemption,
-          downstream,
-          callShare,
-          callsOver,
-          linger,
-          tellsGone,
-          realChecks,
-          listFollows,
-          answerSlack,
-          drainGrace,
-          crowdMultiple,
-          crowdOver,
-          justStarted || cold,
-          coldFrom,
-          coldFor,
-          maxRetryAfter,
-          worthByWork,
-          overShareWorth,
-          marksRetry,
-          tick,
+          dependency,
+          callQuota,
+          callQuotaWindowSeconds,
+          abandonedCallSeconds,
+          notifiesCallerGone,
+          healthChecksExecute,
+          endpointListFollowsHealth,
+          answerSlackSeconds,
+          drainGraceSeconds,
+          survivableConcurrencyPerCore,
+          concurrencyWindowSeconds,
+          coldStart || cold,
+          coldSpeedFraction,
+          warmUpSeconds,
+          maxRetryAfterSeconds,
+          weightPerWork,
+          weightOverQuota,
+          marksRetries,
+          tickSeconds,
           gauges);
     }
   }
 
   /**
-   * One request, read and now owed exactly one final answer.
+   * One request that was read and is now owed exactly one final answer.
    *
-   * @param id unique; a further try has a new one
-   * @param further marked as a further try or second copy
-   * @param lay time since it reached the machine
+   * @param id unique; a retry has a new one
+   * @param retry marked by its client as a retry or a hedged request
+   * @param queueingDelaySeconds time between reaching the host and being read
    * @param classIndex position of its class in the settings
    * @param tenantIndex position of its tenant; 0 where there are none
-   * @param memory memory while held, kB
+   * @param memoryKb memory while queued
    * @param caller number of its caller
-   * @param cost expected work on a standard core; 0 where not told
-   * @param subject what it is about; null where not told
-   * @param repeatOf id of the kept request it repeats; 0 for none
-   * @param patience how much longer its caller waits; 0 where not told
-   * @param rank 0 to under 1, by worth of class and then by user
+   * @param costHintSeconds expected run time on a standard core; 0 where unknown
+   * @param resourceKey what it is about; null where unknown
+   * @param duplicateOf id of the retained request that it duplicates; 0 for none
+   * @param remainingDeadlineSeconds how much longer its caller waits; 0 where unknown
+   * @param priority 0 to under 1, by weight of its class and then by user
    */
   record Request(
       long id,
-      boolean further,
-      double lay,
+      boolean retry,
+      double queueingDelaySeconds,
       int classIndex,
       int tenantIndex,
-      double memory,
+      double memoryKb,
       int caller,
-      double cost,
-      String subject,
-      long repeatOf,
-      double patience,
-      double rank) {}
+      double costHintSeconds,
+      String resourceKey,
+      long duplicateOf,
+      double remainingDeadlineSeconds,
+      double priority) {}
 
-  /** What the control is told. Events about requests already over are harmless. */
+  /** What the host reports. Events about requests that are already over have no effect. */
   interface Events {
     /** A request has been read. */
     void arrived(double now, Request request);
 
-    /** A start or an attachment has ended; elapsed counts from that action, waits included. */
-    void ended(double now, long id, Outcome outcome, double elapsed);
+    /**
+     * An execution or an attachment has ended.
+     *
+     * @param elapsedSeconds since the action that began it, waits included
+     */
+    void completed(double now, long id, Outcome outcome, double elapsedSeconds);
 
-    /** A running request stands off the cores until it may call, skips the call or is failed. */
-    void standsAtCall(double now, long id);
+    /**
+     * An execution waits off the cores until it may call the dependency, skips the call or is
+     * failed.
+     */
+    void blockedOnCall(double now, long id);
 
-    /** A call has ended; after success the request resumes by itself. */
-    void callEnded(double now, long id, Outcome outcome, double elapsed);
+    /** A dependency call has ended; after success the execution resumes by itself. */
+    void callCompleted(double now, long id, Outcome outcome, double elapsedSeconds);
 
-    /** The caller waits no longer; no answer is owed. */
-    void callerLeft(double now, long id);
+    /** The caller no longer waits; no answer is owed. */
+    void callerGone(double now, long id);
 
-    /** This instance is leaving service and is stopped after timeLeft. */
-    void leaving(double now, double timeLeft);
+    /** This instance drains and is stopped after {@code secondsLeft}. */
+    void draining(double now, double secondsLeft);
 
     /**
-     * From now on this instance has so much of the machine's memory and share of calls; 1 for all.
+     * From now on this instance has this fraction of the host's memory and call quota; 1 for all,
+     * less while two processes serve one host.
      */
-    default void shares(double now, double part) {}
+    default void quotaChanged(double now, double fraction) {}
 
     /**
-     * The timer is due. Gauges stand in the order of {@link Settings#gauges}; empty where there are
-     * none.
+     * The timer is due.
+     *
+     * @param gauges in the order of the gauge names in the settings; empty where there are none
      */
-    void timer(double now, long label, double[] gauges);
+    void timerFired(double now, long label, double[] gauges);
 
-    /** All events of this instant have been told. */
-    void settled(double now);
+    /** All events of this instant have been delivered. */
+    void batchCompleted(double now);
   }
 
-  /** What the control may ask of its host; carried out in the order asked. */
+  /** What the control asks of its host; carried out in the order asked. */
   interface Actions {
-    /** Start a held request. */
-    void start(long id);
+    /** Starts the execution of a queued request. */
+    void dispatch(long id);
 
     /**
-     * Final answer: declined. A promise that this try never ran, unless it is safe to repeat; a
-     * safe one that is running goes on until its end is told. retryAfter 0 gives no advice.
+     * Final answer: rejected. It promises that this attempt was never executed, unless it is
+     * idempotent; an idempotent one in execution goes on until its end is reported.
+     *
+     * @param otherHostsToo whether a retry at another host is expected to be rejected as well
+     * @param retryAfterSeconds 0 gives no advice
      */
-    void refuse(long id, boolean nowhereElse, double retryAfter);
+    void reject(long id, boolean otherHostsToo, double retryAfterSeconds);
 
     /** Final answer: failed. */
     void fail(long id);
 
-    /** Stop running work; not an answer. */
-    void stop(long id);
+    /** Drops or pauses an execution; not an answer. */
+    void preempt(long id);
 
-    /** Make the call a request stands at; given up at the clock time notPast. */
-    void call(long id, double notPast);
+    /** Makes the dependency call that a request is blocked on; given up at {@code giveUpAt}. */
+    void callDependency(long id, double giveUpAt);
 
-    /** Go on without the call. */
+    /** Resumes a request that is blocked on a dependency call, without the call. */
     void skipCall(long id);
 
-    /** Enter the request into the table of keys for this long from now. */
-    void keep(long id, double time);
+    /** Enters the request into the table of keys for this long from now. */
+    void retainKey(long id, double seconds);
 
-    /** Remove its entry. */
-    void release(long id);
+    /** Removes the request from the table of keys. */
+    void releaseKey(long id);
 
-    /** Answer a held request from the result of the one it repeats. */
+    /** Answers a queued request from the result of the one that it duplicates. */
     void attach(long id);
 
-    /** What health checks are told; fromStore answers them cheaply. */
-    void health(boolean good, boolean fromStore);
+    /**
+     * Sets what health checks are answered.
+     *
+     * @param cached whether they are answered without any work
+     */
+    void reportHealth(boolean healthy, boolean cached);
 
-    /** Close connections idle for this long; 0 for the longest the host allows. */
-    void idleLimit(double time);
+    /** Closes connections that were idle for this long; 0 for the longest the host allows. */
+    void setIdleTimeout(double seconds);
 
-    /** Ask for one timer event, this long from now. */
-    void timer(long label, double in);
+    /** Asks for one {@link Events#timerFired}, this long from now. */
+    void setTimer(long label, double delaySeconds);
 
-    /** One line for the on-call reader. */
+    /** Logs one line for the on-call engineer. */
     void log(String line);
   }
 }
--- a/src/main/java/wharftrestle/admission/GroupEdfScheduler.java
+++ b/src/main/java/wharftrestle/admission/AdmissionController.java
@@ -14,7 +14,7 @@
  * types, events and actions it speaks in stand in Admission.java. One object an instance; it is not
  * thread-safe and needs not be.
  */
-public final class GroupEdfScheduler implements Admission.Events {
+public final class AdmissionController implements Admission.Events {
 
   // ---- Constants: unit and reason each ----
 
@@ -240,7 +240,7 @@
    * Seconds of the drain's grace that are not used: on crowded cores the notice itself is heard
    * late.
    */
-  public static final double DRAIN_SPARE = 0.4;
+  public static final double DRAIN_MARGIN_SECONDS = 0.4;
 
   // ---- State ----
 
@@ -339,7 +339,7 @@
   private double mine = 1; // part of memory and of the store's share, while two processes serve
   private double backlog; // seconds of work in hand, as of the last look at the hold
 
-  public GroupEdfScheduler(
+  public AdmissionController(
       double now, long seed, Admission.Settings settings, Admission.Actions actions) {
     this.settings = settings;
     this.act = actions;
@@ -349,8 +349,8 @@
     stats = new ClassStats[settings.classes().size()];
     for (int i = 0; i < stats.length; i++) {
       stats[i] = new ClassStats();
-      stats[i].calls = settings.classes().get(i).calls() ? 1 : 0;
-      stats[i].own = settings.classes().get(i).aim() * SEED_SHARE_OF_AIM;
+      stats[i].calls = settings.classes().get(i).callsDependency() ? 1 : 0;
+      stats[i].own = settings.classes().get(i).latencyObjectiveSeconds() * SEED_SHARE_OF_AIM;
       meanOwn += stats[i].own / stats.length;
     }
     tenantRate = new double[Math.max(1, settings.tenants().size())];
@@ -367,7 +367,7 @@
     callBudget = callBurst();
     callBudgetAt = now;
     lookAt = now;
-    act.health(true, true);
+    act.reportHealth(true, true);
   }
 
   private static boolean started(Op op) {
@@ -382,17 +382,22 @@
     op.request = request;
     op.type = settings.classes().get(request.classIndex());
     op.stats = stats[request.classIndex()];
-    op.arrived = now - request.lay();
+    op.arrived = now - request.queueingDelaySeconds();
     double due =
-        request.patience() > 0 ? now + request.patience() : op.arrived + op.type.deadline();
-    op.due = Math.max(now, Math.min(due, stopAt) - ANSWER_TICKS * settings.tick());
-    double aim = Math.min(op.type.deadline(), op.type.aim() + op.type.aimStretch() * run(op));
-    op.aimBy = Math.min(op.due, op.arrived + aim - age(op) - ANSWER_TICKS * settings.tick());
+        request.remainingDeadlineSeconds() > 0
+            ? now + request.remainingDeadlineSeconds()
+            : op.arrived + op.type.deadlineSeconds();
+    op.due = Math.max(now, Math.min(due, stopAt) - ANSWER_TICKS * settings.tickSeconds());
+    double aim =
+        Math.min(
+            op.type.deadlineSeconds(),
+            op.type.latencyObjectiveSeconds() + op.type.latencyObjectiveStretch() * run(op));
+    op.aimBy = Math.min(op.due, op.arrived + aim - age(op) - ANSWER_TICKS * settings.tickSeconds());
     ops.put(request.id(), op);
     held.add(op);
-    heldMemory += request.memory();
+    heldMemory += request.memoryKb();
     countTenant(now, request);
-    furtherShare += LEARN * ((request.further() ? 1 : 0) - furtherShare);
+    furtherShare += LEARN * ((request.retry() ? 1 : 0) - furtherShare);
     refusedShare -= LEARN * refusedShare;
     judgeConnections(now, request);
     meetRepeat(now, op);
@@ -402,7 +407,7 @@
   }
 
   @Override
-  public void ended(double now, long id, Admission.Outcome outcome, double elapsed) {
+  public void completed(double now, long id, Admission.Outcome outcome, double elapsed) {
     Op op = ops.get(id);
     if (op == null) {
       return;
@@ -421,7 +426,7 @@
   }
 
   @Override
-  public void standsAtCall(double now, long id) {
+  public void blockedOnCall(double now, long id) {
     Op op = ops.get(id);
     if (op != null && op.state == State.RUNNING) {
       onCores--;
@@ -435,7 +440,7 @@
   }
 
   @Override
-  public void callEnded(double now, long id, Admission.Outcome outcome, double elapsed) {
+  public void callCompleted(double now, long id, Admission.Outcome outcome, double elapsed) {
     Op op = ops.get(id);
     if (op != null && op.state == State.CALLING) {
       callOver(now, op, outcome, elapsed);
@@ -443,7 +448,7 @@
   }
 
   @Override
-  public void callerLeft(double now, long id) {
+  public void callerGone(double now, long id) {
     Op op = ops.get(id);
     if (op == null) {
       return;
@@ -455,26 +460,26 @@
   }
 
   @Override
-  public void leaving(double now, double timeLeft) {
+  public void draining(double now, double timeLeft) {
     leftAt = now;
     stopAt = now + timeLeft;
-    act.health(false, true);
+    act.reportHealth(false, true);
     act.log("leaving in " + timeLeft + " s with " + held.size() + " held, " + onCores + " running");
     for (Op op : ops.values()) {
-      op.due = Math.min(op.due, stopAt - ANSWER_TICKS * settings.tick());
+      op.due = Math.min(op.due, stopAt - ANSWER_TICKS * settings.tickSeconds());
       op.aimBy = Math.min(op.aimBy, op.due);
     }
   }
 
   @Override
-  public void shares(double now, double part) {
+  public void quotaChanged(double now, double part) {
     countCalls(now);
     mine = part;
     callBudget = Math.min(callBudget, callBurst());
   }
 
   @Override
-  public void timer(double now, long label, double[] gauges) {
+  public void timerFired(double now, long label, double[] gauges) {
     if (now >= timerAt) {
       stall = Math.max(now - timerAt - TIMER_LATE, stall * Math.exp((stallAt - now) / STALL_SPAN));
       stallAt = now;
@@ -484,7 +489,7 @@
   }
 
   @Override
-  public void settled(double now) {
+  public void batchCompleted(double now) {
     forgetKeys(now);
     answerDue(now);
     fitMemory(now);
@@ -500,7 +505,7 @@
 
   /** Own time of a run: without calls. */
   private double own(Op op) {
-    double cost = op.request.cost();
+    double cost = op.request.costHintSeconds();
     if (cost <= 0) {
       return op.stats.own;
     }
@@ -531,8 +536,11 @@
     double own = Math.max(0, elapsed - op.offCores);
     s.runs++;
     double weight = Math.max(LEARN, 1.0 / (s.runs + 1));
-    if (op.request.cost() > 0) {
-      s.cost = s.cost == 0 ? op.request.cost() : s.cost + weight * (op.request.cost() - s.cost);
+    if (op.request.costHintSeconds() > 0) {
+      s.cost =
+          s.cost == 0
+              ? op.request.costHintSeconds()
+              : s.cost + weight * (op.request.costHintSeconds() - s.cost);
       weight = s.runs == 1 ? 1 : weight;
     }
     s.own += weight * (own - s.own);
@@ -542,7 +550,7 @@
     if (s.runs >= BASE_AFTER) {
       s.base = s.base == 0 ? level : Math.min(level, s.base + BASE_AGING * (level - s.base));
       double sure = op.calls == 0 ? own : Math.max(0, own - stall); // calls are timed by the host
-      double unit = op.request.cost() > 0 ? sure / op.request.cost() : sure;
+      double unit = op.request.costHintSeconds() > 0 ? sure / op.request.costHintSeconds() : sure;
       latency += LEARN * (level / s.base - latency);
       drag += RUN_LEARN * (Math.min(RUN_MOST, unit / s.base) - drag);
       crowded += RUN_LEARN * (Math.max(1, (double) onCores / settings.cores()) - crowded);
@@ -583,21 +591,21 @@
       if (op.state != State.HELD) {
         continue;
       }
-      double more = op.request.memory() * (settings.runFactor() - 1);
-      if (heldMemory + runMemory + keyMemory() + more > RUN_MEMORY * mine * settings.memory()) {
+      double more = op.request.memoryKb() * (settings.executionMemoryFactor() - 1);
+      if (heldMemory + runMemory + keyMemory() + more > RUN_MEMORY * mine * settings.memoryKb()) {
         continue;
       }
       // Those that stand at calls are outside the limit, so they have a bound of their own: what
       // waits
       // there is begun and lost if its call comes too late, and it bars what is worth more.
       // What may leave its call out is begun all the same, and leaves it out.
-      if (op.type.calls() && op.type.skipWorth() <= 0 && jammed(op)) {
+      if (op.type.callsDependency() && op.type.weightWithoutCall() <= 0 && jammed(op)) {
         continue;
       }
-      act.start(op.request.id());
+      act.dispatch(op.request.id());
       held.remove(op);
-      heldMemory -= op.request.memory();
-      runMemory += op.request.memory() * settings.runFactor();
+      heldMemory -= op.request.memoryKb();
+      runMemory += op.request.memoryKb() * settings.executionMemoryFactor();
       op.state = State.RUNNING;
       op.started = now;
       op.ran = true;
@@ -616,26 +624,26 @@
    * longest and the shortest count.
    */
   private double age(Op op) {
-    double waits = op.request.patience() + op.request.lay();
+    double waits = op.request.remainingDeadlineSeconds() + op.request.queueingDelaySeconds();
     ClassStats s = op.stats;
-    if (!settings.marksRetry() || op.request.patience() <= 0) {
+    if (!settings.marksRetries() || op.request.remainingDeadlineSeconds() <= 0) {
       return 0;
     }
-    if (!op.request.further()) {
+    if (!op.request.retry()) {
       s.longest = Math.max(waits, s.longest + BASE_AGING * (waits - s.longest));
       double risen = s.shortest + BASE_AGING * (waits - s.shortest);
       s.shortest = s.shortest == 0 ? waits : Math.min(waits, risen);
       return 0;
     }
-    boolean last = s.longest > 0 && waits > s.longest + ANSWER_TICKS * settings.tick();
-    return Math.max(0, (last ? op.type.deadline() : s.shortest) - waits);
+    boolean last = s.longest > 0 && waits > s.longest + ANSWER_TICKS * settings.tickSeconds();
+    return Math.max(0, (last ? op.type.deadlineSeconds() : s.shortest) - waits);
   }
 
   /**
    * Until when an answer still pays: the aim, or the due time where late pays and the aim is lost.
    */
   private double usefulBy(double now, Op op) {
-    return op.type.lateWorth() > 0 && now + run(op) > op.aimBy ? op.due : op.aimBy;
+    return op.type.weightAfterObjective() > 0 && now + run(op) > op.aimBy ? op.due : op.aimBy;
   }
 
   /**
@@ -643,14 +651,14 @@
    * run.
    */
   private double value(double now, Op op, boolean callsBind) {
-    double worth = op.type.worth() * (1 + op.riders) * shareWorth(op.request);
+    double worth = op.type.weight() * (1 + op.riders) * shareWorth(op.request);
     if (now + run(op) > op.aimBy) {
-      worth *= op.type.lateWorth();
+      worth *= op.type.weightAfterObjective();
     }
     if (callsBind) {
-      return worth * (settings.worthByWork() ? own(op) : 1) / op.stats.calls;
+      return worth * (settings.weightPerWork() ? own(op) : 1) / op.stats.calls;
     }
-    return settings.worthByWork() ? worth : worth / run(op);
+    return settings.weightPerWork() ? worth : worth / run(op);
   }
 
   /**
@@ -684,13 +692,13 @@
     for (int i = 0; i < order.size(); i++) {
       Op op = order.get(i);
       double wait = ahead / limit;
-      boolean needsCalls = bounded() && op.stats.calls > 0 && op.type.skipWorth() <= 0;
+      boolean needsCalls = bounded() && op.stats.calls > 0 && op.type.weightWithoutCall() <= 0;
       double callWait = needsCalls ? callWait(callsAhead) : 0;
       boolean callsBind = callWait > wait;
       wait = Math.max(callWait, wait);
       // Guards against refusing large requests on idle cores: their estimate is scaled by a mean of
       // busier times. Without a hint the mean is all there is: a slow machine would try in vain.
-      boolean idle = onCores + i < settings.cores() && op.request.cost() > 0;
+      boolean idle = onCores + i < settings.cores() && op.request.costHintSeconds() > 0;
       double need = run(op) * (idle ? ON_IDLE : 1);
       if (now + need > usefulBy(now, op) || (failures > ILL_FAILURES && onCores + i > 0)) {
         order.remove(i--);
@@ -730,11 +738,11 @@
 
   /** Refuses with advice when to come back. */
   private void decline(double now, Op op) {
-    boolean marked = settings.marksRetry();
+    boolean marked = settings.marksRetries();
     boolean storm = marked ? furtherShare > RETRY_STORM : refusedShare > REFUSED_STORM;
     double away =
         failures > ILL_FAILURES
-            ? settings.maxRetryAfter()
+            ? settings.maxRetryAfterSeconds()
             : Math.min(1, ADVICE * drag) * backlog + unread;
     // Guards against advice that costs the aim: clients' tries are counted, and a late one is lost.
     // What
@@ -743,16 +751,19 @@
     // callers then spread the load.
     double room = op.aimBy - now - run(op);
     if (marked && failures <= ILL_FAILURES) {
-      double lost = started(op) ? settings.maxRetryAfter() : away;
+      double lost = started(op) ? settings.maxRetryAfterSeconds() : away;
       away = room > 0 ? Math.min(away, ADVICE_ROOM * room) : lost;
     }
     refusedShare += started(op) ? 0 : LEARN;
-    act.refuse(
-        op.request.id(), storm || (marked && room <= 0), Math.min(settings.maxRetryAfter(), away));
+    act.reject(
+        op.request.id(),
+        storm || (marked && room <= 0),
+        Math.min(settings.maxRetryAfterSeconds(), away));
   }
 
   private static boolean mayNotRefuse(Op op) {
-    return op.type.repeat() != Admission.Repeat.SAFE && (op.ran || op.rides != null);
+    return op.type.idempotency() != Admission.Idempotency.IDEMPOTENT
+        && (op.ran || op.rides != null);
   }
 
   /**
@@ -769,12 +780,12 @@
         fail(op);
       }
       if (started(op) && settings.preemption() != Admission.Preemption.NONE) {
-        if (!op.answered && now >= op.aimBy && op.type.lateWorth() == 0) {
+        if (!op.answered && now >= op.aimBy && op.type.weightAfterObjective() == 0) {
           giveUp(now, op);
         }
         if (op.answered && op.state == State.RUNNING && !op.stopping && now >= purposeUntil(op)) {
           op.stopping = true;
-          act.stop(op.request.id());
+          act.preempt(op.request.id());
         }
       }
     }
@@ -786,9 +797,12 @@
    * that is gone.
    */
   private double purposeUntil(Op op) {
-    return op.type.repeat() != Admission.Repeat.KEYED
+    return op.type.idempotency() != Admission.Idempotency.IDEMPOTENCY_KEY
         ? Double.NEGATIVE_INFINITY
-        : op.arrived + (op.type.lateWorth() > 0 ? op.type.deadline() : op.type.aim());
+        : op.arrived
+            + (op.type.weightAfterObjective() > 0
+                ? op.type.deadlineSeconds()
+                : op.type.latencyObjectiveSeconds());
   }
 
   private void refuseOrFail(double now, Op op) {
@@ -802,7 +816,7 @@
 
   /** A run whose aim is lost is refused with advice where it may run again. */
   private void giveUp(double now, Op op) {
-    if (op.type.repeat() == Admission.Repeat.SAFE) {
+    if (op.type.idempotency() == Admission.Idempotency.IDEMPOTENT) {
       decline(now, op);
       op.answered = true;
     } else {
@@ -821,7 +835,7 @@
 
   private void countTenant(double now, Admission.Request request) {
     int t = request.tenantIndex();
-    if (t < tenantRate.length && !request.further()) {
+    if (t < tenantRate.length && !request.retry()) {
       tenantRate[t] =
           tenantRate[t] * Math.exp((tenantSeen[t] - now) / TENANT_SPAN) + 1 / TENANT_SPAN;
       tenantSeen[t] = now;
@@ -830,12 +844,12 @@
 
   private double shareWorth(Admission.Request request) {
     int t = request.tenantIndex();
-    if (t >= settings.tenants().size() || settings.peers() <= 0) {
+    if (t >= settings.tenants().size() || settings.hosts() <= 0) {
       return 1;
     }
-    double allowed = settings.tenants().get(t).allowance() / settings.peers();
+    double allowed = settings.tenants().get(t).quotaPerSecond() / settings.hosts();
     double within = Math.min(1, allowed / Math.max(tenantRate[t], 1e-9));
-    return within + (1 - within) * settings.overShareWorth();
+    return within + (1 - within) * settings.weightOverQuota();
   }
 
   // ---- Running limit: led by latency, never below the cores ----
@@ -863,18 +877,20 @@
    */
   private double crowd(double now) {
     double share = 1;
-    if (settings.justStarted() && settings.coldFor() > 0) {
-      share = settings.coldFrom() + (1 - settings.coldFrom()) * (now - bornAt) / settings.coldFor();
+    if (settings.coldStart() && settings.warmUpSeconds() > 0) {
+      share =
+          settings.coldSpeedFraction()
+              + (1 - settings.coldSpeedFraction()) * (now - bornAt) / settings.warmUpSeconds();
     }
     return CROWD_MARGIN
         * settings.cores()
-        * (1 + (settings.crowdMultiple() - 1) * Math.min(1, share));
+        * (1 + (settings.survivableConcurrencyPerCore() - 1) * Math.min(1, share));
   }
 
   // ---- Calls: in hand and lingering under this instance's share of what the dependency bears ----
 
   private double callBurst() {
-    return CALL_BURST * mine * settings.callShare() * settings.callsOver();
+    return CALL_BURST * mine * settings.callQuota() * settings.callQuotaWindowSeconds();
   }
 
   /**
@@ -888,7 +904,7 @@
   }
 
   private boolean bounded() {
-    return settings.downstream() == Admission.Downstream.SHARED && settings.callShare() > 0;
+    return settings.dependency() == Admission.Dependency.SHARED && settings.callQuota() > 0;
   }
 
   /**
@@ -897,12 +913,18 @@
    */
   private double callUntil(double now, Op op) {
     double patience =
-        op.type.repeat() == Admission.Repeat.SAFE ? CALL_PATIENCE : CALL_PATIENCE_ONCE;
+        op.type.idempotency() == Admission.Idempotency.IDEMPOTENT
+            ? CALL_PATIENCE
+            : CALL_PATIENCE_ONCE;
     double until = op.answered ? now : usefulBy(now, op);
     until =
-        Math.min(until, now + stall + Math.max(CALL_LEAST * op.type.aim(), patience * callMean));
-    if (op.type.skipWorth() > 0) {
-      until = Math.min(until, Math.max(now + settings.tick(), skipAt(op)));
+        Math.min(
+            until,
+            now
+                + stall
+                + Math.max(CALL_LEAST * op.type.latencyObjectiveSeconds(), patience * callMean));
+    if (op.type.weightWithoutCall() > 0) {
+      until = Math.min(until, Math.max(now + settings.tickSeconds(), skipAt(op)));
     }
     return bounded() ? Math.min(until, now + callBurst()) : until;
   }
@@ -919,7 +941,7 @@
    */
   private boolean skipped(double now, double again, Op op) {
     if (op.answered
-        || op.type.skipWorth() <= 0
+        || op.type.weightWithoutCall() <= 0
         || (again < skipAt(op) && !jammed(op))
         || now > op.aimBy) {
       return false;
@@ -938,7 +960,7 @@
    */
   private double callsAllowed() {
     double part = CALLS_QUICK * Math.min(1, CALL_TOLERANCE * callBase / callMean);
-    return Math.max(CALLS_SLOW, part) * mine * settings.callShare();
+    return Math.max(CALLS_SLOW, part) * mine * settings.callQuota();
   }
 
   /**
@@ -978,7 +1000,7 @@
       atCall.remove(op);
       op.state = State.CALLING;
       callsInHand++;
-      act.call(op.request.id(), callUntil(now, op));
+      act.callDependency(op.request.id(), callUntil(now, op));
     }
   }
 
@@ -1000,13 +1022,15 @@
     op.state = State.AT_CALL;
     op.callTries++;
     atCall.add(op);
-    double pause = CALL_BACKOFF * op.type.aim() * (1 << Math.min(op.callTries, 6));
+    double pause =
+        CALL_BACKOFF * op.type.latencyObjectiveSeconds() * (1 << Math.min(op.callTries, 6));
     op.callAgain = now + pause * (0.5 + random.nextDouble());
     // An effectful call may have been carried out: it is repeated only when it provably was not.
     if (skipped(now, op.callAgain, op)) {
       return;
     }
-    boolean mayRepeat = op.type.repeat() == Admission.Repeat.SAFE || outcome.neverRan();
+    boolean mayRepeat =
+        op.type.idempotency() == Admission.Idempotency.IDEMPOTENT || outcome.neverExecuted();
     if (!op.answered && (!mayRepeat || op.callAgain > op.aimBy)) {
       fail(op);
     }
@@ -1020,7 +1044,7 @@
     if (op.state == State.CALLING) {
       countCalls(now);
       callsInHand--;
-      callBudget -= lingers ? settings.linger() : 0;
+      callBudget -= lingers ? settings.abandonedCallSeconds() : 0;
     }
   }
 
@@ -1028,16 +1052,16 @@
   // ----
 
   private void meetRepeat(double now, Op op) {
-    boolean keyed = op.type.repeat() == Admission.Repeat.KEYED;
+    boolean keyed = op.type.idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY;
     boolean shared =
-        op.type.repeat() == Admission.Repeat.SAFE
-            && settings.shareFor() > 0
-            && op.request.subject() != null;
+        op.type.idempotency() == Admission.Idempotency.IDEMPOTENT
+            && settings.resultSharingSeconds() > 0
+            && op.request.resourceKey() != null;
     if (!keyed && !shared) {
       return;
     }
-    if (op.request.repeatOf() != 0) {
-      Op prior = keys.get(op.request.repeatOf());
+    if (op.request.duplicateOf() != 0) {
+      Op prior = keys.get(op.request.duplicateOf());
       while (prior != null && prior.successor != null) {
         prior = prior.successor;
       }
@@ -1050,9 +1074,11 @@
     }
     // A read's entry lasts while it may be open and its answer fresh; a key's for its window.
     double until =
-        keyed ? op.arrived + op.type.window() + KEY_SPARE : op.aimBy + settings.shareFor();
+        keyed
+            ? op.arrived + op.type.idempotencyWindowSeconds() + KEY_SPARE
+            : op.aimBy + settings.resultSharingSeconds();
     double room =
-        RUN_MEMORY * mine * settings.memory() - runMemory - keyMemory() - settings.keyMemory();
+        RUN_MEMORY * mine * settings.memoryKb() - runMemory - keyMemory() - settings.keyMemoryKb();
     if (until <= now || room < 0) {
       if (keyed && until > now) {
         refuse(now, op);
@@ -1064,7 +1090,7 @@
     entries++;
     keys.put(op.request.id(), op);
     keyEnds.add(op);
-    act.keep(op.request.id(), until - now);
+    act.retainKey(op.request.id(), until - now);
   }
 
   private void attach(Op op, Op prior) {
@@ -1097,16 +1123,16 @@
     switch (op.state) {
       case HELD -> {
         held.remove(op);
-        heldMemory -= op.request.memory();
+        heldMemory -= op.request.memoryKb();
       }
       case ATTACHED -> {
-        heldMemory -= op.request.memory();
+        heldMemory -= op.request.memoryKb();
         if (op.rides != null) {
           op.rides.riders--;
         }
       }
       case RUNNING, AT_CALL, CALLING -> {
-        runMemory -= op.request.memory() * settings.runFactor();
+        runMemory -= op.request.memoryKb() * settings.executionMemoryFactor();
         onCores -= op.state == State.RUNNING ? 1 : 0;
         atCall.remove(op);
       }
@@ -1115,7 +1141,7 @@
     if (op.kept && !op.ran) {
       op.kept = false;
       entries--;
-      act.release(op.request.id());
+      act.releaseKey(op.request.id());
     } else if (op.kept) {
       keys.remove(op.request.id()); // a repeat that finds nobody is attached all the same
     }
@@ -1125,12 +1151,12 @@
   // ---- Memory: held, running and kept together stay under the limit after every batch ----
 
   private double keyMemory() {
-    return entries * settings.keyMemory();
+    return entries * settings.keyMemoryKb();
   }
 
   private void fitMemory(double now) {
     while (!held.isEmpty()
-        && heldMemory + runMemory + keyMemory() > ALL_MEMORY * settings.memory()) {
+        && heldMemory + runMemory + keyMemory() > ALL_MEMORY * settings.memoryKb()) {
       Op least = held.get(0);
       for (Op op : held) {
         if (value(now, op, false) < value(now, least, false)) {
@@ -1144,7 +1170,7 @@
   // ---- Drain: nothing runs that came after the grace; all is answered before the stop ----
 
   private boolean tooLate(Op op) {
-    return op.arrived > leftAt + settings.drainGrace() - DRAIN_SPARE;
+    return op.arrived > leftAt + settings.drainGraceSeconds() - DRAIN_MARGIN_SECONDS;
   }
 
   // ---- Health: bad while this machine fails or drags what it runs, with trials in between ----
@@ -1166,7 +1192,7 @@
     boolean ill = now < illUntil;
     if (!ill && illUntil > Double.NEGATIVE_INFINITY && !healthy) {
       healthy = true;
-      act.health(true, true);
+      act.reportHealth(true, true);
     }
     if (healthy
         && now >= illUntil + ILL_SPAN
@@ -1177,11 +1203,11 @@
             || drag > ILL_DRAG * crowded
             || (unread > ILL_UNREAD
                 && refusedShare > ILL_REFUSED
-                && settings.marksRetry()
+                && settings.marksRetries()
                 && furtherShare < RETRY_STORM / 2))) {
       illUntil = now + ILL_SPAN * (0.75 + random.nextDouble() / 2);
       healthy = false;
-      act.health(false, true);
+      act.reportHealth(false, true);
       act.log(
           String.format(
               Locale.ROOT,
@@ -1210,7 +1236,7 @@
       lastFrom.remove(lastFrom.keySet().iterator().next());
     }
     backShare += LEARN * ((last != null && last >= now - BACK_WITHIN ? 1 : 0) - backShare);
-    unread += RUN_LEARN * (request.lay() - unread);
+    unread += RUN_LEARN * (request.queueingDelaySeconds() - unread);
     if (now < idleAt) {
       return;
     }
@@ -1224,7 +1250,7 @@
                 : unread > JAM ? Math.min(IDLE_LONG, idle * 2) : Math.max(IDLE_SHORT, idle / 2);
     if (next != idle) {
       idle = next;
-      act.idleLimit(idle);
+      act.setIdleTimeout(idle);
     }
   }
 
@@ -1237,22 +1263,25 @@
       if (op.answered && stops && op.state == State.RUNNING && !op.stopping) {
         next = Math.min(next, purposeUntil(op));
       } else if (!op.answered) {
-        next = Math.min(next, stops && started(op) && op.type.lateWorth() == 0 ? op.aimBy : op.due);
+        next =
+            Math.min(
+                next,
+                stops && started(op) && op.type.weightAfterObjective() == 0 ? op.aimBy : op.due);
       }
     }
     if (!held.isEmpty()) {
-      next = Math.min(next, Math.max(lookAt, now + settings.tick()));
+      next = Math.min(next, Math.max(lookAt, now + settings.tickSeconds()));
     }
     if (!atCall.isEmpty()) {
-      next = Math.min(next, now + CALL_BACKOFF * atCall.peek().type.aim());
+      next = Math.min(next, now + CALL_BACKOFF * atCall.peek().type.latencyObjectiveSeconds());
     }
     if (!healthy && leftAt > now) {
       next = Math.min(next, illUntil);
     }
-    next = Math.max(next, now + settings.tick());
-    if (next < timerAt - settings.tick() / 2) {
+    next = Math.max(next, now + settings.tickSeconds());
+    if (next < timerAt - settings.tickSeconds() / 2) {
       timerAt = next;
-      act.timer(0, next - now);
+      act.setTimer(0, next - now);
     }
   }
 }
--- a/src/main/java/wharftrestle/admission/package-info.java
+++ b/src/main/java/wharftrestle/admission/package-info.java
@@ -1,7 +1,7 @@
 /**
  * The policy: which requests are started, held, refused or failed. {@link
- * wharftrestle.policy.Admission} is the face between it and its host, {@link
- * wharftrestle.policy.GroupEdfScheduler} decides. It must never touch a socket, a file, a thread or
- * a clock: time is passed in.
+ * wharftrestle.admission.Admission} is the face between it and its host, {@link
+ * wharftrestle.admission.AdmissionController} decides. It must never touch a socket, a file, a
+ * thread or a clock: time is passed in.
  */
 package wharftrestle.admission;
--- a/src/main/java/wharftrestle/config/DaemonConfig.java
+++ b/src/main/java/wharftrestle/config/DaemonConfig.java
@@ -97,43 +97,53 @@
         cores,
         sockets,
         memoryMb,
-        s.peers(),
+        s.hosts(),
         s.callers(),
         s.cores(),
-        s.memory(),
-        s.runFactor(),
-        s.keyMemory(),
-        s.shareFor(),
-        s.callShare(),
-        s.callsOver(),
-        s.linger(),
-        s.answerSlack(),
-        s.drainGrace(),
-        s.crowdMultiple(),
-        s.crowdOver(),
-        s.coldFrom(),
-        s.coldFor(),
-        s.maxRetryAfter(),
-        s.overShareWorth(),
-        s.tick());
-    text.append(s.preemption()).append(' ').append(s.downstream()).append(' ');
-    put(text, s.tellsGone(), s.realChecks(), s.listFollows(), s.worthByWork(), s.marksRetry());
+        s.memoryKb(),
+        s.executionMemoryFactor(),
+        s.keyMemoryKb(),
+        s.resultSharingSeconds(),
+        s.callQuota(),
+        s.callQuotaWindowSeconds(),
+        s.abandonedCallSeconds(),
+        s.answerSlackSeconds(),
+        s.drainGraceSeconds(),
+        s.survivableConcurrencyPerCore(),
+        s.concurrencyWindowSeconds(),
+        s.coldSpeedFraction(),
+        s.warmUpSeconds(),
+        s.maxRetryAfterSeconds(),
+        s.weightOverQuota(),
+        s.tickSeconds());
+    text.append(s.preemption()).append(' ').append(s.dependency()).append(' ');
+    put(
+        text,
+        s.notifiesCallerGone(),
+        s.healthChecksExecute(),
+        s.endpointListFollowsHealth(),
+        s.weightPerWork(),
+        s.marksRetries());
     for (Admission.RequestClass each : s.classes()) {
-      text.append('\n').append(each.name()).append(' ').append(each.repeat()).append(' ');
-      put(text, each.calls());
+      text.append('\n')
+          .append(each.name())
+          .append(' ')
+          .append(published(each.idempotency()))
+          .append(' ');
+      put(text, each.callsDependency());
       put(
           text,
-          each.aim(),
-          each.aimStretch(),
-          each.deadline(),
-          each.worth(),
-          each.lateWorth(),
-          each.window(),
-          each.skipWorth());
+          each.latencyObjectiveSeconds(),
+          each.latencyObjectiveStretch(),
+          each.deadlineSeconds(),
+          each.weight(),
+          each.weightAfterObjective(),
+          each.idempotencyWindowSeconds(),
+          each.weightWithoutCall());
     }
     for (Admission.Tenant each : s.tenants()) {
       text.append('\n').append(each.name()).append(' ');
-      put(text, each.allowance(), each.portion());
+      put(text, each.quotaPerSecond(), each.serviceFraction());
     }
     text.append('\n').append(s.gauges());
     text.append('\n')
@@ -154,6 +164,15 @@
     return text.toString();
   }
 
+  /** The words in which this text has always named the ways of idempotency. */
+  private static String published(Admission.Idempotency idempotency) {
+    return switch (idempotency) {
+      case IDEMPOTENT -> "SAFE";
+      case IDEMPOTENCY_KEY -> "KEYED";
+      case NON_IDEMPOTENT -> "UNSAFE";
+    };
+  }
+
   private static void put(StringBuilder text, double... numbers) {
     for (double number : numbers) {
       text.append(number).append(' ');
@@ -211,7 +230,7 @@
   /** The store's address; null where there is none and the settings say that no run calls below. */
   private static InetSocketAddress store(JsonNode told, Admission.Settings settings)
       throws BadConfigException {
-    return told.asText("").isBlank() && settings.downstream() == Admission.Downstream.NONE
+    return told.asText("").isBlank() && settings.dependency() == Admission.Dependency.NONE
         ? null
         : address("db", told.asText());
   }
--- a/src/main/java/wharftrestle/daemon/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -12,7 +12,7 @@
 import wharftrestle.admin.AdminServer;
 import wharftrestle.admin.RolloutStatus;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.discovery.LoadReporter;
 import wharftrestle.frontend.RespFrontend;
@@ -186,7 +186,12 @@
             config.settings().classes().stream().map(Admission.RequestClass::name).toList());
     core =
         new RequestCoordinator(
-            config.settings(), config.seed(), mostRequests, room, GroupEdfScheduler::new, counters);
+            config.settings(),
+            config.seed(),
+            mostRequests,
+            room,
+            AdmissionController::new,
+            counters);
     pool = new WorkerPoolClient(config.pool(), core, counters);
     store = new StoreClient(config.db(), descriptors.calls(), counters);
     reporter = new LoadReporter(config.name(), config.naming(), counters);
@@ -245,7 +250,7 @@
   private double longestWindow() {
     return IdempotencyTable.SLACK
         + config.settings().classes().stream()
-            .mapToDouble(Admission.RequestClass::window)
+            .mapToDouble(Admission.RequestClass::idempotencyWindowSeconds)
             .max()
             .orElse(0);
   }
@@ -328,9 +333,11 @@
         config.settings().classes().stream()
             .map(
                 each -> {
-                  boolean keyed = each.repeat() == Admission.Repeat.KEYED;
+                  boolean keyed = each.idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY;
                   return new Capabilities.Kind(
-                      each.name(), keyed, keyed ? Math.round(each.window() * 1000) : 0);
+                      each.name(),
+                      keyed,
+                      keyed ? Math.round(each.idempotencyWindowSeconds() * 1000) : 0);
                 })
             .toList(),
         config.settings().tenants().stream().map(Admission.Tenant::name).toList(),
@@ -598,7 +605,7 @@
       Logger.warn("the new configuration cannot be used, the old one holds: {}", e.getMessage());
       return;
     }
-    if (next.db() == null && config.settings().downstream() != Admission.Downstream.NONE) {
+    if (next.db() == null && config.settings().dependency() != Admission.Dependency.NONE) {
       // Guards against a file of another site leaving runs that call below without their store.
       Logger.warn("the new configuration cannot be used, the old one holds: it names no store");
       return;
@@ -636,7 +643,7 @@
       core.leave(Math.max(0, left() - SPARE));
       double grace =
           Math.min(
-                  config.settings().drainGrace() - GroupEdfScheduler.DRAIN_SPARE,
+                  config.settings().drainGraceSeconds() - AdmissionController.DRAIN_MARGIN_SECONDS,
                   config.stopSeconds() - 2 * SPARE)
               + CROSSING;
       double open = grace - (config.stopSeconds() - left());
@@ -651,7 +658,7 @@
               + Math.min(
                   CEDED_MOST,
                   config.settings().classes().stream()
-                      .mapToDouble(Admission.RequestClass::deadline)
+                      .mapToDouble(Admission.RequestClass::deadlineSeconds)
                       .max()
                       .orElse(CEDED_MOST));
       core.leave(Math.max(0, left() - SPARE));
--- a/src/main/java/wharftrestle/frontend/RespFrontend.java
+++ b/src/main/java/wharftrestle/frontend/RespFrontend.java
@@ -208,7 +208,8 @@
     if (type == null || tenant == null || !REFERENCE.matcher(ref).matches()) {
       throw new InvalidException("no such class or tenant, or no reference");
     }
-    boolean keyed = core.settings().classes().get(type).repeat() == Admission.Repeat.KEYED;
+    boolean keyed =
+        core.settings().classes().get(type).idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY;
     String key = keyed ? fields.getOrDefault("unique", "") : null;
     String item = fields.get("item");
     if ((keyed && (key.isEmpty() || key.length() > LONGEST_KEY))
--- a/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
+++ b/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
@@ -71,7 +71,7 @@
     for (int i = 0; i < known.size(); i++) {
       classes.put(known.get(i).name(), i);
       for (Admission.RequestClass other : known) {
-        ranks[i] += other.worth() < known.get(i).worth() ? 1.0 / known.size() : 0;
+        ranks[i] += other.weight() < known.get(i).weight() ? 1.0 / known.size() : 0;
       }
     }
     for (int i = 0; i < core.settings().tenants().size(); i++) {
@@ -167,7 +167,8 @@
     if (tenant == null) {
       throw new Status("400 Bad Request", "TENANT or X-Tenant names no tenant of this site");
     }
-    boolean keyed = core.settings().classes().get(type).repeat() == Admission.Repeat.KEYED;
+    boolean keyed =
+        core.settings().classes().get(type).idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY;
     String key = vars.getOrDefault("HTTP_IDEMPOTENCY_KEY", "");
     if (keyed && (key.isEmpty() || key.length() > LONGEST_KEY)) {
       throw new Status(
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -406,7 +406,7 @@
         task.steps.removeIf(step -> step.kind() != InFlightRequest.Kind.ANSWER); // no run was begun
         tellRunOver(task, Outcome.VOID, 0, null);
       } else if (byId.containsKey(task.id)) {
-        module.callerLeft(now(), task.id);
+        module.callerGone(now(), task.id);
         settle(now());
       }
     } finally {
@@ -485,7 +485,8 @@
         // unread by
         // the module, or failed where another try of it ran.
         counters.add(Count.GUARDED);
-        answer(task, ran ? Answer.failed() : Answer.refused(settings.maxRetryAfter(), false));
+        answer(
+            task, ran ? Answer.failed() : Answer.refused(settings.maxRetryAfterSeconds(), false));
         return;
       }
       if (module == null
@@ -506,7 +507,7 @@
         answer(
             task,
             module == null && !ran
-                ? Answer.refused(settings.maxRetryAfter(), false)
+                ? Answer.refused(settings.maxRetryAfterSeconds(), false)
                 : Answer.failed());
         return;
       }
@@ -574,7 +575,7 @@
 
   double due(Arrival a, double now) {
     return Math.min(
-        now - lay(a) + settings.classes().get(a.classIndex()).deadline() + BACKSTOP, stopAt);
+        now - lay(a) + settings.classes().get(a.classIndex()).deadlineSeconds() + BACKSTOP, stopAt);
   }
 
   /** The request's next step; null once it is answered and nothing of it runs. */
@@ -606,7 +607,7 @@
           counters.add(Count.BACKSTOPS);
           answer(task, Answer.late());
           if (byId.containsKey(task.id)) {
-            module.callerLeft(now(), task.id);
+            module.callerGone(now(), task.id);
             settle(now());
           }
         } else {
@@ -635,7 +636,7 @@
     counters.add(Count.GUARDED);
     counters.add(Count.NO_ROOM);
     return Answer.refused(
-        Math.min(settings.maxRetryAfter(), Math.max(LEAST_AGAIN, keys.roomIn(now))), false);
+        Math.min(settings.maxRetryAfterSeconds(), Math.max(LEAST_AGAIN, keys.roomIn(now))), false);
   }
 
   private void forget(InFlightRequest task) {
@@ -665,7 +666,7 @@
         keys.leave(task.entry, task);
       }
       if (byId.containsKey(task.id)) {
-        module.callerLeft(now(), task.id);
+        module.callerGone(now(), task.id);
         settle(now());
       }
     } finally {
@@ -684,7 +685,8 @@
             case FAILED, LATE, CONFLICT -> Result.ABORTED;
           });
       Admission.RequestClass type = settings.classes().get(task.arrival.classIndex());
-      double aim = type.aim() + type.aimStretch() * task.arrival.cost();
+      double aim =
+          type.latencyObjectiveSeconds() + type.latencyObjectiveStretch() * task.arrival.cost();
       if (answer.kind() == Answer.Kind.SERVED && lay(task.arrival) > aim) {
         counters.late(task.arrival.classIndex());
       }
@@ -725,10 +727,10 @@
   private void settle(double now) {
     unsettled = false;
     settledAt = now;
-    module.settled(now);
+    module.batchCompleted(now);
     for (Runnable event = pending.poll(); event != null; event = pending.poll()) {
       event.run();
-      module.settled(now());
+      module.batchCompleted(now());
     }
   }
 
@@ -749,7 +751,7 @@
         try {
           if (!moment) {
             wakes.remove(first);
-            module.timer(now, first.label(), seen);
+            module.timerFired(now, first.label(), seen);
           }
           settle(now);
         } catch (RuntimeException | Error fault) {
@@ -790,7 +792,7 @@
     lock.lock();
     try {
       if (module == null && stopAt == Double.POSITIVE_INFINITY) {
-        module = factory.create(now() - ago, seed, settings.started(cold), this);
+        module = factory.create(now() - ago, seed, settings.withColdStart(cold), this);
         settle(now());
         up.countDown();
       }
@@ -863,7 +865,7 @@
     }
     task.signal.signal();
     double now = now();
-    module.ended(now, task.id, outcome, elapsed);
+    module.completed(now, task.id, outcome, elapsed);
     settleSoon(now);
   }
 
@@ -879,7 +881,7 @@
       task.callFailed = false;
       task.callBody = body;
       double now = now();
-      module.standsAtCall(now, task.id);
+      module.blockedOnCall(now, task.id);
       settleSoon(now);
     } finally {
       lock.unlock();
@@ -904,7 +906,8 @@
       lock.unlock();
     }
     boolean again =
-        settings.classes().get(task.arrival.classIndex()).repeat() == Admission.Repeat.SAFE;
+        settings.classes().get(task.arrival.classIndex()).idempotency()
+            == Admission.Idempotency.IDEMPOTENT;
     Call call =
         store.begin(
             task.arrival.ref(),
@@ -950,7 +953,7 @@
       if (outcome == Outcome.SUCCESS) {
         task.step(new InFlightRequest.Step(InFlightRequest.Kind.SUPPLY, reply, 0, null));
       }
-      module.callEnded(now, task.id, outcome, now - task.callSince);
+      module.callCompleted(now, task.id, outcome, now - task.callSince);
       settleSoon(now);
     } finally {
       lock.unlock();
@@ -1021,7 +1024,7 @@
     answer(task, result != null ? Answer.served(result) : Answer.failed());
     if (module != null && byId.containsKey(task.id)) {
       double now = now();
-      module.ended(
+      module.completed(
           now, task.id, result != null ? Outcome.SUCCESS : Outcome.FAILURE, now - task.since);
     }
   }
@@ -1053,8 +1056,11 @@
   /** Seconds; for a class that only the other process of the box knows, the longest of all. */
   double window(int classIndex) {
     return classIndex < settings.classes().size()
-        ? settings.classes().get(classIndex).window()
-        : settings.classes().stream().mapToDouble(Admission.RequestClass::window).max().orElse(0);
+        ? settings.classes().get(classIndex).idempotencyWindowSeconds()
+        : settings.classes().stream()
+            .mapToDouble(Admission.RequestClass::idempotencyWindowSeconds)
+            .max()
+            .orElse(0);
   }
 
   /** Bytes of results that are kept in memory at most. */
@@ -1076,7 +1082,7 @@
 
   private void share(double part) {
     if (module != null) {
-      module.shares(now(), part);
+      module.quotaChanged(now(), part);
       settle(now());
     }
   }
@@ -1101,7 +1107,7 @@
   // ---- What the module asks for: each becomes a step of the request concerned ----
 
   @Override
-  public void start(long id) {
+  public void dispatch(long id) {
     InFlightRequest task = byId.get(id);
     if (task == null || task.spawned) {
       return;
@@ -1141,7 +1147,7 @@
   }
 
   @Override
-  public void refuse(long id, boolean nowhereElse, double retryAfter) {
+  public void reject(long id, boolean nowhereElse, double retryAfter) {
     InFlightRequest task = byId.get(id);
     if (task != null) {
       // Guards against a refusal after the run of a key: that answer would promise that none ran.
@@ -1162,7 +1168,7 @@
   }
 
   @Override
-  public void stop(long id) {
+  public void preempt(long id) {
     InFlightRequest task = byId.get(id);
     if (task != null && recorder.recording(task)) {
       pending.add(
@@ -1177,7 +1183,7 @@
   }
 
   @Override
-  public void call(long id, double notPast) {
+  public void callDependency(long id, double notPast) {
     InFlightRequest task = byId.get(id);
     if (task != null && !task.runOver) {
       task.callSince = now();
@@ -1194,7 +1200,7 @@
   }
 
   @Override
-  public void keep(long id, double time) {
+  public void retainKey(long id, double time) {
     InFlightRequest task = byId.get(id);
     if (task == null || task.key == null) {
       return;
@@ -1207,7 +1213,7 @@
   }
 
   @Override
-  public void release(long id) {
+  public void releaseKey(long id) {
     InFlightRequest task = byId.get(id);
     if (task != null && task.entry != null) {
       keys.release(task.entry, task);
@@ -1223,18 +1229,18 @@
   }
 
   @Override
-  public void health(boolean good, boolean fromStore) {
+  public void reportHealth(boolean good, boolean fromStore) {
     healthy = good;
     watcher.health(healthy());
   }
 
   @Override
-  public void idleLimit(double time) {
+  public void setIdleTimeout(double time) {
     idleLimit = time;
   }
 
   @Override
-  public void timer(long label, double in) {
+  public void setTimer(long label, double in) {
     wakes.add(new Wake(now() + in, label));
     timers.signal();
   }
@@ -1259,10 +1265,10 @@
         }
       }
       if (module == null) {
-        health(false, true);
+        reportHealth(false, true);
         return;
       }
-      module.leaving(now, timeLeft);
+      module.draining(now, timeLeft);
       settle(now);
     } finally {
       lock.unlock();
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -81,7 +81,8 @@
   }
 
   Answer unrecorded(ResultStore.Refusal why) {
-    return Answer.refused(Math.min(core.settings().maxRetryAfter(), records.again(why)), false);
+    return Answer.refused(
+        Math.min(core.settings().maxRetryAfterSeconds(), records.again(why)), false);
   }
 
   private ResultStore.Keyed keyed(IdempotencyTable.Entry<InFlightRequest> entry) {
--- a/src/main/java/wharftrestle/simulation/ColdStartSimulation.java
+++ b/src/main/java/wharftrestle/simulation/ColdStartSimulation.java
@@ -70,7 +70,7 @@
     }
     ArrayDeque<Integer> span = new ArrayDeque<>();
     double[] worst = {0};
-    look(agenda, store, span, (int) Math.round(settings.callsOver() / LOOK), worst);
+    look(agenda, store, span, (int) Math.round(settings.callQuotaWindowSeconds() / LOOK), worst);
     agenda.runTo(SECONDS);
     return new Result(
         worst[0], SHARE * boxes, all.stream().mapToLong(each -> each.tally().calls).sum());
--- a/src/main/java/wharftrestle/simulation/ColdTrafficSimulation.java
+++ b/src/main/java/wharftrestle/simulation/ColdTrafficSimulation.java
@@ -84,13 +84,14 @@
       }
       double came = span.peekLast()[0] - span.poll()[0];
       double shares = span.stream().mapToDouble(each -> each[2]).average().orElse(1);
-      double budget = RATE / LOAD * settings.crowdOver() * shares;
+      double budget = RATE / LOAD * settings.concurrencyWindowSeconds() * shares;
       reached = Math.max(reached, came / (budget + 2 * Math.sqrt(budget) + 2));
       crowd =
           Math.max(
               crowd,
               span.stream().mapToDouble(each -> each[1]).average().orElse(0)
-                  / (settings.cores() * (1 + (settings.crowdMultiple() - 1) * shares)));
+                  / (settings.cores()
+                      * (1 + (settings.survivableConcurrencyPerCore() - 1) * shares)));
     }
   }
 
@@ -123,7 +124,7 @@
       arrive(box, new Sent(callers), agenda, settings, random.split(), unit);
     }
     look(all, agenda, settings);
-    agenda.runTo(settings.coldFor() + settings.crowdOver());
+    agenda.runTo(settings.warmUpSeconds() + settings.concurrencyWindowSeconds());
     return new Result(
         all.stream().mapToDouble(each -> each.reached).max().orElse(0),
         all.stream().mapToDouble(each -> each.crowd).max().orElse(0));
@@ -131,7 +132,10 @@
 
   /** What the settings allow a box now, as a part of its speed. */
   private static double share(Admission.Settings settings, double now) {
-    return Math.min(1, settings.coldFrom() + (1 - settings.coldFrom()) * now / settings.coldFor());
+    return Math.min(
+        1,
+        settings.coldSpeedFraction()
+            + (1 - settings.coldSpeedFraction()) * now / settings.warmUpSeconds());
   }
 
   /** What each caller has sent one box of late. */
@@ -155,10 +159,11 @@
       if (callers.ramp() == Ramp.SHARE) {
         return random.nextDouble() < share(settings, now);
       }
-      while (!mine.isEmpty() && mine.peek() < now - settings.crowdOver()) {
+      while (!mine.isEmpty() && mine.peek() < now - settings.concurrencyWindowSeconds()) {
         mine.remove();
       }
-      boolean fits = mine.size() < share(settings, now) * settings.crowdOver() * RATE / LOAD;
+      boolean fits =
+          mine.size() < share(settings, now) * settings.concurrencyWindowSeconds() * RATE / LOAD;
       if (fits) {
         mine.add(now);
       }
@@ -196,7 +201,7 @@
                   each.look(
                       settings,
                       share(settings, now),
-                      (int) Math.round(settings.crowdOver() / LOOK)));
+                      (int) Math.round(settings.concurrencyWindowSeconds() / LOOK)));
           look(all, agenda, settings);
         });
   }
--- a/src/main/java/wharftrestle/simulation/RolloutSimulation.java
+++ b/src/main/java/wharftrestle/simulation/RolloutSimulation.java
@@ -374,10 +374,18 @@
         }
         all.add(
             new HostSample.Counts(
-                type.name(), d[0], d[1], d[2], d[3], d[4], type.worth(), type.lateWorth()));
+                type.name(),
+                d[0],
+                d[1],
+                d[2],
+                d[3],
+                d[4],
+                type.weight(),
+                type.weightAfterObjective()));
         if (steady) {
-          worth[changed ? 0 : 2] += type.worth() * (d[0] - d[1] + d[2] * (1 - type.lateWorth()));
-          worth[changed ? 1 : 3] += type.worth() * d[0];
+          worth[changed ? 0 : 2] +=
+              type.weight() * (d[0] - d[1] + d[2] * (1 - type.weightAfterObjective()));
+          worth[changed ? 1 : 3] += type.weight() * d[0];
         }
       }
       samples.add(
--- a/src/main/java/wharftrestle/simulation/SimulatedFleet.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedFleet.java
@@ -76,10 +76,10 @@
     double unit = site.load() * CORES / site.rate(); // mean work, seconds
     List<Admission.RequestClass> classes =
         List.of(
-            type("next-step", unit, 1, Admission.Repeat.SAFE),
-                type("prefill", unit, 2, Admission.Repeat.SAFE),
-            type("history", unit, 2, Admission.Repeat.SAFE),
-                type("outcome", unit, 5, Admission.Repeat.UNSAFE));
+            type("next-step", unit, 1, Admission.Idempotency.IDEMPOTENT),
+                type("prefill", unit, 2, Admission.Idempotency.IDEMPOTENT),
+            type("history", unit, 2, Admission.Idempotency.IDEMPOTENT),
+                type("outcome", unit, 5, Admission.Idempotency.NON_IDEMPOTENT));
     return new Admission.Settings(
         classes,
         List.of(),
@@ -91,7 +91,7 @@
         1,
         0,
         Admission.Preemption.NONE,
-        Admission.Downstream.SHARED,
+        Admission.Dependency.SHARED,
         callShare,
         5,
         0.2,
@@ -114,7 +114,7 @@
   }
 
   private static Admission.RequestClass type(
-      String name, double unit, double worth, Admission.Repeat repeat) {
+      String name, double unit, double worth, Admission.Idempotency repeat) {
     return new Admission.RequestClass(name, 6 * unit, 0, 16 * unit, worth, 0.2, repeat, 0, true, 0);
   }
 
--- a/src/main/java/wharftrestle/simulation/SimulatedHost.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedHost.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 
 /**
  * One box in virtual time: the shipped policy on cores that all runs share, cold after a start,
@@ -116,7 +116,7 @@
   private final Map<Long, Live> live = new HashMap<>();
   private final List<Live> onCores = new ArrayList<>();
   private Tally tally;
-  private GroupEdfScheduler policy;
+  private AdmissionController policy;
   private Flaw flaw;
   private double startedAt;
   private double trouble = 1; // factor on its speed
@@ -154,10 +154,10 @@
     process++;
     flaw = of;
     shown = false;
-    startedAt = warm ? agenda.now() - 10 * settings.coldFor() : agenda.now();
+    startedAt = warm ? agenda.now() - 10 * settings.warmUpSeconds() : agenda.now();
     up = true;
     healthy = true;
-    policy = new GroupEdfScheduler(agenda.now(), random.nextLong(), settings, this);
+    policy = new AdmissionController(agenda.now(), random.nextLong(), settings, this);
     // In a hand-over the daemon before ends what it runs; what it held is held on here.
     live.values().stream()
         .filter(each -> each.phase == Phase.HELD && !each.answered)
@@ -174,14 +174,14 @@
                         now - live.get(each.id()).arrived,
                         each.classIndex(),
                         0,
-                        each.memory(),
+                        each.memoryKb(),
                         1,
-                        each.cost(),
+                        each.costHintSeconds(),
                         null,
                         0,
                         0,
-                        each.rank())));
-    policy.settled(now);
+                        each.priority())));
+    policy.batchCompleted(now);
     if (of.dies() > 0) {
       int mine = process;
       agenda.at(
@@ -285,11 +285,11 @@
         id,
         new Live(request, caller, now, fails, needs, callPart > 0 ? needs * (1 - callPart) : -1));
     if (open) {
-      start(id);
+      dispatch(id);
       return;
     }
     policy.arrived(now, request);
-    policy.settled(now);
+    policy.batchCompleted(now);
   }
 
   private void answer(Live of, Outcome outcome, double retryAfter) {
@@ -322,8 +322,11 @@
     if (many == 0) {
       return 0;
     }
-    double age = (now - startedAt) / settings.coldFor();
-    double warm = age >= 1 ? 1 : settings.coldFrom() + (1 - settings.coldFrom()) * Math.max(0, age);
+    double age = (now - startedAt) / settings.warmUpSeconds();
+    double warm =
+        age >= 1
+            ? 1
+            : settings.coldSpeedFraction() + (1 - settings.coldSpeedFraction()) * Math.max(0, age);
     double crowd = Math.min(1, CROWD * settings.cores() / many);
     return machine * trouble * warm * crowd * Math.min(1, (double) settings.cores() / many);
   }
@@ -357,7 +360,8 @@
     // While it warms the rate rises: looked at again often enough.
     double in =
         Math.max(
-            MOST_LOOKS, Math.min(least / rate, now - startedAt < settings.coldFor() ? 0.05 : 1));
+            MOST_LOOKS,
+            Math.min(least / rate, now - startedAt < settings.warmUpSeconds() ? 0.05 : 1));
     agenda.at(
         now + in,
         then -> {
@@ -380,15 +384,17 @@
       if (each.callAt >= 0) {
         each.callAt = -1;
         each.phase = Phase.CALLING;
-        policy.standsAtCall(now, each.request.id());
+        policy.blockedOnCall(now, each.request.id());
       } else {
-        boolean late = now - each.arrived > settings.classes().get(each.request.classIndex()).aim();
+        boolean late =
+            now - each.arrived
+                > settings.classes().get(each.request.classIndex()).latencyObjectiveSeconds();
         answer(each, each.fails ? Outcome.FAILED : late ? Outcome.LATE : Outcome.SERVED, 0);
         over(each);
         if (open) {
           continue;
         }
-        policy.ended(
+        policy.completed(
             now,
             each.request.id(),
             each.fails ? Admission.Outcome.FAILURE : Admission.Outcome.SUCCESS,
@@ -396,7 +402,7 @@
       }
     }
     if (!there.isEmpty()) {
-      policy.settled(now);
+      policy.batchCompleted(now);
     }
     plan(now);
   }
@@ -412,14 +418,14 @@
   // ---- What the policy asks for ----
 
   @Override
-  public void start(long id) {
+  public void dispatch(long id) {
     Live of = live.get(id);
     of.since = agenda.now();
     onto(of);
   }
 
   @Override
-  public void refuse(long id, boolean nowhereElse, double retryAfter) {
+  public void reject(long id, boolean nowhereElse, double retryAfter) {
     ended(id, Outcome.REFUSED, retryAfter);
   }
 
@@ -439,12 +445,12 @@
   }
 
   @Override
-  public void stop(long id) {
+  public void preempt(long id) {
     throw new IllegalStateException("these machines cannot stop work");
   }
 
   @Override
-  public void call(long id, double notPast) {
+  public void callDependency(long id, double notPast) {
     Live of = live.get(id);
     double began = agenda.now();
     tally.calls++;
@@ -461,9 +467,9 @@
           } else {
             tally.badCalls++;
           }
-          policy.callEnded(
+          policy.callCompleted(
               now, id, good ? Admission.Outcome.SUCCESS : Admission.Outcome.FAILURE, now - began);
-          policy.settled(now);
+          policy.batchCompleted(now);
         },
         notPast);
   }
@@ -474,10 +480,10 @@
   }
 
   @Override
-  public void keep(long id, double time) {}
+  public void retainKey(long id, double time) {}
 
   @Override
-  public void release(long id) {}
+  public void releaseKey(long id) {}
 
   @Override
   public void attach(long id) {
@@ -485,23 +491,23 @@
   }
 
   @Override
-  public void health(boolean good, boolean fromStore) {
+  public void reportHealth(boolean good, boolean fromStore) {
     healthy = good;
   }
 
   @Override
-  public void idleLimit(double time) {}
+  public void setIdleTimeout(double time) {}
 
   @Override
-  public void timer(long label, double in) {
+  public void setTimer(long label, double in) {
     int mine = process;
     agenda.at(
         agenda.now() + in,
         now -> {
           if (process == mine) {
             progress(now);
-            policy.timer(now, label, new double[] {busy, onCores.size()});
-            policy.settled(now);
+            policy.timerFired(now, label, new double[] {busy, onCores.size()});
+            policy.batchCompleted(now);
           }
         });
   }
--- a/src/main/java/wharftrestle/simulator/ActionWriter.java
+++ b/src/main/java/wharftrestle/simulator/ActionWriter.java
@@ -41,13 +41,13 @@
   }
 
   @Override
-  public void start(long id) {
+  public void dispatch(long id) {
     act("admit", id);
     end();
   }
 
   @Override
-  public void refuse(long id, boolean nowhereElse, double retryAfter) {
+  public void reject(long id, boolean nowhereElse, double retryAfter) {
     act("deny", id);
     if (nowhereElse) {
       lines.append("\tgiveUp=1");
@@ -65,13 +65,13 @@
   }
 
   @Override
-  public void stop(long id) {
+  public void preempt(long id) {
     act("suspend", id);
     end();
   }
 
   @Override
-  public void call(long id, double notPast) {
+  public void callDependency(long id, double notPast) {
     act("call", id);
     seconds("notPast", notPast);
     end();
@@ -84,14 +84,14 @@
   }
 
   @Override
-  public void keep(long id, double time) {
+  public void retainKey(long id, double time) {
     act("memo", id);
     seconds("ttl", time);
     end();
   }
 
   @Override
-  public void release(long id) {
+  public void releaseKey(long id) {
     act("release_key", id);
     end();
   }
@@ -103,7 +103,7 @@
   }
 
   @Override
-  public void health(boolean good, boolean fromStore) {
+  public void reportHealth(boolean good, boolean fromStore) {
     lines
         .append("set_health\twant=")
         .append(good ? 1 : 0)
@@ -113,14 +113,14 @@
   }
 
   @Override
-  public void idleLimit(double time) {
+  public void setIdleTimeout(double time) {
     lines.append("idle_limit");
     seconds("ttl", time);
     end();
   }
 
   @Override
-  public void timer(long label, double in) {
+  public void setTimer(long label, double in) {
     lines.append("set_timer\tlabel=").append(label);
     seconds("sleepFor", in);
     end();
--- a/src/main/java/wharftrestle/simulator/SettingsReader.java
+++ b/src/main/java/wharftrestle/simulator/SettingsReader.java
@@ -92,9 +92,9 @@
               c.path("importance").asDouble(1),
               c.path("lateWorth").asDouble(),
               switch (repeat) {
-                case "read_like" -> Admission.Repeat.SAFE;
-                case "idempotency_key" -> Admission.Repeat.KEYED;
-                case "non_idempotent" -> Admission.Repeat.UNSAFE;
+                case "read_like" -> Admission.Idempotency.IDEMPOTENT;
+                case "idempotency_key" -> Admission.Idempotency.IDEMPOTENCY_KEY;
+                case "non_idempotent" -> Admission.Idempotency.NON_IDEMPOTENT;
                 default -> throw new MalformedLineException("unknown repeat '" + repeat + "'");
               },
               c.path("memorySpan").asDouble(),
@@ -112,11 +112,11 @@
     };
   }
 
-  private static Admission.Downstream downstream(JsonNode own) {
+  private static Admission.Dependency downstream(JsonNode own) {
     return switch (own.path("downstream").asText()) {
-      case "shared" -> Admission.Downstream.SHARED;
-      case "tier" -> Admission.Downstream.TIER;
-      default -> Admission.Downstream.NONE;
+      case "shared" -> Admission.Dependency.SHARED;
+      case "tier" -> Admission.Dependency.TIER;
+      default -> Admission.Dependency.NONE;
     };
   }
 
--- a/src/main/java/wharftrestle/simulator/SimulatorAdapter.java
+++ b/src/main/java/wharftrestle/simulator/SimulatorAdapter.java
@@ -78,7 +78,7 @@
     try {
       for (Instance instance : touched) {
         if (instance.events != null) {
-          instance.events.settled(now);
+          instance.events.batchCompleted(now);
         }
       }
       return null;
@@ -128,13 +128,13 @@
                       line.number("timeBudget", 0),
                       line.number("prio", 0)));
       case "work_done" ->
-          living().ended(now, line.id("opId"), outcome(line), line.number("costTime", 0));
-      case "ready_to_call" -> living().standsAtCall(now, line.id("opId"));
+          living().completed(now, line.id("opId"), outcome(line), line.number("costTime", 0));
+      case "ready_to_call" -> living().blockedOnCall(now, line.id("opId"));
       case "downstream" ->
-          living().callEnded(now, line.id("opId"), outcome(line), line.number("costTime", 0));
-      case "cancelled_by_client" -> living().callerLeft(now, line.id("opId"));
-      case "lame_duck" -> living().leaving(now, line.number("timeBudget"));
-      case "timeout_fired" -> living().timer(now, line.id("label"), line.row("usage"));
+          living().callCompleted(now, line.id("opId"), outcome(line), line.number("costTime", 0));
+      case "cancelled_by_client" -> living().callerGone(now, line.id("opId"));
+      case "lame_duck" -> living().draining(now, line.number("timeBudget"));
+      case "timeout_fired" -> living().timerFired(now, line.id("label"), line.row("usage"));
       default -> {}
     }
   }
--- a/src/test/java/wharftrestle/AdmissionLines.java
+++ b/src/test/java/wharftrestle/AdmissionLines.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 import wharftrestle.simulator.MalformedLineException;
 import wharftrestle.simulator.SettingsReader;
 
@@ -54,7 +54,7 @@
       case "at" -> {}
       case "spawn" ->
           events =
-              new GroupEdfScheduler(
+              new AdmissionController(
                   now,
                   id(f, "prng"),
                   SettingsReader.read(new ObjectMapper().readTree(f.get("facts"))),
@@ -76,16 +76,17 @@
                   id(f, "forerunner"),
                   number(f, "timeBudget"),
                   number(f, "prio")));
-      case "work_done" -> events.ended(now, id(f, "opId"), outcome(f), number(f, "costTime"));
-      case "ready_to_call" -> events.standsAtCall(now, id(f, "opId"));
-      case "downstream" -> events.callEnded(now, id(f, "opId"), outcome(f), number(f, "costTime"));
-      case "cancelled_by_client" -> events.callerLeft(now, id(f, "opId"));
-      case "lame_duck" -> events.leaving(now, number(f, "timeBudget"));
-      case "shares" -> events.shares(now, number(f, "part"));
-      case "timeout_fired" -> events.timer(now, id(f, "label"), row(f.get("usage")));
+      case "work_done" -> events.completed(now, id(f, "opId"), outcome(f), number(f, "costTime"));
+      case "ready_to_call" -> events.blockedOnCall(now, id(f, "opId"));
+      case "downstream" ->
+          events.callCompleted(now, id(f, "opId"), outcome(f), number(f, "costTime"));
+      case "cancelled_by_client" -> events.callerGone(now, id(f, "opId"));
+      case "lame_duck" -> events.draining(now, number(f, "timeBudget"));
+      case "shares" -> events.quotaChanged(now, number(f, "part"));
+      case "timeout_fired" -> events.timerFired(now, id(f, "label"), row(f.get("usage")));
       case "commit" -> {
         if (events != null) {
-          events.settled(now);
+          events.batchCompleted(now);
         }
       }
       default -> throw new IOException("unknown line: " + line);
@@ -135,12 +136,12 @@
   }
 
   @Override
-  public void start(long id) {
+  public void dispatch(long id) {
     say("admit", "opId", id);
   }
 
   @Override
-  public void refuse(long id, boolean nowhereElse, double retryAfter) {
+  public void reject(long id, boolean nowhereElse, double retryAfter) {
     say("deny", "opId", id, "giveUp", nowhereElse ? 1 : 0, "coolDown", retryAfter);
   }
 
@@ -150,12 +151,12 @@
   }
 
   @Override
-  public void stop(long id) {
+  public void preempt(long id) {
     say("suspend", "opId", id);
   }
 
   @Override
-  public void call(long id, double notPast) {
+  public void callDependency(long id, double notPast) {
     say("call", "opId", id, "notPast", notPast);
   }
 
@@ -165,12 +166,12 @@
   }
 
   @Override
-  public void keep(long id, double time) {
+  public void retainKey(long id, double time) {
     say("memo", "opId", id, "ttl", time);
   }
 
   @Override
-  public void release(long id) {
+  public void releaseKey(long id) {
     say("release_key", "opId", id);
   }
 
@@ -180,17 +181,17 @@
   }
 
   @Override
-  public void health(boolean good, boolean fromStore) {
+  public void reportHealth(boolean good, boolean fromStore) {
     say("set_health", "want", good ? 1 : 0, "cheap", fromStore ? 1 : 0);
   }
 
   @Override
-  public void idleLimit(double time) {
+  public void setIdleTimeout(double time) {
     say("idle_limit", "ttl", time);
   }
 
   @Override
-  public void timer(long label, double in) {
+  public void setTimer(long label, double in) {
     say("set_timer", "label", label, "sleepFor", in);
   }
 
--- a/src/test/java/wharftrestle/CoreTest.java
+++ b/src/test/java/wharftrestle/CoreTest.java
@@ -36,35 +36,35 @@
                 new Admission.Events() {
                   @Override
                   public void arrived(double now, Admission.Request request) {
-                    if (request.rank() > 0) {
-                      actions.start(request.id());
+                    if (request.priority() > 0) {
+                      actions.dispatch(request.id());
                     } else {
-                      actions.refuse(request.id(), false, 0);
+                      actions.reject(request.id(), false, 0);
                     }
                   }
 
                   @Override
-                  public void settled(double now) {
+                  public void batchCompleted(double now) {
                     instants.incrementAndGet();
                   }
 
                   @Override
-                  public void ended(double now, long id, Outcome outcome, double elapsed) {}
+                  public void completed(double now, long id, Outcome outcome, double elapsed) {}
 
                   @Override
-                  public void standsAtCall(double now, long id) {}
+                  public void blockedOnCall(double now, long id) {}
 
                   @Override
-                  public void callEnded(double now, long id, Outcome outcome, double elapsed) {}
+                  public void callCompleted(double now, long id, Outcome outcome, double elapsed) {}
 
                   @Override
-                  public void callerLeft(double now, long id) {}
+                  public void callerGone(double now, long id) {}
 
                   @Override
-                  public void leaving(double now, double timeLeft) {}
+                  public void draining(double now, double timeLeft) {}
 
                   @Override
-                  public void timer(double now, long label, double[] gauges) {}
+                  public void timerFired(double now, long label, double[] gauges) {}
                 },
             counters);
     core.open(new SilentPool(), null, good -> {});
--- a/src/test/java/wharftrestle/DecisionGenerator.java
+++ b/src/test/java/wharftrestle/DecisionGenerator.java
@@ -20,7 +20,7 @@
 import java.util.Random;
 import java.util.zip.Deflater;
 import java.util.zip.GZIPOutputStream;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 import wharftrestle.simulator.SimulatorAdapter;
 
 /**
@@ -187,7 +187,7 @@
 
   /** The adapter of the wire, one batch at a time. */
   static Endpoint wire() {
-    SimulatorAdapter adapter = new SimulatorAdapter(GroupEdfScheduler::new);
+    SimulatorAdapter adapter = new SimulatorAdapter(AdmissionController::new);
     return batch -> {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       InputStream in = new ByteArrayInputStream(batch.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/wharftrestle/EmbeddingExample.java
+++ b/src/test/java/wharftrestle/EmbeddingExample.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 
 /** The example of the README, compiled here. */
 final class EmbeddingExample {
@@ -11,7 +11,8 @@
   // README-BEGIN
   static Admission.Events embed(Admission.Actions server, double now, long seed) {
     var lookup =
-        new Admission.RequestClass("lookup", 0.5, 0, 2.0, 1, 0, Admission.Repeat.SAFE, 0, false, 0);
+        new Admission.RequestClass(
+            "lookup", 0.5, 0, 2.0, 1, 0, Admission.Idempotency.IDEMPOTENT, 0, false, 0);
     var settings =
         new Admission.Settings(
             List.of(lookup),
@@ -24,7 +25,7 @@
             1,
             0,
             Admission.Preemption.NONE,
-            Admission.Downstream.NONE,
+            Admission.Dependency.NONE,
             0,
             0,
             0,
@@ -44,17 +45,17 @@
             false,
             0.001,
             List.of("cpu_busy", "runnable"));
-    return new GroupEdfScheduler(now, seed, settings, server);
+    return new AdmissionController(now, seed, settings, server);
   }
 
   static void onRequest(Admission.Events control, double now, long id, double waitsFor) {
     control.arrived(now, new Admission.Request(id, false, 0, 0, 0, 16, 0, 0, null, 0, waitsFor, 0));
-    control.settled(now); // calls server.start(id), server.refuse(id, ...) or leaves it held
+    control.batchCompleted(now); // calls server.start(id), server.refuse(id, ...) or leaves it held
   }
 
   static void onDone(Admission.Events control, double now, long id, double ranFor) {
-    control.ended(now, id, Admission.Outcome.SUCCESS, ranFor);
-    control.settled(now);
+    control.completed(now, id, Admission.Outcome.SUCCESS, ranFor);
+    control.batchCompleted(now);
   }
   // README-END
 }
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -24,7 +24,7 @@
 import wharftrestle.Loopback.Caller;
 import wharftrestle.Loopback.Command;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 import wharftrestle.daemon.Lifecycle;
 import wharftrestle.daemon.SignalHandlers;
 import wharftrestle.idempotency.KeyMemoryBudget;
@@ -292,7 +292,7 @@
                 spawned.incrementAndGet();
               }
             },
-            GroupEdfScheduler::new);
+            AdmissionController::new);
     core.leave(5);
     core.bound(true, 0); // the worker pool comes up in the grace
     BlockingQueue<RequestCoordinator.Answer> answers = new LinkedBlockingQueue<>();
@@ -311,7 +311,7 @@
                 throw new OutOfMemoryError("made up");
               }
             },
-            GroupEdfScheduler::new);
+            AdmissionController::new);
     core.bound(false, 100);
     BlockingQueue<RequestCoordinator.Answer> answers = new LinkedBlockingQueue<>();
     core.accept(arrival(1), answers::add);
@@ -330,14 +330,14 @@
         core(
             new SilentPool(),
             (now, seed, settings, actions) -> {
-              actions.timer(77, 0);
-              Admission.Events policy = new GroupEdfScheduler(now, seed, settings, actions);
+              actions.setTimer(77, 0);
+              Admission.Events policy = new AdmissionController(now, seed, settings, actions);
               return (Admission.Events)
                   Proxy.newProxyInstance(
                       EndingsTest.class.getClassLoader(),
                       new Class<?>[] {Admission.Events.class},
                       (self, method, words) -> {
-                        if (method.getName().equals("timer") && words[1].equals(77L)) {
+                        if (method.getName().equals("timerFired") && words[1].equals(77L)) {
                           twice.countDown();
                           if (twice.getCount() == 1) {
                             throw new StackOverflowError("made up");
--- a/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
+++ b/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
@@ -534,7 +534,7 @@
       host.needCall(id);
       host.known.get(id).callMayHaveRun = true;
       host.known.get(id).phase = i % 10 == 0 ? AT_CALL : RUNNING;
-      host.module.callEnded(
+      host.module.callCompleted(
           host.now,
           id,
           i % 10 == 0 ? Admission.Outcome.TIMED_OUT : Admission.Outcome.SUCCESS,
@@ -626,7 +626,7 @@
       long id = host.arriveAndSettle(Sites.LONG);
       host.needCall(id);
       host.known.get(id).phase = RUNNING;
-      host.module.callEnded(host.now, id, Admission.Outcome.SUCCESS, i < 10 ? 0.02 : 1.0);
+      host.module.callCompleted(host.now, id, Admission.Outcome.SUCCESS, i < 10 ? 0.02 : 1.0);
       host.end(id, Admission.Outcome.SUCCESS);
     }
     for (int i = 0; i < 8; i++) {
@@ -647,7 +647,7 @@
       host.needCall(id);
       host.pass(0.3);
       host.known.get(id).phase = RUNNING;
-      host.module.callEnded(host.now, id, Admission.Outcome.SUCCESS, 0.3);
+      host.module.callCompleted(host.now, id, Admission.Outcome.SUCCESS, 0.3);
       host.end(id, Admission.Outcome.SUCCESS);
       host.pass(4);
     }
@@ -759,13 +759,13 @@
     Sites.Builder site = Sites.site();
     site.memory = 250;
     RecordingHost host = new RecordingHost(site.build());
-    host.module.shares(host.now, 0.5);
+    host.module.quotaChanged(host.now, 0.5);
     for (int i = 0; i < 2; i++) {
       host.arrive(host.request(Sites.READ).memory(20).build());
     }
     host.settle();
     assertEquals(1, host.in(RUNNING).size(), "a second one would take more than half");
-    host.module.shares(host.now, 1);
+    host.module.quotaChanged(host.now, 1);
     host.settle();
     assertEquals(2, host.in(RUNNING).size());
   }
@@ -843,14 +843,14 @@
     // The host's clock is left alone: only the told run time is long, 40 times the usual.
     host.known.get(one).phase = OVER;
     host.known.get(one).answered = true;
-    host.module.ended(host.now, one, Admission.Outcome.SUCCESS, 8);
+    host.module.completed(host.now, one, Admission.Outcome.SUCCESS, 8);
     host.settle();
     assertTrue(host.healthy);
     for (int i = 0; i < 14; i++) {
       long id = host.arriveAndSettle(Sites.LONG);
       host.known.get(id).phase = OVER;
       host.known.get(id).answered = true;
-      host.module.ended(host.now, id, Admission.Outcome.SUCCESS, 1);
+      host.module.completed(host.now, id, Admission.Outcome.SUCCESS, 1);
       host.settle();
     }
     assertFalse(host.healthy);
@@ -866,7 +866,7 @@
         long id = host.arriveAndSettle(Sites.LONG);
         host.known.get(id).phase = OVER;
         host.known.get(id).answered = true;
-        host.module.ended(host.now, id, Admission.Outcome.SUCCESS, 0.2 * times);
+        host.module.completed(host.now, id, Admission.Outcome.SUCCESS, 0.2 * times);
         host.settle();
       }
       assertEquals(times < 3, host.healthy, times + " times the least seen");
@@ -892,7 +892,7 @@
       long id = host.in(RUNNING).get(0);
       host.known.get(id).phase = OVER;
       host.known.get(id).answered = true;
-      host.module.ended(host.now, id, Admission.Outcome.SUCCESS, 0.2 * 3.9);
+      host.module.completed(host.now, id, Admission.Outcome.SUCCESS, 0.2 * 3.9);
       host.settle();
     }
     assertTrue(host.healthy, "3.9 times the least seen, with three a core");
@@ -943,7 +943,7 @@
     }
     assertFalse(host.healthy);
     host.now += 6;
-    host.module.leaving(host.now, 5);
+    host.module.draining(host.now, 5);
     host.settle();
     assertFalse(host.healthy);
   }
@@ -959,7 +959,7 @@
       long id = host.arrive(host.request(Sites.READ).cost(0.01).build(), true);
       host.needCall(id);
       host.known.get(id).phase = RUNNING;
-      host.module.callEnded(host.now, id, Admission.Outcome.SUCCESS, 0.9);
+      host.module.callCompleted(host.now, id, Admission.Outcome.SUCCESS, 0.9);
       host.pass(0.01);
       host.end(id, Admission.Outcome.SUCCESS);
     }
@@ -979,7 +979,7 @@
       long id = host.arriveAndSettle(Sites.READ);
       host.needCall(id);
       host.known.get(id).phase = RUNNING;
-      host.module.callEnded(host.now, id, Admission.Outcome.SUCCESS, 0.9);
+      host.module.callCompleted(host.now, id, Admission.Outcome.SUCCESS, 0.9);
       host.end(id, Admission.Outcome.SUCCESS);
     }
     List<Long> ids = new ArrayList<>();
@@ -1038,10 +1038,10 @@
     host.end(id, Admission.Outcome.SUCCESS);
     int said = host.log.size();
     for (long over : new long[] {id, 424242}) {
-      host.module.ended(host.now, over, Admission.Outcome.VOID, 0);
-      host.module.standsAtCall(host.now, over);
-      host.module.callEnded(host.now, over, Admission.Outcome.SUCCESS, 0);
-      host.module.callerLeft(host.now, over);
+      host.module.completed(host.now, over, Admission.Outcome.VOID, 0);
+      host.module.blockedOnCall(host.now, over);
+      host.module.callCompleted(host.now, over, Admission.Outcome.SUCCESS, 0);
+      host.module.callerGone(host.now, over);
     }
     host.settle();
     assertEquals(said, host.log.size());
--- a/src/test/java/wharftrestle/RandomSequencesTest.java
+++ b/src/test/java/wharftrestle/RandomSequencesTest.java
@@ -70,7 +70,7 @@
       r.patience(0.05 + random.nextDouble() * 3);
     }
     boolean keyed = type == Sites.KEYED;
-    boolean shared = host.settings.shareFor() > 0 && type == Sites.READ;
+    boolean shared = host.settings.resultSharingSeconds() > 0 && type == Sites.READ;
     if (keyed || shared) {
       String key = (keyed ? "k" : "r") + random.nextInt(8);
       r.subject(key);
@@ -116,7 +116,7 @@
             continue;
           }
           if (k.answered || random.nextInt(40) == 0) {
-            boolean calls = host.settings.classes().get(k.request.classIndex()).calls();
+            boolean calls = host.settings.classes().get(k.request.classIndex()).callsDependency();
             if (k.answered) {
               host.end(id, Admission.Outcome.WITHDRAWN);
             } else if (calls && random.nextBoolean()) {
@@ -148,7 +148,7 @@
           }
         }
         case ATTACHED -> {
-          RecordingHost.Known prior = host.known.get(k.request.repeatOf());
+          RecordingHost.Known prior = host.known.get(k.request.duplicateOf());
           if (prior == null || prior.phase == RecordingHost.Phase.OVER) {
             host.end(
                 id,
--- a/src/test/java/wharftrestle/RecordingHost.java
+++ b/src/test/java/wharftrestle/RecordingHost.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 
 /**
  * Records what the module asks for and enforces the four rules on it. It plays no server: tests say
@@ -46,7 +46,7 @@
   private record Due(double at, long label) {}
 
   final Admission.Settings settings;
-  final GroupEdfScheduler module;
+  final AdmissionController module;
   final Map<Long, Known> known = new LinkedHashMap<>();
   final List<String> log = new ArrayList<>();
   final PriorityQueue<Due> timers = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
@@ -69,7 +69,7 @@
   RecordingHost(Admission.Settings settings, long seed) {
     this.settings = settings;
     this.now = 100;
-    this.module = new GroupEdfScheduler(now, seed, settings, this);
+    this.module = new AdmissionController(now, seed, settings, this);
   }
 
   // ---- What happens ----
@@ -85,9 +85,14 @@
   long arrive(Admission.Request r) {
     Known k = new Known();
     k.request = r;
-    k.arrived = now - r.lay();
+    k.arrived = now - r.queueingDelaySeconds();
     Admission.RequestClass type = settings.classes().get(r.classIndex());
-    k.due = Math.max(now, r.patience() > 0 ? now + r.patience() : k.arrived + type.deadline());
+    k.due =
+        Math.max(
+            now,
+            r.remainingDeadlineSeconds() > 0
+                ? now + r.remainingDeadlineSeconds()
+                : k.arrived + type.deadlineSeconds());
     known.put(r.id(), k);
     module.arrived(now, r);
     return r.id();
@@ -102,7 +107,7 @@
   }
 
   void settle() {
-    module.settled(now);
+    module.batchCompleted(now);
     checkMemory();
   }
 
@@ -118,7 +123,7 @@
     while (!timers.isEmpty() && timers.peek().at <= until) {
       Due due = timers.poll();
       advance(Math.max(now, due.at));
-      module.timer(now, due.label, gauges);
+      module.timerFired(now, due.label, gauges);
       settle();
       checkAnswers();
     }
@@ -139,7 +144,7 @@
       answer(k, outcome.name());
     }
     k.phase = Phase.OVER;
-    module.ended(now, id, outcome, now - k.since);
+    module.completed(now, id, outcome, now - k.since);
     settle();
   }
 
@@ -152,21 +157,21 @@
     assertTrue(k.stopAsked && k.phase == Phase.RUNNING, "nobody asked to stop " + id);
     k.stopAsked = false;
     k.phase = k.answered ? Phase.OVER : Phase.PAUSED;
-    module.ended(now, id, Admission.Outcome.WITHDRAWN, now - k.since);
+    module.completed(now, id, Admission.Outcome.WITHDRAWN, now - k.since);
     settle();
   }
 
   void needCall(long id) {
     known.get(id).phase = Phase.AT_CALL;
-    module.standsAtCall(now, id);
+    module.blockedOnCall(now, id);
     settle();
   }
 
   void endCall(long id, Admission.Outcome outcome) {
     Known k = known.get(id);
     k.phase = outcome == Admission.Outcome.SUCCESS ? Phase.RUNNING : Phase.AT_CALL;
-    k.callMayHaveRun = outcome != Admission.Outcome.SUCCESS && !outcome.neverRan();
-    module.callEnded(now, id, outcome, 0.05);
+    k.callMayHaveRun = outcome != Admission.Outcome.SUCCESS && !outcome.neverExecuted();
+    module.callCompleted(now, id, outcome, 0.05);
     settle();
   }
 
@@ -176,13 +181,13 @@
     if (k.phase == Phase.HELD || k.phase == Phase.PAUSED || k.phase == Phase.ATTACHED) {
       k.phase = Phase.OVER;
     }
-    module.callerLeft(now, id);
+    module.callerGone(now, id);
     settle();
   }
 
   void leave(double timeLeft) {
     leftAt = now;
-    module.leaving(now, timeLeft);
+    module.draining(now, timeLeft);
     settle();
   }
 
@@ -217,19 +222,20 @@
     for (Known k : known.values()) {
       used +=
           switch (k.phase) {
-            case HELD, ATTACHED -> k.request.memory();
-            case PAUSED, RUNNING, AT_CALL, CALLING -> k.request.memory() * settings.runFactor();
+            case HELD, ATTACHED -> k.request.memoryKb();
+            case PAUSED, RUNNING, AT_CALL, CALLING ->
+                k.request.memoryKb() * settings.executionMemoryFactor();
             case OVER -> 0;
           };
-      used += k.keyUntil >= now ? settings.keyMemory() : 0;
+      used += k.keyUntil >= now ? settings.keyMemoryKb() : 0;
     }
-    assertTrue(used <= settings.memory(), "memory " + used + " over " + settings.memory());
+    assertTrue(used <= settings.memoryKb(), "memory " + used + " over " + settings.memoryKb());
   }
 
   void checkAnswers() {
     for (Known k : known.values()) {
       assertTrue(
-          k.answered || now <= k.due + settings.answerSlack(),
+          k.answered || now <= k.due + settings.answerSlackSeconds(),
           "request " + k.request.id() + " unanswered " + (now - k.due) + " s after it was due");
     }
   }
@@ -249,11 +255,12 @@
   }
 
   private boolean effectful(Known k) {
-    return settings.classes().get(k.request.classIndex()).repeat() != Admission.Repeat.SAFE;
+    return settings.classes().get(k.request.classIndex()).idempotency()
+        != Admission.Idempotency.IDEMPOTENT;
   }
 
   @Override
-  public void start(long id) {
+  public void dispatch(long id) {
     Known k = own(id);
     log.add("start " + id);
     assertFalse(k.answered, "started though answered: " + id);
@@ -264,15 +271,18 @@
     }
     assertEquals(Phase.HELD, k.phase, "started though not held: " + id);
     assertFalse(k.ran && effectful(k), "ran twice: " + id);
-    assertTrue(k.arrived <= leftAt + settings.drainGrace(), "started after the grace: " + id);
+    assertTrue(
+        k.arrived <= leftAt + settings.drainGraceSeconds(), "started after the grace: " + id);
     Admission.RequestClass type = settings.classes().get(k.request.classIndex());
-    if (type.repeat() == Admission.Repeat.KEYED) {
+    if (type.idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY) {
       assertTrue(
-          k.keyUntil >= k.arrived + type.window(), "keyed request started without a lasting entry");
-      Double ran = keyRanArrival.get(k.request.subject());
+          k.keyUntil >= k.arrived + type.idempotencyWindowSeconds(),
+          "keyed request started without a lasting entry");
+      Double ran = keyRanArrival.get(k.request.resourceKey());
       assertTrue(
-          ran == null || k.arrived > ran + type.window(), "key ran twice: " + k.request.subject());
-      keyRanArrival.put(k.request.subject(), k.arrived);
+          ran == null || k.arrived > ran + type.idempotencyWindowSeconds(),
+          "key ran twice: " + k.request.resourceKey());
+      keyRanArrival.put(k.request.resourceKey(), k.arrived);
     }
     k.ran = true;
     k.phase = Phase.RUNNING;
@@ -280,13 +290,13 @@
   }
 
   @Override
-  public void refuse(long id, boolean nowhereElse, double retryAfter) {
+  public void reject(long id, boolean nowhereElse, double retryAfter) {
     Known k = own(id);
     log.add("refuse " + id);
     lastAdvice = retryAfter;
     lastNowhereElse = nowhereElse;
     assertFalse(effectful(k) && k.ran, "turned away after it ran: " + id);
-    assertTrue(retryAfter <= settings.maxRetryAfter());
+    assertTrue(retryAfter <= settings.maxRetryAfterSeconds());
     answer(k, "refused");
     if (k.phase == Phase.HELD || k.phase == Phase.PAUSED || k.phase == Phase.ATTACHED) {
       k.phase = Phase.OVER;
@@ -304,7 +314,7 @@
   }
 
   @Override
-  public void stop(long id) {
+  public void preempt(long id) {
     log.add("stop " + id);
     assertTrue(settings.preemption() != Admission.Preemption.NONE);
     assertEquals(Phase.RUNNING, own(id).phase);
@@ -315,7 +325,7 @@
   }
 
   @Override
-  public void call(long id, double notPast) {
+  public void callDependency(long id, double notPast) {
     Known k = own(id);
     log.add("call " + id);
     assertEquals(Phase.AT_CALL, k.phase);
@@ -328,19 +338,19 @@
   @Override
   public void skipCall(long id) {
     log.add("skip " + id);
-    assertTrue(settings.classes().get(own(id).request.classIndex()).skipWorth() > 0);
+    assertTrue(settings.classes().get(own(id).request.classIndex()).weightWithoutCall() > 0);
     assertEquals(Phase.AT_CALL, own(id).phase);
     own(id).phase = Phase.RUNNING;
   }
 
   @Override
-  public void keep(long id, double time) {
+  public void retainKey(long id, double time) {
     log.add("keep " + id);
     own(id).keyUntil = now + time;
   }
 
   @Override
-  public void release(long id) {
+  public void releaseKey(long id) {
     log.add("release " + id);
     own(id).keyUntil = Double.NEGATIVE_INFINITY;
   }
@@ -349,27 +359,27 @@
   public void attach(long id) {
     Known k = own(id);
     log.add("attach " + id);
-    assertTrue(k.request.repeatOf() != 0, "attached without a request to attach to");
+    assertTrue(k.request.duplicateOf() != 0, "attached without a request to attach to");
     assertEquals(Phase.HELD, k.phase);
     k.phase = Phase.ATTACHED;
     k.since = now;
   }
 
   @Override
-  public void health(boolean good, boolean fromStore) {
+  public void reportHealth(boolean good, boolean fromStore) {
     log.add("health " + good);
     healthy = good;
   }
 
   @Override
-  public void idleLimit(double time) {
+  public void setIdleTimeout(double time) {
     assertTrue(time >= 0);
     idleLimit = time;
     idleLimits++;
   }
 
   @Override
-  public void timer(long label, double in) {
+  public void setTimer(long label, double in) {
     assertTrue(in > 0);
     timers.add(new Due(now + in, label));
   }
--- a/src/test/java/wharftrestle/Sites.java
+++ b/src/test/java/wharftrestle/Sites.java
@@ -50,7 +50,7 @@
         double deadline,
         double worth,
         double late,
-        Admission.Repeat repeat) {
+        Admission.Idempotency repeat) {
       return new Admission.RequestClass(
           name, aim / haste, 0, deadline / haste, worth, late, repeat, window, calls, skipWorth);
     }
@@ -58,11 +58,23 @@
     public Admission.Settings build() {
       return new Admission.Settings(
           List.of(
-              type(swapped ? "save" : "read", 2, 6, swapped ? 3 : 1, 0, Admission.Repeat.SAFE),
-              type(swapped ? "read" : "save", 2, 6, swapped ? 1 : 3, 0, Admission.Repeat.SAFE),
-              type("keyed", 2, 6, 3, 0, Admission.Repeat.KEYED),
-              type("unsafe", 2, 6, 3, 0, Admission.Repeat.UNSAFE),
-              type("long", 8, 20, 1, 0.2, Admission.Repeat.SAFE)),
+              type(
+                  swapped ? "save" : "read",
+                  2,
+                  6,
+                  swapped ? 3 : 1,
+                  0,
+                  Admission.Idempotency.IDEMPOTENT),
+              type(
+                  swapped ? "read" : "save",
+                  2,
+                  6,
+                  swapped ? 1 : 3,
+                  0,
+                  Admission.Idempotency.IDEMPOTENT),
+              type("keyed", 2, 6, 3, 0, Admission.Idempotency.IDEMPOTENCY_KEY),
+              type("unsafe", 2, 6, 3, 0, Admission.Idempotency.NON_IDEMPOTENT),
+              type("long", 8, 20, 1, 0.2, Admission.Idempotency.IDEMPOTENT)),
           tenants,
           1,
           3,
@@ -72,7 +84,7 @@
           keyMemory,
           shareFor,
           preemption,
-          calls ? Admission.Downstream.SHARED : Admission.Downstream.NONE,
+          calls ? Admission.Dependency.SHARED : Admission.Dependency.NONE,
           calls ? callShare : 0,
           5,
           0.2,
--- a/src/test/java/wharftrestle/WireAdapterTest.java
+++ b/src/test/java/wharftrestle/WireAdapterTest.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 import wharftrestle.simulator.SimulatorAdapter;
 
 /** The wire by hand-written lines. */
@@ -23,7 +23,7 @@
 
   private static String serve(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new SimulatorAdapter(GroupEdfScheduler::new)
+    new SimulatorAdapter(AdmissionController::new)
         .serve(
             new ByteArrayInputStream(
                 (String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8)),
--- a/src/test/java/wharftrestle/admin/AdminFormatFixtures.java
+++ b/src/test/java/wharftrestle/admin/AdminFormatFixtures.java
@@ -282,9 +282,10 @@
     @Override
     public List<Admission.RequestClass> classes() {
       return List.of(
-          new Admission.RequestClass("read", 2, 0, 6, 1, 0.5, Admission.Repeat.SAFE, 12, false, 0),
           new Admission.RequestClass(
-              "save all", 2, 0, 3, 3, 0.25, Admission.Repeat.KEYED, 12, false, 0));
+              "read", 2, 0, 6, 1, 0.5, Admission.Idempotency.IDEMPOTENT, 12, false, 0),
+          new Admission.RequestClass(
+              "save all", 2, 0, 3, 3, 0.25, Admission.Idempotency.IDEMPOTENCY_KEY, 12, false, 0));
     }
 
     @Override
--- a/src/test/java/wharftrestle/admission/ModuleShapeTest.java
+++ b/src/test/java/wharftrestle/admission/ModuleShapeTest.java
@@ -16,7 +16,8 @@
   @Test
   void theModuleStaysNarrowAndNamesItsTypes() throws IOException {
     List<String> lines =
-        Files.readAllLines(Path.of("src/main/java/wharftrestle/policy/GroupEdfScheduler.java"));
+        Files.readAllLines(
+            Path.of("src/main/java/wharftrestle/admission/AdmissionController.java"));
     assertEquals(List.of(), lines.stream().filter(line -> line.length() > MAX_COLUMNS).toList());
     assertTrue(lines.stream().limit(20).anyMatch(line -> line.contains("Admission.java")));
   }
--- a/src/test/java/wharftrestle/simulation/ServedShareFloorTest.java
+++ b/src/test/java/wharftrestle/simulation/ServedShareFloorTest.java
@@ -104,7 +104,7 @@
     for (int type :
         IntStream.range(0, SHARES.length)
             .boxed()
-            .sorted(Comparator.comparing(i -> -fleet.settings.classes().get(i).worth()))
+            .sorted(Comparator.comparing(i -> -fleet.settings.classes().get(i).weight()))
             .toList()) {
       most[type] = Math.min(left, asked * SHARES[type]);
       left -= most[type];
@@ -122,7 +122,7 @@
       fleet.boxes.forEach(each -> each.start(flaw, true));
     }
     double[] worths =
-        fleet.settings.classes().stream().mapToDouble(Admission.RequestClass::worth).toArray();
+        fleet.settings.classes().stream().mapToDouble(Admission.RequestClass::weight).toArray();
     double[] whole = new double[SHARES.length];
     double[] best = new double[SHARES.length];
     double all = 0;
--- a/src/test/java/wharftrestle/storage/ResultRecorderTest.java
+++ b/src/test/java/wharftrestle/storage/ResultRecorderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.SilentPool;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.ResultMetric;
@@ -36,7 +36,7 @@
           7,
           64,
           KeyMemoryBudget.of(1 << 20),
-          GroupEdfScheduler::new,
+          AdmissionController::new,
           new Counters(List.of("read", "keyed")));
   private int references;
 
@@ -57,9 +57,11 @@
 
   private static Admission.Settings settings() {
     Admission.RequestClass read =
-        new Admission.RequestClass("read", 2, 0, 6, 1, 0, Admission.Repeat.SAFE, 12, false, 0);
+        new Admission.RequestClass(
+            "read", 2, 0, 6, 1, 0, Admission.Idempotency.IDEMPOTENT, 12, false, 0);
     Admission.RequestClass keyed =
-        new Admission.RequestClass("keyed", 2, 0, 3, 3, 0, Admission.Repeat.KEYED, 12, false, 0);
+        new Admission.RequestClass(
+            "keyed", 2, 0, 3, 3, 0, Admission.Idempotency.IDEMPOTENCY_KEY, 12, false, 0);
     return new Admission.Settings(
         List.of(read, keyed),
         List.of(),
@@ -71,7 +73,7 @@
         10,
         0,
         Admission.Preemption.DROP,
-        Admission.Downstream.NONE,
+        Admission.Dependency.NONE,
         0,
         5,
         0.2,
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import wharftrestle.SilentPool;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.idempotency.KeyDigest;
@@ -198,7 +198,7 @@
             7,
             64,
             KeyMemoryBudget.of(1 << 20),
-            GroupEdfScheduler::new,
+            AdmissionController::new,
             new Counters(List.of("read", "keyed")));
     core.open(new SilentPool(), null, good -> {});
     core.bound(false, 100);
@@ -207,9 +207,11 @@
 
   private static Admission.Settings settings() {
     Admission.RequestClass read =
-        new Admission.RequestClass("read", 2, 0, 6, 1, 0, Admission.Repeat.SAFE, 12, false, 0);
+        new Admission.RequestClass(
+            "read", 2, 0, 6, 1, 0, Admission.Idempotency.IDEMPOTENT, 12, false, 0);
     Admission.RequestClass keyed =
-        new Admission.RequestClass("keyed", 2, 0, 3, 3, 0, Admission.Repeat.KEYED, 12, false, 0);
+        new Admission.RequestClass(
+            "keyed", 2, 0, 3, 3, 0, Admission.Idempotency.IDEMPOTENCY_KEY, 12, false, 0);
     return new Admission.Settings(
         List.of(read, keyed),
         List.of(),
@@ -221,7 +223,7 @@
         10,
         0,
         Admission.Preemption.DROP,
-        Admission.Downstream.NONE,
+        Admission.Dependency.NONE,
         0,
         5,
         0.2,
--- a/src/test/java/wharftrestle/version/VersionTest.java
+++ b/src/test/java/wharftrestle/version/VersionTest.java
@@ -62,7 +62,7 @@
     assertEquals(before, canonical(plain, 2000, none));
     RecordComponent[] parts = Admission.Settings.class.getRecordComponents();
     // Whether a process has just started is no setting of the operators.
-    Set<String> left = Set.of("justStarted");
+    Set<String> left = Set.of("coldStart");
     for (int i = 0; i < parts.length; i++) {
       Object[] values = new Object[parts.length];
       Class<?>[] types = new Class<?>[parts.length];
