--- a/src/main/java/wharftrestle/admission/Admission.java
+++ b/src/main/java/wharftrestle/admission/Admission.java
@@ -1,7 +1,5 @@
 package wharftrestle.admission;
 
-import java.util.List;
-
 /**
  * The interface between a host and its admission control: the host reports what happens through
  * {@link Events}, and the control answers through {@link Actions}.
@@ -108,112 +106,6 @@
    */
   record Tenant(String name, double quotaPerSecond, double serviceFraction) {}
 
-  /**
-   * What an instance knows when it starts. Absent optional values are 0, false or an empty list.
-   *
-   * @param classes request classes, by position
-   * @param tenants tenants, by position; may be empty
-   * @param hosts instances of this service when this one started, this one included
-   * @param callers callers when this one started
-   * @param cores cores of this host
-   * @param memoryKb memory for queued and executing requests and retained keys
-   * @param executionMemoryFactor memory of an executing request, as a multiple of a queued one
-   * @param keyMemoryKb memory of one retained key
-   * @param resultSharingSeconds how long the result of an idempotent request may answer others; 0
-   *     for never
-   * @param preemption what can be done to executions
-   * @param dependency where dependency calls go
-   * @param callQuota dependency calls in flight that this instance may have, as a mean over the
-   *     window
-   * @param callQuotaWindowSeconds the span of that mean
-   * @param abandonedCallSeconds longest time for which an abandoned call still occupies the
-   *     dependency
-   * @param notifiesCallerGone the host reports when a caller has gone
-   * @param healthChecksExecute health checks are executed unless answered from the cache
-   * @param endpointListFollowsHealth the callers' endpoint list follows the health reported here
-   * @param answerSlackSeconds an answer this long after its deadline still counts
-   * @param drainGraceSeconds what arrives later than this after the start of draining may not be
-   *     executed
-   * @param survivableConcurrencyPerCore executions per core that a warm host survives
-   * @param concurrencyWindowSeconds the span of that mean
-   * @param coldStart the host has just started
-   * @param coldSpeedFraction least fraction of its full speed while cold
-   * @param warmUpSeconds it is warm after this time at the latest
-   * @param maxRetryAfterSeconds longest Retry-After that is observed; 0 where none is passed on
-   * @param weightPerWork weight is counted per unit of work, not per request
-   * @param weightOverQuota fraction of the weight of what exceeds its tenant's quota
-   * @param marksRetries clients mark retries
-   * @param tickSeconds shortest gap between two instants of the host
-   * @param gauges names of the gauges that come with the timer, by position
-   */
-  record Settings(
-      List<RequestClass> classes,
-      List<Tenant> tenants,
-      int hosts,
-      int callers,
-      int cores,
-      double memoryKb,
-      double executionMemoryFactor,
-      double keyMemoryKb,
-      double resultSharingSeconds,
-      Preemption preemption,
-      Dependency dependency,
-      double callQuota,
-      double callQuotaWindowSeconds,
-      double abandonedCallSeconds,
-      boolean notifiesCallerGone,
-      boolean healthChecksExecute,
-      boolean endpointListFollowsHealth,
-      double answerSlackSeconds,
-      double drainGraceSeconds,
-      double survivableConcurrencyPerCore,
-      double concurrencyWindowSeconds,
-      boolean coldStart,
-      double coldSpeedFraction,
-      double warmUpSeconds,
-      double maxRetryAfterSeconds,
-      boolean weightPerWork,
-      double weightOverQuota,
-      boolean marksRetries,
-      double tickSeconds,
-      List<String> gauges) {
-
-    /** Returns the same settings for a host that may have started cold. */
-    public Settings withColdStart(boolean cold) {
-      return new Settings(
-          classes,
-          tenants,
-          hosts,
-          callers,
-          cores,
-          memoryKb,
-          executionMemoryFactor,
-          keyMemoryKb,
-          resultSharingSeconds,
-          preemption,
-          dependency,
-          callQuota,
-          callQuotaWindowSeconds,
-          abandonedCallSeconds,
-          notifiesCallerGone,
-          healthChecksExecute,
-          endpointListFollowsHealth,
-          answerSlackSeconds,
-          drainGraceSeconds,
-          survivableConcurrencyPerCore,
-          concurrencyWindowSeconds,
-          coldStart || cold,
-          coldSpeedFraction,
-          warmUpSeconds,
-          maxRetryAfterSeconds,
-          weightPerWork,
-          weightOverQuota,
-          marksRetries,
-          tickSeconds,
-          gauges);
-    }
-  }
-
   /**
    * One request that was read and is now owed exactly one final answer.
    *
--- a/src/main/java/wharftrestle/admission/AdmissionController.java
+++ b/src/main/java/wharftrestle/admission/AdmissionController.java
@@ -289,7 +289,7 @@
     int runs;
   }
 
-  private final Admission.Settings settings;
+  private final AdmissionSettings settings;
   private final Admission.Actions act;
   private final Random random;
   private final double bornAt;
@@ -340,7 +340,7 @@
   private double backlog; // seconds of work in hand, as of the last look at the hold
 
   public AdmissionController(
-      double now, long seed, Admission.Settings settings, Admission.Actions actions) {
+      double now, long seed, AdmissionSettings settings, Admission.Actions actions) {
     this.settings = settings;
     this.act = actions;
     random = new Random(seed);
@@ -363,7 +363,7 @@
                     : Long.compare(a.request.id(), b.request.id()));
     busyGauge = settings.gauges().indexOf("cpu_busy");
     runnableGauge = settings.gauges().indexOf("runnable");
-    limit = settings.cores();
+    limit = settings.capacity().cores();
     callBudget = callBurst();
     callBudgetAt = now;
     lookAt = now;
@@ -387,12 +387,14 @@
         request.remainingDeadlineSeconds() > 0
             ? now + request.remainingDeadlineSeconds()
             : op.arrived + op.type.deadlineSeconds();
-    op.due = Math.max(now, Math.min(due, stopAt) - ANSWER_TICKS * settings.tickSeconds());
+    op.due = Math.max(now, Math.min(due, stopAt) - ANSWER_TICKS * settings.timing().tickSeconds());
     double aim =
         Math.min(
             op.type.deadlineSeconds(),
             op.type.latencyObjectiveSeconds() + op.type.latencyObjectiveStretch() * run(op));
-    op.aimBy = Math.min(op.due, op.arrived + aim - age(op) - ANSWER_TICKS * settings.tickSeconds());
+    op.aimBy =
+        Math.min(
+            op.due, op.arrived + aim - age(op) - ANSWER_TICKS * settings.timing().tickSeconds());
     ops.put(request.id(), op);
     held.add(op);
     heldMemory += request.memoryKb();
@@ -466,7 +468,7 @@
     act.reportHealth(false, true);
     act.log("leaving in " + timeLeft + " s with " + held.size() + " held, " + onCores + " running");
     for (Op op : ops.values()) {
-      op.due = Math.min(op.due, stopAt - ANSWER_TICKS * settings.tickSeconds());
+      op.due = Math.min(op.due, stopAt - ANSWER_TICKS * settings.timing().tickSeconds());
       op.aimBy = Math.min(op.aimBy, op.due);
     }
   }
@@ -553,7 +555,8 @@
       double unit = op.request.costHintSeconds() > 0 ? sure / op.request.costHintSeconds() : sure;
       latency += LEARN * (level / s.base - latency);
       drag += RUN_LEARN * (Math.min(RUN_MOST, unit / s.base) - drag);
-      crowded += RUN_LEARN * (Math.max(1, (double) onCores / settings.cores()) - crowded);
+      crowded +=
+          RUN_LEARN * (Math.max(1, (double) onCores / settings.capacity().cores()) - crowded);
     }
   }
 
@@ -591,8 +594,9 @@
       if (op.state != State.HELD) {
         continue;
       }
-      double more = op.request.memoryKb() * (settings.executionMemoryFactor() - 1);
-      if (heldMemory + runMemory + keyMemory() + more > RUN_MEMORY * mine * settings.memoryKb()) {
+      double more = op.request.memoryKb() * (settings.capacity().executionMemoryFactor() - 1);
+      if (heldMemory + runMemory + keyMemory() + more
+          > RUN_MEMORY * mine * settings.capacity().memoryKb()) {
         continue;
       }
       // Those that stand at calls are outside the limit, so they have a bound of their own: what
@@ -605,7 +609,7 @@
       act.dispatch(op.request.id());
       held.remove(op);
       heldMemory -= op.request.memoryKb();
-      runMemory += op.request.memoryKb() * settings.executionMemoryFactor();
+      runMemory += op.request.memoryKb() * settings.capacity().executionMemoryFactor();
       op.state = State.RUNNING;
       op.started = now;
       op.ran = true;
@@ -626,7 +630,7 @@
   private double age(Op op) {
     double waits = op.request.remainingDeadlineSeconds() + op.request.queueingDelaySeconds();
     ClassStats s = op.stats;
-    if (!settings.marksRetries() || op.request.remainingDeadlineSeconds() <= 0) {
+    if (!settings.retries().marked() || op.request.remainingDeadlineSeconds() <= 0) {
       return 0;
     }
     if (!op.request.retry()) {
@@ -635,7 +639,8 @@
       s.shortest = s.shortest == 0 ? waits : Math.min(waits, risen);
       return 0;
     }
-    boolean last = s.longest > 0 && waits > s.longest + ANSWER_TICKS * settings.tickSeconds();
+    boolean last =
+        s.longest > 0 && waits > s.longest + ANSWER_TICKS * settings.timing().tickSeconds();
     return Math.max(0, (last ? op.type.deadlineSeconds() : s.shortest) - waits);
   }
 
@@ -656,9 +661,9 @@
       worth *= op.type.weightAfterObjective();
     }
     if (callsBind) {
-      return worth * (settings.weightPerWork() ? own(op) : 1) / op.stats.calls;
+      return worth * (settings.weighting().perWork() ? own(op) : 1) / op.stats.calls;
     }
-    return settings.weightPerWork() ? worth : worth / run(op);
+    return settings.weighting().perWork() ? worth : worth / run(op);
   }
 
   /**
@@ -698,7 +703,7 @@
       wait = Math.max(callWait, wait);
       // Guards against refusing large requests on idle cores: their estimate is scaled by a mean of
       // busier times. Without a hint the mean is all there is: a slow machine would try in vain.
-      boolean idle = onCores + i < settings.cores() && op.request.costHintSeconds() > 0;
+      boolean idle = onCores + i < settings.capacity().cores() && op.request.costHintSeconds() > 0;
       double need = run(op) * (idle ? ON_IDLE : 1);
       if (now + need > usefulBy(now, op) || (failures > ILL_FAILURES && onCores + i > 0)) {
         order.remove(i--);
@@ -738,11 +743,11 @@
 
   /** Refuses with advice when to come back. */
   private void decline(double now, Op op) {
-    boolean marked = settings.marksRetries();
+    boolean marked = settings.retries().marked();
     boolean storm = marked ? furtherShare > RETRY_STORM : refusedShare > REFUSED_STORM;
     double away =
         failures > ILL_FAILURES
-            ? settings.maxRetryAfterSeconds()
+            ? settings.retries().maxRetryAfterSeconds()
             : Math.min(1, ADVICE * drag) * backlog + unread;
     // Guards against advice that costs the aim: clients' tries are counted, and a late one is lost.
     // What
@@ -751,14 +756,14 @@
     // callers then spread the load.
     double room = op.aimBy - now - run(op);
     if (marked && failures <= ILL_FAILURES) {
-      double lost = started(op) ? settings.maxRetryAfterSeconds() : away;
+      double lost = started(op) ? settings.retries().maxRetryAfterSeconds() : away;
       away = room > 0 ? Math.min(away, ADVICE_ROOM * room) : lost;
     }
     refusedShare += started(op) ? 0 : LEARN;
     act.reject(
         op.request.id(),
         storm || (marked && room <= 0),
-        Math.min(settings.maxRetryAfterSeconds(), away));
+        Math.min(settings.retries().maxRetryAfterSeconds(), away));
   }
 
   private static boolean mayNotRefuse(Op op) {
@@ -779,7 +784,7 @@
         }
         fail(op);
       }
-      if (started(op) && settings.preemption() != Admission.Preemption.NONE) {
+      if (started(op) && settings.capacity().preemption() != Admission.Preemption.NONE) {
         if (!op.answered && now >= op.aimBy && op.type.weightAfterObjective() == 0) {
           giveUp(now, op);
         }
@@ -844,12 +849,12 @@
 
   private double shareWorth(Admission.Request request) {
     int t = request.tenantIndex();
-    if (t >= settings.tenants().size() || settings.hosts() <= 0) {
+    if (t >= settings.tenants().size() || settings.fleet().hosts() <= 0) {
       return 1;
     }
-    double allowed = settings.tenants().get(t).quotaPerSecond() / settings.hosts();
+    double allowed = settings.tenants().get(t).quotaPerSecond() / settings.fleet().hosts();
     double within = Math.min(1, allowed / Math.max(tenantRate[t], 1e-9));
-    return within + (1 - within) * settings.weightOverQuota();
+    return within + (1 - within) * settings.weighting().overQuota();
   }
 
   // ---- Running limit: led by latency, never below the cores ----
@@ -859,17 +864,18 @@
       return;
     }
     boolean idle =
-        gauges[busyGauge] < BUSY && (runnableGauge < 0 || gauges[runnableGauge] < settings.cores());
+        gauges[busyGauge] < BUSY
+            && (runnableGauge < 0 || gauges[runnableGauge] < settings.capacity().cores());
     if (now < lookAt) {
       return;
     }
     lookAt = now + LOOK;
     if (idle && !held.isEmpty() && onCores >= (int) limit) {
-      limit += CLIMB * settings.cores();
+      limit += CLIMB * settings.capacity().cores();
     } else if (!idle && latency > LATENCY_TOLERANCE) {
-      limit -= SHRINK * (limit - settings.cores());
+      limit -= SHRINK * (limit - settings.capacity().cores());
     }
-    limit = Math.max(settings.cores(), Math.min(limit, crowd(now)));
+    limit = Math.max(settings.capacity().cores(), Math.min(limit, crowd(now)));
   }
 
   /**
@@ -877,20 +883,22 @@
    */
   private double crowd(double now) {
     double share = 1;
-    if (settings.coldStart() && settings.warmUpSeconds() > 0) {
+    if (settings.warmUp().coldStart() && settings.warmUp().seconds() > 0) {
       share =
-          settings.coldSpeedFraction()
-              + (1 - settings.coldSpeedFraction()) * (now - bornAt) / settings.warmUpSeconds();
+          settings.warmUp().coldSpeedFraction()
+              + (1 - settings.warmUp().coldSpeedFraction())
+                  * (now - bornAt)
+                  / settings.warmUp().seconds();
     }
     return CROWD_MARGIN
-        * settings.cores()
-        * (1 + (settings.survivableConcurrencyPerCore() - 1) * Math.min(1, share));
+        * settings.capacity().cores()
+        * (1 + (settings.capacity().survivableConcurrencyPerCore() - 1) * Math.min(1, share));
   }
 
   // ---- Calls: in hand and lingering under this instance's share of what the dependency bears ----
 
   private double callBurst() {
-    return CALL_BURST * mine * settings.callQuota() * settings.callQuotaWindowSeconds();
+    return CALL_BURST * mine * settings.calls().quota() * settings.calls().quotaWindowSeconds();
   }
 
   /**
@@ -904,7 +912,8 @@
   }
 
   private boolean bounded() {
-    return settings.dependency() == Admission.Dependency.SHARED && settings.callQuota() > 0;
+    return settings.calls().dependency() == Admission.Dependency.SHARED
+        && settings.calls().quota() > 0;
   }
 
   /**
@@ -924,7 +933,7 @@
                 + stall
                 + Math.max(CALL_LEAST * op.type.latencyObjectiveSeconds(), patience * callMean));
     if (op.type.weightWithoutCall() > 0) {
-      until = Math.min(until, Math.max(now + settings.tickSeconds(), skipAt(op)));
+      until = Math.min(until, Math.max(now + settings.timing().tickSeconds(), skipAt(op)));
     }
     return bounded() ? Math.min(until, now + callBurst()) : until;
   }
@@ -960,7 +969,7 @@
    */
   private double callsAllowed() {
     double part = CALLS_QUICK * Math.min(1, CALL_TOLERANCE * callBase / callMean);
-    return Math.max(CALLS_SLOW, part) * mine * settings.callQuota();
+    return Math.max(CALLS_SLOW, part) * mine * settings.calls().quota();
   }
 
   /**
@@ -976,7 +985,7 @@
 
   /** So many stand at calls, or for so long, that no further run which needs its call is begun. */
   private boolean jammed(Op op) {
-    return atCall.size() >= settings.cores()
+    return atCall.size() >= settings.capacity().cores()
         || (bounded() && callWait(atCall.size() + callsInHand) > own(op));
   }
 
@@ -1044,7 +1053,7 @@
     if (op.state == State.CALLING) {
       countCalls(now);
       callsInHand--;
-      callBudget -= lingers ? settings.abandonedCallSeconds() : 0;
+      callBudget -= lingers ? settings.calls().abandonedSeconds() : 0;
     }
   }
 
@@ -1055,7 +1064,7 @@
     boolean keyed = op.type.idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY;
     boolean shared =
         op.type.idempotency() == Admission.Idempotency.IDEMPOTENT
-            && settings.resultSharingSeconds() > 0
+            && settings.timing().resultSharingSeconds() > 0
             && op.request.resourceKey() != null;
     if (!keyed && !shared) {
       return;
@@ -1076,9 +1085,12 @@
     double until =
         keyed
             ? op.arrived + op.type.idempotencyWindowSeconds() + KEY_SPARE
-            : op.aimBy + settings.resultSharingSeconds();
+            : op.aimBy + settings.timing().resultSharingSeconds();
     double room =
-        RUN_MEMORY * mine * settings.memoryKb() - runMemory - keyMemory() - settings.keyMemoryKb();
+        RUN_MEMORY * mine * settings.capacity().memoryKb()
+            - runMemory
+            - keyMemory()
+            - settings.capacity().keyMemoryKb();
     if (until <= now || room < 0) {
       if (keyed && until > now) {
         refuse(now, op);
@@ -1132,7 +1144,7 @@
         }
       }
       case RUNNING, AT_CALL, CALLING -> {
-        runMemory -= op.request.memoryKb() * settings.executionMemoryFactor();
+        runMemory -= op.request.memoryKb() * settings.capacity().executionMemoryFactor();
         onCores -= op.state == State.RUNNING ? 1 : 0;
         atCall.remove(op);
       }
@@ -1151,12 +1163,12 @@
   // ---- Memory: held, running and kept together stay under the limit after every batch ----
 
   private double keyMemory() {
-    return entries * settings.keyMemoryKb();
+    return entries * settings.capacity().keyMemoryKb();
   }
 
   private void fitMemory(double now) {
     while (!held.isEmpty()
-        && heldMemory + runMemory + keyMemory() > ALL_MEMORY * settings.memoryKb()) {
+        && heldMemory + runMemory + keyMemory() > ALL_MEMORY * settings.capacity().memoryKb()) {
       Op least = held.get(0);
       for (Op op : held) {
         if (value(now, op, false) < value(now, least, false)) {
@@ -1170,7 +1182,7 @@
   // ---- Drain: nothing runs that came after the grace; all is answered before the stop ----
 
   private boolean tooLate(Op op) {
-    return op.arrived > leftAt + settings.drainGraceSeconds() - DRAIN_MARGIN_SECONDS;
+    return op.arrived > leftAt + settings.timing().drainGraceSeconds() - DRAIN_MARGIN_SECONDS;
   }
 
   // ---- Health: bad while this machine fails or drags what it runs, with trials in between ----
@@ -1203,7 +1215,7 @@
             || drag > ILL_DRAG * crowded
             || (unread > ILL_UNREAD
                 && refusedShare > ILL_REFUSED
-                && settings.marksRetries()
+                && settings.retries().marked()
                 && furtherShare < RETRY_STORM / 2))) {
       illUntil = now + ILL_SPAN * (0.75 + random.nextDouble() / 2);
       healthy = false;
@@ -1258,7 +1270,7 @@
 
   private void setTimer(double now) {
     double next = Double.POSITIVE_INFINITY;
-    boolean stops = settings.preemption() != Admission.Preemption.NONE;
+    boolean stops = settings.capacity().preemption() != Admission.Preemption.NONE;
     for (Op op : ops.values()) {
       if (op.answered && stops && op.state == State.RUNNING && !op.stopping) {
         next = Math.min(next, purposeUntil(op));
@@ -1270,7 +1282,7 @@
       }
     }
     if (!held.isEmpty()) {
-      next = Math.min(next, Math.max(lookAt, now + settings.tickSeconds()));
+      next = Math.min(next, Math.max(lookAt, now + settings.timing().tickSeconds()));
     }
     if (!atCall.isEmpty()) {
       next = Math.min(next, now + CALL_BACKOFF * atCall.peek().type.latencyObjectiveSeconds());
@@ -1278,8 +1290,8 @@
     if (!healthy && leftAt > now) {
       next = Math.min(next, illUntil);
     }
-    next = Math.max(next, now + settings.tickSeconds());
-    if (next < timerAt - settings.tickSeconds() / 2) {
+    next = Math.max(next, now + settings.timing().tickSeconds());
+    if (next < timerAt - settings.timing().tickSeconds() / 2) {
       timerAt = next;
       act.setTimer(0, next - now);
     }
--- a/src/main/java/wharftrestle/config/DaemonConfig.java
+++ b/src/main/java/wharftrestle/config/DaemonConfig.java
@@ -9,6 +9,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.simulator.MalformedLineException;
 import wharftrestle.simulator.SettingsReader;
 import wharftrestle.transport.Address;
@@ -33,7 +34,7 @@
     int sockets,
     double memoryMb,
     Path meeting,
-    Admission.Settings settings) {
+    AdmissionSettings settings) {
 
   /** Something that the program was told cannot be used. */
   public static final class BadConfigException extends Exception {
@@ -90,40 +91,40 @@
    */
   public String canonical(Appliance appliance) {
     StringBuilder text = new StringBuilder(1024);
-    Admission.Settings s = settings;
+    AdmissionSettings s = settings;
     put(
         text,
         stopSeconds,
         cores,
         sockets,
         memoryMb,
-        s.hosts(),
-        s.callers(),
-        s.cores(),
-        s.memoryKb(),
-        s.executionMemoryFactor(),
-        s.keyMemoryKb(),
-        s.resultSharingSeconds(),
-        s.callQuota(),
-        s.callQuotaWindowSeconds(),
-        s.abandonedCallSeconds(),
-        s.answerSlackSeconds(),
-        s.drainGraceSeconds(),
-        s.survivableConcurrencyPerCore(),
-        s.concurrencyWindowSeconds(),
-        s.coldSpeedFraction(),
-        s.warmUpSeconds(),
-        s.maxRetryAfterSeconds(),
-        s.weightOverQuota(),
-        s.tickSeconds());
-    text.append(s.preemption()).append(' ').append(s.dependency()).append(' ');
+        s.fleet().hosts(),
+        s.fleet().callers(),
+        s.capacity().cores(),
+        s.capacity().memoryKb(),
+        s.capacity().executionMemoryFactor(),
+        s.capacity().keyMemoryKb(),
+        s.timing().resultSharingSeconds(),
+        s.calls().quota(),
+        s.calls().quotaWindowSeconds(),
+        s.calls().abandonedSeconds(),
+        s.timing().answerSlackSeconds(),
+        s.timing().drainGraceSeconds(),
+        s.capacity().survivableConcurrencyPerCore(),
+        s.capacity().concurrencyWindowSeconds(),
+        s.warmUp().coldSpeedFraction(),
+        s.warmUp().seconds(),
+        s.retries().maxRetryAfterSeconds(),
+        s.weighting().overQuota(),
+        s.timing().tickSeconds());
+    text.append(s.capacity().preemption()).append(' ').append(s.calls().dependency()).append(' ');
     put(
         text,
-        s.notifiesCallerGone(),
-        s.healthChecksExecute(),
-        s.endpointListFollowsHealth(),
-        s.weightPerWork(),
-        s.marksRetries());
+        s.fleet().notifiesCallerGone(),
+        s.fleet().healthChecksExecute(),
+        s.fleet().endpointListFollowsHealth(),
+        s.weighting().perWork(),
+        s.retries().marked());
     for (Admission.RequestClass each : s.classes()) {
       text.append('\n')
           .append(each.name())
@@ -205,7 +206,7 @@
             ? root.path("console").asText()
             : environment.get("EDGE_CONSOLE");
     try {
-      Admission.Settings settings = SettingsReader.read(root.get("settings"));
+      AdmissionSettings settings = SettingsReader.read(root.get("settings"));
       return new DaemonConfig(
           name,
           address("listen", listen),
@@ -228,9 +229,9 @@
   }
 
   /** The store's address; null where there is none and the settings say that no run calls below. */
-  private static InetSocketAddress store(JsonNode told, Admission.Settings settings)
+  private static InetSocketAddress store(JsonNode told, AdmissionSettings settings)
       throws BadConfigException {
-    return told.asText("").isBlank() && settings.dependency() == Admission.Dependency.NONE
+    return told.asText("").isBlank() && settings.calls().dependency() == Admission.Dependency.NONE
         ? null
         : address("db", told.asText());
   }
--- a/src/main/java/wharftrestle/daemon/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -611,7 +611,7 @@
       Logger.warn("the new configuration cannot be used, the old one holds: {}", e.getMessage());
       return;
     }
-    if (next.db() == null && config.settings().dependency() != Admission.Dependency.NONE) {
+    if (next.db() == null && config.settings().calls().dependency() != Admission.Dependency.NONE) {
       // Guards against a file of another site leaving runs that call below without their store.
       Logger.warn("the new configuration cannot be used, the old one holds: it names no store");
       return;
@@ -649,7 +649,8 @@
       requestCoordinator.leave(Math.max(0, left() - SPARE));
       double grace =
           Math.min(
-                  config.settings().drainGraceSeconds() - AdmissionController.DRAIN_MARGIN_SECONDS,
+                  config.settings().timing().drainGraceSeconds()
+                      - AdmissionController.DRAIN_MARGIN_SECONDS,
                   config.stopSeconds() - 2 * SPARE)
               + CROSSING;
       double open = grace - (config.stopSeconds() - left());
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -15,6 +15,7 @@
 import org.tinylog.Logger;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
@@ -132,7 +133,7 @@
   /** Makes the module once the worker pool is up. */
   public interface Factory {
     Admission.Events create(
-        double now, long seed, Admission.Settings settings, Admission.Actions actions);
+        double now, long seed, AdmissionSettings settings, Admission.Actions actions);
   }
 
   /** Told of health as the module sets it, and of the time after which idle connections may go. */
@@ -178,7 +179,7 @@
   private final Condition timers = lock.newCondition();
   private final Condition gaugesCame = lock.newCondition();
   private final Condition drained = lock.newCondition();
-  private final Admission.Settings settings;
+  private final AdmissionSettings settings;
   private final long seed;
   private final Factory factory;
   private final Counters counters;
@@ -218,7 +219,7 @@
    * @param room for what is known of keys
    */
   public RequestCoordinator(
-      Admission.Settings settings,
+      AdmissionSettings settings,
       long seed,
       int mostInHand,
       KeyMemoryBudget room,
@@ -298,7 +299,7 @@
     return partner;
   }
 
-  public Admission.Settings settings() {
+  public AdmissionSettings settings() {
     return settings;
   }
 
@@ -486,7 +487,10 @@
         // the module, or failed where another try of it ran.
         counters.add(Count.GUARDED);
         answer(
-            task, ran ? Answer.failed() : Answer.refused(settings.maxRetryAfterSeconds(), false));
+            task,
+            ran
+                ? Answer.failed()
+                : Answer.refused(settings.retries().maxRetryAfterSeconds(), false));
         return;
       }
       if (module == null
@@ -507,7 +511,7 @@
         answer(
             task,
             module == null && !ran
-                ? Answer.refused(settings.maxRetryAfterSeconds(), false)
+                ? Answer.refused(settings.retries().maxRetryAfterSeconds(), false)
                 : Answer.failed());
         return;
       }
@@ -636,7 +640,9 @@
     counters.add(Count.GUARDED);
     counters.add(Count.NO_ROOM);
     return Answer.refused(
-        Math.min(settings.maxRetryAfterSeconds(), Math.max(LEAST_AGAIN, keys.roomIn(now))), false);
+        Math.min(
+            settings.retries().maxRetryAfterSeconds(), Math.max(LEAST_AGAIN, keys.roomIn(now))),
+        false);
   }
 
   private void forget(InFlightRequest task) {
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -82,7 +82,7 @@
 
   Answer unrecorded(ResultStore.Refusal why) {
     return Answer.refused(
-        Math.min(core.settings().maxRetryAfterSeconds(), records.again(why)), false);
+        Math.min(core.settings().retries().maxRetryAfterSeconds(), records.again(why)), false);
   }
 
   private ResultStore.Keyed keyed(IdempotencyTable.Entry<InFlightRequest> entry) {
--- a/src/main/java/wharftrestle/simulation/ColdStartSimulation.java
+++ b/src/main/java/wharftrestle/simulation/ColdStartSimulation.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 
 /**
  * Boxes that share nothing but a store, all of them started cold at once, each with the shipped
@@ -50,9 +50,8 @@
     SimulatedStore store = new SimulatedStore(agenda);
     store.slow(SLOW);
     SimulatedFleet.Site site = new SimulatedFleet.Site(boxes, 1, RATE, 0.85, 0, 0);
-    Admission.Settings settings =
-        SimulatedFleet.settings(site, alone ? SHARE * boxes : SHARE, true);
-    double unit = site.load() * settings.cores() / site.rate();
+    AdmissionSettings settings = SimulatedFleet.settings(site, alone ? SHARE * boxes : SHARE, true);
+    double unit = site.load() * settings.capacity().cores() / site.rate();
     List<SimulatedHost> all = new ArrayList<>();
     for (int i = 0; i < boxes; i++) {
       SimulatedHost box =
@@ -70,7 +69,8 @@
     }
     ArrayDeque<Integer> span = new ArrayDeque<>();
     double[] worst = {0};
-    look(agenda, store, span, (int) Math.round(settings.callQuotaWindowSeconds() / LOOK), worst);
+    look(
+        agenda, store, span, (int) Math.round(settings.calls().quotaWindowSeconds() / LOOK), worst);
     agenda.runTo(SECONDS);
     return new Result(
         worst[0], SHARE * boxes, all.stream().mapToLong(each -> each.tally().calls).sum());
--- a/src/main/java/wharftrestle/simulation/ColdTrafficSimulation.java
+++ b/src/main/java/wharftrestle/simulation/ColdTrafficSimulation.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 
 /**
  * Boxes that start cold together, and callers that share nothing: what reaches a box is the sum of
@@ -77,21 +77,21 @@
       return all;
     }
 
-    void look(Admission.Settings settings, double share, int most) {
+    void look(AdmissionSettings settings, double share, int most) {
       span.add(new double[] {asked(), box.running(), share});
       if (span.size() <= most) {
         return;
       }
       double came = span.peekLast()[0] - span.poll()[0];
       double shares = span.stream().mapToDouble(each -> each[2]).average().orElse(1);
-      double budget = RATE / LOAD * settings.concurrencyWindowSeconds() * shares;
+      double budget = RATE / LOAD * settings.capacity().concurrencyWindowSeconds() * shares;
       reached = Math.max(reached, came / (budget + 2 * Math.sqrt(budget) + 2));
       crowd =
           Math.max(
               crowd,
               span.stream().mapToDouble(each -> each[1]).average().orElse(0)
-                  / (settings.cores()
-                      * (1 + (settings.survivableConcurrencyPerCore() - 1) * shares)));
+                  / (settings.capacity().cores()
+                      * (1 + (settings.capacity().survivableConcurrencyPerCore() - 1) * shares)));
     }
   }
 
@@ -105,8 +105,8 @@
     EventQueue agenda = new EventQueue();
     SimulatedStore store = new SimulatedStore(agenda);
     SimulatedFleet.Site site = new SimulatedFleet.Site(boxes, 1, RATE, LOAD, 0, 0);
-    Admission.Settings settings = SimulatedFleet.settings(site, ROOM_FOR_CALLS, true);
-    double unit = LOAD * settings.cores() / RATE;
+    AdmissionSettings settings = SimulatedFleet.settings(site, ROOM_FOR_CALLS, true);
+    double unit = LOAD * settings.capacity().cores() / RATE;
     List<Watched> all = new ArrayList<>();
     for (int i = 0; i < boxes; i++) {
       SimulatedHost box =
@@ -124,18 +124,18 @@
       arrive(box, new Sent(callers), agenda, settings, random.split(), unit);
     }
     look(all, agenda, settings);
-    agenda.runTo(settings.warmUpSeconds() + settings.concurrencyWindowSeconds());
+    agenda.runTo(settings.warmUp().seconds() + settings.capacity().concurrencyWindowSeconds());
     return new Result(
         all.stream().mapToDouble(each -> each.reached).max().orElse(0),
         all.stream().mapToDouble(each -> each.crowd).max().orElse(0));
   }
 
   /** What the settings allow a box now, as a part of its speed. */
-  private static double share(Admission.Settings settings, double now) {
+  private static double share(AdmissionSettings settings, double now) {
     return Math.min(
         1,
-        settings.coldSpeedFraction()
-            + (1 - settings.coldSpeedFraction()) * now / settings.warmUpSeconds());
+        settings.warmUp().coldSpeedFraction()
+            + (1 - settings.warmUp().coldSpeedFraction()) * now / settings.warmUp().seconds());
   }
 
   /** What each caller has sent one box of late. */
@@ -151,7 +151,7 @@
     }
 
     /** True where a caller that has a request for this box sends it there. */
-    boolean sends(double now, Admission.Settings settings, SplittableRandom random) {
+    boolean sends(double now, AdmissionSettings settings, SplittableRandom random) {
       ArrayDeque<Double> mine = times.get(random.nextInt(callers.many()));
       if (callers.ramp() == Ramp.NONE || random.nextDouble() < callers.deaf()) {
         return true;
@@ -159,11 +159,13 @@
       if (callers.ramp() == Ramp.SHARE) {
         return random.nextDouble() < share(settings, now);
       }
-      while (!mine.isEmpty() && mine.peek() < now - settings.concurrencyWindowSeconds()) {
+      while (!mine.isEmpty()
+          && mine.peek() < now - settings.capacity().concurrencyWindowSeconds()) {
         mine.remove();
       }
       boolean fits =
-          mine.size() < share(settings, now) * settings.concurrencyWindowSeconds() * RATE / LOAD;
+          mine.size()
+              < share(settings, now) * settings.capacity().concurrencyWindowSeconds() * RATE / LOAD;
       if (fits) {
         mine.add(now);
       }
@@ -175,7 +177,7 @@
       SimulatedHost box,
       Sent sent,
       EventQueue agenda,
-      Admission.Settings settings,
+      AdmissionSettings settings,
       SplittableRandom random,
       double unit) {
     agenda.at(
@@ -192,7 +194,7 @@
         });
   }
 
-  private static void look(List<Watched> all, EventQueue agenda, Admission.Settings settings) {
+  private static void look(List<Watched> all, EventQueue agenda, AdmissionSettings settings) {
     agenda.at(
         agenda.now() + LOOK,
         now -> {
@@ -201,7 +203,7 @@
                   each.look(
                       settings,
                       share(settings, now),
-                      (int) Math.round(settings.concurrencyWindowSeconds() / LOOK)));
+                      (int) Math.round(settings.capacity().concurrencyWindowSeconds() / LOOK)));
           look(all, agenda, settings);
         });
   }
--- a/src/main/java/wharftrestle/simulation/SimulatedFleet.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedFleet.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 
 /**
  * Boxes, their callers and what troubles them, in virtual time. Requests come as a Poisson stream;
@@ -41,7 +42,7 @@
   private static final double ROOM_FOR_CALLS = 64;
 
   final EventQueue agenda = new EventQueue();
-  final Admission.Settings settings;
+  final AdmissionSettings settings;
   final SimulatedStore store = new SimulatedStore(agenda);
   final List<SimulatedHost> boxes = new ArrayList<>();
   private final Site site;
@@ -72,7 +73,7 @@
     agenda.at(0, this::arrive);
   }
 
-  static Admission.Settings settings(Site site, double callShare, boolean cold) {
+  static AdmissionSettings settings(Site site, double callShare, boolean cold) {
     double unit = site.load() * CORES / site.rate(); // mean work, seconds
     List<Admission.RequestClass> classes =
         List.of(
@@ -80,36 +81,16 @@
                 type("prefill", unit, 2, Admission.Idempotency.IDEMPOTENT),
             type("history", unit, 2, Admission.Idempotency.IDEMPOTENT),
                 type("outcome", unit, 5, Admission.Idempotency.NON_IDEMPOTENT));
-    return new Admission.Settings(
+    return new AdmissionSettings(
         classes,
         List.of(),
-        site.boxes(),
-        8,
-        CORES,
-        720_000,
-        4,
-        1,
-        0,
-        Admission.Preemption.NONE,
-        Admission.Dependency.SHARED,
-        callShare,
-        5,
-        0.2,
-        true,
-        false,
-        true,
-        0.06,
-        2,
-        8,
-        3,
-        cold,
-        0.3,
-        15,
-        1,
-        false,
-        1,
-        false,
-        0.004,
+        new AdmissionSettings.Fleet(site.boxes(), 8, true, false, true),
+        new AdmissionSettings.Capacity(CORES, 720_000, 4, 1, Admission.Preemption.NONE, 8, 3),
+        new AdmissionSettings.WarmUp(cold, 0.3, 15),
+        new AdmissionSettings.DependencyCalls(Admission.Dependency.SHARED, callShare, 5, 0.2),
+        new AdmissionSettings.Timing(0.004, 0.06, 2, 0),
+        new AdmissionSettings.Retries(1, false),
+        new AdmissionSettings.Weighting(false, 1),
         List.of("cpu_busy", "runnable"));
   }
 
--- a/src/main/java/wharftrestle/simulation/SimulatedHost.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedHost.java
@@ -7,6 +7,7 @@
 import java.util.SplittableRandom;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.AdmissionController;
+import wharftrestle.admission.AdmissionSettings;
 
 /**
  * One box in virtual time: the shipped policy on cores that all runs share, cold after a start,
@@ -109,7 +110,7 @@
   final String name;
   final String zone;
   private final EventQueue agenda;
-  private final Admission.Settings settings;
+  private final AdmissionSettings settings;
   private final SimulatedStore store;
   private final double machine; // its speed, 1 for a standard core
   private final SplittableRandom random;
@@ -134,7 +135,7 @@
       String name,
       String zone,
       EventQueue agenda,
-      Admission.Settings settings,
+      AdmissionSettings settings,
       SimulatedStore store,
       double machine,
       long seed) {
@@ -154,7 +155,7 @@
     process++;
     flaw = of;
     shown = false;
-    startedAt = warm ? agenda.now() - 10 * settings.warmUpSeconds() : agenda.now();
+    startedAt = warm ? agenda.now() - 10 * settings.warmUp().seconds() : agenda.now();
     up = true;
     healthy = true;
     policy = new AdmissionController(agenda.now(), random.nextLong(), settings, this);
@@ -322,13 +323,18 @@
     if (many == 0) {
       return 0;
     }
-    double age = (now - startedAt) / settings.warmUpSeconds();
+    double age = (now - startedAt) / settings.warmUp().seconds();
     double warm =
         age >= 1
             ? 1
-            : settings.coldSpeedFraction() + (1 - settings.coldSpeedFraction()) * Math.max(0, age);
-    double crowd = Math.min(1, CROWD * settings.cores() / many);
-    return machine * trouble * warm * crowd * Math.min(1, (double) settings.cores() / many);
+            : settings.warmUp().coldSpeedFraction()
+                + (1 - settings.warmUp().coldSpeedFraction()) * Math.max(0, age);
+    double crowd = Math.min(1, CROWD * settings.capacity().cores() / many);
+    return machine
+        * trouble
+        * warm
+        * crowd
+        * Math.min(1, (double) settings.capacity().cores() / many);
   }
 
   private void progress(double now) {
@@ -338,10 +344,10 @@
       for (Live each : onCores) {
         each.work -= done;
       }
-      double cores = Math.min(onCores.size(), settings.cores());
+      double cores = Math.min(onCores.size(), settings.capacity().cores());
       tally.cpu += span * cores;
       double fade = Math.exp(-span / SPAN);
-      busy = busy * fade + cores / settings.cores() * (1 - fade);
+      busy = busy * fade + cores / settings.capacity().cores() * (1 - fade);
     }
     lastAt = now;
   }
@@ -361,7 +367,7 @@
     double in =
         Math.max(
             MOST_LOOKS,
-            Math.min(least / rate, now - startedAt < settings.warmUpSeconds() ? 0.05 : 1));
+            Math.min(least / rate, now - startedAt < settings.warmUp().seconds() ? 0.05 : 1));
     agenda.at(
         now + in,
         then -> {
--- a/src/main/java/wharftrestle/simulator/SettingsReader.java
+++ b/src/main/java/wharftrestle/simulator/SettingsReader.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 
 /**
  * Reads the settings object of a start. What is absent is 0, false or empty; unknown keys are
@@ -16,7 +17,7 @@
 
   private SettingsReader() {}
 
-  static Admission.Settings read(String json) throws MalformedLineException {
+  static AdmissionSettings read(String json) throws MalformedLineException {
     JsonNode root;
     try {
       root = MAPPER.readTree(json);
@@ -27,7 +28,7 @@
   }
 
   /** The same from JSON that was read already. */
-  public static Admission.Settings read(JsonNode root) throws MalformedLineException {
+  public static AdmissionSettings read(JsonNode root) throws MalformedLineException {
     if (root == null || !root.isObject()) {
       throw new MalformedLineException("the settings are no object");
     }
@@ -44,36 +45,42 @@
     }
     List<String> gauges = new ArrayList<>();
     own.path("gauges").forEach(g -> gauges.add(g.asText()));
-    return new Admission.Settings(
+    return new AdmissionSettings(
         classes(need(root, "categories"), own),
         List.copyOf(tenants),
-        root.path("peersTotal").asInt(),
-        own.path("callers").asInt(),
-        need(own, "nCores").asInt(),
-        need(own, "memoryKb").asDouble(),
-        own.path("runFactor").asDouble(1),
-        own.path("keyKb").asDouble(),
-        own.path("shareFor").asDouble(),
-        preemption(own),
-        downstream(own),
-        own.path("callShare").asDouble(),
-        own.path("callsOver").asDouble(),
-        own.path("linger").asDouble(),
-        own.path("tellsGone").asBoolean(),
-        own.path("realChecks").asBoolean(),
-        own.path("listFollows").asBoolean(),
-        rules.path("answerSlack").asDouble(),
-        rules.path("drainGrace").asDouble(),
-        need(rules, "tipMultiple").asDouble(),
-        rules.path("fall").asDouble(),
-        own.path("justStarted").asBoolean(),
-        rules.path("coldFrom").asDouble(1),
-        rules.path("cold").asDouble(),
-        limits.path("retryAfter").asBoolean() ? limits.path("maxRetryAfter").asDouble() : 0,
-        root.path("worthBy").asText().equals("work"),
-        root.path("overShareWorth").asDouble(1),
-        root.path("clients").path("marksRetry").asBoolean(),
-        root.path("tick").asDouble(),
+        new AdmissionSettings.Fleet(
+            root.path("peersTotal").asInt(),
+            own.path("callers").asInt(),
+            own.path("tellsGone").asBoolean(),
+            own.path("realChecks").asBoolean(),
+            own.path("listFollows").asBoolean()),
+        new AdmissionSettings.Capacity(
+            need(own, "nCores").asInt(),
+            need(own, "memoryKb").asDouble(),
+            own.path("runFactor").asDouble(1),
+            own.path("keyKb").asDouble(),
+            preemption(own),
+            need(rules, "tipMultiple").asDouble(),
+            rules.path("fall").asDouble()),
+        new AdmissionSettings.WarmUp(
+            own.path("justStarted").asBoolean(),
+            rules.path("coldFrom").asDouble(1),
+            rules.path("cold").asDouble()),
+        new AdmissionSettings.DependencyCalls(
+            downstream(own),
+            own.path("callShare").asDouble(),
+            own.path("callsOver").asDouble(),
+            own.path("linger").asDouble()),
+        new AdmissionSettings.Timing(
+            root.path("tick").asDouble(),
+            rules.path("answerSlack").asDouble(),
+            rules.path("drainGrace").asDouble(),
+            own.path("shareFor").asDouble()),
+        new AdmissionSettings.Retries(
+            limits.path("retryAfter").asBoolean() ? limits.path("maxRetryAfter").asDouble() : 0,
+            root.path("clients").path("marksRetry").asBoolean()),
+        new AdmissionSettings.Weighting(
+            root.path("worthBy").asText().equals("work"), root.path("overShareWorth").asDouble(1)),
         List.copyOf(gauges));
   }
 
--- a/src/main/java/wharftrestle/simulator/SimulatorAdapter.java
+++ b/src/main/java/wharftrestle/simulator/SimulatorAdapter.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 
 /**
  * Translates wire batches to events of the instances and their actions to replies. It decides
@@ -21,7 +22,7 @@
   /** Makes the control of one instance. */
   public interface Factory {
     Admission.Events create(
-        double now, long seed, Admission.Settings settings, Admission.Actions actions);
+        double now, long seed, AdmissionSettings settings, Admission.Actions actions);
   }
 
   private static final class Instance {
--- a/src/test/java/wharftrestle/EmbeddingExample.java
+++ b/src/test/java/wharftrestle/EmbeddingExample.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.AdmissionController;
+import wharftrestle.admission.AdmissionSettings;
 
 /** The example of the README, compiled here. */
 final class EmbeddingExample {
@@ -14,36 +15,16 @@
         new Admission.RequestClass(
             "lookup", 0.5, 0, 2.0, 1, 0, Admission.Idempotency.IDEMPOTENT, 0, false, 0);
     var settings =
-        new Admission.Settings(
+        new AdmissionSettings(
             List.of(lookup),
             List.of(),
-            10,
-            3,
-            8,
-            65_536,
-            4,
-            1,
-            0,
-            Admission.Preemption.NONE,
-            Admission.Dependency.NONE,
-            0,
-            0,
-            0,
-            true,
-            false,
-            true,
-            0.05,
-            1,
-            4,
-            2,
-            false,
-            1,
-            0,
-            1,
-            false,
-            1,
-            false,
-            0.001,
+            new AdmissionSettings.Fleet(10, 3, true, false, true),
+            new AdmissionSettings.Capacity(8, 65_536, 4, 1, Admission.Preemption.NONE, 4, 2),
+            new AdmissionSettings.WarmUp(false, 1, 0),
+            new AdmissionSettings.DependencyCalls(Admission.Dependency.NONE, 0, 0, 0),
+            new AdmissionSettings.Timing(0.001, 0.05, 1, 0),
+            new AdmissionSettings.Retries(1, false),
+            new AdmissionSettings.Weighting(false, 1),
             List.of("cpu_busy", "runnable"));
     return new AdmissionController(now, seed, settings, server);
   }
--- a/src/test/java/wharftrestle/RandomSequencesTest.java
+++ b/src/test/java/wharftrestle/RandomSequencesTest.java
@@ -70,7 +70,7 @@
       r.patience(0.05 + random.nextDouble() * 3);
     }
     boolean keyed = type == Sites.KEYED;
-    boolean shared = host.settings.resultSharingSeconds() > 0 && type == Sites.READ;
+    boolean shared = host.settings.timing().resultSharingSeconds() > 0 && type == Sites.READ;
     if (keyed || shared) {
       String key = (keyed ? "k" : "r") + random.nextInt(8);
       r.subject(key);
--- a/src/test/java/wharftrestle/RecordingHost.java
+++ b/src/test/java/wharftrestle/RecordingHost.java
@@ -12,6 +12,7 @@
 import java.util.PriorityQueue;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.AdmissionController;
+import wharftrestle.admission.AdmissionSettings;
 
 /**
  * Records what the module asks for and enforces the four rules on it. It plays no server: tests say
@@ -45,7 +46,7 @@
 
   private record Due(double at, long label) {}
 
-  final Admission.Settings settings;
+  final AdmissionSettings settings;
   final AdmissionController module;
   final Map<Long, Known> known = new LinkedHashMap<>();
   final List<String> log = new ArrayList<>();
@@ -62,11 +63,11 @@
   double[] gauges = {1.0, 99};
   private long nextId = 1;
 
-  RecordingHost(Admission.Settings settings) {
+  RecordingHost(AdmissionSettings settings) {
     this(settings, 7);
   }
 
-  RecordingHost(Admission.Settings settings, long seed) {
+  RecordingHost(AdmissionSettings settings, long seed) {
     this.settings = settings;
     this.now = 100;
     this.module = new AdmissionController(now, seed, settings, this);
@@ -224,18 +225,20 @@
           switch (k.phase) {
             case HELD, ATTACHED -> k.request.memoryKb();
             case PAUSED, RUNNING, AT_CALL, CALLING ->
-                k.request.memoryKb() * settings.executionMemoryFactor();
+                k.request.memoryKb() * settings.capacity().executionMemoryFactor();
             case OVER -> 0;
           };
-      used += k.keyUntil >= now ? settings.keyMemoryKb() : 0;
+      used += k.keyUntil >= now ? settings.capacity().keyMemoryKb() : 0;
     }
-    assertTrue(used <= settings.memoryKb(), "memory " + used + " over " + settings.memoryKb());
+    assertTrue(
+        used <= settings.capacity().memoryKb(),
+        "memory " + used + " over " + settings.capacity().memoryKb());
   }
 
   void checkAnswers() {
     for (Known k : known.values()) {
       assertTrue(
-          k.answered || now <= k.due + settings.answerSlackSeconds(),
+          k.answered || now <= k.due + settings.timing().answerSlackSeconds(),
           "request " + k.request.id() + " unanswered " + (now - k.due) + " s after it was due");
     }
   }
@@ -272,7 +275,8 @@
     assertEquals(Phase.HELD, k.phase, "started though not held: " + id);
     assertFalse(k.ran && effectful(k), "ran twice: " + id);
     assertTrue(
-        k.arrived <= leftAt + settings.drainGraceSeconds(), "started after the grace: " + id);
+        k.arrived <= leftAt + settings.timing().drainGraceSeconds(),
+        "started after the grace: " + id);
     Admission.RequestClass type = settings.classes().get(k.request.classIndex());
     if (type.idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY) {
       assertTrue(
@@ -296,7 +300,7 @@
     lastAdvice = retryAfter;
     lastNowhereElse = nowhereElse;
     assertFalse(effectful(k) && k.ran, "turned away after it ran: " + id);
-    assertTrue(retryAfter <= settings.maxRetryAfterSeconds());
+    assertTrue(retryAfter <= settings.retries().maxRetryAfterSeconds());
     answer(k, "refused");
     if (k.phase == Phase.HELD || k.phase == Phase.PAUSED || k.phase == Phase.ATTACHED) {
       k.phase = Phase.OVER;
@@ -316,10 +320,10 @@
   @Override
   public void preempt(long id) {
     log.add("stop " + id);
-    assertTrue(settings.preemption() != Admission.Preemption.NONE);
+    assertTrue(settings.capacity().preemption() != Admission.Preemption.NONE);
     assertEquals(Phase.RUNNING, own(id).phase);
     assertTrue(
-        own(id).answered || settings.preemption() == Admission.Preemption.PAUSE,
+        own(id).answered || settings.capacity().preemption() == Admission.Preemption.PAUSE,
         "stopped while an answer is owed: " + id);
     own(id).stopAsked = true;
   }
--- a/src/test/java/wharftrestle/Sites.java
+++ b/src/test/java/wharftrestle/Sites.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 
 /** Settings made up for tests; two cores, so that the running limit starts at two. */
 public final class Sites {
@@ -55,8 +56,8 @@
           name, aim / haste, 0, deadline / haste, worth, late, repeat, window, calls, skipWorth);
     }
 
-    public Admission.Settings build() {
-      return new Admission.Settings(
+    public AdmissionSettings build() {
+      return new AdmissionSettings(
           List.of(
               type(
                   swapped ? "save" : "read",
@@ -76,33 +77,17 @@
               type("unsafe", 2, 6, 3, 0, Admission.Idempotency.NON_IDEMPOTENT),
               type("long", 8, 20, 1, 0.2, Admission.Idempotency.IDEMPOTENT)),
           tenants,
-          1,
-          3,
-          cores,
-          memory,
-          4,
-          keyMemory,
-          shareFor,
-          preemption,
-          calls ? Admission.Dependency.SHARED : Admission.Dependency.NONE,
-          calls ? callShare : 0,
-          5,
-          0.2,
-          true,
-          false,
-          true,
-          0.08,
-          2,
-          6,
-          2,
-          justStarted,
-          0.25,
-          10,
-          1,
-          worthByWork,
-          overShareWorth,
-          marksRetry,
-          0.004,
+          new AdmissionSettings.Fleet(1, 3, true, false, true),
+          new AdmissionSettings.Capacity(cores, memory, 4, keyMemory, preemption, 6, 2),
+          new AdmissionSettings.WarmUp(justStarted, 0.25, 10),
+          new AdmissionSettings.DependencyCalls(
+              calls ? Admission.Dependency.SHARED : Admission.Dependency.NONE,
+              calls ? callShare : 0,
+              5,
+              0.2),
+          new AdmissionSettings.Timing(0.004, 0.08, 2, shareFor),
+          new AdmissionSettings.Retries(1, marksRetry),
+          new AdmissionSettings.Weighting(worthByWork, overShareWorth),
           List.of("cpu_busy", "runnable"));
     }
   }
--- a/src/test/java/wharftrestle/storage/ResultRecorderTest.java
+++ b/src/test/java/wharftrestle/storage/ResultRecorderTest.java
@@ -14,6 +14,7 @@
 import wharftrestle.SilentPool;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.AdmissionController;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.ResultMetric;
@@ -55,43 +56,23 @@
     core.bound(false, 100);
   }
 
-  private static Admission.Settings settings() {
+  private static AdmissionSettings settings() {
     Admission.RequestClass read =
         new Admission.RequestClass(
             "read", 2, 0, 6, 1, 0, Admission.Idempotency.IDEMPOTENT, 12, false, 0);
     Admission.RequestClass keyed =
         new Admission.RequestClass(
             "keyed", 2, 0, 3, 3, 0, Admission.Idempotency.IDEMPOTENCY_KEY, 12, false, 0);
-    return new Admission.Settings(
+    return new AdmissionSettings(
         List.of(read, keyed),
         List.of(),
-        1,
-        3,
-        2,
-        100_000,
-        4,
-        10,
-        0,
-        Admission.Preemption.DROP,
-        Admission.Dependency.NONE,
-        0,
-        5,
-        0.2,
-        true,
-        false,
-        true,
-        0.08,
-        2,
-        6,
-        2,
-        false,
-        0.25,
-        10,
-        1,
-        false,
-        1,
-        false,
-        0.004,
+        new AdmissionSettings.Fleet(1, 3, true, false, true),
+        new AdmissionSettings.Capacity(2, 100_000, 4, 10, Admission.Preemption.DROP, 6, 2),
+        new AdmissionSettings.WarmUp(false, 0.25, 10),
+        new AdmissionSettings.DependencyCalls(Admission.Dependency.NONE, 0, 5, 0.2),
+        new AdmissionSettings.Timing(0.004, 0.08, 2, 0),
+        new AdmissionSettings.Retries(1, false),
+        new AdmissionSettings.Weighting(false, 1),
         List.of());
   }
 
--- a/src/test/java/wharftrestle/version/VersionTest.java
+++ b/src/test/java/wharftrestle/version/VersionTest.java
@@ -1,7 +1,9 @@
 package wharftrestle.version;
 
+import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.lang.reflect.RecordComponent;
@@ -11,12 +13,15 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Sites;
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.config.DaemonConfig;
 
 /** What a version is: its ranges, its digests, and which settings tell two apart. */
@@ -47,7 +52,7 @@
   }
 
   private static String canonical(
-      Admission.Settings settings, int port, DaemonConfig.Appliance appliance)
+      AdmissionSettings settings, int port, DaemonConfig.Appliance appliance)
       throws UnknownHostException {
     InetSocketAddress at =
         new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), port);
@@ -57,32 +62,24 @@
 
   @Test
   void everySettingTellsTwoVersionsApartAndNoAddressOrSeedDoes() throws Exception {
-    Admission.Settings plain = Sites.site().build();
+    AdmissionSettings plain = Sites.site().build();
     DaemonConfig.Appliance none = DaemonConfig.Appliance.none();
     String before = canonical(plain, 1000, none);
     assertEquals(before, canonical(plain, 2000, none));
-    RecordComponent[] parts = Admission.Settings.class.getRecordComponents();
     // Whether a process has just started is no setting of the operators.
     Set<String> left = Set.of("coldStart");
-    for (int i = 0; i < parts.length; i++) {
-      Object[] values = new Object[parts.length];
-      Class<?>[] types = new Class<?>[parts.length];
-      for (int j = 0; j < parts.length; j++) {
-        values[j] = parts[j].getAccessor().invoke(plain);
-        types[j] = parts[j].getType();
-      }
-      values[i] = other(values[i], parts[i].getName());
-      String changed =
-          canonical(
-              Admission.Settings.class.getDeclaredConstructor(types).newInstance(values),
-              1000,
-              none);
-      if (left.contains(parts[i].getName())) {
-        assertEquals(before, changed);
-      } else {
-        assertNotEquals(before, changed, parts[i].getName());
-      }
-    }
+    Map<String, Record> changes = eachChanged(plain);
+    assertEquals(30, changes.size(), changes.keySet().toString());
+    changes.forEach(
+        (name, changed) -> {
+          String after =
+              assertDoesNotThrow(() -> canonical((AdmissionSettings) changed, 1000, none));
+          if (left.contains(name)) {
+            assertEquals(before, after);
+          } else {
+            assertNotEquals(before, after, name);
+          }
+        });
     assertNotEquals(
         before, canonical(plain, 1000, new DaemonConfig.Appliance(null, null, null, "public", 25)));
     assertNotEquals(
@@ -99,6 +96,35 @@
                 new DaemonConfig.Durable(Path.of("/a"), 1, 2, 3, 4, "group"))));
   }
 
+  /** By the name of each component, down through the groups: the same record with it changed. */
+  private static Map<String, Record> eachChanged(Record plain) throws Exception {
+    RecordComponent[] parts = plain.getClass().getRecordComponents();
+    Object[] values = new Object[parts.length];
+    Class<?>[] types = new Class<?>[parts.length];
+    for (int i = 0; i < parts.length; i++) {
+      values[i] = parts[i].getAccessor().invoke(plain);
+      types[i] = parts[i].getType();
+    }
+    var constructor = plain.getClass().getDeclaredConstructor(types);
+    Map<String, Record> changes = new LinkedHashMap<>();
+    for (int i = 0; i < parts.length; i++) {
+      Object before = values[i];
+      Map<String, Object> others = new LinkedHashMap<>();
+      if (before instanceof Record group) {
+        others.putAll(eachChanged(group));
+      } else {
+        others.put(parts[i].getName(), other(before, parts[i].getName()));
+      }
+      for (Map.Entry<String, Object> each : others.entrySet()) {
+        values[i] = each.getValue();
+        Record changed = (Record) constructor.newInstance(values.clone());
+        assertNull(changes.put(each.getKey(), changed));
+      }
+      values[i] = before;
+    }
+    return changes;
+  }
+
   private static Object other(Object value, String name) {
     if (value instanceof Integer number) {
       return number + 1;
