--- a/src/main/java/wharftrestle/config/DaemonConfig.java
+++ b/src/main/java/wharftrestle/config/DaemonConfig.java
@@ -9,6 +9,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.simulator.MalformedLineException;
 import wharftrestle.simulator.SettingsReader;
 import wharftrestle.transport.Address;
@@ -33,7 +34,7 @@
     int sockets,
     double memoryMb,
     Path meeting,
-    Admission.Settings settings) {
+    AdmissionSettings settings) {
 
   /** Something that the program was told cannot be used. */
   public static final class BadConfigException extends Exception {
@@ -90,50 +91,60 @@
    */
   public String canonical(Appliance appliance) {
     StringBuilder text = new StringBuilder(1024);
-    Admission.Settings s = settings;
+    AdmissionSettings s = settings;
     put(
         text,
         stopSeconds,
         cores,
         sockets,
         memoryMb,
-        s.peers(),
-        s.callers(),
-        s.cores(),
-        s.memory(),
-        s.runFactor(),
-        s.keyMemory(),
-        s.shareFor(),
-        s.callShare(),
-        s.callsOver(),
-        s.linger(),
-        s.answerSlack(),
-        s.drainGrace(),
-        s.crowdMultiple(),
-        s.crowdOver(),
-        s.coldFrom(),
-        s.coldFor(),
-        s.maxRetryAfter(),
-        s.overShareWorth(),
-        s.tick());
-    text.append(s.preemption()).append(' ').append(s.downstream()).append(' ');
-    put(text, s.tellsGone(), s.realChecks(), s.listFollows(), s.worthByWork(), s.marksRetry());
+        s.fleet().hosts(),
+        s.fleet().callers(),
+        s.capacity().cores(),
+        s.capacity().memoryKb(),
+        s.capacity().executionMemoryFactor(),
+        s.capacity().keyMemoryKb(),
+        s.timing().resultSharingSeconds(),
+        s.calls().quota(),
+        s.calls().quotaWindowSeconds(),
+        s.calls().abandonedSeconds(),
+        s.timing().answerSlackSeconds(),
+        s.timing().drainGraceSeconds(),
+        s.capacity().survivableConcurrencyPerCore(),
+        s.capacity().concurrencyWindowSeconds(),
+        s.warmUp().coldSpeedFraction(),
+        s.warmUp().seconds(),
+        s.retries().maxRetryAfterSeconds(),
+        s.weighting().overQuota(),
+        s.timing().tickSeconds());
+    text.append(s.capacity().preemption()).append(' ').append(s.calls().dependency()).append(' ');
+    put(
+        text,
+        s.fleet().notifiesCallerGone(),
+        s.fleet().healthChecksExecute(),
+        s.fleet().endpointListFollowsHealth(),
+        s.weighting().perWork(),
+        s.retries().marked());
     for (Admission.RequestClass each : s.classes()) {
-      text.append('\n').append(each.name()).append(' ').append(each.repeat()).append(' ');
-      put(text, each.calls());
+      text.append('\n')
+          .append(each.name())
+          .append(' ')
+          .append(published(each.idempotency()))
+          .append(' ');
+      put(text, each.callsDependency());
       put(
           text,
-          each.aim(),
-          each.aimStretch(),
-          each.deadline(),
-          each.worth(),
-          each.lateWorth(),
-          each.window(),
-          each.skipWorth());
+          each.latencyObjectiveSeconds(),
+          each.latencyObjectiveStretch(),
+          each.deadlineSeconds(),
+          each.weight(),
+          each.weightAfterObjective(),
+          each.idempotencyWindowSeconds(),
+          each.weightWithoutCall());
     }
     for (Admission.Tenant each : s.tenants()) {
       text.append('\n').append(each.name()).append(' ');
-      put(text, each.allowance(), each.portion());
+      put(text, each.quotaPerSecond(), each.serviceFraction());
     }
     text.append('\n').append(s.gauges());
     text.append('\n')
@@ -154,6 +165,15 @@
     return text.toString();
   }
 
+  /** The words in which this text has always named the ways of idempotency. */
+  private static String published(Admission.Idempotency idempotency) {
+    return switch (idempotency) {
+      case IDEMPOTENT -> "SAFE";
+      case IDEMPOTENCY_KEY -> "KEYED";
+      case NON_IDEMPOTENT -> "UNSAFE";
+    };
+  }
+
   private static void put(StringBuilder text, double... numbers) {
     for (double number : numbers) {
       text.append(number).append(' ');
@@ -186,7 +206,7 @@
             ? root.path("console").asText()
             : environment.get("EDGE_CONSOLE");
     try {
-      Admission.Settings settings = SettingsReader.read(root.get("settings"));
+      AdmissionSettings settings = SettingsReader.read(root.get("settings"));
       return new DaemonConfig(
           name,
           address("listen", listen),
@@ -209,9 +229,9 @@
   }
 
   /** The store's address; null where there is none and the settings say that no run calls below. */
-  private static InetSocketAddress store(JsonNode told, Admission.Settings settings)
+  private static InetSocketAddress store(JsonNode told, AdmissionSettings settings)
       throws BadConfigException {
-    return told.asText("").isBlank() && settings.downstream() == Admission.Downstream.NONE
+    return told.asText("").isBlank() && settings.calls().dependency() == Admission.Dependency.NONE
         ? null
         : address("db", told.asText());
   }
--- a/src/test/java/wharftrestle/Sites.java
+++ b/src/test/java/wharftrestle/Sites.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 
 /** Settings made up for tests; two cores, so that the running limit starts at two. */
 public final class Sites {
@@ -50,47 +51,43 @@
         double deadline,
         double worth,
         double late,
-        Admission.Repeat repeat) {
+        Admission.Idempotency repeat) {
       return new Admission.RequestClass(
           name, aim / haste, 0, deadline / haste, worth, late, repeat, window, calls, skipWorth);
     }
 
-    public Admission.Settings build() {
-      return new Admission.Settings(
+    public AdmissionSettings build() {
+      return new AdmissionSettings(
           List.of(
-              type(swapped ? "save" : "read", 2, 6, swapped ? 3 : 1, 0, Admission.Repeat.SAFE),
-              type(swapped ? "read" : "save", 2, 6, swapped ? 1 : 3, 0, Admission.Repeat.SAFE),
-              type("keyed", 2, 6, 3, 0, Admission.Repeat.KEYED),
-              type("unsafe", 2, 6, 3, 0, Admission.Repeat.UNSAFE),
-              type("long", 8, 20, 1, 0.2, Admission.Repeat.SAFE)),
+              type(
+                  swapped ? "save" : "read",
+                  2,
+                  6,
+                  swapped ? 3 : 1,
+                  0,
+                  Admission.Idempotency.IDEMPOTENT),
+              type(
+                  swapped ? "read" : "save",
+                  2,
+                  6,
+                  swapped ? 1 : 3,
+                  0,
+                  Admission.Idempotency.IDEMPOTENT),
+              type("keyed", 2, 6, 3, 0, Admission.Idempotency.IDEMPOTENCY_KEY),
+              type("unsafe", 2, 6, 3, 0, Admission.Idempotency.NON_IDEMPOTENT),
+              type("long", 8, 20, 1, 0.2, Admission.Idempotency.IDEMPOTENT)),
           tenants,
-          1,
-          3,
-          cores,
-          memory,
-          4,
-          keyMemory,
-          shareFor,
-          preemption,
-          calls ? Admission.Downstream.SHARED : Admission.Downstream.NONE,
-          calls ? callShare : 0,
-          5,
-          0.2,
-          true,
-          false,
-          true,
-          0.08,
-          2,
-          6,
-          2,
-          justStarted,
-          0.25,
-          10,
-          1,
-          worthByWork,
-          overShareWorth,
-          marksRetry,
-          0.004,
+          new AdmissionSettings.Fleet(1, 3, true, false, true),
+          new AdmissionSettings.Capacity(cores, memory, 4, keyMemory, preemption, 6, 2),
+          new AdmissionSettings.WarmUp(justStarted, 0.25, 10),
+          new AdmissionSettings.DependencyCalls(
+              calls ? Admission.Dependency.SHARED : Admission.Dependency.NONE,
+              calls ? callShare : 0,
+              5,
+              0.2),
+          new AdmissionSettings.Timing(0.004, 0.08, 2, shareFor),
+          new AdmissionSettings.Retries(1, marksRetry),
+          new AdmissionSettings.Weighting(worthByWork, overShareWorth),
           List.of("cpu_busy", "runnable"));
     }
   }
