--- a/src/main/java/wharftrestle/cli/AdapterCommand.java
+++ b/src/main/java/wharftrestle/cli/AdapterCommand.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 import wharftrestle.simulator.SimulatorAdapter;
 
 /** Runs the daemon's admission code on the simulator's protocol. */
@@ -13,7 +13,7 @@
 public final class AdapterCommand implements Callable<Integer> {
   @Override
   public Integer call() throws IOException {
-    new SimulatorAdapter(GroupEdfScheduler::new).serve(System.in, System.out);
+    new SimulatorAdapter(AdmissionController::new).serve(System.in, System.out);
     return 0;
   }
 }
--- a/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
+++ b/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
@@ -2,6 +2,7 @@
 
 import org.tinylog.Logger;
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.handover.Capabilities;
 
 /** What a handover does to the parts of the daemon. */
@@ -23,7 +24,7 @@
 
   @Override
   public Capabilities capabilities() {
-    Admission.Settings settings = parts.config().settings();
+    AdmissionSettings settings = parts.config().settings();
     return new Capabilities(
         parts.version().summaryLine(),
         parts.version().handoverVersions(),
@@ -36,9 +37,9 @@
   }
 
   private static Capabilities.RequestClass requestClass(Admission.RequestClass settings) {
-    boolean isKeyed = settings.repeat() == Admission.Repeat.KEYED;
+    boolean isKeyed = settings.idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY;
     return new Capabilities.RequestClass(
-        settings.name(), isKeyed, isKeyed ? Math.round(settings.window() * 1000) : 0);
+        settings.name(), isKeyed, isKeyed ? Math.round(settings.idempotencyWindowSeconds() * 1000) : 0);
   }
 
   @Override
--- a/src/main/java/wharftrestle/daemon/DaemonParts.java
+++ b/src/main/java/wharftrestle/daemon/DaemonParts.java
@@ -1,7 +1,7 @@
 package wharftrestle.daemon;
 
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.discovery.LoadReporter;
 import wharftrestle.idempotency.IdempotencyTable;
@@ -42,7 +42,7 @@
             config.seed(),
             limits.maxRequests(),
             keyMemory,
-            GroupEdfScheduler::new,
+            AdmissionController::new,
             counters);
     return new DaemonParts(
         config,
@@ -65,7 +65,7 @@
   private static double longestWindowSeconds(DaemonConfig config) {
     return IdempotencyTable.SLACK
         + config.settings().classes().stream()
-            .mapToDouble(Admission.RequestClass::window)
+            .mapToDouble(Admission.RequestClass::idempotencyWindowSeconds)
             .max()
             .orElse(0);
   }
--- a/src/main/java/wharftrestle/daemon/GracefulShutdown.java
+++ b/src/main/java/wharftrestle/daemon/GracefulShutdown.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.CountDownLatch;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
 
 /**
  * Waits for the notice to leave, answers all that was read, and ends the connections before the
@@ -85,7 +85,7 @@
     leaveRequests();
     double graceSeconds =
         Math.min(
-                parts.config().settings().drainGrace() - GroupEdfScheduler.DRAIN_SPARE,
+                parts.config().settings().timing().drainGraceSeconds() - AdmissionController.DRAIN_MARGIN_SECONDS,
                 parts.config().stopSeconds() - 2 * ANSWER_MARGIN_SECONDS)
             + IN_TRANSIT_SECONDS;
     double openSeconds = graceSeconds - (parts.config().stopSeconds() - remainingSeconds());
@@ -100,7 +100,7 @@
   private void drainBesideSuccessor() {
     double longestDeadlineSeconds =
         parts.config().settings().classes().stream()
-            .mapToDouble(Admission.RequestClass::deadline)
+            .mapToDouble(Admission.RequestClass::deadlineSeconds)
             .max()
             .orElse(MAX_RELINQUISHED_SECONDS);
     stopSeconds =
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -15,6 +15,7 @@
 import org.tinylog.Logger;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
@@ -73,7 +74,7 @@
   private final Condition timers = lock.newCondition();
   private final Condition gaugesCame = lock.newCondition();
   private final Condition drained = lock.newCondition();
-  private final Admission.Settings settings;
+  private final AdmissionSettings settings;
   private final long seed;
   private final AdmissionFactory factory;
   private final Counters counters;
@@ -113,7 +114,7 @@
    * @param room for what is known of keys
    */
   public RequestCoordinator(
-      Admission.Settings settings,
+      AdmissionSettings settings,
       long seed,
       int mostInHand,
       KeyMemoryBudget room,
@@ -199,7 +200,7 @@
     return partner;
   }
 
-  public Admission.Settings settings() {
+  public AdmissionSettings settings() {
     return settings;
   }
 
@@ -304,7 +305,7 @@
         task.steps.removeIf(step -> step.kind() != InFlightRequest.Kind.ANSWER); // no run was begun
         tellRunOver(task, Outcome.VOID, 0, null);
       } else if (byId.containsKey(task.id)) {
-        module.callerLeft(now(), task.id);
+        module.callerGone(now(), task.id);
         settle(now());
       }
     } finally {
@@ -385,7 +386,7 @@
         // unread by
         // the module, or failed where another try of it ran.
         counters.add(Count.GUARD_REJECTIONS);
-        answer(task, ran ? Answer.failed() : Answer.rejected(settings.maxRetryAfter(), false));
+        answer(task, ran ? Answer.failed() : Answer.rejected(settings.retries().maxRetryAfterSeconds(), false));
         return;
       }
       if (module == null
@@ -406,7 +407,7 @@
         answer(
             task,
             module == null && !ran
-                ? Answer.rejected(settings.maxRetryAfter(), false)
+                ? Answer.rejected(settings.retries().maxRetryAfterSeconds(), false)
                 : Answer.failed());
         return;
       }
@@ -474,7 +475,7 @@
 
   double due(IncomingRequest a, double now) {
     return Math.min(
-        now - lay(a) + settings.classes().get(a.classIndex()).deadline() + BACKSTOP, stopAt);
+        now - lay(a) + settings.classes().get(a.classIndex()).deadlineSeconds() + BACKSTOP, stopAt);
   }
 
   /** The request's next step; null once it is answered and nothing of it runs. */
@@ -506,7 +507,7 @@
           counters.add(Count.DEADLINE_BACKSTOPS);
           answer(task, Answer.deadlineExceeded());
           if (byId.containsKey(task.id)) {
-            module.callerLeft(now(), task.id);
+            module.callerGone(now(), task.id);
             settle(now());
           }
         } else {
@@ -535,7 +536,7 @@
     counters.add(Count.GUARD_REJECTIONS);
     counters.add(Count.KEY_MEMORY_FULL);
     return Answer.rejected(
-        Math.min(settings.maxRetryAfter(), Math.max(LEAST_AGAIN, keys.roomIn(now))), false);
+        Math.min(settings.retries().maxRetryAfterSeconds(), Math.max(LEAST_AGAIN, keys.roomIn(now))), false);
   }
 
   private void forget(InFlightRequest task) {
@@ -567,7 +568,7 @@
         keys.leave(task.entry, task);
       }
       if (byId.containsKey(task.id)) {
-        module.callerLeft(now(), task.id);
+        module.callerGone(now(), task.id);
         settle(now());
       }
     } finally {
@@ -586,7 +587,7 @@
             case FAILED, DEADLINE_EXCEEDED, CONFLICT -> Result.FAILED;
           });
       Admission.RequestClass type = settings.classes().get(task.arrival.classIndex());
-      double aim = type.aim() + type.aimStretch() * task.arrival.expectedWorkSeconds();
+      double aim = type.latencyObjectiveSeconds() + type.latencyObjectiveStretch() * task.arrival.expectedWorkSeconds();
       if (answer.kind() == Answer.Kind.SERVED && lay(task.arrival) > aim) {
         counters.servedAfterObjective(task.arrival.classIndex());
       }
@@ -627,10 +628,10 @@
   private void settle(double now) {
     unsettled = false;
     settledAt = now;
-    module.settled(now);
+    module.batchCompleted(now);
     for (Runnable event = pending.poll(); event != null; event = pending.poll()) {
       event.run();
-      module.settled(now());
+      module.batchCompleted(now());
     }
   }
 
@@ -651,7 +652,7 @@
         try {
           if (!moment) {
             wakes.remove(first);
-            module.timer(now, first.label(), seen);
+            module.timerFired(now, first.label(), seen);
           }
           settle(now);
         } catch (RuntimeException | Error fault) {
@@ -692,7 +693,7 @@
     lock.lock();
     try {
       if (module == null && stopAt == Double.POSITIVE_INFINITY) {
-        module = factory.create(now() - ago, seed, settings.started(cold), this);
+        module = factory.create(now() - ago, seed, settings.withColdStart(cold), this);
         settle(now());
         up.countDown();
       }
@@ -766,7 +767,7 @@
     }
     task.signal.signal();
     double now = now();
-    module.ended(now, task.id, outcome, elapsed);
+    module.completed(now, task.id, outcome, elapsed);
     settleSoon(now);
   }
 
@@ -782,7 +783,7 @@
       task.callFailed = false;
       task.callBody = body;
       double now = now();
-      module.standsAtCall(now, task.id);
+      module.blockedOnCall(now, task.id);
       settleSoon(now);
     } finally {
       lock.unlock();
@@ -807,7 +808,8 @@
       lock.unlock();
     }
     boolean again =
-        settings.classes().get(task.arrival.classIndex()).repeat() == Admission.Repeat.SAFE;
+        settings.classes().get(task.arrival.classIndex()).idempotency()
+            == Admission.Idempotency.IDEMPOTENT;
     DependencyCall call =
         store.call(
             task.arrival.reference(),
@@ -856,7 +858,7 @@
       if (outcome == Outcome.SUCCESS) {
         task.step(new InFlightRequest.Step(InFlightRequest.Kind.SUPPLY, reply, 0, null));
       }
-      module.callEnded(now, task.id, outcome, now - task.callSince);
+      module.callCompleted(now, task.id, outcome, now - task.callSince);
       settleSoon(now);
     } finally {
       lock.unlock();
@@ -927,7 +929,7 @@
     answer(task, result != null ? Answer.served(result) : Answer.failed());
     if (module != null && byId.containsKey(task.id)) {
       double now = now();
-      module.ended(
+      module.completed(
           now, task.id, result != null ? Outcome.SUCCESS : Outcome.FAILURE, now - task.since);
     }
   }
@@ -959,8 +961,11 @@
   /** Seconds; for a class that only the other process of the box knows, the longest of all. */
   double window(int classIndex) {
     return classIndex < settings.classes().size()
-        ? settings.classes().get(classIndex).window()
-        : settings.classes().stream().mapToDouble(Admission.RequestClass::window).max().orElse(0);
+        ? settings.classes().get(classIndex).idempotencyWindowSeconds()
+        : settings.classes().stream()
+            .mapToDouble(Admission.RequestClass::idempotencyWindowSeconds)
+            .max()
+            .orElse(0);
   }
 
   /** Bytes of results that are kept in memory at most. */
@@ -982,7 +987,7 @@
 
   private void share(double part) {
     if (module != null) {
-      module.shares(now(), part);
+      module.quotaChanged(now(), part);
       settle(now());
     }
   }
@@ -1007,7 +1012,7 @@
   // ---- What the module asks for: each becomes a step of the request concerned ----
 
   @Override
-  public void start(long id) {
+  public void dispatch(long id) {
     InFlightRequest task = byId.get(id);
     if (task == null || task.spawned) {
       return;
@@ -1047,7 +1052,7 @@
   }
 
   @Override
-  public void refuse(long id, boolean nowhereElse, double retryAfter) {
+  public void reject(long id, boolean nowhereElse, double retryAfter) {
     InFlightRequest task = byId.get(id);
     if (task != null) {
       // Guards against a refusal after the run of a key: that answer would promise that none ran.
@@ -1068,7 +1073,7 @@
   }
 
   @Override
-  public void stop(long id) {
+  public void preempt(long id) {
     InFlightRequest task = byId.get(id);
     if (task != null && recorder.recording(task)) {
       pending.add(
@@ -1083,7 +1088,7 @@
   }
 
   @Override
-  public void call(long id, double notPast) {
+  public void callDependency(long id, double notPast) {
     InFlightRequest task = byId.get(id);
     if (task != null && !task.runOver) {
       task.callSince = now();
@@ -1100,7 +1105,7 @@
   }
 
   @Override
-  public void keep(long id, double time) {
+  public void retainKey(long id, double time) {
     InFlightRequest task = byId.get(id);
     if (task == null || task.key == null) {
       return;
@@ -1113,7 +1118,7 @@
   }
 
   @Override
-  public void release(long id) {
+  public void releaseKey(long id) {
     InFlightRequest task = byId.get(id);
     if (task != null && task.entry != null) {
       keys.release(task.entry, task);
@@ -1129,18 +1134,18 @@
   }
 
   @Override
-  public void health(boolean good, boolean fromStore) {
+  public void reportHealth(boolean good, boolean fromStore) {
     healthy = good;
     watcher.onHealthChanged(isHealthy());
   }
 
   @Override
-  public void idleLimit(double time) {
+  public void setIdleTimeout(double time) {
     idleLimit = time;
   }
 
   @Override
-  public void timer(long label, double in) {
+  public void setTimer(long label, double in) {
     wakes.add(new Wake(now() + in, label));
     timers.signal();
   }
@@ -1165,10 +1170,10 @@
         }
       }
       if (module == null) {
-        health(false, true);
+        reportHealth(false, true);
         return;
       }
-      module.leaving(now, timeLeft);
+      module.draining(now, timeLeft);
       settle(now);
     } finally {
       lock.unlock();
