--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -386,7 +386,11 @@
         // unread by
         // the module, or failed where another try of it ran.
         counters.add(Count.GUARD_REJECTIONS);
-        answer(task, ran ? Answer.failed() : Answer.rejected(settings.retries().maxRetryAfterSeconds(), false));
+        answer(
+            task,
+            ran
+                ? Answer.failed()
+                : Answer.rejected(settings.retries().maxRetryAfterSeconds(), false));
         return;
       }
       if (module == null
@@ -536,7 +540,9 @@
     counters.add(Count.GUARD_REJECTIONS);
     counters.add(Count.KEY_MEMORY_FULL);
     return Answer.rejected(
-        Math.min(settings.retries().maxRetryAfterSeconds(), Math.max(LEAST_AGAIN, keys.roomIn(now))), false);
+        Math.min(
+            settings.retries().maxRetryAfterSeconds(), Math.max(LEAST_AGAIN, keys.roomIn(now))),
+        false);
   }
 
   private void forget(InFlightRequest task) {
@@ -587,7 +593,9 @@
             case FAILED, DEADLINE_EXCEEDED, CONFLICT -> Result.FAILED;
           });
       Admission.RequestClass type = settings.classes().get(task.arrival.classIndex());
-      double aim = type.latencyObjectiveSeconds() + type.latencyObjectiveStretch() * task.arrival.expectedWorkSeconds();
+      double aim =
+          type.latencyObjectiveSeconds()
+              + type.latencyObjectiveStretch() * task.arrival.expectedWorkSeconds();
       if (answer.kind() == Answer.Kind.SERVED && lay(task.arrival) > aim) {
         counters.servedAfterObjective(task.arrival.classIndex());
       }
--- a/src/test/java/wharftrestle/DecisionGenerator.java
+++ b/src/test/java/wharftrestle/DecisionGenerator.java
@@ -91,7 +91,6 @@
     State state = State.HELD;
     boolean ran;
     boolean answered;
-    boolean stopping;
     boolean failed;
     long began;
     long callBegan;
@@ -359,7 +358,7 @@
     String repeat = facts.at("/categories/" + op.type + "/repeat").asText();
     boolean keyed = repeat.equals("idempotency_key");
     boolean read = repeat.equals("read_like") && facts.at("/specifics/shareFor").asDouble() > 0;
-    boolean sent = keyed || read && random.nextInt(3) > 0;
+    boolean sent = keyed || (read && random.nextInt(3) > 0);
     op.key = again != null ? again.key : sent ? op.type + "k" + random.nextInt(40) : null;
     op.tries = again == null ? 0 : again.tries + 1;
     boolean fresh = phase == Phase.NEW_CALLERS || phase == Phase.NEW_CALLERS_LATE;
@@ -367,8 +366,8 @@
     op.cost = random.nextInt(4) == 0 ? 0 : (20 + random.nextInt(400)) / 1000.0;
     op.kb = phase == Phase.BIG_REQUESTS ? 40 + random.nextInt(60) : 2 + random.nextInt(10);
     ops.put(op.id, op);
-    boolean storm = phase == Phase.RETRY_STORM || phase == Phase.LATE_READING && retrying;
-    boolean retry = op.tries > 0 || storm && random.nextInt(4) == 0;
+    boolean storm = phase == Phase.RETRY_STORM || (phase == Phase.LATE_READING && retrying);
+    boolean retry = op.tries > 0 || (storm && random.nextInt(4) == 0);
     boolean marked = facts.at("/clients/marksRetry").asBoolean();
     List<Object> f = new ArrayList<>(List.of("opId", op.id));
     if (marked && retry) {
--- a/src/test/java/wharftrestle/admin/AdminFormatFixtures.java
+++ b/src/test/java/wharftrestle/admin/AdminFormatFixtures.java
@@ -191,6 +191,7 @@
     private RolloutStatus stand = RolloutStatus.NONE;
     private boolean leaving;
 
+    @SuppressWarnings("EnumOrdinal") // a value that differs by figure, in the order of the MIB
     FixedDaemon() {
       for (ResultMetric figure : ResultMetric.values()) {
         results.put(figure, figure == ResultMetric.STATE ? 2 : 1000L * (figure.ordinal() + 1) + 1);
--- a/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
@@ -221,6 +221,7 @@
     return text.toString();
   }
 
+  @SuppressWarnings("EnumOrdinal") // stored: the format counts kinds in the order of declaration
   private static String describe(LogRecord record, int offset) {
     return String.format(
         "record offset=%d kind=%d ends=%b batch=%d wall=%d steady=%d lastDoor=%d window=%d"
