--- a/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
+++ b/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
@@ -55,7 +55,7 @@
         "txn="
             + ref
             + ",door="
-            + SteadyWallClock.now()
+            + SteadyWallClock.wallMillis()
             + ",lb=1,team=one,ram=24.5,standing=0.5"
             + (tag % 2 == 0 ? ",unique=k" + tag : "");
     StringBuilder text = new StringBuilder("*5\r\n");
--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -287,7 +287,7 @@
       String against = comes ? agreement.against(theirs, mine) : agreement.against(mine, theirs);
       if (against == null && comes) {
         if (theirs.scale() != 0) {
-          SteadyWallClock.adopt(
+          SteadyWallClock.adoptOffset(
               theirs.scale()); // stamps of keys are compared with those of requests read here
         }
         partner.join(link, CompatibilityCheck.stretch(theirs, mine));
@@ -310,7 +310,7 @@
         own.classes(),
         own.tenants(),
         partner.room(),
-        SteadyWallClock.base());
+        SteadyWallClock.offsetMillis());
   }
 
   // ---- What is done ----
--- a/src/main/java/wharftrestle/daemon/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -243,7 +243,7 @@
 
   /** Seconds in which a key of any class may come again, with the slack of the table. */
   private double longestWindow() {
-    return IdempotencyTable.SLACK
+    return IdempotencyTable.WINDOW_SLACK_SECONDS
         + config.settings().classes().stream()
             .mapToDouble(Admission.RequestClass::window)
             .max()
@@ -388,7 +388,7 @@
 
   @Override
   public boolean openRecords(int tries) {
-    if (journal == null || journal.state() != WriteAheadLog.State.SHUT) {
+    if (journal == null || journal.state() != WriteAheadLog.State.CLOSED) {
       return true;
     }
     for (int i = 0; i < tries; i++) {
--- a/src/main/java/wharftrestle/frontend/RespFrontend.java
+++ b/src/main/java/wharftrestle/frontend/RespFrontend.java
@@ -231,7 +231,7 @@
     } catch (IOException e) {
       throw new InvalidException(e.getMessage());
     }
-    long now = SteadyWallClock.now();
+    long now = SteadyWallClock.wallMillis();
     if (ram <= 0
         || ram >= MOST_RAM
         || standing < 0
@@ -253,7 +253,7 @@
         cpu / 1000,
         key,
         item,
-        SteadyWallClock.even(door),
+        SteadyWallClock.toSteadyWallMillis(door),
         words.length > 4 ? words[4] : new byte[0]);
   }
 
--- a/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
+++ b/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
@@ -185,7 +185,7 @@
         0,
         keyed ? key : null,
         null,
-        SteadyWallClock.even(),
+        SteadyWallClock.steadyWallMillis(),
         body);
   }
 
--- a/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
+++ b/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
@@ -6,6 +6,9 @@
 import wharftrestle.handover.PeerProcess.Over;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.idempotency.KeyEntry;
+import wharftrestle.idempotency.RequestBody;
+import wharftrestle.idempotency.SettledKey;
 
 /**
  * What becomes of each key while two processes serve one box: the one owns all keys, the other ends
@@ -35,10 +38,10 @@
     double window(String key);
 
     /** The run of a key at the other process is over; the result is null unless it ended well. */
-    void finished(IdempotencyTable.Entry<T> entry, byte[] result);
+    void finished(KeyEntry<T> entry, byte[] result);
 
     /** A key that the other process had in hand never ran. */
-    void voided(IdempotencyTable.Entry<T> entry);
+    void voided(KeyEntry<T> entry);
 
     /** Tries that wait for word of this key look again. */
     void wake(String key, boolean granted);
@@ -48,7 +51,7 @@
   public record Reread<T>(
       PeerProcess asks,
       String key,
-      IdempotencyTable.Entry<T> entry,
+      KeyEntry<T> entry,
       byte[] inMemory,
       double window,
       byte[] body) {
@@ -56,9 +59,15 @@
     /** Tells what is known of the key; the result is null where it has none to give. */
     public void tell(byte[] result) {
       // A try with another body must be told apart there too: it is told a body that differs.
-      byte[] asked = entry.asked().same(body) ? body : Arrays.copyOf(body, body.length + 1);
+      byte[] asked = entry.body().matches(body) ? body : Arrays.copyOf(body, body.length + 1);
       asks.tell(
-          new Kept(key, true, entry.lastDoor(), window + IdempotencyTable.LINGER, asked, result));
+          new Kept(
+              key,
+              true,
+              entry.coveredUntilMillis(),
+              window + IdempotencyTable.LINGER_SECONDS,
+              asked,
+              result));
     }
   }
 
@@ -94,7 +103,7 @@
   public List<KeyDigest> tellsSettled(PeerProcess to) {
     told = to;
     lagged = false;
-    return keys.settled();
+    return keys.settledDigests();
   }
 
   /** What was asked will not be: nothing more is told. */
@@ -112,10 +121,15 @@
    * that both read.
    */
   public Over settled(KeyDigest key, boolean onDisk, double now) {
-    IdempotencyTable.Settled known = keys.settled(key);
+    SettledKey known = keys.findSettled(key);
     return known == null || (onDisk && known.result() == null)
         ? null
-        : new Over(key, known.lastDoor(), known.until() - now, known.check(), known.result());
+        : new Over(
+            key,
+            known.coveredUntilMillis(),
+            known.expiresAtSeconds() - now,
+            known.checksum(),
+            known.result());
   }
 
   /** This key may have come to be over just now. */
@@ -138,17 +152,17 @@
     other = to;
     owner = false;
     int[] open = {0};
-    keys.each(
+    keys.forEachActive(
         entry -> {
           open[0]++;
-          if (entry.over() && entry.asked().body() == null) {
+          if (entry.isFinal() && entry.body().bytes() == null) {
             // Over, and still open as the index is full: its body is not kept any more.
             to.follows(
                 new Over(
                     KeyDigest.of(entry.key()),
-                    entry.lastDoor(),
-                    entry.until() - now,
-                    entry.asked().brief(),
+                    entry.coveredUntilMillis(),
+                    entry.expiresAtSeconds() - now,
+                    entry.body().checksum(),
                     keys.result(entry)));
           } else {
             to.tell(kept(entry, now));
@@ -175,7 +189,7 @@
     told = null;
     owner = true;
     stretch = 0;
-    keys.otherGone();
+    keys.peerLost();
   }
 
   /** This process gives back what it was given, and asks that one no more: it has run nothing. */
@@ -194,8 +208,8 @@
     // would have them go.
     keys.expire(now);
     double until = now + over.secondsLeft() + stretch;
-    if (!keys.hear(
-        new IdempotencyTable.Settled(
+    if (!keys.learnSettledFromPeer(
+        new SettledKey(
             over.key().high(),
             over.key().low(),
             stretched(over.lastDoor()),
@@ -204,7 +218,7 @@
             over.result()))) {
       // Guards against a second run of a key that there is no room to know: less memory than the
       // other had.
-      keys.blind(until);
+      keys.failUnknownKeysUntil(until);
       return false;
     }
     return true;
@@ -212,13 +226,13 @@
 
   /** The other process has this key in hand, or had. */
   public void heard(Kept kept, double now) {
-    keys.hear(
+    keys.learnFromPeer(
         kept.key(),
-        IdempotencyTable.Asked.of(kept.body()),
+        RequestBody.of(kept.body()),
         stretched(kept.lastDoor()),
         now + kept.secondsLeft() + stretch);
-    IdempotencyTable.Entry<T> known = keys.find(kept.key());
-    if (kept.finished() && keys.elsewhere(known)) {
+    KeyEntry<T> known = keys.find(kept.key());
+    if (kept.finished() && keys.isOwnedByPeer(known)) {
       host.finished(known, kept.result());
     }
     host.wake(kept.key(), false);
@@ -229,17 +243,17 @@
   }
 
   public void ended(String key, byte[] result) {
-    IdempotencyTable.Entry<T> entry = keys.find(key);
-    if (keys.elsewhere(entry)) {
+    KeyEntry<T> entry = keys.find(key);
+    if (keys.isOwnedByPeer(entry)) {
       host.finished(entry, result);
     }
   }
 
   public void freed(String key) {
-    IdempotencyTable.Entry<T> entry = keys.find(key);
-    if (keys.elsewhere(entry)) {
+    KeyEntry<T> entry = keys.find(key);
+    if (keys.isOwnedByPeer(entry)) {
       host.voided(entry);
-      keys.freed(entry);
+      keys.releasedByPeer(entry);
     }
   }
 
@@ -248,23 +262,23 @@
    * disk has the answer.
    */
   public Reread<T> claimed(String key, long door, byte[] body, double now) {
-    IdempotencyTable.Entry<T> entry = keys.meet(key, door);
+    KeyEntry<T> entry = keys.findDuplicate(key, door);
     if (other == null) {
       return null;
     }
     double window = host.window(key);
-    if (entry == null || keys.elsewhere(entry)) {
+    if (entry == null || keys.isOwnedByPeer(entry)) {
       if (entry == null) {
-        keys.hear(
+        keys.learnFromPeer(
             key,
-            IdempotencyTable.Asked.of(body),
+            RequestBody.of(body),
             door + Math.round(window * 1000),
-            now + window + IdempotencyTable.LINGER);
+            now + window + IdempotencyTable.LINGER_SECONDS);
       }
       other.granted(key);
       return null;
     }
-    if (entry.asked().body() != null) {
+    if (entry.body().bytes() != null) {
       other.tell(kept(entry, now));
       return null;
     }
@@ -279,18 +293,18 @@
   }
 
   public boolean known(String key, long door) {
-    IdempotencyTable.Entry<T> entry = keys.find(key);
+    KeyEntry<T> entry = keys.find(key);
     return entry != null && entry.covers(door);
   }
 
   /** What the other process has to know before a run of this key begins; null for nothing. */
-  public Kept beforeRun(IdempotencyTable.Entry<T> entry, double now) {
+  public Kept beforeRun(KeyEntry<T> entry, double now) {
     return other == null || !owner || entry == null ? null : kept(entry, now);
   }
 
   /** A run of this process is over. */
-  public void tellEnd(IdempotencyTable.Entry<T> entry, byte[] result) {
-    if (other != null && entry.holder() != null && keys.current(entry)) {
+  public void tellEnd(KeyEntry<T> entry, byte[] result) {
+    if (other != null && entry.attempt() != null && keys.isCurrent(entry)) {
       other.ended(entry.key(), result);
     }
   }
@@ -302,23 +316,23 @@
     }
   }
 
-  private Kept kept(IdempotencyTable.Entry<T> entry, double now) {
-    if (entry.ran()) {
+  private Kept kept(KeyEntry<T> entry, double now) {
+    if (entry.mayHaveRun()) {
       return new Kept(
           entry.key(),
-          entry.over(),
-          entry.lastDoor(),
-          entry.until() - now,
-          entry.asked().body(),
+          entry.isFinal(),
+          entry.coveredUntilMillis(),
+          entry.expiresAtSeconds() - now,
+          entry.body().bytes(),
           keys.result(entry));
     }
     double window = host.window(entry.key());
     return new Kept(
         entry.key(),
         false,
-        host.door(entry.holder()) + Math.round(window * 1000),
-        window + IdempotencyTable.LINGER,
-        entry.asked().body(),
+        host.door(entry.attempt()) + Math.round(window * 1000),
+        window + IdempotencyTable.LINGER_SECONDS,
+        entry.body().bytes(),
         null);
   }
 }
--- a/src/main/java/wharftrestle/idempotency/BlockStore.java
+++ b/src/main/java/wharftrestle/idempotency/BlockStore.java
@@ -7,59 +7,59 @@
  * Results in memory, each a chain of blocks of 64 bytes in large arrays that are never given back
  * (the slabs of memcached, the overflow pages of SQLite). It owns the bytes of all results that are
  * kept in memory; it must never hold more blocks than it was given, and knows neither keys nor
- * time. To put, get and free cost O(blocks of the result); a result of n bytes takes {@link #of} n
- * blocks, half a block more than it weighs on the mean.
+ * time. To put, get and free cost O(blocks of the result); a result of n bytes takes {@link
+ * #blocksFor} n blocks, half a block more than it weighs on the mean.
  */
 public final class BlockStore {
   /** Bytes of a block. */
-  static final int BLOCK = 64;
+  static final int BLOCK_BYTES = 64;
 
   /** Bytes that one block costs with its link. */
-  static final int COST = BLOCK + Integer.BYTES;
+  static final int BYTES_PER_BLOCK = BLOCK_BYTES + Integer.BYTES;
 
   /** What stands for no block. */
-  static final int NONE = -1;
+  static final int NO_BLOCK = -1;
 
   /**
    * Blocks of one array: 64 kB, small beside the least heap and large beside the largest result.
    */
-  private static final int CHUNK = 1024;
+  private static final int BLOCKS_PER_CHUNK = 1024;
 
   /** Bytes at the head of a chain that say how long it is. */
-  private static final int HEAD = Integer.BYTES;
+  private static final int LENGTH_BYTES = Integer.BYTES;
 
-  private final int most;
+  private final int capacity;
   private byte[][] chunks = new byte[0][];
-  private int[] next = new int[0];
-  private int made; // blocks that have been used at least once
-  private int free = NONE; // the first of those that are not used now
-  private int used;
+  private int[] nextBlock = new int[0];
+  private int createdBlocks; // blocks that have been used at least once
+  private int firstFree = NO_BLOCK; // the first of those that are not used now
+  private int usedBlocks;
 
   /**
    * @param most blocks at once
    */
-  public BlockStore(int most) {
-    this.most = most;
+  public BlockStore(int capacity) {
+    this.capacity = capacity;
   }
 
   /** Blocks that a result of so many bytes takes. */
-  public static int of(int bytes) {
-    return (HEAD + bytes + BLOCK - 1) / BLOCK;
+  public static int blocksFor(int bytes) {
+    return (LENGTH_BYTES + bytes + BLOCK_BYTES - 1) / BLOCK_BYTES;
   }
 
   /** Blocks in use. */
-  public int used() {
-    return used;
+  public int usedBlocks() {
+    return usedBlocks;
   }
 
   /** Blocks at most. */
-  public int most() {
-    return most;
+  public int capacity() {
+    return capacity;
   }
 
   /** Bytes of its arrays. */
   public long bytes() {
-    long bytes = (long) next.length * Integer.BYTES;
+    long bytes = (long) nextBlock.length * Integer.BYTES;
     for (byte[] chunk : chunks) {
       bytes += chunk.length;
     }
@@ -67,25 +67,25 @@
   }
 
   /**
-   * Keeps a copy of a result; its first block, or {@link #NONE} where there is no room, and then
-   * nothing is kept.
+   * Keeps a copy of a result; its first block, or {@link #NO_BLOCK} where there is no room, and
+   * then nothing is kept.
    */
   public int put(byte[] result) {
-    int blocks = of(result.length);
-    if (blocks > most - used) {
-      return NONE;
+    int blocks = blocksFor(result.length);
+    if (blocks > capacity - usedBlocks) {
+      return NO_BLOCK;
     }
-    int first = take();
+    int first = allocate();
     int at = first;
     ByteBuffer.wrap(chunk(at)).putInt(offset(at), result.length);
-    int room = BLOCK - HEAD;
-    int to = offset(at) + HEAD;
+    int room = BLOCK_BYTES - LENGTH_BYTES;
+    int to = offset(at) + LENGTH_BYTES;
     for (int from = 0; from < result.length; ) {
       if (room == 0) {
-        int more = take();
-        next[at] = more;
+        int more = allocate();
+        nextBlock[at] = more;
         at = more;
-        room = BLOCK;
+        room = BLOCK_BYTES;
         to = offset(at);
       }
       int part = Math.min(room, result.length - from);
@@ -94,7 +94,7 @@
       to += part;
       room -= part;
     }
-    next[at] = NONE;
+    nextBlock[at] = NO_BLOCK;
     return first;
   }
 
@@ -102,13 +102,13 @@
   public byte[] get(int first) {
     byte[] result = new byte[length(first)];
     int at = first;
-    int from = offset(at) + HEAD;
-    int room = BLOCK - HEAD;
+    int from = offset(at) + LENGTH_BYTES;
+    int room = BLOCK_BYTES - LENGTH_BYTES;
     for (int done = 0; done < result.length; ) {
       if (room == 0) {
-        at = next[at];
+        at = nextBlock[at];
         from = offset(at);
-        room = BLOCK;
+        room = BLOCK_BYTES;
       }
       int part = Math.min(room, result.length - done);
       System.arraycopy(chunk(at), from, result, done, part);
@@ -120,51 +120,57 @@
   }
 
   /** Blocks of the chain that begins there. */
-  public int count(int first) {
-    return of(length(first));
+  public int blockCount(int first) {
+    return blocksFor(length(first));
   }
 
   /** Gives the blocks of the chain that begins there back. */
   public void free(int first) {
     int last = first;
     int count = 1;
-    for (; next[last] != NONE; last = next[last]) {
+    for (; nextBlock[last] != NO_BLOCK; last = nextBlock[last]) {
       count++;
     }
-    next[last] = free;
-    free = first;
-    used -= count;
+    nextBlock[last] = firstFree;
+    firstFree = first;
+    usedBlocks -= count;
   }
 
   private int length(int first) {
     return ByteBuffer.wrap(chunk(first)).getInt(offset(first));
   }
 
-  private int take() {
-    used++;
-    if (free != NONE) {
-      int block = free;
-      free = next[block];
+  private int allocate() {
+    usedBlocks++;
+    if (firstFree != NO_BLOCK) {
+      int block = firstFree;
+      firstFree = nextBlock[block];
       return block;
     }
-    if (made == chunks.length * CHUNK) {
+    if (createdBlocks == chunks.length * BLOCKS_PER_CHUNK) {
       chunks = Arrays.copyOf(chunks, chunks.length + 1);
-      int blocks = Math.min(CHUNK, most - made); // the last array is as large as the bound leaves
-      chunks[chunks.length - 1] = new byte[blocks * BLOCK];
-      if (made + blocks > next.length) {
-        next =
+      int blocks =
+          Math.min(
+              BLOCKS_PER_CHUNK,
+              capacity - createdBlocks); // the last array is as large as the bound leaves
+      chunks[chunks.length - 1] = new byte[blocks * BLOCK_BYTES];
+      if (createdBlocks + blocks > nextBlock.length) {
+        nextBlock =
             Arrays.copyOf(
-                next, Math.min(most, Math.max(made + blocks, next.length + (next.length >> 1))));
+                nextBlock,
+                Math.min(
+                    capacity,
+                    Math.max(createdBlocks + blocks, nextBlock.length + (nextBlock.length >> 1))));
       }
     }
-    return made++;
+    return createdBlocks++;
   }
 
   private byte[] chunk(int block) {
-    return chunks[block / CHUNK];
+    return chunks[block / BLOCKS_PER_CHUNK];
   }
 
   private static int offset(int block) {
-    return block % CHUNK * BLOCK;
+    return block % BLOCKS_PER_CHUNK * BLOCK_BYTES;
   }
 }
--- a/src/main/java/wharftrestle/idempotency/CompactIndex.java
+++ b/src/main/java/wharftrestle/idempotency/CompactIndex.java
@@ -13,126 +13,134 @@
  */
 public final class CompactIndex {
   /** The place of a key with no result: its end is unknown. */
-  public static final long NO_PLACE = -1;
+  public static final long NO_RESULT = -1;
 
   /** Seconds of a wheel's tick, and its slots: together longer than windows in use. */
-  private static final double TICK = 0.25;
+  private static final double TICK_SECONDS = 0.25;
 
-  private static final int SLOTS = 512;
+  private static final int WHEEL_SLOTS = 512;
   private static final int FIRST_ROWS = 64;
   private static final int EMPTY = -1;
 
-  private final int most;
-  private final TimingWheel wheel = new TimingWheel(TICK, SLOTS);
-  private long[] highs = new long[0];
-  private long[] lows = new long[0];
-  private long[] places = new long[0];
-  private long[] doors = new long[0];
-  private long[] checks = new long[0];
-  private int[] table = new int[0]; // of rows, a power of two, at most half full
-  private int[] free = new int[0];
-  private int frees;
-  private int rows;
-  private final Gone gone;
+  private final int capacity;
+  private final TimingWheel wheel = new TimingWheel(TICK_SECONDS, WHEEL_SLOTS);
+  private long[] digestHighs = new long[0];
+  private long[] digestLows = new long[0];
+  private long[] locations = new long[0];
+  private long[] coveredUntilMillis = new long[0];
+  private long[] checksums = new long[0];
+  private int[] rowBySlot = new int[0]; // of rows, a power of two, at most half full
+  private int[] freeRows = new int[0];
+  private int freeRowCount;
+  private int rowCount;
+  private final LocationReleaseListener releases;
 
   /** Told the place of each key that is forgotten or put anew. */
-  interface Gone {
-    void place(long place);
+  interface LocationReleaseListener {
+    void released(long location);
   }
 
   /** Told of a key that is due; false where no further one is wanted. */
-  interface Due {
-    boolean more(double at, long place);
+  interface ExpiryVisitor {
+    boolean visit(double expiresAtSeconds, long location);
   }
 
   /** What is known of one settled key. */
-  public record Found(int row, long place, long lastDoor, long check) {}
+  public record IndexedKey(int row, long location, long coveredUntilMillis, long checksum) {}
 
   /**
    * @param most keys at once
    */
-  public CompactIndex(int most) {
-    this(most, place -> {});
+  public CompactIndex(int capacity) {
+    this(capacity, place -> {});
   }
 
-  CompactIndex(int most, Gone gone) {
-    this.most = most;
-    this.gone = gone;
+  CompactIndex(int capacity, LocationReleaseListener releases) {
+    this.capacity = capacity;
+    this.releases = releases;
   }
 
   public int size() {
-    return rows - frees;
+    return rowCount - freeRowCount;
   }
 
   /** What is known of this key; null for nothing. */
-  public Found find(KeyDigest key) {
-    int slot = slot(key);
-    int row = slot < 0 ? EMPTY : table[slot];
-    return row == EMPTY ? null : new Found(row, places[row], doors[row], checks[row]);
+  public IndexedKey find(KeyDigest key) {
+    int slot = slotOf(key);
+    int row = slot < 0 ? EMPTY : rowBySlot[slot];
+    return row == EMPTY
+        ? null
+        : new IndexedKey(row, locations[row], coveredUntilMillis[row], checksums[row]);
   }
 
   /**
    * Keeps a key until that time; one that is known is replaced.
    *
-   * @param place of its result, 0 or more, or {@link #NO_PLACE}
+   * @param place of its result, 0 or more, or {@link #NO_RESULT}
    * @param lastDoor no try stamped up to here may run, Unix ms
-   * @param check {@link KeyDigest#check} of its body
+   * @param check {@link KeyDigest#checksum} of its body
    * @param until seconds on the caller's clock
    * @return false where it is full
    */
-  public boolean put(KeyDigest key, long place, long lastDoor, long check, double until) {
-    int slot = slot(key);
-    int row = slot < 0 ? EMPTY : table[slot];
+  public boolean put(
+      KeyDigest key,
+      long location,
+      long lastCoveredMillis,
+      long checksum,
+      double expiresAtSeconds) {
+    int slot = slotOf(key);
+    int row = slot < 0 ? EMPTY : rowBySlot[slot];
     if (row == EMPTY) {
-      if (size() >= most) {
+      if (size() >= capacity) {
         return false;
       }
-      row = frees > 0 ? free[--frees] : newRow();
-      highs[row] = key.high();
-      lows[row] = key.low();
-      table[slot(key)] = row;
+      row = freeRowCount > 0 ? freeRows[--freeRowCount] : newRow();
+      digestHighs[row] = key.high();
+      digestLows[row] = key.low();
+      rowBySlot[slotOf(key)] = row;
     } else {
-      gone.place(places[row]);
+      releases.released(locations[row]);
     }
-    places[row] = place;
-    doors[row] = lastDoor;
-    checks[row] = check;
-    wheel.schedule(row, until);
+    locations[row] = location;
+    coveredUntilMillis[row] = lastCoveredMillis;
+    checksums[row] = checksum;
+    wheel.schedule(row, expiresAtSeconds);
     return true;
   }
 
   /** Forgets a key; false where it is not known. */
   public boolean remove(KeyDigest key) {
-    int slot = slot(key);
-    if (slot < 0 || table[slot] == EMPTY) {
+    int slot = slotOf(key);
+    if (slot < 0 || rowBySlot[slot] == EMPTY) {
       return false;
     }
-    wheel.cancel(table[slot]);
-    drop(slot);
+    wheel.cancel(rowBySlot[slot]);
+    removeSlot(slot);
     return true;
   }
 
   /** Forgets all whose time is over; how many. */
   public int expire(double now) {
-    return wheel.advance(now, row -> drop(slot(new KeyDigest(highs[row], lows[row]))));
+    return wheel.advance(
+        now, row -> removeSlot(slotOf(new KeyDigest(digestHighs[row], digestLows[row]))));
   }
 
   /** Tells keys in the order in which they are forgotten, up to one turn of the wheel ahead. */
-  void soonest(Due told) {
-    wheel.ahead((row, at) -> told.more(at, places[row]));
+  void forEachByExpiry(ExpiryVisitor visitor) {
+    wheel.forEachUpcoming((row, at) -> visitor.visit(at, locations[row]));
   }
 
   /** When the key of this row is forgotten, to a tick, on the caller's clock. */
-  double until(int row) {
-    return wheel.due(row);
+  double expiresAtSeconds(int row) {
+    return wheel.dueSeconds(row);
   }
 
   /** The digests of all keys. */
-  List<KeyDigest> all() {
+  List<KeyDigest> digests() {
     List<KeyDigest> all = new ArrayList<>(size());
-    for (int row : table) {
+    for (int row : rowBySlot) {
       if (row != EMPTY) {
-        all.add(new KeyDigest(highs[row], lows[row]));
+        all.add(new KeyDigest(digestHighs[row], digestLows[row]));
       }
     }
     return all;
@@ -140,69 +148,72 @@
 
   /** Bytes of its arrays. */
   public long bytes() {
-    return 40L * highs.length + 4L * (table.length + free.length) + wheel.bytes();
+    return 40L * digestHighs.length + 4L * (rowBySlot.length + freeRows.length) + wheel.bytes();
   }
 
   /** Where this key stands, or would; -1 where there is no table yet. */
-  private int slot(KeyDigest key) {
-    if (table.length == 0) {
+  private int slotOf(KeyDigest key) {
+    if (rowBySlot.length == 0) {
       return -1;
     }
-    int slot = home(key.low());
-    while (table[slot] != EMPTY
-        && !(highs[table[slot]] == key.high() && lows[table[slot]] == key.low())) {
-      slot = slot + 1 & table.length - 1;
+    int slot = homeSlot(key.low());
+    while (rowBySlot[slot] != EMPTY
+        && !(digestHighs[rowBySlot[slot]] == key.high()
+            && digestLows[rowBySlot[slot]] == key.low())) {
+      slot = slot + 1 & rowBySlot.length - 1;
     }
     return slot;
   }
 
-  private int home(long low) {
-    return (int) (low ^ low >>> 32) & table.length - 1;
+  private int homeSlot(long low) {
+    return (int) (low ^ low >>> 32) & rowBySlot.length - 1;
   }
 
   /**
    * Empties a slot and moves back what stands behind it out of place, so that no search ends early.
    */
-  private void drop(int slot) {
-    if (frees == free.length) {
-      free = Arrays.copyOf(free, Math.max(16, frees + (frees >> 1)));
+  private void removeSlot(int slot) {
+    if (freeRowCount == freeRows.length) {
+      freeRows = Arrays.copyOf(freeRows, Math.max(16, freeRowCount + (freeRowCount >> 1)));
     }
-    free[frees++] = table[slot];
-    gone.place(places[table[slot]]);
+    freeRows[freeRowCount++] = rowBySlot[slot];
+    releases.released(locations[rowBySlot[slot]]);
     int hole = slot;
-    for (int at = slot + 1 & table.length - 1; table[at] != EMPTY; at = at + 1 & table.length - 1) {
-      int home = home(lows[table[at]]);
+    for (int at = slot + 1 & rowBySlot.length - 1;
+        rowBySlot[at] != EMPTY;
+        at = at + 1 & rowBySlot.length - 1) {
+      int home = homeSlot(digestLows[rowBySlot[at]]);
       boolean between = hole <= at ? hole < home && home <= at : hole < home || home <= at;
       if (!between) {
-        table[hole] = table[at];
+        rowBySlot[hole] = rowBySlot[at];
         hole = at;
       }
     }
-    table[hole] = EMPTY;
+    rowBySlot[hole] = EMPTY;
   }
 
   private int newRow() {
-    if (rows == highs.length) {
-      int to = (int) Math.min(most, Math.max(FIRST_ROWS, rows + (long) (rows >> 1)));
-      highs = Arrays.copyOf(highs, to);
-      lows = Arrays.copyOf(lows, to);
-      places = Arrays.copyOf(places, to);
-      doors = Arrays.copyOf(doors, to);
-      checks = Arrays.copyOf(checks, to);
+    if (rowCount == digestHighs.length) {
+      int to = (int) Math.min(capacity, Math.max(FIRST_ROWS, rowCount + (long) (rowCount >> 1)));
+      digestHighs = Arrays.copyOf(digestHighs, to);
+      digestLows = Arrays.copyOf(digestLows, to);
+      locations = Arrays.copyOf(locations, to);
+      coveredUntilMillis = Arrays.copyOf(coveredUntilMillis, to);
+      checksums = Arrays.copyOf(checksums, to);
     }
-    if (2L * (rows + 1) > table.length) {
-      table = new int[Math.max(2 * FIRST_ROWS, 2 * table.length)];
-      Arrays.fill(table, EMPTY);
-      boolean[] idle = new boolean[rows];
-      for (int i = 0; i < frees; i++) {
-        idle[free[i]] = true;
+    if (2L * (rowCount + 1) > rowBySlot.length) {
+      rowBySlot = new int[Math.max(2 * FIRST_ROWS, 2 * rowBySlot.length)];
+      Arrays.fill(rowBySlot, EMPTY);
+      boolean[] idle = new boolean[rowCount];
+      for (int i = 0; i < freeRowCount; i++) {
+        idle[freeRows[i]] = true;
       }
-      for (int row = 0; row < rows; row++) {
+      for (int row = 0; row < rowCount; row++) {
         if (!idle[row]) {
-          table[slot(new KeyDigest(highs[row], lows[row]))] = row;
+          rowBySlot[slotOf(new KeyDigest(digestHighs[row], digestLows[row]))] = row;
         }
       }
     }
-    return rows++;
+    return rowCount++;
   }
 }
--- a/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
+++ b/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
@@ -1,675 +1,427 @@
 package wharftrestle.idempotency;
 
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
 import wharftrestle.idempotency.KeyState.Step;
 
 /**
- * Every decision on a key of this box: whether a try may be held, may run, joins another or fails,
- * and what is known of the try that ran. It owns the entries with their states ({@link KeyState}
- * has the table), the tries that ride on them, and when each is forgotten. It must never let a key
- * run twice in its window, answer a try itself, or forget a key whose window is not over. Time is
- * passed in: {@code now} in seconds on a clock that never goes back, stamps ({@code door}) in Unix
- * ms. Not thread-safe: its caller's lock guards it.
+ * Decides on idempotency keys: whether an attempt may wait, may run, attaches to another or fails,
+ * and what is known of the attempt that ran. {@link KeyState} has the transitions, {@link
+ * ActiveKeys} the entries of keys in hand, {@link SettledKeys} those whose outcome is final, and
+ * {@link KeyMemoryBudget} says whether one more key fits.
  *
- * <p>An entry that is over is settled: its try, its text and its body go, the {@link CompactIndex}
- * knows it by its digest, and its result lies in {@link BlockStore} or, where results are kept, on
- * disk. {@link KeyMemoryBudget} says whether a further key fits: who starts a run asks for its
- * {@link #promise} first.
+ * <p>No key runs twice in its window, and none is forgotten before its window is over. The table
+ * answers no request itself. Time is passed in: {@code now} in seconds on a clock that never goes
+ * back, timestamps in Unix ms. Not thread-safe: the lock of its caller guards it.
  *
- * @param <T> a try, as the caller knows it
+ * @param <T> an attempt, as the caller knows it
  */
 public final class IdempotencyTable<T> {
-  /** Seconds by which a key's window is stretched: clocks round, and a try may be stamped early. */
-  public static final double SLACK = 0.5;
+  /** Added to a key's window: clocks round, and an attempt may be stamped early. */
+  public static final double WINDOW_SLACK_SECONDS = 0.5;
 
-  /**
-   * Seconds an entry stays past its window: a try stamped within it may be read after a standstill.
-   */
-  public static final double LINGER = 10;
-
-  private static final double TICK = 0.25;
-  private static final int SLOTS = 512;
-
-  /** What a key was asked: its body, or where that is not kept any more what stands for it. */
-  public record Asked(byte[] body, long check) {
-    /** Of a key that may have been known before a disk lost it: no try of it is told apart. */
-    private static final Asked ANY = new Asked(null, 0);
-
-    public static Asked of(byte[] body) {
-      return new Asked(body, 0);
-    }
-
-    /** True where a try with this body asks the same. */
-    @SuppressWarnings("ReferenceEquality") // another one with a check of 0 is not that one
-    public boolean same(byte[] other) {
-      return this == ANY
-          || (body != null ? Arrays.equals(body, other) : check == KeyDigest.check(other));
-    }
-
-    /** What stands for it in 64 bits. */
-    public long brief() {
-      return body != null ? KeyDigest.check(body) : check;
-    }
-  }
-
-  /** One key and what is known of it; a handle that its caller keeps and never changes. */
-  public static final class Entry<T> {
-    private final String key;
-    private Asked asked;
-    private final int row;
-    private KeyState state = KeyState.ABSENT;
-    private T holder;
-    private byte[] result;
-    private long place = CompactIndex.NO_PLACE;
-    private long lastDoor;
-    private double until = Double.POSITIVE_INFINITY;
-    private List<T> riders = List.of();
-
-    private Entry(String key, Asked asked, int row) {
-      this.key = key;
-      this.asked = asked;
-      this.row = row;
-    }
-
-    public String key() {
-      return key;
-    }
-
-    public Asked asked() {
-      return asked;
-    }
-
-    public KeyState state() {
-      return state;
-    }
-
-    /**
-     * The try of this process that holds it or ran; null where the other process has it, or it is
-     * settled.
-     */
-    public T holder() {
-      return holder;
-    }
-
-    /** True where its result lies on disk, and only there. */
-    public boolean onDisk() {
-      return state == KeyState.SERVED && place >= 0;
-    }
-
-    /**
-     * Where the result lies: 0 or more on disk, {@link CompactIndex#NO_PLACE} nowhere, else in
-     * memory.
-     */
-    public long place() {
-      return place;
-    }
-
-    /** No try stamped up to here may run, where one ran. */
-    public long lastDoor() {
-      return lastDoor;
-    }
-
-    /** When it is forgotten, on the caller's clock. */
-    public double until() {
-      return until;
-    }
-
-    public boolean ran() {
-      return state.ran();
-    }
-
-    public boolean over() {
-      return state.over();
-    }
+  /** How long a key is known past its window: an attempt may be read after a process pause. */
+  public static final double LINGER_SECONDS = 10;
 
-    /** True where a try with this stamp is one of this key's window. */
-    public boolean covers(long door) {
-      return !state.ran() || door <= lastDoor;
-    }
-
-    private void step(Step step) {
-      state = state.after(step);
-    }
-  }
+  private static final double MILLIS_PER_SECOND = 1000;
 
-  /** Told that a try that rode on an entry ends as the entry did. */
-  public interface Ends<T> {
-    void rider(T rider, Entry<T> entry);
+  /** Called once for each attached attempt, as its key's entry is final or absent. */
+  public interface CompletionListener<T> {
+    /** The waiter ends as the entry did. */
+    void completed(T waiter, KeyEntry<T> entry);
   }
 
-  private final Map<String, Entry<T>> open = new HashMap<>();
-  private final List<Entry<T>> rows = new ArrayList<>();
-  private final TimingWheel wheel = new TimingWheel(TICK, SLOTS);
-  private final Ends<T> ends;
-  private final KeyMemoryBudget room;
-  private final BlockStore blocks;
-  private CompactIndex settled;
-  private boolean recorded; // results are kept on disk
-  private int elsewhere; // keys that the other process has in hand
-  private String
-      lastKey; // the digest of the key that was looked for last, as it is looked for again
-  private KeyDigest lastDigest;
-  private double blindUntil = Double.NEGATIVE_INFINITY;
-  private boolean blind;
-  private int[] free = new int[16];
-  private int frees;
+  private final CompletionListener<T> completions;
+  private final KeyMemoryBudget budget;
+  private final ActiveKeys<T> active = new ActiveKeys<>();
+  private final SettledKeys settled;
+  private boolean persistent;
+  private double unknownKeysFailUntil = Double.NEGATIVE_INFINITY;
+  private boolean failsUnknownKeys;
 
-  public IdempotencyTable(Ends<T> ends, KeyMemoryBudget room) {
-    this.ends = ends;
-    this.room = room;
-    blocks = new BlockStore(room.mostBlocks());
-    settled = index(room.mostKeys());
+  /** A table without keys, whose results stay in memory. */
+  public IdempotencyTable(CompletionListener<T> completions, KeyMemoryBudget budget) {
+    this.completions = completions;
+    this.budget = budget;
+    settled = new SettledKeys(budget);
   }
 
-  private CompactIndex index(int most) {
-    return new CompactIndex(
-        most,
-        place -> {
-          if (inMemory(place)) {
-            blocks.free(block(place));
-          }
-        });
+  /** From now on results are kept on disk, and at most so many settled keys are known. */
+  public void enablePersistence(int maxSettledKeys) {
+    settled.reset(maxSettledKeys);
+    persistent = true;
   }
 
-  /** From now on runs are recorded, and at most so many settled keys are known. */
-  public void record(int mostSettled) {
-    settled = index(mostSettled);
-    recorded = true;
+  /** True where results are kept on disk. */
+  public boolean isPersistent() {
+    return persistent;
   }
 
-  public boolean recorded() {
-    return recorded;
-  }
+  // ---- Size and memory ----
 
   /** Keys known now. */
   public int size() {
-    return open.size() + settled.size();
+    return active.size() + settled.size();
   }
 
   /** Bytes of what is known of settled keys, without their results. */
-  public long settledBytes() {
-    return settled.bytes();
+  public long indexBytes() {
+    return settled.indexBytes();
   }
 
   /** Bytes of all that is known of settled keys in memory. */
-  public long bytes() {
-    return settled.bytes() + blocks.bytes();
+  public long memoryBytes() {
+    return settled.memoryBytes();
   }
 
   /** Bytes of results in memory, whole blocks. */
   public long resultBytes() {
-    return (long) blocks.used() * BlockStore.COST;
+    return settled.resultBytes();
   }
 
-  // ---- Room ----
-
   /**
-   * Promises a key of this process that it will be known to its end; false where there is no room.
-   * {@link #unpromise} follows once the try that asked is over.
+   * Reserves the memory that a key of this process may need until it is forgotten; false where
+   * there is none. {@link #releaseMemory} follows once the attempt is over.
    */
-  public boolean promise() {
-    return recorded || room.promise(settled.size() + elsewhere, blocks.used(), elsewhere);
+  public boolean tryReserveMemory() {
+    return persistent
+        || budget.tryReserve(keysNotReserved(), settled.usedBlocks(), active.peerOwnedCount());
   }
 
-  public void unpromise() {
-    if (!recorded) {
-      room.settle();
+  /** Gives a reservation back. */
+  public void releaseMemory() {
+    if (!persistent) {
+      budget.release();
     }
   }
 
   /**
-   * Seconds from now until what expires makes room for one more promise; infinite where that is not
-   * known.
+   * Seconds from now until expiring keys leave memory for one more reservation; infinite where that
+   * is not known.
    */
-  public double roomIn(double now) {
-    int[] keysWanted = {room.keysWanted(settled.size() + elsewhere)};
-    long[] blocksWanted = {room.blocksWanted(blocks.used(), elsewhere)};
-    if (keysWanted[0] <= 0 && blocksWanted[0] <= 0) {
+  public double secondsUntilCapacity(double now) {
+    int excessKeys = budget.excessKeys(keysNotReserved());
+    long excessBlocks = budget.excessBlocks(settled.usedBlocks(), active.peerOwnedCount());
+    if (excessKeys <= 0 && excessBlocks <= 0) {
       return 0;
     }
-    double[] at = {Double.POSITIVE_INFINITY};
-    settled.soonest(
-        (due, place) -> {
-          keysWanted[0]--;
-          blocksWanted[0] -= inMemory(place) ? blocks.count(block(place)) : 0;
-          at[0] = due;
-          return keysWanted[0] > 0 || blocksWanted[0] > 0;
-        });
-    return keysWanted[0] > 0 || blocksWanted[0] > 0
-        ? Double.POSITIVE_INFINITY
-        : Math.max(0, at[0] - now);
+    return Math.max(0, settled.freedAtSeconds(excessKeys, excessBlocks) - now);
   }
 
-  private static boolean inMemory(long place) {
-    return place < CompactIndex.NO_PLACE;
+  private int keysNotReserved() {
+    return settled.size() + active.peerOwnedCount();
   }
 
+  // ---- Lookup ----
+
   /**
-   * The first block of a result in memory: those places lie below {@link CompactIndex#NO_PLACE}.
+   * What is known of this key; null for nothing. A settled key comes as a view of its own each
+   * time.
    */
-  private static int block(long place) {
-    return (int) (CompactIndex.NO_PLACE - 1 - place);
+  public KeyEntry<T> find(String key) {
+    KeyEntry<T> known = lookup(key);
+    return known == null && failsUnknownKeys ? possiblyLost(key) : known;
   }
 
-  private static long place(int block) {
-    return block == BlockStore.NONE ? CompactIndex.NO_PLACE : CompactIndex.NO_PLACE - 1 - block;
+  private KeyEntry<T> lookup(String key) {
+    KeyEntry<T> entry = active.get(key);
+    return entry != null ? entry : settled.view(key);
   }
 
-  private KeyDigest digest(String key) {
-    if (!key.equals(lastKey)) {
-      lastDigest = KeyDigest.of(key);
-      lastKey = key;
-    }
-    return lastDigest;
+  /** An entry by which attempts of a key fail that may have run before the log was damaged. */
+  private static <T> KeyEntry<T> possiblyLost(String key) {
+    KeyEntry<T> entry = new KeyEntry<>(key, RequestBody.ANY, KeyEntry.NO_ROW);
+    entry.transition(Step.RECOVER_INTENT);
+    entry.setCoveredUntilMillis(Long.MAX_VALUE);
+    return entry;
   }
 
   /**
-   * The result of a served key where it is in memory; null where there is none, or it lies on disk.
+   * The entry that an attempt with this timestamp duplicates; null where it duplicates nothing. A
+   * key whose window this timestamp lies past is forgotten.
    */
-  public byte[] result(Entry<T> entry) {
-    if (entry.result != null || !inMemory(entry.place)) {
-      return entry.result;
+  public KeyEntry<T> findDuplicate(String key, long timestampMillis) {
+    KeyEntry<T> known = find(key);
+    if (known == null || known.covers(timestampMillis)) {
+      return known;
     }
-    // The entry may be older than what is in its place by now.
-    CompactIndex.Found found = settled.find(digest(entry.key));
-    return found != null && found.place() == entry.place && found.lastDoor() == entry.lastDoor
-        ? blocks.get(block(entry.place))
-        : null;
-  }
-
-  /**
-   * Until then no key that is not known may run, as what was known of it may be lost: its tries
-   * fail.
-   */
-  public void blind(double until) {
-    blindUntil = Math.max(blindUntil, until);
-    blind = true;
+    forget(known);
+    return null;
   }
 
-  /**
-   * What is known of this key; null for nothing. A settled one comes as an entry of its own each
-   * time.
-   */
-  public Entry<T> find(String key) {
-    Entry<T> entry = known(key);
-    if (entry == null && blind) {
-      entry = new Entry<>(key, Asked.ANY, -1);
-      entry.step(Step.RECOVER_INTENT);
-      entry.lastDoor = Long.MAX_VALUE;
-    }
-    return entry;
+  /** The result of a key where it is in memory; null where there is none, or it lies on disk. */
+  public byte[] result(KeyEntry<T> entry) {
+    return entry.unsettledResult() != null ? entry.unsettledResult() : settled.result(entry);
   }
 
-  private Entry<T> known(String key) {
-    Entry<T> entry = open.get(key);
-    if (entry != null || settled.size() == 0) {
-      return entry;
-    }
-    CompactIndex.Found found = settled.find(digest(key));
-    if (found == null) {
-      return null;
-    }
-    Entry<T> view = new Entry<>(key, new Asked(null, found.check()), -1);
-    boolean known = found.place() != CompactIndex.NO_PLACE;
-    view.step(known ? Step.RECOVER_RESULT : Step.RECOVER_INTENT);
-    view.place = found.place();
-    view.lastDoor = found.lastDoor();
-    return view;
+  /** True where this very entry is what is known of its key, and the key is not settled. */
+  public boolean isCurrent(KeyEntry<T> entry) {
+    return entry != null && active.contains(entry);
   }
 
-  /**
-   * What a try with this stamp repeats; null where it repeats nothing. What its window has left
-   * behind is forgotten.
-   */
-  public Entry<T> meet(String key, long door) {
-    Entry<T> prior = find(key);
-    if (prior == null || prior.covers(door)) {
-      return prior;
-    }
-    forget(prior);
-    return null;
+  /** Visits all entries that are not settled. */
+  public void forEachActive(Consumer<KeyEntry<T>> action) {
+    active.all().forEach(action);
   }
 
-  /** True where this very entry is what is known of its key. */
-  public boolean current(Entry<T> entry) {
-    return entry != null && open.get(entry.key) == entry;
+  /** Entries whose result is being written to disk. */
+  public List<KeyEntry<T>> entriesBeingSaved() {
+    return active.all().stream().filter(entry -> entry.state() == KeyState.SAVING).toList();
   }
 
-  public void each(Consumer<Entry<T>> told) {
-    open.values().forEach(told);
-  }
+  // ---- The life of a key in this process ----
 
   /**
-   * A try is held and its key taken, so that repeats join it. Null where a try of that window ran:
-   * that one stays what repeats are told of.
+   * An attempt waits and takes its key, so that duplicates attach to it. Null where an attempt of
+   * that window ran: that one stays what duplicates attach to.
    */
-  public Entry<T> hold(String key, byte[] body, long door, T holder) {
-    Entry<T> known = find(key);
-    if (known != null && known.ran() && known.covers(door)) {
+  public KeyEntry<T> enqueue(String key, byte[] body, long timestampMillis, T attempt) {
+    KeyEntry<T> known = find(key);
+    if (known != null && known.mayHaveRun() && known.covers(timestampMillis)) {
       return null;
     }
-    Entry<T> entry = put(key, Asked.of(body));
-    step(entry, Step.HOLD);
-    entry.holder = holder;
+    KeyEntry<T> entry = replace(key, RequestBody.of(body));
+    active.transition(entry, Step.ENQUEUE);
+    entry.setAttempt(attempt);
     return entry;
   }
 
   /**
-   * A run was decided. Where results are kept its intent must be on disk before it is spawned
-   * ({@link #recorded} or {@link #neverRan} follow). The entry of another holder, or a settled one,
-   * comes back where a try of this window ran already: then this one may not, and joins it.
-   *
-   * @param window seconds from the try's stamp
+   * An execution was decided. Where results are persistent its intent must be on disk before the
+   * dispatch: {@link #intentRecorded} or {@link #abandon} follow. Where an attempt of this window
+   * ran already, its entry comes back: this attempt may not run, and attaches to that one.
    */
-  public Entry<T> start(String key, byte[] body, long door, double window, double now, T holder) {
-    Entry<T> entry = find(key);
-    if (entry != null && entry.ran()) {
-      if (entry.covers(door)) {
+  public KeyEntry<T> start(
+      String key, byte[] body, long timestampMillis, double windowSeconds, double now, T attempt) {
+    KeyEntry<T> entry = find(key);
+    if (entry != null && entry.mayHaveRun()) {
+      if (entry.covers(timestampMillis)) {
         return entry;
       }
       forget(entry);
       entry = null;
     }
-    entry = entry != null ? entry : put(key, Asked.of(body));
-    step(entry, recorded ? Step.INTEND : Step.START);
-    entry.holder = holder;
-    bound(entry, door + Math.round((window + SLACK) * 1000), now + window + SLACK + LINGER);
+    entry = entry != null ? entry : replace(key, RequestBody.of(body));
+    active.transition(entry, persistent ? Step.RECORD_INTENT : Step.START);
+    entry.setAttempt(attempt);
+    double window = windowSeconds + WINDOW_SLACK_SECONDS;
+    active.setWindow(
+        entry,
+        timestampMillis + Math.round(window * MILLIS_PER_SECOND),
+        now + windowSeconds + WINDOW_SLACK_SECONDS + LINGER_SECONDS);
     return entry;
   }
 
-  /** The intent of a run is on disk. */
-  public void recorded(Entry<T> entry) {
-    step(entry, Step.RECORDED);
+  /** The intent of an execution is on disk. */
+  public void intentRecorded(KeyEntry<T> entry) {
+    active.transition(entry, Step.INTENT_RECORDED);
   }
 
   /**
-   * No run was begun, or may be: a further try of the key may have one. Riders fail, as nothing ran
-   * for them.
+   * No execution was begun: a further attempt of the key may have one. Waiters end, as nothing ran
+   * for them. Nothing where the key is known to have ended meanwhile.
    */
-  public void neverRan(Entry<T> entry) {
-    if (!entry.state.allows(Step.VOID)) {
-      return; // known to have ended meanwhile
+  public void abandon(KeyEntry<T> entry) {
+    if (entry.state().allows(Step.VOID)) {
+      freeKey(entry, Step.VOID);
     }
-    step(entry, Step.VOID);
-    remove(entry);
-    end(entry);
   }
 
   /**
-   * A run is over; the result is null unless it ended well. True where that is not final before it
-   * is on disk.
+   * An execution is over.
+   *
+   * @param result null unless it succeeded
+   * @return true where that is not final before the result is on disk
    */
-  public boolean ran(Entry<T> entry, byte[] result) {
-    if (entry.state.over() || entry.state == KeyState.SAVING || entry.state == KeyState.ABSENT) {
-      return entry.state == KeyState.SAVING;
+  public boolean complete(KeyEntry<T> entry, byte[] result) {
+    KeyState state = entry.state();
+    if (state.isFinal() || state == KeyState.SAVING || state == KeyState.ABSENT) {
+      return state == KeyState.SAVING;
     }
     if (result == null) {
-      step(entry, Step.FAIL);
-      end(entry);
-      settle(entry, CompactIndex.NO_PLACE);
+      finish(entry, Step.FAIL, CompactIndex.NO_RESULT);
       return false;
     }
-    entry.result = result;
-    if (recorded && entry.state.allows(Step.SAVE)) {
-      step(entry, Step.SAVE);
+    entry.setUnsettledResult(result);
+    if (persistent && state.allows(Step.SAVE_RESULT)) {
+      active.transition(entry, Step.SAVE_RESULT);
       return true;
     }
-    step(entry, Step.SUCCEED);
-    end(entry);
-    settle(entry, CompactIndex.NO_PLACE);
+    finish(entry, Step.SUCCEED, CompactIndex.NO_RESULT);
     return false;
   }
 
   /**
-   * The result is on disk, or with {@link CompactIndex#NO_PLACE} could not be written: then it
-   * stays in memory, where its repeats still find it.
-   */
-  public void saved(Entry<T> entry, long place) {
-    if (entry.state != KeyState.SAVING) {
-      return;
-    }
-    step(entry, Step.SAVED);
-    end(entry);
-    settle(entry, place);
-  }
-
-  /** Entries whose result is on its way to the disk. */
-  public List<Entry<T>> unsaved() {
-    return open.values().stream().filter(entry -> entry.state == KeyState.SAVING).toList();
-  }
-
-  /**
-   * What is known of an ended entry is put as small as it goes. Where the index is full, which only
-   * keys of another process can bring about, the entry stays as it is, without its try: no key is
-   * forgotten. A result that finds no room, which none that was promised is, is let go, and its key
-   * stays.
+   * The result is on disk, or with {@link CompactIndex#NO_RESULT} could not be written: then it
+   * stays in memory, where duplicates still get it.
    */
-  private void settle(Entry<T> entry, long onDisk) {
-    if (!current(entry)) {
-      return; // its window is over, or another took its place
-    }
-    long at =
-        onDisk != CompactIndex.NO_PLACE || entry.state != KeyState.SERVED
-            ? onDisk
-            : place(blocks.put(entry.result));
-    entry.asked = new Asked(null, entry.asked.brief());
-    if (settled.put(digest(entry.key), at, entry.lastDoor, entry.asked.check(), entry.until)) {
-      remove(entry);
-      entry.place = at;
-      return;
-    }
-    if (inMemory(at)) {
-      blocks.free(block(at));
+  public void resultSaved(KeyEntry<T> entry, long location) {
+    if (entry.state() == KeyState.SAVING) {
+      finish(entry, Step.RESULT_SAVED, location);
     }
-    entry.holder = null;
   }
 
-  /** A try that holds its key and never ran is over. */
-  public void release(Entry<T> entry, T holder) {
-    if (entry.holder == holder && entry.state == KeyState.HELD) {
-      step(entry, Step.RELEASE);
-      remove(entry);
-      end(entry);
+  /** An attempt that waited and never ran is over. */
+  public void release(KeyEntry<T> entry, T attempt) {
+    if (entry.attempt() == attempt && entry.state() == KeyState.QUEUED) {
+      freeKey(entry, Step.RELEASE);
     }
   }
 
-  /** This try ends as the entry does; false where the entry is over already. */
-  public boolean ride(Entry<T> entry, T rider) {
-    if (entry.state.over() || entry.state == KeyState.ABSENT) {
+  /** This attempt ends as the entry does; false where the entry is final already. */
+  public boolean attach(KeyEntry<T> entry, T waiter) {
+    if (entry.isFinal() || entry.state() == KeyState.ABSENT) {
       return false;
     }
-    if (entry.riders.isEmpty()) {
-      entry.riders = new ArrayList<>(2);
-    }
-    entry.riders.add(rider);
+    entry.addWaiter(waiter);
     return true;
   }
 
-  public void leave(Entry<T> entry, T rider) {
-    if (!entry.riders.isEmpty()) {
-      entry.riders.remove(rider);
-    }
+  /** An attached attempt is over before the entry is. */
+  public void detach(KeyEntry<T> entry, T waiter) {
+    entry.removeWaiter(waiter);
   }
 
-  /** Forgets whose time is over. */
+  /** Forgets the keys whose time is over. */
   public void expire(double now) {
-    blind &= now < blindUntil;
-    wheel.advance(
-        now,
-        row -> {
-          Entry<T> entry = rows.get(row);
-          if (open.remove(entry.key, entry)) {
-            elsewhere -= elsewhere(entry) ? 1 : 0;
-          }
-          release(row);
-        });
+    failsUnknownKeys &= now < unknownKeysFailUntil;
+    active.expire(now);
     settled.expire(now);
   }
 
-  // ---- The other process of this box, and what a dead one left ----
+  // ---- The peer process ----
 
   /**
-   * The other process has this key in hand, or had. Null where this process knows better.
+   * The peer process has this key in hand, or had it.
    *
-   * @param lastDoor Unix ms
-   * @param until on the caller's clock
+   * @param coveredUntilMillis Unix ms
+   * @param expiresAtSeconds on the caller's clock
+   * @return null where this process knows better
    */
-  public Entry<T> hear(String key, Asked asked, long lastDoor, double until) {
-    Entry<T> known = known(key);
-    if (known != null && !(known.over() && known.lastDoor < lastDoor)) {
+  public KeyEntry<T> learnFromPeer(
+      String key, RequestBody body, long coveredUntilMillis, double expiresAtSeconds) {
+    KeyEntry<T> known = lookup(key);
+    if (known != null && !(known.isFinal() && known.coveredUntilMillis() < coveredUntilMillis)) {
       return null;
     }
     if (known != null) {
       forget(known);
     }
-    Entry<T> entry = put(key, asked);
-    step(entry, Step.HEAR);
-    bound(entry, lastDoor, until);
+    KeyEntry<T> entry = replace(key, body);
+    active.transition(entry, Step.LEARN_FROM_PEER);
+    active.setWindow(entry, coveredUntilMillis, expiresAtSeconds);
     return entry;
   }
 
   /**
-   * One settled key as it goes to the other process; the result is null where it has none to give.
+   * The peer process knows this settled key. A result that does not fit is dropped, and its key
+   * stays; false where even the key does not fit.
    */
-  public record Settled(
-      long high, long low, long lastDoor, long check, double until, byte[] result) {}
-
-  /** The digests of all keys that are settled now. */
-  public List<KeyDigest> settled() {
-    return settled.all();
+  public boolean learnSettledFromPeer(SettledKey key) {
+    return settled.add(key);
   }
 
-  /** What is known of a settled key; null where it is known no more. */
-  public Settled settled(KeyDigest key) {
-    CompactIndex.Found found = settled.find(key);
-    return found == null
-        ? null
-        : new Settled(
-            key.high(),
-            key.low(),
-            found.lastDoor(),
-            found.check(),
-            settled.until(found.row()),
-            inMemory(found.place()) ? blocks.get(block(found.place())) : null);
+  /** The digests of all settled keys. */
+  public List<KeyDigest> settledDigests() {
+    return settled.digests();
   }
 
-  /**
-   * The other process knows this key, which is over. Where its result finds no room it goes, and
-   * the key stays; false where even that has none.
-   */
-  public boolean hear(Settled key) {
-    KeyDigest digest = new KeyDigest(key.high(), key.low());
-    long at = key.result() == null ? CompactIndex.NO_PLACE : place(blocks.put(key.result()));
-    boolean known = settled.put(digest, at, key.lastDoor(), key.check(), key.until());
-    if (!known && inMemory(at)) {
-      blocks.free(block(at));
-    }
-    return known;
+  /** What is known of a settled key; null where it is known no more. */
+  public SettledKey findSettled(KeyDigest digest) {
+    return settled.export(digest);
   }
 
-  /** True where the other process has it in hand. */
-  public boolean elsewhere(Entry<T> entry) {
-    return entry != null && entry.state == KeyState.ELSEWHERE;
+  /** True where the peer process has the key in hand. */
+  public boolean isOwnedByPeer(KeyEntry<T> entry) {
+    return entry != null && entry.state() == KeyState.OWNED_BY_PEER;
   }
 
-  /** The other process had it in hand and never ran it, or may not. */
-  public void freed(Entry<T> entry) {
-    if (entry.state == KeyState.ELSEWHERE) {
-      step(entry, Step.RELEASE);
-      remove(entry);
-      end(entry);
+  /** The peer process had the key in hand and never ran it, or may not. */
+  public void releasedByPeer(KeyEntry<T> entry) {
+    if (isOwnedByPeer(entry)) {
+      freeKey(entry, Step.RELEASE);
     }
   }
 
-  /** The other process is gone: the end of what it had in hand is unknown. */
-  public void otherGone() {
-    for (Entry<T> entry : List.copyOf(open.values())) {
-      if (entry.state == KeyState.ELSEWHERE) {
-        ran(entry, null);
+  /** The peer process is lost: the outcome of what it had in hand is unknown. */
+  public void peerLost() {
+    for (KeyEntry<T> entry : List.copyOf(active.all())) {
+      if (isOwnedByPeer(entry)) {
+        complete(entry, null);
       }
     }
   }
 
+  // ---- Recovery ----
+
   /**
-   * What a dead process of this box left on disk, or the one that handed over. Where this process
-   * knows the key already, what it knows stays.
+   * What an earlier process left on disk, or the peer process handed over. What this process knows
+   * already stays.
    *
-   * @param place of the result, or {@link CompactIndex#NO_PLACE} where its end is unknown
-   * @return false where there is no room to know it
+   * @param location of the result, or {@link CompactIndex#NO_RESULT} where the outcome is unknown
+   * @return false where it does not fit
    */
-  public boolean recover(String key, long place, long lastDoor, long check, double until) {
-    if (open.containsKey(key)) {
-      return true;
-    }
-    CompactIndex.Found found = settled.size() == 0 ? null : settled.find(digest(key));
-    return (found != null && inMemory(found.place()))
-        || settled.put(digest(key), place, lastDoor, check, until);
+  public boolean recover(
+      String key, long location, long coveredUntilMillis, long checksum, double expiresAtSeconds) {
+    return active.get(key) != null
+        || settled.recover(key, location, coveredUntilMillis, checksum, expiresAtSeconds);
+  }
+
+  /** Until then attempts of unknown keys fail and do not run, as their keys may have been lost. */
+  public void failUnknownKeysUntil(double seconds) {
+    unknownKeysFailUntil = Math.max(unknownKeysFailUntil, seconds);
+    failsUnknownKeys = true;
   }
 
-  // ---- Entries and their rows on the wheel ----
+  // ---- Steps that several of these share ----
 
-  private Entry<T> put(String key, Asked asked) {
-    Entry<T> old = open.get(key);
+  /** A fresh entry in place of whatever is known of its key. */
+  private KeyEntry<T> replace(String key, RequestBody body) {
+    KeyEntry<T> old = active.get(key);
     if (old != null) {
-      remove(old);
-    } else if (settled.size() > 0) {
-      settled.remove(digest(key));
-    }
-    int row = frees > 0 ? free[--frees] : rows.size();
-    Entry<T> entry = new Entry<>(key, asked, row);
-    if (row == rows.size()) {
-      rows.add(entry);
+      active.remove(old);
     } else {
-      rows.set(row, entry);
+      settled.remove(key);
     }
-    open.put(key, entry);
-    return entry;
+    return active.add(key, body);
   }
 
-  private void bound(Entry<T> entry, long lastDoor, double until) {
-    entry.lastDoor = lastDoor;
-    entry.until = until;
-    wheel.schedule(entry.row, until);
-  }
-
-  private void forget(Entry<T> entry) {
-    if (entry.row >= 0) {
-      remove(entry);
+  private void forget(KeyEntry<T> entry) {
+    if (entry.wheelRow() == KeyEntry.NO_ROW) {
+      settled.remove(entry.key());
     } else {
-      settled.remove(digest(entry.key));
+      active.remove(entry);
     }
   }
 
-  private void step(Entry<T> entry, Step step) {
-    int was = elsewhere(entry) && current(entry) ? 1 : 0;
-    entry.step(step);
-    elsewhere += (elsewhere(entry) && current(entry) ? 1 : 0) - was;
+  private void freeKey(KeyEntry<T> entry, Step step) {
+    active.transition(entry, step);
+    active.remove(entry);
+    completeWaiters(entry);
   }
 
-  private void remove(Entry<T> entry) {
-    if (open.remove(entry.key, entry)) {
-      elsewhere -= elsewhere(entry) ? 1 : 0;
-      wheel.cancel(entry.row);
-      release(entry.row);
-    }
+  private void finish(KeyEntry<T> entry, Step step, long locationOnDisk) {
+    active.transition(entry, step);
+    completeWaiters(entry);
+    settle(entry, locationOnDisk);
   }
 
-  private void release(int row) {
-    rows.set(row, null);
-    if (frees == free.length) {
-      free = Arrays.copyOf(free, frees * 2);
-    }
-    free[frees++] = row;
+  private void completeWaiters(KeyEntry<T> entry) {
+    entry.drainWaiters().forEach(waiter -> completions.completed(waiter, entry));
   }
 
-  private void end(Entry<T> entry) {
-    List<T> riders = entry.riders;
-    entry.riders = List.of();
-    riders.forEach(rider -> ends.rider(rider, entry));
+  /**
+   * Moves a final entry to the settled keys. Where their index is full, which only keys of the peer
+   * process can bring about, the entry stays without its attempt: no key is forgotten.
+   */
+  private void settle(KeyEntry<T> entry, long locationOnDisk) {
+    if (!active.contains(entry)) {
+      return; // Its window is over, or another entry took its place.
+    }
+    if (settled.add(entry, locationOnDisk)) {
+      active.remove(entry);
+    } else {
+      entry.setAttempt(null);
+    }
   }
 }
--- a/src/main/java/wharftrestle/idempotency/KeyDigest.java
+++ b/src/main/java/wharftrestle/idempotency/KeyDigest.java
@@ -14,16 +14,16 @@
 
   /** Of a key's text. */
   public static KeyDigest of(String key) {
-    ByteBuffer bytes = ByteBuffer.wrap(sha(key.getBytes(StandardCharsets.UTF_8)));
+    ByteBuffer bytes = ByteBuffer.wrap(sha256(key.getBytes(StandardCharsets.UTF_8)));
     return new KeyDigest(bytes.getLong(), bytes.getLong());
   }
 
   /** Of a body. */
-  public static long check(byte[] body) {
-    return ByteBuffer.wrap(sha(body)).getLong();
+  public static long checksum(byte[] body) {
+    return ByteBuffer.wrap(sha256(body)).getLong();
   }
 
-  private static byte[] sha(byte[] bytes) {
+  private static byte[] sha256(byte[] bytes) {
     try {
       return MessageDigest.getInstance("SHA-256").digest(bytes);
     } catch (NoSuchAlgorithmException e) {
--- a/src/main/java/wharftrestle/idempotency/KeyMemoryBudget.java
+++ b/src/main/java/wharftrestle/idempotency/KeyMemoryBudget.java
@@ -7,7 +7,7 @@
  */
 public final class KeyMemoryBudget {
   /** Bytes of the largest result a run may end with (PROTOCOL). */
-  public static final int LONGEST_RESULT = 4096;
+  public static final int MAX_RESULT_BYTES = 4096;
 
   /**
    * Bytes of one key without its result: its row in the index at its arrays' largest (40 of fields,
@@ -15,58 +15,59 @@
    * ran until its window is over (222: an operation of 128, its request of 88, its place in the
    * order of ends).
    */
-  static final int POLICY_COST = 222;
+  static final int ADMISSION_BYTES_PER_KEY = 222;
 
-  static final int KEY_COST = 86 + POLICY_COST;
+  static final int BYTES_PER_KEY = 86 + ADMISSION_BYTES_PER_KEY;
 
   /** Bytes that do not grow: the heads of the wheels, the first rows. */
-  static final int FIXED = 8192;
+  static final int FIXED_BYTES = 8192;
 
   /**
    * Part of a heap for what is known of keys: two thirds of a heap are its old generation, half of
    * that is this.
    */
-  private static final double HEAP_SHARE = 0.3;
+  private static final double HEAP_FRACTION = 0.3;
 
   /**
    * Part of the bound that keys have; results have the rest. Choice: a result of 900 bytes on the
    * mean fills both.
    */
-  private static final double KEYS_SHARE = 0.25;
+  private static final double KEYS_FRACTION = 0.25;
 
   /** Keys, and blocks, at most. */
-  private static final int MOST = Integer.MAX_VALUE / 8;
+  private static final int MAX_COUNT = Integer.MAX_VALUE / 8;
 
   /** Blocks of a promise. */
-  private static final int PROMISE = BlockStore.of(LONGEST_RESULT);
+  private static final int BLOCKS_PER_RESERVATION = BlockStore.blocksFor(MAX_RESULT_BYTES);
 
   private final long bytes;
-  private final int mostKeys;
-  private final int mostBlocks;
-  private int promises;
+  private final int maxKeys;
+  private final int maxBlocks;
+  private int reservations;
 
   private KeyMemoryBudget(long bytes, int mostKeys, int mostBlocks) {
     this.bytes = bytes;
-    this.mostKeys = mostKeys;
-    this.mostBlocks = mostBlocks;
+    this.maxKeys = mostKeys;
+    this.maxBlocks = mostBlocks;
   }
 
   /** Room for keys and results that take so many bytes at most. */
   public static KeyMemoryBudget of(long bytes) {
-    double grows = Math.max(0, bytes - FIXED);
-    int keys = (int) Math.min(MOST, grows * KEYS_SHARE / KEY_COST);
-    int blocks = (int) Math.min(MOST, grows * (1 - KEYS_SHARE) / BlockStore.COST);
-    return new KeyMemoryBudget(bytes, Math.max(1, keys), Math.max(PROMISE, blocks));
+    double grows = Math.max(0, bytes - FIXED_BYTES);
+    int keys = (int) Math.min(MAX_COUNT, grows * KEYS_FRACTION / BYTES_PER_KEY);
+    int blocks =
+        (int) Math.min(MAX_COUNT, grows * (1 - KEYS_FRACTION) / BlockStore.BYTES_PER_BLOCK);
+    return new KeyMemoryBudget(bytes, Math.max(1, keys), Math.max(BLOCKS_PER_RESERVATION, blocks));
   }
 
   /** The part of a heap of so many bytes that keys may have. */
-  public static KeyMemoryBudget ofHeap(long heap) {
-    return of((long) (heap * HEAP_SHARE));
+  public static KeyMemoryBudget ofHeap(long heapBytes) {
+    return of((long) (heapBytes * HEAP_FRACTION));
   }
 
   /** No bound worth the name: only a proof that the bound is needed has a use for it. */
   public static KeyMemoryBudget unbounded() {
-    return new KeyMemoryBudget(Long.MAX_VALUE, MOST, MOST);
+    return new KeyMemoryBudget(Long.MAX_VALUE, MAX_COUNT, MAX_COUNT);
   }
 
   /** The bound itself. */
@@ -75,28 +76,28 @@
   }
 
   /** Keys known at once. */
-  public int mostKeys() {
-    return mostKeys;
+  public int maxKeys() {
+    return maxKeys;
   }
 
   /** Keys known at once where all results lie on disk: they have the whole of the bound. */
-  public int mostKeysOnDisk() {
-    return (int) Math.min(MOST, Math.max(1, (bytes - FIXED) / KEY_COST));
+  public int maxKeysWithResultsOnDisk() {
+    return (int) Math.min(MAX_COUNT, Math.max(1, (bytes - FIXED_BYTES) / BYTES_PER_KEY));
   }
 
   /** Blocks of results at once. */
-  public int mostBlocks() {
-    return mostBlocks;
+  public int maxBlocks() {
+    return maxBlocks;
   }
 
   /** Bytes of results at once, whole blocks. */
-  public long mostResultBytes() {
-    return (long) mostBlocks * BlockStore.COST;
+  public long maxResultBytes() {
+    return (long) maxBlocks * BlockStore.BYTES_PER_BLOCK;
   }
 
   /** Requests in hand that have a promise. */
-  public int promises() {
-    return promises;
+  public int reservations() {
+    return reservations;
   }
 
   /**
@@ -107,29 +108,29 @@
    * @param elsewhere keys of those that the other process of the box has yet to end: each may bring
    *     a result
    */
-  public boolean promise(int keys, int blocks, int elsewhere) {
-    if (keysWanted(keys) > 0 || blocksWanted(blocks, elsewhere) > 0) {
+  public boolean tryReserve(int keys, int usedBlocks, int peerOwnedKeys) {
+    if (excessKeys(keys) > 0 || excessBlocks(usedBlocks, peerOwnedKeys) > 0) {
       return false;
     }
-    promises++;
+    reservations++;
     return true;
   }
 
   /** Keys that have to go before one more promise fits; 0 or less where none has to. */
-  int keysWanted(int keys) {
-    return keys + promises + 1 - mostKeys;
+  int excessKeys(int keys) {
+    return keys + reservations + 1 - maxKeys;
   }
 
   /** Blocks that have to go before one more promise fits; 0 or less where none has to. */
-  long blocksWanted(int blocks, int elsewhere) {
-    return blocks + (promises + elsewhere + 1L) * PROMISE - mostBlocks;
+  long excessBlocks(int usedBlocks, int peerOwnedKeys) {
+    return usedBlocks + (reservations + peerOwnedKeys + 1L) * BLOCKS_PER_RESERVATION - maxBlocks;
   }
 
   /** A promise is over: what came of it is in use by now, or nothing did. */
-  public void settle() {
-    if (promises == 0) {
+  public void release() {
+    if (reservations == 0) {
       throw new IllegalStateException("more promises settled than made");
     }
-    promises--;
+    reservations--;
   }
 }
--- a/src/main/java/wharftrestle/idempotency/KeyState.java
+++ b/src/main/java/wharftrestle/idempotency/KeyState.java
@@ -4,141 +4,131 @@
 import java.util.Map;
 
 /**
- * The states of one key in one process, and the only steps between them. It owns the table below
- * and must never be gone round: a step that is not in the table throws.
+ * The states of one idempotency key in one process, and the only transitions between them; any
+ * other throws.
  *
  * <pre>
- * state      means                                      step           next
- * ABSENT     nothing is known: a try may be held        HOLD           HELD
- *                                                       START          RUNNING
- *                                                       INTEND         RECORDING
- *                                                       HEAR           ELSEWHERE
- *                                                       RECOVER_RESULT SERVED
- *                                                       RECOVER_INTENT UNKNOWN
- * HELD       a try here waits, none ran                 HOLD           HELD       (another try takes its place)
- *                                                       START          RUNNING
- *                                                       INTEND         RECORDING
- *                                                       RELEASE        ABSENT
- * RECORDING  a run was decided, its intent is on        RECORDED       RUNNING
- *            the way to the disk                        VOID           ABSENT     (refused, withdrawn)
- *                                                       SUCCEED, FAIL  UNKNOWN    (no run was seen to begin: cannot be)
- * RUNNING    a run was asked for here                   SUCCEED        SERVED
- *                                                       SAVE           SAVING
- *                                                       FAIL           UNKNOWN
- *                                                       VOID           ABSENT     (the worker pool began none)
- * SAVING     it ended well, the result is on the        SAVED          SERVED
- *            way to the disk                            FAIL           UNKNOWN
- * ELSEWHERE  the other process of this box has it       HEAR           ELSEWHERE
- *                                                       SUCCEED        SERVED
- *                                                       SAVE           SAVING
- *                                                       FAIL           UNKNOWN    (also where that process died)
- *                                                       RELEASE        ABSENT
- *                                                       VOID           ABSENT     (its intent could not be recorded)
- * SERVED     repeats have the result until the window   EXPIRE         ABSENT
- *            is over
- * UNKNOWN    it ran and has no result to give: tries    EXPIRE         ABSENT
- *            fail, are not refused and do not run
+ * state            meaning                              step             next
+ * ABSENT           nothing is known: an attempt may     ENQUEUE          QUEUED
+ *                  be queued                            START            RUNNING
+ *                                                       RECORD_INTENT    RECORDING
+ *                                                       LEARN_FROM_PEER  OWNED_BY_PEER
+ *                                                       RECOVER_RESULT   SUCCEEDED
+ *                                                       RECOVER_INTENT   OUTCOME_UNKNOWN
+ * QUEUED           an attempt waits here, none ran      ENQUEUE          QUEUED (a later attempt)
+ *                                                       START            RUNNING
+ *                                                       RECORD_INTENT    RECORDING
+ *                                                       RELEASE          ABSENT
+ * RECORDING        an execution was decided, its        INTENT_RECORDED  RUNNING
+ *                  intent is being written              VOID             ABSENT (rejected, withdrawn)
+ *                                                       SUCCEED, FAIL    OUTCOME_UNKNOWN (no begin
+ *                                                                        was seen: cannot happen)
+ * RUNNING          an execution was dispatched          SUCCEED          SUCCEEDED
+ *                                                       SAVE_RESULT      SAVING
+ *                                                       FAIL             OUTCOME_UNKNOWN
+ *                                                       VOID             ABSENT (the worker pool
+ *                                                                        began none)
+ * SAVING           it succeeded, its result is being    RESULT_SAVED     SUCCEEDED
+ *                  written                              FAIL             OUTCOME_UNKNOWN
+ * OWNED_BY_PEER    the peer process has it in hand      LEARN_FROM_PEER  OWNED_BY_PEER
+ *                                                       SUCCEED          SUCCEEDED
+ *                                                       SAVE_RESULT      SAVING
+ *                                                       FAIL             OUTCOME_UNKNOWN (also where
+ *                                                                        that process died)
+ *                                                       RELEASE          ABSENT
+ *                                                       VOID             ABSENT (its intent could
+ *                                                                        not be recorded)
+ * SUCCEEDED        duplicates get the result until the  EXPIRE           ABSENT
+ *                  window is over
+ * OUTCOME_UNKNOWN  it ran and has no result to give:    EXPIRE           ABSENT
+ *                  attempts fail and do not run
  * </pre>
  *
- * <p>EXPIRE is in every state that has a window, as a run may outlive it.
+ * <p>EXPIRE is in every state that has a window, as an execution may outlive it.
  */
 public enum KeyState {
   ABSENT,
-  HELD,
+  QUEUED,
   RECORDING,
   RUNNING,
   SAVING,
-  ELSEWHERE,
-  SERVED,
-  UNKNOWN;
+  OWNED_BY_PEER,
+  SUCCEEDED,
+  OUTCOME_UNKNOWN;
 
   /** What can happen to a key. */
   public enum Step {
-    HOLD,
+    ENQUEUE,
     START,
-    INTEND,
-    RECORDED,
+    RECORD_INTENT,
+    INTENT_RECORDED,
     SUCCEED,
-    SAVE,
-    SAVED,
+    SAVE_RESULT,
+    RESULT_SAVED,
     FAIL,
     VOID,
     RELEASE,
-    HEAR,
+    LEARN_FROM_PEER,
     RECOVER_RESULT,
     RECOVER_INTENT,
     EXPIRE
   }
 
-  private static final Map<KeyState, Map<Step, KeyState>> TABLE = new EnumMap<>(KeyState.class);
+  private static final Map<KeyState, Transitions> TABLE = new EnumMap<>(KeyState.class);
 
   static {
-    row(
-        ABSENT,
-        Step.HOLD,
-        HELD,
-        Step.START,
-        RUNNING,
-        Step.INTEND,
-        RECORDING,
-        Step.HEAR,
-        ELSEWHERE,
-        Step.RECOVER_RESULT,
-        SERVED,
-        Step.RECOVER_INTENT,
-        UNKNOWN);
-    row(HELD, Step.HOLD, HELD, Step.START, RUNNING, Step.INTEND, RECORDING, Step.RELEASE, ABSENT);
-    row(
-        RECORDING,
-        Step.RECORDED,
-        RUNNING,
-        Step.VOID,
-        ABSENT,
-        Step.SUCCEED,
-        UNKNOWN,
-        Step.FAIL,
-        UNKNOWN,
-        Step.EXPIRE,
-        ABSENT);
-    row(
-        RUNNING,
-        Step.SUCCEED,
-        SERVED,
-        Step.SAVE,
-        SAVING,
-        Step.FAIL,
-        UNKNOWN,
-        Step.VOID,
-        ABSENT,
-        Step.EXPIRE,
-        ABSENT);
-    row(SAVING, Step.SAVED, SERVED, Step.FAIL, UNKNOWN, Step.EXPIRE, ABSENT);
-    row(
-        ELSEWHERE,
-        Step.HEAR,
-        ELSEWHERE,
-        Step.SUCCEED,
-        SERVED,
-        Step.SAVE,
-        SAVING,
-        Step.FAIL,
-        UNKNOWN,
-        Step.RELEASE,
-        ABSENT,
-        Step.VOID,
-        ABSENT,
-        Step.EXPIRE,
-        ABSENT);
-    row(SERVED, Step.EXPIRE, ABSENT);
-    row(UNKNOWN, Step.EXPIRE, ABSENT);
+    from(ABSENT)
+        .on(Step.ENQUEUE, QUEUED)
+        .on(Step.START, RUNNING)
+        .on(Step.RECORD_INTENT, RECORDING)
+        .on(Step.LEARN_FROM_PEER, OWNED_BY_PEER)
+        .on(Step.RECOVER_RESULT, SUCCEEDED)
+        .on(Step.RECOVER_INTENT, OUTCOME_UNKNOWN);
+    from(QUEUED)
+        .on(Step.ENQUEUE, QUEUED)
+        .on(Step.START, RUNNING)
+        .on(Step.RECORD_INTENT, RECORDING)
+        .on(Step.RELEASE, ABSENT);
+    from(RECORDING)
+        .on(Step.INTENT_RECORDED, RUNNING)
+        .on(Step.VOID, ABSENT)
+        .on(Step.SUCCEED, OUTCOME_UNKNOWN)
+        .on(Step.FAIL, OUTCOME_UNKNOWN)
+        .on(Step.EXPIRE, ABSENT);
+    from(RUNNING)
+        .on(Step.SUCCEED, SUCCEEDED)
+        .on(Step.SAVE_RESULT, SAVING)
+        .on(Step.FAIL, OUTCOME_UNKNOWN)
+        .on(Step.VOID, ABSENT)
+        .on(Step.EXPIRE, ABSENT);
+    from(SAVING)
+        .on(Step.RESULT_SAVED, SUCCEEDED)
+        .on(Step.FAIL, OUTCOME_UNKNOWN)
+        .on(Step.EXPIRE, ABSENT);
+    from(OWNED_BY_PEER)
+        .on(Step.LEARN_FROM_PEER, OWNED_BY_PEER)
+        .on(Step.SUCCEED, SUCCEEDED)
+        .on(Step.SAVE_RESULT, SAVING)
+        .on(Step.FAIL, OUTCOME_UNKNOWN)
+        .on(Step.RELEASE, ABSENT)
+        .on(Step.VOID, ABSENT)
+        .on(Step.EXPIRE, ABSENT);
+    from(SUCCEEDED).on(Step.EXPIRE, ABSENT);
+    from(OUTCOME_UNKNOWN).on(Step.EXPIRE, ABSENT);
   }
 
-  private static void row(KeyState from, Object... stepsAndNext) {
-    Map<Step, KeyState> row = new EnumMap<>(Step.class);
-    for (int i = 0; i < stepsAndNext.length; i += 2) {
-      row.put((Step) stepsAndNext[i], (KeyState) stepsAndNext[i + 1]);
+  /** The steps out of one state. */
+  private record Transitions(Map<Step, KeyState> nextByStep) {
+    Transitions on(Step step, KeyState next) {
+      nextByStep.put(step, next);
+      return this;
     }
-    TABLE.put(from, row);
+  }
+
+  private static Transitions from(KeyState state) {
+    Transitions transitions = new Transitions(new EnumMap<>(Step.class));
+    TABLE.put(state, transitions);
+    return transitions;
   }
 
   /**
@@ -147,28 +137,25 @@
    * @throws IllegalStateException where the table has no such step
    */
   public KeyState after(Step step) {
-    KeyState next = TABLE.get(this).get(step);
+    KeyState next = TABLE.get(this).nextByStep().get(step);
     if (next == null) {
-      throw new IllegalStateException("a key that is " + this + " cannot " + step);
+      throw new IllegalStateException("a key in state " + this + " cannot " + step);
     }
     return next;
   }
 
   /** True where the table has this step. */
   public boolean allows(Step step) {
-    return TABLE.get(this).containsKey(step);
+    return TABLE.get(this).nextByStep().containsKey(step);
   }
 
-  /**
-   * True where a try of this key is known to have run, or may have: no other may, and none is
-   * refused.
-   */
-  public boolean ran() {
-    return this != ABSENT && this != HELD;
+  /** True where an attempt is known to have run, or may have: no other may. */
+  public boolean mayHaveRun() {
+    return this != ABSENT && this != QUEUED;
   }
 
-  /** True where its end is known here, or known to be unknown. */
-  public boolean over() {
-    return this == SERVED || this == UNKNOWN;
+  /** True where the outcome is known here, or known to be unknown. */
+  public boolean isFinal() {
+    return this == SUCCEEDED || this == OUTCOME_UNKNOWN;
   }
 }
--- a/src/main/java/wharftrestle/idempotency/TimingWheel.java
+++ b/src/main/java/wharftrestle/idempotency/TimingWheel.java
@@ -12,26 +12,26 @@
 public final class TimingWheel {
   private static final int NONE = -1;
 
-  private final double tick;
+  private final double tickSeconds;
   private final int[] heads;
   private int[] next = new int[0];
   private int[] previous =
       new int[0]; // or NONE - 1 - slot at the head of a slot, FREE where not scheduled
-  private long[] due = new long[0]; // in ticks
-  private long now = Long.MIN_VALUE; // ticks up to which all is told
+  private long[] dueTicks = new long[0]; // in ticks
+  private long nowTicks = Long.MIN_VALUE; // ticks up to which all is told
   private int size;
 
-  private static final int FREE = Integer.MIN_VALUE;
+  private static final int NOT_SCHEDULED = Integer.MIN_VALUE;
 
   /**
    * @param tick seconds of one slot
    * @param slots a power of two; tick x slots is best longer than the usual time to the end
    */
-  public TimingWheel(double tick, int slots) {
-    if (!(tick > 0) || Integer.bitCount(slots) != 1) {
+  public TimingWheel(double tickSeconds, int slots) {
+    if (!(tickSeconds > 0) || Integer.bitCount(slots) != 1) {
       throw new IllegalArgumentException("a tick above 0 and a power of two of slots are wanted");
     }
-    this.tick = tick;
+    this.tickSeconds = tickSeconds;
     heads = new int[slots];
     Arrays.fill(heads, NONE);
   }
@@ -50,9 +50,9 @@
   public void schedule(int number, double at) {
     grow(number);
     cancel(number);
-    long ticks = (long) Math.ceil(at / tick);
-    due[number] = now == Long.MIN_VALUE ? ticks : Math.max(ticks, now + 1);
-    int slot = (int) (due[number] & heads.length - 1);
+    long ticks = (long) Math.ceil(at / tickSeconds);
+    dueTicks[number] = nowTicks == Long.MIN_VALUE ? ticks : Math.max(ticks, nowTicks + 1);
+    int slot = (int) (dueTicks[number] & heads.length - 1);
     int head = heads[slot];
     next[number] = head;
     previous[number] = NONE - 1 - slot;
@@ -65,7 +65,7 @@
 
   /** Forgets this number; nothing where it is not scheduled. */
   public void cancel(int number) {
-    if (number >= previous.length || previous[number] == FREE) {
+    if (number >= previous.length || previous[number] == NOT_SCHEDULED) {
       return;
     }
     int after = next[number];
@@ -78,27 +78,27 @@
     if (after != NONE) {
       previous[after] = before;
     }
-    previous[number] = FREE;
+    previous[number] = NOT_SCHEDULED;
     size--;
   }
 
   /**
    * Tells all that is due by now, each once, in no order; whoever is told may schedule and cancel.
    */
-  public int advance(double seconds, IntConsumer told) {
-    long to = (long) Math.floor(seconds / tick);
-    if (now == Long.MIN_VALUE) {
-      now = Math.min(to, earliest()) - 1;
+  public int advance(double seconds, IntConsumer action) {
+    long to = (long) Math.floor(seconds / tickSeconds);
+    if (nowTicks == Long.MIN_VALUE) {
+      nowTicks = Math.min(to, earliest()) - 1;
     }
     int count = 0;
-    long from = Math.max(now + 1, to - heads.length + 1); // a whole turn passes each slot once
-    now = Math.max(now, to);
+    long from = Math.max(nowTicks + 1, to - heads.length + 1); // a whole turn passes each slot once
+    nowTicks = Math.max(nowTicks, to);
     for (long at = from; at <= to; at++) {
       int slot = (int) (at & heads.length - 1);
       for (int number = heads[slot]; number != NONE; ) {
-        if (due[number] <= to) {
+        if (dueTicks[number] <= to) {
           cancel(number);
-          told.accept(number);
+          action.accept(number);
           count++;
           number = heads[slot]; // whoever was told may have changed the list
         } else {
@@ -110,21 +110,21 @@
   }
 
   /** Told a number and when it is due, in seconds; false where no further one is wanted. */
-  interface Ahead {
-    boolean more(int number, double at);
+  interface UpcomingVisitor {
+    boolean visit(int number, double dueSeconds);
   }
 
   /**
    * Tells what is due within one turn, tick by tick; nothing may be scheduled or cancelled
    * meanwhile.
    */
-  void ahead(Ahead told) {
-    long from = now == Long.MIN_VALUE ? earliest() : now + 1;
+  void forEachUpcoming(UpcomingVisitor visitor) {
+    long from = nowTicks == Long.MIN_VALUE ? earliest() : nowTicks + 1;
     for (long at = from; size > 0 && at < from + heads.length; at++) {
       for (int number = heads[(int) (at & heads.length - 1)];
           number != NONE;
           number = next[number]) {
-        if (due[number] == at && !told.more(number, at * tick)) {
+        if (dueTicks[number] == at && !visitor.visit(number, at * tickSeconds)) {
           return;
         }
       }
@@ -132,14 +132,14 @@
   }
 
   /** When a number that is scheduled is told, in seconds. */
-  double due(int number) {
-    return due[number] * tick;
+  double dueSeconds(int number) {
+    return dueTicks[number] * tickSeconds;
   }
 
   private long earliest() {
     long first = Long.MAX_VALUE;
     for (int number = 0; number < previous.length; number++) {
-      first = previous[number] == FREE ? first : Math.min(first, due[number]);
+      first = previous[number] == NOT_SCHEDULED ? first : Math.min(first, dueTicks[number]);
     }
     return first;
   }
@@ -152,8 +152,8 @@
     int to = Math.max(16, Math.max(number + 1, old + (old >> 1)));
     next = Arrays.copyOf(next, to);
     previous = Arrays.copyOf(previous, to);
-    due = Arrays.copyOf(due, to);
-    Arrays.fill(previous, old, to, FREE);
+    dueTicks = Arrays.copyOf(dueTicks, to);
+    Arrays.fill(previous, old, to, NOT_SCHEDULED);
   }
 
   /** Bytes of its arrays. */
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.concurrent.locks.Condition;
-import wharftrestle.idempotency.IdempotencyTable;
+import wharftrestle.idempotency.KeyEntry;
 
 /**
  * One request in hand, and the steps that its own thread has yet to carry out. All but the final
@@ -48,7 +48,7 @@
   boolean callFailed; // not by time: what the module then fails did not lapse
   int callNumber;
   double callSince;
-  IdempotencyTable.Entry<InFlightRequest> entry;
+  KeyEntry<InFlightRequest> entry;
   boolean arrived; // at the module, or before it
   boolean granted; // its key, by the process that owns all keys
   Object intent; // on its way to the disk
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -11,6 +11,7 @@
 import wharftrestle.handover.PeerProcess.Over;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.idempotency.KeyEntry;
 
 /**
  * The core's face for the other process of its box: each word of that process enters here, under
@@ -75,7 +76,7 @@
     List<KeyDigest> all;
     core.lock();
     try {
-      all = keys.settled();
+      all = keys.settledDigests();
     } finally {
       core.unlock();
     }
@@ -184,7 +185,7 @@
   public void unknownFail(double seconds) {
     core.lock();
     try {
-      keys.blind(core.now() + seconds);
+      keys.failUnknownKeysUntil(core.now() + seconds);
     } finally {
       core.unlock();
     }
@@ -256,7 +257,9 @@
     if (reread != null) {
       // A settled key: where its result lies on disk it is read there, so not under the lock.
       reread.tell(
-          reread.entry().onDisk() ? recorder.read(key, reread.entry().place()) : reread.inMemory());
+          reread.entry().isOnDisk()
+              ? recorder.read(key, reread.entry().location())
+              : reread.inMemory());
     }
   }
 
@@ -272,9 +275,9 @@
   public void intendedElsewhere(String key, boolean written) {
     core.lock();
     try {
-      IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
-      if (entry != null && entry.holder() != null) {
-        recorder.intended(entry.holder(), written);
+      KeyEntry<InFlightRequest> entry = keys.find(key);
+      if (entry != null && entry.attempt() != null) {
+        recorder.intended(entry.attempt(), written);
         core.settleIfUp();
       }
     } finally {
@@ -285,7 +288,7 @@
   public void savedElsewhere(String key) {
     core.lock();
     try {
-      IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
+      KeyEntry<InFlightRequest> entry = keys.find(key);
       if (entry != null) {
         recorder.saved(entry, -1);
       }
@@ -394,16 +397,16 @@
 
   @Override
   public double window(String key) {
-    return core.window(InFlightRequest.classOf(key)) + IdempotencyTable.SLACK;
+    return core.window(InFlightRequest.classOf(key)) + IdempotencyTable.WINDOW_SLACK_SECONDS;
   }
 
   @Override
-  public void finished(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  public void finished(KeyEntry<InFlightRequest> entry, byte[] result) {
     core.finish(entry, result);
   }
 
   @Override
-  public void voided(IdempotencyTable.Entry<InFlightRequest> entry) {
+  public void voided(KeyEntry<InFlightRequest> entry) {
     recorder.voided(entry);
   }
 
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -16,6 +16,7 @@
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.Admission.Outcome;
 import wharftrestle.idempotency.IdempotencyTable;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
 import wharftrestle.metrics.Counters;
@@ -281,7 +282,7 @@
         Logger.warn(
             "keys may be on disk that are not known here: unknown ones fail for {} s",
             Math.round(latest - now()));
-        keys.blind(latest);
+        keys.failUnknownKeysUntil(latest);
       }
     } finally {
       lock.unlock();
@@ -477,9 +478,9 @@
       if (task.answered) {
         return;
       }
-      IdempotencyTable.Entry<InFlightRequest> known = task.key == null ? null : keys.find(task.key);
+      KeyEntry<InFlightRequest> known = task.key == null ? null : keys.find(task.key);
       boolean ran =
-          (known != null && known.ran()) || (task.key != null && !partner.between().owner());
+          (known != null && known.mayHaveRun()) || (task.key != null && !partner.between().owner());
       if (byId.size() >= most) {
         // Guards against threads filling the memory in a flood: what finds none is turned away
         // unread by
@@ -490,9 +491,9 @@
       }
       if (module == null
           && known != null
-          && known.state() == KeyState.SERVED
+          && known.state() == KeyState.SUCCEEDED
           && known.covers(task.arrival.door())
-          && known.asked().same(task.arrival.body())) {
+          && known.body().matches(task.arrival.body())) {
         // What a dead process answered needs no worker pool to be given again.
         task.backstop = due(task.arrival, now());
         endAttached(task, known);
@@ -517,8 +518,8 @@
       byId.put(task.id, task);
       byRef.put(a.ref(), task);
       sweepKeys(now);
-      IdempotencyTable.Entry<InFlightRequest> prior =
-          task.key == null ? null : keys.meet(task.key, a.door());
+      KeyEntry<InFlightRequest> prior =
+          task.key == null ? null : keys.findDuplicate(task.key, a.door());
       boolean repeat = prior != null;
       if (task.key != null && !repeat && partner.unasked(task)) {
         // Guards against a second run of a key, or its refusal after one: the process that owns it
@@ -526,7 +527,7 @@
         answer(task, Answer.late());
         return;
       }
-      if (repeat && !prior.asked().same(a.body())) {
+      if (repeat && !prior.body().matches(a.body())) {
         // Guards against a result for what was never asked: a known key with another body is no
         // try.
         counters.add(Count.INVALID);
@@ -559,7 +560,7 @@
               a.caller(),
               a.cost(),
               a.subject(),
-              !repeat ? 0 : prior.holder() == null ? ELSEWHERE : prior.holder().id,
+              !repeat ? 0 : prior.attempt() == null ? ELSEWHERE : prior.attempt().id,
               0,
               a.rank()));
       settle(now);
@@ -569,7 +570,7 @@
   }
 
   private static double lay(Arrival a) {
-    return Math.max(0, (SteadyWallClock.even() - a.door()) / 1000.0);
+    return Math.max(0, (SteadyWallClock.steadyWallMillis() - a.door()) / 1000.0);
   }
 
   double due(Arrival a, double now) {
@@ -622,10 +623,10 @@
 
   /** True where there is room to know this try's key to its end. */
   private boolean promise(InFlightRequest task) {
-    task.promised = task.promised || keys.promise();
+    task.promised = task.promised || keys.tryReserveMemory();
     if (!task.promised) {
       keys.expire(now()); // what is over by now need not wait for the next sweep
-      task.promised = keys.promise();
+      task.promised = keys.tryReserveMemory();
     }
     return task.promised;
   }
@@ -635,13 +636,14 @@
     counters.add(Count.GUARDED);
     counters.add(Count.NO_ROOM);
     return Answer.refused(
-        Math.min(settings.maxRetryAfter(), Math.max(LEAST_AGAIN, keys.roomIn(now))), false);
+        Math.min(settings.maxRetryAfter(), Math.max(LEAST_AGAIN, keys.secondsUntilCapacity(now))),
+        false);
   }
 
   private void forget(InFlightRequest task) {
     if (task.promised) {
       task.promised = false;
-      keys.unpromise();
+      keys.releaseMemory();
     }
     byId.remove(task.id);
     byRef.remove(task.arrival.ref(), task);
@@ -662,7 +664,7 @@
       counters.gone();
       markAnswered(task);
       if (task.entry != null) {
-        keys.leave(task.entry, task);
+        keys.detach(task.entry, task);
       }
       if (byId.containsKey(task.id)) {
         module.callerLeft(now(), task.id);
@@ -848,12 +850,12 @@
       task.step(InFlightRequest.Step.of(InFlightRequest.Kind.ABANDON));
     }
     boolean waits = false;
-    if (task.entry != null && task.entry.holder() == task) {
+    if (task.entry != null && task.entry.attempt() == task) {
       if (outcome == Outcome.VOID) {
         if (task.entry.state() == KeyState.RUNNING) {
           recorder.voided(task.entry);
         }
-        keys.neverRan(task.entry);
+        keys.abandon(task.entry);
       } else {
         waits = finish(task.entry, outcome == Outcome.SUCCESS ? result : null);
       }
@@ -963,10 +965,10 @@
    * A run of this key is over; the result is null unless it ended well. True where its answer waits
    * for the disk.
    */
-  boolean finish(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  boolean finish(KeyEntry<InFlightRequest> entry, byte[] result) {
     partner.between().tellEnd(entry, result);
-    boolean ran = entry.state() == KeyState.RUNNING || entry.state() == KeyState.ELSEWHERE;
-    keys.ran(entry, result);
+    boolean ran = entry.state() == KeyState.RUNNING || entry.state() == KeyState.OWNED_BY_PEER;
+    keys.complete(entry, result);
     if (ran) {
       recorder.ended(entry, result);
     }
@@ -976,7 +978,7 @@
 
   /** The result of a settled key goes out again, byte for byte. */
   private void replay(InFlightRequest task) {
-    byte[] result = recorder.read(task.key, task.entry.place());
+    byte[] result = recorder.read(task.key, task.entry.location());
     lock.lock();
     try {
       endWith(task, result);
@@ -995,13 +997,13 @@
     }
   }
 
-  private void endsWith(InFlightRequest rider, IdempotencyTable.Entry<InFlightRequest> entry) {
+  private void endsWith(InFlightRequest rider, KeyEntry<InFlightRequest> entry) {
     pending.add(() -> endAttached(rider, entry));
   }
 
   /** An attached try ends as the one it repeats did. */
-  private void endAttached(InFlightRequest task, IdempotencyTable.Entry<InFlightRequest> entry) {
-    if (!task.answered && entry != null && entry.onDisk() && keys.result(entry) == null) {
+  private void endAttached(InFlightRequest task, KeyEntry<InFlightRequest> entry) {
+    if (!task.answered && entry != null && entry.isOnDisk() && keys.result(entry) == null) {
       task.entry = entry;
       task.step(
           InFlightRequest.Step.of(
@@ -1027,10 +1029,10 @@
   }
 
   private void join(InFlightRequest task) {
-    IdempotencyTable.Entry<InFlightRequest> entry = task.entry;
+    KeyEntry<InFlightRequest> entry = task.entry;
     task.attached = true;
     task.since = now();
-    if (entry == null || !keys.ride(entry, task)) {
+    if (entry == null || !keys.attach(entry, task)) {
       pending.add(() -> endAttached(task, entry));
     }
   }
@@ -1041,12 +1043,12 @@
     }
     keysSwept = now;
     keys.expire(now);
-    indexBytes = keys.settledBytes();
+    indexBytes = keys.indexBytes();
     counters.kept(
         new Counters.Kept(
             keys.size(),
             recorder.mostKeys(),
-            keys.settledBytes() + keys.resultBytes(),
+            keys.indexBytes() + keys.resultBytes(),
             room.bytes()));
   }
 
@@ -1059,7 +1061,7 @@
 
   /** Bytes of results that are kept in memory at most. */
   long mostResultBytes() {
-    return room.mostResultBytes();
+    return room.maxResultBytes();
   }
 
   void lock() {
@@ -1109,8 +1111,8 @@
     Arrival a = task.arrival;
     task.since = now();
     if (task.key != null) {
-      IdempotencyTable.Entry<InFlightRequest> known = keys.find(task.key);
-      if (!(known != null && known.ran() && known.covers(a.door())) && !promise(task)) {
+      KeyEntry<InFlightRequest> known = keys.find(task.key);
+      if (!(known != null && known.mayHaveRun() && known.covers(a.door())) && !promise(task)) {
         // It came as a repeat of a try that never ran, so no room was asked for before.
         task.spawned = true;
         task.unsent = true;
@@ -1124,10 +1126,10 @@
             });
         return;
       }
-      IdempotencyTable.Entry<InFlightRequest> entry =
+      KeyEntry<InFlightRequest> entry =
           keys.start(task.key, a.body(), a.door(), window(a.classIndex()), now(), task);
       task.entry = entry;
-      if (entry.holder() != task) {
+      if (entry.attempt() != task) {
         // Guards against a second run of one key, whatever the module holds of it.
         Logger.warn("a second run of one key was asked for; its try joins the first");
         join(task);
@@ -1145,7 +1147,7 @@
     InFlightRequest task = byId.get(id);
     if (task != null) {
       // Guards against a refusal after the run of a key: that answer would promise that none ran.
-      boolean ran = task.entry != null && task.entry.ran();
+      boolean ran = task.entry != null && task.entry.mayHaveRun();
       answer(task, ran ? Answer.failed() : Answer.refused(retryAfter, nowhereElse));
     }
   }
@@ -1156,7 +1158,7 @@
     if (task != null) {
       answer(task, task.callFailed ? Answer.failed() : Answer.late());
       if (task.attached && task.entry != null) {
-        keys.leave(task.entry, task);
+        keys.detach(task.entry, task);
       }
     }
   }
@@ -1199,8 +1201,8 @@
     if (task == null || task.key == null) {
       return;
     }
-    IdempotencyTable.Entry<InFlightRequest> entry =
-        keys.hold(task.key, task.arrival.body(), task.arrival.door(), task);
+    KeyEntry<InFlightRequest> entry =
+        keys.enqueue(task.key, task.arrival.body(), task.arrival.door(), task);
     if (entry != null) {
       task.entry = entry;
     }
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -7,6 +7,7 @@
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.idempotency.IdempotencyTable;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
 import wharftrestle.metrics.Counters.Count;
@@ -45,11 +46,11 @@
    */
   void record(ResultStore kept) {
     records = kept;
-    most = Math.min(kept.mostKeys(), room.mostKeysOnDisk());
+    most = Math.min(kept.mostKeys(), room.maxKeysWithResultsOnDisk());
     if (most < kept.mostKeys()) {
       Logger.warn("memory holds {} keys of the {} that are set", most, kept.mostKeys());
     }
-    keys.record(most);
+    keys.enablePersistence(most);
   }
 
   /** True where results are kept; also without the lock. */
@@ -59,7 +60,7 @@
 
   /** Keys known at most. */
   int mostKeys() {
-    return records == null ? room.mostKeys() : most;
+    return records == null ? room.maxKeys() : most;
   }
 
   /** The figures of kept results, empty where none are kept; also without the lock. */
@@ -84,18 +85,18 @@
     return Answer.refused(Math.min(core.settings().maxRetryAfter(), records.again(why)), false);
   }
 
-  private ResultStore.Keyed keyed(IdempotencyTable.Entry<InFlightRequest> entry) {
+  private ResultStore.Keyed keyed(KeyEntry<InFlightRequest> entry) {
     return new ResultStore.Keyed(
         entry.key(),
-        entry.lastDoor(),
-        core.window(InFlightRequest.classOf(entry.key())) + IdempotencyTable.SLACK,
-        entry.asked().brief());
+        entry.coveredUntilMillis(),
+        core.window(InFlightRequest.classOf(entry.key())) + IdempotencyTable.WINDOW_SLACK_SECONDS,
+        entry.body().checksum());
   }
 
   /** True while the intent of this try's run is on its way to the disk. */
   boolean recording(InFlightRequest task) {
     return task.entry != null
-        && task.entry.holder() == task
+        && task.entry.attempt() == task
         && task.entry.state() == KeyState.RECORDING;
   }
 
@@ -139,7 +140,7 @@
       // Nobody waits any more, and nothing ran: a further try may.
       neverBegun(task, null);
     } else {
-      keys.recorded(task.entry);
+      keys.intentRecorded(task.entry);
       task.step(InFlightRequest.Step.of(InFlightRequest.Kind.SPAWN));
     }
   }
@@ -161,7 +162,7 @@
   }
 
   /** A run of this key was never begun. */
-  void voided(IdempotencyTable.Entry<InFlightRequest> entry) {
+  void voided(KeyEntry<InFlightRequest> entry) {
     if (records != null && between.owner()) {
       records.voided(keyed(entry));
     }
@@ -170,13 +171,13 @@
   /**
    * A run of this key is over, and the key knows it; the result is null where it has none to give.
    */
-  void ended(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  void ended(KeyEntry<InFlightRequest> entry, byte[] result) {
     if (records != null && between.owner()) {
       save(entry, result);
     }
   }
 
-  private void save(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  private void save(KeyEntry<InFlightRequest> entry, byte[] result) {
     records.ended(
         keyed(entry),
         result,
@@ -193,7 +194,7 @@
   /** What the other process of the box was to write, and is gone, is written here. */
   void saveUnsaved() {
     if (records != null) {
-      keys.unsaved().forEach(entry -> save(entry, keys.result(entry)));
+      keys.entriesBeingSaved().forEach(entry -> save(entry, keys.result(entry)));
     }
   }
 
@@ -201,13 +202,13 @@
    * A result is on disk, or with a place below 0 cannot be: its intent is, so it never runs again,
    * and is answered.
    */
-  void saved(IdempotencyTable.Entry<InFlightRequest> entry, long place) {
+  void saved(KeyEntry<InFlightRequest> entry, long place) {
     if (entry.state() != KeyState.SAVING) {
       return;
     }
-    keys.saved(entry, place);
-    if (entry.holder() != null) {
-      core.answer(entry.holder(), Answer.served(keys.result(entry)));
+    keys.resultSaved(entry, place);
+    if (entry.attempt() != null) {
+      core.answer(entry.attempt(), Answer.served(keys.result(entry)));
       if (between.other() != null && !between.owner()) {
         // It was on its way when the keys were handed over.
         between.other().ended(entry.key(), keys.result(entry));
@@ -221,14 +222,14 @@
 
   /** The other process is about to run a key that it has in hand: its intent is written here. */
   void intendElsewhere(String key) {
-    IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
+    KeyEntry<InFlightRequest> entry = keys.find(key);
     PeerProcess asks = between.other();
     if (asks == null) {
       return;
     }
     boolean asked =
         records != null
-            && keys.elsewhere(entry)
+            && keys.isOwnedByPeer(entry)
             && records.intend(keyed(entry), place -> asks.intended(key, place >= 0)) != null;
     if (!asked) {
       asks.intended(key, false);
--- a/src/main/java/wharftrestle/rollout/controller/RolloutController.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutController.java
@@ -331,7 +331,7 @@
   private void write(String what, String box, String to, String why) throws IOException {
     journal.add(
         new Line(
-            SteadyWallClock.now(),
+            SteadyWallClock.wallMillis(),
             what,
             steering.epoch(),
             steering.driver(),
--- a/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
@@ -42,7 +42,7 @@
               + (why.isEmpty() ? "" : ": " + why));
     } else {
       Map<String, Object> all = new LinkedHashMap<>();
-      all.put("at", SteadyWallClock.now());
+      all.put("at", SteadyWallClock.wallMillis());
       all.put("epoch", epoch);
       all.put("stage", stage);
       all.put("what", what);
--- a/src/main/java/wharftrestle/storage/Compaction.java
+++ b/src/main/java/wharftrestle/storage/Compaction.java
@@ -18,8 +18,8 @@
   private Compaction() {}
 
   /** True where a start finds so many files that a few more would leave no room. */
-  static boolean worthWhile(SpaceBudget room) {
-    return room.segments() > room.files() / 2;
+  static boolean isWorthwhile(SpaceBudget room) {
+    return room.segmentCount() > room.maxSegments() / 2;
   }
 
   /** Where a record lies, and how it is to be written again. */
@@ -34,10 +34,10 @@
    */
   static boolean run(SegmentStore disk, int segment, int most) throws IOException {
     long steady = System.nanoTime() / 1_000_000;
-    long boot = disk.boot();
-    long[] files = disk.files();
+    long boot = disk.bootId();
+    long[] files = disk.segmentNumbers();
     Map<String, Kept> last = new LinkedHashMap<>();
-    Recovery recovery = new Recovery(SteadyWallClock.even(), steady);
+    Recovery recovery = new Recovery(SteadyWallClock.steadyWallMillis(), steady);
     for (long file : files) {
       ByteBuffer bytes = disk.read(file);
       boolean same = sameBoot(bytes, boot);
@@ -45,18 +45,18 @@
           bytes,
           (record, offset) -> {
             last.remove(record.key());
-            if (recovery.take(record, offset, same)) {
+            if (recovery.replay(record, offset, same)) {
               last.put(record.key(), new Kept(file, offset, record.size(), same));
             }
           });
     }
     List<Map.Entry<String, Kept>> order = new ArrayList<>(last.entrySet());
     int needed = 1;
-    int used = Segment.HEAD;
+    int used = Segment.HEADER_BYTES;
     for (Map.Entry<String, Kept> each : order) {
       if (used + each.getValue().size() > segment) {
         needed++;
-        used = Segment.HEAD;
+        used = Segment.HEADER_BYTES;
       }
       used += each.getValue().size();
     }
@@ -69,17 +69,17 @@
     long number = files.length == 0 ? 0 : files[files.length - 1];
     List<Long> made = new ArrayList<>();
     ByteBuffer out = null;
-    long wall = SteadyWallClock.now();
+    long wall = SteadyWallClock.wallMillis();
     for (int i = 0; i < order.size(); i++) {
       Kept kept = order.get(i).getValue();
       if (out == null || out.remaining() < kept.size()) {
         flush(disk, made, out);
-        out = ByteBuffer.allocate(segment - Segment.HEAD);
+        out = ByteBuffer.allocate(segment - Segment.HEADER_BYTES);
         number++;
-        disk.create(number, Segment.head(1, number, boot, segment), segment);
+        disk.create(number, Segment.header(1, number, boot, segment), segment);
         made.add(number);
       }
-      LogRecord record = LogRecord.at(disk.read(kept.file(), kept.offset(), kept.size()), 0);
+      LogRecord record = LogRecord.readAt(disk.read(kept.file(), kept.offset(), kept.size()), 0);
       if (record == null) {
         throw new IOException("a record is not where it was");
       }
@@ -88,15 +88,15 @@
               || out.remaining() - kept.size() < order.get(i + 1).getValue().size();
       // A record of an earlier boot is aged from now on: its steady clock says nothing here.
       record
-          .written(
+          .stamped(
               ends,
               1,
-              kept.sameBoot() ? record.wall() : wall,
-              kept.sameBoot() ? record.steady() : steady)
-          .put(out);
+              kept.sameBoot() ? record.writtenAtMillis() : wall,
+              kept.sameBoot() ? record.writtenAtSteadyMillis() : steady)
+          .writeTo(out);
     }
     flush(disk, made, out);
-    disk.list(Manifest.of(made));
+    disk.writeManifest(Manifest.encode(made));
     for (long file : files) {
       disk.delete(file);
     }
@@ -105,16 +105,16 @@
 
   static boolean sameBoot(ByteBuffer bytes, long boot) throws IOException {
     try {
-      return Segment.sameBoot(bytes, boot);
-    } catch (Segment.ForeignException e) {
+      return Segment.isSameBoot(bytes, boot);
+    } catch (Segment.ForeignFormatException e) {
       throw new IOException(e.getMessage());
     }
   }
 
-  static Segment.Seen scan(ByteBuffer bytes, Segment.Each each) throws IOException {
+  static Segment.ScanResult scan(ByteBuffer bytes, Segment.RecordVisitor each) throws IOException {
     try {
       return Segment.scan(bytes, each);
-    } catch (Segment.ForeignException e) {
+    } catch (Segment.ForeignFormatException e) {
       throw new IOException(e.getMessage());
     }
   }
@@ -122,7 +122,7 @@
   private static void flush(SegmentStore disk, List<Long> made, ByteBuffer out) throws IOException {
     if (out != null) {
       long file = made.get(made.size() - 1);
-      disk.write(file, Segment.HEAD, out.flip());
+      disk.write(file, Segment.HEADER_BYTES, out.flip());
       disk.sync(file);
     }
   }
--- a/src/main/java/wharftrestle/storage/FileSegmentStore.java
+++ b/src/main/java/wharftrestle/storage/FileSegmentStore.java
@@ -61,7 +61,7 @@
   }
 
   @Override
-  public long boot() {
+  public long bootId() {
     try {
       String id = Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).trim();
       return KeyDigest.of(id).high();
@@ -89,7 +89,7 @@
   }
 
   @Override
-  public byte[] list() throws IOException {
+  public byte[] readManifest() throws IOException {
     try {
       return Files.readAllBytes(folder.resolve("list"));
     } catch (NoSuchFileException none) {
@@ -98,7 +98,7 @@
   }
 
   @Override
-  public void list(byte[] list) throws IOException {
+  public void writeManifest(byte[] list) throws IOException {
     Path fresh = folder.resolve("list.new");
     try (FileChannel file =
         FileChannel.open(
@@ -124,7 +124,7 @@
   }
 
   @Override
-  public long[] files() throws IOException {
+  public long[] segmentNumbers() throws IOException {
     LongStream.Builder numbers = LongStream.builder();
     try (DirectoryStream<Path> all = Files.newDirectoryStream(folder, PREFIX + "*" + SUFFIX)) {
       for (Path each : all) {
--- a/src/main/java/wharftrestle/storage/GroupCommitQueue.java
+++ b/src/main/java/wharftrestle/storage/GroupCommitQueue.java
@@ -11,25 +11,25 @@
  * @param <T> what waits; told apart by identity
  */
 public final class GroupCommitQueue<T> {
-  private final int most;
+  private final int maxBytes;
   private List<T> waiting = new ArrayList<>();
-  private long bytes;
+  private long queuedBytes;
   private boolean closed;
 
   /**
    * @param most bytes that wait at most, but for what must be taken
    */
-  public GroupCommitQueue(int most) {
-    this.most = most;
+  public GroupCommitQueue(int maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
   /** Adds it; false where it is closed, or too much waits and this one need not be taken. */
-  public synchronized boolean add(T entry, int size, boolean must) {
-    if (closed || (!must && bytes + size > most)) {
+  public synchronized boolean add(T entry, int size, boolean required) {
+    if (closed || (!required && queuedBytes + size > maxBytes)) {
       return false;
     }
     waiting.add(entry);
-    bytes += size;
+    queuedBytes += size;
     notifyAll();
     return true;
   }
@@ -39,7 +39,7 @@
     for (int i = waiting.size() - 1; i >= 0; i--) {
       if (waiting.get(i) == entry) {
         waiting.remove(i);
-        bytes -= size;
+        queuedBytes -= size;
         return true;
       }
     }
@@ -50,7 +50,7 @@
   public synchronized List<T> drain() {
     List<T> all = waiting;
     waiting = new ArrayList<>();
-    bytes = 0;
+    queuedBytes = 0;
     return all;
   }
 
@@ -58,7 +58,7 @@
    * Waits until something is there, it is closed, or so many ms are over; then as {@link #drain}.
    */
   @SuppressWarnings("WaitNotInLoop") // woken early it gives out nothing, and its caller asks again
-  public synchronized List<T> take(long millis) throws InterruptedException {
+  public synchronized List<T> awaitBatch(long millis) throws InterruptedException {
     if (waiting.isEmpty() && !closed) {
       wait(millis);
     }
@@ -71,12 +71,12 @@
     notifyAll();
   }
 
-  public synchronized boolean closed() {
+  public synchronized boolean isClosed() {
     return closed;
   }
 
   /** Bytes that wait. */
-  public synchronized long bytes() {
-    return bytes;
+  public synchronized long queuedBytes() {
+    return queuedBytes;
   }
 }
--- a/src/main/java/wharftrestle/storage/LogRecord.java
+++ b/src/main/java/wharftrestle/storage/LogRecord.java
@@ -32,13 +32,13 @@
 @SuppressWarnings("JavaLangClash") // what the log of results is made of; the other is never named
 public record LogRecord(
     Kind kind,
-    boolean ends,
+    boolean lastOfBatch,
     int batch,
-    long wall,
-    long steady,
-    long lastDoor,
-    int window,
-    long check,
+    long writtenAtMillis,
+    long writtenAtSteadyMillis,
+    long coveredUntilMillis,
+    int windowMillis,
+    long bodyChecksum,
     String key,
     byte[] result) {
 
@@ -55,22 +55,31 @@
   }
 
   /** Bytes of one record at most, its head left out. */
-  static final int MOST = 128 * 1024;
+  static final int MAX_PAYLOAD_BYTES = 128 * 1024;
 
   /** Bytes of a key at most. */
-  public static final int LONGEST_KEY = 512;
+  public static final int MAX_KEY_BYTES = 512;
 
   /** Bytes of a result at most; PROTOCOL has 4 kB. */
-  public static final int LONGEST_RESULT = 64 * 1024;
+  public static final int MAX_RESULT_BYTES = 64 * 1024;
 
-  static final int HEAD = 8;
-  private static final int LAST = 0x80;
-  static final int ALIGN = 8;
-  private static final int FIXED = 1 + 4 + 8 + 8 + 8 + 4 + 8 + 2 + 4;
+  static final int HEADER_BYTES = 8;
+  private static final int LAST_OF_BATCH_FLAG = 0x80;
+  static final int ALIGNMENT_BYTES = 8;
+  private static final int FIXED_PAYLOAD_BYTES = 1 + 4 + 8 + 8 + 8 + 4 + 8 + 2 + 4;
 
-  LogRecord written(boolean last, int inBatch, long atWall, long atSteady) {
+  LogRecord stamped(boolean last, int inBatch, long atWall, long atSteady) {
     return new LogRecord(
-        kind, last, inBatch, atWall, atSteady, lastDoor, window, check, key, result);
+        kind,
+        last,
+        inBatch,
+        atWall,
+        atSteady,
+        coveredUntilMillis,
+        windowMillis,
+        bodyChecksum,
+        key,
+        result);
   }
 
   /** Bytes on disk, the gap to the next record included. */
@@ -79,34 +88,34 @@
   }
 
   static int size(int keyBytes, int resultBytes) {
-    return aligned(HEAD + FIXED + keyBytes + resultBytes);
+    return aligned(HEADER_BYTES + FIXED_PAYLOAD_BYTES + keyBytes + resultBytes);
   }
 
   static int aligned(int size) {
-    return size + ALIGN - 1 & -ALIGN;
+    return size + ALIGNMENT_BYTES - 1 & -ALIGNMENT_BYTES;
   }
 
-  void put(ByteBuffer to) {
+  void writeTo(ByteBuffer to) {
     int begin = to.position();
     byte[] name = key.getBytes(StandardCharsets.UTF_8);
-    int length = FIXED + name.length + result.length;
+    int length = FIXED_PAYLOAD_BYTES + name.length + result.length;
     @SuppressWarnings("EnumOrdinal") // stored: the format counts kinds in the order of declaration
     int number = kind.ordinal() + 1;
     to.putInt(length)
         .putInt(0)
-        .put((byte) (number | (ends ? LAST : 0)))
+        .put((byte) (number | (lastOfBatch ? LAST_OF_BATCH_FLAG : 0)))
         .putInt(batch)
-        .putLong(wall)
-        .putLong(steady)
-        .putLong(lastDoor)
-        .putInt(window)
-        .putLong(check)
+        .putLong(writtenAtMillis)
+        .putLong(writtenAtSteadyMillis)
+        .putLong(coveredUntilMillis)
+        .putInt(windowMillis)
+        .putLong(bodyChecksum)
         .putShort((short) name.length)
         .put(name)
         .putInt(result.length)
         .put(result);
     to.putInt(begin + 4, crc(to, begin, length));
-    while ((to.position() - begin) % ALIGN != 0) {
+    while ((to.position() - begin) % ALIGNMENT_BYTES != 0) {
       to.put((byte) 0);
     }
   }
@@ -115,27 +124,29 @@
     CRC32C crc = new CRC32C();
     ByteBuffer part = bytes.duplicate();
     crc.update(part.limit(begin + 4).position(begin));
-    crc.update(part.limit(begin + HEAD + length).position(begin + HEAD));
+    crc.update(part.limit(begin + HEADER_BYTES + length).position(begin + HEADER_BYTES));
     return (int) crc.getValue();
   }
 
   /** The whole record that begins there; null where there is none. */
-  static LogRecord at(ByteBuffer bytes, int begin) {
-    if (begin < 0 || bytes.limit() - begin < HEAD + FIXED) {
+  static LogRecord readAt(ByteBuffer bytes, int begin) {
+    if (begin < 0 || bytes.limit() - begin < HEADER_BYTES + FIXED_PAYLOAD_BYTES) {
       return null;
     }
     int length = bytes.getInt(begin);
-    if (length < FIXED || length > MOST || length > bytes.limit() - begin - HEAD) {
+    if (length < FIXED_PAYLOAD_BYTES
+        || length > MAX_PAYLOAD_BYTES
+        || length > bytes.limit() - begin - HEADER_BYTES) {
       return null;
     }
-    int kind = (bytes.get(begin + HEAD) & LAST - 1) - 1;
-    boolean ends = (bytes.get(begin + HEAD) & LAST) != 0;
+    int kind = (bytes.get(begin + HEADER_BYTES) & LAST_OF_BATCH_FLAG - 1) - 1;
+    boolean ends = (bytes.get(begin + HEADER_BYTES) & LAST_OF_BATCH_FLAG) != 0;
     if (kind < 0
         || kind >= Kind.values().length
         || bytes.getInt(begin + 4) != crc(bytes, begin, length)) {
       return null;
     }
-    ByteBuffer in = bytes.duplicate().position(begin + HEAD + 1);
+    ByteBuffer in = bytes.duplicate().position(begin + HEADER_BYTES + 1);
     int batch = in.getInt();
     long wall = in.getLong();
     long steady = in.getLong();
@@ -143,11 +154,11 @@
     int window = in.getInt();
     long check = in.getLong();
     byte[] name = new byte[in.getShort() & 0xffff];
-    if (name.length > length - FIXED) {
+    if (name.length > length - FIXED_PAYLOAD_BYTES) {
       return null;
     }
     in.get(name);
-    int most = length - FIXED - name.length;
+    int most = length - FIXED_PAYLOAD_BYTES - name.length;
     byte[] result = new byte[Math.max(0, Math.min(most, in.getInt()))];
     if (result.length != most) {
       return null;
--- a/src/main/java/wharftrestle/storage/Manifest.java
+++ b/src/main/java/wharftrestle/storage/Manifest.java
@@ -11,33 +11,33 @@
  * deleted.
  */
 final class Manifest {
-  private static final String WORD = "wharftrestle-results ";
+  private static final String TITLE = "wharftrestle-results ";
 
   private Manifest() {}
 
-  static byte[] of(Iterable<Long> numbers) {
-    StringBuilder text = new StringBuilder(WORD + Segment.VERSION + "\n");
+  static byte[] encode(Iterable<Long> numbers) {
+    StringBuilder text = new StringBuilder(TITLE + Segment.VERSION + "\n");
     for (long number : numbers) {
       text.append(number).append('\n');
     }
-    return (text + end(text)).getBytes(StandardCharsets.US_ASCII);
+    return (text + checksumLine(text)).getBytes(StandardCharsets.US_ASCII);
   }
 
-  private static String end(CharSequence text) {
+  private static String checksumLine(CharSequence text) {
     return "end " + Long.toHexString(KeyDigest.of(text.toString()).high()) + "\n";
   }
 
   /** The numbers; null where it is garbled. */
-  static List<Long> parse(byte[] bytes) throws Segment.ForeignException {
+  static List<Long> decode(byte[] bytes) throws Segment.ForeignFormatException {
     String text = new String(bytes, StandardCharsets.US_ASCII);
     int end = text.indexOf("end ");
-    if (end < 0 || !text.substring(end).equals(end(text.substring(0, end)))) {
+    if (end < 0 || !text.substring(end).equals(checksumLine(text.substring(0, end)))) {
       return null;
     }
     String[] lines = text.substring(0, end).split("\n");
-    if (!lines[0].equals(WORD + Segment.VERSION)) {
-      throw new Segment.ForeignException(
-          "is of '" + lines[0] + "', this program knows " + WORD + Segment.VERSION);
+    if (!lines[0].equals(TITLE + Segment.VERSION)) {
+      throw new Segment.ForeignFormatException(
+          "is of '" + lines[0] + "', this program knows " + TITLE + Segment.VERSION);
     }
     List<Long> numbers = new ArrayList<>();
     for (int i = 1; i < lines.length; i++) {
--- a/src/main/java/wharftrestle/storage/Recovery.java
+++ b/src/main/java/wharftrestle/storage/Recovery.java
@@ -8,7 +8,7 @@
  * What the records of a dead process mean. Result known: repeats get it. Intent without a result:
  * its end is unknown, whatever the worker pool may still be doing of it, so tries in the window
  * fail and never run. Neither: the key may run. It must never trust a clock that can step: see
- * {@link #until}.
+ * {@link #expiresAtSeconds}.
  *
  * <pre>
  * last records of a key       after recovery
@@ -21,19 +21,20 @@
  */
 public final class Recovery {
   /** Seconds kept beyond a window, as of the keys in memory. */
-  static final double LINGER = IdempotencyTable.LINGER;
+  static final double LINGER_SECONDS = IdempotencyTable.LINGER_SECONDS;
 
   /**
    * What is known of one key.
    *
    * @param place of its result; -1 where its end is unknown
    */
-  public record Known(String key, long place, long lastDoor, int window, long check) {}
+  public record RecoveredKey(
+      String key, long location, long coveredUntilMillis, int windowMillis, long bodyChecksum) {}
 
-  private final Map<String, Known> keys = new LinkedHashMap<>();
+  private final Map<String, RecoveredKey> keys = new LinkedHashMap<>();
   private final long wallNow;
   private final long steadyNow;
-  private int over;
+  private int expiredCount;
 
   /**
    * @param wallNow ms on the scale of stamps; steadyNow ms on the machine's steady clock
@@ -47,13 +48,15 @@
    * Takes the next record of the log, which lies there; same boot where its steady clock is the
    * present one. False where nothing of it need be kept.
    */
-  public boolean take(LogRecord record, long place, boolean sameBoot) {
+  public boolean replay(LogRecord record, long location, boolean sameBoot) {
     keys.remove(record.key());
     if (record.kind() == LogRecord.Kind.VOID) {
       return false;
     }
-    if (sameBoot && steadyNow - record.steady() > record.window() + LINGER * 1000) {
-      over++; // a process that dies again and again must not carry it for ever
+    if (sameBoot
+        && steadyNow - record.writtenAtSteadyMillis()
+            > record.windowMillis() + LINGER_SECONDS * 1000) {
+      expiredCount++; // a process that dies again and again must not carry it for ever
       return false;
     }
     boolean known = record.kind() == LogRecord.Kind.RESULT;
@@ -61,12 +64,12 @@
     // is covered.
     keys.put(
         record.key(),
-        new Known(
+        new RecoveredKey(
             record.key(),
-            known ? place : -1,
-            Math.max(record.lastDoor(), wallNow + record.window()),
-            record.window(),
-            record.check()));
+            known ? location : -1,
+            Math.max(record.coveredUntilMillis(), wallNow + record.windowMillis()),
+            record.windowMillis(),
+            record.bodyChecksum()));
     return true;
   }
 
@@ -74,26 +77,26 @@
    * Seconds on a clock that is now at {@code now} until a key is forgotten: one window and a
    * linger, from now.
    */
-  public static double until(Known known, double now) {
-    return now + known.window() / 1000.0 + LINGER;
+  public static double expiresAtSeconds(RecoveredKey known, double now) {
+    return now + known.windowMillis() / 1000.0 + LINGER_SECONDS;
   }
 
-  public Iterable<Known> keys() {
+  public Iterable<RecoveredKey> keys() {
     return keys.values();
   }
 
   /** Keys with a result. */
-  public int known() {
-    return (int) keys.values().stream().filter(key -> key.place() >= 0).count();
+  public int knownCount() {
+    return (int) keys.values().stream().filter(key -> key.location() >= 0).count();
   }
 
   /** Keys whose end is unknown. */
-  public int unknown() {
-    return keys.size() - known();
+  public int unknownCount() {
+    return keys.size() - knownCount();
   }
 
   /** Records left out as their time was over. */
-  public int over() {
-    return over;
+  public int expiredCount() {
+    return expiredCount;
   }
 }
--- a/src/main/java/wharftrestle/storage/ResultLogTool.java
+++ b/src/main/java/wharftrestle/storage/ResultLogTool.java
@@ -46,16 +46,16 @@
   /** All lines of the log, by key: the last record of each. */
   private Map<String, Line> lines() throws IOException {
     Map<String, Line> all = new TreeMap<>();
-    long boot = disk.boot();
+    long boot = disk.bootId();
     long steady = System.nanoTime() / 1_000_000;
-    Recovery recovery = new Recovery(SteadyWallClock.even(), steady);
-    for (long file : disk.files()) {
+    Recovery recovery = new Recovery(SteadyWallClock.steadyWallMillis(), steady);
+    for (long file : disk.segmentNumbers()) {
       ByteBuffer bytes = disk.read(file);
       boolean same = Compaction.sameBoot(bytes, boot);
       Compaction.scan(
           bytes,
           (record, offset) -> {
-            boolean kept = recovery.take(record, offset, same);
+            boolean kept = recovery.replay(record, offset, same);
             String state =
                 switch (record.kind()) {
                   case RESULT -> "known";
@@ -81,7 +81,7 @@
             Locale.ROOT,
             "%-8s %-24s %8d  %s%s%n",
             line.state(),
-            Instant.ofEpochMilli(line.record().wall()),
+            Instant.ofEpochMilli(line.record().writtenAtMillis()),
             line.record().result().length,
             line.record().key(),
             line.over() ? "  (over)" : "");
@@ -110,10 +110,10 @@
             record.key(),
             line.state(),
             line.over() ? ", its time is over" : "",
-            Instant.ofEpochMilli(record.wall()),
-            Instant.ofEpochMilli(record.lastDoor()),
-            record.window(),
-            record.check(),
+            Instant.ofEpochMilli(record.writtenAtMillis()),
+            Instant.ofEpochMilli(record.coveredUntilMillis()),
+            record.windowMillis(),
+            record.bodyChecksum(),
             record.result().length,
             shown(record.result()));
       }
@@ -138,12 +138,12 @@
   /** Reads every byte; a line a file. False where something that was on disk is lost. */
   public boolean verify(PrintStream out) throws IOException {
     boolean whole = true;
-    long[] files = disk.files();
-    byte[] list = disk.list();
+    long[] files = disk.segmentNumbers();
+    byte[] list = disk.readManifest();
     List<Long> listed;
     try {
-      listed = list == null ? null : Manifest.parse(list);
-    } catch (Segment.ForeignException e) {
+      listed = list == null ? null : Manifest.decode(list);
+    } catch (Segment.ForeignFormatException e) {
       throw new UnusableStorageException(folder + " " + e.getMessage());
     }
     if (listed == null && files.length > 0) {
@@ -158,7 +158,7 @@
     }
     for (int i = 0; i < files.length; i++) {
       ByteBuffer bytes = disk.read(files[i]);
-      Segment.Seen seen = Compaction.scan(bytes, (record, offset) -> {});
+      Segment.ScanResult seen = Compaction.scan(bytes, (record, offset) -> {});
       boolean last = i == files.length - 1;
       boolean damaged = seen.damaged() || (seen.torn() && !last);
       whole &= !damaged;
@@ -166,7 +166,7 @@
           Locale.ROOT,
           "file %d: %d records, %d of %d bytes used, %s%n",
           files[i],
-          seen.records(),
+          seen.recordCount(),
           seen.end(),
           bytes.limit(),
           damaged ? "DAMAGED" : seen.torn() ? "ends in a torn write" : "whole");
@@ -187,7 +187,7 @@
       throw new UnusableStorageException(
           folder + " is damaged, and is left as it is: see 'results verify'");
     }
-    long[] files = disk.files();
+    long[] files = disk.segmentNumbers();
     long before = 0;
     int segment = 0;
     for (long file : files) {
@@ -196,7 +196,7 @@
       segment = Math.max(segment, length);
     }
     boolean done = files.length > 0 && Compaction.run(disk, segment, 2 * files.length + 1);
-    long[] after = disk.files();
+    long[] after = disk.segmentNumbers();
     out.printf(
         Locale.ROOT,
         "%d files, %d kB; before: %d files, %d kB%n",
@@ -218,10 +218,10 @@
       ObjectNode node = mapper.createObjectNode();
       node.put("key", record.key())
           .put("state", line.state())
-          .put("written_ms", record.wall())
-          .put("last_door_ms", record.lastDoor())
-          .put("window_ms", record.window())
-          .put("body_check", String.format("%016x", record.check()));
+          .put("written_ms", record.writtenAtMillis())
+          .put("last_door_ms", record.coveredUntilMillis())
+          .put("window_ms", record.windowMillis())
+          .put("body_check", String.format("%016x", record.bodyChecksum()));
       if (record.kind() == LogRecord.Kind.RESULT) {
         node.put("result_base64", Base64.getEncoder().encodeToString(record.result()));
       }
--- a/src/main/java/wharftrestle/storage/Segment.java
+++ b/src/main/java/wharftrestle/storage/Segment.java
@@ -15,7 +15,7 @@
  */
 final class Segment {
   /** Bytes: magic, version, first batch, number, boot, capacity, check; records follow. */
-  static final int HEAD = 48;
+  static final int HEADER_BYTES = 48;
 
   static final int VERSION = 1;
   private static final long MAGIC = 0x5754524553554c54L; // "WTRESULT"
@@ -23,11 +23,11 @@
   private Segment() {}
 
   /** A head as read: the boot tells whether the steady clock of its records is the present one. */
-  record Head(int version, int firstBatch, long number, long boot, long capacity) {}
+  record Header(int version, int firstBatch, long number, long boot, long capacity) {}
 
   /** Told of each whole record in turn. */
-  interface Each {
-    void record(LogRecord record, int offset);
+  interface RecordVisitor {
+    void visit(LogRecord record, int offset);
   }
 
   /**
@@ -38,19 +38,20 @@
    * @param torn something at its end is no record
    * @param damaged something that was on disk is lost
    */
-  record Seen(Head head, int end, int records, int lastBatch, boolean torn, boolean damaged) {}
+  record ScanResult(
+      Header header, int end, int recordCount, int lastBatch, boolean torn, boolean damaged) {}
 
   /** This is no file of ours, or one of a later version. */
-  static final class ForeignException extends Exception {
+  static final class ForeignFormatException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    ForeignException(String message) {
+    ForeignFormatException(String message) {
       super(message);
     }
   }
 
-  static ByteBuffer head(int firstBatch, long number, long boot, long capacity) {
-    ByteBuffer head = ByteBuffer.allocate(HEAD);
+  static ByteBuffer header(int firstBatch, long number, long boot, long capacity) {
+    ByteBuffer head = ByteBuffer.allocate(HEADER_BYTES);
     head.putLong(MAGIC)
         .putInt(VERSION)
         .putInt(firstBatch)
@@ -60,29 +61,29 @@
     CRC32C crc = new CRC32C();
     crc.update(head.array(), 0, head.position());
     head.putInt((int) crc.getValue());
-    return head.position(0).limit(HEAD);
+    return head.position(0).limit(HEADER_BYTES);
   }
 
   /** The head; null where it is garbled or cut. */
-  static Head head(ByteBuffer bytes) throws ForeignException {
-    if (bytes.limit() < HEAD) {
+  static Header readHeader(ByteBuffer bytes) throws ForeignFormatException {
+    if (bytes.limit() < HEADER_BYTES) {
       return null;
     }
     CRC32C crc = new CRC32C();
     crc.update(bytes.duplicate().position(0).limit(40));
     boolean whole = bytes.getInt(40) == (int) crc.getValue();
     if (bytes.getLong(0) != MAGIC) {
-      if (whole || !like(bytes.getLong(0))) {
-        throw new ForeignException("is no file of kept results");
+      if (whole || !resemblesMagic(bytes.getLong(0))) {
+        throw new ForeignFormatException("is no file of kept results");
       }
       return null;
     }
     if (whole && bytes.getInt(8) > VERSION) {
-      throw new ForeignException(
+      throw new ForeignFormatException(
           "is of version " + bytes.getInt(8) + ", this program knows " + VERSION);
     }
     return whole
-        ? new Head(
+        ? new Header(
             bytes.getInt(8),
             bytes.getInt(12),
             bytes.getLong(16),
@@ -94,8 +95,8 @@
   /**
    * True where the steady clock of its records is that of this boot; a boot of 0 is no known one.
    */
-  static boolean sameBoot(ByteBuffer bytes, long boot) throws ForeignException {
-    Head head = head(bytes);
+  static boolean isSameBoot(ByteBuffer bytes, long boot) throws ForeignFormatException {
+    Header head = readHeader(bytes);
     return head != null && boot != 0 && head.boot() == boot;
   }
 
@@ -103,7 +104,7 @@
    * Guards against calling a file of ours foreign for some garbled bytes, or zeros that a crash
    * left.
    */
-  private static boolean like(long magic) {
+  private static boolean resemblesMagic(long magic) {
     int same = 0;
     for (int i = 0; i < 64; i += 8) {
       same += (magic >>> i & 0xff) == (MAGIC >>> i & 0xff) ? 1 : 0;
@@ -112,23 +113,23 @@
   }
 
   /** Goes through a file; each record is told in the order of the file. */
-  static Seen scan(ByteBuffer bytes, Each each) throws ForeignException {
-    Head head = head(bytes);
+  static ScanResult scan(ByteBuffer bytes, RecordVisitor each) throws ForeignFormatException {
+    Header head = readHeader(bytes);
     boolean damaged = head == null || bytes.limit() < head.capacity();
     int records = 0;
     int batch = head == null ? 0 : head.firstBatch() - 1; // of the last whole record
     boolean ended = head != null; // and it was the last of that
     int hole = Integer.MAX_VALUE; // the batch that the last hole lies in
-    int at = HEAD;
-    int end = HEAD;
+    int at = HEADER_BYTES;
+    int end = HEADER_BYTES;
     while (at < bytes.limit()) {
-      LogRecord record = LogRecord.at(bytes, at);
+      LogRecord record = LogRecord.readAt(bytes, at);
       if (record == null) {
-        int next = next(bytes, at);
+        int next = nextRecord(bytes, at);
         if (next < 0) {
           break;
         }
-        int behind = LogRecord.at(bytes, next).batch();
+        int behind = LogRecord.readAt(bytes, next).batch();
         hole = Math.min(hole, ended ? batch + 1 : batch);
         damaged |= behind > hole;
         at = next;
@@ -136,27 +137,29 @@
       }
       damaged |= record.batch() > hole;
       batch = record.batch();
-      ended = record.ends();
+      ended = record.lastOfBatch();
       records++;
-      each.record(record, at);
+      each.visit(record, at);
       at += record.size();
       end = at;
     }
-    boolean torn = hole < Integer.MAX_VALUE || (records > 0 && !ended) || !zeros(bytes, end);
-    return new Seen(head, end, records, batch, torn, damaged);
+    boolean torn = hole < Integer.MAX_VALUE || (records > 0 && !ended) || !isZeroFrom(bytes, end);
+    return new ScanResult(head, end, records, batch, torn, damaged);
   }
 
   /** Where the next whole record begins behind this place; -1 for none. */
-  private static int next(ByteBuffer bytes, int after) {
-    for (int at = after + LogRecord.ALIGN; at < bytes.limit(); at += LogRecord.ALIGN) {
-      if (bytes.limit() - at >= 4 && bytes.getInt(at) != 0 && LogRecord.at(bytes, at) != null) {
+  private static int nextRecord(ByteBuffer bytes, int after) {
+    for (int at = after + LogRecord.ALIGNMENT_BYTES;
+        at < bytes.limit();
+        at += LogRecord.ALIGNMENT_BYTES) {
+      if (bytes.limit() - at >= 4 && bytes.getInt(at) != 0 && LogRecord.readAt(bytes, at) != null) {
         return at;
       }
     }
     return -1;
   }
 
-  private static boolean zeros(ByteBuffer bytes, int from) {
+  private static boolean isZeroFrom(ByteBuffer bytes, int from) {
     for (int at = from; at < bytes.limit(); at++) {
       if (bytes.get(at) != 0) {
         return false;
--- a/src/main/java/wharftrestle/storage/SegmentStore.java
+++ b/src/main/java/wharftrestle/storage/SegmentStore.java
@@ -13,16 +13,16 @@
   /**
    * What this boot of the machine is called: its steady clock goes on over restarts of a process.
    */
-  long boot();
+  long bootId();
 
   /** The list as last written; null where there is none. */
-  byte[] list() throws IOException;
+  byte[] readManifest() throws IOException;
 
   /** Replaces the list in one step; on disk when it returns. */
-  void list(byte[] list) throws IOException;
+  void writeManifest(byte[] list) throws IOException;
 
   /** The numbers of the files that are there. */
-  long[] files() throws IOException;
+  long[] segmentNumbers() throws IOException;
 
   /** Makes a file of that size, zeros behind this head; on disk when it returns. */
   void create(long number, ByteBuffer head, int size) throws IOException;
--- a/src/main/java/wharftrestle/storage/SpaceBudget.java
+++ b/src/main/java/wharftrestle/storage/SpaceBudget.java
@@ -10,151 +10,151 @@
  */
 public final class SpaceBudget {
   /** Promised to the result of each intent: PROTOCOL's 4 kB with its head, and a void beside it. */
-  static final int PROMISE =
-      LogRecord.size(LogRecord.LONGEST_KEY, 4096) + LogRecord.size(LogRecord.LONGEST_KEY, 0);
+  static final int RESERVED_BYTES_PER_INTENT =
+      LogRecord.size(LogRecord.MAX_KEY_BYTES, 4096) + LogRecord.size(LogRecord.MAX_KEY_BYTES, 0);
 
-  private static final int SEGMENTS = 16;
-  private static final int LEAST_SEGMENT = 256 * 1024;
-  private static final int LARGEST_SEGMENT = 4 << 20;
+  private static final int TARGET_SEGMENTS = 16;
+  private static final int MIN_SEGMENT_BYTES = 256 * 1024;
+  private static final int MAX_SEGMENT_BYTES = 4 << 20;
 
   /** One file: its number, what is used of it, and when the last of its keys is forgotten. */
-  private static final class Part {
+  private static final class SegmentUsage {
     private final long number;
-    private int used = Segment.HEAD;
-    private double until = Double.NEGATIVE_INFINITY;
+    private int usedBytes = Segment.HEADER_BYTES;
+    private double expiresAtSeconds = Double.NEGATIVE_INFINITY;
 
-    Part(long number) {
+    SegmentUsage(long number) {
       this.number = number;
     }
   }
 
-  private final int segment;
-  private final int most;
-  private final ArrayDeque<Part> parts = new ArrayDeque<>();
-  private long promised;
+  private final int segmentBytes;
+  private final int maxSegments;
+  private final ArrayDeque<SegmentUsage> segments = new ArrayDeque<>();
+  private long reservedBytes;
 
   /**
    * @param bytes on disk at most
    */
   public SpaceBudget(long bytes) {
-    segment =
-        (int) Math.max(LEAST_SEGMENT, Math.min(LARGEST_SEGMENT, bytes / SEGMENTS))
-            & -LogRecord.ALIGN;
-    most = (int) Math.max(2, bytes / segment);
+    segmentBytes =
+        (int) Math.max(MIN_SEGMENT_BYTES, Math.min(MAX_SEGMENT_BYTES, bytes / TARGET_SEGMENTS))
+            & -LogRecord.ALIGNMENT_BYTES;
+    maxSegments = (int) Math.max(2, bytes / segmentBytes);
   }
 
   /** Bytes of one file. */
-  int segment() {
-    return segment;
+  int segmentBytes() {
+    return segmentBytes;
   }
 
-  int segments() {
-    return parts.size();
+  int segmentCount() {
+    return segments.size();
   }
 
   /** Bytes on disk, whole files. */
-  public long bytes() {
-    return (long) parts.size() * segment;
+  public long allocatedBytes() {
+    return (long) segments.size() * segmentBytes;
   }
 
   /** Bytes written that are not given back. */
-  public long used() {
-    return parts.stream().mapToLong(part -> part.used).sum();
+  public long usedBytes() {
+    return segments.stream().mapToLong(part -> part.usedBytes).sum();
   }
 
   /** The file that is written, or -1. */
-  long current() {
-    return parts.isEmpty() ? -1 : parts.peekLast().number;
+  long currentSegment() {
+    return segments.isEmpty() ? -1 : segments.peekLast().number;
   }
 
   /**
    * A file is begun, or was found with so many bytes used, the last of whose keys is forgotten
    * then.
    */
-  void add(long number, int used, double until) {
-    Part part = new Part(number);
-    part.used = used;
-    part.until = until;
-    parts.addLast(part);
+  void addSegment(long number, int used, double until) {
+    SegmentUsage part = new SegmentUsage(number);
+    part.usedBytes = used;
+    part.expiresAtSeconds = until;
+    segments.addLast(part);
   }
 
   /** True where a record of this size needs a further file. */
-  boolean full(int size) {
-    return parts.isEmpty() || parts.peekLast().used + size > segment;
+  boolean needsNewSegment(int size) {
+    return segments.isEmpty() || segments.peekLast().usedBytes + size > segmentBytes;
   }
 
   /** True where a further file may be begun. */
-  boolean mayGrow() {
-    return parts.size() < most;
+  boolean hasCapacityForSegment() {
+    return segments.size() < maxSegments;
   }
 
   /** A record was put into the file that is written; where, and until when its key is known. */
-  int put(int size, double until) {
-    Part part = parts.peekLast();
-    int at = part.used;
-    part.used += size;
-    part.until = Math.max(part.until, until);
+  int append(int size, double until) {
+    SegmentUsage part = segments.peekLast();
+    int at = part.usedBytes;
+    part.usedBytes += size;
+    part.expiresAtSeconds = Math.max(part.expiresAtSeconds, until);
     return at;
   }
 
   /** Files at most. */
-  int files() {
-    return most;
+  int maxSegments() {
+    return maxSegments;
   }
 
   /** The numbers of all files. */
-  List<Long> numbers() {
-    return parts.stream().map(part -> part.number).toList();
+  List<Long> segmentNumbers() {
+    return segments.stream().map(part -> part.number).toList();
   }
 
   /** No file is there. */
   void clear() {
-    parts.clear();
-    promised = 0;
+    segments.clear();
+    reservedBytes = 0;
   }
 
   /** Promises room for an intent of this size and its result; false where it does not fit. */
-  boolean promise(int size) {
-    if (!fits(size)) {
+  boolean tryReserve(int size) {
+    if (!hasCapacityFor(size)) {
       return false;
     }
-    promised += size + PROMISE;
+    reservedBytes += size + RESERVED_BYTES_PER_INTENT;
     return true;
   }
 
-  boolean fits(int size) {
-    long rest = parts.isEmpty() ? 0 : segment - parts.peekLast().used;
-    long whole = (long) (most - parts.size()) * (segment - Segment.HEAD);
+  boolean hasCapacityFor(int size) {
+    long rest = segments.isEmpty() ? 0 : segmentBytes - segments.peekLast().usedBytes;
+    long whole = (long) (maxSegments - segments.size()) * (segmentBytes - Segment.HEADER_BYTES);
     // What a record leaves unused at the end of a file is lost: at most a promise a file.
-    long lost = (long) PROMISE * (most - parts.size() + 1);
-    return rest + whole - lost - promised >= size + PROMISE;
+    long lost = (long) RESERVED_BYTES_PER_INTENT * (maxSegments - segments.size() + 1);
+    return rest + whole - lost - reservedBytes >= size + RESERVED_BYTES_PER_INTENT;
   }
 
   /** A promise made for an intent of this size is over. */
-  void settle(int size) {
-    promised -= size + PROMISE;
+  void release(int size) {
+    reservedBytes -= size + RESERVED_BYTES_PER_INTENT;
   }
 
-  long promised() {
-    return promised;
+  long reservedBytes() {
+    return reservedBytes;
   }
 
   /** The oldest file whose keys are all forgotten; -1 for none. The one that is written stays. */
-  long over(double now) {
-    Part first = parts.peekFirst();
-    return parts.size() > 1 && first.until < now ? first.number : -1;
+  long oldestExpiredSegment(double now) {
+    SegmentUsage first = segments.peekFirst();
+    return segments.size() > 1 && first.expiresAtSeconds < now ? first.number : -1;
   }
 
   /** The oldest file is gone. */
-  void drop() {
-    parts.removeFirst();
+  void removeOldest() {
+    segments.removeFirst();
   }
 
   /** Seconds until there is room again as far as is known now: when the oldest file goes. */
-  double again(double now) {
-    Part first = parts.peekFirst();
-    return first == null || first.until == Double.NEGATIVE_INFINITY
+  double secondsUntilCapacity(double now) {
+    SegmentUsage first = segments.peekFirst();
+    return first == null || first.expiresAtSeconds == Double.NEGATIVE_INFINITY
         ? 1
-        : Math.max(0.05, first.until - now);
+        : Math.max(0.05, first.expiresAtSeconds - now);
   }
 }
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -35,7 +35,7 @@
 
   /** How far it has come. */
   public enum State {
-    SHUT,
+    CLOSED,
     OPEN,
     FAILED
   }
@@ -87,7 +87,7 @@
   private final SpaceBudget room; // also the lock of what stands below it
   private final Map<String, Integer> promises = new HashMap<>();
   private volatile GroupCommitQueue<Ticket> gather;
-  private volatile State state = State.SHUT;
+  private volatile State state = State.CLOSED;
   private volatile SegmentStore disk;
   private Thread writer;
   private int batch;
@@ -128,7 +128,7 @@
    *     written
    */
   public synchronized ResultStore.Recovered open(double longest) throws IOException {
-    if (state != State.SHUT) {
+    if (state != State.CLOSED) {
       throw new IllegalStateException("kept results are " + state);
     }
     long began = System.nanoTime();
@@ -136,8 +136,8 @@
     try {
       ResultStore.Recovered recovered = recover(opened, longest);
       if (!damaged
-          && Compaction.worthWhile(room)
-          && Compaction.run(opened, room.segment(), room.files())) {
+          && Compaction.isWorthwhile(room)
+          && Compaction.run(opened, room.segmentBytes(), room.maxSegments())) {
         recovered =
             recover(opened, longest); // so that starts one after another do not fill the folder
       }
@@ -166,8 +166,8 @@
   }
 
   private ResultStore.Recovered recover(SegmentStore opened, double longest) throws IOException {
-    Recovery recovery = new Recovery(SteadyWallClock.even(), steady());
-    long boot = opened.boot();
+    Recovery recovery = new Recovery(SteadyWallClock.steadyWallMillis(), steady());
+    long boot = opened.bootId();
     double now = seconds();
     boolean hurt = false;
     synchronized (room) {
@@ -175,9 +175,9 @@
       room.clear();
     }
     try {
-      long[] files = opened.files();
-      byte[] list = opened.list();
-      List<Long> listed = list == null ? null : Manifest.parse(list);
+      long[] files = opened.segmentNumbers();
+      byte[] list = opened.readManifest();
+      List<Long> listed = list == null ? null : Manifest.decode(list);
       hurt = (files.length > 0 && listed == null) || (list != null && listed == null);
       ghosts.clear();
       for (long number : listed == null ? List.<Long>of() : listed) {
@@ -187,32 +187,35 @@
           hurt = true;
         }
       }
-      ghostsUntil = now + longest + Recovery.LINGER;
+      ghostsUntil = now + longest + Recovery.LINGER_SECONDS;
       for (int i = 0; i < files.length; i++) {
         long number = files[i];
         ByteBuffer bytes = opened.read(number);
-        boolean same = Segment.sameBoot(bytes, boot);
+        boolean same = Segment.isSameBoot(bytes, boot);
         double[] until = {Double.NEGATIVE_INFINITY};
-        Segment.Seen seen =
+        Segment.ScanResult seen =
             Segment.scan(
                 bytes,
                 (record, offset) -> {
-                  if (recovery.take(record, place(number, offset), same)) {
-                    until[0] = Math.max(until[0], now + record.window() / 1000.0 + Recovery.LINGER);
+                  if (recovery.replay(record, place(number, offset), same)) {
+                    until[0] =
+                        Math.max(
+                            until[0],
+                            now + record.windowMillis() / 1000.0 + Recovery.LINGER_SECONDS);
                   }
                 });
         hurt |= seen.damaged() || (seen.torn() && i < files.length - 1);
         batch = Math.max(batch, seen.lastBatch() + 1);
         synchronized (room) {
-          room.add(number, Math.max(Segment.HEAD, seen.end()), until[0]);
+          room.addSegment(number, Math.max(Segment.HEADER_BYTES, seen.end()), until[0]);
         }
       }
-    } catch (Segment.ForeignException e) {
+    } catch (Segment.ForeignFormatException e) {
       throw new UnusableStorageException(settings.folder() + " " + e.getMessage());
     }
     damaged = hurt;
-    recoveredKnown = recovery.known();
-    recoveredUnknown = recovery.unknown();
+    recoveredKnown = recovery.knownCount();
+    recoveredUnknown = recovery.unknownCount();
     if (hurt) {
       Logger.error(
           "kept results in {} are damaged: for {} s keys that are not known fail and do not run",
@@ -223,16 +226,16 @@
         "kept results: {} known, {} of unknown end, {} records over",
         recoveredKnown,
         recoveredUnknown,
-        recovery.over());
+        recovery.expiredCount());
     List<ResultStore.Remembered> all = new ArrayList<>();
-    for (Recovery.Known known : recovery.keys()) {
+    for (Recovery.RecoveredKey known : recovery.keys()) {
       all.add(
           new ResultStore.Remembered(
               known.key(),
-              known.place(),
-              known.lastDoor(),
-              Recovery.until(known, now),
-              known.check()));
+              known.location(),
+              known.coveredUntilMillis(),
+              Recovery.expiresAtSeconds(known, now),
+              known.bodyChecksum()));
     }
     return new ResultStore.Recovered(all, hurt ? now + longest : Double.NEGATIVE_INFINITY);
   }
@@ -244,29 +247,31 @@
     }
     long number;
     synchronized (room) {
-      number = room.current() + 1;
+      number = room.currentSegment() + 1;
     }
     number = Math.max(number, ghosts.isEmpty() ? 0 : ghosts.last() + 1);
     disk.create(
-        number, Segment.head(batch + 1, number, disk.boot(), room.segment()), room.segment());
+        number,
+        Segment.header(batch + 1, number, disk.bootId(), room.segmentBytes()),
+        room.segmentBytes());
     synchronized (room) {
-      room.add(number, Segment.HEAD, Double.NEGATIVE_INFINITY);
+      room.addSegment(number, Segment.HEADER_BYTES, Double.NEGATIVE_INFINITY);
     }
     list();
   }
 
   private boolean mayGrow() {
     synchronized (room) {
-      return room.mayGrow();
+      return room.hasCapacityForSegment();
     }
   }
 
   private void list() throws IOException {
     TreeSet<Long> all = new TreeSet<>(ghosts);
     synchronized (room) {
-      all.addAll(room.numbers());
+      all.addAll(room.segmentNumbers());
     }
-    disk.list(Manifest.of(all));
+    disk.writeManifest(Manifest.encode(all));
   }
 
   // ---- What the core tells; none of it waits ----
@@ -290,11 +295,13 @@
     if (began != 0 && System.nanoTime() - began > settings.patience() * 1e9) {
       return ResultStore.Refusal.DISK_STALLED;
     }
-    if (gather.bytes() > settings.queue()) {
+    if (gather.queuedBytes() > settings.queue()) {
       return ResultStore.Refusal.DISK_BUSY;
     }
     synchronized (room) {
-      return room.fits(SpaceBudget.PROMISE) ? null : ResultStore.Refusal.STORE_FULL;
+      return room.hasCapacityFor(SpaceBudget.RESERVED_BYTES_PER_INTENT)
+          ? null
+          : ResultStore.Refusal.STORE_FULL;
     }
   }
 
@@ -307,7 +314,7 @@
   public double again(ResultStore.Refusal why) {
     refused.incrementAndGet(index(why));
     synchronized (room) {
-      return why == ResultStore.Refusal.STORE_FULL ? room.again(seconds()) : SOON;
+      return why == ResultStore.Refusal.STORE_FULL ? room.secondsUntilCapacity(seconds()) : SOON;
     }
   }
 
@@ -315,7 +322,9 @@
   public Object intend(ResultStore.Keyed keyed, ResultStore.Written told) {
     Ticket ticket = ticket(LogRecord.Kind.INTENT, keyed, null, told);
     synchronized (room) {
-      if (state != State.OPEN || promises.containsKey(keyed.key()) || !room.promise(ticket.size)) {
+      if (state != State.OPEN
+          || promises.containsKey(keyed.key())
+          || !room.tryReserve(ticket.size)) {
         return null;
       }
       promises.put(keyed.key(), ticket.size);
@@ -354,8 +363,8 @@
   private void end(
       LogRecord.Kind kind, ResultStore.Keyed keyed, byte[] result, ResultStore.Written told) {
     Ticket ticket = ticket(kind, keyed, result, told);
-    if ((result != null && result.length > LogRecord.LONGEST_RESULT)
-        || state == State.SHUT
+    if ((result != null && result.length > LogRecord.MAX_RESULT_BYTES)
+        || state == State.CLOSED
         || !gather.add(ticket, ticket.size, true)) {
       settle(keyed.key());
       unsaved += kind == LogRecord.Kind.VOID ? 0 : 1;
@@ -378,7 +387,7 @@
             keyed.check(),
             keyed.key(),
             result == null ? new byte[0] : result),
-        seconds() + keyed.window() + Recovery.LINGER,
+        seconds() + keyed.window() + Recovery.LINGER_SECONDS,
         told);
   }
 
@@ -386,7 +395,7 @@
     synchronized (room) {
       Integer promised = promises.remove(key);
       if (promised != null) {
-        room.settle(promised);
+        room.release(promised);
       }
     }
   }
@@ -402,11 +411,11 @@
     int at = (int) place;
     ByteBuffer bytes = from.read(number, at, LOOK);
     if (bytes.limit() >= 4
-        && bytes.getInt(0) > LOOK - LogRecord.HEAD
-        && bytes.getInt(0) <= LogRecord.MOST) {
-      bytes = from.read(number, at, bytes.getInt(0) + LogRecord.HEAD);
+        && bytes.getInt(0) > LOOK - LogRecord.HEADER_BYTES
+        && bytes.getInt(0) <= LogRecord.MAX_PAYLOAD_BYTES) {
+      bytes = from.read(number, at, bytes.getInt(0) + LogRecord.HEADER_BYTES);
     }
-    LogRecord record = LogRecord.at(bytes, 0);
+    LogRecord record = LogRecord.readAt(bytes, 0);
     if (record == null || record.kind() != LogRecord.Kind.RESULT || !record.key().equals(key)) {
       throw new IOException("the result of a key is not where it was written");
     }
@@ -422,10 +431,10 @@
   private void write() {
     try {
       for (; ; ) {
-        List<Ticket> all = gather.take(LOOK_MS);
+        List<Ticket> all = gather.awaitBatch(LOOK_MS);
         if (!all.isEmpty()) {
           commit(all);
-        } else if (gather.closed()) {
+        } else if (gather.isClosed()) {
           return;
         }
         tidy();
@@ -488,7 +497,7 @@
   @SuppressWarnings("NonAtomicVolatileUpdate") // records: the writer alone counts them
   private void put(List<Ticket> all) throws IOException {
     batch++;
-    long wall = SteadyWallClock.now();
+    long wall = SteadyWallClock.wallMillis();
     long steady = steady();
     long[] places = new long[all.size()];
     int from = -1;
@@ -497,7 +506,7 @@
       Ticket ticket = all.get(i);
       boolean full;
       synchronized (room) {
-        full = room.full(ticket.size);
+        full = room.needsNewSegment(ticket.size);
       }
       if (full) {
         flush(from);
@@ -516,12 +525,12 @@
       int at;
       long number;
       synchronized (room) {
-        at = room.put(ticket.size, ticket.until);
-        number = room.current();
+        at = room.append(ticket.size, ticket.until);
+        number = room.currentSegment();
       }
       from = from < 0 ? at : from;
       places[i] = place(number, at);
-      ticket.record.written(i == places.length - 1, batch, wall, steady).put(buffer);
+      ticket.record.stamped(i == places.length - 1, batch, wall, steady).writeTo(buffer);
     }
     flush(from);
     sync();
@@ -534,7 +543,7 @@
   private void flush(int at) throws IOException {
     if (at >= 0) {
       buffer.flip();
-      disk.write(room.current(), at, buffer);
+      disk.write(room.currentSegment(), at, buffer);
     }
     buffer.clear();
   }
@@ -542,7 +551,7 @@
   private void sync() throws IOException {
     if (!settings.sync().equals("none")) {
       long began = System.nanoTime();
-      disk.sync(room.current());
+      disk.sync(room.currentSegment());
       long took = Math.min(LONGEST_SYNC, (System.nanoTime() - began) / 1000);
       synchronized (syncs) {
         syncs.recordValue(took);
@@ -572,7 +581,7 @@
       }
       for (long over = over(); over >= 0; over = over()) {
         synchronized (room) {
-          room.drop();
+          room.removeOldest();
         }
         list();
         disk.delete(over);
@@ -592,7 +601,7 @@
 
   private long over() {
     synchronized (room) {
-      return room.over(seconds());
+      return room.oldestExpiredSegment(seconds());
     }
   }
 
@@ -603,7 +612,7 @@
 
   /** Waits until what was told is on disk, at most so many ms, and gives the folder back. */
   public synchronized void close(long millis) {
-    if (state == State.SHUT) {
+    if (state == State.CLOSED) {
       return;
     }
     gather.close();
@@ -612,7 +621,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    state = State.SHUT;
+    state = State.CLOSED;
     disk.close();
   }
 
@@ -630,13 +639,13 @@
     all.put(ResultMetric.STATE, number);
     all.put(ResultMetric.RECORDS, records);
     synchronized (room) {
-      all.put(ResultMetric.KB, room.bytes() >> 10);
-      all.put(ResultMetric.USED_KB, room.used() >> 10);
-      all.put(ResultMetric.PROMISED_KB, room.promised() >> 10);
-      all.put(ResultMetric.FILES, (long) room.segments());
+      all.put(ResultMetric.KB, room.allocatedBytes() >> 10);
+      all.put(ResultMetric.USED_KB, room.usedBytes() >> 10);
+      all.put(ResultMetric.PROMISED_KB, room.reservedBytes() >> 10);
+      all.put(ResultMetric.FILES, (long) room.segmentCount());
     }
     GroupCommitQueue<Ticket> waiting = gather;
-    all.put(ResultMetric.WAITING_BYTES, waiting == null ? 0 : waiting.bytes());
+    all.put(ResultMetric.WAITING_BYTES, waiting == null ? 0 : waiting.queuedBytes());
     synchronized (syncs) {
       all.put(ResultMetric.SYNCS, syncs.getTotalCount());
       all.put(ResultMetric.SYNC_P50_US, syncs.getValueAtPercentile(50));
--- a/src/main/java/wharftrestle/supervisor/HostSupervisor.java
+++ b/src/main/java/wharftrestle/supervisor/HostSupervisor.java
@@ -228,7 +228,7 @@
       if (environment(each).contains(door)) {
         journal.add(
             new SupervisorJournal.Entry(
-                SteadyWallClock.now(),
+                SteadyWallClock.wallMillis(),
                 "started",
                 last.role(),
                 last.release(),
@@ -581,7 +581,8 @@
       command.addAll(List.of("--appliance", settings.toString()));
     }
     int door = Address.freePort();
-    Path log = places.state().resolve("daemon-" + SteadyWallClock.now() + "-" + ++logs + ".log");
+    Path log =
+        places.state().resolve("daemon-" + SteadyWallClock.wallMillis() + "-" + ++logs + ".log");
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
@@ -609,7 +610,7 @@
       throws IOException {
     SupervisorJournal.Entry entry =
         new SupervisorJournal.Entry(
-            SteadyWallClock.now(),
+            SteadyWallClock.wallMillis(),
             what,
             role.name(),
             release,
--- a/src/main/java/wharftrestle/testbed/SkewedClock.java
+++ b/src/main/java/wharftrestle/testbed/SkewedClock.java
@@ -38,7 +38,7 @@
 
   /** What a process of this machine is started with. */
   String option() {
-    return "-D" + SteadyWallClock.OFF + "=" + file;
+    return "-D" + SteadyWallClock.SKEW_FILE_PROPERTY + "=" + file;
   }
 
   @Override
--- a/src/test/java/wharftrestle/FullTableTest.java
+++ b/src/test/java/wharftrestle/FullTableTest.java
@@ -20,7 +20,7 @@
 class FullTableTest {
   private static final DaemonConfig.Appliance NONE =
       new DaemonConfig.Appliance(null, null, null, "x", 24);
-  private static final String LARGE = "r".repeat(KeyMemoryBudget.LONGEST_RESULT);
+  private static final String LARGE = "r".repeat(KeyMemoryBudget.MAX_RESULT_BYTES);
 
   @TempDir private Path folder;
 
--- a/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
+++ b/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.idempotency.KeyMemoryBudget;
 
 /** What one process makes of the keys that another tells it. */
@@ -29,10 +30,10 @@
             }
 
             @Override
-            public void finished(IdempotencyTable.Entry<String> entry, byte[] result) {}
+            public void finished(KeyEntry<String> entry, byte[] result) {}
 
             @Override
-            public void voided(IdempotencyTable.Entry<String> entry) {}
+            public void voided(KeyEntry<String> entry) {}
 
             @Override
             public void wake(String key, boolean granted) {}
@@ -46,11 +47,11 @@
 
   @Test
   void aFullTableThatIsToldSlowlyFitsAsItsOldestKeysGo() {
-    int most = room.mostKeys();
+    int most = room.maxKeys();
     for (int i = 0; i < most; i++) {
       assertTrue(hear("first " + i, 1, 100), "the table of the other one fits");
     }
-    assertTrue(room.mostKeys() > 20);
+    assertTrue(room.maxKeys() > 20);
     for (int i = 0; i < most; i++) {
       assertTrue(hear("second " + i, 20, 104), "what is over by now takes no room");
     }
@@ -60,7 +61,7 @@
 
   @Test
   void whereOneDoesNotFitNoUnknownKeyRunsUntilItsWindowIsOver() {
-    int most = room.mostKeys();
+    int most = room.maxKeys();
     for (int i = 0; i < most; i++) {
       assertTrue(hear("key " + i, 20, 100));
     }
--- a/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
+++ b/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
@@ -19,7 +19,6 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import wharftrestle.idempotency.IdempotencyTable.Entry;
 import wharftrestle.idempotency.KeyState.Step;
 
 /**
@@ -37,42 +36,43 @@
 
   @Example
   void aStepThatIsNotInTheTableThrows() {
-    assertThrows(IllegalStateException.class, () -> KeyState.SERVED.after(Step.START));
-    assertThrows(IllegalStateException.class, () -> KeyState.UNKNOWN.after(Step.START));
+    assertThrows(IllegalStateException.class, () -> KeyState.SUCCEEDED.after(Step.START));
+    assertThrows(IllegalStateException.class, () -> KeyState.OUTCOME_UNKNOWN.after(Step.START));
     assertThrows(IllegalStateException.class, () -> KeyState.RUNNING.after(Step.RELEASE));
     for (KeyState state : KeyState.values()) {
-      boolean mayRun = state.allows(Step.START) || state.allows(Step.INTEND);
-      assertEquals(!state.ran(), mayRun, state + ": what ran may not run, what did not may");
+      boolean mayRun = state.allows(Step.START) || state.allows(Step.RECORD_INTENT);
+      assertEquals(!state.mayHaveRun(), mayRun, state + ": what ran may not run, what did not may");
     }
   }
 
   @Example
   void ridersEndAsTheRunDoes() {
-    keys.hold("k", BODY, 1000, "first");
-    Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
-    assertTrue(keys.ride(keys.meet("k", 1500), "second"));
-    assertFalse(keys.ran(entry, new byte[] {9}));
-    assertEquals(List.of("second SERVED"), ended);
-    assertFalse(keys.ride(keys.meet("k", 1600), "third"), "it is over: answered at once");
-    assertArrayEquals(new byte[] {9}, keys.result(keys.meet("k", 1600)));
+    keys.enqueue("k", BODY, 1000, "first");
+    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    assertTrue(keys.attach(keys.findDuplicate("k", 1500), "second"));
+    assertFalse(keys.complete(entry, new byte[] {9}));
+    assertEquals(List.of("second SUCCEEDED"), ended);
+    assertFalse(
+        keys.attach(keys.findDuplicate("k", 1600), "third"), "it is over: answered at once");
+    assertArrayEquals(new byte[] {9}, keys.result(keys.findDuplicate("k", 1600)));
   }
 
   @Example
   void whereRunsAreRecordedNothingIsServedBeforeItIsOnDisk() {
-    keys.record(10);
-    Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    keys.enablePersistence(10);
+    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
     assertEquals(KeyState.RECORDING, entry.state());
-    keys.ride(entry, "second");
-    keys.recorded(entry);
-    assertTrue(keys.ran(entry, new byte[] {9}), "not final yet");
+    keys.attach(entry, "second");
+    keys.intentRecorded(entry);
+    assertTrue(keys.complete(entry, new byte[] {9}), "not final yet");
     assertEquals(List.of(), ended);
-    keys.saved(entry, 77);
-    assertEquals(List.of("second SERVED"), ended);
-    Entry<String> later = keys.meet("k", 2000);
-    assertEquals(77, later.place());
+    keys.resultSaved(entry, 77);
+    assertEquals(List.of("second SUCCEEDED"), ended);
+    KeyEntry<String> later = keys.findDuplicate("k", 2000);
+    assertEquals(77, later.location());
     assertNull(keys.result(later), "its bytes lie on disk");
-    assertTrue(later.asked().same(BODY));
-    assertFalse(later.asked().same(new byte[] {2}));
+    assertTrue(later.body().matches(BODY));
+    assertFalse(later.body().matches(new byte[] {2}));
     assertSame(
         later.state(),
         keys.start("k", BODY, 2000, WINDOW, 2, "third").state(),
@@ -81,35 +81,35 @@
 
   @Example
   void aResultThatCouldNotBeWrittenIsStillGivenFromMemory() {
-    keys.record(10);
-    Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
-    keys.recorded(entry);
-    keys.ran(entry, new byte[] {9});
-    keys.saved(entry, CompactIndex.NO_PLACE);
-    assertArrayEquals(new byte[] {9}, keys.result(keys.meet("k", 2000)));
+    keys.enablePersistence(10);
+    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    keys.intentRecorded(entry);
+    keys.complete(entry, new byte[] {9});
+    keys.resultSaved(entry, CompactIndex.NO_RESULT);
+    assertArrayEquals(new byte[] {9}, keys.result(keys.findDuplicate("k", 2000)));
   }
 
   @Example
   void aRunThatCouldNotBeRecordedLeavesItsKeyFree() {
-    keys.record(10);
-    Entry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
-    keys.ride(entry, "second");
-    keys.neverRan(entry);
+    keys.enablePersistence(10);
+    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    keys.attach(entry, "second");
+    keys.abandon(entry);
     assertEquals(List.of("second ABSENT"), ended);
-    assertNull(keys.meet("k", 1001));
-    keys.saved(entry, 3); // a word from the disk that comes too late
-    assertNull(keys.meet("k", 1001));
+    assertNull(keys.findDuplicate("k", 1001));
+    keys.resultSaved(entry, 3); // a word from the disk that comes too late
+    assertNull(keys.findDuplicate("k", 1001));
   }
 
   @Example
   void whatADeadProcessLeftNeverRunsInItsWindow() {
-    keys.record(10);
-    assertTrue(keys.recover("known", 5, 30_000, KeyDigest.check(BODY), 50));
-    assertTrue(keys.recover("open", CompactIndex.NO_PLACE, 30_000, KeyDigest.check(BODY), 50));
-    assertEquals(KeyState.SERVED, keys.meet("known", 29_999).state());
-    assertEquals(KeyState.UNKNOWN, keys.meet("open", 29_999).state());
-    assertFalse(keys.ride(keys.meet("open", 29_999), "x"), "over: it fails at once");
-    assertNull(keys.meet("open", 30_001), "its window is over");
+    keys.enablePersistence(10);
+    assertTrue(keys.recover("known", 5, 30_000, KeyDigest.checksum(BODY), 50));
+    assertTrue(keys.recover("open", CompactIndex.NO_RESULT, 30_000, KeyDigest.checksum(BODY), 50));
+    assertEquals(KeyState.SUCCEEDED, keys.findDuplicate("known", 29_999).state());
+    assertEquals(KeyState.OUTCOME_UNKNOWN, keys.findDuplicate("open", 29_999).state());
+    assertFalse(keys.attach(keys.findDuplicate("open", 29_999), "x"), "over: it fails at once");
+    assertNull(keys.findDuplicate("open", 30_001), "its window is over");
     keys.expire(51);
     assertEquals(0, keys.size());
   }
@@ -149,20 +149,20 @@
     IdempotencyTable<String> keys =
         new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(1 << 20));
     if (recorded) {
-      keys.record(3); // fewer than keys: one always stays in memory
+      keys.enablePersistence(3); // fewer than keys: one always stays in memory
     }
     Map<String, Long> coveredTo = new HashMap<>(); // the model: no try stamped up to here may run
-    Map<String, Entry<String>> running = new HashMap<>();
+    Map<String, KeyEntry<String>> running = new HashMap<>();
     Map<String, byte[]> results = new HashMap<>();
     double now = 100;
     int holder = 0;
     for (Act act : acts) {
       String key = "k" + act.key();
       long door = Math.round(now * 1000) + act.late();
-      Entry<String> mine = running.get(key);
+      KeyEntry<String> mine = running.get(key);
       switch (act.what()) {
         case "hold" -> {
-          Entry<String> entry = keys.hold(key, BODY, door, "h" + ++holder);
+          KeyEntry<String> entry = keys.enqueue(key, BODY, door, "h" + ++holder);
           Long covered = coveredTo.get(key);
           assertTrue(entry == null || covered == null || door > covered, "held within its window");
           if (entry != null) {
@@ -170,8 +170,8 @@
           }
         }
         case "start" -> {
-          Entry<String> entry = keys.start(key, BODY, door, WINDOW, now, "s" + ++holder);
-          if (("s" + holder).equals(entry.holder())) {
+          KeyEntry<String> entry = keys.start(key, BODY, door, WINDOW, now, "s" + ++holder);
+          if (("s" + holder).equals(entry.attempt())) {
             assertTrue(
                 door > coveredTo.getOrDefault(key, Long.MIN_VALUE), "a second run of " + key);
             coveredTo.put(key, door + Math.round(WINDOW * 1000));
@@ -181,12 +181,12 @@
         }
         case "recorded" -> {
           if (mine != null && mine.state() == KeyState.RECORDING) {
-            keys.recorded(mine);
+            keys.intentRecorded(mine);
           }
         }
         case "void" -> {
-          if (mine != null && mine.state().allows(Step.VOID) && keys.current(mine)) {
-            keys.neverRan(mine);
+          if (mine != null && mine.state().allows(Step.VOID) && keys.isCurrent(mine)) {
+            keys.abandon(mine);
             coveredTo.remove(key);
             running.remove(key);
           }
@@ -194,25 +194,25 @@
         case "good", "bad" -> {
           if (mine != null && mine.state() == KeyState.RUNNING) {
             byte[] result = act.what().equals("good") ? new byte[] {(byte) holder} : null;
-            boolean waits = keys.ran(mine, result);
+            boolean waits = keys.complete(mine, result);
             assertEquals(recorded && result != null, waits);
             results.put(key, result);
           }
         }
         case "saved", "unsaved" -> {
           if (mine != null && mine.state() == KeyState.SAVING) {
-            keys.saved(mine, act.what().equals("saved") ? 8 : CompactIndex.NO_PLACE);
+            keys.resultSaved(mine, act.what().equals("saved") ? 8 : CompactIndex.NO_RESULT);
           }
         }
         case "release" -> {
-          Entry<String> entry = keys.find(key);
-          if (entry != null && entry.holder() != null) {
-            keys.release(entry, entry.holder());
+          KeyEntry<String> entry = keys.find(key);
+          if (entry != null && entry.attempt() != null) {
+            keys.release(entry, entry.attempt());
           }
         }
         case "hear" -> {
-          Entry<String> heard =
-              keys.hear(key, IdempotencyTable.Asked.of(BODY), door + 20_000, now + 31);
+          KeyEntry<String> heard =
+              keys.learnFromPeer(key, RequestBody.of(BODY), door + 20_000, now + 31);
           if (heard != null) {
             coveredTo.put(key, door + 20_000);
             running.remove(key);
@@ -220,23 +220,23 @@
           }
         }
         case "freed" -> {
-          Entry<String> entry = keys.find(key);
-          if (keys.elsewhere(entry)) {
-            keys.freed(entry);
+          KeyEntry<String> entry = keys.find(key);
+          if (keys.isOwnedByPeer(entry)) {
+            keys.releasedByPeer(entry);
             coveredTo.remove(key);
           }
         }
-        case "gone" -> keys.otherGone();
+        case "gone" -> keys.peerLost();
         default -> {
           now += 1 + act.key() * 2;
           keys.expire(now);
         }
       }
-      Entry<String> known = keys.find(key);
+      KeyEntry<String> known = keys.find(key);
       Long covered = coveredTo.get(key);
       if (covered != null && Math.round(now * 1000) <= covered) {
-        assertTrue(known != null && known.ran(), "forgotten within its window: " + key);
-        if (known.state() == KeyState.SERVED && known.place() == CompactIndex.NO_PLACE) {
+        assertTrue(known != null && known.mayHaveRun(), "forgotten within its window: " + key);
+        if (known.state() == KeyState.SUCCEEDED && known.location() == CompactIndex.NO_RESULT) {
           assertArrayEquals(results.get(key), keys.result(known));
         }
       }
--- a/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
@@ -19,7 +19,6 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.Tuple;
-import wharftrestle.idempotency.IdempotencyTable.Entry;
 
 /**
  * What is known of keys in memory stays within its bound, and nothing that is owed to a key is
@@ -41,20 +40,21 @@
       byte[] result = new byte[Math.abs(size)];
       Arrays.fill(result, (byte) size);
       if (size < 0 && !at.isEmpty()) {
-        inUse -= BlockStore.of(plain.peekFirst().length);
+        inUse -= BlockStore.blocksFor(plain.peekFirst().length);
         assertArrayEquals(plain.pollFirst(), blocks.get(at.peekFirst()), "what was put first");
         blocks.free(at.pollFirst());
       }
       int first = blocks.put(result);
-      assertEquals(inUse + BlockStore.of(result.length) <= 1500, first != BlockStore.NONE);
-      if (first != BlockStore.NONE) {
-        inUse += BlockStore.of(result.length);
+      assertEquals(
+          inUse + BlockStore.blocksFor(result.length) <= 1500, first != BlockStore.NO_BLOCK);
+      if (first != BlockStore.NO_BLOCK) {
+        inUse += BlockStore.blocksFor(result.length);
         at.addLast(first);
         plain.addLast(result);
-        assertEquals(BlockStore.of(result.length), blocks.count(first));
+        assertEquals(BlockStore.blocksFor(result.length), blocks.blockCount(first));
       }
-      assertEquals(inUse, blocks.used());
-      assertTrue(blocks.bytes() <= 1500L * BlockStore.COST, blocks.bytes() + " bytes");
+      assertEquals(inUse, blocks.usedBlocks());
+      assertTrue(blocks.bytes() <= 1500L * BlockStore.BYTES_PER_BLOCK, blocks.bytes() + " bytes");
     }
     while (!at.isEmpty()) {
       assertArrayEquals(plain.pollFirst(), blocks.get(at.pollFirst()));
@@ -74,13 +74,13 @@
   @Example
   void aResultThatDoesNotFitLeavesNothingBehind() {
     BlockStore blocks = new BlockStore(3);
-    assertEquals(BlockStore.NONE, blocks.put(new byte[200]));
-    assertEquals(0, blocks.used());
+    assertEquals(BlockStore.NO_BLOCK, blocks.put(new byte[200]));
+    assertEquals(0, blocks.usedBlocks());
     int first = blocks.put(new byte[188]);
-    assertEquals(3, blocks.used());
-    assertEquals(BlockStore.NONE, blocks.put(new byte[0]));
+    assertEquals(3, blocks.usedBlocks());
+    assertEquals(BlockStore.NO_BLOCK, blocks.put(new byte[0]));
     blocks.free(first);
-    assertEquals(3, blocks.count(blocks.put(new byte[150])));
+    assertEquals(3, blocks.blockCount(blocks.put(new byte[150])));
   }
 
   // ---- The table within its room ----
@@ -115,14 +115,14 @@
     KeyMemoryBudget room = KeyMemoryBudget.of(96 << 10);
     IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, room);
     Map<String, Owed> owed = new HashMap<>();
-    ArrayDeque<Entry<String>> inHand = new ArrayDeque<>();
+    ArrayDeque<KeyEntry<String>> inHand = new ArrayDeque<>();
     double now = 500;
     long unix = 1_000_000; // ms that the wall clock is ahead of the steady one
     int number = 0;
     for (Act act : acts) {
       switch (act.kind()) {
         case 0 -> {
-          if (keys.promise()) {
+          if (keys.tryReserveMemory()) {
             String key = "1/0/" + ++number;
             inHand.add(
                 keys.start(key, BODY, unix + Math.round(now * 1000), WINDOW, now, "try " + number));
@@ -130,7 +130,7 @@
           }
         }
         case 1, 2 -> {
-          Entry<String> ends = inHand.poll();
+          KeyEntry<String> ends = inHand.poll();
           if (ends != null) {
             byte[] result = act.kind() == 2 ? null : new byte[act.size()];
             if (result != null) {
@@ -140,15 +140,15 @@
             if (was != null && now < was.until()) {
               owed.put(ends.key(), new Owed(result, was.until()));
             }
-            keys.ran(ends, result);
-            keys.unpromise();
+            keys.complete(ends, result);
+            keys.releaseMemory();
           }
         }
         case 3 -> {
-          Entry<String> ends = inHand.poll();
+          KeyEntry<String> ends = inHand.poll();
           if (ends != null) {
-            keys.neverRan(ends);
-            keys.unpromise();
+            keys.abandon(ends);
+            keys.releaseMemory();
             owed.remove(ends.key());
           }
         }
@@ -159,16 +159,16 @@
         }
       }
       assertTrue(
-          keys.bytes() + (long) KeyMemoryBudget.POLICY_COST * keys.size()
+          keys.memoryBytes() + (long) KeyMemoryBudget.ADMISSION_BYTES_PER_KEY * keys.size()
               <= room.bytes() + 400L * inHand.size(),
-          keys.bytes() + " bytes of " + room.bytes());
+          keys.memoryBytes() + " bytes of " + room.bytes());
       double at = now;
       owed.values().removeIf(each -> each.until() <= at);
       owed.forEach(
           (key, each) -> {
-            Entry<String> known = keys.find(key);
-            assertTrue(known != null && known.ran(), "forgotten within its window: " + key);
-            if (known.over()) {
+            KeyEntry<String> known = keys.find(key);
+            assertTrue(known != null && known.mayHaveRun(), "forgotten within its window: " + key);
+            if (known.isFinal()) {
               assertArrayEquals(each.result(), keys.result(known), "its result");
             }
           });
@@ -184,33 +184,38 @@
     for (Act act : acts) {
       now += act.kind() == 4 ? act.number() / 10.0 : 0;
       keys.expire(now);
-      if (keys.promise()) {
-        Entry<String> entry =
+      if (keys.tryReserveMemory()) {
+        KeyEntry<String> entry =
             keys.start("1/0/" + ++number, BODY, Math.round(now * 1000), WINDOW, now, "t");
-        keys.ran(entry, act.kind() == 2 ? null : new byte[act.size()]);
-        keys.unpromise();
+        keys.complete(entry, act.kind() == 2 ? null : new byte[act.size()]);
+        keys.releaseMemory();
         continue;
       }
-      double in = keys.roomIn(now);
+      double in = keys.secondsUntilCapacity(now);
       assertTrue(
-          in > 0 && in <= WINDOW + IdempotencyTable.SLACK + IdempotencyTable.LINGER + 0.5,
+          in > 0
+              && in
+                  <= WINDOW
+                      + IdempotencyTable.WINDOW_SLACK_SECONDS
+                      + IdempotencyTable.LINGER_SECONDS
+                      + 0.5,
           "come again in " + in);
       if (in > 0.5) {
         keys.expire(now + in - 0.5);
-        assertFalse(keys.promise(), "there was room before the time that was told");
+        assertFalse(keys.tryReserveMemory(), "there was room before the time that was told");
       }
       now += in + 0.25;
       keys.expire(now);
-      assertTrue(keys.promise(), "no room at the time that was told");
+      assertTrue(keys.tryReserveMemory(), "no room at the time that was told");
       // All who were told the same time come together: what does not fit is refused again, and
       // nothing breaks.
       int more = 0;
-      while (keys.promise()) {
+      while (keys.tryReserveMemory()) {
         more++;
       }
       assertTrue(more < 30, more + " came in at once");
       for (; more >= 0; more--) {
-        keys.unpromise();
+        keys.releaseMemory();
       }
     }
   }
@@ -220,27 +225,27 @@
     IdempotencyTable<String> keys =
         new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(64 << 10));
     int promised = 0;
-    while (keys.promise()) {
+    while (keys.tryReserveMemory()) {
       promised++;
     }
     for (int i = 0; i < promised; i++) {
-      keys.unpromise();
+      keys.releaseMemory();
     }
     for (int i = 0; i < promised; i++) {
-      keys.hear("1/0/" + i, IdempotencyTable.Asked.of(BODY), 50_000, 60);
+      keys.learnFromPeer("1/0/" + i, RequestBody.of(BODY), 50_000, 60);
     }
-    assertFalse(keys.promise(), "the other process may end each with the largest result");
+    assertFalse(keys.tryReserveMemory(), "the other process may end each with the largest result");
     for (int i = 0; i < promised; i++) {
-      keys.ran(keys.find("1/0/" + i), new byte[KeyMemoryBudget.LONGEST_RESULT]);
-      assertEquals(KeyMemoryBudget.LONGEST_RESULT, keys.result(keys.find("1/0/" + i)).length);
+      keys.complete(keys.find("1/0/" + i), new byte[KeyMemoryBudget.MAX_RESULT_BYTES]);
+      assertEquals(KeyMemoryBudget.MAX_RESULT_BYTES, keys.result(keys.find("1/0/" + i)).length);
     }
     for (int i = 0; i < 20; i++) {
-      keys.hear(new IdempotencyTable.Settled(7, i, 50_000, 3, 60, new byte[4096]));
+      keys.learnSettledFromPeer(new SettledKey(7, i, 50_000, 3, 60, new byte[4096]));
     }
-    IdempotencyTable.Settled last = keys.settled(new KeyDigest(7, 19));
+    SettledKey last = keys.findSettled(new KeyDigest(7, 19));
     assertNull(last.result(), "no room for it");
-    assertEquals(50_000, last.lastDoor(), "but its key is known");
+    assertEquals(50_000, last.coveredUntilMillis(), "but its key is known");
     keys.expire(61);
-    assertTrue(keys.promise());
+    assertTrue(keys.tryReserveMemory());
   }
 }
--- a/src/test/java/wharftrestle/idempotency/KeyStructuresTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyStructuresTest.java
@@ -98,15 +98,15 @@
           index.expire(now);
           Set<Integer> all = new HashSet<>(plain.keySet());
           for (int number : all) {
-            CompactIndex.Found found = index.find(new KeyDigest(number, 64L * 3 - number % 3));
+            CompactIndex.IndexedKey found = index.find(new KeyDigest(number, 64L * 3 - number % 3));
             if (found == null) {
               assertTrue(due.remove(number) <= now, "forgotten early");
               plain.remove(number);
             } else {
               assertTrue(due.get(number) + 0.5 > now, "kept too long");
-              assertEquals(plain.get(number), found.place());
-              assertEquals(plain.get(number) * 2, found.lastDoor());
-              assertEquals(plain.get(number) * 3, found.check());
+              assertEquals(plain.get(number), found.location());
+              assertEquals(plain.get(number) * 2, found.coveredUntilMillis());
+              assertEquals(plain.get(number) * 3, found.checksum());
             }
           }
         }
@@ -122,7 +122,7 @@
       assertTrue(index.put(KeyDigest.of("2/0/" + i), i, i, i, 30 + i % 7));
     }
     assertFalse(index.put(KeyDigest.of("one more"), 1, 1, 1, 30));
-    assertEquals(77, index.find(KeyDigest.of("2/0/77")).place());
+    assertEquals(77, index.find(KeyDigest.of("2/0/77")).location());
     assertTrue(index.bytes() < 100 * 100_000, index.bytes() + " bytes");
     index.expire(40);
     assertEquals(0, index.size());
--- a/src/test/java/wharftrestle/storage/GroupCommitQueueTest.java
+++ b/src/test/java/wharftrestle/storage/GroupCommitQueueTest.java
@@ -40,7 +40,7 @@
 
   @Operation
   public long bytes() {
-    return gather.bytes();
+    return gather.queuedBytes();
   }
 
   @Operation
--- a/src/test/java/wharftrestle/storage/MemorySegmentStore.java
+++ b/src/test/java/wharftrestle/storage/MemorySegmentStore.java
@@ -148,23 +148,23 @@
   }
 
   @Override
-  public long boot() {
+  public long bootId() {
     return boot;
   }
 
   @Override
-  public synchronized byte[] list() {
+  public synchronized byte[] readManifest() {
     return list;
   }
 
   @Override
-  public synchronized void list(byte[] fresh) throws IOException {
+  public synchronized void writeManifest(byte[] fresh) throws IOException {
     operation();
     list = fresh.clone();
   }
 
   @Override
-  public synchronized long[] files() {
+  public synchronized long[] segmentNumbers() {
     return files.keySet().stream().mapToLong(Long::longValue).toArray();
   }
 
--- a/src/test/java/wharftrestle/storage/ResultLogToolTest.java
+++ b/src/test/java/wharftrestle/storage/ResultLogToolTest.java
@@ -128,7 +128,7 @@
           all.filter(file -> file.toString().endsWith(".log")).sorted().findFirst().orElseThrow();
     }
     byte[] bytes = Files.readAllBytes(first);
-    bytes[Segment.HEAD + 20] ^= 1;
+    bytes[Segment.HEADER_BYTES + 20] ^= 1;
     Files.write(first, bytes);
     String hurt = said((results, out) -> results.verify(out));
     assertTrue(!(boolean) answer && hurt.contains("DAMAGED"), hurt);
--- a/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
@@ -161,7 +161,7 @@
   /** What a crash leaves of a write: the first bytes of one further record, and zeros. */
   private static void tearTail(Path segment) throws Exception {
     byte[] bytes = Files.readAllBytes(segment);
-    Segment.Seen seen = Segment.scan(ByteBuffer.wrap(bytes), (record, offset) -> {});
+    Segment.ScanResult seen = Segment.scan(ByteBuffer.wrap(bytes), (record, offset) -> {});
     LogRecord cut =
         new LogRecord(
             LogRecord.Kind.INTENT,
@@ -175,7 +175,7 @@
             "3/0/torn",
             new byte[0]);
     ByteBuffer whole = ByteBuffer.allocate(cut.size());
-    cut.put(whole);
+    cut.writeTo(whole);
     System.arraycopy(whole.array(), 0, bytes, seen.end(), TORN_BYTES);
     Files.write(segment, bytes);
   }
@@ -184,15 +184,15 @@
   static String describeRecords(Path folder) throws Exception {
     StringBuilder text = new StringBuilder();
     byte[] manifest = Files.readAllBytes(folder.resolve(MANIFEST));
-    text.append("manifest numbers=").append(Manifest.parse(manifest)).append('\n');
+    text.append("manifest numbers=").append(Manifest.decode(manifest)).append('\n');
     for (String name : SEGMENTS) {
       byte[] bytes = Files.readAllBytes(folder.resolve(name));
       StringBuilder records = new StringBuilder();
-      Segment.Seen seen =
+      Segment.ScanResult seen =
           Segment.scan(
               ByteBuffer.wrap(bytes),
               (record, offset) -> records.append(describe(record, offset)).append('\n'));
-      Segment.Head head = seen.head();
+      Segment.Header head = seen.header();
       text.append(
           String.format(
               "segment file=%s bytes=%d version=%d firstBatch=%d number=%d boot=%016x capacity=%d"
@@ -204,7 +204,7 @@
               head.number(),
               head.boot(),
               head.capacity(),
-              seen.records(),
+              seen.recordCount(),
               seen.lastBatch(),
               seen.end(),
               seen.torn(),
@@ -225,13 +225,13 @@
             + " check=%016x result=%s key=%s",
         offset,
         record.kind().ordinal() + 1, // as on disk: its name there is this number
-        record.ends(),
+        record.lastOfBatch(),
         record.batch(),
-        record.wall(),
-        record.steady(),
-        record.lastDoor(),
-        record.window(),
-        record.check(),
+        record.writtenAtMillis(),
+        record.writtenAtSteadyMillis(),
+        record.coveredUntilMillis(),
+        record.windowMillis(),
+        record.bodyChecksum(),
         HexFormat.of().formatHex(record.result()),
         record.key());
   }
@@ -296,23 +296,23 @@
     }
 
     @Override
-    public long boot() {
+    public long bootId() {
       return boot;
     }
 
     @Override
-    public byte[] list() throws IOException {
-      return files.list();
+    public byte[] readManifest() throws IOException {
+      return files.readManifest();
     }
 
     @Override
-    public void list(byte[] list) throws IOException {
-      files.list(list);
+    public void writeManifest(byte[] list) throws IOException {
+      files.writeManifest(list);
     }
 
     @Override
-    public long[] files() throws IOException {
-      return files.files();
+    public long[] segmentNumbers() throws IOException {
+      return files.segmentNumbers();
     }
 
     @Override
--- a/src/test/java/wharftrestle/storage/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatTest.java
@@ -48,7 +48,7 @@
   void theTailOfTheStoredFolder_isTornAndNotDamaged() throws Exception {
     ByteBuffer last = ByteBuffer.wrap(Files.readAllBytes(STORE.resolve(SEGMENTS.get(2))));
 
-    Segment.Seen seen = Segment.scan(last, (record, offset) -> {});
+    Segment.ScanResult seen = Segment.scan(last, (record, offset) -> {});
 
     assertEquals("torn=true damaged=false", "torn=" + seen.torn() + " damaged=" + seen.damaged());
   }
@@ -118,21 +118,21 @@
         } else if (line.startsWith("record ")) {
           LogRecord record = record(line);
           ByteBuffer bytes = ByteBuffer.allocate(record.size());
-          record.put(bytes);
+          record.writeTo(bytes);
           disk.write(numbers.get(numbers.size() - 1), integer(line, "offset"), bytes.flip());
         } else if (line.startsWith("tail ")) {
           ByteBuffer bytes = ByteBuffer.wrap(HexFormat.of().parseHex(field(line, "bytes")));
           disk.write(numbers.get(numbers.size() - 1), integer(line, "offset"), bytes);
         }
       }
-      disk.list(Manifest.of(numbers));
+      disk.writeManifest(Manifest.encode(numbers));
     } finally {
       disk.close();
     }
   }
 
   private static ByteBuffer head(String line) {
-    return Segment.head(
+    return Segment.header(
         integer(line, "firstBatch"),
         Long.parseLong(field(line, "number")),
         Long.parseUnsignedLong(field(line, "boot"), 16),
@@ -174,14 +174,14 @@
     while (isComplete(segment, at)) {
       Arrays.fill(bytes, at + RECORD_CRC_AT, at + RECORD_CRC_AT + Integer.BYTES, (byte) 0);
       Arrays.fill(bytes, at + RECORD_TIMES_AT, at + RECORD_TIMES_END, (byte) 0);
-      at += LogRecord.aligned(LogRecord.HEAD + segment.getInt(at));
+      at += LogRecord.aligned(LogRecord.HEADER_BYTES + segment.getInt(at));
     }
     Arrays.fill(bytes, at, bytes.length, (byte) 0);
     return bytes;
   }
 
   private static boolean isComplete(ByteBuffer segment, int at) {
-    return segment.limit() - at >= LogRecord.HEAD && LogRecord.at(segment, at) != null;
+    return segment.limit() - at >= LogRecord.HEADER_BYTES && LogRecord.readAt(segment, at) != null;
   }
 
   private static String differenceOf(Path expected, Path actual) {
