--- a/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
+++ b/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
@@ -131,12 +131,12 @@
         UnusableStorageException.class,
         () -> new WriteAheadLog(settings(4, "group"), () -> foreign).open(WINDOW));
     MemorySegmentStore newer = new MemorySegmentStore();
-    newer.list("wharftrestle-results 2\nend 0\n".getBytes(StandardCharsets.UTF_8));
-    byte[] list = Manifest.of(List.of(1L));
+    newer.writeManifest("wharftrestle-results 2\nend 0\n".getBytes(StandardCharsets.UTF_8));
+    byte[] list = Manifest.encode(List.of(1L));
     String text = new String(list, StandardCharsets.UTF_8).replace("results 1", "results 9");
     assertNull(
-        Manifest.parse(text.getBytes(StandardCharsets.UTF_8)), "its check is of another text");
-    ByteBuffer head = Segment.head(1, 1, 7, 1024);
+        Manifest.decode(text.getBytes(StandardCharsets.UTF_8)), "its check is of another text");
+    ByteBuffer head = Segment.header(1, 1, 7, 1024);
     head.putInt(8, 9);
     java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
     crc.update(head.slice(0, 40));
@@ -154,7 +154,7 @@
   /** A log of three batches, with the places where its records begin. */
   private static byte[] written(List<LogRecord> records, List<Integer> begins) {
     ByteBuffer file = ByteBuffer.allocate(4096);
-    file.put(Segment.head(1, 3, 7, 4096));
+    file.put(Segment.header(1, 3, 7, 4096));
     for (int i = 0; i < 9; i++) {
       LogRecord.Kind kind =
           i % 3 == 0
@@ -173,7 +173,7 @@
               "2/0/k" + (i % 3 == 1 ? i - 1 : i),
               kind == LogRecord.Kind.RESULT ? result(i) : new byte[0]);
       begins.add(file.position());
-      record.put(file);
+      record.writeTo(file);
       records.add(record);
     }
     begins.add(file.position());
@@ -187,7 +187,7 @@
     byte[] whole = written(records, begins);
     for (int cut = 0; cut <= whole.length; cut++) {
       Set<String> known = new HashSet<>();
-      Segment.Seen seen =
+      Segment.ScanResult seen =
           Segment.scan(
               ByteBuffer.wrap(Arrays.copyOf(whole, cut)), (record, at) -> known.add(record.key()));
       int last = cut;
@@ -208,7 +208,8 @@
       byte[] torn = whole.clone();
       Arrays.fill(torn, cut, torn.length, (byte) 0);
       List<LogRecord> known = new ArrayList<>();
-      Segment.Seen seen = Segment.scan(ByteBuffer.wrap(torn), (record, at) -> known.add(record));
+      Segment.ScanResult seen =
+          Segment.scan(ByteBuffer.wrap(torn), (record, at) -> known.add(record));
       assertFalse(seen.damaged(), "a write that was never synced is no damage: " + cut);
       for (int i = 0; i < records.size(); i++) {
         if (begins.get(i + 1) <= cut) {
@@ -223,11 +224,11 @@
   void aGarbledByteInWhatWasSyncedIsDamage() throws Exception {
     List<Integer> begins = new ArrayList<>();
     byte[] whole = written(new ArrayList<>(), begins);
-    for (int at = Segment.HEAD; at < begins.get(9); at++) {
+    for (int at = Segment.HEADER_BYTES; at < begins.get(9); at++) {
       byte[] bad = whole.clone();
       bad[at] ^= 0x41;
       int[] seen = {0};
-      Segment.Seen scan = Segment.scan(ByteBuffer.wrap(bad), (record, offset) -> seen[0]++);
+      Segment.ScanResult scan = Segment.scan(ByteBuffer.wrap(bad), (record, offset) -> seen[0]++);
       boolean padding = seen[0] == 9; // between two records nothing is said
       boolean lastBatch = at >= begins.get(6);
       assertTrue(padding || seen[0] == 8, "one byte harms one record");
@@ -245,7 +246,7 @@
   void whereverALogIsCutNoKeyThatRanIsFree(@ForAll long seed) throws Exception {
     Random random = new Random(seed);
     ByteBuffer file = ByteBuffer.allocate(2048);
-    file.put(Segment.head(1, 3, 7, 2048));
+    file.put(Segment.header(1, 3, 7, 2048));
     List<LogRecord> records = new ArrayList<>();
     List<Integer> ends = new ArrayList<>();
     for (int batch = 1; file.remaining() > 400; batch++) {
@@ -265,12 +266,13 @@
                 "k" + random.nextInt(5),
                 kind == LogRecord.Kind.RESULT ? result(random.nextInt(100)) : new byte[0]);
         int begin = file.position();
-        record.put(file);
+        record.writeTo(file);
         records.add(record);
-        ends.add(begin + LogRecord.HEAD + file.getInt(begin)); // the zeros behind it say nothing
+        ends.add(
+            begin + LogRecord.HEADER_BYTES + file.getInt(begin)); // the zeros behind it say nothing
       }
     }
-    for (int cut = Segment.HEAD; cut <= 2048; cut++) {
+    for (int cut = Segment.HEADER_BYTES; cut <= 2048; cut++) {
       byte[] torn = file.array().clone();
       Arrays.fill(torn, cut, torn.length, (byte) 0);
       Map<String, LogRecord> whole = new HashMap<>();
@@ -293,26 +295,26 @@
   private static void recovers(byte[] bytes, Map<String, LogRecord> model, boolean damaged, int cut)
       throws Exception {
     Recovery recovery = new Recovery(System.currentTimeMillis(), 1000);
-    Segment.Seen seen =
-        Segment.scan(ByteBuffer.wrap(bytes), (record, at) -> recovery.take(record, at, true));
+    Segment.ScanResult seen =
+        Segment.scan(ByteBuffer.wrap(bytes), (record, at) -> recovery.replay(record, at, true));
     assertEquals(
         damaged,
         seen.damaged(),
         "cut at " + cut + ": where keys may be lost none that is unknown runs");
-    Map<String, Recovery.Known> known = new HashMap<>();
+    Map<String, Recovery.RecoveredKey> known = new HashMap<>();
     recovery.keys().forEach(key -> known.put(key.key(), key));
     for (LogRecord last : model.values()) {
-      Recovery.Known key = known.remove(last.key());
+      Recovery.RecoveredKey key = known.remove(last.key());
       if (last.kind() == LogRecord.Kind.VOID) {
         assertNull(key, "cut at " + cut);
         continue;
       }
       assertNotNull(key, "cut at " + cut + ": " + last.key() + " ran and is free");
       byte[] found =
-          key.place() < 0
+          key.location() < 0
               ? new byte[0]
-              : LogRecord.at(ByteBuffer.wrap(bytes), (int) key.place()).result();
-      assertEquals(last.kind() == LogRecord.Kind.RESULT, key.place() >= 0);
+              : LogRecord.readAt(ByteBuffer.wrap(bytes), (int) key.location()).result();
+      assertEquals(last.kind() == LogRecord.Kind.RESULT, key.location() >= 0);
       assertArrayEquals(last.result(), found);
     }
   }
@@ -323,7 +325,7 @@
     byte[] bytes = written(new ArrayList<>(), new ArrayList<>());
     Random random = new Random(seed);
     for (int i = 0; i < changes; i++) {
-      int at = Segment.HEAD + random.nextInt(bytes.length - Segment.HEAD);
+      int at = Segment.HEADER_BYTES + random.nextInt(bytes.length - Segment.HEADER_BYTES);
       bytes[at] = (byte) random.nextInt();
     }
     Segment.scan(ByteBuffer.wrap(bytes), (record, at) -> assertNotNull(record.key()));
@@ -353,7 +355,7 @@
       assertTrue(blind(next.open(WINDOW)), "a file that was cut");
     }
     MemorySegmentStore unlisted = disk.afterKill();
-    unlisted.list("rubbish".getBytes(StandardCharsets.UTF_8));
+    unlisted.writeManifest("rubbish".getBytes(StandardCharsets.UTF_8));
     try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> unlisted)) {
       assertTrue(blind(next.open(WINDOW)), "a list that says nothing");
     }
@@ -579,20 +581,20 @@
   @Example
   void oldFilesGoAndTheirRoomComesBack() {
     SpaceBudget room = new SpaceBudget(4 << 20);
-    room.add(1, Segment.HEAD, 0);
-    for (int i = 0; room.promise(200); i++) {
-      room.settle(200);
-      if (room.full(5000)) {
-        room.add(room.current() + 1, Segment.HEAD, Double.NEGATIVE_INFINITY);
+    room.addSegment(1, Segment.HEADER_BYTES, 0);
+    for (int i = 0; room.tryReserve(200); i++) {
+      room.release(200);
+      if (room.needsNewSegment(5000)) {
+        room.addSegment(room.currentSegment() + 1, Segment.HEADER_BYTES, Double.NEGATIVE_INFINITY);
       }
-      room.put(5000, 30 + i * 0.01);
+      room.append(5000, 30 + i * 0.01);
     }
-    assertEquals(16, room.segments());
-    assertEquals(-1, room.over(29));
-    assertEquals(1, room.over(60));
-    room.drop();
-    assertTrue(room.promise(200), "whole files come back");
-    assertEquals(2, room.over(1000), "the one that is written stays");
+    assertEquals(16, room.segmentCount());
+    assertEquals(-1, room.oldestExpiredSegment(29));
+    assertEquals(1, room.oldestExpiredSegment(60));
+    room.removeOldest();
+    assertTrue(room.tryReserve(200), "whole files come back");
+    assertEquals(2, room.oldestExpiredSegment(1000), "the one that is written stays");
   }
 
   @Example
@@ -617,9 +619,9 @@
     LogRecord before =
         new LogRecord(
             LogRecord.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/boot", new byte[1]);
-    recovery.take(old, 1, true);
-    recovery.take(young, 2, true);
-    recovery.take(before, 3, false);
+    recovery.replay(old, 1, true);
+    recovery.replay(young, 2, true);
+    recovery.replay(before, 3, false);
     Set<String> keys = new HashSet<>();
     recovery
         .keys()
@@ -627,7 +629,7 @@
             known -> {
               keys.add(known.key());
               assertTrue(
-                  known.lastDoor() >= System.currentTimeMillis() + 19_000,
+                  known.coveredUntilMillis() >= System.currentTimeMillis() + 19_000,
                   "stamps are of a clock that may step");
             });
     assertEquals(Set.of("2/0/young", "2/0/boot"), keys);
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
@@ -147,7 +147,7 @@
         "claim 1%2F0%2Fopen " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
         String.format(
             "over %d %d %d 20000 %d 3\\x0d\\x0aold\\x0d\\x0a",
-            settled.high(), settled.low(), STAMP, KeyDigest.check(bytes("body"))),
+            settled.high(), settled.low(), STAMP, KeyDigest.checksum(bytes("body"))),
         "claim 1%2F0%2Fsettled " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
         "claim 1%2F0%2Ffreed " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
         "freed 1%2F0%2Ffreed\\x0d\\x0a",
