--- a/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
+++ b/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
@@ -317,7 +317,7 @@
    * The peer process knows this settled key. A result that does not fit is dropped, and its key
    * stays; false where even the key does not fit.
    */
-  public boolean learnSettledFromPeer(SettledKey key) {
+  public boolean learnSettledFromPeer(SettledEntry key) {
     return settled.add(key);
   }
 
@@ -327,7 +327,7 @@
   }
 
   /** What is known of a settled key; null where it is known no more. */
-  public SettledKey findSettled(KeyDigest digest) {
+  public SettledEntry findSettled(KeyDigest digest) {
     return settled.export(digest);
   }
 
--- a/src/main/java/wharftrestle/idempotency/SettledKey.java
+++ b/src/main/java/wharftrestle/idempotency/SettledEntry.java
@@ -10,7 +10,7 @@
  * @param expiresAtSeconds on the caller's clock
  * @param result null where there is none to give, or it lies on disk
  */
-public record SettledKey(
+public record SettledEntry(
     long high,
     long low,
     long coveredUntilMillis,
--- a/src/main/java/wharftrestle/idempotency/SettledKeys.java
+++ b/src/main/java/wharftrestle/idempotency/SettledKeys.java
@@ -117,7 +117,7 @@
   }
 
   /** Keeps a key that the peer process settled; false where the index is full. */
-  boolean add(SettledKey key) {
+  boolean add(SettledEntry key) {
     long location = key.result() == null ? CompactIndex.NO_RESULT : store(key.result());
     boolean added =
         index.put(
@@ -157,11 +157,11 @@
   }
 
   /** What is known of a key, for the peer process; null for nothing. */
-  SettledKey export(KeyDigest digest) {
+  SettledEntry export(KeyDigest digest) {
     CompactIndex.IndexedKey known = index.find(digest);
     return known == null
         ? null
-        : new SettledKey(
+        : new SettledEntry(
             digest.high(),
             digest.low(),
             known.coveredUntilMillis(),
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -480,7 +480,8 @@
       }
       KeyEntry<InFlightRequest> known = task.key == null ? null : keys.find(task.key);
       boolean ran =
-          (known != null && known.mayHaveRun()) || (task.key != null && !partner.between().owner());
+          (known != null && known.mayHaveRun())
+              || (task.key != null && !partner.between().isOwner());
       if (byId.size() >= most) {
         // Guards against threads filling the memory in a flood: what finds none is turned away
         // unread by
@@ -966,13 +967,13 @@
    * for the disk.
    */
   boolean finish(KeyEntry<InFlightRequest> entry, byte[] result) {
-    partner.between().tellEnd(entry, result);
+    partner.between().sendFinished(entry, result);
     boolean ran = entry.state() == KeyState.RUNNING || entry.state() == KeyState.OWNED_BY_PEER;
     keys.complete(entry, result);
     if (ran) {
       recorder.ended(entry, result);
     }
-    partner.between().follow(entry.key(), recorder.on(), now());
+    partner.between().forwardSettled(entry.key(), recorder.on(), now());
     return entry.state() == KeyState.SAVING;
   }
 
--- a/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
@@ -240,9 +240,9 @@
       assertEquals(KeyMemoryBudget.MAX_RESULT_BYTES, keys.result(keys.find("1/0/" + i)).length);
     }
     for (int i = 0; i < 20; i++) {
-      keys.learnSettledFromPeer(new SettledKey(7, i, 50_000, 3, 60, new byte[4096]));
+      keys.learnSettledFromPeer(new SettledEntry(7, i, 50_000, 3, 60, new byte[4096]));
     }
-    SettledKey last = keys.findSettled(new KeyDigest(7, 19));
+    SettledEntry last = keys.findSettled(new KeyDigest(7, 19));
     assertNull(last.result(), "no room for it");
     assertEquals(50_000, last.coveredUntilMillis(), "but its key is known");
     keys.expire(61);
