--- a/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
+++ b/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
@@ -32,8 +32,8 @@
       try (Lifecycle life =
           new Lifecycle(config, new DaemonConfig.Appliance(null, null, null, "", 24))) {
         life.start();
-        life.requestCoordinator().bound(false, 0);
-        life.requestCoordinator().gauges(new double[] {0.1, 0, 0.1, 1});
+        life.requestCoordinator().workerPoolStarted(false, 0);
+        life.requestCoordinator().gaugesReceived(new double[] {0.1, 0, 0.1, 1});
         exchange(life.adminAddress(), "GET /_vars HTTP/1.1\r\n\r\n", 200);
         try (Socket caller = new Socket()) {
           caller.connect(life.respAddress());
@@ -69,9 +69,9 @@
     read(in, "healthy"); // all that was sent before it has been read
     if (tag > 2) {
       life.requestCoordinator()
-          .blocked(ref, tag, new byte[0]); // nobody listens at the store's address
+          .executionBlocked(ref, tag, new byte[0]); // nobody listens at the store's address
     }
-    life.requestCoordinator().finished(ref, Outcome.SUCCESS, 0.01, new byte[0]);
+    life.requestCoordinator().executionCompleted(ref, Outcome.SUCCESS, 0.01, new byte[0]);
     read(in, "\r\n$0\r\n\r\n$0\r\n\r\n");
   }
 
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatTest.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatTest.java
@@ -140,7 +140,7 @@
     PeerLink.MessageHandler side = (link, word, detail) -> heard.add(new Heard(word, detail));
     Path socket = folder.resolve("n1");
     try (ServerSocketChannel server =
-            PeerLink.listen(socket, PeerLinkFormatFixtures.core().partner(), side);
+            PeerLink.listen(socket, PeerLinkFormatFixtures.core().peer(), side);
         SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
       for (String message : messages) {
         PeerLinkFormatFixtures.write(other, message);
