--- a/src/main/java/wharftrestle/daemon/DaemonParts.java
+++ b/src/main/java/wharftrestle/daemon/DaemonParts.java
@@ -63,7 +63,7 @@
   }
 
   private static double longestWindowSeconds(DaemonConfig config) {
-    return IdempotencyTable.SLACK
+    return IdempotencyTable.WINDOW_SLACK_SECONDS
         + config.settings().classes().stream()
             .mapToDouble(Admission.RequestClass::idempotencyWindowSeconds)
             .max()
--- a/src/main/java/wharftrestle/daemon/HandoverActions.java
+++ b/src/main/java/wharftrestle/daemon/HandoverActions.java
@@ -81,7 +81,7 @@
 
   /** What this process states of itself now. */
   Capabilities capabilities() {
-    return host.capabilities().with(peerKeys.keyCapacity(), SteadyWallClock.base());
+    return host.capabilities().with(peerKeys.keyCapacity(), SteadyWallClock.offsetMillis());
   }
 
   /** Ends the threads of this process's actions. */
--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -237,7 +237,7 @@
       }
       if (predecessor.clockBaseUnixMillis() != 0) {
         // Timestamps of its keys are compared with those of requests that are read here.
-        SteadyWallClock.adopt(predecessor.clockBaseUnixMillis());
+        SteadyWallClock.adoptOffset(predecessor.clockBaseUnixMillis());
       }
       peerKeys.joinPeer(
           links.current(), CompatibilityCheck.windowExtensionSeconds(predecessor, own));
--- a/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
+++ b/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
@@ -6,6 +6,9 @@
 import wharftrestle.handover.PeerProcess.KeyUpdate;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.idempotency.KeyEntry;
+import wharftrestle.idempotency.RequestBody;
+import wharftrestle.idempotency.SettledEntry;
 
 /**
  * Decides on each idempotency key while two processes serve one host: one process owns all keys,
@@ -37,10 +40,10 @@
     double windowSeconds(String key);
 
     /** An execution of the peer has ended; the result is null unless it succeeded. */
-    void onPeerCompletion(IdempotencyTable.Entry<T> entry, byte[] result);
+    void onPeerCompletion(KeyEntry<T> entry, byte[] result);
 
     /** The peer held this key and never executed it. */
-    void onPeerRelease(IdempotencyTable.Entry<T> entry);
+    void onPeerRelease(KeyEntry<T> entry);
 
     /** Lets requests that wait for the owner's answer about this key look at it again. */
     void wakeWaiters(String key, boolean isGranted);
@@ -53,7 +56,7 @@
   public record StoredReply<T>(
       PeerProcess claimant,
       String key,
-      IdempotencyTable.Entry<T> entry,
+      KeyEntry<T> entry,
       byte[] resultInMemory,
       double windowSeconds,
       byte[] body) {
@@ -62,13 +65,13 @@
     public void send(byte[] result) {
       // A duplicate with another body must be told apart by the claimant too: it gets one that
       // differs.
-      byte[] firstBody = entry.asked().same(body) ? body : Arrays.copyOf(body, body.length + 1);
+      byte[] firstBody = entry.body().matches(body) ? body : Arrays.copyOf(body, body.length + 1);
       claimant.sendKey(
           new KeyUpdate(
               key,
               true,
-              entry.lastDoor(),
-              windowSeconds + IdempotencyTable.LINGER,
+              entry.coveredUntilMillis(),
+              windowSeconds + IdempotencyTable.LINGER_SECONDS,
               firstBody,
               result));
     }
@@ -109,7 +112,7 @@
   public List<KeyDigest> startSendingKeys(PeerProcess receiver) {
     completedKeyReceiver = receiver;
     isLagging = false;
-    return keys.settled();
+    return keys.settledDigests();
   }
 
   /** The takeover was given up: nothing more is sent. */
@@ -127,15 +130,15 @@
    * that both processes read.
    */
   public CompletedKey completedKey(KeyDigest digest, boolean hasDisk, double now) {
-    IdempotencyTable.Settled completed = keys.settled(digest);
+    SettledEntry completed = keys.findSettled(digest);
     if (completed == null || (hasDisk && completed.result() == null)) {
       return null;
     }
     return new CompletedKey(
         digest,
-        completed.lastDoor(),
-        completed.until() - now,
-        completed.check(),
+        completed.coveredUntilMillis(),
+        completed.expiresAtSeconds() - now,
+        completed.checksum(),
         completed.result());
   }
 
@@ -161,7 +164,7 @@
     peer = successor;
     isOwner = false;
     int[] openKeys = {0};
-    keys.each(
+    keys.forEachActive(
         entry -> {
           openKeys[0]++;
           sendOpenKey(successor, entry, now);
@@ -169,15 +172,15 @@
     return openKeys[0];
   }
 
-  private void sendOpenKey(PeerProcess successor, IdempotencyTable.Entry<T> entry, double now) {
-    if (entry.over() && entry.asked().body() == null) {
+  private void sendOpenKey(PeerProcess successor, KeyEntry<T> entry, double now) {
+    if (entry.isFinal() && entry.body().bytes() == null) {
       // Finished, and open only as the index of completed keys is full: its body is gone.
       successor.forwardCompletedKey(
           new CompletedKey(
               KeyDigest.of(entry.key()),
-              entry.lastDoor(),
-              entry.until() - now,
-              entry.asked().brief(),
+              entry.coveredUntilMillis(),
+              entry.expiresAtSeconds() - now,
+              entry.body().checksum(),
               keys.result(entry)));
     } else {
       successor.sendKey(update(entry, now));
@@ -206,7 +209,7 @@
     completedKeyReceiver = null;
     isOwner = true;
     windowExtensionSeconds = 0;
-    keys.otherGone();
+    keys.peerLost();
   }
 
   // ---- Messages of the peer ----
@@ -222,8 +225,8 @@
     keys.expire(now);
     double until = now + completed.remainingSeconds() + windowExtensionSeconds;
     boolean isKnown =
-        keys.hear(
-            new IdempotencyTable.Settled(
+        keys.learnSettledFromPeer(
+            new SettledEntry(
                 completed.digest().high(),
                 completed.digest().low(),
                 extended(completed.coveredUntilUnixMillis()),
@@ -231,20 +234,20 @@
                 until,
                 completed.result()));
     if (!isKnown) {
-      keys.blind(until);
+      keys.failUnknownKeysUntil(until);
     }
     return isKnown;
   }
 
   /** A key of the peer whose execution is in flight, or has finished. */
   public void onKeyReceived(KeyUpdate update, double now) {
-    keys.hear(
+    keys.learnFromPeer(
         update.key(),
-        IdempotencyTable.Asked.of(update.body()),
+        RequestBody.of(update.body()),
         extended(update.coveredUntilUnixMillis()),
         now + update.remainingSeconds() + windowExtensionSeconds);
-    IdempotencyTable.Entry<T> entry = keys.find(update.key());
-    if (update.isCompleted() && keys.elsewhere(entry)) {
+    KeyEntry<T> entry = keys.find(update.key());
+    if (update.isCompleted() && keys.isOwnedByPeer(entry)) {
       host.onPeerCompletion(entry, update.result());
     }
     host.wakeWaiters(update.key(), false);
@@ -256,18 +259,18 @@
 
   /** An execution of the peer has ended; the result is null unless it succeeded. */
   public void onPeerCompletion(String key, byte[] result) {
-    IdempotencyTable.Entry<T> entry = keys.find(key);
-    if (keys.elsewhere(entry)) {
+    KeyEntry<T> entry = keys.find(key);
+    if (keys.isOwnedByPeer(entry)) {
       host.onPeerCompletion(entry, result);
     }
   }
 
   /** The peer never executed this key and no longer holds it. */
   public void onPeerRelease(String key) {
-    IdempotencyTable.Entry<T> entry = keys.find(key);
-    if (keys.elsewhere(entry)) {
+    KeyEntry<T> entry = keys.find(key);
+    if (keys.isOwnedByPeer(entry)) {
       host.onPeerRelease(entry);
-      keys.freed(entry);
+      keys.releasedByPeer(entry);
     }
   }
 
@@ -277,23 +280,23 @@
    * @return the answer where a disk may hold the result; null where the claim is answered
    */
   public StoredReply<T> onClaim(String key, long arrivalUnixMillis, byte[] body, double now) {
-    IdempotencyTable.Entry<T> entry = keys.meet(key, arrivalUnixMillis);
+    KeyEntry<T> entry = keys.findDuplicate(key, arrivalUnixMillis);
     if (peer == null) {
       return null;
     }
     double windowSeconds = host.windowSeconds(key);
     if (entry == null) {
-      keys.hear(
+      keys.learnFromPeer(
           key,
-          IdempotencyTable.Asked.of(body),
+          RequestBody.of(body),
           arrivalUnixMillis + Math.round(windowSeconds * 1000),
-          now + windowSeconds + IdempotencyTable.LINGER);
+          now + windowSeconds + IdempotencyTable.LINGER_SECONDS);
     }
-    if (entry == null || keys.elsewhere(entry)) {
+    if (entry == null || keys.isOwnedByPeer(entry)) {
       peer.sendGrant(key);
       return null;
     }
-    if (entry.asked().body() != null) {
+    if (entry.body().bytes() != null) {
       peer.sendKey(update(entry, now));
       return null;
     }
@@ -309,18 +312,18 @@
 
   /** True where a request that arrived then is a duplicate of what is known here. */
   public boolean isKnown(String key, long arrivalUnixMillis) {
-    IdempotencyTable.Entry<T> entry = keys.find(key);
+    KeyEntry<T> entry = keys.find(key);
     return entry != null && entry.covers(arrivalUnixMillis);
   }
 
   /** What the peer has to know before an execution of this key begins; null for nothing. */
-  public KeyUpdate announcementBeforeExecution(IdempotencyTable.Entry<T> entry, double now) {
+  public KeyUpdate announcementBeforeExecution(KeyEntry<T> entry, double now) {
     return peer == null || !isOwner || entry == null ? null : update(entry, now);
   }
 
   /** Reports to the peer that an execution of this process has ended. */
-  public void sendCompletion(IdempotencyTable.Entry<T> entry, byte[] result) {
-    if (peer != null && entry.holder() != null && keys.current(entry)) {
+  public void sendCompletion(KeyEntry<T> entry, byte[] result) {
+    if (peer != null && entry.attempt() != null && keys.isCurrent(entry)) {
       peer.sendCompletion(entry.key(), result);
     }
   }
@@ -332,23 +335,23 @@
     }
   }
 
-  private KeyUpdate update(IdempotencyTable.Entry<T> entry, double now) {
-    if (entry.ran()) {
+  private KeyUpdate update(KeyEntry<T> entry, double now) {
+    if (entry.mayHaveRun()) {
       return new KeyUpdate(
           entry.key(),
-          entry.over(),
-          entry.lastDoor(),
-          entry.until() - now,
-          entry.asked().body(),
+          entry.isFinal(),
+          entry.coveredUntilMillis(),
+          entry.expiresAtSeconds() - now,
+          entry.body().bytes(),
           keys.result(entry));
     }
     double windowSeconds = host.windowSeconds(entry.key());
     return new KeyUpdate(
         entry.key(),
         false,
-        host.arrivalUnixMillis(entry.holder()) + Math.round(windowSeconds * 1000),
-        windowSeconds + IdempotencyTable.LINGER,
-        entry.asked().body(),
+        host.arrivalUnixMillis(entry.attempt()) + Math.round(windowSeconds * 1000),
+        windowSeconds + IdempotencyTable.LINGER_SECONDS,
+        entry.body().bytes(),
         null);
   }
 }
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -7,6 +7,7 @@
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.idempotency.IdempotencyTable;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
 import wharftrestle.metrics.Counters.Count;
@@ -44,11 +45,11 @@
    */
   void record(ResultStore kept) {
     records = kept;
-    most = Math.min(kept.maxKeys(), room.mostKeysOnDisk());
+    most = Math.min(kept.maxKeys(), room.maxKeysWithResultsOnDisk());
     if (most < kept.maxKeys()) {
       Logger.warn("memory holds {} keys of the {} that are set", most, kept.maxKeys());
     }
-    keys.record(most);
+    keys.enablePersistence(most);
   }
 
   /** True where results are kept; also without the lock. */
@@ -58,7 +59,7 @@
 
   /** Keys known at most. */
   int mostKeys() {
-    return records == null ? room.mostKeys() : most;
+    return records == null ? room.maxKeys() : most;
   }
 
   /** The figures of kept results, empty where none are kept; also without the lock. */
@@ -85,18 +86,18 @@
         false);
   }
 
-  private ResultStore.KeyRecord keyed(IdempotencyTable.Entry<InFlightRequest> entry) {
+  private ResultStore.KeyRecord keyed(KeyEntry<InFlightRequest> entry) {
     return new ResultStore.KeyRecord(
         entry.key(),
-        entry.lastDoor(),
-        core.window(InFlightRequest.classOf(entry.key())) + IdempotencyTable.SLACK,
-        entry.asked().brief());
+        entry.coveredUntilMillis(),
+        core.window(InFlightRequest.classOf(entry.key())) + IdempotencyTable.WINDOW_SLACK_SECONDS,
+        entry.body().checksum());
   }
 
   /** True while the intent of this try's run is on its way to the disk. */
   boolean recording(InFlightRequest task) {
     return task.entry != null
-        && task.entry.holder() == task
+        && task.entry.attempt() == task
         && task.entry.state() == KeyState.RECORDING;
   }
 
@@ -142,7 +143,7 @@
       // Nobody waits any more, and nothing ran: a further try may.
       neverBegun(task, null);
     } else {
-      keys.recorded(task.entry);
+      keys.intentRecorded(task.entry);
       task.step(InFlightRequest.Step.of(InFlightRequest.Kind.SPAWN));
     }
   }
@@ -164,7 +165,7 @@
   }
 
   /** A run of this key was never begun. */
-  void voided(IdempotencyTable.Entry<InFlightRequest> entry) {
+  void voided(KeyEntry<InFlightRequest> entry) {
     if (records != null && between.isOwner()) {
       records.discardIntent(keyed(entry));
     }
@@ -173,13 +174,13 @@
   /**
    * A run of this key is over, and the key knows it; the result is null where it has none to give.
    */
-  void ended(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  void ended(KeyEntry<InFlightRequest> entry, byte[] result) {
     if (records != null && between.isOwner()) {
       save(entry, result);
     }
   }
 
-  private void save(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  private void save(KeyEntry<InFlightRequest> entry, byte[] result) {
     records.writeResult(
         keyed(entry),
         result,
@@ -196,7 +197,7 @@
   /** What the other process of the box was to write, and is gone, is written here. */
   void saveUnsaved() {
     if (records != null) {
-      keys.unsaved().forEach(entry -> save(entry, keys.result(entry)));
+      keys.entriesBeingSaved().forEach(entry -> save(entry, keys.result(entry)));
     }
   }
 
@@ -204,13 +205,13 @@
    * A result is on disk, or with a place below 0 cannot be: its intent is, so it never runs again,
    * and is answered.
    */
-  void saved(IdempotencyTable.Entry<InFlightRequest> entry, long place) {
+  void saved(KeyEntry<InFlightRequest> entry, long place) {
     if (entry.state() != KeyState.SAVING) {
       return;
     }
-    keys.saved(entry, place);
-    if (entry.holder() != null) {
-      core.answer(entry.holder(), Answer.served(keys.result(entry)));
+    keys.resultSaved(entry, place);
+    if (entry.attempt() != null) {
+      core.answer(entry.attempt(), Answer.served(keys.result(entry)));
       if (between.peer() != null && !between.isOwner()) {
         // It was on its way when the keys were handed over.
         between.peer().sendCompletion(entry.key(), keys.result(entry));
@@ -224,14 +225,14 @@
 
   /** The other process is about to run a key that it has in hand: its intent is written here. */
   void intendElsewhere(String key) {
-    IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
+    KeyEntry<InFlightRequest> entry = keys.find(key);
     PeerProcess asks = between.peer();
     if (asks == null) {
       return;
     }
     boolean asked =
         records != null
-            && keys.elsewhere(entry)
+            && keys.isOwnedByPeer(entry)
             && records.writeIntent(keyed(entry), place -> asks.sendIntentOutcome(key, place >= 0))
                 != null;
     if (!asked) {
--- a/src/main/java/wharftrestle/rollout/controller/RolloutController.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutController.java
@@ -335,7 +335,7 @@
   private void write(String what, String box, String to, String why) throws IOException {
     journal.add(
         new JournalEntry(
-            SteadyWallClock.now(),
+            SteadyWallClock.wallMillis(),
             what,
             lease.epoch(),
             lease.controller(),
--- a/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
+++ b/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.idempotency.KeyMemoryBudget;
 
 /** What a process makes of the keys that its predecessor sends. */
@@ -30,10 +31,10 @@
             }
 
             @Override
-            public void onPeerCompletion(IdempotencyTable.Entry<String> entry, byte[] result) {}
+            public void onPeerCompletion(KeyEntry<String> entry, byte[] result) {}
 
             @Override
-            public void onPeerRelease(IdempotencyTable.Entry<String> entry) {}
+            public void onPeerRelease(KeyEntry<String> entry) {}
 
             @Override
             public void wakeWaiters(String key, boolean granted) {}
@@ -48,11 +49,11 @@
 
   @Test
   void fullTableReceivedSlowly_fitsAsItsOldestKeysExpire() {
-    int maxKeys = budget.mostKeys();
+    int maxKeys = budget.maxKeys();
     for (int i = 0; i < maxKeys; i++) {
       assertTrue(receive("first " + i, 1, 100), "the table of the other one fits");
     }
-    assertTrue(budget.mostKeys() > 20);
+    assertTrue(budget.maxKeys() > 20);
     for (int i = 0; i < maxKeys; i++) {
       assertTrue(receive("second " + i, 20, 104), "what is over by now takes no room");
     }
@@ -62,7 +63,7 @@
 
   @Test
   void keyThatDoesNotFit_failsUnknownKeysUntilItsWindowIsOver() {
-    int maxKeys = budget.mostKeys();
+    int maxKeys = budget.maxKeys();
     for (int i = 0; i < maxKeys; i++) {
       assertTrue(receive("key " + i, 20, 100));
     }
