--- /dev/null
+++ b/src/main/java/wharftrestle/request/AdmissionActions.java
@@ -0,0 +1,204 @@
+package wharftrestle.request;
+
+import org.tinylog.Logger;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.idempotency.IdempotencyTable;
+
+/**
+ * Adapts what the admission module decides to steps of the request concerned, which that request's
+ * own thread carries out. Called by the module within its events, so guarded by the coordinator's
+ * lock; actions about requests that are over mean nothing.
+ */
+final class AdmissionActions implements Admission.Actions {
+  private final EventClock clock;
+  private final InFlightTable inFlight;
+  private final AdmissionDriver admission;
+  private final AdmissionTimers timers;
+  private final CallerNotifier callers;
+  private final HostHealth health;
+  private final RequestDeadlines deadlines;
+  private final double maxRetryAfterSeconds;
+  private final KeyedRequests keyed;
+  private final ResultRecorder recorder;
+  private final Executions executions;
+  private volatile double idleTimeoutSeconds;
+
+  AdmissionActions(RequestParts parts) {
+    clock = parts.clock;
+    inFlight = parts.inFlight;
+    admission = parts.admission;
+    timers = parts.timers;
+    callers = parts.callers;
+    health = parts.health;
+    deadlines = parts.deadlines;
+    maxRetryAfterSeconds = parts.settings.maxRetryAfter();
+    keyed = parts.keyed;
+    recorder = parts.recorder;
+    executions = parts.executions;
+  }
+
+  /** Seconds an idle connection may stay; 0 for as long as its peer likes; without the lock. */
+  double idleTimeoutSeconds() {
+    return idleTimeoutSeconds;
+  }
+
+  @Override
+  public void start(long id) {
+    InFlightRequest request = inFlight.withId(id);
+    if (request == null || request.isDispatched) {
+      return;
+    }
+    request.startedAtSeconds = clock.now();
+    if (request.key != null && !startKey(request)) {
+      return;
+    }
+    request.isDispatched = true;
+    request.enqueue(
+        recorder.isWritingIntent(request)
+            ? InFlightRequest.Step.WRITE_INTENT
+            : InFlightRequest.Step.DISPATCH);
+  }
+
+  /** True where this request executes for its key. */
+  private boolean startKey(InFlightRequest request) {
+    IncomingRequest incoming = request.incoming;
+    IdempotencyTable<InFlightRequest> keys = keyed.table();
+    IdempotencyTable.Entry<InFlightRequest> known = keys.find(request.key);
+    boolean hasExecuted = known != null && known.ran() && known.covers(incoming.receivedAtMillis());
+    if (!hasExecuted && !keyed.reserveMemory(request)) {
+      rejectForMemory(request);
+      return false;
+    }
+    request.entry =
+        keys.start(
+            request.key,
+            incoming.body(),
+            incoming.receivedAtMillis(),
+            deadlines.idempotencyWindowSeconds(incoming.classIndex()),
+            clock.now(),
+            request);
+    if (!request.holdsKey()) {
+      // Whatever the module knows of the key: it must not execute twice.
+      Logger.warn("second execution of a key prevented reference={}", incoming.reference());
+      keyed.attach(request);
+      return false;
+    }
+    return true;
+  }
+
+  // It came as a duplicate of a request that never executed, so nothing was reserved on arrival.
+  private void rejectForMemory(InFlightRequest request) {
+    request.isDispatched = true;
+    request.isNeverSent = true;
+    admission.runAfterInstant(
+        () -> {
+          callers.answer(request, keyed.rejectedForMemory(clock.now(), maxRetryAfterSeconds));
+          keyed.release(request);
+          executions.complete(request, Outcome.VOID, 0, null);
+        });
+  }
+
+  @Override
+  public void refuse(long id, boolean fleetOverloaded, double retryAfterSeconds) {
+    InFlightRequest request = inFlight.withId(id);
+    if (request != null) {
+      // A rejection promises that the key has not executed: after an execution it is a failure.
+      boolean hasExecuted = request.entry != null && request.entry.ran();
+      callers.answer(
+          request,
+          hasExecuted ? Answer.failed() : Answer.rejected(retryAfterSeconds, fleetOverloaded));
+    }
+  }
+
+  @Override
+  public void fail(long id) {
+    InFlightRequest request = inFlight.withId(id);
+    if (request != null) {
+      callers.answer(request, request.hasFailedCall ? Answer.failed() : Answer.deadlineExceeded());
+      if (request.isAttached) {
+        keyed.leave(request);
+      }
+    }
+  }
+
+  @Override
+  public void stop(long id) {
+    InFlightRequest request = inFlight.withId(id);
+    if (request == null) {
+      return;
+    }
+    if (recorder.isWritingIntent(request)) {
+      admission.runAfterInstant(() -> withdraw(request));
+    } else if (request.isExecuting()) {
+      request.enqueue(InFlightRequest.Step.SUSPEND);
+    }
+  }
+
+  private void withdraw(InFlightRequest request) {
+    if (recorder.isWritingIntent(request)) {
+      recorder.withdraw(request);
+    }
+  }
+
+  @Override
+  public void call(long id, double callBySeconds) {
+    InFlightRequest request = inFlight.withId(id);
+    if (request != null && !request.isCompleted) {
+      request.callStartedAtSeconds = clock.now();
+      request.enqueue(InFlightRequest.Step.callDependency(callBySeconds));
+    }
+  }
+
+  @Override
+  public void skipCall(long id) {
+    InFlightRequest request = inFlight.withId(id);
+    if (request != null && !request.isCompleted) {
+      request.enqueue(InFlightRequest.Step.skipCall(request.callNotice));
+    }
+  }
+
+  @Override
+  public void keep(long id, double seconds) {
+    InFlightRequest request = inFlight.withId(id);
+    if (request != null && request.key != null) {
+      keyed.hold(request);
+    }
+  }
+
+  @Override
+  public void release(long id) {
+    InFlightRequest request = inFlight.withId(id);
+    if (request != null) {
+      keyed.release(request);
+    }
+  }
+
+  @Override
+  public void attach(long id) {
+    InFlightRequest request = inFlight.withId(id);
+    if (request != null) {
+      keyed.attach(request);
+    }
+  }
+
+  @Override
+  public void health(boolean isHealthy, boolean fromStore) {
+    health.moduleDecided(isHealthy);
+  }
+
+  @Override
+  public void idleLimit(double seconds) {
+    idleTimeoutSeconds = seconds;
+  }
+
+  @Override
+  public void timer(long label, double delaySeconds) {
+    timers.schedule(label, delaySeconds);
+  }
+
+  @Override
+  public void log(String line) {
+    Logger.info("module: {}", line);
+  }
+}
--- /dev/null
+++ b/src/main/java/wharftrestle/request/AdmissionTimers.java
@@ -0,0 +1,131 @@
+package wharftrestle.request;
+
+import java.util.PriorityQueue;
+import java.util.concurrent.locks.Condition;
+import java.util.concurrent.locks.ReentrantLock;
+import org.tinylog.Logger;
+
+/**
+ * The timers of the admission module, and the gauges of the worker pool that go with them. One
+ * thread runs {@link #run}; it holds the coordinator's lock, which guards all fields, but while it
+ * waits.
+ */
+final class AdmissionTimers {
+
+  /** Seconds a timer waits for the gauges that it asked for. */
+  private static final double GAUGE_WAIT_SECONDS = 0.015;
+
+  private static final double IDLE_WAIT_SECONDS = 1;
+
+  /** Seconds after which a timer that ended by a fault fires again. */
+  private static final double RETRY_SECONDS = 0.1;
+
+  private static final double[] NO_GAUGES = {};
+
+  private record Timer(double dueAtSeconds, long label) {}
+
+  private final ReentrantLock lock;
+  private final Condition timerWork;
+  private final Condition gaugesArrived;
+  private final EventClock clock;
+  private final AdmissionDriver admission;
+  private final PriorityQueue<Timer> timers =
+      new PriorityQueue<>((a, b) -> Double.compare(a.dueAtSeconds(), b.dueAtSeconds()));
+  private WorkerPool workerPool;
+  private double[] gauges = NO_GAUGES;
+  private long gaugeReports;
+
+  /** The condition is of the lock, and is signalled whenever there is something to do earlier. */
+  AdmissionTimers(
+      ReentrantLock lock, Condition timerWork, EventClock clock, AdmissionDriver admission) {
+    this.lock = lock;
+    this.timerWork = timerWork;
+    this.gaugesArrived = lock.newCondition();
+    this.clock = clock;
+    this.admission = admission;
+  }
+
+  /** Starts the timer thread. */
+  void start(WorkerPool gaugeSource) {
+    workerPool = gaugeSource;
+    PlatformThreads.restartingThread("timer", this::run).start();
+  }
+
+  /** Called under the lock, by the module. */
+  void schedule(long label, double delaySeconds) {
+    timers.add(new Timer(clock.now() + delaySeconds, label));
+    timerWork.signal();
+  }
+
+  /** Called under the lock. */
+  void gaugesReceived(double[] values) {
+    gauges = values;
+    gaugeReports++;
+    gaugesArrived.signal();
+  }
+
+  private void run() {
+    lock.lock();
+    try {
+      for (; ; ) {
+        Timer first = timers.peek();
+        double now = clock.now();
+        double batchIn = admission.batchEndsAtSeconds() - now;
+        double timerIn = first == null ? IDLE_WAIT_SECONDS : first.dueAtSeconds() - now;
+        if (Math.min(batchIn, timerIn) > 0) {
+          timerWork.awaitNanos(EventClock.waitNanos(Math.min(batchIn, timerIn)));
+        } else if (batchIn < timerIn) {
+          endBatch();
+        } else {
+          fire(first);
+        }
+      }
+    } catch (InterruptedException e) {
+      throw new IllegalStateException("nobody interrupts the timer", e);
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  private void endBatch() {
+    double now = clock.now();
+    try {
+      admission.settle(now);
+    } catch (RuntimeException | Error fault) {
+      retry(now, 0, fault);
+    }
+  }
+
+  private void fire(Timer timer) throws InterruptedException {
+    double[] fresh = freshGauges();
+    double now = clock.now();
+    try {
+      timers.remove(timer);
+      admission.events().timer(now, timer.label(), fresh);
+      admission.settle(now);
+    } catch (RuntimeException | Error fault) {
+      retry(now, timer.label(), fault);
+    }
+  }
+
+  // Without a timer no queued request would ever be answered.
+  private void retry(double now, long label, Throwable fault) {
+    Logger.error(fault, "admission timer failed retrySeconds={}", RETRY_SECONDS);
+    timers.add(new Timer(now + RETRY_SECONDS, label));
+  }
+
+  /**
+   * Gauges read now; none where the worker pool does not send them in time, as old ones mislead.
+   */
+  private double[] freshGauges() throws InterruptedException {
+    long reportsBefore = gaugeReports;
+    if (!workerPool.pollGauges()) {
+      return NO_GAUGES;
+    }
+    long nanosLeft = EventClock.waitNanos(GAUGE_WAIT_SECONDS);
+    while (gaugeReports == reportsBefore && nanosLeft > 0) {
+      nanosLeft = gaugesArrived.awaitNanos(nanosLeft);
+    }
+    return gaugeReports == reportsBefore ? NO_GAUGES : gauges;
+  }
+}
--- /dev/null
+++ b/src/main/java/wharftrestle/request/DependencyCalls.java
@@ -0,0 +1,114 @@
+package wharftrestle.request;
+
+import java.util.concurrent.locks.ReentrantLock;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
+
+/**
+ * Makes and cancels the dependency calls of executions, on the threads of their requests, and takes
+ * their responses on those of the client. Its methods take the coordinator's lock themselves and
+ * never hold it while they use the client.
+ */
+final class DependencyCalls {
+  private static final double MILLIS_PER_SECOND = 1000;
+
+  private final ReentrantLock lock;
+  private final Admission.Settings settings;
+  private final Counters counters;
+  private final EventClock clock;
+  private final AdmissionDriver admission;
+  private DependencyClient client;
+
+  DependencyCalls(
+      ReentrantLock lock,
+      Admission.Settings settings,
+      Counters counters,
+      EventClock clock,
+      AdmissionDriver admission) {
+    this.lock = lock;
+    this.settings = settings;
+    this.counters = counters;
+    this.clock = clock;
+    this.admission = admission;
+  }
+
+  void start(DependencyClient dependency) {
+    client = dependency;
+  }
+
+  /** Sends the call that the execution is blocked on, unless it has ended meanwhile. */
+  void begin(InFlightRequest request, double callBySeconds) {
+    counters.add(Count.DEPENDENCY_CALLS);
+    byte[] body;
+    int number;
+    long timeoutMillis;
+    lock.lock();
+    try {
+      if (request.isCompleted) {
+        return;
+      }
+      body = request.callBody;
+      number = ++request.callNumber;
+      timeoutMillis = Math.max(1, Math.round((callBySeconds - clock.now()) * MILLIS_PER_SECOND));
+    } finally {
+      lock.unlock();
+    }
+    Admission.RequestClass type = settings.classes().get(request.incoming.classIndex());
+    DependencyCall call =
+        client.call(
+            request.incoming.reference(),
+            body,
+            timeoutMillis,
+            type.repeat() == Admission.Repeat.SAFE,
+            (outcome, response) -> completed(request, number, outcome, response));
+    lock.lock();
+    try {
+      if (request.callNumber == number) {
+        request.call = call;
+      }
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  /** Cancels the call of an execution that has ended. */
+  void cancel(InFlightRequest request) {
+    DependencyCall call;
+    lock.lock();
+    try {
+      call = request.call;
+      request.call = null;
+    } finally {
+      lock.unlock();
+    }
+    if (call != null) {
+      call.cancel();
+    }
+  }
+
+  private void completed(InFlightRequest request, int number, Outcome outcome, byte[] response) {
+    counters.add(
+        outcome == Outcome.SUCCESS
+            ? Count.DEPENDENCY_CALLS_SUCCEEDED
+            : Count.DEPENDENCY_CALLS_UNSUCCESSFUL);
+    lock.lock();
+    try {
+      if (request.callNumber != number) {
+        return;
+      }
+      request.callNumber++;
+      request.call = null;
+      request.hasFailedCall = outcome != Outcome.SUCCESS && outcome != Outcome.TIMED_OUT;
+      double now = clock.now();
+      if (outcome == Outcome.SUCCESS) {
+        request.enqueue(InFlightRequest.Step.deliverResponse(response));
+      }
+      admission.events().callEnded(now, request.id, outcome, now - request.callStartedAtSeconds);
+      admission.settleSoon(now);
+    } finally {
+      lock.unlock();
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/wharftrestle/request/Executions.java
@@ -0,0 +1,105 @@
+package wharftrestle.request;
+
+import java.util.List;
+import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
+
+/**
+ * What the worker pool reports of executions, and what their ends mean for the request, its key and
+ * the admission module. Guarded by the coordinator's lock.
+ */
+final class Executions {
+  private final Counters counters;
+  private final EventClock clock;
+  private final InFlightTable inFlight;
+  private final AdmissionDriver admission;
+  private final CallerNotifier callers;
+  private final KeyedRequests keyed;
+  private final ResultRecorder recorder;
+
+  Executions(
+      Counters counters,
+      EventClock clock,
+      InFlightTable inFlight,
+      AdmissionDriver admission,
+      CallerNotifier callers,
+      KeyedRequests keyed,
+      ResultRecorder recorder) {
+    this.counters = counters;
+    this.clock = clock;
+    this.inFlight = inFlight;
+    this.admission = admission;
+    this.callers = callers;
+    this.keyed = keyed;
+    this.recorder = recorder;
+  }
+
+  /** The result is null unless the execution succeeded; unknown references mean nothing. */
+  void completed(String reference, Outcome outcome, double elapsedSeconds, byte[] result) {
+    InFlightRequest request = inFlight.executing(reference);
+    if (request != null) {
+      complete(request, outcome, elapsedSeconds, result);
+    }
+  }
+
+  /** An execution is blocked on a dependency call, announced in this notice. */
+  void blocked(String reference, long noticeNumber, byte[] callBody) {
+    InFlightRequest request = inFlight.executing(reference);
+    if (request == null) {
+      return;
+    }
+    request.callNotice = noticeNumber;
+    request.hasFailedCall = false;
+    request.callBody = callBody;
+    double now = clock.now();
+    admission.events().standsAtCall(now, request.id);
+    admission.settleSoon(now);
+  }
+
+  /** The worker pool has restarted: what executed there is over, and may have had its effect. */
+  void workerPoolRestarted() {
+    for (InFlightRequest request : List.copyOf(inFlight.all())) {
+      if (request.isExecuting() && !recorder.isWritingIntent(request)) {
+        double elapsed = clock.now() - request.startedAtSeconds;
+        complete(request, Outcome.BROKEN, elapsed, null);
+      }
+    }
+  }
+
+  /** An execution that was decided is over, or was never begun and so is void. */
+  void complete(InFlightRequest request, Outcome outcome, double elapsedSeconds, byte[] result) {
+    if (!recorder.isWritingIntent(request) && !request.isNeverSent) {
+      counters.add(
+          outcome == Outcome.SUCCESS ? Count.EXECUTIONS_SUCCEEDED : Count.EXECUTIONS_UNSUCCESSFUL);
+    }
+    request.isCompleted = true;
+    cancelCall(request);
+    if (!completeKey(request, outcome, result)) {
+      callers.answer(request, outcome == Outcome.SUCCESS ? Answer.served(result) : Answer.failed());
+    }
+    request.changed.signal();
+    double now = clock.now();
+    admission.events().ended(now, request.id, outcome, elapsedSeconds);
+    admission.settleSoon(now);
+  }
+
+  private static void cancelCall(InFlightRequest request) {
+    request.callNumber++;
+    if (request.call != null) {
+      request.enqueue(InFlightRequest.Step.CANCEL_CALL);
+    }
+  }
+
+  /** True where the answer waits until the result is on disk. */
+  private boolean completeKey(InFlightRequest request, Outcome outcome, byte[] result) {
+    if (!request.holdsKey()) {
+      return false;
+    }
+    if (outcome == Outcome.VOID) {
+      keyed.neverExecuted(request.entry);
+      return false;
+    }
+    return keyed.complete(request.entry, outcome == Outcome.SUCCESS ? result : null);
+  }
+}
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -5,83 +5,161 @@
 import wharftrestle.idempotency.IdempotencyTable;
 
 /**
- * One request in hand, and the steps that its own thread has yet to carry out. All but the final
- * fields is guarded by the core's lock.
+ * One request in flight, and the steps that its own thread has yet to carry out. All but the final
+ * fields is guarded by the coordinator's lock.
  */
 final class InFlightRequest implements Acceptance.InFlight {
 
   /** What a step does. */
-  enum Kind {
-    INTEND,
-    SPAWN,
-    SUPPLY,
-    PASS,
+  enum StepKind {
+    WRITE_INTENT,
+    DISPATCH,
+    DELIVER_RESPONSE,
+    SKIP_CALL,
     SUSPEND,
-    CALL,
-    ABANDON,
-    REPLAY,
+    CALL_DEPENDENCY,
+    CANCEL_CALL,
+    REPLAY_RESULT,
     ANSWER
   }
 
-  /** One thing to carry out; {@code until} is a time or a notice's number. */
-  record Step(Kind kind, byte[] bytes, double until, Answer answer) {
-    static Step of(Kind kind) {
-      return new Step(kind, null, 0, null);
+  /**
+   * One thing to carry out without the lock.
+   *
+   * @param response to deliver; null but for DELIVER_RESPONSE
+   * @param callBySeconds the call may not last longer; CALL_DEPENDENCY only
+   * @param noticeNumber announced the call to skip; SKIP_CALL only
+   * @param answer null but for ANSWER
+   */
+  record Step(
+      StepKind kind, byte[] response, double callBySeconds, long noticeNumber, Answer answer) {
+
+    static final Step WRITE_INTENT = plain(StepKind.WRITE_INTENT);
+    static final Step DISPATCH = plain(StepKind.DISPATCH);
+    static final Step SUSPEND = plain(StepKind.SUSPEND);
+    static final Step CANCEL_CALL = plain(StepKind.CANCEL_CALL);
+    static final Step REPLAY_RESULT = plain(StepKind.REPLAY_RESULT);
+
+    private static Step plain(StepKind kind) {
+      return new Step(kind, null, 0, 0, null);
+    }
+
+    static Step deliverResponse(byte[] response) {
+      return new Step(StepKind.DELIVER_RESPONSE, response, 0, 0, null);
+    }
+
+    static Step callDependency(double callBySeconds) {
+      return new Step(StepKind.CALL_DEPENDENCY, null, callBySeconds, 0, null);
+    }
+
+    static Step skipCall(long noticeNumber) {
+      return new Step(StepKind.SKIP_CALL, null, 0, noticeNumber, null);
+    }
+
+    static Step answer(Answer answer) {
+      return new Step(StepKind.ANSWER, null, 0, 0, answer);
     }
   }
 
   final long id;
-  final IncomingRequest arrival;
-  final String key; // of this class and tenant only: another's result is never theirs
-  final AnswerListener caller;
-  final Condition signal;
+  final IncomingRequest incoming;
+
+  /** Null without one; with its class and tenant, so that no other's result is ever theirs. */
+  final String key;
+
+  final AnswerListener listener;
+  final Condition changed;
   final ArrayDeque<Step> steps = new ArrayDeque<>();
-  double backstop;
-  boolean answered; // or its caller is gone: the one state change
-  boolean spawned; // a run was asked for
-  boolean runOver; // and is known to be over
-  boolean attached;
-  double since; // start or attachment
-  long notice; // of the call it stands at
+
+  /** When its answer, and once answered its completion, is forced. */
+  double backstopSeconds;
+
+  /** Its answer is fixed, or its caller is gone. */
+  boolean isAnswered;
+
+  /** The admission module, or a check before it, has decided on it. */
+  boolean hasArrived;
+
+  boolean isDispatched;
+  boolean isCompleted;
+
+  /** Its execution was decided and then rejected: the worker pool never hears of it. */
+  boolean isNeverSent;
+
+  /** Waits for the execution of another request with its key. */
+  boolean isAttached;
+
+  /** Start of its execution or attachment. */
+  double startedAtSeconds;
+
+  /** The worker pool's number of the notice of the call that it is blocked on. */
+  long callNotice;
+
   byte[] callBody;
   DependencyCall call;
-  boolean callFailed; // not by time: what the module then fails did not lapse
+
+  /** Counts calls and their ends, so that a late end of an earlier call is known as such. */
   int callNumber;
-  double callSince;
+
+  double callStartedAtSeconds;
+
+  /** Its last call failed otherwise than by time. */
+  boolean hasFailedCall;
+
   IdempotencyTable.Entry<InFlightRequest> entry;
-  boolean arrived; // at the module, or before it
-  boolean granted; // its key, by the process that owns all keys
-  PendingIntent intent; // on its way to the disk
-  double recordBy; // or its run is not begun
-  boolean promised; // room to know its key to the end
-  boolean unsent; // a run was decided and turned away: the worker pool never hears of it
-
-  InFlightRequest(long id, IncomingRequest arrival, AnswerListener caller, Condition signal) {
+
+  /** The process that owns all keys lets this one decide on its key. */
+  boolean isKeyGranted;
+
+  /** On its way to the disk; null for none. */
+  PendingIntent pendingIntent;
+
+  /** Its execution is not begun where its intent is not on disk by then. */
+  double intentBySeconds;
+
+  /** Memory is reserved to know its key to the end. */
+  boolean hasReservation;
+
+  InFlightRequest(long id, IncomingRequest incoming, AnswerListener listener, Condition changed) {
     this.id = id;
-    this.arrival = arrival;
+    this.incoming = incoming;
     this.key =
-        arrival.idempotencyKey() == null
+        incoming.idempotencyKey() == null
             ? null
-            : arrival.classIndex() + "/" + arrival.tenantIndex() + "/" + arrival.idempotencyKey();
-    this.caller = caller;
-    this.signal = signal;
+            : incoming.classIndex()
+                + "/"
+                + incoming.tenantIndex()
+                + "/"
+                + incoming.idempotencyKey();
+    this.listener = listener;
+    this.changed = changed;
   }
 
-  /** The place of a key's class, which leads its text. */
-  static int classOf(String key) {
+  /** The index of a key's class, which leads its text. */
+  static int classIndexOf(String key) {
     return Integer.parseInt(key.substring(0, key.indexOf('/')));
   }
 
-  boolean sameKey(InFlightRequest that) {
+  boolean hasSameKey(InFlightRequest that) {
     return key.equals(that.key);
   }
 
-  boolean over() {
-    return answered && (!spawned || runOver);
+  boolean isExecuting() {
+    return isDispatched && !isCompleted;
+  }
+
+  /** Nothing of it is left but the steps that are queued. */
+  boolean isOver() {
+    return isAnswered && !isExecuting();
+  }
+
+  /** True where it is the one whose execution its key knows. */
+  boolean holdsKey() {
+    return entry != null && entry.holder() == this;
   }
 
-  void step(Step step) {
+  void enqueue(Step step) {
     steps.add(step);
-    signal.signal();
+    changed.signal();
   }
 }
--- a/src/main/java/wharftrestle/request/IncomingRequest.java
+++ b/src/main/java/wharftrestle/request/IncomingRequest.java
@@ -1,5 +1,7 @@
 package wharftrestle.request;
 
+import wharftrestle.time.SteadyWallClock;
+
 /**
  * One attempt of a client's request as a frontend read it.
  *
@@ -11,8 +13,7 @@
  * @param expectedWorkSeconds work on one core, rough; 0 where not known
  * @param idempotencyKey null where there is none
  * @param subject what it is about; null where not known
- * @param receivedAtMillis when it reached the host, on the {@link
- *     wharftrestle.time.SteadyWallClock}'s even scale
+ * @param receivedAtMillis when it reached the host, on the {@link SteadyWallClock}'s even scale
  */
 public record IncomingRequest(
     String reference,
@@ -26,4 +27,12 @@
     String idempotencyKey,
     String subject,
     long receivedAtMillis,
-    byte[] body) {}
+    byte[] body) {
+
+  private static final double MILLIS_PER_SECOND = 1000;
+
+  /** Seconds since it reached the host, on clocks that may differ: never less than 0. */
+  double queueingDelaySeconds() {
+    return Math.max(0, (SteadyWallClock.even() - receivedAtMillis) / MILLIS_PER_SECOND);
+  }
+}
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -1,8 +1,7 @@
 package wharftrestle.request;
 
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
+import java.util.concurrent.locks.ReentrantLock;
 import org.tinylog.Logger;
 import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.KeyOwnershipTransfer;
@@ -11,411 +10,314 @@
 import wharftrestle.handover.PeerProcess.SettledKey;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.idempotency.KeyMemoryBudget;
 
 /**
- * The core's face for the other process of its box: each word of that process enters here, under
- * the core's lock, and {@link KeyOwnershipTransfer} decides what it means. It owns the tries that
- * wait for that process's word. It must never hold the lock while it waits for the other side.
+ * Takes the steps of a handover and the messages of the peer process, each under the coordinator's
+ * lock, to {@link KeyOwnershipTransfer}, which decides what they mean. Called by the link between
+ * both processes and by the handover; never holds the lock while it waits for the peer.
  */
-public final class PeerCoordinator implements KeyOwnershipTransfer.Host<InFlightRequest> {
-  private final RequestCoordinator core;
+public final class PeerCoordinator {
+
+  /** Part of the host's memory and dependency capacity that each of two processes has. */
+  private static final double SHARE_OF_TWO = 0.5;
+
+  private final ReentrantLock lock;
+  private final EventClock clock;
+  private final AdmissionDriver admission;
   private final IdempotencyTable<InFlightRequest> keys;
-  private final KeyOwnershipTransfer<InFlightRequest> between;
-  private final Set<InFlightRequest> asking = new HashSet<>();
+  private final KeyOwnershipTransfer<InFlightRequest> ownership;
+  private final PeerClaims claims;
+  private final KeyMemoryBudget memory;
   private ResultRecorder recorder;
-  private double roomlessUntil = Double.NEGATIVE_INFINITY;
-
-  PeerCoordinator(RequestCoordinator core, IdempotencyTable<InFlightRequest> keys) {
-    this.core = core;
-    this.keys = keys;
-    between = new KeyOwnershipTransfer<>(keys, this);
-  }
+  private double keysLostUntilSeconds = Double.NEGATIVE_INFINITY;
 
-  /** Before the first request. */
-  void records(ResultRecorder records) {
-    recorder = records;
+  PeerCoordinator(
+      ReentrantLock lock,
+      EventClock clock,
+      AdmissionDriver admission,
+      KeyedRequests keyed,
+      PeerClaims claims,
+      KeyMemoryBudget memory) {
+    this.lock = lock;
+    this.clock = clock;
+    this.admission = admission;
+    this.claims = claims;
+    this.memory = memory;
+    keys = keyed.table();
+    ownership = claims.ownership();
   }
 
-  KeyOwnershipTransfer<InFlightRequest> between() {
-    return between;
+  /** Before the first request; both refer to each other. */
+  void connect(ResultRecorder results) {
+    recorder = results;
   }
 
-  // ---- The steps of a hand-over ----
+  // ---- Steps of a handover ----
 
-  /** What is known of keys now, and what there is room for. */
+  /** The keys known now, and how many there can be. */
   public Capabilities.KeyCapacity keyCapacity() {
-    core.lock();
+    lock.lock();
     try {
       return new Capabilities.KeyCapacity(
-          keys.size(), recorder.mostKeys(), keys.resultBytes(), core.mostResultBytes());
+          keys.size(), recorder.maxKeys(), keys.resultBytes(), memory.mostResultBytes());
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
   /**
-   * Tells a process that asked all keys that are settled, and from now on what settles; this one
-   * owns them still. Waits for the other side, so the lock is held for one key at a time.
+   * Sends all settled keys to the peer, and from now on each that settles; this process still owns
+   * them. Waits for the peer, so the lock is held for one key at a time.
    *
-   * @return how many, or -1 where the other side did not take them, or nobody wants them any more
+   * @return how many were sent, or -1 where the peer did not take them
    */
   public int sendSettledKeys(PeerProcess to) {
     List<KeyDigest> all;
-    core.lock();
+    lock.lock();
     try {
-      all = between.startSendingKeys(to);
+      all = ownership.startSendingKeys(to);
     } finally {
-      core.unlock();
+      lock.unlock();
     }
-    return tell(to, all);
+    return send(to, all);
   }
 
-  /** The same for a process of format 1, which has been handed all by now. */
+  /** The same for a peer of format 1, which owns all keys by now. */
   public int sendSettledKeysAfterHandover(PeerProcess to) {
     List<KeyDigest> all;
-    core.lock();
+    lock.lock();
     try {
       all = keys.settled();
     } finally {
-      core.unlock();
+      lock.unlock();
     }
-    return tell(to, all);
+    return send(to, all);
   }
 
-  private int tell(PeerProcess to, List<KeyDigest> all) {
-    int told = 0;
-    for (KeyDigest key : all) {
-      SettledKey over;
-      core.lock();
+  private int send(PeerProcess to, List<KeyDigest> keysToSend) {
+    int sent = 0;
+    for (KeyDigest key : keysToSend) {
+      SettledKey settledKey;
+      lock.lock();
       try {
-        over = between.settledKey(key, recorder.on(), core.now());
+        settledKey = ownership.settledKey(key, recorder.isEnabled(), clock.now());
       } finally {
-        core.unlock();
+        lock.unlock();
       }
-      if (over != null) {
-        if (!to.sendSettledKey(over)) {
+      if (settledKey != null) {
+        if (!to.sendSettledKey(settledKey)) {
           return -1;
         }
-        told++;
+        sent++;
       }
     }
-    return told;
+    return sent;
   }
 
+  /** Keys that settle from now on are not sent any more. */
   public void stopSendingSettledKeys() {
-    core.lock();
+    lock.lock();
     try {
-      between.stopSendingKeys();
+      ownership.stopSendingKeys();
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
-  /** True where what settled while all was told could not be told. */
+  /** True where a key that settled during {@link #sendSettledKeys} could not be sent. */
   public boolean hasUnsentKeys() {
-    core.lock();
+    lock.lock();
     try {
-      return between.isLagging();
+      return ownership.isLagging();
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
   /**
-   * In one step hands all keys over, and with them the say about every further one. What is held or
-   * runs here stays here; its end is told.
+   * Makes the peer the owner of all keys in one step. Keys in flight here stay here, and their ends
+   * are sent.
+   *
+   * @return how many are in flight here
    */
   public int handOverKeys(PeerProcess to) {
-    core.lock();
+    lock.lock();
     try {
-      int handed = between.transferTo(to, core.now());
-      core.halved(true);
+      int handed = ownership.transferTo(to, clock.now());
+      admission.setShare(SHARE_OF_TWO);
       return handed;
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
   /**
-   * From here on the other process of this box is known; its keys follow, and this one is to own
-   * them all.
+   * From now on there is a peer, whose keys follow and which this process takes over from.
+   *
+   * @param stretchSeconds by which the peer's idempotency windows are shorter
    */
-  public void joinPeer(PeerProcess from, double stretch) {
-    core.lock();
+  public void joinPeer(PeerProcess from, double stretchSeconds) {
+    lock.lock();
     try {
-      between.attach(from, stretch);
-      core.halved(true);
+      ownership.attach(from, stretchSeconds);
+      admission.setShare(SHARE_OF_TWO);
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
-  /** This process took over and cannot go on: it has run nothing and gives all back. */
+  /** This process took over and cannot serve: it has executed nothing and returns all keys. */
   public void returnKeys() {
-    core.lock();
+    lock.lock();
     try {
-      between.returnOwnership();
-      wakeAll();
+      ownership.returnOwnership();
+      claims.wakeAll();
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
-  /**
-   * The other process is gone: what it had in hand has an unknown end, which fails and never runs
-   * again.
-   */
+  /** The peer is lost: its executions have an unknown end, so their keys fail from now on. */
   public void peerGone() {
-    core.lock();
+    lock.lock();
     try {
-      between.onPeerLost();
-      recorder.saveUnsaved();
-      wakeAll();
-      core.halved(false);
+      ownership.onPeerLost();
+      recorder.writeUnsavedResults();
+      claims.wakeAll();
+      admission.setShare(1);
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
-  /**
-   * Until a window is over no key that is not known may run: what ran here could not be carried
-   * along.
-   */
+  /** Unknown keys fail for this long, as some that have executed may be missing here. */
   public void failUnknownKeysFor(double seconds) {
-    core.lock();
+    lock.lock();
     try {
-      keys.blind(core.now() + seconds);
+      keys.blind(clock.now() + seconds);
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
-  private void wakeAll() {
-    asking.forEach(task -> task.signal.signal());
-  }
-
-  // ---- What the other process says ----
+  // ---- Messages of the peer ----
 
-  public void keySettled(SettledKey over) {
-    boolean first = false;
-    core.lock();
+  /** A key of the peer is settled. */
+  public void keySettled(SettledKey settledKey) {
+    boolean isFirstLost = false;
+    lock.lock();
     try {
-      double now = core.now();
-      if (!between.onKeyReceived(over, now)) {
-        first = now > roomlessUntil;
-        roomlessUntil = Math.max(roomlessUntil, now + over.secondsLeft());
+      double now = clock.now();
+      if (!ownership.onKeyReceived(settledKey, now)) {
+        isFirstLost = now > keysLostUntilSeconds;
+        keysLostUntilSeconds = Math.max(keysLostUntilSeconds, now + settledKey.secondsLeft());
       }
     } finally {
-      core.unlock();
+      lock.unlock();
     }
-    if (first) {
+    if (isFirstLost) {
       Logger.warn(
-          "there is no room for all keys of the other process: unknown ones fail for up to {} s",
-          Math.round(over.secondsLeft()));
+          "no memory for all keys of the peer process, unknown keys fail seconds={}",
+          Math.round(settledKey.secondsLeft()));
     }
   }
 
-  public void keyUpdated(KeyUpdate kept) {
-    core.lock();
+  /** The peer holds or executes a key, or has settled it. */
+  public void keyUpdated(KeyUpdate update) {
+    lock.lock();
     try {
-      between.onKeyReceived(kept, core.now());
-      core.settleIfUp();
+      ownership.onKeyReceived(update, clock.now());
+      admission.settleIfStarted();
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
+  /** An execution of the peer has ended; the result is null unless it succeeded. */
   public void executionCompleted(String key, byte[] result) {
-    core.lock();
+    lock.lock();
     try {
-      between.onPeerFinished(key, result);
-      core.settleIfUp();
+      ownership.onPeerFinished(key, result);
+      admission.settleIfStarted();
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
+  /** A key of the peer never executed, and is not held any more. */
   public void keyReleased(String key) {
-    core.lock();
+    lock.lock();
     try {
-      between.onPeerReleased(key);
-      core.settleIfUp();
+      ownership.onPeerReleased(key);
+      admission.settleIfStarted();
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
-  public void keyClaimed(String key, long door, byte[] body) {
-    KeyOwnershipTransfer.StoredReply<InFlightRequest> reread;
-    core.lock();
+  /** The peer asks to execute a key that this process owns. */
+  public void keyClaimed(String key, long receivedAtMillis, byte[] body) {
+    KeyOwnershipTransfer.StoredReply<InFlightRequest> reply;
+    lock.lock();
     try {
-      reread = between.onClaim(key, door, body, core.now());
+      reply = ownership.onClaim(key, receivedAtMillis, body, clock.now());
     } finally {
-      core.unlock();
+      lock.unlock();
     }
-    if (reread != null) {
-      // A settled key: where its result lies on disk it is read there, so not under the lock.
-      reread.send(
-          reread.entry().onDisk()
-              ? recorder.read(key, reread.entry().place())
-              : reread.resultInMemory());
+    if (reply != null) {
+      // The result of a settled key may have to be read from disk: not under the lock.
+      reply.send(
+          reply.entry().onDisk()
+              ? recorder.read(key, reply.entry().place())
+              : reply.resultInMemory());
     }
   }
 
+  /** The peer is about to execute a key that this process records. */
   public void intentRequested(String key) {
-    core.lock();
+    lock.lock();
     try {
-      recorder.intendElsewhere(key);
+      recorder.writeIntentForPeer(key);
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
-  public void intentWritten(String key, boolean written) {
-    core.lock();
+  /** The peer has written an intent for this process, or cannot. */
+  public void intentWritten(String key, boolean isWritten) {
+    lock.lock();
     try {
       IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
       if (entry != null && entry.holder() != null) {
-        recorder.intended(entry.holder(), written);
-        core.settleIfUp();
+        recorder.intentEnded(entry.holder(), isWritten);
+        admission.settleIfStarted();
       }
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
+  /** The peer has written a result for this process, or cannot. */
   public void resultSaved(String key) {
-    core.lock();
+    lock.lock();
     try {
       IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
       if (entry != null) {
-        recorder.saved(entry, -1);
+        recorder.resultEnded(entry, -1);
       }
     } finally {
-      core.unlock();
+      lock.unlock();
     }
   }
 
+  /** The peer lets this process execute a key. */
   public void keyGranted(String key) {
-    core.lock();
-    try {
-      wakeWaiters(key, true);
-    } finally {
-      core.unlock();
-    }
-  }
-
-  // ---- What the requests of this process ask and tell ----
-
-  /**
-   * A keyed request that this process reads after it handed all keys over waits for the owner's
-   * word.
-   */
-  void ask(InFlightRequest task) {
-    core.lock();
-    try {
-      if (!mustAsk(task)) {
-        return;
-      }
-      IncomingRequest a = task.arrival;
-      asking.add(task);
-      between.peer().sendClaim(task.key, a.receivedAtMillis(), a.body());
-      double due = core.due(a, core.now());
-      while (between.peer() != null
-          && !task.granted
-          && !task.answered
-          && !between.isKnown(task.key, a.receivedAtMillis())
-          && core.now() < due) {
-        task.signal.awaitNanos((long) ((due - core.now()) * 1e9) + 1);
-      }
-      asking.remove(task);
-    } catch (InterruptedException e) {
-      throw new IllegalStateException("nobody interrupts a request", e);
-    } finally {
-      core.unlock();
-    }
-  }
-
-  /**
-   * True where this try may not be taken before the other process was asked; also without the lock.
-   */
-  boolean mustAsk(InFlightRequest task) {
-    core.lock();
+    lock.lock();
     try {
-      return between.mustClaim(task.key, task.arrival.receivedAtMillis());
+      claims.wakeWaiters(key, true);
     } finally {
-      core.unlock();
-    }
-  }
-
-  /**
-   * True where this try may not be taken, as the process that owns its key is silent; under the
-   * lock.
-   */
-  boolean unasked(InFlightRequest task) {
-    return between.peer() != null && !between.isOwner() && !task.granted;
-  }
-
-  /**
-   * Guards against a second run should this process die early: the other one knows of this one
-   * before it begins.
-   */
-  void tellBeforeRun(InFlightRequest task) {
-    PeerProcess told;
-    KeyUpdate kept;
-    core.lock();
-    try {
-      told = between.peer();
-      kept = between.announcementBeforeExecution(task.entry, core.now());
-    } finally {
-      core.unlock();
-    }
-    if (kept != null) {
-      told.sendKeyAndAwaitWrite(kept);
-    }
-  }
-
-  /** This try is forgotten; the others in hand say whether its key is; under the lock. */
-  void forgotten(InFlightRequest task, Iterable<InFlightRequest> inHand) {
-    if (between.peer() == null || task.key == null) {
-      return;
-    }
-    boolean held = asking.stream().anyMatch(task::sameKey);
-    for (InFlightRequest each : inHand) {
-      held |= each.key != null && task.sameKey(each);
-    }
-    between.sendReleased(task.key, held);
-  }
-
-  // ---- What Between needs of the tries ----
-
-  @Override
-  public long arrivalUnixMillis(InFlightRequest holder) {
-    return holder.arrival.receivedAtMillis();
-  }
-
-  @Override
-  public double windowSeconds(String key) {
-    return core.window(InFlightRequest.classOf(key)) + IdempotencyTable.SLACK;
-  }
-
-  @Override
-  public void onPeerFinished(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
-    core.finish(entry, result);
-  }
-
-  @Override
-  public void onPeerReleased(IdempotencyTable.Entry<InFlightRequest> entry) {
-    recorder.voided(entry);
-  }
-
-  @Override
-  public void wakeWaiters(String key, boolean granted) {
-    for (InFlightRequest task : asking) {
-      if (key.equals(task.key)) {
-        task.granted |= granted;
-        task.signal.signal();
-      }
+      lock.unlock();
     }
   }
 }
--- /dev/null
+++ b/src/main/java/wharftrestle/request/RequestArrival.java
@@ -0,0 +1,158 @@
+package wharftrestle.request;
+
+import wharftrestle.admission.Admission;
+import wharftrestle.idempotency.IdempotencyTable;
+import wharftrestle.idempotency.KeyState;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
+
+/**
+ * Decides what a request meets before the admission module: guards against overfull tables and a
+ * worker pool that has not started, then the rules of its key. Guarded by the coordinator's lock.
+ */
+final class RequestArrival {
+
+  /** Tells the module of a duplicate whose execution is not of a request in flight here. */
+  private static final long DUPLICATE_OF_NO_REQUEST = -1;
+
+  private final Counters counters;
+  private final EventClock clock;
+  private final InFlightTable inFlight;
+  private final AdmissionDriver admission;
+  private final CallerNotifier callers;
+  private final RequestDeadlines deadlines;
+  private final double maxRetryAfterSeconds;
+  private final KeyedRequests keyed;
+  private final PeerClaims claims;
+  private final ResultRecorder recorder;
+
+  RequestArrival(RequestParts parts) {
+    counters = parts.counters;
+    clock = parts.clock;
+    inFlight = parts.inFlight;
+    admission = parts.admission;
+    callers = parts.callers;
+    deadlines = parts.deadlines;
+    maxRetryAfterSeconds = parts.settings.maxRetryAfter();
+    keyed = parts.keyed;
+    claims = parts.claims;
+    recorder = parts.recorder;
+  }
+
+  /** Submits the request to the module, or answers it. */
+  void arrive(InFlightRequest request) {
+    request.hasArrived = true;
+    if (request.isAnswered) {
+      return;
+    }
+    IdempotencyTable.Entry<InFlightRequest> known =
+        request.key == null ? null : keyed.table().find(request.key);
+    boolean mayHaveExecuted =
+        (known != null && known.ran()) || (request.key != null && !claims.ownsKeys());
+    if (inFlight.isFull()) {
+      // Each request in flight has a thread: a flood of them must not use up the memory.
+      rejectByGuard(request, mayHaveExecuted);
+    } else if (!admission.isStarted() && isAnsweredBy(known, request)) {
+      // A result from before the restart needs no worker pool to be given again.
+      request.backstopSeconds = deadlines.backstopSeconds(request.incoming, clock.now());
+      keyed.endAttached(request, known);
+    } else if (!admission.isStarted()) {
+      rejectByGuard(request, mayHaveExecuted);
+    } else if (inFlight.withReference(request.incoming.reference()) != null) {
+      // Its execution could not be told from the one in flight.
+      rejectByGuard(request, true);
+    } else {
+      takeIn(request);
+    }
+  }
+
+  private static boolean isAnsweredBy(
+      IdempotencyTable.Entry<InFlightRequest> known, InFlightRequest request) {
+    return known != null
+        && known.state() == KeyState.SERVED
+        && known.covers(request.incoming.receivedAtMillis())
+        && known.asked().same(request.incoming.body());
+  }
+
+  /** A rejection promises that nothing has executed: where that is not known, it is a failure. */
+  private void rejectByGuard(InFlightRequest request, boolean mayHaveExecuted) {
+    counters.add(Count.GUARD_REJECTIONS);
+    callers.answer(
+        request, mayHaveExecuted ? Answer.failed() : Answer.rejected(maxRetryAfterSeconds, false));
+  }
+
+  private void takeIn(InFlightRequest request) {
+    double now = clock.now();
+    request.backstopSeconds = deadlines.backstopSeconds(request.incoming, now);
+    inFlight.add(request);
+    keyed.expire(now);
+    if (request.key == null || isKeyAccepted(request, now)) {
+      submit(request, now);
+    }
+  }
+
+  private boolean isKeyAccepted(InFlightRequest request, double now) {
+    IdempotencyTable.Entry<InFlightRequest> prior =
+        keyed.table().meet(request.key, request.incoming.receivedAtMillis());
+    if (prior == null) {
+      return isNewKeyAccepted(request, now);
+    }
+    if (!prior.asked().same(request.incoming.body())) {
+      // The same key with another body is no duplicate: its result would answer what nobody asked.
+      counters.add(Count.INVALID);
+      callers.answer(request, Answer.conflict());
+      return false;
+    }
+    request.entry = prior;
+    return true;
+  }
+
+  private boolean isNewKeyAccepted(InFlightRequest request, double now) {
+    if (claims.isClaimUnanswered(request)) {
+      // The process that owns the key may have executed it: neither execute nor reject it here.
+      callers.answer(request, Answer.deadlineExceeded());
+      return false;
+    }
+    ResultStore.RejectionReason reason = recorder.rejectionReason();
+    if (reason != null) {
+      counters.add(Count.GUARD_REJECTIONS);
+      callers.answer(request, recorder.rejected(reason));
+      return false;
+    }
+    if (!keyed.reserveMemory(request)) {
+      callers.answer(request, keyed.rejectedForMemory(now, maxRetryAfterSeconds));
+      return false;
+    }
+    return true;
+  }
+
+  private void submit(InFlightRequest request, double now) {
+    IncomingRequest incoming = request.incoming;
+    admission
+        .events()
+        .arrived(
+            now,
+            new Admission.Request(
+                request.id,
+                incoming.isRetry(),
+                incoming.queueingDelaySeconds(),
+                incoming.classIndex(),
+                incoming.tenantIndex(),
+                incoming.memoryKb(),
+                incoming.callerId(),
+                incoming.expectedWorkSeconds(),
+                incoming.subject(),
+                duplicateOf(request),
+                0,
+                incoming.rank()));
+    admission.settle(now);
+  }
+
+  private static long duplicateOf(InFlightRequest request) {
+    if (request.entry == null) {
+      return 0;
+    }
+    InFlightRequest holder = request.entry.holder();
+    return holder == null ? DUPLICATE_OF_NO_REQUEST : holder.id;
+  }
+}
--- /dev/null
+++ b/src/main/java/wharftrestle/request/RequestLife.java
@@ -0,0 +1,272 @@
+package wharftrestle.request;
+
+import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.SynchronousQueue;
+import java.util.concurrent.ThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.ReentrantLock;
+import org.tinylog.Logger;
+import wharftrestle.admission.Admission;
+import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.metrics.Counters;
+import wharftrestle.metrics.Counters.Count;
+
+/**
+ * The life of each request, on a thread of its own: {@link #run} reads from its arrival to its last
+ * step. Steps are decided under the coordinator's lock and carried out without it.
+ */
+final class RequestLife {
+
+  /** Threads beyond the requests in flight, for those that have just ended. */
+  private static final int SPARE_THREADS = 32;
+
+  private static final int CORE_THREADS = 8;
+  private static final int THREAD_IDLE_SECONDS = 5;
+
+  private final ReentrantLock lock;
+  private final Admission.Settings settings;
+  private final Counters counters;
+  private final EventClock clock;
+  private final InFlightTable inFlight;
+  private final AdmissionDriver admission;
+  private final CallerNotifier callers;
+  private final KeyedRequests keyed;
+  private final PeerClaims claims;
+  private final ResultRecorder recorder;
+  private final Executions executions;
+  private final DependencyCalls dependencyCalls;
+  private final RequestArrival arrival;
+  private final ThreadPoolExecutor threads;
+  private WorkerPool workerPool;
+  private long latestId;
+
+  RequestLife(RequestParts parts, int maxInFlight) {
+    lock = parts.lock;
+    settings = parts.settings;
+    counters = parts.counters;
+    clock = parts.clock;
+    inFlight = parts.inFlight;
+    admission = parts.admission;
+    callers = parts.callers;
+    keyed = parts.keyed;
+    claims = parts.claims;
+    recorder = parts.recorder;
+    executions = parts.executions;
+    dependencyCalls = parts.dependencyCalls;
+    arrival = new RequestArrival(parts);
+    threads =
+        new ThreadPoolExecutor(
+            CORE_THREADS,
+            maxInFlight + SPARE_THREADS,
+            THREAD_IDLE_SECONDS,
+            TimeUnit.SECONDS,
+            new SynchronousQueue<>(),
+            task -> PlatformThreads.thread("request", task));
+  }
+
+  void start(WorkerPool workers) {
+    workerPool = workers;
+  }
+
+  /** Begins the life of a request, on the thread that read it. */
+  Acceptance begin(IncomingRequest incoming, AnswerListener listener) {
+    counters.requestReceived();
+    InFlightRequest request = create(incoming, listener);
+    if (!claims.mustClaim(request)) {
+      arrive(request); // most of what is rejected needs no thread of its own
+    }
+    if (isOverOnArrival(request)) {
+      runGuarded(request);
+      return Acceptance.Answered.ANSWERED;
+    }
+    try {
+      threads.execute(() -> runGuarded(request));
+    } catch (RejectedExecutionException | OutOfMemoryError noThread) {
+      failWithoutThread(request); // it is owed its answer all the same
+      runGuarded(request);
+      return Acceptance.Answered.ANSWERED;
+    }
+    return request;
+  }
+
+  private InFlightRequest create(IncomingRequest incoming, AnswerListener listener) {
+    lock.lock();
+    try {
+      return new InFlightRequest(++latestId, incoming, listener, lock.newCondition());
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  private void arrive(InFlightRequest request) {
+    lock.lock();
+    try {
+      arrival.arrive(request);
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  private boolean isOverOnArrival(InFlightRequest request) {
+    lock.lock();
+    try {
+      return request.hasArrived && request.isOver();
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  /** The caller of a request waits no longer. */
+  void callerGone(InFlightRequest request) {
+    lock.lock();
+    try {
+      if (callers.callerGone(request)) {
+        keyed.leave(request);
+        admission.callerGone(request);
+      }
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  /** One request from its arrival to its last step. */
+  private void run(InFlightRequest request) {
+    IncomingRequest incoming = request.incoming;
+    String reference = incoming.reference();
+    if (!request.hasArrived) {
+      claims.claim(request);
+      arrive(request);
+    }
+    for (InFlightRequest.Step step = nextStep(request); step != null; step = nextStep(request)) {
+      switch (step.kind()) {
+        case WRITE_INTENT -> writeIntent(request);
+        case DISPATCH -> {
+          counters.add(Count.EXECUTIONS);
+          claims.announceExecution(request);
+          workerPool.dispatch(
+              reference, settings.classes().get(incoming.classIndex()).name(), incoming.body());
+        }
+        case CALL_DEPENDENCY -> dependencyCalls.begin(request, step.callBySeconds());
+        case DELIVER_RESPONSE -> workerPool.deliverResponse(reference, step.response());
+        case SKIP_CALL -> workerPool.skipCall(reference, step.noticeNumber());
+        case SUSPEND -> workerPool.suspend(reference);
+        case CANCEL_CALL -> dependencyCalls.cancel(request);
+        case REPLAY_RESULT -> replayResult(request);
+        case ANSWER -> request.listener.onAnswer(step.answer());
+      }
+    }
+  }
+
+  /** A fault in the life of one request must not take its answer with it. */
+  private void runGuarded(InFlightRequest request) {
+    try {
+      run(request);
+    } catch (RuntimeException | Error fault) {
+      Logger.error(fault, "request failed by a fault reference={}", request.incoming.reference());
+      if (abort(request)) {
+        request.listener.onAnswer(Answer.failed());
+      }
+    }
+  }
+
+  /** True where its listener has yet to be notified. */
+  private boolean abort(InFlightRequest request) {
+    lock.lock();
+    try {
+      boolean isOwedAnswer = callers.abort(request);
+      forget(request);
+      return isOwedAnswer;
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  private void failWithoutThread(InFlightRequest request) {
+    lock.lock();
+    try {
+      counters.add(Count.GUARD_REJECTIONS);
+      request.hasArrived = true;
+      callers.answer(request, Answer.failed());
+      if (request.isDispatched) {
+        // Nothing was sent to the worker pool yet, so the execution is void.
+        request.steps.removeIf(step -> step.kind() != InFlightRequest.StepKind.ANSWER);
+        executions.complete(request, Outcome.VOID, 0, null);
+      } else {
+        admission.callerGone(request);
+      }
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  /** Waits for the request's next step; null once it is answered and nothing of it executes. */
+  private InFlightRequest.Step nextStep(InFlightRequest request) {
+    lock.lock();
+    try {
+      for (; ; ) {
+        InFlightRequest.Step step = request.steps.poll();
+        if (step != null) {
+          return step;
+        }
+        if (request.isOver()) {
+          forget(request);
+          return null;
+        }
+        if (!recorder.expireIntent(request)) {
+          awaitChange(request);
+        }
+      }
+    } catch (InterruptedException e) {
+      throw new IllegalStateException("nobody interrupts a request", e);
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  /** Waits for a change up to the request's next time limit; past its backstop enforces that. */
+  private void awaitChange(InFlightRequest request) throws InterruptedException {
+    double now = clock.now();
+    double untilBackstop = request.backstopSeconds - now;
+    if (untilBackstop > 0) {
+      double wait =
+          recorder.isWritingIntent(request)
+              ? Math.min(untilBackstop, request.intentBySeconds - now)
+              : untilBackstop;
+      request.changed.awaitNanos(EventClock.waitNanos(wait));
+    } else if (request.isAnswered) {
+      Logger.warn("execution given up reference={}", request.incoming.reference());
+      executions.complete(request, Outcome.BROKEN, now - request.startedAtSeconds, null);
+    } else {
+      // Whatever holds up the module or its timer: no answer comes after its deadline.
+      counters.add(Count.DEADLINE_BACKSTOPS);
+      callers.answer(request, Answer.deadlineExceeded());
+      admission.callerGone(request);
+    }
+  }
+
+  private void writeIntent(InFlightRequest request) {
+    lock.lock();
+    try {
+      recorder.writeIntent(request);
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  private void replayResult(InFlightRequest request) {
+    byte[] result = recorder.read(request.key, request.entry.place());
+    lock.lock();
+    try {
+      keyed.endWith(request, result);
+      admission.settleIfStarted();
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  private void forget(InFlightRequest request) {
+    keyed.releaseMemory(request);
+    inFlight.remove(request);
+    claims.requestEnded(request, inFlight.all());
+  }
+}
--- /dev/null
+++ b/src/main/java/wharftrestle/request/RequestParts.java
@@ -0,0 +1,56 @@
+package wharftrestle.request;
+
+import java.util.concurrent.locks.Condition;
+import java.util.concurrent.locks.ReentrantLock;
+import wharftrestle.admission.Admission;
+import wharftrestle.idempotency.KeyMemoryBudget;
+import wharftrestle.metrics.Counters;
+
+/**
+ * Makes the parts of the coordinator and connects them. All share its one lock, which guards every
+ * decision; nothing is read or written outside the process while it is held.
+ */
+final class RequestParts {
+  final ReentrantLock lock = new ReentrantLock();
+  final Admission.Settings settings;
+  final Counters counters;
+  final EventClock clock = new EventClock();
+  final HostHealth health = new HostHealth();
+  final InFlightTable inFlight;
+  final RequestDeadlines deadlines;
+  final CallerNotifier callers;
+  final AdmissionDriver admission;
+  final AdmissionTimers timers;
+  final KeyedRequests keyed;
+  final PeerClaims claims;
+  final PeerCoordinator peer;
+  final ResultRecorder recorder;
+  final Executions executions;
+  final DependencyCalls dependencyCalls;
+  final AdmissionActions actions;
+  final RequestLife life;
+
+  RequestParts(
+      Admission.Settings settings, int maxInFlight, KeyMemoryBudget keyMemory, Counters counters) {
+    this.settings = settings;
+    this.counters = counters;
+    inFlight = new InFlightTable(lock.newCondition(), maxInFlight);
+    deadlines = new RequestDeadlines(settings);
+    callers = new CallerNotifier(settings, counters, clock);
+    Condition timerWork = lock.newCondition();
+    admission = new AdmissionDriver(clock, inFlight, timerWork);
+    timers = new AdmissionTimers(lock, timerWork, clock, admission);
+    keyed = new KeyedRequests(keyMemory, counters, clock, inFlight, admission, callers);
+    claims = new PeerClaims(lock, clock, deadlines, keyed);
+    peer = new PeerCoordinator(lock, clock, admission, keyed, claims, keyMemory);
+    recorder = new ResultRecorder(this, claims.ownership(), keyMemory);
+    executions = new Executions(counters, clock, inFlight, admission, callers, keyed, recorder);
+    dependencyCalls = new DependencyCalls(lock, settings, counters, clock, admission);
+    keyed.connect(claims.ownership(), recorder);
+    claims.connect(recorder);
+    peer.connect(recorder);
+    recorder.connect(executions);
+    actions = new AdmissionActions(this);
+    life = new RequestLife(this, maxInFlight);
+  }
+}
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.util.Map;
+import java.util.concurrent.locks.ReentrantLock;
 import org.tinylog.Logger;
 import wharftrestle.admission.Admission.Outcome;
 import wharftrestle.handover.KeyOwnershipTransfer;
@@ -9,241 +10,287 @@
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
+import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
 import wharftrestle.metrics.ResultMetric;
 
 /**
- * Intents and results of keyed runs on their way to the disk and back: what the request in hand
- * does for it, step by step. It owns which records there are; none of them, and then it does
- * nothing. It must never let a run begin before its intent is kept, or a result go out before it
- * is; the {@link IdempotencyTable} decides what a key may do. Guarded by the core's lock, but for
- * what says otherwise.
+ * Has intents and results of keyed executions written, and acts on what became of them: no
+ * execution begins before its intent is on disk, and no result goes out before it is. Does nothing
+ * where there is no {@link ResultStore}. Guarded by the coordinator's lock, but for what says
+ * otherwise; the store notifies on its own thread, which takes the lock here.
  */
 final class ResultRecorder {
-  private final RequestCoordinator core;
+
+  /** An intent that the peer writes takes the way to it and back as well. */
+  private static final double PEER_TIMEOUT_FACTOR = 2;
+
+  private final ReentrantLock lock;
+  private final Counters counters;
+  private final EventClock clock;
+  private final RequestDeadlines deadlines;
+  private final double maxRetryAfterSeconds;
+  private final CallerNotifier callers;
+  private final AdmissionDriver admission;
   private final IdempotencyTable<InFlightRequest> keys;
-  private final KeyMemoryBudget room;
-  private final KeyOwnershipTransfer<InFlightRequest> between;
-  private volatile ResultStore records; // null where no results are kept
-  private int most;
+  private final KeyOwnershipTransfer<InFlightRequest> ownership;
+  private final KeyMemoryBudget memory;
+  private Executions executions;
+  private volatile ResultStore store; // null where results are not recorded
+  private int maxKeysOnDisk;
 
   ResultRecorder(
-      RequestCoordinator core,
-      IdempotencyTable<InFlightRequest> keys,
-      KeyMemoryBudget room,
-      KeyOwnershipTransfer<InFlightRequest> between) {
-    this.core = core;
-    this.keys = keys;
-    this.room = room;
-    this.between = between;
+      RequestParts parts, KeyOwnershipTransfer<InFlightRequest> ownership, KeyMemoryBudget memory) {
+    lock = parts.lock;
+    counters = parts.counters;
+    clock = parts.clock;
+    deadlines = parts.deadlines;
+    maxRetryAfterSeconds = parts.settings.maxRetryAfter();
+    callers = parts.callers;
+    admission = parts.admission;
+    keys = parts.keyed.table();
+    this.ownership = ownership;
+    this.memory = memory;
   }
 
-  /**
-   * From now on no keyed run begins before its intent is kept, and none is answered before its
-   * result is.
-   */
-  void record(ResultStore kept) {
-    records = kept;
-    most = Math.min(kept.maxKeys(), room.mostKeysOnDisk());
-    if (most < kept.maxKeys()) {
-      Logger.warn("memory holds {} keys of the {} that are set", most, kept.maxKeys());
+  /** Before the first request; both refer to each other. */
+  void connect(Executions ends) {
+    executions = ends;
+  }
+
+  /** From now on intents and results of keyed executions are recorded there. */
+  void useStore(ResultStore results) {
+    store = results;
+    maxKeysOnDisk = Math.min(results.maxKeys(), memory.mostKeysOnDisk());
+    if (maxKeysOnDisk < results.maxKeys()) {
+      Logger.warn(
+          "memory limits the recorded keys max={} configured={}", maxKeysOnDisk, results.maxKeys());
     }
-    keys.record(most);
+    keys.record(maxKeysOnDisk);
   }
 
-  /** True where results are kept; also without the lock. */
-  boolean on() {
-    return records != null;
+  /** True where results are recorded; also without the lock. */
+  boolean isEnabled() {
+    return store != null;
+  }
+
+  /** True where this process writes: the one that owns all keys does. */
+  private boolean isWriter() {
+    return store != null && ownership.isOwner();
   }
 
   /** Keys known at most. */
-  int mostKeys() {
-    return records == null ? room.mostKeys() : most;
+  int maxKeys() {
+    return store == null ? memory.mostKeys() : maxKeysOnDisk;
   }
 
-  /** The figures of kept results, empty where none are kept; also without the lock. */
-  Map<ResultMetric, Long> figures(long indexBytes) {
-    ResultStore kept = records;
-    if (kept == null) {
+  /** Empty where results are not recorded; also without the lock. */
+  Map<ResultMetric, Long> metrics(long indexBytes) {
+    ResultStore results = store;
+    if (results == null) {
       return Map.of();
     }
-    Map<ResultMetric, Long> all = kept.metrics();
-    all.put(ResultMetric.INDEX_BYTES, indexBytes);
-    return all;
+    Map<ResultMetric, Long> metrics = results.metrics();
+    metrics.put(ResultMetric.INDEX_BYTES, indexBytes);
+    return metrics;
   }
 
   /** Why a new key cannot be recorded now; null where it can, or need not. */
-  ResultStore.RejectionReason refusal() {
-    return records == null || !between.isOwner()
-        ? null
-        : keys.size() >= most ? ResultStore.RejectionReason.KEYS_FULL : records.rejectionReason();
+  ResultStore.RejectionReason rejectionReason() {
+    if (!isWriter()) {
+      return null;
+    }
+    return keys.size() >= maxKeysOnDisk
+        ? ResultStore.RejectionReason.KEYS_FULL
+        : store.rejectionReason();
   }
 
-  Answer unrecorded(ResultStore.RejectionReason why) {
-    return Answer.rejected(
-        Math.min(core.settings().maxRetryAfter(), records.retryAfterSeconds(why)), false);
+  /** Rejects a request whose key cannot be recorded, and counts that. */
+  Answer rejected(ResultStore.RejectionReason reason) {
+    return Answer.rejected(Math.min(maxRetryAfterSeconds, store.retryAfterSeconds(reason)), false);
   }
 
-  private ResultStore.KeyRecord keyed(IdempotencyTable.Entry<InFlightRequest> entry) {
+  private ResultStore.KeyRecord recordOf(IdempotencyTable.Entry<InFlightRequest> entry) {
+    int classIndex = InFlightRequest.classIndexOf(entry.key());
     return new ResultStore.KeyRecord(
         entry.key(),
         entry.lastDoor(),
-        core.window(InFlightRequest.classOf(entry.key())) + IdempotencyTable.SLACK,
+        deadlines.idempotencyWindowSeconds(classIndex) + IdempotencyTable.SLACK,
         entry.asked().brief());
   }
 
-  /** True while the intent of this try's run is on its way to the disk. */
-  boolean recording(InFlightRequest task) {
-    return task.entry != null
-        && task.entry.holder() == task
-        && task.entry.state() == KeyState.RECORDING;
+  // ---- Intents ----
+
+  /** True from the decision to execute until the intent is on disk, or cannot be. */
+  boolean isWritingIntent(InFlightRequest request) {
+    return request.holdsKey() && request.entry.state() == KeyState.RECORDING;
   }
 
-  /** Has the intent of a run written; word of that is its next step, or its refusal. */
-  void intend(InFlightRequest task) {
-    if (!recording(task)) {
+  /** Has the intent of an execution written; its end is the next step of the request. */
+  void writeIntent(InFlightRequest request) {
+    if (!isWritingIntent(request)) {
       return;
     }
-    if (!between.isOwner() && between.peer() != null) {
-      // The other process writes: its word comes by intendedElsewhere.
-      task.recordBy = core.now() + 2 * records.intentTimeoutSeconds();
-      between
-          .peer()
-          .sendIntentRequest(task.key, task.arrival.receivedAtMillis(), task.arrival.body());
+    PeerProcess peer = ownership.peer();
+    if (!ownership.isOwner() && peer != null) {
+      // The peer writes, and tells by PeerCoordinator.intentWritten.
+      request.intentBySeconds = clock.now() + PEER_TIMEOUT_FACTOR * store.intentTimeoutSeconds();
+      peer.sendIntentRequest(
+          request.key, request.incoming.receivedAtMillis(), request.incoming.body());
       return;
     }
-    task.recordBy = core.now() + records.intentTimeoutSeconds();
-    task.intent =
-        records.writeIntent(
-            keyed(task.entry),
-            place -> {
-              core.lock();
-              try {
-                intended(task, place >= 0);
-              } finally {
-                core.unlock();
-              }
-            });
-    if (task.intent == null) {
-      ResultStore.RejectionReason why = records.rejectionReason();
-      neverBegun(task, why == null ? ResultStore.RejectionReason.STORE_FULL : why);
+    request.intentBySeconds = clock.now() + store.intentTimeoutSeconds();
+    request.pendingIntent =
+        store.writeIntent(recordOf(request.entry), position -> intentWritten(request, position));
+    if (request.pendingIntent == null) {
+      ResultStore.RejectionReason reason = store.rejectionReason();
+      rejectUnbegun(request, reason == null ? ResultStore.RejectionReason.STORE_FULL : reason);
+    }
+  }
+
+  private void intentWritten(InFlightRequest request, long position) {
+    lock.lock();
+    try {
+      intentEnded(request, position >= 0);
+    } finally {
+      lock.unlock();
     }
   }
 
   /** An intent is on disk, or cannot be. */
-  void intended(InFlightRequest task, boolean written) {
-    if (!recording(task)) {
+  void intentEnded(InFlightRequest request, boolean isWritten) {
+    if (!isWritingIntent(request)) {
       return; // withdrawn meanwhile
     }
-    if (!written) {
-      neverBegun(task, ResultStore.RejectionReason.DISK_FAILED);
-    } else if (task.answered) {
-      // Nobody waits any more, and nothing ran: a further try may.
-      neverBegun(task, null);
+    if (!isWritten) {
+      rejectUnbegun(request, ResultStore.RejectionReason.DISK_FAILED);
+    } else if (request.isAnswered) {
+      withdraw(request); // nobody waits any more, and a retry may execute
     } else {
-      keys.recorded(task.entry);
-      task.step(InFlightRequest.Step.of(InFlightRequest.Kind.SPAWN));
+      keys.recorded(request.entry);
+      request.enqueue(InFlightRequest.Step.DISPATCH);
     }
   }
 
-  /** A run that was decided is not begun, and its key is free again. */
-  void neverBegun(InFlightRequest task, ResultStore.RejectionReason why) {
-    if (task.intent != null) {
-      records.withdrawIntent(task.intent, keyed(task.entry));
+  /** Rejects an execution whose intent is not on disk in time; false where there is none. */
+  boolean expireIntent(InFlightRequest request) {
+    if (!isWritingIntent(request) || clock.now() < request.intentBySeconds) {
+      return false;
     }
-    if (why != null) {
-      core.count(Count.GUARD_REJECTIONS);
-      core.answer(task, unrecorded(why));
+    rejectUnbegun(request, ResultStore.RejectionReason.DISK_STALLED);
+    return true;
+  }
+
+  /** An execution that was decided is not begun, and its key is free again. */
+  void withdraw(InFlightRequest request) {
+    withdrawIntent(request);
+    endUnbegun(request);
+  }
+
+  private void rejectUnbegun(InFlightRequest request, ResultStore.RejectionReason reason) {
+    withdrawIntent(request);
+    counters.add(Count.GUARD_REJECTIONS);
+    callers.answer(request, rejected(reason));
+    endUnbegun(request);
+  }
+
+  private void withdrawIntent(InFlightRequest request) {
+    if (request.pendingIntent != null) {
+      store.withdrawIntent(request.pendingIntent, recordOf(request.entry));
     }
-    task.steps.removeIf(
+  }
+
+  private void endUnbegun(InFlightRequest request) {
+    request.steps.removeIf(
         step ->
-            step.kind() == InFlightRequest.Kind.INTEND
-                || step.kind() == InFlightRequest.Kind.SUSPEND);
-    core.tellRunOver(task, Outcome.VOID, 0, null);
+            step.kind() == InFlightRequest.StepKind.WRITE_INTENT
+                || step.kind() == InFlightRequest.StepKind.SUSPEND);
+    executions.complete(request, Outcome.VOID, 0, null);
   }
 
-  /** A run of this key was never begun. */
-  void voided(IdempotencyTable.Entry<InFlightRequest> entry) {
-    if (records != null && between.isOwner()) {
-      records.discardIntent(keyed(entry));
+  /** The execution of this key was never begun. */
+  void neverExecuted(IdempotencyTable.Entry<InFlightRequest> entry) {
+    if (isWriter()) {
+      store.discardIntent(recordOf(entry));
     }
   }
 
-  /**
-   * A run of this key is over, and the key knows it; the result is null where it has none to give.
-   */
-  void ended(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
-    if (records != null && between.isOwner()) {
-      save(entry, result);
+  /** The peer is about to execute a key that it has in flight: its intent is written here. */
+  void writeIntentForPeer(String key) {
+    PeerProcess peer = ownership.peer();
+    if (peer == null) {
+      return;
+    }
+    IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
+    boolean isRequested =
+        store != null
+            && keys.elsewhere(entry)
+            && store.writeIntent(
+                    recordOf(entry), position -> peer.sendIntentOutcome(key, position >= 0))
+                != null;
+    if (!isRequested) {
+      peer.sendIntentOutcome(key, false);
+    }
+  }
+
+  // ---- Results ----
+
+  /** The execution of a key has ended, and the key knows it; the result is null for none. */
+  void executionEnded(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+    if (isWriter()) {
+      writeResult(entry, result);
     }
   }
 
-  private void save(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
-    records.writeResult(
-        keyed(entry),
-        result,
-        place -> {
-          core.lock();
-          try {
-            saved(entry, place);
-          } finally {
-            core.unlock();
-          }
-        });
+  private void writeResult(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+    store.writeResult(recordOf(entry), result, position -> resultWritten(entry, position));
   }
 
-  /** What the other process of the box was to write, and is gone, is written here. */
-  void saveUnsaved() {
-    if (records != null) {
-      keys.unsaved().forEach(entry -> save(entry, keys.result(entry)));
+  private void resultWritten(IdempotencyTable.Entry<InFlightRequest> entry, long position) {
+    lock.lock();
+    try {
+      resultEnded(entry, position);
+    } finally {
+      lock.unlock();
+    }
+  }
+
+  /** Writes what the peer was to write before it was lost. */
+  void writeUnsavedResults() {
+    if (store != null) {
+      keys.unsaved().forEach(entry -> writeResult(entry, keys.result(entry)));
     }
   }
 
   /**
-   * A result is on disk, or with a place below 0 cannot be: its intent is, so it never runs again,
-   * and is answered.
+   * A result is on disk, or with a position below 0 cannot be. Its intent is there, so the key does
+   * not execute again, and its request is answered in either case.
    */
-  void saved(IdempotencyTable.Entry<InFlightRequest> entry, long place) {
+  void resultEnded(IdempotencyTable.Entry<InFlightRequest> entry, long position) {
     if (entry.state() != KeyState.SAVING) {
       return;
     }
-    keys.saved(entry, place);
+    keys.saved(entry, position);
+    PeerProcess peer = ownership.peer();
     if (entry.holder() != null) {
-      core.answer(entry.holder(), Answer.served(keys.result(entry)));
-      if (between.peer() != null && !between.isOwner()) {
-        // It was on its way when the keys were handed over.
-        between.peer().sendFinished(entry.key(), keys.result(entry));
+      callers.answer(entry.holder(), Answer.served(keys.result(entry)));
+      if (peer != null && !ownership.isOwner()) {
+        // It was on its way to the disk when the keys were handed over.
+        peer.sendFinished(entry.key(), keys.result(entry));
       }
-    } else if (between.peer() != null) {
-      between.peer().sendResultWritten(entry.key());
-    }
-    between.forwardSettled(entry.key(), true, core.now());
-    core.settleSoonIfUp();
-  }
-
-  /** The other process is about to run a key that it has in hand: its intent is written here. */
-  void intendElsewhere(String key) {
-    IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
-    PeerProcess asks = between.peer();
-    if (asks == null) {
-      return;
-    }
-    boolean asked =
-        records != null
-            && keys.elsewhere(entry)
-            && records.writeIntent(keyed(entry), place -> asks.sendIntentOutcome(key, place >= 0))
-                != null;
-    if (!asked) {
-      asks.sendIntentOutcome(key, false);
+    } else if (peer != null) {
+      peer.sendResultWritten(entry.key());
     }
+    ownership.forwardSettled(entry.key(), true, clock.now());
+    admission.settleSoonIfStarted();
   }
 
-  /** The result that lies there, null where it cannot be read; never under the lock. */
-  byte[] read(String key, long place) {
+  /** The result at this position, null where it cannot be read; never under the lock. */
+  byte[] read(String key, long position) {
     try {
-      return records.readResult(key, place);
+      return store.readResult(key, position);
     } catch (IOException e) {
-      Logger.error("a kept result cannot be read: {}", e.toString());
+      Logger.error(e, "recorded result cannot be read position={}", position);
       return null;
     }
   }
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -1,11 +1,14 @@
 package wharftrestle;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noMethods;
 
+import com.tngtech.archunit.core.domain.JavaModifier;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
+import java.util.concurrent.locks.ReentrantLock;
 
 /** Decisions stand apart from sockets, files, threads and clocks. */
 @AnalyzeClasses(packages = "wharftrestle", importOptions = ImportOption.DoNotIncludeTests.class)
@@ -136,4 +139,44 @@
               "java.time..",
               "java.util.concurrent..",
               "org.tinylog..");
+
+  @ArchTest
+  static final ArchRule oneLockGuardsAllDecisions =
+      noClasses()
+          .that()
+          .resideInAPackage("wharftrestle.request..")
+          .and()
+          .doNotHaveSimpleName("RequestParts")
+          .should()
+          .callConstructor(ReentrantLock.class)
+          .orShould()
+          .callConstructor(ReentrantLock.class, boolean.class)
+          .orShould()
+          .dependOnClassesThat()
+          .haveNameMatching(
+              "java\\.util\\.concurrent\\.(Semaphore|locks\\.(ReentrantReadWriteLock|StampedLock)).*");
+
+  @ArchTest
+  static final ArchRule noMonitorStandsBesideTheOneLock =
+      noMethods()
+          .that()
+          .areDeclaredInClassesThat()
+          .resideInAPackage("wharftrestle.request..")
+          .should()
+          .haveModifier(JavaModifier.SYNCHRONIZED);
+
+  @ArchTest
+  static final ArchRule whatIsDecidedUnderTheLockReachesNoSocketAndNoFile =
+      noClasses()
+          .that()
+          .resideInAPackage("wharftrestle.request..")
+          .and()
+          .doNotHaveSimpleName("ResultStore")
+          .and()
+          .doNotHaveSimpleName("ResultRecorder")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage("java.io..", "java.nio..", "java.net..")
+          .orShould()
+          .callMethod(Thread.class, "sleep", long.class);
 }
