--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -64,6 +64,9 @@
    */
   volatile double autoMs = -1;
 
+  /** Where set, the share of busy cores that the gauges say, whatever is executing. */
+  volatile double reportedCpuBusy = -1;
+
   private final long[] coreFree = {System.nanoTime(), System.nanoTime()};
   private final List<long[]> work = new ArrayList<>();
   WorkerPoolPeer pool = new WorkerPoolPeer(new Workers()).start();
@@ -306,6 +309,9 @@
 
   /** Share of the two cores' time of the last half second that was spent on runs. */
   private synchronized double busy() {
+    if (reportedCpuBusy >= 0) {
+      return reportedCpuBusy;
+    }
     long now = System.nanoTime();
     long span = 500_000_000;
     work.removeIf(run -> run[1] < now - span);
--- a/src/test/java/wharftrestle/OtherSitesTest.java
+++ b/src/test/java/wharftrestle/OtherSitesTest.java
@@ -25,13 +25,18 @@
 
   private static void ask(Caller caller, int tag, String type, String more, String body)
       throws Exception {
+    ask(caller, System.currentTimeMillis(), tag, type, more, body);
+  }
+
+  private static void ask(
+      Caller caller, long door, int tag, String type, String more, String body) throws Exception {
     caller.send(
         "ASK",
         Integer.toString(tag),
         type,
         String.format(
             "txn=%s,door=%d,lb=1,ram=24.5,standing=0.5%s",
-            ref(tag), System.currentTimeMillis(), more),
+            ref(tag), door, more),
         body);
   }
 
@@ -71,14 +76,19 @@
   void theHintOfItsWorkDecidesWhoIsNext() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
+      // Idle cores would raise the concurrency limit and start the third before the fourth arrives.
+      site.reportedCpuBusy = 1;
       for (int i = 1; i <= 2; i++) {
         ask(caller, i, "read", ",cpu=100.00", "busy " + i);
         assertEquals(ref(i), site.command().ref());
       }
-      ask(caller, 3, "read", ",cpu=140.00", "large");
-      ask(caller, 4, "read", ",cpu=101.50", "small");
+      long door = System.currentTimeMillis(); // as urgent, whenever they are read
+      ask(caller, door, 3, "read", ",cpu=140.00", "large");
+      ask(caller, door, 4, "read", ",cpu=101.50", "small");
       caller.send("STATUS", "9", "");
-      assertEquals("healthy", caller.reply().word()); // all that was sent before it has been read
+      assertEquals("healthy", caller.reply().word()); // all that was sent before it has arrived
+      assertEquals(4, site.life.counters().inFlight());
+      assertTrue(site.commands.isEmpty(), "both wait: " + site.commands);
       site.finish(ref(1), "good", 20, "");
       assertEquals("small", site.command().body(), "the shorter of two that are about as urgent");
     }
