--- a/src/main/java/wharftrestle/request/AdmissionActions.java
+++ b/src/main/java/wharftrestle/request/AdmissionActions.java
@@ -32,7 +32,7 @@
     callers = parts.callers;
     health = parts.health;
     deadlines = parts.deadlines;
-    maxRetryAfterSeconds = parts.settings.maxRetryAfter();
+    maxRetryAfterSeconds = parts.settings.retries().maxRetryAfterSeconds();
     keyed = parts.keyed;
     recorder = parts.recorder;
     executions = parts.executions;
@@ -44,7 +44,7 @@
   }
 
   @Override
-  public void start(long id) {
+  public void dispatch(long id) {
     InFlightRequest request = inFlight.withId(id);
     if (request == null || request.isDispatched) {
       return;
@@ -100,7 +100,7 @@
   }
 
   @Override
-  public void refuse(long id, boolean fleetOverloaded, double retryAfterSeconds) {
+  public void reject(long id, boolean fleetOverloaded, double retryAfterSeconds) {
     InFlightRequest request = inFlight.withId(id);
     if (request != null) {
       // A rejection promises that the key has not executed: after an execution it is a failure.
@@ -123,7 +123,7 @@
   }
 
   @Override
-  public void stop(long id) {
+  public void preempt(long id) {
     InFlightRequest request = inFlight.withId(id);
     if (request == null) {
       return;
@@ -142,7 +142,7 @@
   }
 
   @Override
-  public void call(long id, double callBySeconds) {
+  public void callDependency(long id, double callBySeconds) {
     InFlightRequest request = inFlight.withId(id);
     if (request != null && !request.isCompleted) {
       request.callStartedAtSeconds = clock.now();
@@ -159,7 +159,7 @@
   }
 
   @Override
-  public void keep(long id, double seconds) {
+  public void retainKey(long id, double seconds) {
     InFlightRequest request = inFlight.withId(id);
     if (request != null && request.key != null) {
       keyed.hold(request);
@@ -167,7 +167,7 @@
   }
 
   @Override
-  public void release(long id) {
+  public void releaseKey(long id) {
     InFlightRequest request = inFlight.withId(id);
     if (request != null) {
       keyed.release(request);
@@ -183,17 +183,17 @@
   }
 
   @Override
-  public void health(boolean isHealthy, boolean fromStore) {
+  public void reportHealth(boolean isHealthy, boolean fromStore) {
     health.moduleDecided(isHealthy);
   }
 
   @Override
-  public void idleLimit(double seconds) {
+  public void setIdleTimeout(double seconds) {
     idleTimeoutSeconds = seconds;
   }
 
   @Override
-  public void timer(long label, double delaySeconds) {
+  public void setTimer(long label, double delaySeconds) {
     timers.schedule(label, delaySeconds);
   }
 
--- a/src/main/java/wharftrestle/request/AdmissionDriver.java
+++ b/src/main/java/wharftrestle/request/AdmissionDriver.java
@@ -54,7 +54,7 @@
   void callerGone(InFlightRequest request) {
     if (inFlight.contains(request)) {
       double now = clock.now();
-      module.callerLeft(now, request.id);
+      module.callerGone(now, request.id);
       settle(now);
     }
   }
@@ -63,7 +63,7 @@
   void setShare(double share) {
     if (module != null) {
       double now = clock.now();
-      module.shares(now, share);
+      module.quotaChanged(now, share);
       settle(now);
     }
   }
@@ -72,10 +72,10 @@
   void settle(double now) {
     isBatchOpen = false;
     settledAtSeconds = now;
-    module.settled(now);
+    module.batchCompleted(now);
     for (Runnable followUp = followUps.poll(); followUp != null; followUp = followUps.poll()) {
       followUp.run();
-      module.settled(clock.now());
+      module.batchCompleted(clock.now());
     }
   }
 
--- a/src/main/java/wharftrestle/request/AdmissionTimers.java
+++ b/src/main/java/wharftrestle/request/AdmissionTimers.java
@@ -101,7 +101,7 @@
     double now = clock.now();
     try {
       timers.remove(timer);
-      admission.events().timer(now, timer.label(), fresh);
+      admission.events().timerFired(now, timer.label(), fresh);
       admission.settle(now);
     } catch (RuntimeException | Error fault) {
       retry(now, timer.label(), fault);
--- a/src/main/java/wharftrestle/request/CallerNotifier.java
+++ b/src/main/java/wharftrestle/request/CallerNotifier.java
@@ -1,6 +1,7 @@
 package wharftrestle.request;
 
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Result;
 
@@ -13,11 +14,11 @@
   /** Seconds an execution may outlast its answer before its thread stops waiting for its end. */
   private static final double ORPHAN_SECONDS = 60;
 
-  private final Admission.Settings settings;
+  private final AdmissionSettings settings;
   private final Counters counters;
   private final EventClock clock;
 
-  CallerNotifier(Admission.Settings settings, Counters counters, EventClock clock) {
+  CallerNotifier(AdmissionSettings settings, Counters counters, EventClock clock) {
     this.settings = settings;
     this.counters = counters;
     this.clock = clock;
@@ -67,7 +68,9 @@
           case FAILED, DEADLINE_EXCEEDED, CONFLICT -> Result.FAILED;
         });
     Admission.RequestClass type = settings.classes().get(incoming.classIndex());
-    double objective = type.aim() + type.aimStretch() * incoming.expectedWorkSeconds();
+    double objective =
+        type.latencyObjectiveSeconds()
+            + type.latencyObjectiveStretch() * incoming.expectedWorkSeconds();
     if (kind == Answer.Kind.SERVED && incoming.queueingDelaySeconds() > objective) {
       counters.servedAfterObjective(incoming.classIndex());
     }
--- a/src/main/java/wharftrestle/request/DependencyCalls.java
+++ b/src/main/java/wharftrestle/request/DependencyCalls.java
@@ -3,6 +3,7 @@
 import java.util.concurrent.locks.ReentrantLock;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
 
@@ -15,7 +16,7 @@
   private static final double MILLIS_PER_SECOND = 1000;
 
   private final ReentrantLock lock;
-  private final Admission.Settings settings;
+  private final AdmissionSettings settings;
   private final Counters counters;
   private final EventClock clock;
   private final AdmissionDriver admission;
@@ -23,7 +24,7 @@
 
   DependencyCalls(
       ReentrantLock lock,
-      Admission.Settings settings,
+      AdmissionSettings settings,
       Counters counters,
       EventClock clock,
       AdmissionDriver admission) {
@@ -61,7 +62,7 @@
             request.incoming.reference(),
             body,
             timeoutMillis,
-            type.repeat() == Admission.Repeat.SAFE,
+            type.idempotency() == Admission.Idempotency.IDEMPOTENT,
             (outcome, response) -> completed(request, number, outcome, response));
     lock.lock();
     try {
@@ -105,7 +106,9 @@
       if (outcome == Outcome.SUCCESS) {
         request.enqueue(InFlightRequest.Step.deliverResponse(response));
       }
-      admission.events().callEnded(now, request.id, outcome, now - request.callStartedAtSeconds);
+      admission
+          .events()
+          .callCompleted(now, request.id, outcome, now - request.callStartedAtSeconds);
       admission.settleSoon(now);
     } finally {
       lock.unlock();
--- a/src/main/java/wharftrestle/request/Executions.java
+++ b/src/main/java/wharftrestle/request/Executions.java
@@ -53,7 +53,7 @@
     request.hasFailedCall = false;
     request.callBody = callBody;
     double now = clock.now();
-    admission.events().standsAtCall(now, request.id);
+    admission.events().blockedOnCall(now, request.id);
     admission.settleSoon(now);
   }
 
@@ -80,7 +80,7 @@
     }
     request.changed.signal();
     double now = clock.now();
-    admission.events().ended(now, request.id, outcome, elapsedSeconds);
+    admission.events().completed(now, request.id, outcome, elapsedSeconds);
     admission.settleSoon(now);
   }
 
--- a/src/main/java/wharftrestle/request/IncomingRequest.java
+++ b/src/main/java/wharftrestle/request/IncomingRequest.java
@@ -15,6 +15,7 @@
  * @param subject what it is about; null where not known
  * @param receivedAtMillis when it reached the host, on the {@link SteadyWallClock}'s even scale
  */
+@SuppressWarnings("checkstyle:RecordComponentNumber") // one object a request, not two
 public record IncomingRequest(
     String reference,
     boolean isRetry,
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -208,7 +208,7 @@
     if (admission.isStarted() && inFlight.contains(request)) {
       double now = clock.now();
       Outcome outcome = result != null ? Outcome.SUCCESS : Outcome.FAILURE;
-      admission.events().ended(now, request.id, outcome, now - request.startedAtSeconds);
+      admission.events().completed(now, request.id, outcome, now - request.startedAtSeconds);
     }
   }
 
--- a/src/main/java/wharftrestle/request/RequestArrival.java
+++ b/src/main/java/wharftrestle/request/RequestArrival.java
@@ -33,7 +33,7 @@
     admission = parts.admission;
     callers = parts.callers;
     deadlines = parts.deadlines;
-    maxRetryAfterSeconds = parts.settings.maxRetryAfter();
+    maxRetryAfterSeconds = parts.settings.retries().maxRetryAfterSeconds();
     keyed = parts.keyed;
     claims = parts.claims;
     recorder = parts.recorder;
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.locks.ReentrantLock;
-import wharftrestle.admission.Admission;
 import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.ResultMetric;
@@ -30,7 +30,7 @@
    * @param keyMemory for what is known of idempotency keys
    */
   public RequestCoordinator(
-      Admission.Settings settings,
+      AdmissionSettings settings,
       long seed,
       int maxInFlight,
       KeyMemoryBudget keyMemory,
@@ -117,7 +117,7 @@
       if (!parts.admission.isStarted() && !parts.deadlines.isShuttingDown()) {
         double startedAt = parts.clock.now() - secondsAgo;
         parts.admission.start(
-            factory.create(startedAt, seed, parts.settings.started(isCold), parts.actions));
+            factory.create(startedAt, seed, parts.settings.withColdStart(isCold), parts.actions));
         workerPoolStarted.countDown();
       }
     } finally {
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Gauges in the order of {@link Admission.Settings#gauges}. */
+  /** Gauges in the order of {@link AdmissionSettings#gauges}. */
   public void gaugesReceived(double[] gauges) {
     lock.lock();
     try {
@@ -168,7 +168,8 @@
 
   // ---- State ----
 
-  public Admission.Settings settings() {
+  /** Of the admission module; fixed for the life of the process. */
+  public AdmissionSettings settings() {
     return parts.settings;
   }
 
@@ -192,6 +193,7 @@
     parts.health.setRelinquished(isRelinquished);
   }
 
+  /** True while callers are sent to other hosts. */
   public boolean isDraining() {
     return parts.health.isDraining();
   }
@@ -232,7 +234,7 @@
         parts.health.moduleDecided(false);
         return;
       }
-      parts.admission.events().leaving(now, graceSeconds);
+      parts.admission.events().draining(now, graceSeconds);
       parts.admission.settle(now);
     } finally {
       lock.unlock();
--- a/src/main/java/wharftrestle/request/RequestDeadlines.java
+++ b/src/main/java/wharftrestle/request/RequestDeadlines.java
@@ -1,6 +1,7 @@
 package wharftrestle.request;
 
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 
 /**
  * When an answer is due at the latest, whatever the admission module does, and how long a key may
@@ -11,15 +12,15 @@
   /** Seconds past the deadline at which an answer is forced; within what the callers allow. */
   private static final double BACKSTOP_SECONDS = 0.02;
 
-  private final Admission.Settings settings;
+  private final AdmissionSettings settings;
   private double shutdownAtSeconds = Double.POSITIVE_INFINITY;
 
-  RequestDeadlines(Admission.Settings settings) {
+  RequestDeadlines(AdmissionSettings settings) {
     this.settings = settings;
   }
 
   double backstopSeconds(IncomingRequest incoming, double now) {
-    double deadline = settings.classes().get(incoming.classIndex()).deadline();
+    double deadline = settings.classes().get(incoming.classIndex()).deadlineSeconds();
     return Math.min(
         now - incoming.queueingDelaySeconds() + deadline + BACKSTOP_SECONDS, shutdownAtSeconds);
   }
@@ -41,7 +42,10 @@
   /** Seconds; for a class that only the peer process knows, the longest of all. */
   double idempotencyWindowSeconds(int classIndex) {
     return classIndex < settings.classes().size()
-        ? settings.classes().get(classIndex).window()
-        : settings.classes().stream().mapToDouble(Admission.RequestClass::window).max().orElse(0);
+        ? settings.classes().get(classIndex).idempotencyWindowSeconds()
+        : settings.classes().stream()
+            .mapToDouble(Admission.RequestClass::idempotencyWindowSeconds)
+            .max()
+            .orElse(0);
   }
 }
--- a/src/main/java/wharftrestle/request/RequestLife.java
+++ b/src/main/java/wharftrestle/request/RequestLife.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.ReentrantLock;
 import org.tinylog.Logger;
-import wharftrestle.admission.Admission;
 import wharftrestle.admission.Admission.Outcome;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
 
@@ -24,7 +24,7 @@
   private static final int THREAD_IDLE_SECONDS = 5;
 
   private final ReentrantLock lock;
-  private final Admission.Settings settings;
+  private final AdmissionSettings settings;
   private final Counters counters;
   private final EventClock clock;
   private final InFlightTable inFlight;
--- a/src/main/java/wharftrestle/request/RequestParts.java
+++ b/src/main/java/wharftrestle/request/RequestParts.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
-import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.metrics.Counters;
 
@@ -12,7 +12,7 @@
  */
 final class RequestParts {
   final ReentrantLock lock = new ReentrantLock();
-  final Admission.Settings settings;
+  final AdmissionSettings settings;
   final Counters counters;
   final EventClock clock = new EventClock();
   final HostHealth health = new HostHealth();
@@ -31,7 +31,7 @@
   final RequestLife life;
 
   RequestParts(
-      Admission.Settings settings, int maxInFlight, KeyMemoryBudget keyMemory, Counters counters) {
+      AdmissionSettings settings, int maxInFlight, KeyMemoryBudget keyMemory, Counters counters) {
     this.settings = settings;
     this.counters = counters;
     inFlight = new InFlightTable(lock.newCondition(), maxInFlight);
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -45,7 +45,7 @@
     counters = parts.counters;
     clock = parts.clock;
     deadlines = parts.deadlines;
-    maxRetryAfterSeconds = parts.settings.maxRetryAfter();
+    maxRetryAfterSeconds = parts.settings.retries().maxRetryAfterSeconds();
     callers = parts.callers;
     admission = parts.admission;
     keys = parts.keyed.table();
--- a/src/test/java/wharftrestle/OtherSitesTest.java
+++ b/src/test/java/wharftrestle/OtherSitesTest.java
@@ -28,15 +28,13 @@
     ask(caller, System.currentTimeMillis(), tag, type, more, body);
   }
 
-  private static void ask(
-      Caller caller, long door, int tag, String type, String more, String body) throws Exception {
+  private static void ask(Caller caller, long door, int tag, String type, String more, String body)
+      throws Exception {
     caller.send(
         "ASK",
         Integer.toString(tag),
         type,
-        String.format(
-            "txn=%s,door=%d,lb=1,ram=24.5,standing=0.5%s",
-            ref(tag), door, more),
+        String.format("txn=%s,door=%d,lb=1,ram=24.5,standing=0.5%s", ref(tag), door, more),
         body);
   }
 
