--- a/src/main/java/wharftrestle/daemon/HandoverActions.java
+++ b/src/main/java/wharftrestle/daemon/HandoverActions.java
@@ -231,7 +231,7 @@
     PlatformThreads.thread(
             "handover-keys",
             () -> {
-              int sent = peerKeys.sendSettledKeys(successor);
+              int sent = peerKeys.sendCompletedKeys(successor);
               events.whileSendingKeys(successor, attempt, () -> onCompletedKeysSent(sent));
             })
         .start();
@@ -263,7 +263,7 @@
             "handover-keys",
             () ->
                 successor.sendLegacyOwnership(
-                    openKeys + Math.max(0, peerKeys.sendSettledKeysAfterHandover(successor))))
+                    openKeys + Math.max(0, peerKeys.sendCompletedKeysAfterHandover(successor))))
         .start();
   }
 
--- a/src/main/java/wharftrestle/request/PlatformThreads.java
+++ b/src/main/java/wharftrestle/request/PlatformThreads.java
@@ -4,48 +4,41 @@
 import org.tinylog.Logger;
 
 /**
- * Makes the program's threads: platform threads with small stacks, of which none ends by a fault in
- * silence. It owns no thread that it has made, and must never decide what one does.
+ * Makes the daemon's threads: platform threads with small stacks that do not keep the process
+ * alive, and whose faults are logged.
  */
 public final class PlatformThreads {
-  private static final int STACK = 192 * 1024;
+  private static final int STACK_BYTES = 192 * 1024;
 
-  /**
-   * Nanoseconds before a thread that ended by a fault begins again: no spinning where memory is
-   * short.
-   */
-  private static final long FAULT_NANOS = 50_000_000L;
+  /** Pause before a restart, so that a lasting fault does not take a core. */
+  private static final long RESTART_PAUSE_NANOS = 50_000_000L;
 
   private PlatformThreads() {}
 
-  /**
-   * A platform thread with a small stack that does not keep the process alive; a fault that ends it
-   * is logged.
-   */
+  /** A thread, not started, whose end by a fault is logged. */
   public static Thread thread(String name, Runnable body) {
-    Thread thread = new Thread(null, body, name, STACK);
+    Thread thread = new Thread(null, body, name, STACK_BYTES);
     thread.setDaemon(true);
     thread.setUncaughtExceptionHandler(
-        (ended, fault) -> Logger.error(fault, "thread {} ended by a fault", name));
+        (failed, fault) -> Logger.error(fault, "thread ended by a fault thread={}", name));
     return thread;
   }
 
   /**
-   * The same for a thread on which the process relies: what it does begins again after a fault.
-   * Guards against a timer, a link or reports that have ended and that nobody misses until a
-   * request does.
+   * The same for a thread on which the daemon relies, such as a timer or a link: its body is run
+   * again after a fault.
    */
   public static Thread restartingThread(String name, Runnable body) {
     return thread(
         name,
         () -> {
-          for (boolean again = true; again; ) {
+          for (; ; ) {
             try {
               body.run();
-              again = false;
+              return;
             } catch (RuntimeException | Error fault) {
-              Logger.error(fault, "thread {} ended by a fault; it begins again", name);
-              LockSupport.parkNanos(FAULT_NANOS);
+              Logger.error(fault, "thread restarts after a fault thread={}", name);
+              LockSupport.parkNanos(RESTART_PAUSE_NANOS);
             }
           }
         });
--- a/src/main/java/wharftrestle/request/ResultStore.java
+++ b/src/main/java/wharftrestle/request/ResultStore.java
@@ -6,13 +6,13 @@
 import wharftrestle.metrics.ResultMetric;
 
 /**
- * Where intents and results of keyed runs are kept, as the core sees it. None of these waits for
- * the disk but {@link #read}, so all others may be called under the core's lock. It must never
- * decide whether a key may run.
+ * Records intents and results of keyed executions on disk, as the coordinator needs it. Only {@link
+ * #readResult} waits for the disk: all else may be called under the coordinator's lock. Whether a
+ * key may execute is decided elsewhere.
  */
 public interface ResultStore {
 
-  /** Why a key cannot be recorded now, and so may not run. */
+  /** Why a key cannot be recorded now, and so may not execute. */
   enum RejectionReason {
     STORE_FULL(ResultMetric.REJECTED_STORE_FULL, "the store of results is full"),
     KEYS_FULL(ResultMetric.REJECTED_KEYS_FULL, "as many keys are known as may be"),
@@ -21,11 +21,11 @@
     DISK_FAILED(ResultMetric.REJECTED_DISK_FAILED, "the disk fails");
 
     private final ResultMetric metric;
-    private final String text;
+    private final String description;
 
-    RejectionReason(ResultMetric metric, String text) {
+    RejectionReason(ResultMetric metric, String description) {
       this.metric = metric;
-      this.text = text;
+      this.description = description;
     }
 
     /** The count of these rejections. */
@@ -34,26 +34,26 @@
     }
 
     /** The reason in words. */
-    public String text() {
-      return text;
+    public String description() {
+      return description;
     }
   }
 
   /**
    * One key as it is recorded.
    *
-   * @param lastDoor no try stamped up to here may run, Unix ms
-   * @param window seconds, with its slack
-   * @param check {@code keys.Digest.check} of the body
+   * @param lastAttemptAtMillis no attempt received up to here may execute, Unix ms
+   * @param retentionSeconds idempotency window with its slack
+   * @param bodyChecksum of {@link wharftrestle.idempotency.KeyDigest}
    */
   record KeyRecord(
       String key, long lastAttemptAtMillis, double retentionSeconds, long bodyChecksum) {}
 
   /**
-   * What a dead process left of one key.
+   * What an earlier process left of one key.
    *
-   * @param place of its result, or -1 where its end is unknown
-   * @param until seconds on the clock of System.nanoTime
+   * @param position of its result, or -1 where its end is unknown
+   * @param expiresAtSeconds on the clock of System.nanoTime
    */
   record RecoveredKey(
       String key,
@@ -63,22 +63,20 @@
       long bodyChecksum) {}
 
   /**
-   * All that a dead process left.
+   * All that an earlier process left.
    *
-   * @param blindUntil until then keys that are not known fail, as some may be lost; in the past
-   *     where none are
+   * @param unknownKeysFailUntilSeconds until then unknown keys fail, as some may be lost; in the
+   *     past where none are
    */
   record RecoveredKeys(List<RecoveredKey> keys, double unknownKeysFailUntilSeconds) {}
 
-  /**
-   * Told once, on another thread or within the call, where a record lies; -1 where it could not be
-   * written.
-   */
+  /** Is notified once of the position of a record, on a thread of the store or within the call. */
   interface WriteListener {
+    /** Negative where the record could not be written. */
     void onWritten(long position);
   }
 
-  /** Seconds for which an intent waits for the disk. */
+  /** Seconds for which an execution waits for its intent to be on disk. */
   double intentTimeoutSeconds();
 
   /** Keys known at most. */
@@ -87,24 +85,24 @@
   /** Why no key can be recorded now; null where one can. */
   RejectionReason rejectionReason();
 
-  /** Counts a refusal; seconds until it is worth while to come again. */
+  /** Counts a rejection; the Retry-After for it. */
   double retryAfterSeconds(RejectionReason why);
 
-  /** Has an intent written; null, and no word of it, where it cannot be. */
-  PendingIntent writeIntent(KeyRecord keyed, WriteListener told);
+  /** Has an intent written; null, and the listener not notified, where it cannot be. */
+  PendingIntent writeIntent(KeyRecord keyed, WriteListener listener);
 
-  /** The run of this intent is not begun, whatever became of the record. */
+  /** The execution of this intent is not begun, whatever became of the record. */
   void withdrawIntent(PendingIntent intent, KeyRecord keyed);
 
-  /** A recorded run was never begun. */
+  /** The execution of a recorded intent was never begun. */
   void discardIntent(KeyRecord keyed);
 
-  /** A recorded run is over; the result is null where it has none to give. */
-  void writeResult(KeyRecord keyed, byte[] result, WriteListener told);
+  /** The execution of a recorded intent has ended; the result is null unless it succeeded. */
+  void writeResult(KeyRecord keyed, byte[] result, WriteListener listener);
 
-  /** The result that lies there; never under a lock. */
-  byte[] readResult(String key, long place) throws IOException;
+  /** The result at this position; never under a lock. */
+  byte[] readResult(String key, long position) throws IOException;
 
-  /** All figures but the index, which the core knows. */
+  /** All metrics but the size of the index, which the coordinator adds. */
   Map<ResultMetric, Long> metrics();
 }
