--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -245,7 +245,7 @@
               weigh(detail, false) ? Event.SUCCESSOR_COMPATIBLE : Event.SUCCESSOR_INCOMPATIBLE;
           default -> eventOf(word);
         };
-    if (word == Message.KEYS_ACKNOWLEDGED && partner.lagged()) {
+    if (word == Message.KEYS_ACKNOWLEDGED && partner.hasUnsentKeys()) {
       event = Event.SUCCESSOR_LAGGING;
       reason = "too much settled meanwhile";
     }
@@ -321,7 +321,7 @@
               theirs.clockBaseUnixMillis()); // stamps of keys are compared with those of requests
           // read here
         }
-        partner.join(link, CompatibilityCheck.windowExtensionSeconds(theirs, mine));
+        partner.joinPeer(link, CompatibilityCheck.windowExtensionSeconds(theirs, mine));
       }
       reason = against == null ? "" : against;
       return against == null;
@@ -340,7 +340,7 @@
         own.storageDirectory(),
         own.requestClasses(),
         own.tenants(),
-        partner.room(),
+        partner.keyCapacity(),
         SteadyWallClock.base());
   }
 
@@ -364,7 +364,7 @@
   private void act(Action act) {
     switch (act) {
       case SEND_TAKEOVER_REQUEST -> {
-        partner.join(link, 0);
+        partner.joinPeer(link, 0);
         link.sendTakeoverRequest(name, BuildInfo.HANDOVER_VERSIONS);
       }
       case SEND_PREDECESSOR_CAPABILITIES -> link.sendPredecessorCapabilities(terms().encode());
@@ -381,7 +381,7 @@
         link.send(Message.RETRY_LATER, reason);
       }
       case SEND_SETTLED_KEYS -> tellSettled(link, rounds);
-      case STOP_SENDING_KEYS -> partner.stopTelling();
+      case STOP_SENDING_KEYS -> partner.stopSendingSettledKeys();
       case SEND_KEYS_COMPLETE -> link.sendKeysComplete(told);
       case SEND_KEYS_ACKNOWLEDGED -> {
         seat.share(); // before the keys can come: they may arrive after their owner's death
@@ -433,7 +433,7 @@
     PlatformThreads.thread(
             "box-tell",
             () -> {
-              int all = partner.tellSettled(to);
+              int all = partner.sendSettledKeys(to);
               synchronized (this) {
                 if (to == link && round == rounds && steps.state() == State.SENDING_KEYS) {
                   told = all;
@@ -479,7 +479,7 @@
 
   private int give(PeerLink to) {
     box.halve(true);
-    int open = partner.handOver(to);
+    int open = partner.handOverKeys(to);
     box.closeRecords(); // only the owner of the keys writes, and it reads what is on disk by now
     ProcessPauseDetector mine = new ProcessPauseDetector(seconds());
     standstill = mine;
@@ -493,7 +493,9 @@
     // it owns all by now.
     PlatformThreads.thread(
             "box-tell",
-            () -> to.sendLegacyOwnership(handed + Math.max(0, partner.tellSettledAfter(to))))
+            () ->
+                to.sendLegacyOwnership(
+                    handed + Math.max(0, partner.sendSettledKeysAfterHandover(to))))
         .start();
   }
 
@@ -501,7 +503,7 @@
     boolean opened = box.openRecords(TRIES_GIVEN);
     reason = opened ? reason : "its folder of kept results cannot be had";
     if (!opened) {
-      partner.giveBack();
+      partner.returnKeys();
     }
     take(opened ? Event.STORAGE_OPENED : Event.STORAGE_UNAVAILABLE);
   }
@@ -538,7 +540,7 @@
     }
     standstill = null;
     box.openRecords(TRIES_AFTER_DEATH);
-    partner.otherGone();
+    partner.peerGone();
     box.halve(false);
     Logger.warn("{}: the process that took over is gone, this one owns its keys again", name);
   }
@@ -547,7 +549,7 @@
     if (!box.openRecords(TRIES_AFTER_DEATH)) {
       Logger.error("{}: kept results cannot be had, keyed requests are refused", name);
     }
-    partner.otherGone();
+    partner.peerGone();
     box.halve(false);
     if (refusedBefore) {
       refusedBefore = false;
--- a/src/main/java/wharftrestle/daemon/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -230,15 +230,15 @@
                 counters);
     journal = appliance.durable() == null ? null : new WriteAheadLog(appliance.durable());
     if (journal != null) {
-      requestCoordinator.record(journal);
+      requestCoordinator.useResultStore(journal);
     }
     version = BuildInfo.describe(config.canonical(appliance));
     succession =
         new HandoverCoordinator(
-            config.name(), config.meeting(), requestCoordinator.partner(), this, agreement);
+            config.name(), config.meeting(), requestCoordinator.peer(), this, agreement);
     if (!succession.comes()) {
       if (journal != null) {
-        requestCoordinator.recovered(
+        requestCoordinator.restore(
             journal.open(longestWindow())); // before the first repeat can be read
       }
       resp.listen(config.meeting() != null, true);
@@ -280,7 +280,7 @@
 
   public void start() {
     Logger.info("{} starts: {}", config.name(), version.summaryLine());
-    requestCoordinator.open(pool, store, reporter);
+    requestCoordinator.start(pool, store, reporter);
     boolean comes = succession.comes();
     if (comes) {
       halve(true);
@@ -314,7 +314,7 @@
   @Override
   public void halve(boolean half) {
     int part = half ? 2 : 1;
-    requestCoordinator.limit(mostRequests / part);
+    requestCoordinator.setMaxInFlight(mostRequests / part);
     resp.limit((mostCallers - mostGateways) / part);
     if (uwsgi != null) {
       uwsgi.limit(mostGateways / part);
@@ -385,14 +385,14 @@
         front.start();
       }
     }
-    requestCoordinator.ceded(false);
+    requestCoordinator.setRelinquished(false);
     reporter.pause(leaves());
   }
 
   @Override
   public void cede() {
     reporter.pause(true);
-    requestCoordinator.ceded(true);
+    requestCoordinator.setRelinquished(true);
     stopFronts();
     if (state == State.SERVING) {
       enter(State.RELINQUISHED);
@@ -406,7 +406,7 @@
     }
     for (int i = 0; i < tries; i++) {
       try {
-        requestCoordinator.recovered(journal.open(longestWindow()));
+        requestCoordinator.restore(journal.open(longestWindow()));
         return true;
       } catch (IOException e) {
         Logger.warn("kept results: {}", e.getMessage());
@@ -456,7 +456,7 @@
         "{}: keys of the process that has ended are not known here: unknown ones fail for {} s",
         config.name(),
         Math.round(longestWindow()));
-    requestCoordinator.partner().unknownFail(longestWindow());
+    requestCoordinator.peer().failUnknownKeysFor(longestWindow());
   }
 
   @Override
@@ -519,7 +519,7 @@
 
   @Override
   public Map<ResultMetric, Long> results() {
-    return requestCoordinator.results();
+    return requestCoordinator.resultMetrics();
   }
 
   /** Where the platform's front listens. */
@@ -565,12 +565,12 @@
 
   @Override
   public boolean healthy() {
-    return requestCoordinator.healthy();
+    return requestCoordinator.isHealthy();
   }
 
   @Override
   public boolean ready() {
-    return state == State.SERVING && requestCoordinator.ready() && resp.listening();
+    return state == State.SERVING && requestCoordinator.isReady() && resp.listening();
   }
 
   @Override
@@ -578,7 +578,7 @@
     if (!on && state.compareTo(State.RELINQUISHED) > 0) {
       return false; // it leaves for good
     }
-    requestCoordinator.lameDuck(on);
+    requestCoordinator.setDraining(on);
     Logger.info("{}: lame duck {}", config.name(), on ? "on" : "off");
     return true;
   }
@@ -646,7 +646,7 @@
       enter(State.DRAINING);
     }
     if (alone) {
-      requestCoordinator.leave(Math.max(0, left() - SPARE));
+      requestCoordinator.beginShutdown(Math.max(0, left() - SPARE));
       double grace =
           Math.min(
                   config.settings().timing().drainGraceSeconds()
@@ -668,7 +668,7 @@
                       .mapToDouble(Admission.RequestClass::deadlineSeconds)
                       .max()
                       .orElse(CEDED_MOST));
-      requestCoordinator.leave(Math.max(0, left() - SPARE));
+      requestCoordinator.beginShutdown(Math.max(0, left() - SPARE));
     }
     enter(State.CLOSING);
     // From here on nothing that comes may run: callers are better served by a refused connection.
