--- a/src/main/java/wharftrestle/rollout/Rollout.java
+++ b/src/main/java/wharftrestle/rollout/Rollout.java
@@ -5,39 +5,38 @@
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.EnumSet;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * One rolling change: which box is told what next, and what becomes of the change. It owns the
- * stage, the tries and the releases to go back to. What boxes are is read from what they show, not
- * from what they were told: a box that came back cold with the old release is behind again, one
- * that says it is changed and is not never counts. Time is passed in, in seconds on a clock that
- * never goes back. It must never have more boxes away than planned, tell a box two releases in one
- * epoch, take a box of a rule of {@link RolloutPlan#blockingReason}, or go on without a verdict.
+ * One rolling change as a state machine: which host is ordered next, and what becomes of the
+ * change. Input are the states that hosts report and the commands of operators; output are {@link
+ * Action}s, in the order in which they are to be carried out. What hosts run is read from what they
+ * report, not from what they were ordered: a host that came back with the old release is changed
+ * again. Never are more hosts unavailable than planned, is a host ordered two releases in one
+ * epoch, does a host go against {@link RolloutPlan#blockingReason}, or does a stage end without a
+ * verdict. Not thread-safe. Times are in seconds of a clock that never goes back.
  *
  * <pre>
- * state      means                                              goes to
- * CHANGING   boxes of this stage are told to go                 HOLDING (all of them have gone), RETURNING or HELD (worse),
- *                                                               HELD (boxes failed, or cut off), PAUSED
- * HOLDING    the stage is watched                               CHANGING (next stage), DONE, RETURNING or HELD (worse),
- *                                                               HELD (nobody can tell in time), PAUSED
- * HELD       waits for an operator, who is told why             CHANGING or DONE (go), RETURNING (back), ABORTED
- * PAUSED     an operator wants nothing begun                    CHANGING or HOLDING (go), RETURNING (back), ABORTED
- * RETURNING  changed boxes are taken back, newest first         UNDONE (all are back), ABORTED
- * DONE       all boxes that a roll may change have the release
- * UNDONE     all boxes have what they had before
- * ABORTED    left as it is
+ * state         means                                              goes to
+ * PROGRESSING   hosts of this stage are ordered to change          OBSERVING (all of them have), ROLLING_BACK or HELD (worse),
+ *                                                                  HELD (hosts failed, or unreachable), PAUSED
+ * OBSERVING     the stage is watched                               PROGRESSING (next stage), COMPLETED, ROLLING_BACK or HELD (worse),
+ *                                                                  HELD (no verdict in time), PAUSED
+ * HELD          waits for an operator, with a reason               PROGRESSING or COMPLETED (resume), ROLLING_BACK, ABORTED
+ * PAUSED        an operator wants no further orders                PROGRESSING or OBSERVING (resume), ROLLING_BACK, ABORTED
+ * ROLLING_BACK  changed hosts are rolled back, newest first        ROLLED_BACK (all are), ABORTED
+ * COMPLETED     all hosts that a rollout may change run the release
+ * ROLLED_BACK   all hosts run what they ran before
+ * ABORTED       left as it is
  * </pre>
  */
 public final class Rollout {
 
-  /** How far it is; the table says what each means. */
+  /** Its states; the table of {@link Rollout} says what each means. */
   public enum State {
     PROGRESSING("CHANGING"),
     OBSERVING("HOLDING"),
@@ -65,9 +64,9 @@
       return storedName.toLowerCase(Locale.ROOT);
     }
 
-    /** True where nothing more will come of it. */
+    /** True if no state follows. */
     public boolean isFinal() {
-      return this == COMPLETED || this == ROLLED_BACK || this == ABORTED;
+      return TRANSITIONS.get(this).isEmpty();
     }
   }
 
@@ -99,14 +98,14 @@
   }
 
   /**
-   * What a box shows now.
+   * What a host reports.
    *
-   * @param contact answers this driver
-   * @param acts the release that its daemon is, by its own digest; empty where that is none known
+   * @param reachable answers this controller
+   * @param runningRelease of its daemon, by the daemon's own digest; empty if none is known
    * @param settled one daemon serves, no change is going on
-   * @param target the release it was last told in the epoch that steers; empty for none
-   * @param attempt how often it was told
-   * @param failed why its last change was undone by itself; empty for nothing
+   * @param orderedRelease the last one ordered in the current epoch; empty for none
+   * @param attempt orders in the current epoch
+   * @param failure why the host itself rolled its last change back; empty if it did not
    */
   public record ReportedState(
       boolean reachable,
@@ -118,28 +117,29 @@
 
   /** What is to be done; each is written to the journal before it is done. */
   public sealed interface Action {
-    /** Tell a box to go to a release. */
+    /** A host is ordered to run a release. */
     record Order(String host, String release, String reason) implements Action {}
 
-    /**
-     * Claim a new epoch: a box that was told one release may be told another only in another epoch.
-     */
+    /** A new epoch: only then may a host be ordered another release than before. */
     record ClaimEpoch(String reason) implements Action {}
 
-    /** A stage begins: the judge begins anew. */
+    /** A stage begins, from 0: the canary analysis begins anew. */
     record BeginStage(int stage) implements Action {}
 
-    /**
-     * A box's keeper undid its change by itself: it died, was not ready, or did worse than before
-     * there.
-     */
+    /** A host rolled its change back by itself. */
     record HostRolledBack(String host, String reason) implements Action {}
 
-    /** Its state changed; for the journal and people. */
+    /** The state changed, or its reason. */
     record EnterState(State state, int stage, String reason) implements Action {}
   }
 
-  /** What a journal keeps of it. */
+  /**
+   * What a journal holds of it.
+   *
+   * @param resumeState the state to which a pause returns
+   * @param previousReleases by host, in the order in which hosts were changed
+   * @param attempts orders by host
+   */
   public record Snapshot(
       State state,
       @JsonProperty("resumed") State resumeState,
@@ -148,57 +148,42 @@
       @JsonProperty("tries") Map<String, Integer> attempts,
       @JsonProperty("why") String reason) {}
 
+  private static final String STILL = "; still: ";
+
   private final RolloutPlan plan;
+  private final OrderLedger ledger;
+  private final Map<String, String> previousReleases = new LinkedHashMap<>();
+  private final List<Action> actions = new ArrayList<>();
   private State state = State.PROGRESSING;
-  private State resumeState = State.PROGRESSING; // where a pause goes on
+  private State resumeState = State.PROGRESSING;
   private int stage;
   private double enteredAt;
   private String reason = "";
-  private boolean started;
-  private final Map<String, String> previousReleases =
-      new LinkedHashMap<>(); // by box, in the order in which they were told
-  private final Map<String, Integer> attempts = new LinkedHashMap<>();
-  private final Map<String, Integer> ordersInEpoch = new HashMap<>(); // orders in this epoch
-  private final Map<String, Integer> reportedFailures =
-      new HashMap<>(); // attempts of it whose failure was seen
-  private final Map<String, Double> orderedAt = new LinkedHashMap<>();
-  private final Map<String, String> orderedReleases =
-      new HashMap<>(); // release last told by this driver in this epoch
-  private final List<Action> actions = new ArrayList<>();
-
-  /** Boxes whose tries are spent, after which no further one is tried. */
-  private static final int MAX_FAILED_HOSTS = 2;
-
-  /** Seconds after an order in which a box that shows nothing of it is away all the same. */
-  static final double ORDER_UNAVAILABLE_SECONDS = 10;
-
-  /** The same for one that is out of contact since, where the plan goes on without those. */
-  static final double UNREACHABLE_UNAVAILABLE_SECONDS = 120;
+  private boolean isStarted;
 
+  /** A rollout that has changed nothing yet. */
   public Rollout(RolloutPlan plan, double now) {
     this.plan = plan;
+    ledger = new OrderLedger(plan);
     enteredAt = now;
   }
 
-  /** Goes on with what a journal kept; a stage that was watched is watched anew. */
+  /** Resumes from a journal; a stage that was observed is observed anew. */
   public Rollout(RolloutPlan plan, Snapshot snapshot, double now) {
     this(plan, now);
     stage = snapshot.stage();
     previousReleases.putAll(snapshot.previousReleases());
-    attempts.putAll(snapshot.attempts());
     reason = snapshot.reason();
     state = snapshot.state();
     resumeState = snapshot.resumeState();
-    // Whom the driver before told is away until it shows otherwise: an order may just have gone
-    // out.
+    ledger.restoreAttempts(snapshot.attempts());
     previousReleases.forEach(
-        (host, previousRelease) -> {
-          orderedReleases.put(
-              host, state == State.ROLLING_BACK ? previousRelease : plan.targetRelease());
-          orderedAt.put(host, now);
-        });
+        (host, previous) ->
+            ledger.restore(
+                host, state == State.ROLLING_BACK ? previous : plan.targetRelease(), now));
   }
 
+  /** Where it is. */
   public State state() {
     return state;
   }
@@ -208,19 +193,19 @@
     return stage;
   }
 
-  /** Why it is where it is; empty for nothing special. */
+  /** Why it is in this state; empty for nothing special. */
   public String reason() {
     return reason;
   }
 
-  /** What a journal keeps. */
+  /** What a journal holds of it. */
   public Snapshot snapshot() {
     return new Snapshot(
         state,
         resumeState,
         stage,
         new LinkedHashMap<>(previousReleases),
-        new LinkedHashMap<>(attempts),
+        ledger.attempts(),
         reason);
   }
 
@@ -229,25 +214,25 @@
     return now - enteredAt;
   }
 
-  private void enter(State next, String enterReason, double now) {
+  private void enter(State next, String nextReason, double now) {
     if (!TRANSITIONS.get(state).contains(next)) {
-      throw new IllegalStateException("no way from " + state + " to " + next);
+      throw new IllegalStateException("no transition from " + state + " to " + next);
     }
     state = next;
     enteredAt = now;
-    reason = enterReason;
-    actions.add(new Action.EnterState(next, stage, enterReason));
+    reason = nextReason;
+    actions.add(new Action.EnterState(next, stage, nextReason));
   }
 
   private List<Action> drainActions() {
-    List<Action> all = List.copyOf(actions);
+    List<Action> drained = List.copyOf(actions);
     actions.clear();
-    return all;
+    return drained;
   }
 
-  // ---- Operators ----
+  // ---- Commands of operators ----
 
-  /** Nothing more is begun. Empty where it cannot be paused now. */
+  /** Sends no further orders. No action where it cannot be paused. */
   public List<Action> pause(double now) {
     if (state == State.PROGRESSING || state == State.OBSERVING) {
       resumeState = state;
@@ -257,40 +242,43 @@
   }
 
   /**
-   * Goes on from a pause; from HELD with the same stage, or the next one where this one's boxes
-   * have gone; while boxes are taken back, those that failed are tried anew.
+   * Goes on from a pause; if held with the same stage, or with the next one if this one's hosts
+   * have changed; while rolling back, hosts that failed are tried again.
    */
   public List<Action> resume(Map<String, ReportedState> reported, double now) {
     if (state == State.ROLLING_BACK) {
-      attempts.clear(); // boxes that could not be taken back are tried anew
+      ledger.clearAttempts();
     } else if (state == State.PAUSED) {
       enter(resumeState, "an operator said go", now);
     } else if (state == State.HELD) {
-      attempts.clear();
-      boolean last = stage + 1 == plan.stages().size();
-      boolean changed = remaining(reported).isEmpty();
-      enter(changed && last ? State.COMPLETED : State.PROGRESSING, "an operator said go", now);
-      if (changed && !last) {
-        nextStage();
-      } else if (!changed) {
-        actions.add(new Action.BeginStage(stage));
-      }
+      ledger.clearAttempts();
+      resumeHeld(new FleetObservation(plan, reported).remaining(stage).isEmpty(), now);
     }
     return drainActions();
   }
 
-  /** Takes all changed boxes back. Empty where that cannot be now. */
-  public List<Action> rollBack(String rollBackReason, double now) {
+  private void resumeHeld(boolean isStageChanged, double now) {
+    boolean isOver = isStageChanged && isLastStage();
+    enter(isOver ? State.COMPLETED : State.PROGRESSING, "an operator said go", now);
+    if (!isStageChanged) {
+      actions.add(new Action.BeginStage(stage));
+    } else if (!isOver) {
+      beginNextStage();
+    }
+  }
+
+  /** Rolls all changed hosts back. No action if it is final or does so already. */
+  public List<Action> rollBack(String rollbackReason, double now) {
     if (!state.isFinal() && state != State.ROLLING_BACK) {
-      actions.add(new Action.ClaimEpoch(rollBackReason));
-      enter(State.ROLLING_BACK, rollBackReason, now);
-      attempts.clear();
-      onEpochClaimed();
+      actions.add(new Action.ClaimEpoch(rollbackReason));
+      enter(State.ROLLING_BACK, rollbackReason, now);
+      ledger.clearAttempts();
+      ledger.onEpochClaimed();
     }
     return drainActions();
   }
 
-  /** Leaves all as it is. */
+  /** Leaves every host as it is. */
   public List<Action> abort(double now) {
     if (!state.isFinal()) {
       enter(State.ABORTED, "an operator ended it", now);
@@ -298,323 +286,156 @@
     return drainActions();
   }
 
-  // ---- What is seen ----
+  // ---- Events ----
 
-  /** A new epoch was granted: what was told in the one before counts for nothing. */
+  /** A new epoch was granted: orders of the one before count for nothing. */
   public void onEpochClaimed() {
-    reportedFailures.clear();
-    ordersInEpoch.clear(); // what was told before may still be going on, so when it was told stands
+    ledger.onEpochClaimed();
   }
 
-  /**
-   * A box said that it did not obey the order it was just given: it may be told anew, at no cost.
-   */
+  /** A host did not execute the order that it was just sent: it may be ordered again. */
   public void onOrderRefused(String host) {
-    orderedAt.remove(host);
-    orderedReleases.remove(host);
-    ordersInEpoch.merge(host, -1, Integer::sum);
-    attempts.computeIfPresent(host, (name, many) -> many - 1);
-  }
-
-  /** True where a box has the release, by what its daemon is. */
-  private boolean runs(String release, ReportedState reportedState) {
-    return reportedState != null
-        && reportedState.reachable()
-        && reportedState.settled()
-        && release.equals(reportedState.runningRelease());
-  }
-
-  /**
-   * Boxes that are away: in a change, or told and nothing seen of it yet. One that went out of
-   * contact after it was told may be in its change still: it is away until it is heard, or for a
-   * while where the plan goes on without those that are cut.
-   */
-  Set<String> unavailable(Map<String, ReportedState> reported, double now) {
-    Set<String> all = new LinkedHashSet<>();
-    for (RolloutPlan.Host host : plan.hosts()) {
-      ReportedState reportedState = reported.get(host.name());
-      double ago = now - orderedAt.getOrDefault(host.name(), Double.NEGATIVE_INFINITY);
-      boolean contact = reportedState != null && reportedState.reachable();
-      boolean open =
-          ago < Double.POSITIVE_INFINITY
-              && !(contact && runs(orderedReleases.get(host.name()), reportedState))
-              && !(contact
-                  && reportedState.attempt() >= ordersInEpoch.getOrDefault(host.name(), 0)
-                  && !reportedState.failure().isEmpty());
-      boolean cutAway =
-          !contact
-              && (plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.HOLD
-                  || ago < UNREACHABLE_UNAVAILABLE_SECONDS);
-      if ((open && (ago < ORDER_UNAVAILABLE_SECONDS || cutAway))
-          || (contact && !reportedState.settled())) {
-        all.add(host.name());
-      }
-    }
-    return all;
-  }
-
-  private int attempts(RolloutPlan.Host host) {
-    return attempts.getOrDefault(host.name(), 0);
-  }
-
-  private Set<String> unreachable(Map<String, ReportedState> reported) {
-    Set<String> all = new LinkedHashSet<>();
-    for (RolloutPlan.Host host : plan.hosts()) {
-      ReportedState reportedState = reported.get(host.name());
-      if (reportedState == null || !reportedState.reachable()) {
-        all.add(host.name());
-      }
-    }
-    return all;
-  }
-
-  private Set<String> changed(Map<String, ReportedState> reported) {
-    Set<String> all = new LinkedHashSet<>();
-    for (RolloutPlan.Host host : plan.hosts()) {
-      // One that is cut off and was seen with the release counts: it was told, and nobody takes it
-      // back unasked.
-      ReportedState reportedState = reported.get(host.name());
-      if (runs(plan.targetRelease(), reportedState)
-          || (reportedState != null
-              && !reportedState.reachable()
-              && plan.targetRelease().equals(reportedState.runningRelease()))) {
-        all.add(host.name());
-      }
-    }
-    return all;
+    ledger.onOrderRefused(host);
   }
 
-  /** Boxes that this stage still has to change. */
-  private List<RolloutPlan.Host> remaining(Map<String, ReportedState> reported) {
-    Set<String> changed = changed(reported);
-    int target =
-        Math.min(plan.stages().get(stage).targetHosts(plan.hosts().size()), plan.changeableHosts());
-    List<RolloutPlan.Host> wanted = plan.candidates(stage, changed);
-    return wanted.subList(0, Math.max(0, Math.min(wanted.size(), target - changed.size())));
-  }
-
-  // ---- What comes next ----
-
   /**
-   * A while has passed.
+   * Some time has passed.
    *
-   * @param boxes what they show
-   * @param verdict of the judge on this stage
-   * @param maySteer an order may go out now
+   * @param reported states by host; hosts that have never answered are absent
+   * @param verdict of the canary analysis on this stage
+   * @param mayOrder an order may go out now
    */
   public List<Action> tick(
       Map<String, ReportedState> reported,
       CanaryAnalysis.Verdict verdict,
       boolean mayOrder,
       double now) {
-    if (!started) {
-      started = true;
+    if (!isStarted) {
+      isStarted = true;
       actions.add(new Action.BeginStage(stage));
     }
-    reported.forEach(
-        (host, reportedState) -> {
-          boolean ours =
-              reportedState.reachable()
-                  && reportedState.settled()
-                  && plan.targetRelease().equals(reportedState.orderedRelease())
-                  && !reportedState.failure().isEmpty();
-          if (ours && reportedFailures.getOrDefault(host, 0) < reportedState.attempt()) {
-            reportedFailures.put(host, reportedState.attempt());
-            actions.add(new Action.HostRolledBack(host, reportedState.failure()));
-          }
-        });
-    if ((state == State.PROGRESSING || state == State.OBSERVING)
-        && verdict.outcome() == CanaryAnalysis.Outcome.FAIL) {
-      if (plan.regressionPolicy() == RolloutPlan.RegressionPolicy.ROLL_BACK) {
-        actions.addAll(rollBack("stage " + (stage + 1) + " does worse: " + verdict.reason(), now));
-      } else {
-        enter(State.HELD, "stage " + (stage + 1) + " does worse: " + verdict.reason(), now);
-      }
+    reported.forEach(this::noteFailure);
+    if (verdict.outcome() == CanaryAnalysis.Outcome.FAIL) {
+      stopStage(verdict, now);
     }
+    FleetObservation observed = new FleetObservation(plan, reported);
     switch (state) {
-      case PROGRESSING -> progress(reported, mayOrder, now);
-      case OBSERVING -> observe(reported, verdict, now);
-      case ROLLING_BACK -> continueRollBack(reported, mayOrder, now);
+      case PROGRESSING -> changeHosts(observed, mayOrder, now);
+      case OBSERVING -> observeStage(observed, verdict, now);
+      case ROLLING_BACK -> rollBackHosts(observed, mayOrder, now);
       default -> {}
     }
     return drainActions();
   }
 
-  private void order(RolloutPlan.Host host, String release, String orderReason, double now) {
-    attempts.merge(host.name(), 1, Integer::sum);
-    ordersInEpoch.merge(host.name(), 1, Integer::sum);
-    orderedReleases.put(host.name(), release);
-    orderedAt.put(host.name(), now);
-    actions.add(new Action.Order(host.name(), release, orderReason));
+  private void noteFailure(String host, ReportedState reported) {
+    boolean hasFailed =
+        reported.reachable()
+            && reported.settled()
+            && plan.targetRelease().equals(reported.orderedRelease())
+            && !reported.failure().isEmpty();
+    if (hasFailed && ledger.isNewFailure(host, reported.attempt())) {
+      actions.add(new Action.HostRolledBack(host, reported.failure()));
+    }
   }
 
-  private void progress(Map<String, ReportedState> reported, boolean mayOrder, double now) {
-    List<RolloutPlan.Host> remaining = remaining(reported);
-    Set<String> unavailable = unavailable(reported, now);
-    if (remaining.isEmpty()) {
-      if (unavailable.isEmpty()) {
-        enter(State.OBSERVING, "", now);
-      }
+  private void stopStage(CanaryAnalysis.Verdict verdict, double now) {
+    if (state != State.PROGRESSING && state != State.OBSERVING) {
       return;
     }
-    Set<String> unreachable = unreachable(reported);
-    boolean waiting = false;
-    String obstacle = "";
-    int failedHosts = 0;
-    for (RolloutPlan.Host host : plan.candidates(stage, changed(reported))) {
-      if (unavailable.size() >= Math.min(plan.maxUnavailable(), remaining.size())) {
-        waiting = true;
-        break;
-      }
-      if (unavailable.contains(host.name())) {
-        waiting = true;
-      } else if (unreachable.contains(host.name())) {
-        obstacle = obstacle.isEmpty() ? host.name() + " cannot be reached" : obstacle;
-      } else if (attempts(host) >= plan.maxAttempts()) {
-        obstacle =
-            host.name()
-                + " failed "
-                + attempts(host)
-                + " times: "
-                + reported.get(host.name()).failure();
-        if (++failedHosts >= MAX_FAILED_HOSTS) {
-          // Guards against trying a release that cannot go anywhere at every box of the fleet.
-          break;
-        }
-      } else if (!mayOrder) {
-        waiting = true;
-      } else {
-        String blocked = blockingReason(host, unavailable, unreachable);
-        if (!blocked.isEmpty()) {
-          waiting |= !unavailable.isEmpty();
-          obstacle =
-              obstacle.isEmpty() && unavailable.isEmpty() ? host.name() + ": " + blocked : obstacle;
-          continue;
-        }
-        previousReleases.putIfAbsent(host.name(), reported.get(host.name()).runningRelease());
-        order(host, plan.targetRelease(), "stage " + (stage + 1), now);
-        unavailable.add(host.name());
-        waiting = true;
-      }
-    }
-    Set<String> unreachableOrdered = new LinkedHashSet<>(unavailable);
-    unreachableOrdered.retainAll(unreachable);
-    if (!unreachableOrdered.isEmpty() && unreachableOrdered.size() == unavailable.size()) {
-      waiting = false;
-      obstacle =
-          obstacle.isEmpty()
-              ? String.join(", ", unreachableOrdered) + " was told and cannot be reached since"
-              : obstacle;
-    }
-    if (failedHosts >= MAX_FAILED_HOSTS && unavailable.isEmpty()) {
-      enter(State.HELD, failedHosts + " boxes could not go, at last " + obstacle, now);
-    } else if (!waiting && !obstacle.isEmpty()) {
-      boolean onlyCut = remaining.stream().allMatch(host -> unreachable.contains(host.name()));
-      if (onlyCut && plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.CONTINUE) {
-        enter(State.OBSERVING, obstacle + "; it goes on without", now);
-      } else if (now - enteredAt > plan.verdictTimeoutSeconds()) {
-        enter(State.HELD, obstacle, now);
-      }
+    String worse = "stage " + (stage + 1) + " does worse: " + verdict.reason();
+    if (plan.regressionPolicy() == RolloutPlan.RegressionPolicy.ROLL_BACK) {
+      actions.addAll(rollBack(worse, now));
+    } else {
+      enter(State.HELD, worse, now);
     }
   }
 
-  /**
-   * A box of a tenant or small zone is not taken while others of it are away, or cannot be reached.
-   */
-  private String blockingReason(
-      RolloutPlan.Host host, Set<String> unavailable, Set<String> unreachable) {
-    String blocked = plan.blockingReason(host, unavailable);
-    if (!blocked.isEmpty()) {
-      return blocked;
-    }
-    for (String tenant : host.tenants()) {
-      @SuppressWarnings("ReferenceEquality") // box is one of these very objects
-      boolean served =
-          plan.hosts().stream()
-              .anyMatch(
-                  each ->
-                      each != host
-                          && each.tenants().contains(tenant)
-                          && !unavailable.contains(each.name())
-                          && !unreachable.contains(each.name()));
-      if (!served) {
-        return "no other box that is in contact owns " + tenant;
-      }
-    }
-    return "";
+  // ---- Stages ----
+
+  private boolean isLastStage() {
+    return stage + 1 == plan.stages().size();
   }
 
-  private void nextStage() {
+  private void beginNextStage() {
     stage++;
     actions.add(new Action.BeginStage(stage));
   }
 
-  private void observe(
-      Map<String, ReportedState> reported, CanaryAnalysis.Verdict verdict, double now) {
-    double held = now - enteredAt;
-    double hold = plan.stages().get(stage).holdSeconds();
-    boolean cutOff =
-        plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.HOLD
-            && unreachable(reported).size() * 2 >= plan.hosts().size();
-    if (!remaining(reported).isEmpty()
-        && plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.HOLD) {
-      enter(State.PROGRESSING, "a box of this stage is behind again", now);
+  private void order(RolloutPlan.Host host, String release, String orderReason, double now) {
+    ledger.add(host.name(), release, now);
+    actions.add(new Action.Order(host.name(), release, orderReason));
+  }
+
+  private void changeHosts(FleetObservation observed, boolean mayOrder, double now) {
+    StageDecision decision = new StageDecision(plan, stage, observed, ledger, mayOrder, now);
+    for (RolloutPlan.Host host : decision.orders()) {
+      previousReleases.putIfAbsent(host.name(), observed.state(host.name()).runningRelease());
+      order(host, plan.targetRelease(), "stage " + (stage + 1), now);
+    }
+    if (decision.isComplete()) {
+      enter(State.OBSERVING, "", now);
+    } else if (decision.isFailed()) {
+      String failed = decision.failedHosts() + " hosts could not go, at last ";
+      enter(State.HELD, failed + decision.obstacle(), now);
+    } else if (decision.isBlocked()) {
+      onBlocked(decision, now);
+    }
+  }
+
+  private void onBlocked(StageDecision decision, double now) {
+    if (decision.onlyUnreachableRemain()
+        && plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.CONTINUE) {
+      enter(State.OBSERVING, decision.obstacle() + "; it goes on without", now);
+    } else if (secondsInState(now) > plan.verdictTimeoutSeconds()) {
+      enter(State.HELD, decision.obstacle(), now);
+    }
+  }
+
+  private void observeStage(FleetObservation observed, CanaryAnalysis.Verdict verdict, double now) {
+    boolean holdsIfUnreachable = plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.HOLD;
+    if (holdsIfUnreachable && !observed.remaining(stage).isEmpty()) {
+      enter(State.PROGRESSING, "a host of this stage is behind again", now);
       return;
     }
-    boolean last = stage + 1 == plan.stages().size();
-    // Once no old box is left there is nothing to hold the new ones against: deaths and broken
-    // rules still count.
-    boolean alone =
-        last && changed(reported).size() + unreachable(reported).size() >= plan.hosts().size();
-    if (held >= hold && !cutOff && (verdict.outcome() == CanaryAnalysis.Outcome.PASS || alone)) {
-      if (last) {
-        enter(State.COMPLETED, "", now);
-      } else {
-        enter(State.PROGRESSING, verdict.reason(), now);
-        nextStage();
-      }
-    } else if (held >= hold + plan.verdictTimeoutSeconds()) {
-      enter(
-          State.HELD,
-          "nobody can tell whether stage " + (stage + 1) + " does worse: " + verdict.reason(),
-          now);
+    int unreachable = observed.unreachable().size();
+    boolean isCutOff = holdsIfUnreachable && unreachable * 2 >= plan.hosts().size();
+    // Without a host of the old release there is nothing to compare with: deaths and broken rules
+    // still count.
+    boolean isBaselineGone =
+        isLastStage() && observed.changed().size() + unreachable >= plan.hosts().size();
+    boolean isAccepted = verdict.outcome() == CanaryAnalysis.Outcome.PASS || isBaselineGone;
+    double holdSeconds = plan.stages().get(stage).holdSeconds();
+    if (secondsInState(now) >= holdSeconds && !isCutOff && isAccepted) {
+      endStage(verdict, now);
+    } else if (secondsInState(now) >= holdSeconds + plan.verdictTimeoutSeconds()) {
+      String undecided = "nobody can tell whether stage " + (stage + 1) + " does worse: ";
+      enter(State.HELD, undecided + verdict.reason(), now);
     }
   }
 
-  /**
-   * Newest first, with the same care; a box that cannot be reached is waited for, and the roll is
-   * not over without it.
-   */
-  private void continueRollBack(Map<String, ReportedState> reported, boolean mayOrder, double now) {
-    Set<String> unavailable = unavailable(reported, now);
-    Set<String> unreachable = unreachable(reported);
-    List<String> order = new ArrayList<>(previousReleases.keySet());
-    boolean all = true;
-    String obstacle = "";
-    for (int i = order.size() - 1; i >= 0; i--) {
-      RolloutPlan.Host host = plan.host(order.get(i));
-      String release = previousReleases.get(host.name());
-      ReportedState reportedState = reported.get(host.name());
-      if (runs(release, reportedState)) {
-        continue;
-      }
-      all = false;
-      if (unreachable.contains(host.name())) {
-        obstacle = host.name() + " cannot be reached, and is taken back when it is heard";
-      } else if (!unavailable.contains(host.name())
-          && mayOrder
-          && attempts(host) < plan.maxAttempts()
-          && blockingReason(host, unavailable, unreachable).isEmpty()) {
-        order(host, release, reason, now);
-        unavailable.add(host.name());
-      } else if (attempts(host) >= plan.maxAttempts() && !unavailable.contains(host.name())) {
-        obstacle = host.name() + " could not be taken back in " + attempts(host) + " tries";
-      }
+  private void endStage(CanaryAnalysis.Verdict verdict, double now) {
+    if (isLastStage()) {
+      enter(State.COMPLETED, "", now);
+    } else {
+      enter(State.PROGRESSING, verdict.reason(), now);
+      beginNextStage();
+    }
+  }
+
+  // ---- Rollback ----
+
+  /** Hosts that cannot be reached keep it from ending; they are rolled back once they can. */
+  private void rollBackHosts(FleetObservation observed, boolean mayOrder, double now) {
+    RollbackDecision decision =
+        new RollbackDecision(plan, previousReleases, observed, ledger, mayOrder, now);
+    for (RolloutPlan.Host host : decision.orders()) {
+      order(host, previousReleases.get(host.name()), reason, now);
     }
-    if (all && unavailable.isEmpty()) {
+    if (decision.isComplete()) {
       enter(State.ROLLED_BACK, reason, now);
-    } else if (!obstacle.isEmpty() && !reason.contains(obstacle)) {
-      reason = reason.split("; still: ")[0] + "; still: " + obstacle;
+    } else if (!decision.obstacle().isEmpty() && !reason.contains(decision.obstacle())) {
+      reason = reason.split(STILL, 2)[0] + STILL + decision.obstacle();
       actions.add(new Action.EnterState(state, stage, reason));
     }
   }
--- /dev/null
+++ b/src/main/java/wharftrestle/rollout/RolloutSchedule.java
@@ -0,0 +1,97 @@
+package wharftrestle.rollout;
+
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * Which host goes when if all goes well, and what of a plan cannot be met. A preview for operators;
+ * {@link Rollout} decides anew from what hosts report.
+ *
+ * @param changes in their order
+ * @param unmet each in one line
+ */
+public record RolloutSchedule(List<Change> changes, List<String> unmet) {
+
+  /**
+   * One host's change.
+   *
+   * @param stage from 0
+   * @param round of the stage, from 0; hosts of one round are unavailable together
+   */
+  public record Change(int stage, int round, RolloutPlan.Host host, String reason) {}
+
+  /** The schedule of a plan. */
+  public static RolloutSchedule of(RolloutPlan plan) {
+    Builder builder = new Builder(plan);
+    builder.addSoleOwners();
+    for (int stage = 0; stage < plan.stages().size(); stage++) {
+      builder.addStage(stage);
+    }
+    return new RolloutSchedule(List.copyOf(builder.changes), List.copyOf(builder.unmet));
+  }
+
+  private static final class Builder {
+    private final RolloutPlan plan;
+    private final List<Change> changes = new ArrayList<>();
+    private final List<String> unmet = new ArrayList<>();
+    private final Set<String> changed = new LinkedHashSet<>();
+
+    Builder(RolloutPlan plan) {
+      this.plan = plan;
+    }
+
+    void addSoleOwners() {
+      for (RolloutPlan.Host host : plan.hosts()) {
+        if (plan.isSoleOwner(host)) {
+          unmet.add(
+              host.name()
+                  + " stays as it is: no other host owns "
+                  + String.join(", ", host.tenants()));
+        }
+      }
+    }
+
+    void addStage(int stage) {
+      int wanted = plan.stages().get(stage).targetHosts(plan.hosts().size());
+      int target = plan.reachableTarget(stage);
+      if (wanted > target) {
+        unmet.add("stage " + (stage + 1) + " reaches " + target + " of " + wanted + " hosts");
+      }
+      for (int round = 0; changed.size() < target; round++) {
+        if (!addRound(stage, round, target)) {
+          RolloutPlan.Host blocked = plan.candidates(stage, changed).get(0);
+          unmet.add(
+              "stage "
+                  + (stage + 1)
+                  + " stops at "
+                  + changed.size()
+                  + " of "
+                  + target
+                  + " hosts: "
+                  + plan.blockingReason(blocked, Set.of()));
+          return;
+        }
+      }
+    }
+
+    /** False if no host may go. */
+    private boolean addRound(int stage, int round, int target) {
+      Set<String> unavailable = new LinkedHashSet<>();
+      String reason =
+          plan.stages().get(stage).spreadOverZones()
+              ? "its zone has the least of the new release"
+              : "as listed";
+      for (RolloutPlan.Host host : plan.candidates(stage, changed)) {
+        if (changed.size() + unavailable.size() < target
+            && plan.blockingReason(host, unavailable).isEmpty()) {
+          unavailable.add(host.name());
+          changes.add(new Change(stage, round, host, reason));
+        }
+      }
+      changed.addAll(unavailable);
+      return !unavailable.isEmpty();
+    }
+  }
+}
--- a/src/main/java/wharftrestle/rollout/controller/HostView.java
+++ b/src/main/java/wharftrestle/rollout/controller/HostView.java
@@ -3,18 +3,20 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.MissingNode;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import wharftrestle.rollout.EpochFence;
 import wharftrestle.rollout.HostSample;
 import wharftrestle.rollout.Rollout;
 import wharftrestle.rollout.RolloutPlan;
 
 /**
- * What a driver last heard of one box: it reads the keeper's words and gives them as the decisions
- * take them. It must never take what a keeper obeyed in another epoch for an answer to this one.
+ * The state that one host last reported, read from its supervisor's answers for {@link Rollout} and
+ * the canary analysis. An order that was accepted in another epoch is no answer to this one. Not
+ * thread-safe: used under the lock of {@link RolloutExecution}.
  */
 final class HostView {
-  /** A box at the edge of a window. */
   private record WindowStart(JsonNode reported, double at) {}
 
   private final RolloutPlan.Host host;
@@ -22,130 +24,148 @@
   private EpochFence.Grant grant = EpochFence.Grant.NONE;
   private String incarnation = "";
   private WindowStart windowStart;
-  private JsonNode deaths = MissingNode.getInstance();
 
   HostView(RolloutPlan.Host host) {
     this.host = host;
   }
 
   /**
-   * Takes what a keeper said; the releases whose daemons have died since the last word, one for
-   * each death.
+   * Takes a supervisor's answer. The releases whose daemons have died since its last one, one for
+   * each death; deaths before the first answer of an incarnation do not count.
    */
-  List<String> update(SupervisorClient.Answer heard) {
-    JsonNode now = heard.body().path("box");
-    JsonNode died = now.path("deaths");
-    String start = heard.body().path("incarnation").asText();
+  List<String> update(SupervisorClient.Answer answer) {
+    JsonNode now = answer.body().path("box");
+    boolean sameIncarnation = answer.incarnation().equals(incarnation);
+    List<String> deaths =
+        sameIncarnation ? newDeaths(reported.path("deaths"), now.path("deaths")) : List.of();
+    incarnation = answer.incarnation();
+    reported = now;
+    grant = answer.reply().grant();
+    return deaths;
+  }
+
+  private static List<String> newDeaths(JsonNode before, JsonNode after) {
     List<String> releases = new ArrayList<>();
-    boolean same = start.equals(incarnation);
-    died.fields()
+    after
+        .fields()
         .forEachRemaining(
-            each -> {
-              int before = same ? deaths.path(each.getKey()).asInt() : each.getValue().asInt();
-              for (int i = before; i < each.getValue().asInt(); i++) {
-                releases.add(each.getKey());
-              }
+            deaths -> {
+              String release = deaths.getKey();
+              int count = deaths.getValue().asInt() - before.path(release).asInt();
+              releases.addAll(Collections.nCopies(Math.max(0, count), release));
             });
-    deaths = died;
-    incarnation = start;
-    reported = now;
-    grant = heard.reply().grant();
     return releases;
   }
 
+  /** The supervisor's incarnation; empty before its first answer. */
   String incarnation() {
     return incarnation;
   }
 
-  /** The release that its daemon is; empty for none known. */
+  /** The release of the daemon, by its own digest; empty if none is known. */
   String runningRelease() {
     return reported.path("acts").asText();
   }
 
+  /** The supervisor's state, as it is published; "unknown" before its first answer. */
   String state() {
     return reported.path("state").asText("unknown");
   }
 
+  /** Why the last change was rolled back by the host itself; empty if it was not. */
   String failure() {
     return reported.path("failed").asText();
   }
 
-  /** As a roll sees it, in this epoch. */
-  Rollout.ReportedState reportedState(boolean contact, long epoch) {
-    boolean ours = grant.epoch() == epoch && !grant.targetRelease().isEmpty();
-    // A keeper writes an order down before it carries it out: until then nothing that it shows is
-    // an answer to it.
-    boolean carried =
-        ours
+  /** The names of the request classes; empty if the daemon has reported none yet. */
+  List<String> requestClasses() {
+    List<String> names = new ArrayList<>();
+    reported.path("classes").forEach(each -> names.add(each.path("name").asText()));
+    return names;
+  }
+
+  /** The state as {@link Rollout} takes it, with the orders of this epoch only. */
+  Rollout.ReportedState reportedState(boolean reachable, long epoch) {
+    boolean isOrdered = grant.epoch() == epoch && !grant.targetRelease().isEmpty();
+    // A supervisor persists an order before it executes it: until then nothing that it reports is
+    // an answer to the order.
+    boolean isExecuted =
+        isOrdered
             && reported.path("told").asText().equals(grant.targetRelease())
             && reported.path("attempt").asInt() == grant.attempt();
+    int executedAttempt = isExecuted ? grant.attempt() : grant.attempt() - 1;
     return new Rollout.ReportedState(
-        contact,
+        reachable,
         runningRelease(),
-        reported.path("settled").asBoolean(),
-        ours ? grant.targetRelease() : "",
-        !ours ? 0 : carried ? grant.attempt() : grant.attempt() - 1,
-        carried ? failure() : "");
+        isSettled(reported),
+        isOrdered ? grant.targetRelease() : "",
+        isOrdered ? executedAttempt : 0,
+        isExecuted ? failure() : "");
+  }
+
+  private static boolean isSettled(JsonNode reported) {
+    return reported.path("settled").asBoolean();
   }
 
   /**
-   * What it did since the last edge of a window, which this is; null where it said too little.
+   * Ends a window and starts the next one: what the host did in between, or empty if it reported
+   * too little.
    *
-   * @param warm seconds of a daemon's life that do not count
+   * @param warmUpSeconds of a daemon's life that do not count
    */
-  HostSample sampleWindow(boolean contact, String to, double warm, double now) {
-    WindowStart last = windowStart;
+  Optional<HostSample> sampleWindow(
+      boolean reachable, String newRelease, double warmUpSeconds, double now) {
+    WindowStart start = windowStart;
     windowStart = new WindowStart(reported, now);
-    if (last == null || !reported.has("pid") || !last.reported().has("pid")) {
-      return null;
+    if (start == null || !reported.has("pid") || !start.reported().has("pid")) {
+      return Optional.empty();
     }
-    JsonNode before = last.reported();
-    double span = now - last.at();
-    boolean same =
+    JsonNode before = start.reported();
+    double windowSeconds = now - start.at();
+    boolean sameProcess =
         before.path("pid").asLong() == reported.path("pid").asLong()
             && before.path("acts").asText().equals(runningRelease());
-    boolean steady =
-        contact
-            && same
-            && reported.path("settled").asBoolean()
-            && before.path("settled").asBoolean()
-            && reported.path("up").asDouble() - span >= warm;
-    List<HostSample.Counts> classes = new ArrayList<>();
-    for (int i = 0; same && i < reported.path("classes").size(); i++) {
-      JsonNode a = before.path("classes").path(i);
-      JsonNode b = reported.path("classes").path(i);
-      classes.add(
-          new HostSample.Counts(
-              b.path("name").asText(),
-              grown(a, b, "asked"),
-              grown(a, b, "served"),
-              grown(a, b, "late"),
-              grown(a, b, "refused"),
-              grown(a, b, "failed"),
-              b.path("worth").asDouble(),
-              b.path("lateWorth").asDouble()));
-    }
-    return new HostSample(
-        host.name(),
-        host.zone(),
-        runningRelease().equals(to),
-        steady,
-        classes,
-        grown(before, reported, "calls"),
-        grown(before, reported, "badCalls"),
-        reported.path("cpu").asDouble() - before.path("cpu").asDouble(),
-        reported.path("ownMb").asDouble(),
-        (reported.path("ownMb").asDouble() - before.path("ownMb").asDouble()) * 60 / span);
+    boolean isSteady =
+        reachable
+            && sameProcess
+            && isSettled(before)
+            && isSettled(reported)
+            && reported.path("up").asDouble() - windowSeconds >= warmUpSeconds;
+    double memoryMb = reported.path("ownMb").asDouble();
+    return Optional.of(
+        new HostSample(
+            host.name(),
+            host.zone(),
+            runningRelease().equals(newRelease),
+            isSteady,
+            sameProcess ? classCounts(before.path("classes")) : List.of(),
+            increase(before, reported, "calls"),
+            increase(before, reported, "badCalls"),
+            reported.path("cpu").asDouble() - before.path("cpu").asDouble(),
+            memoryMb,
+            (memoryMb - before.path("ownMb").asDouble()) * 60 / windowSeconds));
   }
 
-  private static long grown(JsonNode before, JsonNode after, String what) {
-    return Math.max(0, after.path(what).asLong() - before.path(what).asLong());
+  private List<HostSample.Counts> classCounts(JsonNode classesBefore) {
+    List<HostSample.Counts> counts = new ArrayList<>();
+    for (int i = 0; i < reported.path("classes").size(); i++) {
+      JsonNode before = classesBefore.path(i);
+      JsonNode after = reported.path("classes").path(i);
+      counts.add(
+          new HostSample.Counts(
+              after.path("name").asText(),
+              increase(before, after, "asked"),
+              increase(before, after, "served"),
+              increase(before, after, "late"),
+              increase(before, after, "refused"),
+              increase(before, after, "failed"),
+              after.path("worth").asDouble(),
+              after.path("lateWorth").asDouble()));
+    }
+    return counts;
   }
 
-  /** The classes it told of. */
-  List<String> requestClasses() {
-    List<String> names = new ArrayList<>();
-    reported.path("classes").forEach(each -> names.add(each.path("name").asText()));
-    return names;
+  private static long increase(JsonNode before, JsonNode after, String counter) {
+    return Math.max(0, after.path(counter).asLong() - before.path(counter).asLong());
   }
 }
--- /dev/null
+++ b/src/main/java/wharftrestle/rollout/controller/MonotonicClock.java
@@ -0,0 +1,11 @@
+package wharftrestle.rollout.controller;
+
+/** The clock of a controller's decisions. It never steps, whatever the time of day does. */
+final class MonotonicClock {
+  private MonotonicClock() {}
+
+  /** Seconds since a fixed but arbitrary moment. */
+  static double seconds() {
+    return System.nanoTime() / 1e9;
+  }
+}
--- /dev/null
+++ b/src/main/java/wharftrestle/rollout/controller/OperatorCommand.java
@@ -0,0 +1,94 @@
+package wharftrestle.rollout.controller;
+
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import wharftrestle.supervisor.CommandSocket;
+
+/**
+ * A command of {@code fleet roll} that is sent to the socket of the running controller. Most are
+ * sent as their own name, which {@link OperatorCommands} executes.
+ */
+abstract class OperatorCommand implements Callable<Integer> {
+  private static final String ACCEPTED = "ok ";
+
+  @Option(
+      names = "--dir",
+      paramLabel = "DIR",
+      required = true,
+      description = "the controller's own directory")
+  private Path directory;
+
+  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+
+  /** The controller's directory, absolute. */
+  final Path directory() {
+    return directory.toAbsolutePath();
+  }
+
+  /** What is sent to the controller. */
+  String line() {
+    return spec.name();
+  }
+
+  /** Sends the command; the answer with its "ok " or "no ", or null if no controller answers. */
+  final String send() {
+    return CommandSocket.order(directory().resolve(ControllerDirectory.SOCKET_FILE), line());
+  }
+
+  /** An answer without its "ok " or "no ". */
+  static String text(String answer) {
+    return answer.substring(ACCEPTED.length());
+  }
+
+  @Override
+  public Integer call() throws Exception {
+    String answer = send();
+    if (answer == null) {
+      System.err.println("wharftrestle: no controller answers in " + directory);
+      return RolloutCommand.EXIT_ROLLED_BACK;
+    }
+    if (!answer.startsWith(ACCEPTED)) {
+      System.err.println("wharftrestle: " + text(answer));
+      return RolloutCommand.EXIT_ROLLED_BACK;
+    }
+    System.out.println(text(answer));
+    return RolloutCommand.EXIT_COMPLETED;
+  }
+
+  /** {@code fleet roll pause}. */
+  @Command(name = "pause", description = "begin nothing more; what is going on ends")
+  static final class Pause extends OperatorCommand {}
+
+  /** {@code fleet roll go}. */
+  @Command(name = "go", description = "go on from a pause, or with a change that is held")
+  static final class Go extends OperatorCommand {}
+
+  /** {@code fleet roll back}. */
+  @Command(name = "back", description = "roll all changed hosts back, newest first")
+  static final class Back extends OperatorCommand {}
+
+  /** {@code fleet roll abort}. */
+  @Command(name = "abort", description = "end the change and leave every host as it is")
+  static final class Abort extends OperatorCommand {}
+
+  /** {@code fleet roll broken}. */
+  @Command(
+      name = "broken",
+      description = "a rule was broken at a host by the new release: the stage is worse at once")
+  static final class Broken extends OperatorCommand {
+    @Parameters(paramLabel = "BOX", index = "0")
+    private String host;
+
+    @Parameters(paramLabel = "WHAT", index = "1", description = "such as \"a key ran twice\"")
+    private String violated;
+
+    @Override
+    String line() {
+      return "broken " + host + " " + violated.replaceAll("\\s+", " ");
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/wharftrestle/rollout/controller/PreflightCheck.java
@@ -0,0 +1,173 @@
+package wharftrestle.rollout.controller;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.CountDownLatch;
+import org.tinylog.Logger;
+import wharftrestle.rollout.RolloutPlan;
+
+/**
+ * Asks every supervisor, before anything moves, who holds the lease and whether its host can go to
+ * the release and back. Made for one use by {@link RolloutController#check}.
+ */
+final class PreflightCheck {
+  /** Seconds since its last heartbeat for which another controller counts as alive. */
+  private static final double CONTROLLER_ALIVE_SECONDS = 10;
+
+  private static final int MAX_SHOWN_OBJECTIONS = 5;
+
+  private record HostAnswers(JsonNode status, JsonNode release) {}
+
+  private final RolloutPlan plan;
+  private final RolloutExecution execution;
+  private final SupervisorClient supervisors;
+  private final Set<String> endedControllers;
+  private final boolean isResuming;
+  private final boolean takesOver;
+  private final List<String> objections = new ArrayList<>();
+  private String firstBuild = "";
+
+  /**
+   * @param endedControllers names that hold no lease any more, whatever supervisors say
+   * @param isResuming true where the hosts' releases were checked before the rollout began
+   * @param takesOver true where a controller that is alive is no objection
+   */
+  PreflightCheck(
+      RolloutPlan plan,
+      RolloutExecution execution,
+      SupervisorClient supervisors,
+      Set<String> endedControllers,
+      boolean isResuming,
+      boolean takesOver) {
+    this.plan = plan;
+    this.execution = execution;
+    this.supervisors = supervisors;
+    this.endedControllers = endedControllers;
+    this.isResuming = isResuming;
+    this.takesOver = takesOver;
+  }
+
+  /**
+   * Asks all supervisors at once.
+   *
+   * @throws RolloutRefusedException with every objection
+   */
+  void run() throws RolloutRefusedException, InterruptedException {
+    Map<String, HostAnswers> answers = askAll();
+    if (!isResuming && answers.size() * 2 <= plan.hosts().size()) {
+      objections.add(
+          answers.size()
+              + " of "
+              + plan.hosts().size()
+              + " supervisors answer, which is not more than half");
+    }
+    for (RolloutPlan.Host host : plan.hosts()) {
+      HostAnswers answer = answers.get(host.name());
+      if (answer != null) {
+        checkStatus(host, answer.status());
+        if (!isResuming) {
+          checkRelease(host, answer.release());
+        }
+      }
+    }
+    if (!objections.isEmpty()) {
+      throw new RolloutRefusedException(summary());
+    }
+  }
+
+  private Map<String, HostAnswers> askAll() throws InterruptedException {
+    Map<String, HostAnswers> answers = new LinkedHashMap<>();
+    CountDownLatch asked = new CountDownLatch(plan.hosts().size());
+    for (RolloutPlan.Host host : plan.hosts()) {
+      ControllerThreads.start(
+          "check " + host.name(),
+          () -> {
+            try {
+              HostAnswers answer = ask(host);
+              synchronized (answers) {
+                answers.put(host.name(), answer);
+              }
+            } catch (IOException unreachable) {
+              Logger.debug(
+                  "supervisor does not answer: host={} reason={}",
+                  host.name(),
+                  unreachable.getMessage());
+            } finally {
+              asked.countDown();
+            }
+          });
+    }
+    asked.await();
+    return answers;
+  }
+
+  private HostAnswers ask(RolloutPlan.Host host) throws IOException {
+    return new HostAnswers(
+        supervisors.hostStatus(host.supervisor()),
+        supervisors.checkRelease(host.supervisor(), plan.targetRelease()));
+  }
+
+  private void checkStatus(RolloutPlan.Host host, JsonNode status) {
+    execution.observeEpoch(status.path("epoch").asLong());
+    String name = status.path("name").asText();
+    if (!name.equals(host.name())) {
+      objections.add(
+          "the supervisor at "
+              + host.supervisor()
+              + " is of host '"
+              + name
+              + "', not "
+              + host.name());
+    }
+    String holder = status.path("driver").asText();
+    double secondsSinceHeartbeat = status.path("askedAgo").asDouble();
+    if (!takesOver
+        && !holder.isEmpty()
+        && !endedControllers.contains(holder)
+        && secondsSinceHeartbeat < CONTROLLER_ALIVE_SECONDS) {
+      objections.add(
+          String.format(
+              Locale.ROOT,
+              "%s holds the lease in epoch %d (its last heartbeat to %s was %.1f s ago); "
+                  + "--take-over goes on in its place",
+              holder,
+              status.path("epoch").asLong(),
+              host.name(),
+              secondsSinceHeartbeat));
+    }
+  }
+
+  private void checkRelease(RolloutPlan.Host host, JsonNode release) {
+    String unusable = release.path("against").asText();
+    String build = release.path("build").asText();
+    if (!unusable.isEmpty()) {
+      objections.add(host.name() + ": " + unusable);
+    } else if (firstBuild.isEmpty()) {
+      firstBuild = build;
+    } else if (!firstBuild.equals(build)) {
+      objections.add(
+          host.name()
+              + ": its release '"
+              + plan.targetRelease()
+              + "' has another program than the first host's");
+    }
+    String irreversible = release.path("back").asText();
+    if (!irreversible.isEmpty()
+        && plan.regressionPolicy() == RolloutPlan.RegressionPolicy.ROLL_BACK) {
+      objections.add(host.name() + " could not be rolled back: " + irreversible);
+    }
+  }
+
+  private String summary() {
+    int shown = Math.min(MAX_SHOWN_OBJECTIONS, objections.size());
+    int hidden = objections.size() - shown;
+    return String.join("; ", objections.subList(0, shown))
+        + (hidden > 0 ? "; and " + hidden + " more" : "");
+  }
+}
--- a/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
@@ -11,8 +11,8 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * What a driver tells: a line an event, for people or as a JSON object; each names the epoch and
- * the stage.
+ * Writes a controller's events, a line each: text for operators or a JSON object under published
+ * names. Each event names the epoch and the stage. Thread-safe.
  */
 final class RolloutEventLog {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -20,44 +20,55 @@
   private final PrintStream out;
   private final boolean json;
 
+  /** Writes JSON objects if {@code json}, text otherwise. */
   RolloutEventLog(PrintStream out, boolean json) {
     this.out = out;
     this.json = json;
   }
 
   /**
+   * Writes one event.
+   *
    * @param stage from 1
+   * @param host empty if the event concerns none
+   * @param reason empty for none
    */
   synchronized void log(long epoch, int stage, String event, String host, String reason) {
-    if (!json) {
-      out.println(
-          LocalTime.now(ZoneId.systemDefault()).truncatedTo(ChronoUnit.SECONDS)
-              + "  epoch "
-              + epoch
-              + " stage "
-              + stage
-              + "  "
-              + event
-              + (host.isEmpty() ? "" : " " + host)
-              + (reason.isEmpty() ? "" : ": " + reason));
-    } else {
-      Map<String, Object> all = new LinkedHashMap<>();
-      all.put("at", SteadyWallClock.now());
-      all.put("epoch", epoch);
-      all.put("stage", stage);
-      all.put("what", event);
-      if (!host.isEmpty()) {
-        all.put("box", host);
-      }
-      if (!reason.isEmpty()) {
-        all.put("why", reason);
-      }
-      try {
-        out.println(JSON.writeValueAsString(all));
-      } catch (JsonProcessingException e) {
-        throw new IllegalStateException(e);
-      }
-    }
+    out.println(
+        json
+            ? jsonLine(epoch, stage, event, host, reason)
+            : textLine(epoch, stage, event, host, reason));
     out.flush();
   }
+
+  private static String textLine(long epoch, int stage, String event, String host, String reason) {
+    return LocalTime.now(ZoneId.systemDefault()).truncatedTo(ChronoUnit.SECONDS)
+        + "  epoch "
+        + epoch
+        + " stage "
+        + stage
+        + "  "
+        + event
+        + (host.isEmpty() ? "" : " " + host)
+        + (reason.isEmpty() ? "" : ": " + reason);
+  }
+
+  private static String jsonLine(long epoch, int stage, String event, String host, String reason) {
+    Map<String, Object> line = new LinkedHashMap<>();
+    line.put("at", SteadyWallClock.now());
+    line.put("epoch", epoch);
+    line.put("stage", stage);
+    line.put("what", event);
+    if (!host.isEmpty()) {
+      line.put("box", host);
+    }
+    if (!reason.isEmpty()) {
+      line.put("why", reason);
+    }
+    try {
+      return JSON.writeValueAsString(line);
+    } catch (JsonProcessingException e) {
+      throw new IllegalStateException("strings and numbers can be written: " + line, e);
+    }
+  }
 }
--- /dev/null
+++ b/src/main/java/wharftrestle/rollout/controller/StartCommand.java
@@ -0,0 +1,78 @@
+package wharftrestle.rollout.controller;
+
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import wharftrestle.config.DaemonConfig;
+
+/** {@code fleet roll start}: carries out a plan in the foreground. */
+@Command(
+    name = "start",
+    description = {
+      "carry out the change of a plan, in the foreground; if it is under way, go on",
+      "exit: 0 it arrived, 1 rolled back or ended or refused, 2 bad use,"
+          + " 3 another controller holds the lease"
+    })
+final class StartCommand implements Callable<Integer> {
+  private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
+
+  @Parameters(paramLabel = "FILE")
+  private Path file;
+
+  @Option(
+      names = "--dir",
+      paramLabel = "DIR",
+      required = true,
+      description = "the controller's own directory, with its journal")
+  private Path directory;
+
+  @Option(
+      names = "--driver",
+      paramLabel = "NAME",
+      description = "the controller's name, that no other has; default: drawn anew")
+  private String name;
+
+  @Option(names = "--take-over", description = "go on in place of a controller that is alive")
+  private boolean takesOver;
+
+  @Option(names = "--json", description = "a JSON object an event")
+  private boolean json;
+
+  @Override
+  @SuppressWarnings("ClosingStandardOutputStreams") // the controller closes only what it opened
+  public Integer call() throws Exception {
+    PlanScript script = PlanScript.read(file);
+    if (name != null && !name.matches(NAME_PATTERN)) {
+      throw new DaemonConfig.BadConfigException(
+          "--driver is a name of letters, digits, '.', '_' and '-', not '" + name + "'");
+    }
+    RolloutEventLog events = new RolloutEventLog(System.out, json);
+    try (RolloutController controller =
+        new RolloutController(
+            directory.toAbsolutePath(), script, name == null ? drawnName() : name, events)) {
+      Runtime.getRuntime().addShutdownHook(new Thread(controller::stop));
+      controller.check(takesOver);
+      return exitCode(controller.run());
+    } catch (RolloutRefusedException e) {
+      System.err.println("wharftrestle: " + e.getMessage());
+      return RolloutCommand.EXIT_ROLLED_BACK;
+    }
+  }
+
+  private static String drawnName() {
+    return "driver-"
+        + ProcessHandle.current().pid()
+        + "-"
+        + Long.toHexString(System.nanoTime() & 0xffffff);
+  }
+
+  private static int exitCode(RolloutController.Outcome outcome) {
+    return switch (outcome) {
+      case COMPLETED -> RolloutCommand.EXIT_COMPLETED;
+      case FENCED -> RolloutCommand.EXIT_FENCED;
+      default -> RolloutCommand.EXIT_ROLLED_BACK;
+    };
+  }
+}
--- a/src/main/java/wharftrestle/rollout/controller/SupervisorClient.java
+++ b/src/main/java/wharftrestle/rollout/controller/SupervisorClient.java
@@ -10,16 +10,23 @@
 import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.util.LinkedHashMap;
 import java.util.Map;
 import wharftrestle.rollout.EpochFence;
 
 /**
- * Calls a keeper. It owns the words on the wire and how long an answer is waited for; a call is
- * made once and never repeated.
+ * Calls supervisors over HTTP and maps their messages; the only class that knows their published
+ * names. A call is made once and never repeated. Thread-safe. Every call throws an {@link
+ * IOException} if the supervisor does not answer in time or answers with an error.
  */
 final class SupervisorClient {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(900);
+
+  /** A supervisor that probes another one waits for that one's answer itself. */
+  private static final Duration PROBE_TIMEOUT = REQUEST_TIMEOUT.multipliedBy(3);
+
+  /** A supervisor reads both releases from disk before it answers. */
   private static final Duration RELEASE_CHECK_TIMEOUT = Duration.ofSeconds(30);
 
   private final HttpClient client =
@@ -28,56 +35,36 @@
           .connectTimeout(REQUEST_TIMEOUT)
           .build();
 
-  /** What a keeper said: the fence's answer, and how its box is. */
-  record Answer(EpochFence.Reply reply, String orderResult, JsonNode body) {}
-
-  private JsonNode send(HttpRequest request) throws IOException {
-    try {
-      HttpResponse<String> answer = client.send(request, HttpResponse.BodyHandlers.ofString());
-      JsonNode read = JSON.readTree(answer.body());
-      if (answer.statusCode() != 200) {
-        throw new IOException(answer.statusCode() + ": " + read.path("why").asText());
-      }
-      return read;
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-      throw new IOException("ended while it waited");
+  /**
+   * A supervisor's answer to a claim, a heartbeat or an order.
+   *
+   * @param reply of its fence
+   * @param orderResult "ok ..." or "no ..."; empty for what is no order
+   * @param body the whole answer, with the state of its host
+   */
+  record Answer(EpochFence.Reply reply, String orderResult, JsonNode body) {
+    /** The name of the host that answered. */
+    String host() {
+      return body.path("name").asText();
     }
-  }
 
-  private JsonNode get(String supervisor, String path, Duration timeout) throws IOException {
-    return send(
-        HttpRequest.newBuilder(URI.create("http://" + supervisor + path)).timeout(timeout).build());
-  }
-
-  private Answer post(String supervisor, String path, Map<String, Object> body) throws IOException {
-    JsonNode read =
-        send(
-            HttpRequest.newBuilder(URI.create("http://" + supervisor + path))
-                .timeout(REQUEST_TIMEOUT)
-                .POST(HttpRequest.BodyPublishers.ofString(JSON.writeValueAsString(body)))
-                .build());
-    try {
-      return new Answer(
-          new EpochFence.Reply(
-              EpochFence.Answer.ofPublishedName(read.path("answer").asText()),
-              read.path("stamp").asLong(),
-              new EpochFence.Grant(
-                  read.path("epoch").asLong(),
-                  read.path("driver").asText(),
-                  read.path("target").asText(),
-                  read.path("orders").asInt())),
-          read.path("obeyed").asText(),
-          read);
-    } catch (IllegalArgumentException e) {
-      throw new IOException("no answer of a keeper: " + read);
+    /** Which start of the supervisor answered. */
+    String incarnation() {
+      return body.path("incarnation").asText();
     }
   }
 
+  /** Claims an epoch. */
   Answer claim(String supervisor, long epoch, String controller) throws IOException {
     return post(supervisor, "/claim", Map.of("epoch", epoch, "driver", controller));
   }
 
+  /**
+   * Asks for the state of a host, and for a new lease token.
+   *
+   * @param stage from 1
+   * @param verdict the published name of its outcome, for the daemon's metrics
+   */
   Answer heartbeat(String supervisor, long epoch, String controller, int stage, String verdict)
       throws IOException {
     return post(
@@ -87,7 +74,10 @@
   }
 
   /**
-   * @param back from what was found bad: the keeper goes back to that by no means
+   * Orders a host to run a release.
+   *
+   * @param leaseToken of the supervisor's last answer
+   * @param rollback true if the host must never fall back to the release that it runs now
    */
   Answer order(
       String supervisor,
@@ -97,41 +87,79 @@
       String release,
       boolean rollback)
       throws IOException {
-    return post(
-        supervisor,
-        "/order",
-        Map.of(
-            "epoch",
-            epoch,
-            "driver",
-            controller,
-            "stamp",
-            leaseToken,
-            "to",
-            release,
-            "back",
-            rollback));
+    Map<String, Object> order = new LinkedHashMap<>();
+    order.put("epoch", epoch);
+    order.put("driver", controller);
+    order.put("stamp", leaseToken);
+    order.put("to", release);
+    order.put("back", rollback);
+    return post(supervisor, "/order", order);
   }
 
-  /** How the box is, to anybody. */
+  /** The state of a host, whoever holds the lease. */
   JsonNode hostStatus(String supervisor) throws IOException {
     return get(supervisor, "/box", REQUEST_TIMEOUT);
   }
 
-  /** Asks a keeper for another box. */
+  /** Asks a supervisor whether it reaches another one, and whether that host serves clients. */
   JsonNode indirectProbe(String supervisor, String target, String clientAddress)
       throws IOException {
-    return get(
-        supervisor,
-        "/look?keeper=" + target + (clientAddress.isEmpty() ? "" : "&front=" + clientAddress),
-        REQUEST_TIMEOUT.multipliedBy(3));
+    String front = clientAddress.isEmpty() ? "" : "&front=" + clientAddress;
+    return get(supervisor, "/look?keeper=" + target + front, PROBE_TIMEOUT);
   }
 
-  /** Whether a box can go to a release. */
-  JsonNode checkRelease(String supervisor, String name) throws IOException {
-    return get(
-        supervisor,
-        "/release?name=" + URLEncoder.encode(name, StandardCharsets.UTF_8),
-        RELEASE_CHECK_TIMEOUT);
+  /** Whether a host can go to a release and back. */
+  JsonNode checkRelease(String supervisor, String release) throws IOException {
+    String name = URLEncoder.encode(release, StandardCharsets.UTF_8);
+    return get(supervisor, "/release?name=" + name, RELEASE_CHECK_TIMEOUT);
+  }
+
+  private JsonNode get(String supervisor, String path, Duration timeout) throws IOException {
+    return send(request(supervisor, path, timeout).build());
+  }
+
+  private Answer post(String supervisor, String path, Map<String, Object> body) throws IOException {
+    return answer(
+        send(
+            request(supervisor, path, REQUEST_TIMEOUT)
+                .POST(HttpRequest.BodyPublishers.ofString(JSON.writeValueAsString(body)))
+                .build()));
+  }
+
+  private static HttpRequest.Builder request(String supervisor, String path, Duration timeout) {
+    return HttpRequest.newBuilder(URI.create("http://" + supervisor + path)).timeout(timeout);
+  }
+
+  private JsonNode send(HttpRequest request) throws IOException {
+    try {
+      HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
+      JsonNode body = JSON.readTree(response.body());
+      if (response.statusCode() != 200) {
+        throw new IOException(response.statusCode() + ": " + body.path("why").asText());
+      }
+      return body;
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      throw new IOException("interrupted while waiting for " + request.uri(), e);
+    }
+  }
+
+  private static Answer answer(JsonNode body) throws IOException {
+    try {
+      EpochFence.Grant grant =
+          new EpochFence.Grant(
+              body.path("epoch").asLong(),
+              body.path("driver").asText(),
+              body.path("target").asText(),
+              body.path("orders").asInt());
+      EpochFence.Reply reply =
+          new EpochFence.Reply(
+              EpochFence.Answer.ofPublishedName(body.path("answer").asText()),
+              body.path("stamp").asLong(),
+              grant);
+      return new Answer(reply, body.path("obeyed").asText(), body);
+    } catch (IllegalArgumentException e) {
+      throw new IOException("expected the answer of a supervisor, got " + body, e);
+    }
   }
 }
--- /dev/null
+++ b/src/main/java/wharftrestle/rollout/controller/SupervisorPoller.java
@@ -0,0 +1,89 @@
+package wharftrestle.rollout.controller;
+
+import java.io.IOException;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import org.tinylog.Logger;
+import wharftrestle.rollout.RolloutPlan;
+
+/**
+ * Polls one supervisor in a thread of its own: claims the epoch or sends a heartbeat, hands the
+ * answer to {@link RolloutExecution}, and sends the order that may then go out. No lock is held
+ * during a call.
+ */
+final class SupervisorPoller implements Runnable {
+  /** Several polls within a lease. */
+  private static final long POLL_INTERVAL_MS = 500;
+
+  private final RolloutPlan.Host host;
+  private final RolloutExecution execution;
+  private final SupervisorClient supervisors;
+  private final BooleanSupplier isStopped;
+
+  SupervisorPoller(
+      RolloutPlan.Host host,
+      RolloutExecution execution,
+      SupervisorClient supervisors,
+      BooleanSupplier isStopped) {
+    this.host = host;
+    this.execution = execution;
+    this.supervisors = supervisors;
+    this.isStopped = isStopped;
+  }
+
+  @Override
+  public void run() {
+    while (!isStopped.getAsBoolean()) {
+      try {
+        poll().ifPresent(this::sendOrder);
+      } catch (IOException unreachable) {
+        Logger.debug(
+            "supervisor does not answer: host={} reason={}", host.name(), unreachable.getMessage());
+      } catch (RuntimeException fault) {
+        Logger.error(fault, "poll failed: host={}", host.name());
+      }
+      try {
+        TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
+      } catch (InterruptedException e) {
+        return;
+      }
+    }
+  }
+
+  /** One poll; the order that may go out after it. */
+  private Optional<PendingOrder> poll() throws IOException {
+    double sentAt = MonotonicClock.seconds();
+    RolloutExecution.Poll poll = execution.nextPoll(host.name());
+    String controller = execution.controller();
+    SupervisorClient.Answer answer =
+        poll.claims()
+            ? supervisors.claim(host.supervisor(), poll.epoch(), controller)
+            : supervisors.heartbeat(
+                host.supervisor(), poll.epoch(), controller, poll.stage(), poll.verdict());
+    return execution.onAnswer(host.name(), poll.epoch(), answer, sentAt, MonotonicClock.seconds());
+  }
+
+  private void sendOrder(PendingOrder order) {
+    Optional<RolloutExecution.Permit> permit =
+        execution.permit(host.name(), MonotonicClock.seconds());
+    if (permit.isEmpty()) {
+      return;
+    }
+    long epoch = permit.get().epoch();
+    try {
+      SupervisorClient.Answer answer =
+          supervisors.order(
+              host.supervisor(),
+              epoch,
+              execution.controller(),
+              permit.get().leaseToken(),
+              order.release(),
+              order.rollback());
+      execution.onOrderAnswer(host.name(), epoch, answer);
+    } catch (IOException unknown) {
+      // The order may have arrived: what the host reports next tells.
+      Logger.debug("order without an answer: host={} reason={}", host.name(), unknown.getMessage());
+    }
+  }
+}
--- a/src/main/java/wharftrestle/simulation/RolloutSimulation.java
+++ b/src/main/java/wharftrestle/simulation/RolloutSimulation.java
@@ -9,6 +9,7 @@
 import java.util.SplittableRandom;
 import wharftrestle.admission.Admission;
 import wharftrestle.rollout.CanaryAnalysis;
+import wharftrestle.rollout.CanaryCriteria;
 import wharftrestle.rollout.CanaryMetric;
 import wharftrestle.rollout.HostSample;
 import wharftrestle.rollout.Rollout;
@@ -168,11 +169,9 @@
             NEW,
             boxes,
             stages,
-            limits,
-            0.05,
+            new CanaryCriteria(limits, 0.05, WARM),
             2,
             2,
-            WARM,
             1800,
             RolloutPlan.UnreachablePolicy.HOLD,
             RolloutPlan.RegressionPolicy.ROLL_BACK);
@@ -215,10 +214,10 @@
   private Result play() {
     judge =
         new CanaryAnalysis(
-            plan.limits(),
+            plan.criteria().limits(),
             fleet.settings.classes().stream().map(Admission.RequestClass::name).toList(),
             plan.stages().size(),
-            plan.errorProbability());
+            plan.criteria().errorProbability());
     if (trouble == Trouble.SLOW_MACHINE) {
       fleet.boxes.get(0).slow(0.7);
     }
--- a/src/test/java/wharftrestle/rollout/RolloutPlanTest.java
+++ b/src/test/java/wharftrestle/rollout/RolloutPlanTest.java
@@ -21,11 +21,9 @@
         "new",
         boxes,
         List.of(stages),
-        Map.of(CanaryMetric.LOST_WEIGHT, 0.03),
-        0.05,
+        new CanaryCriteria(Map.of(CanaryMetric.LOST_WEIGHT, 0.03), 0.05, 10),
         mostAway,
         2,
-        10,
         60,
         RolloutPlan.UnreachablePolicy.HOLD,
         RolloutPlan.RegressionPolicy.ROLL_BACK);
@@ -36,7 +34,7 @@
   }
 
   private static List<String> names(RolloutPlan plan) {
-    return plan.schedule().changes().stream()
+    return RolloutSchedule.of(plan).changes().stream()
         .map(turn -> turn.stage() + "." + turn.round() + " " + turn.host().name())
         .toList();
   }
@@ -51,7 +49,7 @@
             new RolloutPlan.Stage(0, 0.5, true, 1),
             new RolloutPlan.Stage(0, 1, true, 1));
     assertEquals(List.of("0.0 a1", "1.0 b1", "2.0 a2", "2.0 b2"), names(plan));
-    assertEquals(List.of(), plan.schedule().unmet());
+    assertEquals(List.of(), RolloutSchedule.of(plan).unmet());
   }
 
   @Test
@@ -76,8 +74,8 @@
         names(plan),
         "and the two owners of one tenant go one after the other");
     assertEquals(
-        List.of("a stays as it is: no other box owns alone", "stage 1 reaches 2 of 3 boxes"),
-        plan.schedule().unmet());
+        List.of("a stays as it is: no other host owns alone", "stage 1 reaches 2 of 3 hosts"),
+        RolloutSchedule.of(plan).unmet());
   }
 
   /** Whatever the fleet, every round keeps the rules, and every box that may go goes once. */
@@ -102,17 +100,17 @@
             new RolloutPlan.Stage(1, 0, spread, 1),
             new RolloutPlan.Stage(0, 0.3, spread, 1),
             new RolloutPlan.Stage(0, 1, spread, 1));
-    RolloutPlan.Schedule order = plan.schedule();
+    RolloutSchedule order = RolloutSchedule.of(plan);
     assertEquals(
         plan.changeableHosts(),
         order.changes().stream().map(turn -> turn.host().name()).distinct().count());
     assertEquals(plan.changeableHosts(), order.changes().size());
-    Map<String, List<RolloutPlan.ScheduledChange>> rounds =
+    Map<String, List<RolloutSchedule.Change>> rounds =
         order.changes().stream()
             .collect(Collectors.groupingBy(turn -> turn.stage() + "." + turn.round()));
-    for (List<RolloutPlan.ScheduledChange> round : rounds.values()) {
+    for (List<RolloutSchedule.Change> round : rounds.values()) {
       assertTrue(round.size() <= mostAway);
-      for (RolloutPlan.ScheduledChange turn : round) {
+      for (RolloutSchedule.Change turn : round) {
         Set<String> others =
             round.stream()
                 .filter(each -> !each.equals(turn))
--- a/src/test/java/wharftrestle/rollout/RolloutTest.java
+++ b/src/test/java/wharftrestle/rollout/RolloutTest.java
@@ -221,7 +221,7 @@
     assertEquals(Rollout.State.ROLLING_BACK, world.roll.state());
     world.pass(300, OPEN);
     assertTrue(
-        world.roll.reason().contains("b0 cannot be reached, and is taken back when it is heard"),
+        world.roll.reason().contains("b0 cannot be reached, and is rolled back once it is"),
         world.roll.reason());
     world.boxes.get("b0").contact = true;
     world.pass(10, OPEN);
--- a/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.rollout.CanaryMetric;
 import wharftrestle.rollout.RolloutPlan;
+import wharftrestle.rollout.RolloutSchedule;
 import wharftrestle.settings.BadSettingsException;
 
 /** A plan's script: what it may say, and where it is told that it is wrong. */
@@ -31,7 +32,8 @@
     assertEquals(
         List.of(new RolloutPlan.Stage(1, 0, false, 120), new RolloutPlan.Stage(0, 1, true, 60)),
         plan.stages());
-    assertEquals(Map.of(CanaryMetric.LOST_WEIGHT, 0.02, CanaryMetric.CPU, 0.5), plan.limits());
+    assertEquals(
+        Map.of(CanaryMetric.LOST_WEIGHT, 0.02, CanaryMetric.CPU, 0.5), plan.criteria().limits());
     assertEquals(List.of("omaruru"), plan.host("b2").tenants());
     assertEquals(Map.of("b2", "127.0.0.1:9002"), script.clientAddresses());
     assertEquals(RolloutPlan.UnreachablePolicy.CONTINUE, plan.unreachablePolicy());
@@ -48,7 +50,7 @@
   void withoutMeasuresAllAreLookedAt() throws Exception {
     RolloutPlan plan =
         PlanScript.parse("p.star", BOX + "change(to = \"x\", stages = [stage(boxes = 1)])").plan();
-    assertEquals(CanaryMetric.values().length, plan.limits().size());
+    assertEquals(CanaryMetric.values().length, plan.criteria().limits().size());
   }
 
   @Test
@@ -77,7 +79,7 @@
       },
       {
         BOX + "change(to = \"x\", stages = [stage(boxes = 1), stage(share = 0.5)])",
-        "p.star:2:27: change.stages: a stage of 1 boxes comes after one of 1, expected more"
+        "p.star:2:27: change.stages: a stage of 1 hosts comes after one of 1, expected more"
       },
       {
         BOX + "change(to = \"x\", stages = [stage(boxes = 1)], worse = [failed(2)])",
@@ -91,10 +93,10 @@
         BOX + "change(to = \"x\", stages = [stage(boxes = 1)], watch = 3)",
         "p.star:2:55: change.watch: expected 8 windows at least, or nothing can be compared: 80.0 s"
       },
-      {BOX + BOX, "p.star:2:1: box b1 stands twice"},
+      {BOX + BOX, "p.star:2:1: box b1 is defined twice"},
       {
         BOX + "box(\"b2\", keeper = \"127.0.0.1:7501\")",
-        "p.star:2:20: the keeper at 127.0.0.1:7501 has another box"
+        "p.star:2:20: the supervisor at 127.0.0.1:7501 has another host"
       },
       {
         "box(\"b1\", keeper = \"keeper.example.org:1\")",
@@ -112,9 +114,11 @@
 
   @Test
   void thePlanThatShipsCanBeReadAndMet() throws Exception {
-    RolloutPlan.Schedule order =
-        PlanScript.read(Path.of("docs/examples/roll.star")).plan().schedule();
-    assertEquals(List.of(), order.unmet());
-    assertEquals(6, order.changes().size());
+    RolloutPlan plan = PlanScript.read(Path.of("docs/examples/roll.star")).plan();
+
+    RolloutSchedule schedule = RolloutSchedule.of(plan);
+
+    assertEquals(List.of(), schedule.unmet());
+    assertEquals(6, schedule.changes().size());
   }
 }
--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -148,7 +148,7 @@
   }
 
   private String order(String dir, String text) {
-    return CommandSocket.order(folder.resolve(dir).resolve(RolloutController.SOCKET_FILE), text);
+    return CommandSocket.order(folder.resolve(dir).resolve(ControllerDirectory.SOCKET_FILE), text);
   }
 
   @Test
@@ -162,9 +162,8 @@
       assertEquals(List.of("b1 two"), obeyed, "one box, and the hold goes on");
       try (RolloutController second = driver("d2", plan("two", 0), "bob")) {
         String why =
-            assertThrows(RolloutController.RefusedException.class, () -> second.check(false))
-                .getMessage();
-        assertTrue(why.contains("ann steers in epoch 1"), why);
+            assertThrows(RolloutRefusedException.class, () -> second.check(false)).getMessage();
+        assertTrue(why.contains("ann holds the lease in epoch 1"), why);
         second.check(true);
         FutureTask<RolloutController.Outcome> next = run(second);
         assertEquals(RolloutController.Outcome.FENCED, end.get(20, TimeUnit.SECONDS));
@@ -179,17 +178,15 @@
   void whatCannotBeIsRefusedBeforeAnythingMoves() throws Exception {
     try (RolloutController driver = driver("d1", plan("three", 0), "ann")) {
       String why =
-          assertThrows(RolloutController.RefusedException.class, () -> driver.check(false))
-              .getMessage();
+          assertThrows(RolloutRefusedException.class, () -> driver.check(false)).getMessage();
       assertTrue(why.startsWith("b1: there is no release 'three'"), why);
     }
     keepers.get(0).door.close();
     keepers.get(1).door.close();
     try (RolloutController driver = driver("d2", plan("two", 0), "ann")) {
       String why =
-          assertThrows(RolloutController.RefusedException.class, () -> driver.check(false))
-              .getMessage();
-      assertEquals("1 of 3 keepers answer, which is not more than half", why);
+          assertThrows(RolloutRefusedException.class, () -> driver.check(false)).getMessage();
+      assertEquals("1 of 3 supervisors answer, which is not more than half", why);
     }
     assertTrue(obeyed.isEmpty());
   }
@@ -198,7 +195,7 @@
   void aChangeUnderWayGoesOnWithItsOwnPlanAndTheFolderHasOneDriver() throws Exception {
     PlanScript plan = plan("two", 600);
     try (RolloutController first = driver("d1", plan, "ann")) {
-      assertThrows(RolloutController.RefusedException.class, () -> driver("d1", plan, "bob"));
+      assertThrows(RolloutRefusedException.class, () -> driver("d1", plan, "bob"));
       FutureTask<RolloutController.Outcome> end = run(first);
       while (obeyed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
@@ -207,8 +204,7 @@
       assertEquals(RolloutController.Outcome.STOPPED, end.get(5, TimeUnit.SECONDS));
     }
     String why =
-        assertThrows(
-                RolloutController.RefusedException.class, () -> driver("d1", plan("one", 0), "ann"))
+        assertThrows(RolloutRefusedException.class, () -> driver("d1", plan("one", 0), "ann"))
             .getMessage();
     assertTrue(why.startsWith("another change is under way in "), why);
     try (RolloutController next = driver("d1", plan, "bob")) {
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
@@ -45,7 +45,7 @@
   // ---- The journal ----
 
   /** Each kind of line, and each state of a rollout; the last one can be gone on from. */
-  static List<RolloutController.JournalEntry> lines() throws IOException {
+  static List<JournalEntry> lines() throws IOException {
     Map<String, String> none = Map.of();
     Map<String, String> from = new LinkedHashMap<>();
     from.put("b1", "one");
@@ -99,24 +99,21 @@
                 Rollout.State.PAUSED, Rollout.State.OBSERVING, 1, fromTwo, triesTwo, "mañ")));
   }
 
-  private static RolloutController.JournalEntry enter(long at, Rollout.Snapshot kept)
-      throws IOException {
+  private static JournalEntry enter(long at, Rollout.Snapshot kept) throws IOException {
     return line(at, "enter", kept, "", "", kept.reason());
   }
 
-  private static RolloutController.JournalEntry line(
+  private static JournalEntry line(
       long at, String what, Rollout.Snapshot kept, String box, String to, String why)
       throws IOException {
-    String plan = RolloutController.sha256(Files.readString(Fixtures.path(PLAN)));
-    return new RolloutController.JournalEntry(
-        1_765_000_000_000L + at, what, 3, "d1", plan, kept, box, to, why);
+    String plan = ControllerDirectory.sha256(Files.readString(Fixtures.path(PLAN)));
+    return new JournalEntry(1_765_000_000_000L + at, what, 3, "d1", plan, kept, box, to, why);
   }
 
   static void writeJournal(Path file) throws IOException {
     Files.createDirectories(file.getParent());
-    try (JsonLineJournal<RolloutController.JournalEntry> journal =
-        new JsonLineJournal<>(file, RolloutController.JournalEntry.class)) {
-      for (RolloutController.JournalEntry line : lines()) {
+    try (JsonLineJournal<JournalEntry> journal = new JsonLineJournal<>(file, JournalEntry.class)) {
+      for (JournalEntry line : lines()) {
         journal.add(line);
       }
     }
@@ -126,7 +123,7 @@
 
   /** Orders at the socket of a controller that goes on with the recorded journal, with answers. */
   static JsonNode orders(Path folder) throws Exception {
-    Files.copy(Fixtures.path(JOURNAL), folder.resolve(RolloutController.JOURNAL_FILE));
+    Files.copy(Fixtures.path(JOURNAL), folder.resolve(ControllerDirectory.JOURNAL_FILE));
     ArrayNode all = JSON.createArrayNode();
     PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
     try (RolloutController driver =
@@ -281,7 +278,8 @@
     Path said = Files.write(folder.resolve("events"), events.toByteArray());
     return new Run(
         fixed(
-            Fixtures.jsonLines(folder.resolve("rollout").resolve(RolloutController.JOURNAL_FILE))),
+            Fixtures.jsonLines(
+                folder.resolve("rollout").resolve(ControllerDirectory.JOURNAL_FILE))),
         fixed(Fixtures.jsonLines(said)));
   }
 
--- a/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
@@ -25,6 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.Fixtures;
+import wharftrestle.rollout.CanaryCriteria;
 import wharftrestle.rollout.CanaryMetric;
 import wharftrestle.rollout.EpochFence;
 import wharftrestle.rollout.HostSample;
@@ -47,9 +48,8 @@
 
   @Test
   void journal_recorded_isReadToTheSameLines() throws Exception {
-    List<RolloutController.JournalEntry> read =
-        JsonLineJournal.read(
-            Fixtures.path(RolloutFixtures.JOURNAL), RolloutController.JournalEntry.class);
+    List<JournalEntry> read =
+        JsonLineJournal.read(Fixtures.path(RolloutFixtures.JOURNAL), JournalEntry.class);
 
     assertEquals(RolloutFixtures.lines(), read);
   }
@@ -97,19 +97,20 @@
                 new RolloutPlan.Host("b2", "north", "127.0.0.1:7502", List.of("omaruru")),
                 new RolloutPlan.Host("b3", "south", "127.0.0.1:7503", List.of("swakop"))),
             List.of(new RolloutPlan.Stage(1, 0, false, 120), new RolloutPlan.Stage(0, 1, true, 60)),
-            Map.of(
-                CanaryMetric.LOST_WEIGHT, 0.02,
-                CanaryMetric.FAILED, 0.04,
-                CanaryMetric.REJECTED, 0.2,
-                CanaryMetric.LATE, 0.3,
-                CanaryMetric.DEPENDENCY, 0.06,
-                CanaryMetric.CPU, 0.7,
-                CanaryMetric.MEMORY, 0.8,
-                CanaryMetric.MEMORY_GROWTH, 9.0),
-            0.01,
+            new CanaryCriteria(
+                Map.of(
+                    CanaryMetric.LOST_WEIGHT, 0.02,
+                    CanaryMetric.FAILED, 0.04,
+                    CanaryMetric.REJECTED, 0.2,
+                    CanaryMetric.LATE, 0.3,
+                    CanaryMetric.DEPENDENCY, 0.06,
+                    CanaryMetric.CPU, 0.7,
+                    CanaryMetric.MEMORY, 0.8,
+                    CanaryMetric.MEMORY_GROWTH, 9.0),
+                0.01,
+                45),
             2,
             3,
-            45,
             600,
             RolloutPlan.UnreachablePolicy.CONTINUE,
             RolloutPlan.RegressionPolicy.HOLD),
@@ -350,7 +351,7 @@
     view.sampleWindow(true, "two", 30, 100);
 
     List<String> deaths = view.update(obeyed(later));
-    HostSample sample = view.sampleWindow(true, "two", 30, 110);
+    HostSample sample = view.sampleWindow(true, "two", 30, 110).orElseThrow();
 
     assertEquals(List.of("two", "two"), deaths);
     assertEquals(
