--- a/src/main/java/wharftrestle/rollout/controller/IndirectProber.java
+++ b/src/main/java/wharftrestle/rollout/controller/IndirectProber.java
@@ -53,9 +53,8 @@
   /** The same witnesses for a host as long as nobody comes or goes, spread over the hosts. */
   static List<String> chooseWitnesses(String host, List<String> witnesses) {
     int count = witnesses.size();
-    // Fails for a name whose hash code is Integer.MIN_VALUE.
-    @SuppressWarnings("MathAbsoluteNegative")
-    int first = count == 0 ? 0 : Math.abs(host.hashCode()) % count;
+    // The remainder comes first: the absolute value of Integer.MIN_VALUE is negative.
+    int first = count == 0 ? 0 : Math.abs(host.hashCode() % count);
     return IntStream.range(0, Math.min(WITNESSES_PER_HOST, count))
         .mapToObj(i -> witnesses.get((first + i) % count))
         .toList();
