--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -130,7 +130,7 @@
             throw new DaemonConfig.BadConfigException("half a file");
           });
       DaemonConfig next = site.move(calling());
-      new SignalHandlers(() -> next).tell(site.life);
+      new SignalHandlers(() -> next).attach(site.life);
       Signal.raise(new Signal("HUP"));
       assertEquals(new Command("bind", "", "1", ""), site.command(), "numbers of notices go on");
       assertTrue(site.report().startsWith("renew n1 yes"));
@@ -166,7 +166,7 @@
         assertEquals("error", caller.reply().word(), spoilt[i]);
         site.finish(ref(i + 1), "cut", 9, "");
       }
-      assertEquals(spoilt.length, site.life.counters().get(Count.SPOILT));
+      assertEquals(spoilt.length, site.life.counters().get(Count.UNREADABLE_RESPONSES));
       caller.ask(9, "read", null, "x");
       site.command();
       site.block(
