--- a/src/main/java/wharftrestle/rollout/CanaryMetric.java
+++ b/src/main/java/wharftrestle/rollout/CanaryMetric.java
@@ -1,36 +1,39 @@
 package wharftrestle.rollout;
 
 /**
- * What boxes are compared by. Each is a loss: more is worse. The limit of a measure is the loss at
+ * By what hosts are compared. Each is a loss: more is worse. The limit of a metric is the loss at
  * which a release must not go on; a third of it is tolerated for good, so that a true difference of
  * nothing is never a reason to stop.
  */
 public enum CanaryMetric {
-  /** Part of the worth asked for that was not served, over all classes. */
-  LOST_WEIGHT("worth", 0.03, true),
-  /** Part of a class's requests that failed; of the worst class. */
-  FAILED("failed", 0.03, true),
-  /** Part of a class's requests that were refused; of the worst class. */
-  REJECTED("refused", 0.1, true),
-  /** Part of a class's requests that were served after their aim; of the worst class. */
-  LATE("late", 0.1, true),
-  /** Part of store calls that ended badly. */
-  DEPENDENCY("store", 0.05, true),
-  /** CPU for a request, as a part of what the old release takes. */
-  CPU("cpu", 0.5, false),
-  /** Own memory of the daemon, as a part of what the old release has. */
-  MEMORY("memory", 0.5, false),
+  /** Fraction of the priority weight asked for that was not served, over all classes. */
+  LOST_WEIGHT("worth", 0.03, true, false),
+  /** Fraction of a class's requests that failed. */
+  FAILED("failed", 0.03, true, true),
+  /** Fraction of a class's requests that were rejected. */
+  REJECTED("refused", 0.1, true, true),
+  /** Fraction of a class's requests that were served after their latency objective. */
+  LATE("late", 0.1, true, true),
+  /** Fraction of dependency calls that failed. */
+  DEPENDENCY("store", 0.05, true, false),
+  /** CPU time for a request, as a fraction of what the old release takes. */
+  CPU("cpu", 0.5, false, false),
+  /** Own memory of the daemon, as a fraction of what the old release has. */
+  MEMORY("memory", 0.5, false, false),
   /** Growth of own memory, MB a minute, beyond that of the old release. */
-  MEMORY_GROWTH("growth", 6, false);
+  MEMORY_GROWTH("growth", 6, false, false);
 
   private final String publishedName;
   private final double defaultLimit;
   private final boolean isFraction;
+  private final boolean isByRequestClass;
 
-  CanaryMetric(String publishedName, double defaultLimit, boolean isFraction) {
+  CanaryMetric(
+      String publishedName, double defaultLimit, boolean isFraction, boolean isByRequestClass) {
     this.publishedName = publishedName;
     this.defaultLimit = defaultLimit;
     this.isFraction = isFraction;
+    this.isByRequestClass = isByRequestClass;
   }
 
   /** Its name in plans, tables and logs. */
@@ -52,13 +55,18 @@
     throw new IllegalArgumentException("expected the name of a metric, got " + publishedName);
   }
 
-  /** Its limit where a plan names none. */
+  /** Its limit if a plan names none. */
   public double defaultLimit() {
     return defaultLimit;
   }
 
-  /** True where it is a part of requests, and so a limit is at most 1. */
+  /** True if it is a fraction of requests or calls, and so a limit is at most 1. */
   public boolean isFraction() {
     return isFraction;
   }
+
+  /** True if it is compared for each request class by itself. */
+  public boolean isByRequestClass() {
+    return isByRequestClass;
+  }
 }
--- a/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
+++ b/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
@@ -1,25 +1,25 @@
 package wharftrestle.rollout;
 
 /**
- * Where the mean of a sequence lies, with bounds that hold at whatever moment they are looked at: a
+ * Estimates the mean of a sequence, with bounds that hold at whatever moment they are read: a
  * confidence sequence for sums that behave like a random walk (Robbins' normal mixture;
  * Waudby-Smith et al., Time-uniform central limit theory and asymptotic confidence sequences, 2021,
  * theorem 2.2). The variance is estimated as it goes, and widened by what neighbours in the
- * sequence have in common (lag one), as windows of one box are no independent draws.
+ * sequence have in common (lag one), as windows of one host are no independent draws.
  *
  * <p>O(1) in time and memory for each value.
  */
 public final class ConfidenceSequence {
-  /** Values below which nothing is said: the variance is not known before. */
+  /** Values below which there are no bounds: the variance is not known before. */
   public static final int MIN_VALUES = 8;
 
   /** The number of values at which the bounds are tightest; see {@link #mixtureVariance}. */
   private static final double TIGHTEST_AT_VALUES = 40;
 
-  /** Values for which the variance is taken for as much larger again. */
+  /** Values at which the variance is doubled, since it is estimated from few. */
   private static final double SMALL_SAMPLE_VALUES = 4;
 
-  /** Correlation of neighbours that is reckoned with at most. */
+  /** Highest correlation of neighbours that widens the bounds. */
   private static final double MAX_CORRELATION = 0.8;
 
   private long count;
@@ -40,10 +40,12 @@
     lastValue = value;
   }
 
+  /** Values taken. */
   public long count() {
     return count;
   }
 
+  /** Their mean; 0 for none. */
   public double mean() {
     return mean;
   }
--- a/src/main/java/wharftrestle/rollout/EpochFence.java
+++ b/src/main/java/wharftrestle/rollout/EpochFence.java
@@ -3,37 +3,38 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * A keeper's side of who may steer its box. It owns the highest epoch that it has granted, and what
- * it was told in that epoch; both are on disk before anybody hears of them. It must never grant an
- * epoch twice to two drivers, obey one that is not the highest it knows, obey an order whose driver
- * has not asked it within the lease, or be told two targets in one epoch.
+ * A supervisor's side of the {@link ControllerLease}: the highest epoch that it has granted, and
+ * what its host was ordered in that epoch. Both are on disk before anybody hears of them. An epoch
+ * is never granted to two controllers; an order is never accepted of an epoch that is not the
+ * highest known, of a controller that has sent no heartbeat within the lease, or for a second
+ * target in one epoch. Not thread-safe. Times are in seconds of a clock that never goes back.
  *
- * <p>An order carries a stamp that this keeper gave in its last answer to that driver: so a driver
- * that slept between its look at the lease and the order is found out here, by this keeper's own
- * steady clock, whatever the time of day says.
+ * <p>An order carries the token of this supervisor's last answer to that controller: so a
+ * controller that paused between its check of the lease and the order is found out here, by this
+ * supervisor's own monotonic clock, whatever the time of day says.
  *
  * <pre>
- * asked              with                                            answer
- * claim(e, d)        e over the known one                            GRANTED, once it is on disk
- *                    e the known one, d its driver                   GRANTED again
- *                    else                                            FENCED, and by whom
- * ask(e, d)          the known epoch and driver                      a stamp
- *                    else                                            FENCED
- * order(e, d, s, t)  another epoch or driver than the known ones     FENCED
- *                    a stamp that is not its last one, or too old    STALE: ask again
- *                    another target than the one of this epoch       TWO_TARGETS
- *                    else                                            OBEYED, once it is on disk
+ * request               with                                               answer
+ * claim(e, c)           e over the known epoch                             GRANTED, once on disk
+ *                       e the known epoch, c its controller                GRANTED again
+ *                       else                                               FENCED, and by whom
+ * heartbeat(e, c)       the known epoch and controller                     RENEWED, with a token
+ *                       else                                               FENCED
+ * order(e, c, t, r)     another epoch or controller than the known         FENCED
+ *                       a token that is not the last one, or too old       STALE: ask again
+ *                       another target than the one of this epoch          CONFLICTING_TARGET
+ *                       else                                               ACCEPTED, once on disk
  * </pre>
  */
 public final class EpochFence {
 
   /**
-   * What is on disk.
+   * What is on disk. The annotations hold the names there.
    *
    * @param epoch the highest granted; 0 for none
-   * @param driver who has it; empty for none
-   * @param target the release told in it; empty for none yet
-   * @param attempt how often it was told
+   * @param controller that holds it; empty for none
+   * @param targetRelease ordered in it; empty for none yet
+   * @param attempt orders accepted in it
    */
   public record Grant(
       long epoch,
@@ -44,7 +45,7 @@
     public static final Grant NONE = new Grant(0, "", "", 0);
   }
 
-  /** How a keeper answers. */
+  /** How a supervisor answers; the table of {@link EpochFence} says when. */
   public enum Answer {
     GRANTED("GRANTED"),
     RENEWED("STAMPED"),
@@ -65,7 +66,7 @@
     }
 
     /**
-     * The answer that is published under this name.
+     * The answer of this published name.
      *
      * @throws IllegalArgumentException if there is none
      */
@@ -79,19 +80,25 @@
     }
   }
 
-  /** Writes what is kept, and returns once it lasts. */
+  /** Persists grants. */
   public interface GrantStore {
-    /** False where it could not be written: then nothing is granted or obeyed. */
+    /**
+     * Writes a grant, which is on disk when this returns.
+     *
+     * @return false if it could not be written: then nothing is granted or accepted
+     */
     boolean persist(Grant grant);
   }
 
-  /** An answer with a stamp; 0 where there is none. */
-  public record Reply(Answer answer, long leaseToken, Grant grant) {}
-
   /**
-   * Seconds for which a stamp holds, and an answer of a majority: a driver looks at all boxes
-   * several times meanwhile.
+   * An answer.
+   *
+   * @param leaseToken that the next order has to carry; 0 for none
+   * @param grant as it is after the request
    */
+  public record Reply(Answer answer, long leaseToken, Grant grant) {}
+
+  /** Seconds for which a token holds, and a quorum's acknowledgement; several polls fit in. */
   public static final double LEASE_SECONDS = 2;
 
   private final GrantStore store;
@@ -101,7 +108,9 @@
   private double tokenIssuedAt = Double.NEGATIVE_INFINITY;
 
   /**
-   * @param from the last stamp that an earlier keeper of this box may have given; stamps go on
+   * A fence that goes on from what is on disk.
+   *
+   * @param lastToken that an earlier incarnation of this supervisor may have issued; tokens go on
    *     beyond it
    */
   public EpochFence(Grant grant, long lastToken, GrantStore store) {
@@ -111,7 +120,7 @@
     leaseToken = lastToken;
   }
 
-  /** As that one is now, with another lease: for those who explore what can come of it. */
+  /** A copy with another lease, for model checks. */
   EpochFence(EpochFence other, GrantStore store, double leaseSeconds) {
     this.grant = other.grant;
     this.store = store;
@@ -120,25 +129,22 @@
     tokenIssuedAt = other.tokenIssuedAt;
   }
 
-  /**
-   * Seconds since the driver that has the epoch asked last; infinite where it has not since this
-   * keeper began.
-   */
+  /** Seconds since the last heartbeat or claim of the holder; infinite for none. */
   public double secondsSinceHeartbeat(double now) {
     return now - tokenIssuedAt;
   }
 
-  /** The last stamp given. */
+  /** The last token issued. */
   long leaseToken() {
     return leaseToken;
   }
 
-  /** When it was. */
+  /** When it was issued. */
   double tokenIssuedAt() {
     return tokenIssuedAt;
   }
 
-  /** What is kept. */
+  /** What is on disk. */
   public Grant grant() {
     return grant;
   }
@@ -164,7 +170,7 @@
     return epoch == grant.epoch() && epoch > 0 && controller.equals(grant.controller());
   }
 
-  /** A driver wants to steer in this epoch. */
+  /** A controller claims an epoch. */
   public Reply claim(long epoch, String controller, double now) {
     if (isHolder(epoch, controller)) {
       return replyWithToken(Answer.GRANTED, now);
@@ -177,12 +183,12 @@
     return replyWithToken(Answer.GRANTED, now);
   }
 
-  /** A driver asks how this box is; only the one that steers has a stamp. */
+  /** A controller's heartbeat; only the holder of the epoch receives a token. */
   public Reply heartbeat(long epoch, String controller, double now) {
     return isHolder(epoch, controller) ? replyWithToken(Answer.RENEWED, now) : reply(Answer.FENCED);
   }
 
-  /** A driver has this box go to a release. */
+  /** A controller orders this host to run a release. */
   public Reply order(long epoch, String controller, long token, String targetRelease, double now) {
     if (!isHolder(epoch, controller)) {
       return reply(Answer.FENCED);
--- a/src/main/java/wharftrestle/rollout/HostSample.java
+++ b/src/main/java/wharftrestle/rollout/HostSample.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What one box did within one window, the same seconds for all boxes.
+ * What one host did within one window, the same seconds for all hosts.
  *
  * @param zone empty for none
- * @param changed it acted as the new release throughout
- * @param steady one process, warm, in contact throughout; others are left out
- * @param classes in the order of the settings
- * @param calls store calls that ended
- * @param badCalls of them badly
- * @param cpu seconds of all cores
- * @param ownMb the daemon's own memory at the window's end
- * @param grownMb by how much it grew in the window, MB a minute
+ * @param onNewRelease its daemon is the new release at the window's end
+ * @param steady one process, warmed up and reachable throughout; other samples are not compared
+ * @param classCounts in the order of the settings
+ * @param dependencyCalls that ended
+ * @param failedDependencyCalls of them
+ * @param cpuSeconds of all cores
+ * @param memoryMb the daemon's own memory at the window's end
+ * @param memoryGrowthMbPerMinute within the window
  */
 public record HostSample(
     String host,
@@ -28,12 +28,15 @@
     double memoryGrowthMbPerMinute) {
 
   /**
-   * One class.
+   * One request class.
    *
-   * @param asked requests that had their answer
-   * @param late of the served ones, after their aim
-   * @param worth of one request
-   * @param lateWorth part of the worth that a late one still has
+   * @param requests that were answered
+   * @param served of them
+   * @param late served after the latency objective
+   * @param rejected of them
+   * @param failed of them
+   * @param priorityWeight of one request
+   * @param lateWeightFraction of the priority weight that a late one still has
    */
   public record Counts(
       String name,
--- a/src/main/java/wharftrestle/rollout/controller/StatusReport.java
+++ b/src/main/java/wharftrestle/rollout/controller/StatusReport.java
@@ -61,7 +61,7 @@
   private List<Map<String, Object>> hosts(double now) {
     List<Map<String, Object>> hosts = new ArrayList<>();
     for (RolloutPlan.Host host : plan.hosts()) {
-      MembershipView.HostStatus member = membership.status(host.name());
+      MembershipView.HostStatus member = membership.status(host.name()).orElseThrow();
       HostView view = views.get(host.name());
       Map<String, Object> one = new LinkedHashMap<>();
       one.put("box", host.name());
--- a/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
+++ b/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
@@ -18,9 +18,9 @@
 
 /** What the judge says, of made-up windows and of whole rolls in virtual time. */
 class CanaryAnalysisTest {
-  private static final int BOXES = 6;
+  private static final int HOSTS = 6;
   private final SplittableRandom random = new SplittableRandom(5);
-  private final CanaryAnalysis judge =
+  private final CanaryAnalysis analysis =
       new CanaryAnalysis(
           Map.of(CanaryMetric.LOST_WEIGHT, 0.03, CanaryMetric.FAILED, 0.03),
           List.of("save"),
@@ -30,21 +30,27 @@
   /**
    * So many of 200 requests of each box fail; the first {@code changed} boxes have the new release.
    */
-  private void windows(
-      int many, int changed, double oldFails, double newFails, double firstBoxMore) {
-    for (int w = 0; w < many; w++) {
-      List<HostSample> all = new ArrayList<>();
-      for (int b = 0; b < BOXES; b++) {
-        double part = (b < changed ? newFails : oldFails) + (b == 0 ? firstBoxMore : 0);
+  private void addWindows(
+      int count,
+      int newHosts,
+      double oldFailureRate,
+      double newFailureRate,
+      double firstHostExtraRate) {
+    for (int window = 0; window < count; window++) {
+      List<HostSample> samples = new ArrayList<>();
+      for (int host = 0; host < HOSTS; host++) {
+        double failureRate =
+            (host < newHosts ? newFailureRate : oldFailureRate)
+                + (host == 0 ? firstHostExtraRate : 0);
         long failed = 0;
         for (int i = 0; i < 200; i++) {
-          failed += random.nextDouble() < part ? 1 : 0;
+          failed += random.nextDouble() < failureRate ? 1 : 0;
         }
-        all.add(
+        samples.add(
             new HostSample(
-                "b" + b,
-                "z" + b % 2,
-                b < changed,
+                "b" + host,
+                "z" + host % 2,
+                host < newHosts,
                 true,
                 List.of(new HostSample.Counts("save", 200, 200 - failed, 0, 0, failed, 1, 0.2)),
                 0,
@@ -53,86 +59,86 @@
                 50,
                 0));
       }
-      judge.addWindow(all);
+      analysis.addWindow(samples);
     }
   }
 
   @Test
-  void nothingIsSaidBeforeAnythingWasSeen() {
-    windows(20, 0, 0.02, 0, 0);
-    judge.beginStage();
-    assertEquals(Outcome.INCONCLUSIVE, judge.verdict().outcome());
-    windows(2, 1, 0.02, 0.02, 0);
-    assertEquals(Outcome.INCONCLUSIVE, judge.verdict().outcome());
+  void verdict_beforeEnoughWindows_isInconclusive() {
+    addWindows(20, 0, 0.02, 0, 0);
+    analysis.beginStage();
+    assertEquals(Outcome.INCONCLUSIVE, analysis.verdict().outcome());
+    addWindows(2, 1, 0.02, 0.02, 0);
+    assertEquals(Outcome.INCONCLUSIVE, analysis.verdict().outcome());
   }
 
   @Test
-  void theSameIsSaidOnceItIsSureAndWorseWhereItIs() {
-    windows(20, 0, 0.02, 0, 0);
-    judge.beginStage();
-    windows(40, 1, 0.02, 0.02, 0);
-    assertEquals(Outcome.PASS, judge.verdict().outcome(), judge.verdict().reason());
-    judge.beginStage();
-    windows(60, 2, 0.02, 0.07, 0);
+  void verdict_passesOnceItIsSureAndFailsInTheStageThatDoesWorse() {
+    addWindows(20, 0, 0.02, 0, 0);
+    analysis.beginStage();
+    addWindows(40, 1, 0.02, 0.02, 0);
+    assertEquals(Outcome.PASS, analysis.verdict().outcome(), analysis.verdict().reason());
+    analysis.beginStage();
+    addWindows(60, 2, 0.02, 0.07, 0);
     assertEquals(
         Outcome.FAIL,
-        judge.verdict().outcome(),
-        "in the second stage alone: " + judge.verdict().reason());
+        analysis.verdict().outcome(),
+        "in the second stage alone: " + analysis.verdict().reason());
     assertTrue(
-        judge.verdict().reason().contains("beyond the old release, surely from"),
-        judge.verdict().reason());
+        analysis.verdict().reason().contains("beyond the old release, surely from"),
+        analysis.verdict().reason());
   }
 
   @Test
-  void aBoxThatIsWorseInAnyCaseIsNoFaultOfTheRelease() {
-    windows(150, 0, 0.02, 0, 0.2);
-    judge.beginStage();
-    windows(150, 1, 0.02, 0.02, 0.2);
-    assertEquals(Outcome.PASS, judge.verdict().outcome(), judge.verdict().reason());
+  void verdict_hostThatWasWorseBefore_isNoFaultOfTheRelease() {
+    addWindows(150, 0, 0.02, 0, 0.2);
+    analysis.beginStage();
+    addWindows(150, 1, 0.02, 0.02, 0.2);
+    assertEquals(Outcome.PASS, analysis.verdict().outcome(), analysis.verdict().reason());
   }
 
   @Test
-  void aDriverThatFollowsNeverSawWhatIsUsualOfAChangedBoxAndTakesWhatBoxesDifferBy() {
-    judge.beginStage();
-    windows(60, 1, 0.02, 0.02, 0);
-    assertEquals(Outcome.PASS, judge.verdict().outcome(), judge.verdict().reason());
-    judge.beginStage();
-    windows(80, 1, 0.02, 0.1, 0);
-    assertEquals(Outcome.FAIL, judge.verdict().outcome(), judge.verdict().reason());
+  void verdict_withoutBaselineOfChangedHosts_usesTheVarianceAmongOldHosts() {
+    analysis.beginStage();
+    addWindows(60, 1, 0.02, 0.02, 0);
+    assertEquals(Outcome.PASS, analysis.verdict().outcome(), analysis.verdict().reason());
+    analysis.beginStage();
+    addWindows(80, 1, 0.02, 0.1, 0);
+    assertEquals(Outcome.FAIL, analysis.verdict().outcome(), analysis.verdict().reason());
   }
 
   @Test
-  void aBoxThatTakesItBackByItselfTwiceSaysEnough() {
-    judge.onHostRollback("b1", "it died in its probation");
-    judge.onHostRollback("b2", "it died in its probation");
-    assertEquals(Outcome.INCONCLUSIVE, judge.verdict().outcome(), judge.verdict().reason());
-    judge.onHostRollback("b1", "30% failed, 1% before");
+  void verdict_hostThatRollsBackTwice_fails() {
+    analysis.onHostRollback("b1", "it died in its probation");
+    analysis.onHostRollback("b2", "it died in its probation");
+    assertEquals(Outcome.INCONCLUSIVE, analysis.verdict().outcome(), analysis.verdict().reason());
+    analysis.onHostRollback("b1", "30% failed, 1% before");
     assertEquals(
-        "b1 took it back by itself 2 times: 30% failed, 1% before", judge.verdict().reason());
+        "b1 rolled it back by itself 2 times: 30% failed, 1% before", analysis.verdict().reason());
   }
 
   @Test
-  void twoDeathsAtOneBoxAreALoopAndDeathsOfAllBoxesAreNone() {
-    judge.beginStage();
-    windows(10, 3, 0.02, 0.02, 0);
-    judge.onDaemonDeath("b0", true);
-    judge.onDaemonDeath("b1", true);
-    judge.onDaemonDeath("b4", false);
-    judge.onDaemonDeath("b2", true);
-    judge.onDaemonDeath("b5", false);
-    assertEquals(Outcome.INCONCLUSIVE, judge.verdict().outcome(), judge.verdict().reason());
-    judge.onDaemonDeath("b1", true);
-    assertEquals("the new release died 2 times at b1", judge.verdict().reason());
-    assertEquals(Outcome.FAIL, judge.verdict().outcome());
+  void verdict_twoDeathsAtOneHost_failsAndDeathsOfAllHostsDoNot() {
+    analysis.beginStage();
+    addWindows(10, 3, 0.02, 0.02, 0);
+    analysis.onDaemonDeath("b0", true);
+    analysis.onDaemonDeath("b1", true);
+    analysis.onDaemonDeath("b4", false);
+    analysis.onDaemonDeath("b2", true);
+    analysis.onDaemonDeath("b5", false);
+    assertEquals(Outcome.INCONCLUSIVE, analysis.verdict().outcome(), analysis.verdict().reason());
+    analysis.onDaemonDeath("b1", true);
+    assertEquals("the new release died 2 times at b1", analysis.verdict().reason());
+    assertEquals(Outcome.FAIL, analysis.verdict().outcome());
   }
 
   @Test
-  void deathsOfTheNewReleaseAloneAreNoAccident() {
-    windows(10, 1, 0.02, 0.02, 0);
+  void verdict_deathsOnTheNewReleaseAlone_fails() {
+    addWindows(10, 1, 0.02, 0.02, 0);
     for (int i = 0; i < 5; i++) {
-      judge.onDaemonDeath("b" + i, true);
+      analysis.onDaemonDeath("b" + i, true);
     }
-    assertEquals(Outcome.FAIL, judge.verdict().outcome());
+    assertEquals(Outcome.FAIL, analysis.verdict().outcome());
   }
 
   /**
@@ -141,22 +147,22 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.6})
-  void theBoundsHoldAtEveryMoment(double tied) {
-    int left = 0;
+  void halfWidth_boundsHoldAtEveryMoment(double correlation) {
+    int walksOutside = 0;
     for (int walk = 0; walk < 1000; walk++) {
-      ConfidenceSequence drift = new ConfidenceSequence();
+      ConfidenceSequence sequence = new ConfidenceSequence();
       double noise = 0;
-      boolean out = false;
+      boolean isOutside = false;
       for (int i = 0; i < 300; i++) {
-        noise = tied * noise + gauss() * Math.sqrt(1 - tied * tied);
-        drift.add(noise);
-        out |= drift.mean() - drift.halfWidth(0.025) > 0;
+        noise = correlation * noise + gauss() * Math.sqrt(1 - correlation * correlation);
+        sequence.add(noise);
+        isOutside |= sequence.mean() - sequence.halfWidth(0.025) > 0;
       }
-      left += out ? 1 : 0;
+      walksOutside += isOutside ? 1 : 0;
     }
     // The variance is estimated, from eight values on: so the error is kept to within a factor
     // where values are tied.
-    assertTrue(left < (tied == 0 ? 25 : 90), left + " of 1000 walks");
+    assertTrue(walksOutside < (correlation == 0 ? 25 : 90), walksOutside + " of 1000 walks");
   }
 
   private double gauss() {
@@ -165,7 +171,7 @@
   }
 
   @Test
-  void rollsInVirtualTimeGoThroughOrAreStoppedAndTheSameSeedIsTheSamePlay() {
+  void rolloutsInSimulatedTimeCompleteOrAreStoppedAndAreTheSameForTheSameSeed() {
     RolloutSimulation.Result good =
         RolloutSimulation.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3);
     assertEquals(Rollout.State.COMPLETED, good.state(), good.why());
--- a/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
+++ b/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
@@ -25,64 +25,66 @@
   /** What is wrong on purpose. */
   enum Bug {
     NONE,
-    NO_PAUSE,
-    PAUSE_OF_ONE_LEASE,
-    NO_STAMPS,
+    NO_EXPIRY_WAIT,
+    EXPIRY_WAIT_OF_ONE_LEASE,
+    NO_TOKENS,
     A_MINORITY_GRANTS,
-    CONFIRMED_WHEN_HEARD,
-    KEEPER_FORGETS,
-    LEASE_NOT_LOOKED_AT,
+    ACKNOWLEDGED_WHEN_RECEIVED,
+    SUPERVISOR_FORGETS,
+    LEASE_NOT_CHECKED,
     ONE_EPOCH_FOR_TWO
   }
 
-  private static final int KEEPERS = 3;
+  private static final int SUPERVISORS = 3;
 
   /** Seconds of a tick: a lease. */
-  private static final double TICK = EpochFence.LEASE_SECONDS;
+  private static final double TICK_SECONDS = EpochFence.LEASE_SECONDS;
 
   /** Ticks after which a stamp, an answer, and the pause are over. */
-  private static final int LAPSED = 2;
+  private static final int TICKS_UNTIL_EXPIRED = 2;
 
-  private static final int PAUSED = 3;
+  private static final int TICKS_OF_EXPIRY_WAIT = 3;
 
-  private record Reply(EpochFence.Reply said, double askedAt) {}
+  private record PendingReply(EpochFence.Reply reply, double sentAt) {}
 
-  private record Order(int keeper, long stamp) {}
+  private record PendingOrder(int supervisor, long token) {}
 
   /** Everything at one moment; the first driver steers already, the second comes. */
   private static final class World {
     private int tick;
-    private final EpochFence[] fences = new EpochFence[KEEPERS];
+    private final EpochFence[] fences = new EpochFence[SUPERVISORS];
     private ControllerLease first;
     private ControllerLease second;
-    private Reply[] replies = new Reply[KEEPERS]; // to the first driver, on their way
-    private Order order; // of the first driver, on its way
-    private boolean obeyedLater;
+    private PendingReply[] replies =
+        new PendingReply[SUPERVISORS]; // to the first driver, on their way
+    private PendingOrder order; // of the first driver, on its way
+    private boolean laterOrderAccepted;
     private boolean restarted;
-    private boolean broken;
+    private boolean isRuleBroken;
 
     double now() {
-      return tick * TICK;
+      return tick * TICK_SECONDS;
     }
 
     World copy(Bug bug) {
       World next = new World();
       next.tick = tick;
-      double lease = bug == Bug.NO_STAMPS ? 1e9 : EpochFence.LEASE_SECONDS;
-      double pause =
-          bug == Bug.NO_PAUSE
+      double lease = bug == Bug.NO_TOKENS ? 1e9 : EpochFence.LEASE_SECONDS;
+      double expiryWait =
+          bug == Bug.NO_EXPIRY_WAIT
               ? 0
-              : bug == Bug.PAUSE_OF_ONE_LEASE
+              : bug == Bug.EXPIRY_WAIT_OF_ONE_LEASE
                   ? EpochFence.LEASE_SECONDS
                   : ControllerLease.EXPIRY_WAIT_SECONDS;
-      for (int k = 0; k < KEEPERS; k++) {
-        next.fences[k] = new EpochFence(fences[k], kept -> true, lease);
+      for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
+        next.fences[supervisor] = new EpochFence(fences[supervisor], kept -> true, lease);
       }
-      next.first = new ControllerLease(first, KEEPERS, pause);
-      next.second = new ControllerLease(second, bug == Bug.A_MINORITY_GRANTS ? 1 : KEEPERS, pause);
+      next.first = new ControllerLease(first, SUPERVISORS, expiryWait);
+      next.second =
+          new ControllerLease(second, bug == Bug.A_MINORITY_GRANTS ? 1 : SUPERVISORS, expiryWait);
       next.replies = replies.clone();
       next.order = order;
-      next.obeyedLater = obeyedLater;
+      next.laterOrderAccepted = laterOrderAccepted;
       next.restarted = restarted;
       return next;
     }
@@ -91,7 +93,7 @@
     private String age(double at, int most) {
       return Double.isNaN(at)
           ? "-"
-          : Integer.toString((int) Math.min(most, Math.round((now() - at) / TICK)));
+          : Integer.toString((int) Math.min(most, Math.round((now() - at) / TICK_SECONDS)));
     }
 
     /**
@@ -99,35 +101,35 @@
      * one.
      */
     String key() {
-      String[] each = new String[KEEPERS];
-      for (int k = 0; k < KEEPERS; k++) {
-        EpochFence fence = fences[k];
-        Reply reply = replies[k];
-        each[k] =
+      String[] each = new String[SUPERVISORS];
+      for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
+        EpochFence fence = fences[supervisor];
+        PendingReply reply = replies[supervisor];
+        each[supervisor] =
             fence.grant().epoch()
                 + fence.grant().controller()
-                + age(Math.max(-1e6, fence.tokenIssuedAt()), LAPSED)
+                + age(Math.max(-1e6, fence.tokenIssuedAt()), TICKS_UNTIL_EXPIRED)
                 + (reply == null
                     ? ""
                     : "r"
-                        + reply.said().answer()
-                        + age(reply.askedAt(), LAPSED)
-                        + (reply.said().leaseToken() == fence.leaseToken()))
-                + (order == null || order.keeper() != k
+                        + reply.reply().answer()
+                        + age(reply.sentAt(), TICKS_UNTIL_EXPIRED)
+                        + (reply.reply().leaseToken() == fence.leaseToken()))
+                + (order == null || order.supervisor() != supervisor
                     ? ""
-                    : "o" + (order.stamp() == fence.leaseToken()))
-                + (first.token("k" + k) == fence.leaseToken())
-                + age(first.acknowledgedAt("k" + k), LAPSED)
-                + second.needsClaim("k" + k);
+                    : "o" + (order.token() == fence.leaseToken()))
+                + (first.token("k" + supervisor) == fence.leaseToken())
+                + age(first.acknowledgedAt("k" + supervisor), TICKS_UNTIL_EXPIRED)
+                + second.needsClaim("k" + supervisor);
       }
       Arrays.sort(each);
-      return obeyedLater
+      return laterOrderAccepted
           + " "
           + restarted
           + first.state()
           + second.state()
           + (second.state() == ControllerLease.State.AWAITING_EXPIRY
-              ? age(second.quorumGrantedAt(), PAUSED)
+              ? age(second.quorumGrantedAt(), TICKS_OF_EXPIRY_WAIT)
               : "")
           + String.join("&", each);
     }
@@ -135,19 +137,19 @@
 
   private static World first(Bug bug) {
     World world = new World();
-    ControllerLease steers = new ControllerLease("A", KEEPERS, 0);
-    steers.claim();
-    for (int k = 0; k < KEEPERS; k++) {
-      world.fences[k] = new EpochFence(EpochFence.Grant.NONE, 0, kept -> true);
-      steers.onReply("k" + k, 1, world.fences[k].claim(1, "A", -20), -20, -20);
+    ControllerLease holder = new ControllerLease("A", SUPERVISORS, 0);
+    holder.claim();
+    for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
+      world.fences[supervisor] = new EpochFence(EpochFence.Grant.NONE, 0, kept -> true);
+      holder.onReply("k" + supervisor, 1, world.fences[supervisor].claim(1, "A", -20), -20, -20);
     }
-    steers.tick(-1);
-    for (int k = 0; k < KEEPERS; k++) {
-      steers.onReply("k" + k, 1, world.fences[k].heartbeat(1, "A", 0), 0, 0);
+    holder.tick(-1);
+    for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
+      holder.onReply("k" + supervisor, 1, world.fences[supervisor].heartbeat(1, "A", 0), 0, 0);
     }
-    assertTrue(steers.mayOrder(0));
-    world.first = steers;
-    world.second = new ControllerLease("B", KEEPERS, bug == Bug.ONE_EPOCH_FOR_TWO ? 0 : 1);
+    assertTrue(holder.mayOrder(0));
+    world.first = holder;
+    world.second = new ControllerLease("B", SUPERVISORS, bug == Bug.ONE_EPOCH_FOR_TWO ? 0 : 1);
     world.second.claim();
     return world.copy(bug);
   }
@@ -159,86 +161,93 @@
     later.first.tick(later.now());
     later.second.tick(later.now());
     all.add(later);
-    for (int k = 0; k < KEEPERS; k++) {
-      String name = "k" + k;
-      if (!at.restarted && at.fences[k].grant().epoch() > 1) {
-        World anew = at.copy(bug);
-        anew.restarted = true;
-        anew.fences[k] =
+    for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
+      String name = "k" + supervisor;
+      if (!at.restarted && at.fences[supervisor].grant().epoch() > 1) {
+        World restarted = at.copy(bug);
+        restarted.restarted = true;
+        restarted.fences[supervisor] =
             new EpochFence(
-                bug == Bug.KEEPER_FORGETS
+                bug == Bug.SUPERVISOR_FORGETS
                     ? new EpochFence.Grant(1, "A", "", 0)
-                    : at.fences[k].grant(),
+                    : at.fences[supervisor].grant(),
                 1000,
                 kept -> true);
-        all.add(anew);
+        all.add(restarted);
       }
       if (at.first.state() != ControllerLease.State.LOST) {
         // A new question overtakes an answer that is late: so answers are lost as well.
-        World asked = at.copy(bug);
-        asked.replies[k] =
-            new Reply(asked.fences[k].heartbeat(1, who(at, bug, k), asked.now()), asked.now());
-        all.add(asked);
+        World sent = at.copy(bug);
+        sent.replies[supervisor] =
+            new PendingReply(
+                sent.fences[supervisor].heartbeat(
+                    1, controllerName(at, bug, supervisor), sent.now()),
+                sent.now());
+        all.add(sent);
       }
-      if (at.replies[k] != null) {
-        World heard = at.copy(bug);
-        Reply reply = heard.replies[k];
-        heard.replies[k] = null;
-        heard.first.onReply(
+      if (at.replies[supervisor] != null) {
+        World received = at.copy(bug);
+        PendingReply reply = received.replies[supervisor];
+        received.replies[supervisor] = null;
+        received.first.onReply(
             name,
             1,
-            reply.said(),
-            bug == Bug.CONFIRMED_WHEN_HEARD ? heard.now() : reply.askedAt(),
-            heard.now());
-        all.add(heard);
+            reply.reply(),
+            bug == Bug.ACKNOWLEDGED_WHEN_RECEIVED ? received.now() : reply.sentAt(),
+            received.now());
+        all.add(received);
       }
       boolean may =
-          bug == Bug.LEASE_NOT_LOOKED_AT
+          bug == Bug.LEASE_NOT_CHECKED
               ? at.first.state() == ControllerLease.State.HELD
               : at.first.mayOrder(at.now());
       if (at.order == null && may && at.first.token(name) != 0) {
         World sent = at.copy(bug);
-        sent.order = new Order(k, sent.first.token(name));
+        sent.order = new PendingOrder(supervisor, sent.first.token(name));
         all.add(sent);
       }
-      if (at.second.state() != ControllerLease.State.LOST && !at.obeyedLater) {
-        all.add(second(at, bug, k));
+      if (at.second.state() != ControllerLease.State.LOST && !at.laterOrderAccepted) {
+        all.add(second(at, bug, supervisor));
       }
     }
     if (at.order != null) {
-      World obeyed = at.copy(bug);
-      obeyed.order = null;
-      int k = at.order.keeper();
+      World accepted = at.copy(bug);
+      accepted.order = null;
+      int supervisor = at.order.supervisor();
       EpochFence.Answer answer =
-          obeyed.fences[k].order(1, who(at, bug, k), at.order.stamp(), "x", obeyed.now()).answer();
-      obeyed.broken = answer == EpochFence.Answer.ACCEPTED && obeyed.obeyedLater;
-      all.add(obeyed);
+          accepted
+              .fences[supervisor]
+              .order(1, controllerName(at, bug, supervisor), at.order.token(), "x", accepted.now())
+              .answer();
+      accepted.isRuleBroken = answer == EpochFence.Answer.ACCEPTED && accepted.laterOrderAccepted;
+      all.add(accepted);
     }
     return all;
   }
 
   /** The first driver, or whoever has its epoch where keepers look at that alone. */
-  private static String who(World at, Bug bug, int k) {
-    return bug == Bug.ONE_EPOCH_FOR_TWO ? at.fences[k].grant().controller() : "A";
+  private static String controllerName(World at, Bug bug, int supervisor) {
+    return bug == Bug.ONE_EPOCH_FOR_TWO ? at.fences[supervisor].grant().controller() : "A";
   }
 
   /** The second driver asks a keeper, hears at once, and gives its order as soon as it may. */
-  private static World second(World at, Bug bug, int k) {
+  private static World second(World at, Bug bug, int supervisor) {
     World next = at.copy(bug);
-    String name = "k" + k;
+    String name = "k" + supervisor;
     long epoch = next.second.epoch();
     if (bug == Bug.ONE_EPOCH_FOR_TWO && next.second.needsClaim(name)) {
-      next.fences[k] = new EpochFence(new EpochFence.Grant(epoch, "B", "", 0), 500, kept -> true);
+      next.fences[supervisor] =
+          new EpochFence(new EpochFence.Grant(epoch, "B", "", 0), 500, kept -> true);
     }
-    EpochFence.Reply said =
+    EpochFence.Reply reply =
         next.second.needsClaim(name)
-            ? next.fences[k].claim(epoch, "B", next.now())
-            : next.fences[k].heartbeat(epoch, "B", next.now());
-    next.second.onReply(name, epoch, said, next.now(), next.now());
+            ? next.fences[supervisor].claim(epoch, "B", next.now())
+            : next.fences[supervisor].heartbeat(epoch, "B", next.now());
+    next.second.onReply(name, epoch, reply, next.now(), next.now());
     if (next.second.mayOrder(next.now())) {
-      EpochFence.Reply obeyed =
-          next.fences[k].order(epoch, "B", next.second.token(name), "y", next.now());
-      next.obeyedLater |= obeyed.answer() == EpochFence.Answer.ACCEPTED;
+      EpochFence.Reply accepted =
+          next.fences[supervisor].order(epoch, "B", next.second.token(name), "y", next.now());
+      next.laterOrderAccepted |= accepted.answer() == EpochFence.Answer.ACCEPTED;
     }
     return next;
   }
@@ -251,7 +260,7 @@
     seen.add(open.peek().key());
     while (!open.isEmpty()) {
       for (World next : next(bug == Bug.NONE ? open.poll() : open.pollLast(), bug)) {
-        if (next.broken) {
+        if (next.isRuleBroken) {
           return -seen.size();
         }
         if (seen.add(next.key())) {
@@ -263,7 +272,7 @@
   }
 
   @Test
-  void noOrderOfAnEarlierDriverIsObeyedAfterOneOfALater() {
+  void noOrderOfAnEarlierControllerIsAcceptedAfterOneOfALater() {
     int seen = explore(Bug.NONE);
     System.out.println("steering: " + seen + " worlds, none wrong");
     assertTrue(seen > 10_000, "too few worlds, or a wrong one: " + seen);
--- a/src/test/java/wharftrestle/rollout/RolloutTest.java
+++ b/src/test/java/wharftrestle/rollout/RolloutTest.java
@@ -20,295 +20,303 @@
 
 /** What a roll does next, told event by event in made-up time over made-up keepers. */
 class RolloutTest {
-  private static final Verdict SAME = new Verdict(Outcome.PASS, "all the same");
-  private static final Verdict WORSE = new Verdict(Outcome.FAIL, "it loses");
-  private static final Verdict OPEN = new Verdict(Outcome.INCONCLUSIVE, "too little was seen");
+  private static final Verdict PASSES = new Verdict(Outcome.PASS, "all the same");
+  private static final Verdict FAILS = new Verdict(Outcome.FAIL, "it loses");
+  private static final Verdict INCONCLUSIVE =
+      new Verdict(Outcome.INCONCLUSIVE, "too little was seen");
 
   /** A keeper and its daemon, as far as a roll sees them. */
-  private static final class Box {
-    private String acts = "old";
-    private String target = "";
+  private static final class ReportedHost {
+    private String runningRelease = "old";
+    private String orderedRelease = "";
     private int attempt;
-    private String failed = "";
-    private double until = Double.NEGATIVE_INFINITY;
-    private boolean contact = true;
+    private String failure = "";
+    private double changingUntil = Double.NEGATIVE_INFINITY;
+    private boolean isReachable = true;
 
-    boolean changing(double now) {
-      return now < until;
+    boolean isChanging(double now) {
+      return now < changingUntil;
     }
   }
 
-  private static final class World {
+  private static final class SimulatedFleet {
     private final RolloutPlan plan;
-    private final Map<String, Box> boxes = new LinkedHashMap<>();
-    private final Set<String> toldInEpoch = new HashSet<>();
-    private Rollout roll;
+    private final Map<String, ReportedHost> hosts = new LinkedHashMap<>();
+    private final Set<String> orderedInEpoch = new HashSet<>();
+    private Rollout rollout;
     private double now;
     private int epochs = 1;
-    private boolean loses; // orders on their way
-    private boolean fails; // the next change
+    private boolean losesOrders; // orders on their way
+    private boolean nextChangeFails; // the next change
     private final List<String> entered = new ArrayList<>();
-    private final Map<String, Integer> told = new HashMap<>();
+    private final Map<String, Integer> orders = new HashMap<>();
 
-    World(RolloutPlan plan) {
+    SimulatedFleet(RolloutPlan plan) {
       this.plan = plan;
-      plan.hosts().forEach(each -> boxes.put(each.name(), new Box()));
-      roll = new Rollout(plan, now);
+      plan.hosts().forEach(each -> hosts.put(each.name(), new ReportedHost()));
+      rollout = new Rollout(plan, now);
     }
 
-    Map<String, Rollout.ReportedState> shows() {
-      Map<String, Rollout.ReportedState> all = new LinkedHashMap<>();
-      boxes.forEach(
+    Map<String, Rollout.ReportedState> reportedStates() {
+      Map<String, Rollout.ReportedState> states = new LinkedHashMap<>();
+      hosts.forEach(
           (name, each) ->
-              all.put(
+              states.put(
                   name,
                   new Rollout.ReportedState(
-                      each.contact,
-                      each.acts,
-                      !each.changing(now),
-                      each.target,
+                      each.isReachable,
+                      each.runningRelease,
+                      !each.isChanging(now),
+                      each.orderedRelease,
                       each.attempt,
-                      each.failed)));
-      return all;
+                      each.failure)));
+      return states;
     }
 
-    void look(Verdict verdict) {
-      carryOut(roll.tick(shows(), verdict, true, now));
-      long away = boxes.values().stream().filter(each -> each.changing(now)).count();
-      assertTrue(away <= plan.maxUnavailable(), away + " are away");
+    void tick(Verdict verdict) {
+      carryOut(rollout.tick(reportedStates(), verdict, true, now));
+      long changing = hosts.values().stream().filter(each -> each.isChanging(now)).count();
+      assertTrue(changing <= plan.maxUnavailable(), changing + " are away");
     }
 
-    void carryOut(List<Rollout.Action> acts) {
-      for (Rollout.Action act : acts) {
-        if (act instanceof Rollout.Action.ClaimEpoch) {
+    void carryOut(List<Rollout.Action> actions) {
+      for (Rollout.Action action : actions) {
+        if (action instanceof Rollout.Action.ClaimEpoch) {
           epochs++;
-          toldInEpoch.clear();
-          roll.onEpochClaimed();
-          boxes
+          orderedInEpoch.clear();
+          rollout.onEpochClaimed();
+          hosts
               .values()
               .forEach(
                   each -> {
-                    each.target = "";
+                    each.orderedRelease = "";
                     each.attempt = 0;
                   });
-        } else if (act instanceof Rollout.Action.Order order) {
-          obey(order);
-        } else if (act instanceof Rollout.Action.EnterState enter) {
+        } else if (action instanceof Rollout.Action.Order order) {
+          execute(order);
+        } else if (action instanceof Rollout.Action.EnterState enter) {
           entered.add(enter.state().name());
         }
       }
     }
 
-    private void obey(Rollout.Action.Order order) {
-      Box box = boxes.get(order.host());
-      told.merge(order.host(), 1, Integer::sum);
-      toldInEpoch.add(order.host() + " " + order.release());
-      long targets =
-          toldInEpoch.stream().filter(each -> each.startsWith(order.host() + " ")).count();
-      assertEquals(1, targets, order.host() + " is told two releases in one epoch");
-      assertTrue(box.contact, "told though it cannot be reached");
+    private void execute(Rollout.Action.Order order) {
+      ReportedHost host = hosts.get(order.host());
+      orders.merge(order.host(), 1, Integer::sum);
+      orderedInEpoch.add(order.host() + " " + order.release());
+      long releases =
+          orderedInEpoch.stream().filter(each -> each.startsWith(order.host() + " ")).count();
+      assertEquals(1, releases, order.host() + " is told two releases in one epoch");
+      assertTrue(host.isReachable, "told though it cannot be reached");
       for (RolloutPlan.Host other : plan.hosts()) {
-        boolean away =
-            !other.equals(plan.host(order.host())) && boxes.get(other.name()).changing(now);
+        boolean changing =
+            !other.equals(plan.host(order.host())) && hosts.get(other.name()).isChanging(now);
         boolean sameZone =
             other.zone().equals(plan.host(order.host()).zone()) && !other.zone().isEmpty();
         assertTrue(
-            !(away && sameZone && plan.zoneSize(other.zone()) < RolloutPlan.SMALL_ZONE_HOSTS),
+            !(changing && sameZone && plan.zoneSize(other.zone()) < RolloutPlan.SMALL_ZONE_HOSTS),
             "two of a small zone");
       }
-      if (loses) {
+      if (losesOrders) {
         return;
       }
-      box.target = order.release();
-      box.attempt++;
-      box.failed = "";
-      box.until = now + 3;
-      if (fails) {
-        box.failed = "it died before it served";
-        fails = false;
+      host.orderedRelease = order.release();
+      host.attempt++;
+      host.failure = "";
+      host.changingUntil = now + 3;
+      if (nextChangeFails) {
+        host.failure = "it died before it served";
+        nextChangeFails = false;
       } else {
-        box.acts = order.release();
+        host.runningRelease = order.release();
       }
     }
 
-    void pass(double seconds, Verdict verdict) {
+    void passTime(double seconds, Verdict verdict) {
       for (double end = now + seconds; now < end; ) {
         now += 1;
-        look(verdict);
+        tick(verdict);
       }
     }
   }
 
-  private static RolloutPlan plan(int boxes, int mostAway) {
-    List<RolloutPlan.Host> all = new ArrayList<>();
-    for (int i = 0; i < boxes; i++) {
-      all.add(RolloutPlanTest.box("b" + i, "z" + i % 2));
+  private static RolloutPlan plan(int hostCount, int maxUnavailable) {
+    List<RolloutPlan.Host> hosts = new ArrayList<>();
+    for (int i = 0; i < hostCount; i++) {
+      hosts.add(RolloutPlanTest.host("b" + i, "z" + i % 2));
     }
     return RolloutPlanTest.plan(
-        all,
-        mostAway,
+        hosts,
+        maxUnavailable,
         new RolloutPlan.Stage(1, 0, false, 10),
         new RolloutPlan.Stage(0, 0.5, true, 10),
         new RolloutPlan.Stage(0, 1, true, 10));
   }
 
-  private static long have(World world, String release) {
-    return world.boxes.values().stream().filter(each -> each.acts.equals(release)).count();
+  private static long running(SimulatedFleet fleet, String release) {
+    return fleet.hosts.values().stream()
+        .filter(each -> each.runningRelease.equals(release))
+        .count();
   }
 
   @Test
   void aGoodReleaseArrivesEverywhereStageByStage() {
-    World world = new World(plan(6, 1));
-    world.pass(8, SAME);
-    assertEquals(1, have(world, "new"), "the first stage is watched");
-    world.pass(100, SAME);
-    assertEquals(Rollout.State.COMPLETED, world.roll.state());
-    assertEquals(6, have(world, "new"));
+    SimulatedFleet fleet = new SimulatedFleet(plan(6, 1));
+    fleet.passTime(8, PASSES);
+    assertEquals(1, running(fleet, "new"), "the first stage is watched");
+    fleet.passTime(100, PASSES);
+    assertEquals(Rollout.State.COMPLETED, fleet.rollout.state());
+    assertEquals(6, running(fleet, "new"));
   }
 
   @Test
-  void withoutAVerdictNothingGoesOnAndAnOperatorDecides() {
-    World world = new World(plan(6, 1));
-    world.pass(200, OPEN);
-    assertEquals(Rollout.State.HELD, world.roll.state());
-    assertTrue(world.roll.reason().startsWith("nobody can tell"), world.roll.reason());
-    assertEquals(1, have(world, "new"));
-    world.carryOut(world.roll.resume(world.shows(), world.now));
-    world.pass(100, SAME);
-    assertEquals(Rollout.State.COMPLETED, world.roll.state());
+  void withoutAVerdictTheStageIsHeldAndAnOperatorDecides() {
+    SimulatedFleet fleet = new SimulatedFleet(plan(6, 1));
+    fleet.passTime(200, INCONCLUSIVE);
+    assertEquals(Rollout.State.HELD, fleet.rollout.state());
+    assertTrue(fleet.rollout.reason().startsWith("nobody can tell"), fleet.rollout.reason());
+    assertEquals(1, running(fleet, "new"));
+    fleet.carryOut(fleet.rollout.resume(fleet.reportedStates(), fleet.now));
+    fleet.passTime(100, PASSES);
+    assertEquals(Rollout.State.COMPLETED, fleet.rollout.state());
   }
 
   @Test
-  void whatDoesWorseIsTakenBackInANewEpoch() {
-    World world = new World(plan(6, 1));
-    world.pass(30, SAME);
-    assertTrue(have(world, "new") > 1);
-    world.pass(40, WORSE);
-    assertEquals(Rollout.State.ROLLED_BACK, world.roll.state());
-    assertEquals(6, have(world, "old"));
-    assertEquals(2, world.epochs);
-    assertTrue(world.roll.reason().contains("does worse: it loses"));
+  void aReleaseThatFailsIsRolledBackInANewEpoch() {
+    SimulatedFleet fleet = new SimulatedFleet(plan(6, 1));
+    fleet.passTime(30, PASSES);
+    assertTrue(running(fleet, "new") > 1);
+    fleet.passTime(40, FAILS);
+    assertEquals(Rollout.State.ROLLED_BACK, fleet.rollout.state());
+    assertEquals(6, running(fleet, "old"));
+    assertEquals(2, fleet.epochs);
+    assertTrue(fleet.rollout.reason().contains("does worse: it loses"));
   }
 
   @Test
-  void aBoxThatFailsIsTriedAgainAndThenTheChangeIsHeld() {
-    World world = new World(plan(4, 1));
+  void aHostThatFailsIsOrderedNoMoreOftenThanPlanned() {
+    SimulatedFleet fleet = new SimulatedFleet(plan(4, 1));
     for (int i = 0; i < 3; i++) {
-      world.fails = true;
-      world.pass(5, OPEN);
+      fleet.nextChangeFails = true;
+      fleet.passTime(5, INCONCLUSIVE);
     }
-    world.fails = true;
-    world.pass(100, OPEN);
-    assertTrue(world.told.get("b0") <= 2, "a budget of tries: " + world.told);
+    fleet.nextChangeFails = true;
+    fleet.passTime(100, INCONCLUSIVE);
+    assertTrue(fleet.orders.get("b0") <= 2, "a budget of tries: " + fleet.orders);
   }
 
   @Test
-  void aBoxThatCameBackWithTheOldReleaseIsBehindAgain() {
-    World world = new World(plan(4, 1));
-    world.pass(8, SAME);
-    world.boxes.get("b0").acts = "old";
-    world.pass(6, OPEN);
-    assertEquals("new", world.boxes.get("b0").acts);
-    assertTrue(world.entered.contains("PROGRESSING"));
+  void aHostThatCameBackWithTheOldReleaseIsChangedAgain() {
+    SimulatedFleet fleet = new SimulatedFleet(plan(4, 1));
+    fleet.passTime(8, PASSES);
+    fleet.hosts.get("b0").runningRelease = "old";
+    fleet.passTime(6, INCONCLUSIVE);
+    assertEquals("new", fleet.hosts.get("b0").runningRelease);
+    assertTrue(fleet.entered.contains("PROGRESSING"));
   }
 
   @Test
-  void aBoxThatCannotBeReachedHoldsTheChangeAndIsTakenBackWhenItIsHeard() {
-    World world = new World(plan(4, 1));
-    world.pass(8, SAME);
-    world.boxes.get("b0").contact = false;
-    world.pass(3, WORSE);
-    assertEquals(Rollout.State.ROLLING_BACK, world.roll.state());
-    world.pass(300, OPEN);
+  void anUnreachableHostKeepsTheRollbackOpenAndIsRolledBackOnceReachable() {
+    SimulatedFleet fleet = new SimulatedFleet(plan(4, 1));
+    fleet.passTime(8, PASSES);
+    fleet.hosts.get("b0").isReachable = false;
+    fleet.passTime(3, FAILS);
+    assertEquals(Rollout.State.ROLLING_BACK, fleet.rollout.state());
+    fleet.passTime(300, INCONCLUSIVE);
     assertTrue(
-        world.roll.reason().contains("b0 cannot be reached, and is rolled back once it is"),
-        world.roll.reason());
-    world.boxes.get("b0").contact = true;
-    world.pass(10, OPEN);
-    assertEquals(Rollout.State.ROLLED_BACK, world.roll.state());
-    assertEquals(4, have(world, "old"));
+        fleet.rollout.reason().contains("b0 cannot be reached, and is rolled back once it is"),
+        fleet.rollout.reason());
+    fleet.hosts.get("b0").isReachable = true;
+    fleet.passTime(10, INCONCLUSIVE);
+    assertEquals(Rollout.State.ROLLED_BACK, fleet.rollout.state());
+    assertEquals(4, running(fleet, "old"));
   }
 
   @Test
-  void aDriverThatFollowsGoesOnFromTheJournal() {
-    World world = new World(plan(6, 1));
-    world.pass(30, SAME);
-    Rollout.Snapshot kept = world.roll.snapshot();
-    world.roll = new Rollout(world.plan, kept, world.now);
-    world.epochs++;
-    world.toldInEpoch.clear();
-    world.boxes.values().forEach(each -> each.attempt = 0);
-    world.pass(100, SAME);
-    assertEquals(Rollout.State.COMPLETED, world.roll.state());
+  void aLaterControllerResumesFromTheJournal() {
+    SimulatedFleet fleet = new SimulatedFleet(plan(6, 1));
+    fleet.passTime(30, PASSES);
+    Rollout.Snapshot snapshot = fleet.rollout.snapshot();
+    fleet.rollout = new Rollout(fleet.plan, snapshot, fleet.now);
+    fleet.epochs++;
+    fleet.orderedInEpoch.clear();
+    fleet.hosts.values().forEach(each -> each.attempt = 0);
+    fleet.passTime(100, PASSES);
+    assertEquals(Rollout.State.COMPLETED, fleet.rollout.state());
   }
 
   @Test
-  void aPauseIsKeptByTheJournalToo() {
-    World world = new World(plan(4, 1));
-    world.pass(2, OPEN);
-    world.carryOut(world.roll.pause(world.now));
-    world.roll = new Rollout(world.plan, world.roll.snapshot(), world.now);
-    world.pass(50, SAME);
-    assertEquals(Rollout.State.PAUSED, world.roll.state());
-    world.carryOut(world.roll.resume(world.shows(), world.now));
-    world.pass(100, SAME);
-    assertEquals(Rollout.State.COMPLETED, world.roll.state());
+  void aPauseOutlivesItsController() {
+    SimulatedFleet fleet = new SimulatedFleet(plan(4, 1));
+    fleet.passTime(2, INCONCLUSIVE);
+    fleet.carryOut(fleet.rollout.pause(fleet.now));
+    fleet.rollout = new Rollout(fleet.plan, fleet.rollout.snapshot(), fleet.now);
+    fleet.passTime(50, PASSES);
+    assertEquals(Rollout.State.PAUSED, fleet.rollout.state());
+    fleet.carryOut(fleet.rollout.resume(fleet.reportedStates(), fleet.now));
+    fleet.passTime(100, PASSES);
+    assertEquals(Rollout.State.COMPLETED, fleet.rollout.state());
   }
 
   /**
    * Whatever happens in whatever order, the rules hold; and once all is well, every change ends.
    */
   @Property(tries = 1500)
-  void rulesHoldWhateverHappensAndEveryChangeEnds(
-      @ForAll @IntRange(min = 2, max = 9) int boxes,
-      @ForAll @IntRange(min = 1, max = 3) int mostAway,
+  void rulesHoldWhateverHappensAndEveryRolloutEnds(
+      @ForAll @IntRange(min = 2, max = 9) int hostCount,
+      @ForAll @IntRange(min = 1, max = 3) int maxUnavailable,
       @ForAll @Size(max = 80) List<@IntRange(max = 13) Integer> events,
       @ForAll @IntRange(max = 100) int which) {
-    World world = new World(plan(boxes, mostAway));
+    SimulatedFleet fleet = new SimulatedFleet(plan(hostCount, maxUnavailable));
     int at = which;
     for (int event : events) {
       at += 7;
-      Box box = world.boxes.get("b" + at % boxes);
+      ReportedHost host = fleet.hosts.get("b" + at % hostCount);
       switch (event) {
-        case 0 -> box.contact = false;
-        case 1 -> box.contact = true;
-        case 2 -> world.fails = true;
-        case 3 -> world.loses = !world.loses;
-        case 4 -> box.acts = world.roll.state().isFinal() ? box.acts : "old"; // it came back cold
-        case 5 -> world.carryOut(world.roll.pause(world.now));
-        case 6 -> world.carryOut(world.roll.resume(world.shows(), world.now));
+        case 0 -> host.isReachable = false;
+        case 1 -> host.isReachable = true;
+        case 2 -> fleet.nextChangeFails = true;
+        case 3 -> fleet.losesOrders = !fleet.losesOrders;
+        case 4 ->
+            host.runningRelease =
+                fleet.rollout.state().isFinal() ? host.runningRelease : "old"; // it came back cold
+        case 5 -> fleet.carryOut(fleet.rollout.pause(fleet.now));
+        case 6 -> fleet.carryOut(fleet.rollout.resume(fleet.reportedStates(), fleet.now));
         case 7 -> {
           if (at % 3 == 0) {
-            world.carryOut(world.roll.rollBack("asked for", world.now));
+            fleet.carryOut(fleet.rollout.rollBack("asked for", fleet.now));
           }
         }
         case 8 -> {
           // The driver dies, and the next one steers in another epoch.
-          world.roll = new Rollout(world.plan, world.roll.snapshot(), world.now);
-          world.epochs++;
-          world.toldInEpoch.clear();
-          world
-              .boxes
+          fleet.rollout = new Rollout(fleet.plan, fleet.rollout.snapshot(), fleet.now);
+          fleet.epochs++;
+          fleet.orderedInEpoch.clear();
+          fleet
+              .hosts
               .values()
               .forEach(
                   each -> {
-                    each.target = "";
+                    each.orderedRelease = "";
                     each.attempt = 0;
                   });
         }
-        case 9 -> world.pass(1, at % 5 == 0 ? WORSE : OPEN);
-        case 10 -> world.pass(12, SAME);
-        default -> world.pass(2, SAME);
+        case 9 -> fleet.passTime(1, at % 5 == 0 ? FAILS : INCONCLUSIVE);
+        case 10 -> fleet.passTime(12, PASSES);
+        default -> fleet.passTime(2, PASSES);
       }
     }
-    world.loses = false;
-    world.fails = false;
-    world.boxes.values().forEach(each -> each.contact = true);
-    for (int i = 0; i < 40 && !world.roll.state().isFinal(); i++) {
-      world.carryOut(world.roll.resume(world.shows(), world.now));
-      world.pass(30, SAME);
+    fleet.losesOrders = false;
+    fleet.nextChangeFails = false;
+    fleet.hosts.values().forEach(each -> each.isReachable = true);
+    for (int i = 0; i < 40 && !fleet.rollout.state().isFinal(); i++) {
+      fleet.carryOut(fleet.rollout.resume(fleet.reportedStates(), fleet.now));
+      fleet.passTime(30, PASSES);
     }
-    assertTrue(world.roll.state().isFinal(), world.roll.state() + " " + world.roll.reason());
-    assertEquals(boxes, have(world, world.roll.state() == Rollout.State.COMPLETED ? "new" : "old"));
+    assertTrue(
+        fleet.rollout.state().isFinal(), fleet.rollout.state() + " " + fleet.rollout.reason());
+    assertEquals(
+        hostCount,
+        running(fleet, fleet.rollout.state() == Rollout.State.COMPLETED ? "new" : "old"));
   }
 }
--- a/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
@@ -15,14 +15,14 @@
 
 /** A plan's script: what it may say, and where it is told that it is wrong. */
 class PlanScriptTest {
-  private static final String BOX = "box(\"b1\", zone = \"a\", keeper = \"127.0.0.1:7501\")\n";
+  private static final String HOST = "box(\"b1\", zone = \"a\", keeper = \"127.0.0.1:7501\")\n";
 
   @Test
-  void aPlanIsReadWithItsDefaults() throws Exception {
+  void parse_planWithDefaults_isRead() throws Exception {
     PlanScript script =
         PlanScript.parse(
             "p.star",
-            BOX
+            HOST
                 + """
                 box("b2", zone = "b", keeper = "127.0.0.1:7502", tenants = ["omaruru"], front = "127.0.0.1:9002")
                 change(to = "2026-12-08", stages = [stage(boxes = 1, hold = 120), stage(share = 1, spread = "zone")],
@@ -47,55 +47,56 @@
   }
 
   @Test
-  void withoutMeasuresAllAreLookedAt() throws Exception {
+  void parse_planWithoutMeasures_comparesAllMetrics() throws Exception {
     RolloutPlan plan =
-        PlanScript.parse("p.star", BOX + "change(to = \"x\", stages = [stage(boxes = 1)])").plan();
+        PlanScript.parse("p.star", HOST + "change(to = \"x\", stages = [stage(boxes = 1)])").plan();
     assertEquals(CanaryMetric.values().length, plan.criteria().limits().size());
   }
 
   @Test
-  void whatIsWrongIsToldWithItsPlace() {
-    String[][] wrongs = {
+  void parse_wrongPlan_isRefusedWithItsPlace() {
+    String[][] cases = {
       {"", "p.star: has no change(to = ..., stages = [...])"},
       {
         "change(to = \"x\", stages = [stage(boxes = 1)])",
         "p.star:1:1: there is no box: name each with box(name, zone, " + "keeper)"
       },
-      {BOX + "change(stages = [stage(boxes = 1)])", "p.star:2:1: change needs to"},
+      {HOST + "change(stages = [stage(boxes = 1)])", "p.star:2:1: change needs to"},
       {
-        BOX + "change(to = \"x\", stages = [])", "p.star:2:27: change.stages: expected one at least"
+        HOST + "change(to = \"x\", stages = [])",
+        "p.star:2:27: change.stages: expected one at least"
       },
       {
-        BOX + "change(to = \"x\", stages = [1])",
+        HOST + "change(to = \"x\", stages = [1])",
         "p.star:2:27: change.stages: expected stages, such as stage(boxes = 1, hold = 120), got 1"
       },
       {
-        BOX + "change(to = \"x\", stages = [stage()])",
+        HOST + "change(to = \"x\", stages = [stage()])",
         "p.star:2:28: stage needs boxes or share, and not both"
       },
       {
-        BOX + "change(to = \"x\", stages = [stage(share = 1.5)])",
+        HOST + "change(to = \"x\", stages = [stage(share = 1.5)])",
         "p.star:2:42: stage.share: expected a number from 1.0E-6 to 1.0, got 1.5"
       },
       {
-        BOX + "change(to = \"x\", stages = [stage(boxes = 1), stage(share = 0.5)])",
+        HOST + "change(to = \"x\", stages = [stage(boxes = 1), stage(share = 0.5)])",
         "p.star:2:27: change.stages: a stage of 1 hosts comes after one of 1, expected more"
       },
       {
-        BOX + "change(to = \"x\", stages = [stage(boxes = 1)], worse = [failed(2)])",
+        HOST + "change(to = \"x\", stages = [stage(boxes = 1)], worse = [failed(2)])",
         "p.star:2:63: failed.limit: expected a number from 1.0E-4 to 1.0, got 2"
       },
       {
-        BOX + "change(to = \"x\", stages = [stage(boxes = 1)], when_cut = \"stop\")",
+        HOST + "change(to = \"x\", stages = [stage(boxes = 1)], when_cut = \"stop\")",
         "p.star:2:58: change.when_cut: expected \"hold\" or \"go\", got stop"
       },
       {
-        BOX + "change(to = \"x\", stages = [stage(boxes = 1)], watch = 3)",
+        HOST + "change(to = \"x\", stages = [stage(boxes = 1)], watch = 3)",
         "p.star:2:55: change.watch: expected 8 windows at least, or nothing can be compared: 80.0 s"
       },
-      {BOX + BOX, "p.star:2:1: box b1 is defined twice"},
+      {HOST + HOST, "p.star:2:1: box b1 is defined twice"},
       {
-        BOX + "box(\"b2\", keeper = \"127.0.0.1:7501\")",
+        HOST + "box(\"b2\", keeper = \"127.0.0.1:7501\")",
         "p.star:2:20: the supervisor at 127.0.0.1:7501 has another host"
       },
       {
@@ -104,16 +105,18 @@
             + "with a numeric host, got keeper.example.org:1"
       },
     };
-    for (String[] wrong : wrongs) {
+    for (String[] wrongAndMessage : cases) {
       BadSettingsException e =
           assertThrows(
-              BadSettingsException.class, () -> PlanScript.parse("p.star", wrong[0]), wrong[0]);
-      assertEquals(wrong[1], e.getMessage());
+              BadSettingsException.class,
+              () -> PlanScript.parse("p.star", wrongAndMessage[0]),
+              wrongAndMessage[0]);
+      assertEquals(wrongAndMessage[1], e.getMessage());
     }
   }
 
   @Test
-  void thePlanThatShipsCanBeReadAndMet() throws Exception {
+  void schedule_ofTheShippedPlan_meetsAllOfIt() throws Exception {
     RolloutPlan plan = PlanScript.read(Path.of("docs/examples/roll.star")).plan();
 
     RolloutSchedule schedule = RolloutSchedule.of(plan);
--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -42,47 +42,59 @@
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
 
   @TempDir private Path folder;
-  private final List<SupervisorStateMachine> keepers = new ArrayList<>();
-  private final List<String> obeyed = new CopyOnWriteArrayList<>();
+  private final List<TestSupervisor> supervisors = new ArrayList<>();
+  private final List<String> executed = new CopyOnWriteArrayList<>();
   private ReleaseDirectory releases;
 
   /** A keeper's door, and a box that has every release at once. */
-  private final class SupervisorStateMachine {
+  private final class TestSupervisor {
     private final String name;
     private final int port;
-    private ControllerEndpoint door;
-    private volatile String acts = "one";
-    private volatile String told = "";
+    private ControllerEndpoint endpoint;
+    private volatile String runningRelease = "one";
+    private volatile String orderedRelease = "";
     private volatile int attempt;
 
-    SupervisorStateMachine(String name) throws IOException {
+    TestSupervisor(String name) throws IOException {
       this.name = name;
       port = Address.freePort();
       open();
     }
 
     void open() throws IOException {
-      door =
+      endpoint =
           new ControllerEndpoint(
               new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
               name,
               Files.createDirectories(folder.resolve(name)),
               releases,
-              this::obey,
+              this::execute,
               () ->
                   Map.of(
-                      "state", "serving", "release", acts, "settled", true, "acts", acts, "told",
-                      told, "attempt", attempt, "failed", ""),
+                      "state",
+                      "serving",
+                      "release",
+                      runningRelease,
+                      "settled",
+                      true,
+                      "acts",
+                      runningRelease,
+                      "told",
+                      orderedRelease,
+                      "attempt",
+                      attempt,
+                      "failed",
+                      ""),
               (program, settings) -> true);
     }
 
-    private String obey(String order) {
+    private String execute(String order) {
       String[] words = order.split(" ", 0);
       if (words[0].equals("go")) {
-        obeyed.add(name + " " + words[2]);
+        executed.add(name + " " + words[2]);
         attempt = Integer.parseInt(words[1]);
-        told = words[2];
-        acts = words[2];
+        orderedRelease = words[2];
+        runningRelease = words[2];
       }
       return "ok";
     }
@@ -109,163 +121,173 @@
     releases.pack(jar, null, "one");
     releases.pack(jar, null, "two");
     for (int i = 1; i <= 3; i++) {
-      keepers.add(new SupervisorStateMachine("b" + i));
+      supervisors.add(new TestSupervisor("b" + i));
     }
   }
 
   @AfterEach
   void close() throws IOException {
-    for (SupervisorStateMachine each : keepers) {
-      each.door.close();
+    for (TestSupervisor each : supervisors) {
+      each.endpoint.close();
     }
   }
 
-  private PlanScript plan(String to, double hold) throws Exception {
-    StringBuilder text = new StringBuilder();
-    keepers.forEach(
+  private PlanScript planScript(String targetRelease, double holdSeconds) throws Exception {
+    StringBuilder line = new StringBuilder();
+    supervisors.forEach(
         each ->
-            text.append("box(\"" + each.name + "\", keeper = \"127.0.0.1:" + each.port + "\")\n"));
+            line.append("box(\"" + each.name + "\", keeper = \"127.0.0.1:" + each.port + "\")\n"));
     return PlanScript.parse(
         "p.star",
-        text
+        line
             + "change(to = \""
-            + to
+            + targetRelease
             + "\", stages = [stage(boxes = 1, hold = "
-            + hold
+            + holdSeconds
             + "), stage(share = 1, hold = 0)], worse = [], watch = 0, window = 0.5, patience = 86400)\n");
   }
 
-  private RolloutController driver(String dir, PlanScript script, String name) throws Exception {
+  private RolloutController controller(String directory, PlanScript script, String name)
+      throws Exception {
     return new RolloutController(
-        folder.resolve(dir), script, name, new RolloutEventLog(NOWHERE, true));
+        folder.resolve(directory), script, name, new RolloutEventLog(NOWHERE, true));
   }
 
-  private static FutureTask<RolloutController.Outcome> run(RolloutController driver) {
-    FutureTask<RolloutController.Outcome> end =
-        new FutureTask<>((Callable<RolloutController.Outcome>) driver::run);
-    new Thread(end).start();
-    return end;
+  private static FutureTask<RolloutController.Outcome> run(RolloutController controller) {
+    FutureTask<RolloutController.Outcome> outcome =
+        new FutureTask<>((Callable<RolloutController.Outcome>) controller::run);
+    new Thread(outcome).start();
+    return outcome;
   }
 
-  private String order(String dir, String text) {
-    return CommandSocket.order(folder.resolve(dir).resolve(ControllerDirectory.SOCKET_FILE), text);
+  private String send(String directory, String line) {
+    return CommandSocket.order(
+        folder.resolve(directory).resolve(ControllerDirectory.SOCKET_FILE), line);
   }
 
   @Test
-  void aSecondDriverIsRefusedUntilItTakesOverAndThenTheFirstIsFenced() throws Exception {
-    try (RolloutController first = driver("d1", plan("two", 600), "ann")) {
+  void aSecondControllerIsRefusedUntilItTakesOverAndThenTheFirstIsFenced() throws Exception {
+    try (RolloutController first = controller("d1", planScript("two", 600), "ann")) {
       first.check(false);
-      FutureTask<RolloutController.Outcome> end = run(first);
-      while (obeyed.isEmpty()) {
+      FutureTask<RolloutController.Outcome> outcome = run(first);
+      while (executed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
-      assertEquals(List.of("b1 two"), obeyed, "one box, and the hold goes on");
-      try (RolloutController second = driver("d2", plan("two", 0), "bob")) {
-        String why =
+      assertEquals(List.of("b1 two"), executed, "one box, and the hold goes on");
+      try (RolloutController second = controller("d2", planScript("two", 0), "bob")) {
+        String refusal =
             assertThrows(RolloutRefusedException.class, () -> second.check(false)).getMessage();
-        assertTrue(why.contains("ann holds the lease in epoch 1"), why);
+        assertTrue(refusal.contains("ann holds the lease in epoch 1"), refusal);
         second.check(true);
-        FutureTask<RolloutController.Outcome> next = run(second);
-        assertEquals(RolloutController.Outcome.FENCED, end.get(20, TimeUnit.SECONDS));
-        assertTrue(order("d2", "status").contains("\"driver\":\"bob\""));
-        assertEquals(RolloutController.Outcome.COMPLETED, next.get(30, TimeUnit.SECONDS));
-        assertEquals(List.of("b1 two", "b2 two", "b3 two"), obeyed, "and b1 was not told again");
+        FutureTask<RolloutController.Outcome> nextOutcome = run(second);
+        assertEquals(RolloutController.Outcome.FENCED, outcome.get(20, TimeUnit.SECONDS));
+        assertTrue(send("d2", "status").contains("\"driver\":\"bob\""));
+        assertEquals(RolloutController.Outcome.COMPLETED, nextOutcome.get(30, TimeUnit.SECONDS));
+        assertEquals(List.of("b1 two", "b2 two", "b3 two"), executed, "and b1 was not told again");
       }
     }
   }
 
   @Test
-  void whatCannotBeIsRefusedBeforeAnythingMoves() throws Exception {
-    try (RolloutController driver = driver("d1", plan("three", 0), "ann")) {
-      String why =
-          assertThrows(RolloutRefusedException.class, () -> driver.check(false)).getMessage();
-      assertTrue(why.startsWith("b1: there is no release 'three'"), why);
+  void anImpossibleRolloutIsRefusedBeforeAnyOrder() throws Exception {
+    try (RolloutController controller = controller("d1", planScript("three", 0), "ann")) {
+      String refusal =
+          assertThrows(RolloutRefusedException.class, () -> controller.check(false)).getMessage();
+      assertTrue(refusal.startsWith("b1: there is no release 'three'"), refusal);
     }
-    keepers.get(0).door.close();
-    keepers.get(1).door.close();
-    try (RolloutController driver = driver("d2", plan("two", 0), "ann")) {
-      String why =
-          assertThrows(RolloutRefusedException.class, () -> driver.check(false)).getMessage();
-      assertEquals("1 of 3 supervisors answer, which is not more than half", why);
+    supervisors.get(0).endpoint.close();
+    supervisors.get(1).endpoint.close();
+    try (RolloutController controller = controller("d2", planScript("two", 0), "ann")) {
+      String refusal =
+          assertThrows(RolloutRefusedException.class, () -> controller.check(false)).getMessage();
+      assertEquals("1 of 3 supervisors answer, which is not more than half", refusal);
     }
-    assertTrue(obeyed.isEmpty());
+    assertTrue(executed.isEmpty());
   }
 
   @Test
-  void aChangeUnderWayGoesOnWithItsOwnPlanAndTheFolderHasOneDriver() throws Exception {
-    PlanScript plan = plan("two", 600);
-    try (RolloutController first = driver("d1", plan, "ann")) {
-      assertThrows(RolloutRefusedException.class, () -> driver("d1", plan, "bob"));
-      FutureTask<RolloutController.Outcome> end = run(first);
-      while (obeyed.isEmpty()) {
+  void aRolloutUnderWayResumesWithItsOwnPlanAndItsDirectoryHasOneController() throws Exception {
+    PlanScript plan = planScript("two", 600);
+    try (RolloutController first = controller("d1", plan, "ann")) {
+      assertThrows(RolloutRefusedException.class, () -> controller("d1", plan, "bob"));
+      FutureTask<RolloutController.Outcome> outcome = run(first);
+      while (executed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
       first.stop();
-      assertEquals(RolloutController.Outcome.STOPPED, end.get(5, TimeUnit.SECONDS));
+      assertEquals(RolloutController.Outcome.STOPPED, outcome.get(5, TimeUnit.SECONDS));
     }
-    String why =
-        assertThrows(RolloutRefusedException.class, () -> driver("d1", plan("one", 0), "ann"))
+    String refusal =
+        assertThrows(
+                RolloutRefusedException.class, () -> controller("d1", planScript("one", 0), "ann"))
             .getMessage();
-    assertTrue(why.startsWith("another change is under way in "), why);
-    try (RolloutController next = driver("d1", plan, "bob")) {
-      next.check(false); // whoever steered from this folder has ended
-      FutureTask<RolloutController.Outcome> end = run(next);
-      while (!order("d1", "status").contains("\"steering\":\"steering\"")) {
+    assertTrue(refusal.startsWith("another change is under way in "), refusal);
+    try (RolloutController nextOutcome = controller("d1", plan, "bob")) {
+      nextOutcome.check(false); // whoever steered from this folder has ended
+      FutureTask<RolloutController.Outcome> outcome = run(nextOutcome);
+      while (!send("d1", "status").contains("\"steering\":\"steering\"")) {
         TimeUnit.MILLISECONDS.sleep(50);
       }
-      assertEquals("no name a box of the plan, and what it broke", order("d1", "broken b9 x"));
-      assertTrue(order("d1", "broken b1 a key ran twice").startsWith("ok "));
-      assertEquals(RolloutController.Outcome.ROLLED_BACK, end.get(20, TimeUnit.SECONDS));
-      assertEquals(List.of("b1 two", "b1 one"), obeyed, "a broken rule is worse at once");
+      assertEquals("no name a box of the plan, and what it broke", send("d1", "broken b9 x"));
+      assertTrue(send("d1", "broken b1 a key ran twice").startsWith("ok "));
+      assertEquals(RolloutController.Outcome.ROLLED_BACK, outcome.get(20, TimeUnit.SECONDS));
+      assertEquals(List.of("b1 two", "b1 one"), executed, "a broken rule is worse at once");
     }
   }
 
   @Test
-  void aDoorKeepsItsEpochOverRestartsAndAnswersNonsenseWithItsError() throws Exception {
-    SupervisorStateMachine keeper = keepers.get(0);
-    JsonNode granted = keeper.call("/claim", "{\"epoch\":7,\"driver\":\"ann\"}");
+  void anEndpointKeepsItsEpochOverRestartsAndAnswersNonsenseWithAnError() throws Exception {
+    TestSupervisor supervisor = supervisors.get(0);
+    JsonNode granted = supervisor.call("/claim", "{\"epoch\":7,\"driver\":\"ann\"}");
     assertEquals("GRANTED", granted.path("answer").asText());
-    keeper.door.close();
-    keeper.open();
+    supervisor.endpoint.close();
+    supervisor.open();
     assertEquals(
         "FENCED",
-        keeper.call("/claim", "{\"epoch\":7,\"driver\":\"bob\"}").path("answer").asText());
+        supervisor.call("/claim", "{\"epoch\":7,\"driver\":\"bob\"}").path("answer").asText());
     assertEquals(
-        "FENCED", keeper.call("/ask", "{\"epoch\":6,\"driver\":\"ann\"}").path("answer").asText());
+        "FENCED",
+        supervisor.call("/ask", "{\"epoch\":6,\"driver\":\"ann\"}").path("answer").asText());
     String order = "{\"epoch\":7,\"driver\":\"ann\",\"to\":\"two\",\"stamp\":";
     assertEquals(
         "STALE",
-        keeper.call("/order", order + granted.path("stamp").asLong() + "}").path("answer").asText(),
+        supervisor
+            .call("/order", order + granted.path("stamp").asLong() + "}")
+            .path("answer")
+            .asText(),
         "a stamp of the start before");
-    long stamp = keeper.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
-    assertEquals("OBEYED", keeper.call("/order", order + stamp + "}").path("answer").asText());
-    stamp = keeper.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
+    long stamp = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
+    assertEquals("OBEYED", supervisor.call("/order", order + stamp + "}").path("answer").asText());
+    stamp = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
     assertEquals(
         "TWO_TARGETS",
-        keeper.call("/order", order.replace("two", "one") + stamp + "}").path("answer").asText());
-    assertEquals(400, keeper.call("/claim", "nonsense").path("status").asInt());
+        supervisor
+            .call("/order", order.replace("two", "one") + stamp + "}")
+            .path("answer")
+            .asText());
+    assertEquals(400, supervisor.call("/claim", "nonsense").path("status").asInt());
     assertEquals(
         400,
-        keeper
+        supervisor
             .call("/order", "{\"epoch\":7,\"driver\":\"ann\",\"to\":\"../x\"}")
             .path("status")
             .asInt());
     assertEquals(
         400,
-        keeper
+        supervisor
             .call("/claim", "{\"epoch\":8,\"driver\":\"" + "x".repeat(5000) + "\"}")
             .path("status")
             .asInt());
-    assertEquals(404, keeper.call("/moon", null).path("status").asInt());
+    assertEquals(404, supervisor.call("/moon", null).path("status").asInt());
     assertTrue(
-        keeper
-            .call("/look?keeper=127.0.0.1:" + keepers.get(1).port, null)
+        supervisor
+            .call("/look?keeper=127.0.0.1:" + supervisors.get(1).port, null)
             .path("heard")
             .asBoolean());
-    keepers.get(1).door.close();
+    supervisors.get(1).endpoint.close();
     assertFalse(
-        keeper
-            .call("/look?keeper=127.0.0.1:" + keepers.get(1).port, null)
+        supervisor
+            .call("/look?keeper=127.0.0.1:" + supervisors.get(1).port, null)
             .path("heard")
             .asBoolean());
   }
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
@@ -99,15 +99,15 @@
                 Rollout.State.PAUSED, Rollout.State.OBSERVING, 1, fromTwo, triesTwo, "mañ")));
   }
 
-  private static JournalEntry enter(long at, Rollout.Snapshot kept) throws IOException {
-    return line(at, "enter", kept, "", "", kept.reason());
+  private static JournalEntry enter(long at, Rollout.Snapshot snapshot) throws IOException {
+    return line(at, "enter", snapshot, "", "", snapshot.reason());
   }
 
   private static JournalEntry line(
-      long at, String what, Rollout.Snapshot kept, String box, String to, String why)
+      long at, String what, Rollout.Snapshot snapshot, String box, String to, String why)
       throws IOException {
     String plan = ControllerDirectory.sha256(Files.readString(Fixtures.path(PLAN)));
-    return new JournalEntry(1_765_000_000_000L + at, what, 3, "d1", plan, kept, box, to, why);
+    return new JournalEntry(1_765_000_000_000L + at, what, 3, "d1", plan, snapshot, box, to, why);
   }
 
   static void writeJournal(Path file) throws IOException {
@@ -126,7 +126,7 @@
     Files.copy(Fixtures.path(JOURNAL), folder.resolve(ControllerDirectory.JOURNAL_FILE));
     ArrayNode all = JSON.createArrayNode();
     PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
-    try (RolloutController driver =
+    try (RolloutController controller =
         new RolloutController(
             folder,
             PlanScript.read(Fixtures.path(PLAN)),
@@ -160,7 +160,7 @@
     int port = Address.freePort();
     PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
     Path state = folder.resolve("watching");
-    try (ControllerEndpoint door =
+    try (ControllerEndpoint endpoint =
             new ControllerEndpoint(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 "b1",
@@ -178,7 +178,7 @@
                         "classes",
                         List.of(Map.of("name", "batch work"))),
                 (program, settings) -> true);
-        RolloutController driver =
+        RolloutController controller =
             new RolloutController(
                 state,
                 PlanScript.parse(
@@ -193,7 +193,7 @@
           new Thread(
               () -> {
                 try {
-                  driver.run();
+                  controller.run();
                 } catch (IOException | InterruptedException e) {
                   throw new IllegalStateException(e);
                 }
@@ -211,7 +211,7 @@
         status =
             JSON.readTree(CommandSocket.order(state.resolve("roll.sock"), "status").substring(3));
       }
-      driver.stop();
+      controller.stop();
       runs.join();
       ((ObjectNode) status).put("plan", "00");
       ((ObjectNode) status.path("boxes").path(0)).put("silent", 0.5);
@@ -232,7 +232,7 @@
     AtomicReference<String[]> told = new AtomicReference<>(new String[] {"go", "0", "one"});
     int port = Address.freePort();
     ByteArrayOutputStream events = new ByteArrayOutputStream();
-    try (ControllerEndpoint door =
+    try (ControllerEndpoint endpoint =
             new ControllerEndpoint(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 "b1",
@@ -261,7 +261,7 @@
                         "failed",
                         ""),
                 (program, settings) -> true);
-        RolloutController driver =
+        RolloutController controller =
             new RolloutController(
                 folder.resolve("rollout"),
                 PlanScript.parse(
@@ -272,8 +272,8 @@
                         + " worse = [], watch = 0, window = 0.5)\n"),
                 "d1",
                 new RolloutEventLog(new PrintStream(events, true, StandardCharsets.UTF_8), true))) {
-      driver.check(false);
-      driver.run();
+      controller.check(false);
+      controller.run();
     }
     Path said = Files.write(folder.resolve("events"), events.toByteArray());
     return new Run(
