--- a/src/main/java/wharftrestle/request/AdmissionFactory.java
+++ b/src/main/java/wharftrestle/request/AdmissionFactory.java
@@ -1,10 +1,11 @@
 package wharftrestle.request;
 
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionSettings;
 
 /** Makes the admission module once the worker pool has started. */
 @FunctionalInterface
 public interface AdmissionFactory {
   Admission.Events create(
-      double now, long seed, Admission.Settings settings, Admission.Actions actions);
+      double now, long seed, AdmissionSettings settings, Admission.Actions actions);
 }
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -81,7 +81,8 @@
 
   Answer unrecorded(ResultStore.RejectionReason why) {
     return Answer.rejected(
-        Math.min(core.settings().maxRetryAfter(), records.retryAfterSeconds(why)), false);
+        Math.min(core.settings().retries().maxRetryAfterSeconds(), records.retryAfterSeconds(why)),
+        false);
   }
 
   private ResultStore.KeyRecord keyed(IdempotencyTable.Entry<InFlightRequest> entry) {
@@ -212,12 +213,12 @@
       core.answer(entry.holder(), Answer.served(keys.result(entry)));
       if (between.peer() != null && !between.isOwner()) {
         // It was on its way when the keys were handed over.
-        between.peer().sendFinished(entry.key(), keys.result(entry));
+        between.peer().sendCompletion(entry.key(), keys.result(entry));
       }
     } else if (between.peer() != null) {
       between.peer().sendResultWritten(entry.key());
     }
-    between.forwardSettled(entry.key(), true, core.now());
+    between.forwardCompleted(entry.key(), true, core.now());
     core.settleSoonIfUp();
   }
 
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
@@ -15,7 +15,8 @@
 import java.util.List;
 import wharftrestle.SilentPool;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.idempotency.KeyDigest;
@@ -84,7 +85,7 @@
           SocketChannel reader = server.accept()) {
         link.start();
         sayEverything(link);
-        link.sendReleased("9/0/last");
+        link.sendRelease("9/0/last");
         return messages(readToLast(reader));
       }
     }
@@ -121,12 +122,14 @@
     link.sendKeyAndAwaitWrite(
         new PeerProcess.KeyUpdate(
             "1/0/over", true, STAMP + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
-    link.sendSettledKey(new PeerProcess.SettledKey(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
-    link.forwardSettledKey(
-        new PeerProcess.SettledKey(new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
-    link.sendFinished("1/0/ended", bytes("good"));
-    link.sendFinished("1/0/failed", null);
-    link.sendReleased("1/0/freed");
+    link.sendCompletedKey(
+        new PeerProcess.CompletedKey(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
+    link.forwardCompletedKey(
+        new PeerProcess.CompletedKey(
+            new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
+    link.sendCompletion("1/0/ended", bytes("good"));
+    link.sendCompletion("1/0/failed", null);
+    link.sendRelease("1/0/freed");
     link.sendIntentRequest("1/0/intend", STAMP + 6, bytes("asked"));
     link.sendIntentOutcome("1/0/intend", true);
     link.sendIntentOutcome("1/0/not", false);
@@ -172,7 +175,7 @@
             core.peer().joinPeer(link, 0);
           }
           if (word != Message.LINK_LOST) {
-            link.sendReleased("9/0/last");
+            link.sendRelease("9/0/last");
           }
         };
     try (ServerSocketChannel server = PeerLink.listen(socket, core.peer(), side);
@@ -199,48 +202,30 @@
             7,
             64,
             KeyMemoryBudget.of(1 << 20),
-            GroupEdfScheduler::new,
+            AdmissionController::new,
             new Counters(List.of("read", "keyed")));
     core.start(new SilentPool(), null, good -> {});
     core.workerPoolStarted(false, 100);
     return core;
   }
 
-  private static Admission.Settings settings() {
+  private static AdmissionSettings settings() {
     Admission.RequestClass read =
-        new Admission.RequestClass("read", 2, 0, 6, 1, 0, Admission.Repeat.SAFE, 12, false, 0);
+        new Admission.RequestClass(
+            "read", 2, 0, 6, 1, 0, Admission.Idempotency.IDEMPOTENT, 12, false, 0);
     Admission.RequestClass keyed =
-        new Admission.RequestClass("keyed", 2, 0, 3, 3, 0, Admission.Repeat.KEYED, 12, false, 0);
-    return new Admission.Settings(
+        new Admission.RequestClass(
+            "keyed", 2, 0, 3, 3, 0, Admission.Idempotency.IDEMPOTENCY_KEY, 12, false, 0);
+    return new AdmissionSettings(
         List.of(read, keyed),
         List.of(),
-        1,
-        3,
-        2,
-        100_000,
-        4,
-        10,
-        0,
-        Admission.Preemption.DROP,
-        Admission.Downstream.NONE,
-        0,
-        5,
-        0.2,
-        true,
-        false,
-        true,
-        0.08,
-        2,
-        6,
-        2,
-        false,
-        0.25,
-        10,
-        1,
-        false,
-        1,
-        false,
-        0.004,
+        new AdmissionSettings.Fleet(1, 3, true, false, true),
+        new AdmissionSettings.Capacity(2, 100_000, 4, 10, Admission.Preemption.DROP, 6, 2),
+        new AdmissionSettings.WarmUp(false, 0.25, 10),
+        new AdmissionSettings.DependencyCalls(Admission.Dependency.NONE, 0, 5, 0.2),
+        new AdmissionSettings.Timing(0.004, 0.08, 2, 0),
+        new AdmissionSettings.Retries(1, false),
+        new AdmissionSettings.Weighting(false, 1),
         List.of());
   }
 
