--- a/src/main/java/wharftrestle/request/RequestLife.java
+++ b/src/main/java/wharftrestle/request/RequestLife.java
@@ -224,6 +224,7 @@
   }
 
   /** Waits for a change up to the request's next time limit; past its backstop enforces that. */
+  @SuppressWarnings("WaitNotInLoop") // nextStep, the one caller, loops and reads the state again
   private void awaitChange(InFlightRequest request) throws InterruptedException {
     double now = clock.now();
     double untilBackstop = request.backstopSeconds - now;
