--- /dev/null
+++ b/src/main/java/wharftrestle/admission/MemoryBudget.java
@@ -0,0 +1,77 @@
+package wharftrestle.admission;
+
+/**
+ * Accounts for the memory of queued and executing requests and of retained keys, and says what
+ * still fits. {@link RequestTable} and {@link DuplicateTracker} report every change.
+ */
+final class MemoryBudget {
+  /** Fraction for executions and keys; the rest is for what is read before it is rejected. */
+  private static final double EXECUTION_FRACTION = 0.85;
+
+  /** Fraction for all together. */
+  private static final double TOTAL_FRACTION = 0.95;
+
+  private final AdmissionSettings.Capacity capacity;
+  private double queuedKb;
+  private double executingKb;
+  private int retainedKeys;
+  private double quotaFraction = 1;
+
+  MemoryBudget(AdmissionSettings.Capacity capacity) {
+    this.capacity = capacity;
+  }
+
+  /** Sets the fraction of the host's memory that executions and keys here may use. */
+  void setQuotaFraction(double fraction) {
+    quotaFraction = fraction;
+  }
+
+  void addQueued(TrackedRequest request) {
+    queuedKb += request.request.memoryKb();
+  }
+
+  void removeQueued(TrackedRequest request) {
+    queuedKb -= request.request.memoryKb();
+  }
+
+  void addExecuting(TrackedRequest request) {
+    executingKb += request.request.memoryKb() * capacity.executionMemoryFactor();
+  }
+
+  void removeExecuting(TrackedRequest request) {
+    executingKb -= request.request.memoryKb() * capacity.executionMemoryFactor();
+  }
+
+  void addKey() {
+    retainedKeys++;
+  }
+
+  void removeKey() {
+    retainedKeys--;
+  }
+
+  /** Returns whether a queued request could not be dispatched now. */
+  boolean lacksExecutionMemory(TrackedRequest request) {
+    double more = request.request.memoryKb() * (capacity.executionMemoryFactor() - 1);
+    return queuedKb + executingKb + keysKb() + more
+        > EXECUTION_FRACTION * quotaFraction * capacity.memoryKb();
+  }
+
+  /** Returns whether no further key can be retained. */
+  boolean lacksKeyMemory() {
+    return EXECUTION_FRACTION * quotaFraction * capacity.memoryKb()
+            - executingKb
+            - keysKb()
+            - capacity.keyMemoryKb()
+        < 0;
+  }
+
+  /** Returns whether queued requests must be rejected to stay within the memory. */
+  boolean isExceeded() {
+    return queuedKb + executingKb + keysKb() > TOTAL_FRACTION * capacity.memoryKb();
+  }
+
+  private double keysKb() {
+    return retainedKeys * capacity.keyMemoryKb();
+  }
+}
