--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -479,7 +479,7 @@
 
   private int give(PeerLink to) {
     box.halve(true);
-    int open = partner.handOverKeys(to);
+    int open = partner.transferKeys(to);
     box.closeRecords(); // only the owner of the keys writes, and it reads what is on disk by now
     ProcessPauseDetector mine = new ProcessPauseDetector(seconds());
     standstill = mine;
@@ -540,7 +540,7 @@
     }
     standstill = null;
     box.openRecords(TRIES_AFTER_DEATH);
-    partner.peerGone();
+    partner.peerLost();
     box.halve(false);
     Logger.warn("{}: the process that took over is gone, this one owns its keys again", name);
   }
@@ -549,7 +549,7 @@
     if (!box.openRecords(TRIES_AFTER_DEATH)) {
       Logger.error("{}: kept results cannot be had, keyed requests are refused", name);
     }
-    partner.peerGone();
+    partner.peerLost();
     box.halve(false);
     if (refusedBefore) {
       refusedBefore = false;
--- a/src/main/java/wharftrestle/frontend/RespFrontend.java
+++ b/src/main/java/wharftrestle/frontend/RespFrontend.java
@@ -108,7 +108,7 @@
     Map<String, Acceptance.InFlight> open = new ConcurrentHashMap<>();
     int invalid = 0;
     int taken = 0;
-    connection.whenGone(() -> open.values().forEach(core::callerGone));
+    connection.whenGone(() -> open.values().forEach(core::callerDisconnected));
     // Guards against a cut while a message is half read: a peer whose next one is always there
     // before it is looked
     // for would never be known as one whose front says what is dealt with.
@@ -154,7 +154,7 @@
         Acceptance.InFlight left = open.remove(tag);
         if (left != null) {
           connection.end();
-          core.callerGone(left);
+          core.callerDisconnected(left);
         }
       }
       case "STATUS" -> {
--- a/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
+++ b/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
@@ -97,7 +97,7 @@
       connection.send(response("400 Bad Request", "", BoundedReader.ascii("malformed\n")));
       throw e;
     } catch (IOException e) {
-      counters.add(Count.CALLERS_GONE); // within its request: nothing was taken in
+      counters.add(Count.CALLERS_DISCONNECTED); // within its request: nothing was taken in
       throw e;
     }
     connection.heard(Connection.Merit.HEARD);
@@ -113,7 +113,7 @@
       return; // closed for want of room before its request was whole
     }
     AtomicReference<Acceptance> taken = new AtomicReference<>();
-    connection.whenGone(() -> core.callerGone(taken.get())); // after its answer this means nothing
+    connection.whenGone(() -> core.callerDisconnected(taken.get())); // after its answer this means nothing
     taken.set(
         core.accept(
             arrival,
--- a/src/main/java/wharftrestle/metrics/Counters.java
+++ b/src/main/java/wharftrestle/metrics/Counters.java
@@ -16,7 +16,7 @@
     SERVED("answered: served"),
     REJECTED("answered: refused"),
     FAILED("answered: failed"),
-    CALLERS_GONE("callers gone before an answer"),
+    CALLERS_DISCONNECTED("callers gone before an answer"),
     REPLAYED("served from another try's run"),
     DEADLINE_BACKSTOPS("answers forced at the due time"),
     GUARD_REJECTIONS("turned away by a guard"),
@@ -113,7 +113,7 @@
     return adders[index(count)].sum();
   }
 
-  /** A request was received: {@link #answered} or {@link #callerGone} follows once. */
+  /** A request was received: {@link #answered} or {@link #callerDisconnected} follows once. */
   public void requestReceived() {
     add(Count.REQUESTS);
     inFlight.incrementAndGet();
@@ -137,9 +137,9 @@
   }
 
   /** The caller of a request is gone before its answer. */
-  public void callerGone() {
+  public void callerDisconnected() {
     inFlight.decrementAndGet();
-    add(Count.CALLERS_GONE);
+    add(Count.CALLERS_DISCONNECTED);
   }
 
   /** Requests received and neither answered nor given up by their callers. */
--- a/src/main/java/wharftrestle/request/Acceptance.java
+++ b/src/main/java/wharftrestle/request/Acceptance.java
@@ -5,7 +5,7 @@
 
   /**
    * The request is in flight and its listener will be notified; names it for {@link
-   * RequestCoordinator#callerGone}.
+   * RequestCoordinator#callerDisconnected}.
    */
   sealed interface InFlight extends Acceptance permits InFlightRequest {}
 
--- a/src/main/java/wharftrestle/request/AdmissionActions.java
+++ b/src/main/java/wharftrestle/request/AdmissionActions.java
@@ -154,7 +154,7 @@
   public void skipCall(long id) {
     InFlightRequest request = inFlight.withId(id);
     if (request != null && !request.isCompleted) {
-      request.enqueue(InFlightRequest.Step.skipCall(request.callNotice));
+      request.enqueue(InFlightRequest.Step.skipCall(request.callAnnouncement));
     }
   }
 
--- a/src/main/java/wharftrestle/request/AdmissionDriver.java
+++ b/src/main/java/wharftrestle/request/AdmissionDriver.java
@@ -21,7 +21,7 @@
   private final Condition timerWork;
   private final ArrayDeque<Runnable> followUps = new ArrayDeque<>();
   private Admission.Events module;
-  private double settledAtSeconds = Double.NEGATIVE_INFINITY;
+  private double batchCompletedAtSeconds = Double.NEGATIVE_INFINITY;
   private boolean isBatchOpen;
 
   /** The condition is signalled whenever the timer thread has a batch to end. */
@@ -37,7 +37,7 @@
 
   void start(Admission.Events created) {
     module = created;
-    settle(clock.now());
+    completeBatch(clock.now());
   }
 
   /** The module, for events of an instant that the caller then settles; null before the start. */
@@ -51,11 +51,11 @@
   }
 
   /** The caller of a request is gone, or was answered without the module. */
-  void callerGone(InFlightRequest request) {
+  void callerDisconnected(InFlightRequest request) {
     if (inFlight.contains(request)) {
       double now = clock.now();
       module.callerGone(now, request.id);
-      settle(now);
+      completeBatch(now);
     }
   }
 
@@ -64,14 +64,14 @@
     if (module != null) {
       double now = clock.now();
       module.quotaChanged(now, share);
-      settle(now);
+      completeBatch(now);
     }
   }
 
   /** Ends the instant, and the instants that follow from what the module decided in it. */
-  void settle(double now) {
+  void completeBatch(double now) {
     isBatchOpen = false;
-    settledAtSeconds = now;
+    batchCompletedAtSeconds = now;
     module.batchCompleted(now);
     for (Runnable followUp = followUps.poll(); followUp != null; followUp = followUps.poll()) {
       followUp.run();
@@ -83,29 +83,29 @@
    * Ends the instant after an event of the worker pool or the store. With much in flight the events
    * of a short span share one instant, as the module looks at all requests in each.
    */
-  void settleSoon(double now) {
-    if (inFlight.size() <= BATCH_FROM_IN_FLIGHT || now >= settledAtSeconds + BATCH_SECONDS) {
-      settle(now);
+  void completeBatchSoon(double now) {
+    if (inFlight.size() <= BATCH_FROM_IN_FLIGHT || now >= batchCompletedAtSeconds + BATCH_SECONDS) {
+      completeBatch(now);
     } else if (!isBatchOpen) {
       isBatchOpen = true;
       timerWork.signal();
     }
   }
 
-  void settleIfStarted() {
+  void completeBatchIfStarted() {
     if (module != null) {
-      settle(clock.now());
+      completeBatch(clock.now());
     }
   }
 
-  void settleSoonIfStarted() {
+  void completeBatchSoonIfStarted() {
     if (module != null) {
-      settleSoon(clock.now());
+      completeBatchSoon(clock.now());
     }
   }
 
   /** When the open batch of events is to be settled; infinity where there is none. */
   double batchEndsAtSeconds() {
-    return isBatchOpen ? settledAtSeconds + BATCH_SECONDS : Double.POSITIVE_INFINITY;
+    return isBatchOpen ? batchCompletedAtSeconds + BATCH_SECONDS : Double.POSITIVE_INFINITY;
   }
 }
--- a/src/main/java/wharftrestle/request/AdmissionTimers.java
+++ b/src/main/java/wharftrestle/request/AdmissionTimers.java
@@ -90,7 +90,7 @@
   private void endBatch() {
     double now = clock.now();
     try {
-      admission.settle(now);
+      admission.completeBatch(now);
     } catch (RuntimeException | Error fault) {
       retry(now, 0, fault);
     }
@@ -102,7 +102,7 @@
     try {
       timers.remove(timer);
       admission.events().timerFired(now, timer.label(), fresh);
-      admission.settle(now);
+      admission.completeBatch(now);
     } catch (RuntimeException | Error fault) {
       retry(now, timer.label(), fault);
     }
@@ -122,9 +122,9 @@
     if (!workerPool.pollGauges()) {
       return NO_GAUGES;
     }
-    long nanosLeft = EventClock.waitNanos(GAUGE_WAIT_SECONDS);
-    while (gaugeReports == reportsBefore && nanosLeft > 0) {
-      nanosLeft = gaugesArrived.awaitNanos(nanosLeft);
+    long remainingNanos = EventClock.waitNanos(GAUGE_WAIT_SECONDS);
+    while (gaugeReports == reportsBefore && remainingNanos > 0) {
+      remainingNanos = gaugesArrived.awaitNanos(remainingNanos);
     }
     return gaugeReports == reportsBefore ? NO_GAUGES : gauges;
   }
--- a/src/main/java/wharftrestle/request/CallerNotifier.java
+++ b/src/main/java/wharftrestle/request/CallerNotifier.java
@@ -35,11 +35,11 @@
   }
 
   /** The caller does not wait any more; false where the request was answered before. */
-  boolean callerGone(InFlightRequest request) {
+  boolean callerDisconnected(InFlightRequest request) {
     if (request.isAnswered) {
       return false;
     }
-    counters.callerGone();
+    counters.callerDisconnected();
     markAnswered(request);
     return true;
   }
--- a/src/main/java/wharftrestle/request/DependencyCalls.java
+++ b/src/main/java/wharftrestle/request/DependencyCalls.java
@@ -109,7 +109,7 @@
       admission
           .events()
           .callCompleted(now, request.id, outcome, now - request.callStartedAtSeconds);
-      admission.settleSoon(now);
+      admission.completeBatchSoon(now);
     } finally {
       lock.unlock();
     }
--- a/src/main/java/wharftrestle/request/Executions.java
+++ b/src/main/java/wharftrestle/request/Executions.java
@@ -44,17 +44,17 @@
   }
 
   /** An execution is blocked on a dependency call, announced in this notice. */
-  void blocked(String reference, long noticeNumber, byte[] callBody) {
+  void blocked(String reference, long announcementNumber, byte[] callBody) {
     InFlightRequest request = inFlight.executing(reference);
     if (request == null) {
       return;
     }
-    request.callNotice = noticeNumber;
+    request.callAnnouncement = announcementNumber;
     request.hasFailedCall = false;
     request.callBody = callBody;
     double now = clock.now();
     admission.events().blockedOnCall(now, request.id);
-    admission.settleSoon(now);
+    admission.completeBatchSoon(now);
   }
 
   /** The worker pool has restarted: what executed there is over, and may have had its effect. */
@@ -81,7 +81,7 @@
     request.changed.signal();
     double now = clock.now();
     admission.events().completed(now, request.id, outcome, elapsedSeconds);
-    admission.settleSoon(now);
+    admission.completeBatchSoon(now);
   }
 
   private static void cancelCall(InFlightRequest request) {
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -28,11 +28,11 @@
    *
    * @param response to deliver; null but for DELIVER_RESPONSE
    * @param callBySeconds the call may not last longer; CALL_DEPENDENCY only
-   * @param noticeNumber announced the call to skip; SKIP_CALL only
+   * @param announcementNumber announced the call to skip; SKIP_CALL only
    * @param answer null but for ANSWER
    */
   record Step(
-      StepKind kind, byte[] response, double callBySeconds, long noticeNumber, Answer answer) {
+      StepKind kind, byte[] response, double callBySeconds, long announcementNumber, Answer answer) {
 
     static final Step WRITE_INTENT = plain(StepKind.WRITE_INTENT);
     static final Step DISPATCH = plain(StepKind.DISPATCH);
@@ -52,8 +52,8 @@
       return new Step(StepKind.CALL_DEPENDENCY, null, callBySeconds, 0, null);
     }
 
-    static Step skipCall(long noticeNumber) {
-      return new Step(StepKind.SKIP_CALL, null, 0, noticeNumber, null);
+    static Step skipCall(long announcementNumber) {
+      return new Step(StepKind.SKIP_CALL, null, 0, announcementNumber, null);
     }
 
     static Step answer(Answer answer) {
@@ -93,7 +93,7 @@
   double startedAtSeconds;
 
   /** The worker pool's number of the notice of the call that it is blocked on. */
-  long callNotice;
+  long callAnnouncement;
 
   byte[] callBody;
   DependencyCall call;
@@ -149,7 +149,7 @@
   }
 
   /** Nothing of it is left but the steps that are queued. */
-  boolean isOver() {
+  boolean isFinished() {
     return isAnswered && !isExecuting();
   }
 
--- a/src/main/java/wharftrestle/request/InFlightTable.java
+++ b/src/main/java/wharftrestle/request/InFlightTable.java
@@ -73,9 +73,9 @@
 
   /** Waits until nothing is in flight, at most so long; false where something still is. */
   boolean awaitEmpty(double seconds) throws InterruptedException {
-    long nanosLeft = EventClock.waitNanos(seconds);
-    while (!byId.isEmpty() && nanosLeft > 0) {
-      nanosLeft = emptied.awaitNanos(nanosLeft);
+    long remainingNanos = EventClock.waitNanos(seconds);
+    while (!byId.isEmpty() && remainingNanos > 0) {
+      remainingNanos = emptied.awaitNanos(remainingNanos);
     }
     return byId.isEmpty();
   }
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -46,7 +46,7 @@
     this.inFlight = inFlight;
     this.admission = admission;
     this.callers = callers;
-    keys = new IdempotencyTable<>(this::executionEnded, memory);
+    keys = new IdempotencyTable<>(this::executionCompleted, memory);
   }
 
   /** Before the first request; these three refer to each other. */
@@ -135,7 +135,7 @@
     boolean wasExecuting = entry.state() == KeyState.RUNNING || entry.state() == KeyState.ELSEWHERE;
     keys.ran(entry, result);
     if (wasExecuting) {
-      recorder.executionEnded(entry, result);
+      recorder.recordResult(entry, result);
     }
     ownership.forwardSettled(entry.key(), recorder.isEnabled(), clock.now());
     return entry.state() == KeyState.SAVING;
@@ -155,7 +155,7 @@
     request.isAttached = true;
     request.startedAtSeconds = clock.now();
     if (entry == null || !keys.ride(entry, request)) {
-      executionEnded(request, entry);
+      executionCompleted(request, entry);
     }
   }
 
@@ -186,18 +186,18 @@
    * Ends a request as the execution that it is attached to did, with its result byte for byte. A
    * result on disk is read by the request's own thread, never under the lock.
    */
-  void endAttached(InFlightRequest request, IdempotencyTable.Entry<InFlightRequest> entry) {
+  void completeAttached(InFlightRequest request, IdempotencyTable.Entry<InFlightRequest> entry) {
     byte[] result = entry == null ? null : keys.result(entry);
     if (!request.isAnswered && entry != null && entry.onDisk() && result == null) {
       request.entry = entry;
       request.enqueue(InFlightRequest.Step.REPLAY_RESULT);
       return;
     }
-    endWith(request, result);
+    completeWith(request, result);
   }
 
   /** The result is null where the execution failed, or its result cannot be read. */
-  void endWith(InFlightRequest request, byte[] result) {
+  void completeWith(InFlightRequest request, byte[] result) {
     if (request.isAnswered) {
       return;
     }
@@ -212,8 +212,8 @@
     }
   }
 
-  private void executionEnded(
+  private void executionCompleted(
       InFlightRequest attached, IdempotencyTable.Entry<InFlightRequest> entry) {
-    admission.runAfterInstant(() -> endAttached(attached, entry));
+    admission.runAfterInstant(() -> completeAttached(attached, entry));
   }
 }
--- a/src/main/java/wharftrestle/request/PeerClaims.java
+++ b/src/main/java/wharftrestle/request/PeerClaims.java
@@ -113,7 +113,7 @@
   }
 
   /** A request has left the table; the key is released where no other request has it. */
-  void requestEnded(InFlightRequest request, Iterable<InFlightRequest> inFlight) {
+  void releaseKeyOf(InFlightRequest request, Iterable<InFlightRequest> inFlight) {
     if (ownership.peer() == null || request.key == null) {
       return;
     }
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -30,7 +30,7 @@
   private final PeerClaims claims;
   private final KeyMemoryBudget memory;
   private ResultRecorder recorder;
-  private double keysLostUntilSeconds = Double.NEGATIVE_INFINITY;
+  private double keysMissingUntilSeconds = Double.NEGATIVE_INFINITY;
 
   PeerCoordinator(
       ReentrantLock lock,
@@ -115,7 +115,7 @@
     return sent;
   }
 
-  /** Keys that settle from now on are not sent any more. */
+  /** Keys that completeBatch from now on are not sent any more. */
   public void stopSendingSettledKeys() {
     lock.lock();
     try {
@@ -141,7 +141,7 @@
    *
    * @return how many are in flight here
    */
-  public int handOverKeys(PeerProcess to) {
+  public int transferKeys(PeerProcess to) {
     lock.lock();
     try {
       int handed = ownership.transferTo(to, clock.now());
@@ -179,7 +179,7 @@
   }
 
   /** The peer is lost: its executions have an unknown end, so their keys fail from now on. */
-  public void peerGone() {
+  public void peerLost() {
     lock.lock();
     try {
       ownership.onPeerLost();
@@ -210,8 +210,8 @@
     try {
       double now = clock.now();
       if (!ownership.onKeyReceived(settledKey, now)) {
-        isFirstLost = now > keysLostUntilSeconds;
-        keysLostUntilSeconds = Math.max(keysLostUntilSeconds, now + settledKey.secondsLeft());
+        isFirstLost = now > keysMissingUntilSeconds;
+        keysMissingUntilSeconds = Math.max(keysMissingUntilSeconds, now + settledKey.secondsLeft());
       }
     } finally {
       lock.unlock();
@@ -228,7 +228,7 @@
     lock.lock();
     try {
       ownership.onKeyReceived(update, clock.now());
-      admission.settleIfStarted();
+      admission.completeBatchIfStarted();
     } finally {
       lock.unlock();
     }
@@ -239,7 +239,7 @@
     lock.lock();
     try {
       ownership.onPeerFinished(key, result);
-      admission.settleIfStarted();
+      admission.completeBatchIfStarted();
     } finally {
       lock.unlock();
     }
@@ -250,7 +250,7 @@
     lock.lock();
     try {
       ownership.onPeerReleased(key);
-      admission.settleIfStarted();
+      admission.completeBatchIfStarted();
     } finally {
       lock.unlock();
     }
@@ -290,8 +290,8 @@
     try {
       IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
       if (entry != null && entry.holder() != null) {
-        recorder.intentEnded(entry.holder(), isWritten);
-        admission.settleIfStarted();
+        recorder.intentWriteCompleted(entry.holder(), isWritten);
+        admission.completeBatchIfStarted();
       }
     } finally {
       lock.unlock();
@@ -304,7 +304,7 @@
     try {
       IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
       if (entry != null) {
-        recorder.resultEnded(entry, -1);
+        recorder.resultWriteCompleted(entry, -1);
       }
     } finally {
       lock.unlock();
--- a/src/main/java/wharftrestle/request/RequestArrival.java
+++ b/src/main/java/wharftrestle/request/RequestArrival.java
@@ -55,14 +55,14 @@
     } else if (!admission.isStarted() && isAnsweredBy(known, request)) {
       // A result from before the restart needs no worker pool to be given again.
       request.backstopSeconds = deadlines.backstopSeconds(request.incoming, clock.now());
-      keyed.endAttached(request, known);
+      keyed.completeAttached(request, known);
     } else if (!admission.isStarted()) {
       rejectByGuard(request, mayHaveExecuted);
     } else if (inFlight.withReference(request.incoming.reference()) != null) {
       // Its execution could not be told from the one in flight.
       rejectByGuard(request, true);
     } else {
-      takeIn(request);
+      register(request);
     }
   }
 
@@ -81,7 +81,7 @@
         request, mayHaveExecuted ? Answer.failed() : Answer.rejected(maxRetryAfterSeconds, false));
   }
 
-  private void takeIn(InFlightRequest request) {
+  private void register(InFlightRequest request) {
     double now = clock.now();
     request.backstopSeconds = deadlines.backstopSeconds(request.incoming, now);
     inFlight.add(request);
@@ -145,7 +145,7 @@
                 duplicateOf(request),
                 0,
                 incoming.rank()));
-    admission.settle(now);
+    admission.completeBatch(now);
   }
 
   private static long duplicateOf(InFlightRequest request) {
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -13,7 +13,7 @@
  * The entry to the requests in flight for frontends, worker pool, daemon and peer process. Every
  * event enters here or at {@link PeerCoordinator}, one at a time under the one lock that guards all
  * decisions, and with a clock that never goes back. What the admission module decides becomes a
- * step of the request concerned, which that request's own thread carries out ({@link RequestLife}).
+ * step of the request concerned, which that request's own thread carries out ({@link RequestLifecycle}).
  * No socket or file is read or written under the lock. All methods may be called by any thread.
  */
 public final class RequestCoordinator {
@@ -47,7 +47,7 @@
   /** Connects what executes requests and what is notified of health, and starts the timer. */
   public void start(
       WorkerPool workerPool, DependencyClient dependencyClient, HealthListener healthListener) {
-    parts.life.start(workerPool);
+    parts.lifecycle.start(workerPool);
     parts.dependencyCalls.start(dependencyClient);
     parts.health.start(healthListener);
     parts.timers.start(workerPool);
@@ -90,13 +90,13 @@
 
   /** Takes a request in; its life goes on on a thread of its own, unless it is answered at once. */
   public Acceptance accept(IncomingRequest incoming, AnswerListener listener) {
-    return parts.life.begin(incoming, listener);
+    return parts.lifecycle.begin(incoming, listener);
   }
 
   /** The caller of a request waits no longer; without effect once it was answered. */
-  public void callerGone(Acceptance accepted) {
+  public void callerDisconnected(Acceptance accepted) {
     if (accepted instanceof InFlightRequest request) {
-      parts.life.callerGone(request);
+      parts.lifecycle.callerDisconnected(request);
     }
   }
 
@@ -157,10 +157,10 @@
   }
 
   /** An execution is blocked on a dependency call, announced in this notice. */
-  public void executionBlocked(String reference, long noticeNumber, byte[] callBody) {
+  public void executionBlocked(String reference, long announcementNumber, byte[] callBody) {
     lock.lock();
     try {
-      parts.executions.blocked(reference, noticeNumber, callBody);
+      parts.executions.blocked(reference, announcementNumber, callBody);
     } finally {
       lock.unlock();
     }
@@ -235,7 +235,7 @@
         return;
       }
       parts.admission.events().draining(now, graceSeconds);
-      parts.admission.settle(now);
+      parts.admission.completeBatch(now);
     } finally {
       lock.unlock();
     }
--- a/src/main/java/wharftrestle/request/RequestLife.java
+++ b/src/main/java/wharftrestle/request/RequestLifecycle.java
@@ -15,10 +15,10 @@
  * The life of each request, on a thread of its own: {@link #run} reads from its arrival to its last
  * step. Steps are decided under the coordinator's lock and carried out without it.
  */
-final class RequestLife {
+final class RequestLifecycle {
 
   /** Threads beyond the requests in flight, for those that have just ended. */
-  private static final int SPARE_THREADS = 32;
+  private static final int EXTRA_THREADS = 32;
 
   private static final int CORE_THREADS = 8;
   private static final int THREAD_IDLE_SECONDS = 5;
@@ -40,7 +40,7 @@
   private WorkerPool workerPool;
   private long latestId;
 
-  RequestLife(RequestParts parts, int maxInFlight) {
+  RequestLifecycle(RequestParts parts, int maxInFlight) {
     lock = parts.lock;
     settings = parts.settings;
     counters = parts.counters;
@@ -57,7 +57,7 @@
     threads =
         new ThreadPoolExecutor(
             CORE_THREADS,
-            maxInFlight + SPARE_THREADS,
+            maxInFlight + EXTRA_THREADS,
             THREAD_IDLE_SECONDS,
             TimeUnit.SECONDS,
             new SynchronousQueue<>(),
@@ -75,7 +75,7 @@
     if (!claims.mustClaim(request)) {
       arrive(request); // most of what is rejected needs no thread of its own
     }
-    if (isOverOnArrival(request)) {
+    if (isFinishedOnArrival(request)) {
       runGuarded(request);
       return Acceptance.Answered.ANSWERED;
     }
@@ -107,22 +107,22 @@
     }
   }
 
-  private boolean isOverOnArrival(InFlightRequest request) {
+  private boolean isFinishedOnArrival(InFlightRequest request) {
     lock.lock();
     try {
-      return request.hasArrived && request.isOver();
+      return request.hasArrived && request.isFinished();
     } finally {
       lock.unlock();
     }
   }
 
   /** The caller of a request waits no longer. */
-  void callerGone(InFlightRequest request) {
+  void callerDisconnected(InFlightRequest request) {
     lock.lock();
     try {
-      if (callers.callerGone(request)) {
+      if (callers.callerDisconnected(request)) {
         keyed.leave(request);
-        admission.callerGone(request);
+        admission.callerDisconnected(request);
       }
     } finally {
       lock.unlock();
@@ -148,7 +148,7 @@
         }
         case CALL_DEPENDENCY -> dependencyCalls.begin(request, step.callBySeconds());
         case DELIVER_RESPONSE -> workerPool.deliverResponse(reference, step.response());
-        case SKIP_CALL -> workerPool.skipCall(reference, step.noticeNumber());
+        case SKIP_CALL -> workerPool.skipCall(reference, step.announcementNumber());
         case SUSPEND -> workerPool.suspend(reference);
         case CANCEL_CALL -> dependencyCalls.cancel(request);
         case REPLAY_RESULT -> replayResult(request);
@@ -192,7 +192,7 @@
         request.steps.removeIf(step -> step.kind() != InFlightRequest.StepKind.ANSWER);
         executions.complete(request, Outcome.VOID, 0, null);
       } else {
-        admission.callerGone(request);
+        admission.callerDisconnected(request);
       }
     } finally {
       lock.unlock();
@@ -208,7 +208,7 @@
         if (step != null) {
           return step;
         }
-        if (request.isOver()) {
+        if (request.isFinished()) {
           forget(request);
           return null;
         }
@@ -240,7 +240,7 @@
       // Whatever holds up the module or its timer: no answer comes after its deadline.
       counters.add(Count.DEADLINE_BACKSTOPS);
       callers.answer(request, Answer.deadlineExceeded());
-      admission.callerGone(request);
+      admission.callerDisconnected(request);
     }
   }
 
@@ -257,8 +257,8 @@
     byte[] result = recorder.read(request.key, request.entry.place());
     lock.lock();
     try {
-      keyed.endWith(request, result);
-      admission.settleIfStarted();
+      keyed.completeWith(request, result);
+      admission.completeBatchIfStarted();
     } finally {
       lock.unlock();
     }
@@ -267,6 +267,6 @@
   private void forget(InFlightRequest request) {
     keyed.releaseMemory(request);
     inFlight.remove(request);
-    claims.requestEnded(request, inFlight.all());
+    claims.releaseKeyOf(request, inFlight.all());
   }
 }
--- a/src/main/java/wharftrestle/request/RequestParts.java
+++ b/src/main/java/wharftrestle/request/RequestParts.java
@@ -28,7 +28,7 @@
   final Executions executions;
   final DependencyCalls dependencyCalls;
   final AdmissionActions actions;
-  final RequestLife life;
+  final RequestLifecycle lifecycle;
 
   RequestParts(
       AdmissionSettings settings, int maxInFlight, KeyMemoryBudget keyMemory, Counters counters) {
@@ -51,6 +51,6 @@
     peer.connect(recorder);
     recorder.connect(executions);
     actions = new AdmissionActions(this);
-    life = new RequestLife(this, maxInFlight);
+    lifecycle = new RequestLifecycle(this, maxInFlight);
   }
 }
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -151,14 +151,14 @@
   private void intentWritten(InFlightRequest request, long position) {
     lock.lock();
     try {
-      intentEnded(request, position >= 0);
+      intentWriteCompleted(request, position >= 0);
     } finally {
       lock.unlock();
     }
   }
 
   /** An intent is on disk, or cannot be. */
-  void intentEnded(InFlightRequest request, boolean isWritten) {
+  void intentWriteCompleted(InFlightRequest request, boolean isWritten) {
     if (!isWritingIntent(request)) {
       return; // withdrawn meanwhile
     }
@@ -236,7 +236,7 @@
   // ---- Results ----
 
   /** The execution of a key has ended, and the key knows it; the result is null for none. */
-  void executionEnded(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  void recordResult(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
     if (isWriter()) {
       writeResult(entry, result);
     }
@@ -249,7 +249,7 @@
   private void resultWritten(IdempotencyTable.Entry<InFlightRequest> entry, long position) {
     lock.lock();
     try {
-      resultEnded(entry, position);
+      resultWriteCompleted(entry, position);
     } finally {
       lock.unlock();
     }
@@ -266,7 +266,7 @@
    * A result is on disk, or with a position below 0 cannot be. Its intent is there, so the key does
    * not execute again, and its request is answered in either case.
    */
-  void resultEnded(IdempotencyTable.Entry<InFlightRequest> entry, long position) {
+  void resultWriteCompleted(IdempotencyTable.Entry<InFlightRequest> entry, long position) {
     if (entry.state() != KeyState.SAVING) {
       return;
     }
@@ -282,7 +282,7 @@
       peer.sendResultWritten(entry.key());
     }
     ownership.forwardSettled(entry.key(), true, clock.now());
-    admission.settleSoonIfStarted();
+    admission.completeBatchSoonIfStarted();
   }
 
   /** The result at this position, null where it cannot be read; never under the lock. */
--- a/src/main/java/wharftrestle/request/WorkerPool.java
+++ b/src/main/java/wharftrestle/request/WorkerPool.java
@@ -12,7 +12,7 @@
   void deliverResponse(String reference, byte[] response);
 
   /** Continues an execution without the call that it announced in this notice. */
-  void skipCall(String reference, long noticeNumber);
+  void skipCall(String reference, long announcementNumber);
 
   /** Asks for the gauges; false where there is no link to ask over. */
   boolean pollGauges();
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -67,7 +67,7 @@
       caller.send("NEVERMIND", "1"); // crossed the answer
       caller.send("STATUS", "2", "");
       assertEquals("2", caller.reply().tag(), "one answer, and no more");
-      assertEquals(0, site.life.counters().get(Count.CALLERS_GONE));
+      assertEquals(0, site.life.counters().get(Count.CALLERS_DISCONNECTED));
       assertEquals(0, site.life.counters().inFlight());
     }
   }
@@ -405,7 +405,7 @@
       site.block(ref(1), "select");
       assertTrue(site.calls.poll(Loopback.WAIT_S, TimeUnit.SECONDS).endsWith("select"));
       caller.send("NEVERMIND", "1"); // the call is under way, its reply held back by the story
-      while (site.life.counters().get(Count.CALLERS_GONE) == 0) {
+      while (site.life.counters().get(Count.CALLERS_DISCONNECTED) == 0) {
         Thread.onSpinWait();
       }
       site.finish(ref(1), "cut", 5, ""); // at its call, as its caller is gone
@@ -462,7 +462,7 @@
               new Reply("1", "done", "", "of " + ref(1)),
               new Reply("2", "done", "", "of " + ref(2))),
           answersToItsEnd(caller));
-      assertEquals(0, site.life.counters().get(Count.CALLERS_GONE));
+      assertEquals(0, site.life.counters().get(Count.CALLERS_DISCONNECTED));
       assertNull(site.commands.poll(), "nothing was stopped");
     }
   }
--- a/src/test/java/wharftrestle/UwsgiTest.java
+++ b/src/test/java/wharftrestle/UwsgiTest.java
@@ -111,7 +111,7 @@
       Socket keyed = site.post("/keyed", "k", "note");
       Command run = site.command();
       keyed.close(); // its run goes on, for the next try to have its result
-      while (site.life.counters().get(Count.CALLERS_GONE) < 3) {
+      while (site.life.counters().get(Count.CALLERS_DISCONNECTED) < 3) {
         Thread.onSpinWait(); // its end is read before the run's, or it would be served
       }
       Socket again = site.post("/keyed", "k", "note");
