--- a/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
+++ b/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
@@ -189,7 +189,7 @@
         0,
         keyed ? key : null,
         null,
-        SteadyWallClock.even(),
+        SteadyWallClock.steadyWallMillis(),
         body);
   }
 
--- a/src/main/java/wharftrestle/request/AdmissionActions.java
+++ b/src/main/java/wharftrestle/request/AdmissionActions.java
@@ -1,6 +1,7 @@
 package wharftrestle.request;
 
 import org.tinylog.Logger;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.Admission.Outcome;
 import wharftrestle.idempotency.IdempotencyTable;
@@ -64,8 +65,8 @@
   private boolean startKey(InFlightRequest request) {
     IncomingRequest incoming = request.incoming;
     IdempotencyTable<InFlightRequest> keys = keyed.table();
-    IdempotencyTable.Entry<InFlightRequest> known = keys.find(request.key);
-    boolean hasExecuted = known != null && known.ran() && known.covers(incoming.receivedAtMillis());
+    KeyEntry<InFlightRequest> known = keys.find(request.key);
+    boolean hasExecuted = known != null && known.mayHaveRun() && known.covers(incoming.receivedAtMillis());
     if (!hasExecuted && !keyed.reserveMemory(request)) {
       rejectForMemory(request);
       return false;
@@ -104,7 +105,7 @@
     InFlightRequest request = inFlight.withId(id);
     if (request != null) {
       // A rejection promises that the key has not executed: after an execution it is a failure.
-      boolean hasExecuted = request.entry != null && request.entry.ran();
+      boolean hasExecuted = request.entry != null && request.entry.mayHaveRun();
       callers.answer(
           request,
           hasExecuted ? Answer.failed() : Answer.rejected(retryAfterSeconds, fleetOverloaded));
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.concurrent.locks.Condition;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.idempotency.IdempotencyTable;
 
 /**
@@ -106,7 +107,7 @@
   /** Its last call failed otherwise than by time. */
   boolean hasFailedCall;
 
-  IdempotencyTable.Entry<InFlightRequest> entry;
+  KeyEntry<InFlightRequest> entry;
 
   /** The process that owns all keys lets this one decide on its key. */
   boolean isKeyGranted;
@@ -155,7 +156,7 @@
 
   /** True where it is the one whose execution its key knows. */
   boolean holdsKey() {
-    return entry != null && entry.holder() == this;
+    return entry != null && entry.attempt() == this;
   }
 
   void enqueue(Step step) {
--- a/src/main/java/wharftrestle/request/IncomingRequest.java
+++ b/src/main/java/wharftrestle/request/IncomingRequest.java
@@ -34,6 +34,6 @@
 
   /** Seconds since it reached the host, on clocks that may differ: never less than 0. */
   double queueingDelaySeconds() {
-    return Math.max(0, (SteadyWallClock.even() - receivedAtMillis) / MILLIS_PER_SECOND);
+    return Math.max(0, (SteadyWallClock.steadyWallMillis() - receivedAtMillis) / MILLIS_PER_SECOND);
   }
 }
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -1,6 +1,7 @@
 package wharftrestle.request;
 
 import org.tinylog.Logger;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.admission.Admission.Outcome;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.idempotency.IdempotencyTable;
@@ -84,16 +85,16 @@
       Logger.warn(
           "keys on disk may be missing in memory, unknown keys fail seconds={}",
           Math.round(latestExpiry - now));
-      keys.blind(latestExpiry);
+      keys.failUnknownKeysUntil(latestExpiry);
     }
   }
 
   /** True where memory is reserved to know the key of this request to its end. */
   boolean reserveMemory(InFlightRequest request) {
-    request.hasReservation = request.hasReservation || keys.promise();
+    request.hasReservation = request.hasReservation || keys.tryReserveMemory();
     if (!request.hasReservation) {
       keys.expire(clock.now()); // keys that are over by now need not wait for the next expiry
-      request.hasReservation = keys.promise();
+      request.hasReservation = keys.tryReserveMemory();
     }
     return request.hasReservation;
   }
@@ -101,7 +102,7 @@
   void releaseMemory(InFlightRequest request) {
     if (request.hasReservation) {
       request.hasReservation = false;
-      keys.unpromise();
+      keys.releaseMemory();
     }
   }
 
@@ -109,7 +110,7 @@
   Answer rejectedForMemory(double now, double maxRetryAfterSeconds) {
     counters.add(Count.GUARD_REJECTIONS);
     counters.add(Count.KEY_MEMORY_FULL);
-    double retryAfter = Math.max(MIN_RETRY_AFTER_SECONDS, keys.roomIn(now));
+    double retryAfter = Math.max(MIN_RETRY_AFTER_SECONDS, keys.secondsUntilCapacity(now));
     return Answer.rejected(Math.min(maxRetryAfterSeconds, retryAfter), false);
   }
 
@@ -120,7 +121,7 @@
     }
     expiredAtSeconds = now;
     keys.expire(now);
-    indexBytes = keys.settledBytes();
+    indexBytes = keys.indexBytes();
     counters.updateKeyUsage(
         new Counters.KeyUsage(
             keys.size(), recorder.maxKeys(), indexBytes + keys.resultBytes(), memory.bytes()));
@@ -130,39 +131,39 @@
    * The execution of a key has ended; the result is null unless it succeeded. True where the answer
    * waits for the disk.
    */
-  boolean complete(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
-    ownership.sendFinished(entry, result);
-    boolean wasExecuting = entry.state() == KeyState.RUNNING || entry.state() == KeyState.ELSEWHERE;
-    keys.ran(entry, result);
+  boolean complete(KeyEntry<InFlightRequest> entry, byte[] result) {
+    ownership.sendCompletion(entry, result);
+    boolean wasExecuting = entry.state() == KeyState.RUNNING || entry.state() == KeyState.OWNED_BY_PEER;
+    keys.complete(entry, result);
     if (wasExecuting) {
       recorder.recordResult(entry, result);
     }
-    ownership.forwardSettled(entry.key(), recorder.isEnabled(), clock.now());
+    ownership.forwardCompleted(entry.key(), recorder.isEnabled(), clock.now());
     return entry.state() == KeyState.SAVING;
   }
 
   /** The execution of a key was never begun, so that a retry may execute. */
-  void neverExecuted(IdempotencyTable.Entry<InFlightRequest> entry) {
+  void neverExecuted(KeyEntry<InFlightRequest> entry) {
     if (entry.state() == KeyState.RUNNING) {
       recorder.neverExecuted(entry);
     }
-    keys.neverRan(entry);
+    keys.abandon(entry);
   }
 
   /** Has a duplicate wait for the execution that its key is in. */
   void attach(InFlightRequest request) {
-    IdempotencyTable.Entry<InFlightRequest> entry = request.entry;
+    KeyEntry<InFlightRequest> entry = request.entry;
     request.isAttached = true;
     request.startedAtSeconds = clock.now();
-    if (entry == null || !keys.ride(entry, request)) {
+    if (entry == null || !keys.attach(entry, request)) {
       executionCompleted(request, entry);
     }
   }
 
   /** Reserves a place in the table for a request that the module keeps for later. */
   void hold(InFlightRequest request) {
-    IdempotencyTable.Entry<InFlightRequest> entry =
-        keys.hold(
+    KeyEntry<InFlightRequest> entry =
+        keys.enqueue(
             request.key, request.incoming.body(), request.incoming.receivedAtMillis(), request);
     if (entry != null) {
       request.entry = entry;
@@ -178,7 +179,7 @@
   /** This request does not wait for its key any more. */
   void leave(InFlightRequest request) {
     if (request.entry != null) {
-      keys.leave(request.entry, request);
+      keys.detach(request.entry, request);
     }
   }
 
@@ -186,9 +187,9 @@
    * Ends a request as the execution that it is attached to did, with its result byte for byte. A
    * result on disk is read by the request's own thread, never under the lock.
    */
-  void completeAttached(InFlightRequest request, IdempotencyTable.Entry<InFlightRequest> entry) {
+  void completeAttached(InFlightRequest request, KeyEntry<InFlightRequest> entry) {
     byte[] result = entry == null ? null : keys.result(entry);
-    if (!request.isAnswered && entry != null && entry.onDisk() && result == null) {
+    if (!request.isAnswered && entry != null && entry.isOnDisk() && result == null) {
       request.entry = entry;
       request.enqueue(InFlightRequest.Step.REPLAY_RESULT);
       return;
@@ -213,7 +214,7 @@
   }
 
   private void executionCompleted(
-      InFlightRequest attached, IdempotencyTable.Entry<InFlightRequest> entry) {
+      InFlightRequest attached, KeyEntry<InFlightRequest> entry) {
     admission.runAfterInstant(() -> completeAttached(attached, entry));
   }
 }
--- a/src/main/java/wharftrestle/request/PeerClaims.java
+++ b/src/main/java/wharftrestle/request/PeerClaims.java
@@ -3,6 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import java.util.concurrent.locks.ReentrantLock;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.handover.PeerProcess.KeyUpdate;
@@ -121,7 +122,7 @@
     for (InFlightRequest other : inFlight) {
       isKeyInUse |= other.key != null && request.hasSameKey(other);
     }
-    ownership.sendReleased(request.key, isKeyInUse);
+    ownership.sendRelease(request.key, isKeyInUse);
   }
 
   /** Every request that waits for the peer looks again. */
@@ -149,16 +150,16 @@
   @Override
   public double windowSeconds(String key) {
     int classIndex = InFlightRequest.classIndexOf(key);
-    return deadlines.idempotencyWindowSeconds(classIndex) + IdempotencyTable.SLACK;
+    return deadlines.idempotencyWindowSeconds(classIndex) + IdempotencyTable.WINDOW_SLACK_SECONDS;
   }
 
   @Override
-  public void onPeerFinished(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  public void onPeerCompletion(KeyEntry<InFlightRequest> entry, byte[] result) {
     keyed.complete(entry, result);
   }
 
   @Override
-  public void onPeerReleased(IdempotencyTable.Entry<InFlightRequest> entry) {
+  public void onPeerRelease(KeyEntry<InFlightRequest> entry) {
     recorder.neverExecuted(entry);
   }
 }
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -3,11 +3,12 @@
 import java.util.List;
 import java.util.concurrent.locks.ReentrantLock;
 import org.tinylog.Logger;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.handover.PeerProcess.KeyUpdate;
-import wharftrestle.handover.PeerProcess.SettledKey;
+import wharftrestle.handover.PeerProcess.CompletedKey;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
 import wharftrestle.idempotency.KeyMemoryBudget;
@@ -60,7 +61,7 @@
     lock.lock();
     try {
       return new Capabilities.KeyCapacity(
-          keys.size(), recorder.maxKeys(), keys.resultBytes(), memory.mostResultBytes());
+          keys.size(), recorder.maxKeys(), keys.resultBytes(), memory.maxResultBytes());
     } finally {
       lock.unlock();
     }
@@ -72,7 +73,7 @@
    *
    * @return how many were sent, or -1 where the peer did not take them
    */
-  public int sendSettledKeys(PeerProcess to) {
+  public int sendCompletedKeys(PeerProcess to) {
     List<KeyDigest> all;
     lock.lock();
     try {
@@ -84,11 +85,11 @@
   }
 
   /** The same for a peer of format 1, which owns all keys by now. */
-  public int sendSettledKeysAfterHandover(PeerProcess to) {
+  public int sendCompletedKeysAfterHandover(PeerProcess to) {
     List<KeyDigest> all;
     lock.lock();
     try {
-      all = keys.settled();
+      all = keys.settledDigests();
     } finally {
       lock.unlock();
     }
@@ -98,15 +99,15 @@
   private int send(PeerProcess to, List<KeyDigest> keysToSend) {
     int sent = 0;
     for (KeyDigest key : keysToSend) {
-      SettledKey settledKey;
+      CompletedKey completedKey;
       lock.lock();
       try {
-        settledKey = ownership.settledKey(key, recorder.isEnabled(), clock.now());
+        completedKey = ownership.completedKey(key, recorder.isEnabled(), clock.now());
       } finally {
         lock.unlock();
       }
-      if (settledKey != null) {
-        if (!to.sendSettledKey(settledKey)) {
+      if (completedKey != null) {
+        if (!to.sendCompletedKey(completedKey)) {
           return -1;
         }
         sent++;
@@ -125,7 +126,7 @@
     }
   }
 
-  /** True where a key that settled during {@link #sendSettledKeys} could not be sent. */
+  /** True where a key that settled during {@link #sendCompletedKeys} could not be sent. */
   public boolean hasUnsentKeys() {
     lock.lock();
     try {
@@ -195,7 +196,7 @@
   public void failUnknownKeysFor(double seconds) {
     lock.lock();
     try {
-      keys.blind(clock.now() + seconds);
+      keys.failUnknownKeysUntil(clock.now() + seconds);
     } finally {
       lock.unlock();
     }
@@ -204,14 +205,14 @@
   // ---- Messages of the peer ----
 
   /** A key of the peer is settled. */
-  public void keySettled(SettledKey settledKey) {
+  public void keySettled(CompletedKey completedKey) {
     boolean isFirstLost = false;
     lock.lock();
     try {
       double now = clock.now();
-      if (!ownership.onKeyReceived(settledKey, now)) {
+      if (!ownership.onKeyReceived(completedKey, now)) {
         isFirstLost = now > keysMissingUntilSeconds;
-        keysMissingUntilSeconds = Math.max(keysMissingUntilSeconds, now + settledKey.secondsLeft());
+        keysMissingUntilSeconds = Math.max(keysMissingUntilSeconds, now + completedKey.remainingSeconds());
       }
     } finally {
       lock.unlock();
@@ -219,7 +220,7 @@
     if (isFirstLost) {
       Logger.warn(
           "no memory for all keys of the peer process, unknown keys fail seconds={}",
-          Math.round(settledKey.secondsLeft()));
+          Math.round(completedKey.remainingSeconds()));
     }
   }
 
@@ -238,7 +239,7 @@
   public void executionCompleted(String key, byte[] result) {
     lock.lock();
     try {
-      ownership.onPeerFinished(key, result);
+      ownership.onPeerCompletion(key, result);
       admission.completeBatchIfStarted();
     } finally {
       lock.unlock();
@@ -249,7 +250,7 @@
   public void keyReleased(String key) {
     lock.lock();
     try {
-      ownership.onPeerReleased(key);
+      ownership.onPeerRelease(key);
       admission.completeBatchIfStarted();
     } finally {
       lock.unlock();
@@ -268,8 +269,8 @@
     if (reply != null) {
       // The result of a settled key may have to be read from disk: not under the lock.
       reply.send(
-          reply.entry().onDisk()
-              ? recorder.read(key, reply.entry().place())
+          reply.entry().isOnDisk()
+              ? recorder.read(key, reply.entry().location())
               : reply.resultInMemory());
     }
   }
@@ -288,9 +289,9 @@
   public void intentWritten(String key, boolean isWritten) {
     lock.lock();
     try {
-      IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
-      if (entry != null && entry.holder() != null) {
-        recorder.intentWriteCompleted(entry.holder(), isWritten);
+      KeyEntry<InFlightRequest> entry = keys.find(key);
+      if (entry != null && entry.attempt() != null) {
+        recorder.intentWriteCompleted(entry.attempt(), isWritten);
         admission.completeBatchIfStarted();
       }
     } finally {
@@ -302,7 +303,7 @@
   public void resultSaved(String key) {
     lock.lock();
     try {
-      IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
+      KeyEntry<InFlightRequest> entry = keys.find(key);
       if (entry != null) {
         recorder.resultWriteCompleted(entry, -1);
       }
--- a/src/main/java/wharftrestle/request/RequestArrival.java
+++ b/src/main/java/wharftrestle/request/RequestArrival.java
@@ -1,5 +1,6 @@
 package wharftrestle.request;
 
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.admission.Admission;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyState;
@@ -45,10 +46,10 @@
     if (request.isAnswered) {
       return;
     }
-    IdempotencyTable.Entry<InFlightRequest> known =
+    KeyEntry<InFlightRequest> known =
         request.key == null ? null : keyed.table().find(request.key);
     boolean mayHaveExecuted =
-        (known != null && known.ran()) || (request.key != null && !claims.ownsKeys());
+        (known != null && known.mayHaveRun()) || (request.key != null && !claims.ownsKeys());
     if (inFlight.isFull()) {
       // Each request in flight has a thread: a flood of them must not use up the memory.
       rejectByGuard(request, mayHaveExecuted);
@@ -67,11 +68,11 @@
   }
 
   private static boolean isAnsweredBy(
-      IdempotencyTable.Entry<InFlightRequest> known, InFlightRequest request) {
+      KeyEntry<InFlightRequest> known, InFlightRequest request) {
     return known != null
-        && known.state() == KeyState.SERVED
+        && known.state() == KeyState.SUCCEEDED
         && known.covers(request.incoming.receivedAtMillis())
-        && known.asked().same(request.incoming.body());
+        && known.body().matches(request.incoming.body());
   }
 
   /** A rejection promises that nothing has executed: where that is not known, it is a failure. */
@@ -92,12 +93,12 @@
   }
 
   private boolean isKeyAccepted(InFlightRequest request, double now) {
-    IdempotencyTable.Entry<InFlightRequest> prior =
-        keyed.table().meet(request.key, request.incoming.receivedAtMillis());
+    KeyEntry<InFlightRequest> prior =
+        keyed.table().findDuplicate(request.key, request.incoming.receivedAtMillis());
     if (prior == null) {
       return isNewKeyAccepted(request, now);
     }
-    if (!prior.asked().same(request.incoming.body())) {
+    if (!prior.body().matches(request.incoming.body())) {
       // The same key with another body is no duplicate: its result would answer what nobody asked.
       counters.add(Count.INVALID);
       callers.answer(request, Answer.conflict());
@@ -152,7 +153,7 @@
     if (request.entry == null) {
       return 0;
     }
-    InFlightRequest holder = request.entry.holder();
+    InFlightRequest holder = request.entry.attempt();
     return holder == null ? DUPLICATE_OF_NO_REQUEST : holder.id;
   }
 }
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.locks.ReentrantLock;
 import org.tinylog.Logger;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.admission.Admission.Outcome;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
@@ -61,12 +62,12 @@
   /** From now on intents and results of keyed executions are recorded there. */
   void useStore(ResultStore results) {
     store = results;
-    maxKeysOnDisk = Math.min(results.maxKeys(), memory.mostKeysOnDisk());
+    maxKeysOnDisk = Math.min(results.maxKeys(), memory.maxKeysWithResultsOnDisk());
     if (maxKeysOnDisk < results.maxKeys()) {
       Logger.warn(
           "memory limits the recorded keys max={} configured={}", maxKeysOnDisk, results.maxKeys());
     }
-    keys.record(maxKeysOnDisk);
+    keys.enablePersistence(maxKeysOnDisk);
   }
 
   /** True where results are recorded; also without the lock. */
@@ -81,7 +82,7 @@
 
   /** Keys known at most. */
   int maxKeys() {
-    return store == null ? memory.mostKeys() : maxKeysOnDisk;
+    return store == null ? memory.maxKeys() : maxKeysOnDisk;
   }
 
   /** Empty where results are not recorded; also without the lock. */
@@ -110,13 +111,13 @@
     return Answer.rejected(Math.min(maxRetryAfterSeconds, store.retryAfterSeconds(reason)), false);
   }
 
-  private ResultStore.KeyRecord recordOf(IdempotencyTable.Entry<InFlightRequest> entry) {
+  private ResultStore.KeyRecord recordOf(KeyEntry<InFlightRequest> entry) {
     int classIndex = InFlightRequest.classIndexOf(entry.key());
     return new ResultStore.KeyRecord(
         entry.key(),
-        entry.lastDoor(),
-        deadlines.idempotencyWindowSeconds(classIndex) + IdempotencyTable.SLACK,
-        entry.asked().brief());
+        entry.coveredUntilMillis(),
+        deadlines.idempotencyWindowSeconds(classIndex) + IdempotencyTable.WINDOW_SLACK_SECONDS,
+        entry.body().checksum());
   }
 
   // ---- Intents ----
@@ -167,7 +168,7 @@
     } else if (request.isAnswered) {
       withdraw(request); // nobody waits any more, and a retry may execute
     } else {
-      keys.recorded(request.entry);
+      keys.intentRecorded(request.entry);
       request.enqueue(InFlightRequest.Step.DISPATCH);
     }
   }
@@ -209,7 +210,7 @@
   }
 
   /** The execution of this key was never begun. */
-  void neverExecuted(IdempotencyTable.Entry<InFlightRequest> entry) {
+  void neverExecuted(KeyEntry<InFlightRequest> entry) {
     if (isWriter()) {
       store.discardIntent(recordOf(entry));
     }
@@ -221,10 +222,10 @@
     if (peer == null) {
       return;
     }
-    IdempotencyTable.Entry<InFlightRequest> entry = keys.find(key);
+    KeyEntry<InFlightRequest> entry = keys.find(key);
     boolean isRequested =
         store != null
-            && keys.elsewhere(entry)
+            && keys.isOwnedByPeer(entry)
             && store.writeIntent(
                     recordOf(entry), position -> peer.sendIntentOutcome(key, position >= 0))
                 != null;
@@ -236,17 +237,17 @@
   // ---- Results ----
 
   /** The execution of a key has ended, and the key knows it; the result is null for none. */
-  void recordResult(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  void recordResult(KeyEntry<InFlightRequest> entry, byte[] result) {
     if (isWriter()) {
       writeResult(entry, result);
     }
   }
 
-  private void writeResult(IdempotencyTable.Entry<InFlightRequest> entry, byte[] result) {
+  private void writeResult(KeyEntry<InFlightRequest> entry, byte[] result) {
     store.writeResult(recordOf(entry), result, position -> resultWritten(entry, position));
   }
 
-  private void resultWritten(IdempotencyTable.Entry<InFlightRequest> entry, long position) {
+  private void resultWritten(KeyEntry<InFlightRequest> entry, long position) {
     lock.lock();
     try {
       resultWriteCompleted(entry, position);
@@ -258,7 +259,7 @@
   /** Writes what the peer was to write before it was lost. */
   void writeUnsavedResults() {
     if (store != null) {
-      keys.unsaved().forEach(entry -> writeResult(entry, keys.result(entry)));
+      keys.entriesBeingSaved().forEach(entry -> writeResult(entry, keys.result(entry)));
     }
   }
 
@@ -266,22 +267,22 @@
    * A result is on disk, or with a position below 0 cannot be. Its intent is there, so the key does
    * not execute again, and its request is answered in either case.
    */
-  void resultWriteCompleted(IdempotencyTable.Entry<InFlightRequest> entry, long position) {
+  void resultWriteCompleted(KeyEntry<InFlightRequest> entry, long position) {
     if (entry.state() != KeyState.SAVING) {
       return;
     }
-    keys.saved(entry, position);
+    keys.resultSaved(entry, position);
     PeerProcess peer = ownership.peer();
-    if (entry.holder() != null) {
-      callers.answer(entry.holder(), Answer.served(keys.result(entry)));
+    if (entry.attempt() != null) {
+      callers.answer(entry.attempt(), Answer.served(keys.result(entry)));
       if (peer != null && !ownership.isOwner()) {
         // It was on its way to the disk when the keys were handed over.
-        peer.sendFinished(entry.key(), keys.result(entry));
+        peer.sendCompletion(entry.key(), keys.result(entry));
       }
     } else if (peer != null) {
       peer.sendResultWritten(entry.key());
     }
-    ownership.forwardSettled(entry.key(), true, clock.now());
+    ownership.forwardCompleted(entry.key(), true, clock.now());
     admission.completeBatchSoonIfStarted();
   }
 
--- a/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
@@ -163,7 +163,7 @@
   /** What a crash leaves of a write: the first bytes of one further record, and zeros. */
   private static void tearTail(Path segment) throws Exception {
     byte[] bytes = Files.readAllBytes(segment);
-    Segment.Seen seen = Segment.scan(ByteBuffer.wrap(bytes), (record, offset) -> {});
+    Segment.ScanResult seen = Segment.scan(ByteBuffer.wrap(bytes), (record, offset) -> {});
     LogRecord cut =
         new LogRecord(
             LogRecord.Kind.INTENT,
@@ -177,7 +177,7 @@
             "3/0/torn",
             new byte[0]);
     ByteBuffer whole = ByteBuffer.allocate(cut.size());
-    cut.put(whole);
+    cut.writeTo(whole);
     System.arraycopy(whole.array(), 0, bytes, seen.end(), TORN_BYTES);
     Files.write(segment, bytes);
   }
@@ -186,15 +186,15 @@
   static String describeRecords(Path folder) throws Exception {
     StringBuilder text = new StringBuilder();
     byte[] manifest = Files.readAllBytes(folder.resolve(MANIFEST));
-    text.append("manifest numbers=").append(Manifest.parse(manifest)).append('\n');
+    text.append("manifest numbers=").append(Manifest.decode(manifest)).append('\n');
     for (String name : SEGMENTS) {
       byte[] bytes = Files.readAllBytes(folder.resolve(name));
       StringBuilder records = new StringBuilder();
-      Segment.Seen seen =
+      Segment.ScanResult seen =
           Segment.scan(
               ByteBuffer.wrap(bytes),
               (record, offset) -> records.append(describe(record, offset)).append('\n'));
-      Segment.Head head = seen.head();
+      Segment.Header head = seen.header();
       text.append(
           String.format(
               "segment file=%s bytes=%d version=%d firstBatch=%d number=%d boot=%016x capacity=%d"
@@ -206,7 +206,7 @@
               head.number(),
               head.boot(),
               head.capacity(),
-              seen.records(),
+              seen.recordCount(),
               seen.lastBatch(),
               seen.end(),
               seen.torn(),
@@ -221,19 +221,20 @@
     return text.toString();
   }
 
+  @SuppressWarnings("EnumOrdinal") // stored: the format counts kinds in the order of declaration
   private static String describe(LogRecord record, int offset) {
     return String.format(
         "record offset=%d kind=%d ends=%b batch=%d wall=%d steady=%d lastDoor=%d window=%d"
             + " check=%016x result=%s key=%s",
         offset,
         record.kind().ordinal() + 1, // as on disk: its name there is this number
-        record.ends(),
+        record.lastOfBatch(),
         record.batch(),
-        record.wall(),
-        record.steady(),
-        record.lastDoor(),
-        record.window(),
-        record.check(),
+        record.writtenAtMillis(),
+        record.writtenAtSteadyMillis(),
+        record.coveredUntilMillis(),
+        record.windowMillis(),
+        record.bodyChecksum(),
         HexFormat.of().formatHex(record.result()),
         record.key());
   }
@@ -298,23 +299,23 @@
     }
 
     @Override
-    public long boot() {
+    public long bootId() {
       return boot;
     }
 
     @Override
-    public byte[] list() throws IOException {
-      return files.list();
+    public byte[] readManifest() throws IOException {
+      return files.readManifest();
     }
 
     @Override
-    public void list(byte[] list) throws IOException {
-      files.list(list);
+    public void writeManifest(byte[] list) throws IOException {
+      files.writeManifest(list);
     }
 
     @Override
-    public long[] files() throws IOException {
-      return files.files();
+    public long[] segmentNumbers() throws IOException {
+      return files.segmentNumbers();
     }
 
     @Override
