--- a/src/main/java/wharftrestle/daemon/HandoverActions.java
+++ b/src/main/java/wharftrestle/daemon/HandoverActions.java
@@ -203,7 +203,7 @@
     if (!host.openStorage(STORAGE_ATTEMPTS_AFTER_PEER_EXIT)) {
       Logger.error("{}: kept results cannot be had, keyed requests are refused", name);
     }
-    peerKeys.peerGone();
+    peerKeys.peerLost();
     host.shareResources(false);
     if (lacksPredecessorKeys) {
       lacksPredecessorKeys = false;
@@ -249,7 +249,7 @@
 
   private int transferKeysTo(PeerLink successor) {
     host.shareResources(true);
-    int openKeys = peerKeys.handOverKeys(successor);
+    int openKeys = peerKeys.transferKeys(successor);
     host.closeStorage(); // Only the owner of the keys writes, and it reads what is on disk by now.
     pauseWatch.start();
     return openKeys;
@@ -274,7 +274,7 @@
     }
     pauseWatch.stop();
     host.openStorage(STORAGE_ATTEMPTS_AFTER_PEER_EXIT);
-    peerKeys.peerGone();
+    peerKeys.peerLost();
     host.shareResources(false);
     Logger.warn("{}: the process that took over is gone, this one owns its keys again", name);
   }
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -31,7 +31,7 @@
   private final PeerClaims claims;
   private final KeyMemoryBudget memory;
   private ResultRecorder recorder;
-  private double keysLostUntilSeconds = Double.NEGATIVE_INFINITY;
+  private double keysMissingUntilSeconds = Double.NEGATIVE_INFINITY;
 
   PeerCoordinator(
       ReentrantLock lock,
@@ -116,7 +116,7 @@
     return sent;
   }
 
-  /** Keys that settle from now on are not sent any more. */
+  /** Keys that completeBatch from now on are not sent any more. */
   public void stopSendingSettledKeys() {
     lock.lock();
     try {
@@ -142,7 +142,7 @@
    *
    * @return how many are in flight here
    */
-  public int handOverKeys(PeerProcess to) {
+  public int transferKeys(PeerProcess to) {
     lock.lock();
     try {
       int handed = ownership.transferTo(to, clock.now());
@@ -180,7 +180,7 @@
   }
 
   /** The peer is lost: its executions have an unknown end, so their keys fail from now on. */
-  public void peerGone() {
+  public void peerLost() {
     lock.lock();
     try {
       ownership.onPeerLost();
@@ -211,8 +211,8 @@
     try {
       double now = clock.now();
       if (!ownership.onKeyReceived(completedKey, now)) {
-        isFirstLost = now > keysLostUntilSeconds;
-        keysLostUntilSeconds = Math.max(keysLostUntilSeconds, now + completedKey.remainingSeconds());
+        isFirstLost = now > keysMissingUntilSeconds;
+        keysMissingUntilSeconds = Math.max(keysMissingUntilSeconds, now + completedKey.remainingSeconds());
       }
     } finally {
       lock.unlock();
@@ -229,7 +229,7 @@
     lock.lock();
     try {
       ownership.onKeyReceived(update, clock.now());
-      admission.settleIfStarted();
+      admission.completeBatchIfStarted();
     } finally {
       lock.unlock();
     }
@@ -240,7 +240,7 @@
     lock.lock();
     try {
       ownership.onPeerCompletion(key, result);
-      admission.settleIfStarted();
+      admission.completeBatchIfStarted();
     } finally {
       lock.unlock();
     }
@@ -251,7 +251,7 @@
     lock.lock();
     try {
       ownership.onPeerRelease(key);
-      admission.settleIfStarted();
+      admission.completeBatchIfStarted();
     } finally {
       lock.unlock();
     }
@@ -291,8 +291,8 @@
     try {
       KeyEntry<InFlightRequest> entry = keys.find(key);
       if (entry != null && entry.attempt() != null) {
-        recorder.intentEnded(entry.attempt(), isWritten);
-        admission.settleIfStarted();
+        recorder.intentWriteCompleted(entry.attempt(), isWritten);
+        admission.completeBatchIfStarted();
       }
     } finally {
       lock.unlock();
@@ -305,7 +305,7 @@
     try {
       KeyEntry<InFlightRequest> entry = keys.find(key);
       if (entry != null) {
-        recorder.resultEnded(entry, -1);
+        recorder.resultWriteCompleted(entry, -1);
       }
     } finally {
       lock.unlock();
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -152,14 +152,14 @@
   private void intentWritten(InFlightRequest request, long position) {
     lock.lock();
     try {
-      intentEnded(request, position >= 0);
+      intentWriteCompleted(request, position >= 0);
     } finally {
       lock.unlock();
     }
   }
 
   /** An intent is on disk, or cannot be. */
-  void intentEnded(InFlightRequest request, boolean isWritten) {
+  void intentWriteCompleted(InFlightRequest request, boolean isWritten) {
     if (!isWritingIntent(request)) {
       return; // withdrawn meanwhile
     }
@@ -237,7 +237,7 @@
   // ---- Results ----
 
   /** The execution of a key has ended, and the key knows it; the result is null for none. */
-  void executionEnded(KeyEntry<InFlightRequest> entry, byte[] result) {
+  void recordResult(KeyEntry<InFlightRequest> entry, byte[] result) {
     if (isWriter()) {
       writeResult(entry, result);
     }
@@ -250,7 +250,7 @@
   private void resultWritten(KeyEntry<InFlightRequest> entry, long position) {
     lock.lock();
     try {
-      resultEnded(entry, position);
+      resultWriteCompleted(entry, position);
     } finally {
       lock.unlock();
     }
@@ -267,7 +267,7 @@
    * A result is on disk, or with a position below 0 cannot be. Its intent is there, so the key does
    * not execute again, and its request is answered in either case.
    */
-  void resultEnded(KeyEntry<InFlightRequest> entry, long position) {
+  void resultWriteCompleted(KeyEntry<InFlightRequest> entry, long position) {
     if (entry.state() != KeyState.SAVING) {
       return;
     }
@@ -283,7 +283,7 @@
       peer.sendResultWritten(entry.key());
     }
     ownership.forwardCompleted(entry.key(), true, clock.now());
-    admission.settleSoonIfStarted();
+    admission.completeBatchSoonIfStarted();
   }
 
   /** The result at this position, null where it cannot be read; never under the lock. */
