--- a/src/main/java/wharftrestle/simulation/SimulatedHost.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedHost.java
@@ -6,7 +6,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
+import wharftrestle.admission.AdmissionSettings;
 
 /**
  * One box in virtual time: the shipped policy on cores that all runs share, cold after a start,
@@ -109,14 +110,14 @@
   final String name;
   final String zone;
   private final EventQueue agenda;
-  private final Admission.Settings settings;
+  private final AdmissionSettings settings;
   private final SimulatedStore store;
   private final double machine; // its speed, 1 for a standard core
   private final SplittableRandom random;
   private final Map<Long, Live> live = new HashMap<>();
   private final List<Live> onCores = new ArrayList<>();
   private Tally tally;
-  private GroupEdfScheduler policy;
+  private AdmissionController policy;
   private Flaw flaw;
   private double startedAt;
   private double trouble = 1; // factor on its speed
@@ -134,7 +135,7 @@
       String name,
       String zone,
       EventQueue agenda,
-      Admission.Settings settings,
+      AdmissionSettings settings,
       SimulatedStore store,
       double machine,
       long seed) {
@@ -154,10 +155,10 @@
     process++;
     flaw = of;
     shown = false;
-    startedAt = warm ? agenda.now() - 10 * settings.coldFor() : agenda.now();
+    startedAt = warm ? agenda.now() - 10 * settings.warmUp().seconds() : agenda.now();
     up = true;
     healthy = true;
-    policy = new GroupEdfScheduler(agenda.now(), random.nextLong(), settings, this);
+    policy = new AdmissionController(agenda.now(), random.nextLong(), settings, this);
     // In a hand-over the daemon before ends what it runs; what it held is held on here.
     live.values().stream()
         .filter(each -> each.phase == Phase.HELD && !each.answered)
@@ -174,14 +175,14 @@
                         now - live.get(each.id()).arrived,
                         each.classIndex(),
                         0,
-                        each.memory(),
+                        each.memoryKb(),
                         1,
-                        each.cost(),
+                        each.costHintSeconds(),
                         null,
                         0,
                         0,
-                        each.rank())));
-    policy.settled(now);
+                        each.priority())));
+    policy.batchCompleted(now);
     if (of.dies() > 0) {
       int mine = process;
       agenda.at(
@@ -285,11 +286,11 @@
         id,
         new Live(request, caller, now, fails, needs, callPart > 0 ? needs * (1 - callPart) : -1));
     if (open) {
-      start(id);
+      dispatch(id);
       return;
     }
     policy.arrived(now, request);
-    policy.settled(now);
+    policy.batchCompleted(now);
   }
 
   private void answer(Live of, Outcome outcome, double retryAfter) {
@@ -322,10 +323,18 @@
     if (many == 0) {
       return 0;
     }
-    double age = (now - startedAt) / settings.coldFor();
-    double warm = age >= 1 ? 1 : settings.coldFrom() + (1 - settings.coldFrom()) * Math.max(0, age);
-    double crowd = Math.min(1, CROWD * settings.cores() / many);
-    return machine * trouble * warm * crowd * Math.min(1, (double) settings.cores() / many);
+    double age = (now - startedAt) / settings.warmUp().seconds();
+    double warm =
+        age >= 1
+            ? 1
+            : settings.warmUp().coldSpeedFraction()
+                + (1 - settings.warmUp().coldSpeedFraction()) * Math.max(0, age);
+    double crowd = Math.min(1, CROWD * settings.capacity().cores() / many);
+    return machine
+        * trouble
+        * warm
+        * crowd
+        * Math.min(1, (double) settings.capacity().cores() / many);
   }
 
   private void progress(double now) {
@@ -335,10 +344,10 @@
       for (Live each : onCores) {
         each.work -= done;
       }
-      double cores = Math.min(onCores.size(), settings.cores());
+      double cores = Math.min(onCores.size(), settings.capacity().cores());
       tally.cpu += span * cores;
       double fade = Math.exp(-span / SPAN);
-      busy = busy * fade + cores / settings.cores() * (1 - fade);
+      busy = busy * fade + cores / settings.capacity().cores() * (1 - fade);
     }
     lastAt = now;
   }
@@ -357,7 +366,8 @@
     // While it warms the rate rises: looked at again often enough.
     double in =
         Math.max(
-            MOST_LOOKS, Math.min(least / rate, now - startedAt < settings.coldFor() ? 0.05 : 1));
+            MOST_LOOKS,
+            Math.min(least / rate, now - startedAt < settings.warmUp().seconds() ? 0.05 : 1));
     agenda.at(
         now + in,
         then -> {
@@ -380,15 +390,17 @@
       if (each.callAt >= 0) {
         each.callAt = -1;
         each.phase = Phase.CALLING;
-        policy.standsAtCall(now, each.request.id());
+        policy.blockedOnCall(now, each.request.id());
       } else {
-        boolean late = now - each.arrived > settings.classes().get(each.request.classIndex()).aim();
+        boolean late =
+            now - each.arrived
+                > settings.classes().get(each.request.classIndex()).latencyObjectiveSeconds();
         answer(each, each.fails ? Outcome.FAILED : late ? Outcome.LATE : Outcome.SERVED, 0);
         over(each);
         if (open) {
           continue;
         }
-        policy.ended(
+        policy.completed(
             now,
             each.request.id(),
             each.fails ? Admission.Outcome.FAILURE : Admission.Outcome.SUCCESS,
@@ -396,7 +408,7 @@
       }
     }
     if (!there.isEmpty()) {
-      policy.settled(now);
+      policy.batchCompleted(now);
     }
     plan(now);
   }
@@ -412,14 +424,14 @@
   // ---- What the policy asks for ----
 
   @Override
-  public void start(long id) {
+  public void dispatch(long id) {
     Live of = live.get(id);
     of.since = agenda.now();
     onto(of);
   }
 
   @Override
-  public void refuse(long id, boolean nowhereElse, double retryAfter) {
+  public void reject(long id, boolean nowhereElse, double retryAfter) {
     ended(id, Outcome.REFUSED, retryAfter);
   }
 
@@ -439,12 +451,12 @@
   }
 
   @Override
-  public void stop(long id) {
+  public void preempt(long id) {
     throw new IllegalStateException("these machines cannot stop work");
   }
 
   @Override
-  public void call(long id, double notPast) {
+  public void callDependency(long id, double notPast) {
     Live of = live.get(id);
     double began = agenda.now();
     tally.calls++;
@@ -461,9 +473,9 @@
           } else {
             tally.badCalls++;
           }
-          policy.callEnded(
+          policy.callCompleted(
               now, id, good ? Admission.Outcome.SUCCESS : Admission.Outcome.FAILURE, now - began);
-          policy.settled(now);
+          policy.batchCompleted(now);
         },
         notPast);
   }
@@ -474,10 +486,10 @@
   }
 
   @Override
-  public void keep(long id, double time) {}
+  public void retainKey(long id, double time) {}
 
   @Override
-  public void release(long id) {}
+  public void releaseKey(long id) {}
 
   @Override
   public void attach(long id) {
@@ -485,23 +497,23 @@
   }
 
   @Override
-  public void health(boolean good, boolean fromStore) {
+  public void reportHealth(boolean good, boolean fromStore) {
     healthy = good;
   }
 
   @Override
-  public void idleLimit(double time) {}
+  public void setIdleTimeout(double time) {}
 
   @Override
-  public void timer(long label, double in) {
+  public void setTimer(long label, double in) {
     int mine = process;
     agenda.at(
         agenda.now() + in,
         now -> {
           if (process == mine) {
             progress(now);
-            policy.timer(now, label, new double[] {busy, onCores.size()});
-            policy.settled(now);
+            policy.timerFired(now, label, new double[] {busy, onCores.size()});
+            policy.batchCompleted(now);
           }
         });
   }
--- a/src/test/java/wharftrestle/storage/ResultRecorderTest.java
+++ b/src/test/java/wharftrestle/storage/ResultRecorderTest.java
@@ -13,7 +13,8 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.SilentPool;
 import wharftrestle.admission.Admission;
-import wharftrestle.admission.GroupEdfScheduler;
+import wharftrestle.admission.AdmissionController;
+import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.ResultMetric;
@@ -37,7 +38,7 @@
           7,
           64,
           KeyMemoryBudget.of(1 << 20),
-          GroupEdfScheduler::new,
+          AdmissionController::new,
           new Counters(List.of("read", "keyed")));
   private int references;
 
@@ -56,41 +57,23 @@
     core.workerPoolStarted(false, 100);
   }
 
-  private static Admission.Settings settings() {
+  private static AdmissionSettings settings() {
     Admission.RequestClass read =
-        new Admission.RequestClass("read", 2, 0, 6, 1, 0, Admission.Repeat.SAFE, 12, false, 0);
+        new Admission.RequestClass(
+            "read", 2, 0, 6, 1, 0, Admission.Idempotency.IDEMPOTENT, 12, false, 0);
     Admission.RequestClass keyed =
-        new Admission.RequestClass("keyed", 2, 0, 3, 3, 0, Admission.Repeat.KEYED, 12, false, 0);
-    return new Admission.Settings(
+        new Admission.RequestClass(
+            "keyed", 2, 0, 3, 3, 0, Admission.Idempotency.IDEMPOTENCY_KEY, 12, false, 0);
+    return new AdmissionSettings(
         List.of(read, keyed),
         List.of(),
-        1,
-        3,
-        2,
-        100_000,
-        4,
-        10,
-        0,
-        Admission.Preemption.DROP,
-        Admission.Downstream.NONE,
-        0,
-        5,
-        0.2,
-        true,
-        false,
-        true,
-        0.08,
-        2,
-        6,
-        2,
-        false,
-        0.25,
-        10,
-        1,
-        false,
-        1,
-        false,
-        0.004,
+        new AdmissionSettings.Fleet(1, 3, true, false, true),
+        new AdmissionSettings.Capacity(2, 100_000, 4, 10, Admission.Preemption.DROP, 6, 2),
+        new AdmissionSettings.WarmUp(false, 0.25, 10),
+        new AdmissionSettings.DependencyCalls(Admission.Dependency.NONE, 0, 5, 0.2),
+        new AdmissionSettings.Timing(0.004, 0.08, 2, 0),
+        new AdmissionSettings.Retries(1, false),
+        new AdmissionSettings.Weighting(false, 1),
         List.of());
   }
 
