--- a/src/main/java/wharftrestle/idempotency/BlockStore.java
+++ b/src/main/java/wharftrestle/idempotency/BlockStore.java
@@ -4,11 +4,10 @@
 import java.util.Arrays;
 
 /**
- * Results in memory, each a chain of blocks of 64 bytes in large arrays that are never given back
- * (the slabs of memcached, the overflow pages of SQLite). It owns the bytes of all results that are
- * kept in memory; it must never hold more blocks than it was given, and knows neither keys nor
- * time. To put, get and free cost O(blocks of the result); a result of n bytes takes {@link
- * #blocksFor} n blocks, half a block more than it weighs on the mean.
+ * Results in memory, each a chain of blocks of 64 bytes in large arrays that are never given back,
+ * like the slabs of memcached. Bounded in blocks; it knows neither keys nor time. To put, get and
+ * free cost O(blocks of the result), which are {@link #blocksFor}: half a block more than its bytes
+ * on the mean. Not thread-safe.
  */
 public final class BlockStore {
   /** Bytes of a block. */
@@ -17,26 +16,26 @@
   /** Bytes that one block costs with its link. */
   static final int BYTES_PER_BLOCK = BLOCK_BYTES + Integer.BYTES;
 
-  /** What stands for no block. */
+  /** Stands for no block. */
   static final int NO_BLOCK = -1;
 
-  /**
-   * Blocks of one array: 64 kB, small beside the least heap and large beside the largest result.
-   */
+  /** Blocks of one array, 64 kB: small beside the least heap, large beside the largest result. */
   private static final int BLOCKS_PER_CHUNK = 1024;
 
-  /** Bytes at the head of a chain that say how long it is. */
+  /** Bytes at the begin of a chain that hold the length of the result. */
   private static final int LENGTH_BYTES = Integer.BYTES;
 
   private final int capacity;
   private byte[][] chunks = new byte[0][];
   private int[] nextBlock = new int[0];
-  private int createdBlocks; // blocks that have been used at least once
-  private int firstFree = NO_BLOCK; // the first of those that are not used now
+  private int createdBlocks; // blocks that were used at least once
+  private int firstFree = NO_BLOCK; // the first of those that are free again
   private int usedBlocks;
 
   /**
-   * @param most blocks at once
+   * An empty store.
+   *
+   * @param capacity blocks at once
    */
   public BlockStore(int capacity) {
     this.capacity = capacity;
@@ -78,21 +77,21 @@
     int first = allocate();
     int at = first;
     ByteBuffer.wrap(chunk(at)).putInt(offset(at), result.length);
-    int room = BLOCK_BYTES - LENGTH_BYTES;
+    int blockRest = BLOCK_BYTES - LENGTH_BYTES;
     int to = offset(at) + LENGTH_BYTES;
     for (int from = 0; from < result.length; ) {
-      if (room == 0) {
+      if (blockRest == 0) {
         int more = allocate();
         nextBlock[at] = more;
         at = more;
-        room = BLOCK_BYTES;
+        blockRest = BLOCK_BYTES;
         to = offset(at);
       }
-      int part = Math.min(room, result.length - from);
+      int part = Math.min(blockRest, result.length - from);
       System.arraycopy(result, from, chunk(at), to, part);
       from += part;
       to += part;
-      room -= part;
+      blockRest -= part;
     }
     nextBlock[at] = NO_BLOCK;
     return first;
@@ -103,18 +102,18 @@
     byte[] result = new byte[length(first)];
     int at = first;
     int from = offset(at) + LENGTH_BYTES;
-    int room = BLOCK_BYTES - LENGTH_BYTES;
+    int blockRest = BLOCK_BYTES - LENGTH_BYTES;
     for (int done = 0; done < result.length; ) {
-      if (room == 0) {
+      if (blockRest == 0) {
         at = nextBlock[at];
         from = offset(at);
-        room = BLOCK_BYTES;
+        blockRest = BLOCK_BYTES;
       }
-      int part = Math.min(room, result.length - done);
+      int part = Math.min(blockRest, result.length - done);
       System.arraycopy(chunk(at), from, result, done, part);
       done += part;
       from += part;
-      room -= part;
+      blockRest -= part;
     }
     return result;
   }
--- a/src/main/java/wharftrestle/idempotency/CompactIndex.java
+++ b/src/main/java/wharftrestle/idempotency/CompactIndex.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /**
- * Settled keys in flat arrays: where each one's result lies, up to which stamp it covers tries,
- * what it was asked, and when it may be forgotten. Open addressing with linear probing over row
- * numbers, deletion by shifting back; a row keeps its number for life, which is what its timing
- * wheel knows it by. It owns no key's text and must never grow past its bound: then {@link #put}
- * says no. All costs O(1) on the mean.
+ * A hash index of settled keys in flat arrays: the location of each result, until when attempts are
+ * covered, the body's checksum, and the expiry. Open addressing with linear probing over row
+ * numbers, deletion by shifting back; a row keeps its number for life, by which its {@link
+ * TimingWheel} knows it. Keys are known by digest. It does not grow past its capacity: {@link #put}
+ * then returns false. All operations cost O(1) on the mean. Not thread-safe.
  */
 public final class CompactIndex {
-  /** The place of a key with no result: its end is unknown. */
+  /** The location of a key without a result: its outcome is unknown. */
   public static final long NO_RESULT = -1;
 
-  /** Seconds of a wheel's tick, and its slots: together longer than windows in use. */
+  /** Tick and slots of the wheel: one turn is longer than usual windows. */
   private static final double TICK_SECONDS = 0.25;
 
   private static final int WHEEL_SLOTS = 512;
@@ -35,12 +35,12 @@
   private int rowCount;
   private final LocationReleaseListener releases;
 
-  /** Told the place of each key that is forgotten or put anew. */
+  /** Called with the location of each key that is forgotten or replaced. */
   interface LocationReleaseListener {
     void released(long location);
   }
 
-  /** Told of a key that is due; false where no further one is wanted. */
+  /** Visits keys by expiry; false where no further one is wanted. */
   interface ExpiryVisitor {
     boolean visit(double expiresAtSeconds, long location);
   }
@@ -49,7 +49,9 @@
   public record IndexedKey(int row, long location, long coveredUntilMillis, long checksum) {}
 
   /**
-   * @param most keys at once
+   * An empty index.
+   *
+   * @param capacity keys at once
    */
   public CompactIndex(int capacity) {
     this(capacity, place -> {});
@@ -60,6 +62,7 @@
     this.releases = releases;
   }
 
+  /** Keys known now. */
   public int size() {
     return rowCount - freeRowCount;
   }
@@ -74,13 +77,13 @@
   }
 
   /**
-   * Keeps a key until that time; one that is known is replaced.
+   * Adds a key, or replaces what is known of it.
    *
-   * @param place of its result, 0 or more, or {@link #NO_RESULT}
-   * @param lastDoor no try stamped up to here may run, Unix ms
-   * @param check {@link KeyDigest#checksum} of its body
-   * @param until seconds on the caller's clock
-   * @return false where it is full
+   * @param location of its result, or {@link #NO_RESULT}
+   * @param lastCoveredMillis no attempt with a timestamp up to here may run, Unix ms
+   * @param checksum of the body
+   * @param expiresAtSeconds on the caller's clock
+   * @return false where the index is full
    */
   public boolean put(
       KeyDigest key,
@@ -119,18 +122,18 @@
     return true;
   }
 
-  /** Forgets all whose time is over; how many. */
+  /** Forgets the keys whose time is over; how many. */
   public int expire(double now) {
     return wheel.advance(
         now, row -> removeSlot(slotOf(new KeyDigest(digestHighs[row], digestLows[row]))));
   }
 
-  /** Tells keys in the order in which they are forgotten, up to one turn of the wheel ahead. */
+  /** Visits keys in the order of expiry, up to one turn of the wheel ahead. */
   void forEachByExpiry(ExpiryVisitor visitor) {
     wheel.forEachUpcoming((row, at) -> visitor.visit(at, locations[row]));
   }
 
-  /** When the key of this row is forgotten, to a tick, on the caller's clock. */
+  /** When the key of this row is forgotten, to a tick, in seconds on the caller's clock. */
   double expiresAtSeconds(int row) {
     return wheel.dueSeconds(row);
   }
@@ -151,7 +154,7 @@
     return 40L * digestHighs.length + 4L * (rowBySlot.length + freeRows.length) + wheel.bytes();
   }
 
-  /** Where this key stands, or would; -1 where there is no table yet. */
+  /** The slot of this key, or where it would be; -1 where there is no table yet. */
   private int slotOf(KeyDigest key) {
     if (rowBySlot.length == 0) {
       return -1;
--- a/src/main/java/wharftrestle/idempotency/KeyDigest.java
+++ b/src/main/java/wharftrestle/idempotency/KeyDigest.java
@@ -6,19 +6,21 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * The 128 bits that stand for a key, and the 64 that stand for a body, where the whole of them is
- * not kept. SHA-256 cut short (FIPS 180-4): callers choose keys, so no weaker hash may tell two
- * apart.
+ * Stands for a key where its text is not kept: 128 bits of its SHA-256 (FIPS 180-4). Callers choose
+ * keys, so a weaker hash would let them make two keys collide.
+ *
+ * @param high first 64 bits
+ * @param low second 64 bits
  */
 public record KeyDigest(long high, long low) {
 
-  /** Of a key's text. */
+  /** The digest of a key. */
   public static KeyDigest of(String key) {
     ByteBuffer bytes = ByteBuffer.wrap(sha256(key.getBytes(StandardCharsets.UTF_8)));
     return new KeyDigest(bytes.getLong(), bytes.getLong());
   }
 
-  /** Of a body. */
+  /** The 64 bits that stand for a body. */
   public static long checksum(byte[] body) {
     return ByteBuffer.wrap(sha256(body)).getLong();
   }
--- a/src/main/java/wharftrestle/idempotency/TimingWheel.java
+++ b/src/main/java/wharftrestle/idempotency/TimingWheel.java
@@ -4,10 +4,10 @@
 import java.util.function.IntConsumer;
 
 /**
- * A hashed timing wheel (Varghese and Lauck, 1987, scheme 6) over small numbers: it owns when each
- * is due, in three int arrays and no objects. It must never be late by more than one tick and never
- * early; what is due beyond one turn stays in its slot until its turn comes. To schedule and to
- * cancel cost O(1), to advance O(slots passed + due).
+ * A hashed timing wheel (Varghese and Lauck, 1987, scheme 6) over small numbers, in int arrays and
+ * without objects. A number is due at most one tick late and never early; what is due beyond one
+ * turn stays in its slot until its turn comes. To schedule and to cancel cost O(1), to advance
+ * O(slots passed + due). Not thread-safe.
  */
 public final class TimingWheel {
   private static final int NONE = -1;
@@ -18,39 +18,41 @@
   private int[] previous =
       new int[0]; // or NONE - 1 - slot at the head of a slot, FREE where not scheduled
   private long[] dueTicks = new long[0]; // in ticks
-  private long nowTicks = Long.MIN_VALUE; // ticks up to which all is told
+  private long nowTicks = Long.MIN_VALUE; // ticks up to which all that was due was visited
   private int size;
 
   private static final int NOT_SCHEDULED = Integer.MIN_VALUE;
 
   /**
-   * @param tick seconds of one slot
-   * @param slots a power of two; tick x slots is best longer than the usual time to the end
+   * An empty wheel.
+   *
+   * @param tickSeconds width of one slot
+   * @param slots a power of two; one turn is best longer than the usual time until a number is due
    */
   public TimingWheel(double tickSeconds, int slots) {
     if (!(tickSeconds > 0) || Integer.bitCount(slots) != 1) {
-      throw new IllegalArgumentException("a tick above 0 and a power of two of slots are wanted");
+      throw new IllegalArgumentException("expected a tick above 0 and a power of two of slots");
     }
     this.tickSeconds = tickSeconds;
     heads = new int[slots];
     Arrays.fill(heads, NONE);
   }
 
-  /** So many are scheduled. */
+  /** Numbers scheduled. */
   public int size() {
     return size;
   }
 
   /**
-   * Has this number told once time has passed {@code at}; a second call moves it.
+   * Schedules a number; one that is scheduled already is moved.
    *
    * @param number 0 or more; the arrays grow to it
-   * @param at seconds, on the clock of {@link #advance}
+   * @param atSeconds when it is due, on the clock of {@link #advance}
    */
-  public void schedule(int number, double at) {
+  public void schedule(int number, double atSeconds) {
     grow(number);
     cancel(number);
-    long ticks = (long) Math.ceil(at / tickSeconds);
+    long ticks = (long) Math.ceil(atSeconds / tickSeconds);
     dueTicks[number] = nowTicks == Long.MIN_VALUE ? ticks : Math.max(ticks, nowTicks + 1);
     int slot = (int) (dueTicks[number] & heads.length - 1);
     int head = heads[slot];
@@ -63,7 +65,7 @@
     size++;
   }
 
-  /** Forgets this number; nothing where it is not scheduled. */
+  /** Takes a number off the wheel; nothing where it is not scheduled. */
   public void cancel(int number) {
     if (number >= previous.length || previous[number] == NOT_SCHEDULED) {
       return;
@@ -83,7 +85,8 @@
   }
 
   /**
-   * Tells all that is due by now, each once, in no order; whoever is told may schedule and cancel.
+   * Calls the action with each number that is due by now, once, in no order; the action may
+   * schedule and cancel.
    */
   public int advance(double seconds, IntConsumer action) {
     long to = (long) Math.floor(seconds / tickSeconds);
@@ -109,13 +112,13 @@
     return count;
   }
 
-  /** Told a number and when it is due, in seconds; false where no further one is wanted. */
+  /** Visits a number with when it is due, in seconds; false where no further one is wanted. */
   interface UpcomingVisitor {
     boolean visit(int number, double dueSeconds);
   }
 
   /**
-   * Tells what is due within one turn, tick by tick; nothing may be scheduled or cancelled
+   * Visits what is due within one turn, tick by tick; nothing may be scheduled or cancelled
    * meanwhile.
    */
   void forEachUpcoming(UpcomingVisitor visitor) {
@@ -131,7 +134,7 @@
     }
   }
 
-  /** When a number that is scheduled is told, in seconds. */
+  /** When a scheduled number is due, in seconds. */
   double dueSeconds(int number) {
     return dueTicks[number] * tickSeconds;
   }
--- a/src/main/java/wharftrestle/idempotency/package-info.java
+++ b/src/main/java/wharftrestle/idempotency/package-info.java
@@ -1,8 +1,14 @@
 /**
- * Keys: what a try of a keyed request is, whether it may run, and what it is told. Read {@link
- * wharftrestle.keys.KeyState} first, then {@link wharftrestle.keys.KeyTable}; {@link
- * wharftrestle.keys.CompactIndex} and {@link wharftrestle.keys.TimingWheel} are its structures. It
- * must never touch a socket, a file, a thread or a clock: time is passed in, and whoever calls
- * guards it by a lock of his own.
+ * Idempotency keys: whether an attempt of a keyed request may run, and what is known of the one
+ * that ran.
+ *
+ * <p>Start with {@link wharftrestle.idempotency.KeyState}, the table of transitions, then {@link
+ * wharftrestle.idempotency.IdempotencyTable}, which decides. {@link
+ * wharftrestle.idempotency.CompactIndex}, {@link wharftrestle.idempotency.BlockStore} and {@link
+ * wharftrestle.idempotency.TimingWheel} are its data structures, {@link
+ * wharftrestle.idempotency.KeyMemoryBudget} its bound.
+ *
+ * <p>No sockets, files, threads or clocks: time is passed in, and the lock of the caller guards
+ * all.
  */
 package wharftrestle.idempotency;
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -388,7 +388,11 @@
         // unread by
         // the module, or failed where another try of it ran.
         counters.add(Count.GUARD_REJECTIONS);
-        answer(task, ran ? Answer.failed() : Answer.rejected(settings.retries().maxRetryAfterSeconds(), false));
+        answer(
+            task,
+            ran
+                ? Answer.failed()
+                : Answer.rejected(settings.retries().maxRetryAfterSeconds(), false));
         return;
       }
       if (module == null
@@ -538,7 +542,10 @@
     counters.add(Count.GUARD_REJECTIONS);
     counters.add(Count.KEY_MEMORY_FULL);
     return Answer.rejected(
-        Math.min(settings.retries().maxRetryAfterSeconds(), Math.max(LEAST_AGAIN, keys.secondsUntilCapacity(now))), false);
+        Math.min(
+            settings.retries().maxRetryAfterSeconds(),
+            Math.max(LEAST_AGAIN, keys.secondsUntilCapacity(now))),
+        false);
   }
 
   private void forget(InFlightRequest task) {
@@ -589,7 +596,9 @@
             case FAILED, DEADLINE_EXCEEDED, CONFLICT -> Result.FAILED;
           });
       Admission.RequestClass type = settings.classes().get(task.arrival.classIndex());
-      double aim = type.latencyObjectiveSeconds() + type.latencyObjectiveStretch() * task.arrival.expectedWorkSeconds();
+      double aim =
+          type.latencyObjectiveSeconds()
+              + type.latencyObjectiveStretch() * task.arrival.expectedWorkSeconds();
       if (answer.kind() == Answer.Kind.SERVED && lay(task.arrival) > aim) {
         counters.servedAfterObjective(task.arrival.classIndex());
       }
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -82,7 +82,8 @@
 
   Answer unrecorded(ResultStore.RejectionReason why) {
     return Answer.rejected(
-        Math.min(core.settings().retries().maxRetryAfterSeconds(), records.retryAfterSeconds(why)), false);
+        Math.min(core.settings().retries().maxRetryAfterSeconds(), records.retryAfterSeconds(why)),
+        false);
   }
 
   private ResultStore.KeyRecord keyed(KeyEntry<InFlightRequest> entry) {
--- a/src/main/java/wharftrestle/storage/Compaction.java
+++ b/src/main/java/wharftrestle/storage/Compaction.java
@@ -9,121 +9,153 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * Writes what still matters of a closed log into as few files as hold it. It owns the order of
- * steps, after each of which a crash leaves a log that says the same: new files, then the list that
- * names them alone, then the old ones go. It must never touch a log with damage, as the damage
- * would then be forgotten.
+ * Rewrites the live records of a log that nobody writes into as few segments as hold them. After
+ * each step a crash leaves a log that says the same: new segments first, then the manifest that
+ * names them alone, then the old ones are deleted. Must not be run on a damaged log, as the damage
+ * would be forgotten. One instance serves one run, on one thread.
  */
 final class Compaction {
-  private Compaction() {}
+  private static final int BATCH = 1;
 
-  /** True where a start finds so many files that a few more would leave no room. */
-  static boolean isWorthwhile(SpaceBudget room) {
-    return room.segmentCount() > room.maxSegments() / 2;
+  private final SegmentStore store;
+  private final int segmentBytes;
+  private final long bootId;
+  private final long monotonicMillis = LogClock.monotonicMillis();
+  private final long wallMillis = SteadyWallClock.wallMillis();
+  private final List<Long> newSegments = new ArrayList<>();
+  private ByteBuffer segment; // records of the last new segment; null before the first
+
+  private Compaction(SegmentStore store, int segmentBytes) {
+    this.store = store;
+    this.segmentBytes = segmentBytes;
+    bootId = store.bootId();
   }
 
-  /** Where a record lies, and how it is to be written again. */
-  private record Kept(long file, int offset, int size, boolean sameBoot) {}
+  /** A record that still matters, and where it lies. */
+  private record LiveRecord(RecordLocation location, int size, boolean sameBoot) {}
+
+  /** True where a start finds so many segments that a few more would leave no capacity. */
+  static boolean isWorthwhile(SpaceBudget space) {
+    return space.segmentCount() > space.maxSegments() / 2;
+  }
 
   /**
-   * Writes anew, in the fewest files that hold it, what still matters.
+   * Compacts the log.
    *
-   * @param segment bytes of a file
-   * @param most files at most, the old ones and the new ones together
-   * @return false where it would not fit; then nothing has changed
+   * @param segmentBytes size of a new segment
+   * @param maxSegments old and new ones together
+   * @return false where it would not fit or gain nothing; then nothing has changed
    */
-  static boolean run(SegmentStore disk, int segment, int most) throws IOException {
-    long steady = System.nanoTime() / 1_000_000;
-    long boot = disk.bootId();
-    long[] files = disk.segmentNumbers();
-    Map<String, Kept> last = new LinkedHashMap<>();
-    Recovery recovery = new Recovery(SteadyWallClock.steadyWallMillis(), steady);
-    for (long file : files) {
-      ByteBuffer bytes = disk.read(file);
-      boolean same = sameBoot(bytes, boot);
+  static boolean run(SegmentStore store, int segmentBytes, int maxSegments) throws IOException {
+    return new Compaction(store, segmentBytes).run(maxSegments);
+  }
+
+  private boolean run(int maxSegments) throws IOException {
+    long[] oldSegments = store.segmentNumbers();
+    List<LiveRecord> live = findLiveRecords(oldSegments);
+    int needed = segmentsFor(live);
+    if (oldSegments.length + needed > maxSegments || needed >= oldSegments.length) {
+      return false;
+    }
+    writeAll(live, oldSegments.length == 0 ? 0 : oldSegments[oldSegments.length - 1]);
+    store.writeManifest(Manifest.encode(newSegments));
+    for (long number : oldSegments) {
+      store.delete(number);
+    }
+    return true;
+  }
+
+  /** The last record of each key that is not expired, in the order of the log. */
+  private List<LiveRecord> findLiveRecords(long[] segments) throws IOException {
+    Map<String, LiveRecord> live = new LinkedHashMap<>();
+    Recovery recovery = new Recovery(SteadyWallClock.steadyWallMillis(), monotonicMillis);
+    for (long number : segments) {
+      ByteBuffer bytes = store.read(number);
+      boolean sameBoot = isSameBoot(bytes, bootId);
       scan(
           bytes,
           (record, offset) -> {
-            last.remove(record.key());
-            if (recovery.replay(record, offset, same)) {
-              last.put(record.key(), new Kept(file, offset, record.size(), same));
+            live.remove(record.key());
+            if (recovery.replay(record, offset, sameBoot)) {
+              RecordLocation location = new RecordLocation(number, offset);
+              live.put(record.key(), new LiveRecord(location, record.size(), sameBoot));
             }
           });
     }
-    List<Map.Entry<String, Kept>> order = new ArrayList<>(last.entrySet());
-    int needed = 1;
+    return new ArrayList<>(live.values());
+  }
+
+  static boolean isSameBoot(ByteBuffer bytes, long bootId) throws IOException {
+    try {
+      return Segment.isSameBoot(bytes, bootId);
+    } catch (Segment.ForeignFormatException e) {
+      throw new IOException(e.getMessage(), e);
+    }
+  }
+
+  static Segment.ScanResult scan(ByteBuffer bytes, Segment.RecordVisitor visitor)
+      throws IOException {
+    try {
+      return Segment.scan(bytes, visitor);
+    } catch (Segment.ForeignFormatException e) {
+      throw new IOException(e.getMessage(), e);
+    }
+  }
+
+  private int segmentsFor(List<LiveRecord> live) {
+    int needed = live.isEmpty() ? 0 : 1;
     int used = Segment.HEADER_BYTES;
-    for (Map.Entry<String, Kept> each : order) {
-      if (used + each.getValue().size() > segment) {
+    for (LiveRecord each : live) {
+      if (used + each.size() > segmentBytes) {
         needed++;
         used = Segment.HEADER_BYTES;
       }
-      used += each.getValue().size();
+      used += each.size();
     }
-    if (order.isEmpty()) {
-      needed = 0;
-    }
-    if (files.length + needed > most || needed >= files.length) {
-      return false;
-    }
-    long number = files.length == 0 ? 0 : files[files.length - 1];
-    List<Long> made = new ArrayList<>();
-    ByteBuffer out = null;
-    long wall = SteadyWallClock.wallMillis();
-    for (int i = 0; i < order.size(); i++) {
-      Kept kept = order.get(i).getValue();
-      if (out == null || out.remaining() < kept.size()) {
-        flush(disk, made, out);
-        out = ByteBuffer.allocate(segment - Segment.HEADER_BYTES);
-        number++;
-        disk.create(number, Segment.header(1, number, boot, segment), segment);
-        made.add(number);
-      }
-      LogRecord record = LogRecord.readAt(disk.read(kept.file(), kept.offset(), kept.size()), 0);
-      if (record == null) {
-        throw new IOException("a record is not where it was");
+    return needed;
+  }
+
+  private void writeAll(List<LiveRecord> live, long lastOldSegment) throws IOException {
+    long number = lastOldSegment;
+    for (int i = 0; i < live.size(); i++) {
+      if (segment == null || segment.remaining() < live.get(i).size()) {
+        finishSegment();
+        beginSegment(++number);
       }
-      boolean ends =
-          i == order.size() - 1
-              || out.remaining() - kept.size() < order.get(i + 1).getValue().size();
-      // A record of an earlier boot is aged from now on: its steady clock says nothing here.
-      record
-          .stamped(
-              ends,
-              1,
-              kept.sameBoot() ? record.writtenAtMillis() : wall,
-              kept.sameBoot() ? record.writtenAtSteadyMillis() : steady)
-          .writeTo(out);
-    }
-    flush(disk, made, out);
-    disk.writeManifest(Manifest.encode(made));
-    for (long file : files) {
-      disk.delete(file);
+      int remaining = segment.remaining() - live.get(i).size();
+      boolean lastOfBatch = i == live.size() - 1 || remaining < live.get(i + 1).size();
+      copy(live.get(i), lastOfBatch);
     }
-    return true;
+    finishSegment();
   }
 
-  static boolean sameBoot(ByteBuffer bytes, long boot) throws IOException {
-    try {
-      return Segment.isSameBoot(bytes, boot);
-    } catch (Segment.ForeignFormatException e) {
-      throw new IOException(e.getMessage());
-    }
+  private void beginSegment(long number) throws IOException {
+    segment = ByteBuffer.allocate(segmentBytes - Segment.HEADER_BYTES);
+    store.create(number, Segment.header(BATCH, number, bootId, segmentBytes), segmentBytes);
+    newSegments.add(number);
   }
 
-  static Segment.ScanResult scan(ByteBuffer bytes, Segment.RecordVisitor each) throws IOException {
-    try {
-      return Segment.scan(bytes, each);
-    } catch (Segment.ForeignFormatException e) {
-      throw new IOException(e.getMessage());
+  private void copy(LiveRecord live, boolean lastOfBatch) throws IOException {
+    RecordLocation at = live.location();
+    LogRecord record = LogRecord.readAt(store.read(at.segment(), at.offset(), live.size()), 0);
+    if (record == null) {
+      throw new IOException("expected a record at " + at + ", found none");
     }
+    // A record of an earlier boot ages from now on: its monotonic clock says nothing here.
+    record
+        .stamped(
+            lastOfBatch,
+            BATCH,
+            live.sameBoot() ? record.writtenAtMillis() : wallMillis,
+            live.sameBoot() ? record.writtenAtSteadyMillis() : monotonicMillis)
+        .writeTo(segment);
   }
 
-  private static void flush(SegmentStore disk, List<Long> made, ByteBuffer out) throws IOException {
-    if (out != null) {
-      long file = made.get(made.size() - 1);
-      disk.write(file, Segment.HEADER_BYTES, out.flip());
-      disk.sync(file);
+  private void finishSegment() throws IOException {
+    if (segment != null) {
+      long number = newSegments.get(newSegments.size() - 1);
+      store.write(number, Segment.HEADER_BYTES, segment.flip());
+      store.sync(number);
     }
   }
 }
--- a/src/main/java/wharftrestle/storage/FileSegmentStore.java
+++ b/src/main/java/wharftrestle/storage/FileSegmentStore.java
@@ -20,13 +20,17 @@
 import wharftrestle.idempotency.KeyDigest;
 
 /**
- * A folder on a real disk, held by a lock that the kernel gives back when the process dies. It must
- * never share the folder, nor leave a file half made under a name that counts.
+ * A segment store in a folder of the file system. Owns the folder by a file lock, which the kernel
+ * releases when the process dies, and the channels of all segments until {@link #close}. Files are
+ * made under another name and moved, so that none is half made under its own. The writer thread
+ * writes, any thread reads.
  */
 final class FileSegmentStore implements SegmentStore {
   private static final String PREFIX = "results-";
   private static final String SUFFIX = ".log";
-  private static final int ZEROS = 256 * 1024;
+  private static final String MANIFEST = "list";
+  private static final int ZEROS_BYTES = 256 * 1024;
+  private static final long UNKNOWN_BOOT = 0;
 
   private final Path folder;
   private final FileChannel lockFile;
@@ -34,7 +38,10 @@
   private final Map<Long, FileChannel> open = new ConcurrentHashMap<>();
 
   /**
-   * @throws UnusableException in one line, where the folder cannot be used or is another's
+   * Takes the folder, and makes it where it is missing.
+   *
+   * @throws UnusableStorageException in one line, where the folder cannot be used or another
+   *     process holds it
    */
   FileSegmentStore(Path folder) throws IOException {
     this.folder = folder;
@@ -47,17 +54,17 @@
       throw new UnusableStorageException(
           folder + " cannot be written (" + e.getClass().getSimpleName() + ")");
     }
-    FileLock held = null;
+    FileLock acquired;
     try {
-      held = lockFile.tryLock();
+      acquired = lockFile.tryLock();
     } catch (OverlappingFileLockException e) {
-      held = null; // this very process has it
+      acquired = null; // This very process holds it.
     }
-    if (held == null) {
+    if (acquired == null) {
       lockFile.close();
       throw new UnusableStorageException(folder + " is held by another process");
     }
-    lock = held;
+    lock = acquired;
   }
 
   @Override
@@ -66,7 +73,7 @@
       String id = Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).trim();
       return KeyDigest.of(id).high();
     } catch (IOException e) {
-      return 0; // never the same boot: nothing is left out for its age
+      return UNKNOWN_BOOT; // No record is then left out as expired.
     }
   }
 
@@ -91,14 +98,14 @@
   @Override
   public byte[] readManifest() throws IOException {
     try {
-      return Files.readAllBytes(folder.resolve("list"));
+      return Files.readAllBytes(folder.resolve(MANIFEST));
     } catch (NoSuchFileException none) {
       return null;
     }
   }
 
   @Override
-  public void writeManifest(byte[] list) throws IOException {
+  public void writeManifest(byte[] manifest) throws IOException {
     Path fresh = folder.resolve("list.new");
     try (FileChannel file =
         FileChannel.open(
@@ -106,17 +113,18 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-      all(file, ByteBuffer.wrap(list), 0);
+      writeFully(file, ByteBuffer.wrap(manifest), 0);
       file.force(true);
     }
     try {
-      Files.move(fresh, folder.resolve("list"), StandardCopyOption.ATOMIC_MOVE);
+      Files.move(fresh, folder.resolve(MANIFEST), StandardCopyOption.ATOMIC_MOVE);
     } catch (AtomicMoveNotSupportedException e) {
       throw new UnusableStorageException(folder + " cannot replace a file in one step");
     }
     syncFolder();
   }
 
+  /** Makes names of files durable. */
   private void syncFolder() throws IOException {
     try (FileChannel self = FileChannel.open(folder, StandardOpenOption.READ)) {
       self.force(true);
@@ -140,7 +148,7 @@
   }
 
   @Override
-  public void create(long number, ByteBuffer head, int size) throws IOException {
+  public void create(long number, ByteBuffer header, int size) throws IOException {
     Path fresh = folder.resolve("new");
     try (FileChannel file =
         FileChannel.open(
@@ -148,20 +156,19 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-      // Zeros in all of it: a sync of records then writes no length, and a file that was cut is
-      // known by it.
-      ByteBuffer zeros = ByteBuffer.allocate(Math.min(ZEROS, size));
+      // All zeros: a sync of records then writes no length, and a file that was cut shows.
+      ByteBuffer zeros = ByteBuffer.allocate(Math.min(ZEROS_BYTES, size));
       for (int at = 0; at < size; at += zeros.capacity()) {
-        all(file, zeros.clear().limit(Math.min(zeros.capacity(), size - at)), at);
+        writeFully(file, zeros.clear().limit(Math.min(zeros.capacity(), size - at)), at);
       }
-      all(file, head.duplicate(), 0);
+      writeFully(file, header.duplicate(), 0);
       file.force(true);
     }
     Files.move(fresh, path(number), StandardCopyOption.ATOMIC_MOVE);
     syncFolder();
   }
 
-  private static void all(FileChannel file, ByteBuffer bytes, long at) throws IOException {
+  private static void writeFully(FileChannel file, ByteBuffer bytes, long at) throws IOException {
     for (long to = at; bytes.hasRemaining(); ) {
       to += file.write(bytes, to);
     }
@@ -173,18 +180,18 @@
   }
 
   @Override
-  public ByteBuffer read(long number, int from, int length) throws IOException {
+  public ByteBuffer read(long number, int offset, int length) throws IOException {
     ByteBuffer bytes = ByteBuffer.allocate(length);
     FileChannel file = channel(number);
     for (int read = 0; read >= 0 && bytes.hasRemaining(); ) {
-      read = file.read(bytes, from + (long) bytes.position());
+      read = file.read(bytes, offset + (long) bytes.position());
     }
     return bytes.flip();
   }
 
   @Override
-  public void write(long number, int at, ByteBuffer bytes) throws IOException {
-    all(channel(number), bytes, at);
+  public void write(long number, int offset, ByteBuffer bytes) throws IOException {
+    writeFully(channel(number), bytes, offset);
   }
 
   @Override
@@ -204,18 +211,18 @@
   @Override
   public void close() {
     for (FileChannel file : open.values()) {
-      quietly(file);
+      closeQuietly(file);
     }
     open.clear();
-    quietly(lock);
-    quietly(lockFile);
+    closeQuietly(lock);
+    closeQuietly(lockFile);
   }
 
-  private static void quietly(AutoCloseable held) {
+  private static void closeQuietly(AutoCloseable resource) {
     try {
-      held.close();
+      resource.close();
     } catch (Exception e) {
-      Logger.debug(e, "closing kept results");
+      Logger.debug(e, "write-ahead log file could not be closed");
     }
   }
 }
--- a/src/main/java/wharftrestle/storage/GroupCommitQueue.java
+++ b/src/main/java/wharftrestle/storage/GroupCommitQueue.java
@@ -4,41 +4,43 @@
 import java.util.List;
 
 /**
- * Who waits for the disk: the queue of the group commit. Whoever adds never waits; the one writer
- * takes all that is there at once. It owns the order, which is the order of the log, and the bound
- * on bytes; it must never give one entry out twice, or lose one.
+ * The queue of the group commit: records that wait for the next write and sync, in the order of the
+ * log. Adding never waits for the disk; the one writer thread takes all that is queued at once.
+ * Each entry is given out once or withdrawn. Thread-safe, by its own monitor.
  *
- * @param <T> what waits; told apart by identity
+ * @param <T> entries, told apart by identity
  */
 public final class GroupCommitQueue<T> {
   private final int maxBytes;
-  private List<T> waiting = new ArrayList<>();
+  private List<T> queued = new ArrayList<>();
   private long queuedBytes;
   private boolean closed;
 
   /**
-   * @param most bytes that wait at most, but for what must be taken
+   * An empty, open queue.
+   *
+   * @param maxBytes queued at most, required entries left out
    */
   public GroupCommitQueue(int maxBytes) {
     this.maxBytes = maxBytes;
   }
 
-  /** Adds it; false where it is closed, or too much waits and this one need not be taken. */
+  /** Adds an entry; false where the queue is closed, or is full and the entry is not required. */
   public synchronized boolean add(T entry, int size, boolean required) {
     if (closed || (!required && queuedBytes + size > maxBytes)) {
       return false;
     }
-    waiting.add(entry);
+    queued.add(entry);
     queuedBytes += size;
     notifyAll();
     return true;
   }
 
-  /** Takes it back; false where the writer has it already. */
+  /** Removes an entry; false where the writer has it already. */
   public synchronized boolean withdraw(T entry, int size) {
-    for (int i = waiting.size() - 1; i >= 0; i--) {
-      if (waiting.get(i) == entry) {
-        waiting.remove(i);
+    for (int i = queued.size() - 1; i >= 0; i--) {
+      if (queued.get(i) == entry) {
+        queued.remove(i);
         queuedBytes -= size;
         return true;
       }
@@ -46,36 +48,36 @@
     return false;
   }
 
-  /** All that waits now, in order; empty where nothing does. */
+  /** Takes all that is queued, in order. */
   public synchronized List<T> drain() {
-    List<T> all = waiting;
-    waiting = new ArrayList<>();
+    List<T> all = queued;
+    queued = new ArrayList<>();
     queuedBytes = 0;
     return all;
   }
 
-  /**
-   * Waits until something is there, it is closed, or so many ms are over; then as {@link #drain}.
-   */
-  @SuppressWarnings("WaitNotInLoop") // woken early it gives out nothing, and its caller asks again
+  /** Waits until something is queued, the queue is closed, or the time is over; then drains it. */
+  @SuppressWarnings(
+      "WaitNotInLoop") // Woken early it gives out nothing, and its caller polls again.
   public synchronized List<T> awaitBatch(long millis) throws InterruptedException {
-    if (waiting.isEmpty() && !closed) {
+    if (queued.isEmpty() && !closed) {
       wait(millis);
     }
     return drain();
   }
 
-  /** Nothing more comes; what is there is still given out. */
+  /** Takes no more entries; those that are queued are still given out. */
   public synchronized void close() {
     closed = true;
     notifyAll();
   }
 
+  /** True once closed. */
   public synchronized boolean isClosed() {
     return closed;
   }
 
-  /** Bytes that wait. */
+  /** Bytes of the queued entries. */
   public synchronized long queuedBytes() {
     return queuedBytes;
   }
--- /dev/null
+++ b/src/main/java/wharftrestle/storage/LogReader.java
@@ -0,0 +1,103 @@
+package wharftrestle.storage;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.Arrays;
+import java.util.List;
+import java.util.TreeSet;
+import wharftrestle.time.SteadyWallClock;
+
+/**
+ * Reads all segments of a folder as the log is opened: replays their records, accounts for their
+ * space, and tells whether something that was on disk is lost. Used by one thread, before the
+ * writer starts.
+ */
+final class LogReader {
+  private final SegmentStore store;
+  private final SpaceBudget space;
+  private final double nowSeconds;
+  private final Recovery recovery;
+  private final TreeSet<Long> missingSegments = new TreeSet<>();
+  private int batch;
+  private boolean damaged;
+
+  /**
+   * What the folder holds.
+   *
+   * @param missingSegments numbers in the manifest without a file
+   * @param batch a number as large as that of any batch there, from which the writer goes on
+   * @param damaged keys may be lost: unknown ones must not run for a while
+   */
+  record Contents(Recovery recovery, TreeSet<Long> missingSegments, int batch, boolean damaged) {}
+
+  private LogReader(SegmentStore store, SpaceBudget space, double nowSeconds, int batch) {
+    this.store = store;
+    this.space = space;
+    this.nowSeconds = nowSeconds;
+    this.batch = batch;
+    recovery = new Recovery(SteadyWallClock.steadyWallMillis(), LogClock.monotonicMillis());
+  }
+
+  /**
+   * Reads the folder; the space budget has its segments and no others afterwards.
+   *
+   * @param nowSeconds of System.nanoTime
+   * @param batch the least batch number to go on from
+   */
+  static Contents read(SegmentStore store, SpaceBudget space, double nowSeconds, int batch)
+      throws IOException, Segment.ForeignFormatException {
+    return new LogReader(store, space, nowSeconds, batch).read();
+  }
+
+  private Contents read() throws IOException, Segment.ForeignFormatException {
+    long bootId = store.bootId();
+    synchronized (space) {
+      space.clear();
+    }
+    long[] segments = store.segmentNumbers();
+    compareWithManifest(segments);
+    for (int i = 0; i < segments.length; i++) {
+      readSegment(segments[i], bootId, i == segments.length - 1);
+    }
+    return new Contents(recovery, missingSegments, batch, damaged);
+  }
+
+  private void compareWithManifest(long[] segments)
+      throws IOException, Segment.ForeignFormatException {
+    byte[] manifest = store.readManifest();
+    List<Long> listed = manifest == null ? null : Manifest.decode(manifest);
+    if (listed == null) {
+      damaged = manifest != null || segments.length > 0;
+      return;
+    }
+    for (long number : listed) {
+      if (Arrays.binarySearch(segments, number) < 0) {
+        missingSegments.add(number);
+        damaged = true;
+      }
+    }
+  }
+
+  private void readSegment(long number, long bootId, boolean isLast)
+      throws IOException, Segment.ForeignFormatException {
+    ByteBuffer bytes = store.read(number);
+    boolean sameBoot = Segment.isSameBoot(bytes, bootId);
+    double[] expiresAtSeconds = {Double.NEGATIVE_INFINITY};
+    Segment.ScanResult scan =
+        Segment.scan(
+            bytes,
+            (record, offset) -> {
+              if (recovery.replay(record, RecordLocation.pack(number, offset), sameBoot)) {
+                expiresAtSeconds[0] =
+                    Math.max(
+                        expiresAtSeconds[0],
+                        nowSeconds + record.windowMillis() / 1000.0 + Recovery.LINGER_SECONDS);
+              }
+            });
+    damaged |= scan.damaged() || (scan.torn() && !isLast);
+    batch = Math.max(batch, scan.lastBatch() + 1);
+    synchronized (space) {
+      space.addSegment(number, Math.max(Segment.HEADER_BYTES, scan.end()), expiresAtSeconds[0]);
+    }
+  }
+}
--- a/src/main/java/wharftrestle/storage/LogRecord.java
+++ b/src/main/java/wharftrestle/storage/LogRecord.java
@@ -5,31 +5,37 @@
 import java.util.zip.CRC32C;
 
 /**
- * One record of the log and its bytes. It owns the layout and what counts as whole; it must never
- * trust a length that it has not checked.
+ * One record of the write-ahead log and its layout on disk. Reading trusts no length that it has
+ * not checked.
  *
  * <pre>
- * int    length of what follows the check    1 to MOST
- * int    CRC32C of the length and of what follows
+ * int    bytes of the payload, 1 to MAX_PAYLOAD_BYTES
+ * int    CRC32C of that length and of the payload, which follows
  * byte   kind; its highest bit is set on the last record of a batch
- * int    batch: all that was synced together has one number, the next batch a larger one
+ * int    batch: all records that were synced together have one number, later ones a larger one
  * long   written at, Unix ms
- * long   written at, ms on the machine's steady clock
- * long   lastDoor, Unix ms: no try stamped up to here may run
+ * long   written at, ms of the machine's monotonic clock
+ * long   covered until, Unix ms: no attempt with a timestamp up to here may run
  * int    window, ms, with its slack
- * long   check of the body
+ * long   checksum of the body
  * short  length of the key, then its UTF-8
  * int    length of the result, then its bytes
  * </pre>
  *
  * Records begin at multiples of 8 bytes; zeros fill the gap.
  *
- * @param ends it is the last of its batch
- * @param window ms
- * @param wall Unix ms
- * @param steady ms
+ * @param kind what it says of its key
+ * @param lastOfBatch true on the last record of a batch
+ * @param batch number of the batch
+ * @param writtenAtMillis Unix ms
+ * @param writtenAtSteadyMillis ms of the machine's monotonic clock
+ * @param coveredUntilMillis Unix ms
+ * @param windowMillis ms, with its slack
+ * @param bodyChecksum of the request's body
+ * @param key with its class and tenant
+ * @param result empty but in a RESULT
  */
-@SuppressWarnings("JavaLangClash") // what the log of results is made of; the other is never named
+@SuppressWarnings("JavaLangClash") // A log consists of records; java.lang.Record is never named.
 public record LogRecord(
     Kind kind,
     boolean lastOfBatch,
@@ -42,39 +48,81 @@
     String key,
     byte[] result) {
 
-  /** What a record says of its key. */
+  /** What a record says of its key; each kind is stored as its number. */
   public enum Kind {
-    /** A run is about to be asked for. */
-    INTENT,
-    /** It ended well, with this result. */
-    RESULT,
+    /** An execution is about to be dispatched. */
+    INTENT(1),
+    /** It succeeded, with this result. */
+    RESULT(2),
     /** It ended, and has no result to give. */
-    FAILED,
-    /** No run was begun. */
-    VOID
-  }
+    FAILED(3),
+    /** No execution was begun. */
+    VOID(4);
 
-  /** Bytes of one record at most, its head left out. */
-  static final int MAX_PAYLOAD_BYTES = 128 * 1024;
+    private static final Kind[] BY_STORED_NUMBER = byStoredNumber();
+
+    private final int storedNumber;
+
+    Kind(int storedNumber) {
+      this.storedNumber = storedNumber;
+    }
+
+    /** The number on disk. */
+    public int storedNumber() {
+      return storedNumber;
+    }
+
+    /** The kind that a number on disk stands for; null for none. */
+    static Kind ofStoredNumber(int number) {
+      return number >= 0 && number < BY_STORED_NUMBER.length ? BY_STORED_NUMBER[number] : null;
+    }
+
+    private static Kind[] byStoredNumber() {
+      Kind[] all = new Kind[values().length + 1];
+      for (Kind kind : values()) {
+        all[kind.storedNumber] = kind;
+      }
+      return all;
+    }
+  }
 
   /** Bytes of a key at most. */
   public static final int MAX_KEY_BYTES = 512;
 
-  /** Bytes of a result at most; PROTOCOL has 4 kB. */
+  /** Bytes of a result at most; the protocol has 4 kB. */
   public static final int MAX_RESULT_BYTES = 64 * 1024;
 
+  static final int MAX_PAYLOAD_BYTES = 128 * 1024;
+
+  /** The length and the check. */
   static final int HEADER_BYTES = 8;
-  private static final int LAST_OF_BATCH_FLAG = 0x80;
+
   static final int ALIGNMENT_BYTES = 8;
+
+  private static final int CRC_OFFSET = 4;
+  private static final int LAST_OF_BATCH_FLAG = 0x80;
   private static final int FIXED_PAYLOAD_BYTES = 1 + 4 + 8 + 8 + 8 + 4 + 8 + 2 + 4;
 
-  LogRecord stamped(boolean last, int inBatch, long atWall, long atSteady) {
+  /** A record that belongs to no batch yet. */
+  static LogRecord unstamped(
+      Kind kind,
+      long coveredUntilMillis,
+      int windowMillis,
+      long bodyChecksum,
+      String key,
+      byte[] result) {
+    return new LogRecord(
+        kind, false, 0, 0, 0, coveredUntilMillis, windowMillis, bodyChecksum, key, result);
+  }
+
+  /** The same record as one of a batch that is written at this moment. */
+  LogRecord stamped(boolean last, int inBatch, long wallMillis, long steadyMillis) {
     return new LogRecord(
         kind,
         last,
         inBatch,
-        atWall,
-        atSteady,
+        wallMillis,
+        steadyMillis,
         coveredUntilMillis,
         windowMillis,
         bodyChecksum,
@@ -82,7 +130,7 @@
         result);
   }
 
-  /** Bytes on disk, the gap to the next record included. */
+  /** Bytes on disk, with the gap to the next record. */
   int size() {
     return size(key.getBytes(StandardCharsets.UTF_8).length, result.length);
   }
@@ -95,26 +143,25 @@
     return size + ALIGNMENT_BYTES - 1 & -ALIGNMENT_BYTES;
   }
 
+  /** Puts the record's bytes, and the zeros behind it, into a buffer. */
   void writeTo(ByteBuffer to) {
     int begin = to.position();
-    byte[] name = key.getBytes(StandardCharsets.UTF_8);
-    int length = FIXED_PAYLOAD_BYTES + name.length + result.length;
-    @SuppressWarnings("EnumOrdinal") // stored: the format counts kinds in the order of declaration
-    int number = kind.ordinal() + 1;
+    byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
+    int length = FIXED_PAYLOAD_BYTES + keyBytes.length + result.length;
     to.putInt(length)
         .putInt(0)
-        .put((byte) (number | (lastOfBatch ? LAST_OF_BATCH_FLAG : 0)))
+        .put((byte) (kind.storedNumber() | (lastOfBatch ? LAST_OF_BATCH_FLAG : 0)))
         .putInt(batch)
         .putLong(writtenAtMillis)
         .putLong(writtenAtSteadyMillis)
         .putLong(coveredUntilMillis)
         .putInt(windowMillis)
         .putLong(bodyChecksum)
-        .putShort((short) name.length)
-        .put(name)
+        .putShort((short) keyBytes.length)
+        .put(keyBytes)
         .putInt(result.length)
         .put(result);
-    to.putInt(begin + 4, crc(to, begin, length));
+    to.putInt(begin + CRC_OFFSET, crc(to, begin, length));
     while ((to.position() - begin) % ALIGNMENT_BYTES != 0) {
       to.put((byte) 0);
     }
@@ -123,12 +170,20 @@
   private static int crc(ByteBuffer bytes, int begin, int length) {
     CRC32C crc = new CRC32C();
     ByteBuffer part = bytes.duplicate();
-    crc.update(part.limit(begin + 4).position(begin));
+    crc.update(part.limit(begin + CRC_OFFSET).position(begin));
     crc.update(part.limit(begin + HEADER_BYTES + length).position(begin + HEADER_BYTES));
     return (int) crc.getValue();
   }
 
-  /** The whole record that begins there; null where there is none. */
+  /** Bytes that the record at the begin of the buffer says it has, its gap left out; 0 for none. */
+  static int bytesAt(ByteBuffer bytes) {
+    if (bytes.limit() < Integer.BYTES || bytes.getInt(0) > MAX_PAYLOAD_BYTES) {
+      return 0;
+    }
+    return bytes.getInt(0) + HEADER_BYTES;
+  }
+
+  /** The intact record that begins there; null where there is none. */
   static LogRecord readAt(ByteBuffer bytes, int begin) {
     if (begin < 0 || bytes.limit() - begin < HEADER_BYTES + FIXED_PAYLOAD_BYTES) {
       return null;
@@ -139,41 +194,46 @@
         || length > bytes.limit() - begin - HEADER_BYTES) {
       return null;
     }
-    int kind = (bytes.get(begin + HEADER_BYTES) & LAST_OF_BATCH_FLAG - 1) - 1;
-    boolean ends = (bytes.get(begin + HEADER_BYTES) & LAST_OF_BATCH_FLAG) != 0;
-    if (kind < 0
-        || kind >= Kind.values().length
-        || bytes.getInt(begin + 4) != crc(bytes, begin, length)) {
+    int kindAndFlag = bytes.get(begin + HEADER_BYTES);
+    Kind kind = Kind.ofStoredNumber(kindAndFlag & LAST_OF_BATCH_FLAG - 1);
+    if (kind == null || bytes.getInt(begin + CRC_OFFSET) != crc(bytes, begin, length)) {
       return null;
     }
-    ByteBuffer in = bytes.duplicate().position(begin + HEADER_BYTES + 1);
-    int batch = in.getInt();
-    long wall = in.getLong();
-    long steady = in.getLong();
-    long lastDoor = in.getLong();
-    int window = in.getInt();
-    long check = in.getLong();
-    byte[] name = new byte[in.getShort() & 0xffff];
-    if (name.length > length - FIXED_PAYLOAD_BYTES) {
+    boolean lastOfBatch = (kindAndFlag & LAST_OF_BATCH_FLAG) != 0;
+    ByteBuffer fields = bytes.duplicate().position(begin + HEADER_BYTES + 1);
+    return readFields(kind, lastOfBatch, fields, length - FIXED_PAYLOAD_BYTES);
+  }
+
+  /** The fields behind the kind; null where the lengths of key and result do not add up. */
+  private static LogRecord readFields(
+      Kind kind, boolean lastOfBatch, ByteBuffer fields, int keyAndResultBytes) {
+    int batch = fields.getInt();
+    long writtenAtMillis = fields.getLong();
+    long writtenAtSteadyMillis = fields.getLong();
+    long coveredUntilMillis = fields.getLong();
+    int windowMillis = fields.getInt();
+    long bodyChecksum = fields.getLong();
+    byte[] keyBytes = new byte[fields.getShort() & 0xffff];
+    if (keyBytes.length > keyAndResultBytes) {
       return null;
     }
-    in.get(name);
-    int most = length - FIXED_PAYLOAD_BYTES - name.length;
-    byte[] result = new byte[Math.max(0, Math.min(most, in.getInt()))];
-    if (result.length != most) {
+    fields.get(keyBytes);
+    int resultBytes = keyAndResultBytes - keyBytes.length;
+    if (fields.getInt() != resultBytes) {
       return null;
     }
-    in.get(result);
+    byte[] result = new byte[resultBytes];
+    fields.get(result);
     return new LogRecord(
-        Kind.values()[kind],
-        ends,
+        kind,
+        lastOfBatch,
         batch,
-        wall,
-        steady,
-        lastDoor,
-        window,
-        check,
-        new String(name, StandardCharsets.UTF_8),
+        writtenAtMillis,
+        writtenAtSteadyMillis,
+        coveredUntilMillis,
+        windowMillis,
+        bodyChecksum,
+        new String(keyBytes, StandardCharsets.UTF_8),
         result);
   }
 }
--- a/src/main/java/wharftrestle/storage/Manifest.java
+++ b/src/main/java/wharftrestle/storage/Manifest.java
@@ -6,15 +6,16 @@
 import wharftrestle.idempotency.KeyDigest;
 
 /**
- * The list of the log's files, as text: the version, a number a line, a check. It is what a missing
- * file is known by. A number is on it before its file is used, and off it before its file is
- * deleted.
+ * The list of segments as text: a title with the version, a number a line, a checksum. A missing
+ * segment is known by it: a number is listed before its segment is used, and taken off before its
+ * segment is deleted.
  */
 final class Manifest {
   private static final String TITLE = "wharftrestle-results ";
 
   private Manifest() {}
 
+  /** The manifest of these segments. */
   static byte[] encode(Iterable<Long> numbers) {
     StringBuilder text = new StringBuilder(TITLE + Segment.VERSION + "\n");
     for (long number : numbers) {
@@ -27,7 +28,7 @@
     return "end " + Long.toHexString(KeyDigest.of(text.toString()).high()) + "\n";
   }
 
-  /** The numbers; null where it is garbled. */
+  /** The numbers; null where the manifest is garbled. */
   static List<Long> decode(byte[] bytes) throws Segment.ForeignFormatException {
     String text = new String(bytes, StandardCharsets.US_ASCII);
     int end = text.indexOf("end ");
--- /dev/null
+++ b/src/main/java/wharftrestle/storage/RecordLocation.java
@@ -0,0 +1,23 @@
+package wharftrestle.storage;
+
+/**
+ * Where a record begins. Outside this package it is known as one packed long, which the idempotency
+ * table keeps for each result on disk.
+ *
+ * @param segment number of the segment
+ * @param offset bytes from the begin of the segment
+ */
+record RecordLocation(long segment, int offset) {
+  /** Stands for a record that is not on disk. */
+  static final long NOT_WRITTEN = -1;
+
+  private static final int OFFSET_BITS = 32;
+
+  static long pack(long segment, int offset) {
+    return segment << OFFSET_BITS | offset;
+  }
+
+  static RecordLocation unpack(long packed) {
+    return new RecordLocation(packed >>> OFFSET_BITS, (int) packed);
+  }
+}
--- a/src/main/java/wharftrestle/storage/Recovery.java
+++ b/src/main/java/wharftrestle/storage/Recovery.java
@@ -5,48 +5,54 @@
 import wharftrestle.idempotency.IdempotencyTable;
 
 /**
- * What the records of a dead process mean. Result known: repeats get it. Intent without a result:
- * its end is unknown, whatever the worker pool may still be doing of it, so tries in the window
- * fail and never run. Neither: the key may run. It must never trust a clock that can step: see
- * {@link #expiresAtSeconds}.
+ * Replays the records of a dead process. With a result, duplicates get it. With an intent alone the
+ * outcome is unknown, whatever the worker pool may still do of it: attempts in the window fail and
+ * do not run. With neither, the key may run. No clock that can step is trusted: see {@link
+ * #expiresAtSeconds}. Used by one thread.
  *
  * <pre>
  * last records of a key       after recovery
- * INTENT                      unknown
- * INTENT RESULT               known
- * RESULT                      known       (its intent lies in a segment that is gone)
- * INTENT FAILED, FAILED       unknown     (it ran, and there is no result to give)
- * INTENT VOID, VOID           nothing
+ * INTENT                      outcome unknown
+ * INTENT RESULT               succeeded
+ * RESULT                      succeeded        (its intent was in a deleted segment)
+ * INTENT FAILED, FAILED       outcome unknown  (it ran, and there is no result to give)
+ * INTENT VOID, VOID           nothing is known
  * </pre>
  */
 public final class Recovery {
-  /** Seconds kept beyond a window, as of the keys in memory. */
+  /** How long a key is known past its window, as one in memory. */
   static final double LINGER_SECONDS = IdempotencyTable.LINGER_SECONDS;
 
   /**
    * What is known of one key.
    *
-   * @param place of its result; -1 where its end is unknown
+   * @param location of its result; -1 where its outcome is unknown
    */
   public record RecoveredKey(
       String key, long location, long coveredUntilMillis, int windowMillis, long bodyChecksum) {}
 
   private final Map<String, RecoveredKey> keys = new LinkedHashMap<>();
-  private final long wallNow;
-  private final long steadyNow;
+  private final long steadyWallMillis;
+  private final long monotonicMillis;
   private int expiredCount;
 
   /**
-   * @param wallNow ms on the scale of stamps; steadyNow ms on the machine's steady clock
+   * A recovery without records.
+   *
+   * @param steadyWallMillis now, on the clock of timestamps
+   * @param monotonicMillis now, on the machine's monotonic clock
    */
-  public Recovery(long wallNow, long steadyNow) {
-    this.wallNow = wallNow;
-    this.steadyNow = steadyNow;
+  public Recovery(long steadyWallMillis, long monotonicMillis) {
+    this.steadyWallMillis = steadyWallMillis;
+    this.monotonicMillis = monotonicMillis;
   }
 
   /**
-   * Takes the next record of the log, which lies there; same boot where its steady clock is the
-   * present one. False where nothing of it need be kept.
+   * Replays the next record of the log.
+   *
+   * @param location where it lies
+   * @param sameBoot its monotonic clock is the present one
+   * @return false where nothing of it need be kept
    */
   public boolean replay(LogRecord record, long location, boolean sameBoot) {
     keys.remove(record.key());
@@ -54,33 +60,34 @@
       return false;
     }
     if (sameBoot
-        && steadyNow - record.writtenAtSteadyMillis()
+        && monotonicMillis - record.writtenAtSteadyMillis()
             > record.windowMillis() + LINGER_SECONDS * 1000) {
-      expiredCount++; // a process that dies again and again must not carry it for ever
+      expiredCount++; // Processes that die one after another must not carry it for ever.
       return false;
     }
-    boolean known = record.kind() == LogRecord.Kind.RESULT;
-    // Stamps are of a clock that may have stepped meanwhile: any try read within a window from now
-    // is covered.
+    boolean hasResult = record.kind() == LogRecord.Kind.RESULT;
+    // Timestamps are of a clock that may have stepped meanwhile: any attempt that is read within a
+    // window from now is covered.
     keys.put(
         record.key(),
         new RecoveredKey(
             record.key(),
-            known ? location : -1,
-            Math.max(record.coveredUntilMillis(), wallNow + record.windowMillis()),
+            hasResult ? location : RecordLocation.NOT_WRITTEN,
+            Math.max(record.coveredUntilMillis(), steadyWallMillis + record.windowMillis()),
             record.windowMillis(),
             record.bodyChecksum()));
     return true;
   }
 
   /**
-   * Seconds on a clock that is now at {@code now} until a key is forgotten: one window and a
-   * linger, from now.
+   * When a recovered key is forgotten: one window and the linger after now, whatever was left of it
+   * before. In seconds on the clock of {@code now}.
    */
-  public static double expiresAtSeconds(RecoveredKey known, double now) {
-    return now + known.windowMillis() / 1000.0 + LINGER_SECONDS;
+  public static double expiresAtSeconds(RecoveredKey key, double now) {
+    return now + key.windowMillis() / 1000.0 + LINGER_SECONDS;
   }
 
+  /** What is known of keys, in the order of their last records. */
   public Iterable<RecoveredKey> keys() {
     return keys.values();
   }
@@ -90,12 +97,12 @@
     return (int) keys.values().stream().filter(key -> key.location() >= 0).count();
   }
 
-  /** Keys whose end is unknown. */
+  /** Keys whose outcome is unknown. */
   public int unknownCount() {
     return keys.size() - knownCount();
   }
 
-  /** Records left out as their time was over. */
+  /** Records left out as they had expired. */
   public int expiredCount() {
     return expiredCount;
   }
--- a/src/main/java/wharftrestle/storage/ResultLogTool.java
+++ b/src/main/java/wharftrestle/storage/ResultLogTool.java
@@ -20,38 +20,41 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * What operators see and do of a folder of kept results while no daemon has it: list, show, verify,
- * compact, export. It holds the folder's lock meanwhile and changes nothing but in {@link
- * #compact}. It must never be used by a daemon.
+ * The operators' commands on a folder of the write-ahead log while no daemon has it: list, show,
+ * verify, compact, export. Holds the folder's lock until it is closed, and changes nothing but in
+ * {@link #compact}. Used by one thread.
  */
 public final class ResultLogTool implements AutoCloseable {
-  /** Characters of a result that are shown. */
-  private static final int LONGEST_TEXT = 400;
+  private static final int MAX_DISPLAYED_CHARS = 400;
 
   private final Path folder;
-  private final SegmentStore disk;
+  private final SegmentStore store;
 
-  /** Takes the folder; one that is missing is not made. */
+  /**
+   * Takes the folder; a missing one is not made.
+   *
+   * @throws UnusableStorageException where it is missing, or another process holds it
+   */
   public ResultLogTool(Path folder) throws IOException {
     if (!Files.isDirectory(folder)) {
       throw new UnusableStorageException(folder + " is no folder");
     }
     this.folder = folder;
-    disk = new FileSegmentStore(folder);
+    store = new FileSegmentStore(folder);
   }
 
   /** The last record of a key with what it means. */
-  private record Line(LogRecord record, String state, boolean over) {}
+  private record KeyLine(LogRecord record, String state, boolean isExpired) {}
 
-  /** All lines of the log, by key: the last record of each. */
-  private Map<String, Line> lines() throws IOException {
-    Map<String, Line> all = new TreeMap<>();
-    long boot = disk.bootId();
-    long steady = System.nanoTime() / 1_000_000;
+  /** The last record of each key, by key. */
+  private Map<String, KeyLine> lines() throws IOException {
+    Map<String, KeyLine> all = new TreeMap<>();
+    long boot = store.bootId();
+    long steady = LogClock.monotonicMillis();
     Recovery recovery = new Recovery(SteadyWallClock.steadyWallMillis(), steady);
-    for (long file : disk.segmentNumbers()) {
-      ByteBuffer bytes = disk.read(file);
-      boolean same = Compaction.sameBoot(bytes, boot);
+    for (long number : store.segmentNumbers()) {
+      ByteBuffer bytes = store.read(number);
+      boolean same = Compaction.isSameBoot(bytes, boot);
       Compaction.scan(
           bytes,
           (record, offset) -> {
@@ -63,20 +66,20 @@
                   case FAILED -> "failed";
                   case VOID -> "void";
                 };
-            all.put(record.key(), new Line(record, state, !kept));
+            all.put(record.key(), new KeyLine(record, state, !kept));
           });
     }
     return all;
   }
 
-  /** A line a key: what its last record says, when it was written, bytes of its result. */
+  /** Prints a line a key: what its last record says, when it was written, bytes of its result. */
   public void list(PrintStream out, boolean everything) throws IOException {
-    int shown = 0;
-    Map<String, Line> all = lines();
+    int displayedKeys = 0;
+    Map<String, KeyLine> all = lines();
     out.printf(
         Locale.ROOT, "%-8s %-24s %8s  %s%n", "state", "written", "bytes", "class/tenant/key");
-    for (Line line : all.values()) {
-      if (everything || !line.over()) {
+    for (KeyLine line : all.values()) {
+      if (everything || !line.isExpired()) {
         out.printf(
             Locale.ROOT,
             "%-8s %-24s %8d  %s%s%n",
@@ -84,134 +87,154 @@
             Instant.ofEpochMilli(line.record().writtenAtMillis()),
             line.record().result().length,
             line.record().key(),
-            line.over() ? "  (over)" : "");
-        shown++;
+            line.isExpired() ? "  (over)" : "");
+        displayedKeys++;
       }
     }
-    out.println(shown + " of " + all.size() + " keys");
+    out.println(displayedKeys + " of " + all.size() + " keys");
   }
 
   /**
-   * All that is known of one key, given whole or without its class and tenant; false where nothing
-   * is.
+   * Prints what is known of one key, given in full or without its class and tenant; false where
+   * nothing is.
    */
   public boolean show(PrintStream out, String key) throws IOException {
-    boolean found = false;
-    for (Line line : lines().values()) {
+    boolean isKnown = false;
+    for (KeyLine line : lines().values()) {
       LogRecord record = line.record();
       if (record.key().equals(key)
           || (record.key().matches("[0-9]+/[0-9]+/.*")
               && record.key().replaceFirst("[0-9]+/[0-9]+/", "").equals(key))) {
-        found = true;
+        isKnown = true;
         out.printf(
             Locale.ROOT,
             "key       %s%nstate     %s%s%nwritten   %s%ncovers    tries stamped up to %s%n"
                 + "window    %d ms%nbody      check %016x%nresult    %d bytes%n%s%n",
             record.key(),
             line.state(),
-            line.over() ? ", its time is over" : "",
+            line.isExpired() ? ", its time is over" : "",
             Instant.ofEpochMilli(record.writtenAtMillis()),
             Instant.ofEpochMilli(record.coveredUntilMillis()),
             record.windowMillis(),
             record.bodyChecksum(),
             record.result().length,
-            shown(record.result()));
+            displayed(record.result()));
       }
     }
-    return found;
+    return isKnown;
   }
 
-  private static String shown(byte[] bytes) {
+  private static String displayed(byte[] bytes) {
     try {
       String text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
       if (text.chars().noneMatch(c -> c < 32 && c != '\n' && c != '\t' && c != '\r')) {
-        return text.length() > LONGEST_TEXT ? text.substring(0, LONGEST_TEXT) + "..." : text;
+        return text.length() > MAX_DISPLAYED_CHARS
+            ? text.substring(0, MAX_DISPLAYED_CHARS) + "..."
+            : text;
       }
     } catch (CharacterCodingException e) {
-      // Shown below as it is no text.
+      // It is no text, and is displayed as base64 below.
     }
     String coded = Base64.getEncoder().encodeToString(bytes);
     return "base64 "
-        + (coded.length() > LONGEST_TEXT ? coded.substring(0, LONGEST_TEXT) + "..." : coded);
+        + (coded.length() > MAX_DISPLAYED_CHARS
+            ? coded.substring(0, MAX_DISPLAYED_CHARS) + "..."
+            : coded);
   }
 
-  /** Reads every byte; a line a file. False where something that was on disk is lost. */
+  /** Reads every byte; a line a segment. False where something that was on store is lost. */
   public boolean verify(PrintStream out) throws IOException {
-    boolean whole = true;
-    long[] files = disk.segmentNumbers();
-    byte[] list = disk.readManifest();
-    List<Long> listed;
-    try {
-      listed = list == null ? null : Manifest.decode(list);
-    } catch (Segment.ForeignFormatException e) {
-      throw new UnusableStorageException(folder + " " + e.getMessage());
+    long[] segments = store.segmentNumbers();
+    boolean intact = verifyManifest(out, segments);
+    for (int i = 0; i < segments.length; i++) {
+      intact &= verifySegment(out, segments[i], i == segments.length - 1);
     }
-    if (listed == null && files.length > 0) {
-      out.println("list: missing or garbled");
-      whole = false;
+    out.println(
+        intact
+            ? "whole"
+            : "damaged: a daemon that starts here lets no unknown key run for one window");
+    return intact;
+  }
+
+  private boolean verifyManifest(PrintStream out, long[] segments) throws IOException {
+    List<Long> listed = readManifest();
+    if (listed == null) {
+      if (segments.length > 0) {
+        out.println("list: missing or garbled");
+      }
+      return segments.length == 0;
     }
-    for (long number : listed == null ? List.<Long>of() : listed) {
-      if (Arrays.binarySearch(files, number) < 0) {
+    boolean intact = true;
+    for (long number : listed) {
+      if (Arrays.binarySearch(segments, number) < 0) {
         out.println("file " + number + ": missing");
-        whole = false;
+        intact = false;
       }
     }
-    for (int i = 0; i < files.length; i++) {
-      ByteBuffer bytes = disk.read(files[i]);
-      Segment.ScanResult seen = Compaction.scan(bytes, (record, offset) -> {});
-      boolean last = i == files.length - 1;
-      boolean damaged = seen.damaged() || (seen.torn() && !last);
-      whole &= !damaged;
-      out.printf(
-          Locale.ROOT,
-          "file %d: %d records, %d of %d bytes used, %s%n",
-          files[i],
-          seen.recordCount(),
-          seen.end(),
-          bytes.limit(),
-          damaged ? "DAMAGED" : seen.torn() ? "ends in a torn write" : "whole");
+    return intact;
+  }
+
+  private List<Long> readManifest() throws IOException {
+    byte[] manifest = store.readManifest();
+    try {
+      return manifest == null ? null : Manifest.decode(manifest);
+    } catch (Segment.ForeignFormatException e) {
+      throw new UnusableStorageException(folder + " " + e.getMessage(), e);
     }
-    out.println(
-        whole
-            ? "whole"
-            : "damaged: a daemon that starts here lets no unknown key run for one window");
-    return whole;
+  }
+
+  private boolean verifySegment(PrintStream out, long number, boolean isLast) throws IOException {
+    ByteBuffer bytes = store.read(number);
+    Segment.ScanResult scan = Compaction.scan(bytes, (record, offset) -> {});
+    boolean damaged = scan.damaged() || (scan.torn() && !isLast);
+    out.printf(
+        Locale.ROOT,
+        "file %d: %d records, %d of %d bytes used, %s%n",
+        number,
+        scan.recordCount(),
+        scan.end(),
+        bytes.limit(),
+        damaged ? "DAMAGED" : scan.torn() ? "ends in a torn write" : "whole");
+    return !damaged;
   }
 
   /**
-   * Writes what still matters into as few files as hold it; false where there is nothing to gain.
+   * Rewrites the live records into as few segments as hold them; false where that gains nothing.
+   *
+   * @throws UnusableStorageException where the log is damaged: it is left as it is
    */
   public boolean compact(PrintStream out) throws IOException {
-    PrintStream none = new PrintStream(OutputStream.nullOutputStream());
-    if (!verify(none)) {
+    PrintStream discarded = new PrintStream(OutputStream.nullOutputStream());
+    if (!verify(discarded)) {
       throw new UnusableStorageException(
           folder + " is damaged, and is left as it is: see 'results verify'");
     }
-    long[] files = disk.segmentNumbers();
+    long[] segments = store.segmentNumbers();
     long before = 0;
-    int segment = 0;
-    for (long file : files) {
-      int length = disk.read(file).limit();
+    int segmentBytes = 0;
+    for (long number : segments) {
+      int length = store.read(number).limit();
       before += length;
-      segment = Math.max(segment, length);
+      segmentBytes = Math.max(segmentBytes, length);
     }
-    boolean done = files.length > 0 && Compaction.run(disk, segment, 2 * files.length + 1);
-    long[] after = disk.segmentNumbers();
+    boolean done =
+        segments.length > 0 && Compaction.run(store, segmentBytes, 2 * segments.length + 1);
+    long[] after = store.segmentNumbers();
     out.printf(
         Locale.ROOT,
         "%d files, %d kB; before: %d files, %d kB%n",
         after.length,
-        (done ? (long) after.length * segment : before) >> 10,
-        files.length,
+        (done ? (long) after.length * segmentBytes : before) >> 10,
+        segments.length,
         before >> 10);
     return done;
   }
 
-  /** A JSON object a line for each key whose time is not over. */
+  /** Prints a JSON object a line for each key that is not expired. */
   public void export(PrintStream out) throws IOException {
     ObjectMapper mapper = new ObjectMapper();
-    for (Line line : lines().values()) {
-      if (line.over()) {
+    for (KeyLine line : lines().values()) {
+      if (line.isExpired()) {
         continue;
       }
       LogRecord record = line.record();
@@ -231,6 +254,6 @@
 
   @Override
   public void close() {
-    disk.close();
+    store.close();
   }
 }
--- a/src/main/java/wharftrestle/storage/SegmentStore.java
+++ b/src/main/java/wharftrestle/storage/SegmentStore.java
@@ -4,40 +4,42 @@
 import java.nio.ByteBuffer;
 
 /**
- * What the journal needs of a folder: files with numbers, and one list of them. The one place
- * behind which files are; tests put faults here. Every call may wait for the disk, and none is made
- * under a lock.
+ * The folder of a write-ahead log: numbered segments and one manifest. All file access of the
+ * package is behind it, and tests inject faults here. It owns the open files. Every call may wait
+ * for the disk, so none is made under a lock.
  */
 interface SegmentStore extends AutoCloseable {
 
   /**
-   * What this boot of the machine is called: its steady clock goes on over restarts of a process.
+   * Identifies this boot of the machine, over which the monotonic clock goes on; 0 where unknown.
    */
   long bootId();
 
-  /** The list as last written; null where there is none. */
+  /** The manifest as last written; null where there is none. */
   byte[] readManifest() throws IOException;
 
-  /** Replaces the list in one step; on disk when it returns. */
-  void writeManifest(byte[] list) throws IOException;
+  /** Replaces the manifest atomically; on disk when it returns. */
+  void writeManifest(byte[] manifest) throws IOException;
 
-  /** The numbers of the files that are there. */
+  /** The numbers of the segments that are there, ascending. */
   long[] segmentNumbers() throws IOException;
 
-  /** Makes a file of that size, zeros behind this head; on disk when it returns. */
-  void create(long number, ByteBuffer head, int size) throws IOException;
+  /** Creates a segment of that size, zeros behind the header; on disk when it returns. */
+  void create(long number, ByteBuffer header, int size) throws IOException;
 
-  /** All of a file. */
+  /** A whole segment. */
   ByteBuffer read(long number) throws IOException;
 
-  /** A part of a file; shorter where the file ends. */
-  ByteBuffer read(long number, int from, int length) throws IOException;
+  /** A part of a segment; shorter where the segment ends. */
+  ByteBuffer read(long number, int offset, int length) throws IOException;
 
-  void write(long number, int at, ByteBuffer bytes) throws IOException;
+  /** Writes at an offset; on disk only after {@link #sync}. */
+  void write(long number, int offset, ByteBuffer bytes) throws IOException;
 
-  /** Returns once all that was written to this file is on disk. */
+  /** Returns once all that was written to this segment is on disk. */
   void sync(long number) throws IOException;
 
+  /** Deletes a segment. */
   void delete(long number) throws IOException;
 
   /** Gives the folder back to other processes. */
--- a/src/main/java/wharftrestle/storage/SpaceBudget.java
+++ b/src/main/java/wharftrestle/storage/SpaceBudget.java
@@ -4,20 +4,28 @@
 import java.util.List;
 
 /**
- * What fits. It owns the account of bytes on disk by segment, what is promised to results to come,
- * and when a segment's time is over; it must never let an intent in whose result would not fit. No
- * files: the journal tells it. Sizes in bytes, times in seconds on one clock.
+ * The space on disk: bytes used by segment, bytes reserved for results to come, and when a segment
+ * expires. An intent is let in only where its result will fit. Does no I/O: the writer says what it
+ * did. Sizes in bytes, times in seconds on one clock. Not thread-safe: its callers hold it as their
+ * lock.
  */
 public final class SpaceBudget {
-  /** Promised to the result of each intent: PROTOCOL's 4 kB with its head, and a void beside it. */
+  private static final int PROTOCOL_MAX_RESULT_BYTES = 4096;
+
+  /** For the result of each intent: the protocol's longest one, and a VOID record beside it. */
   static final int RESERVED_BYTES_PER_INTENT =
-      LogRecord.size(LogRecord.MAX_KEY_BYTES, 4096) + LogRecord.size(LogRecord.MAX_KEY_BYTES, 0);
+      LogRecord.size(LogRecord.MAX_KEY_BYTES, PROTOCOL_MAX_RESULT_BYTES)
+          + LogRecord.size(LogRecord.MAX_KEY_BYTES, 0);
 
   private static final int TARGET_SEGMENTS = 16;
   private static final int MIN_SEGMENT_BYTES = 256 * 1024;
   private static final int MAX_SEGMENT_BYTES = 4 << 20;
+  private static final int MIN_SEGMENTS = 2;
+  private static final long NO_SEGMENT = -1;
+  private static final double MIN_RETRY_AFTER_SECONDS = 0.05;
+  private static final double DEFAULT_RETRY_AFTER_SECONDS = 1;
 
-  /** One file: its number, what is used of it, and when the last of its keys is forgotten. */
+  /** One segment: its number, what is used of it, and when the last of its keys is forgotten. */
   private static final class SegmentUsage {
     private final long number;
     private int usedBytes = Segment.HEADER_BYTES;
@@ -34,16 +42,18 @@
   private long reservedBytes;
 
   /**
+   * A budget without segments.
+   *
    * @param bytes on disk at most
    */
   public SpaceBudget(long bytes) {
     segmentBytes =
         (int) Math.max(MIN_SEGMENT_BYTES, Math.min(MAX_SEGMENT_BYTES, bytes / TARGET_SEGMENTS))
             & -LogRecord.ALIGNMENT_BYTES;
-    maxSegments = (int) Math.max(2, bytes / segmentBytes);
+    maxSegments = (int) Math.max(MIN_SEGMENTS, bytes / segmentBytes);
   }
 
-  /** Bytes of one file. */
+  /** Bytes of one segment. */
   int segmentBytes() {
     return segmentBytes;
   }
@@ -52,68 +62,65 @@
     return segments.size();
   }
 
-  /** Bytes on disk, whole files. */
+  /** Bytes on disk, whole segments. */
   public long allocatedBytes() {
     return (long) segments.size() * segmentBytes;
   }
 
-  /** Bytes written that are not given back. */
+  /** Bytes written to the segments that are there. */
   public long usedBytes() {
-    return segments.stream().mapToLong(part -> part.usedBytes).sum();
+    return segments.stream().mapToLong(segment -> segment.usedBytes).sum();
   }
 
-  /** The file that is written, or -1. */
+  /** The segment that is written; -1 for none. */
   long currentSegment() {
-    return segments.isEmpty() ? -1 : segments.peekLast().number;
+    return segments.isEmpty() ? NO_SEGMENT : segments.peekLast().number;
   }
 
-  /**
-   * A file is begun, or was found with so many bytes used, the last of whose keys is forgotten
-   * then.
-   */
-  void addSegment(long number, int used, double until) {
-    SegmentUsage part = new SegmentUsage(number);
-    part.usedBytes = used;
-    part.expiresAtSeconds = until;
-    segments.addLast(part);
+  /** A segment was begun, or was found with so many bytes used. */
+  void addSegment(long number, int usedBytes, double expiresAtSeconds) {
+    SegmentUsage segment = new SegmentUsage(number);
+    segment.usedBytes = usedBytes;
+    segment.expiresAtSeconds = expiresAtSeconds;
+    segments.addLast(segment);
   }
 
-  /** True where a record of this size needs a further file. */
+  /** True where a record of this size needs a further segment. */
   boolean needsNewSegment(int size) {
     return segments.isEmpty() || segments.peekLast().usedBytes + size > segmentBytes;
   }
 
-  /** True where a further file may be begun. */
+  /** True where a further segment may be begun. */
   boolean hasCapacityForSegment() {
     return segments.size() < maxSegments;
   }
 
-  /** A record was put into the file that is written; where, and until when its key is known. */
-  int append(int size, double until) {
-    SegmentUsage part = segments.peekLast();
-    int at = part.usedBytes;
-    part.usedBytes += size;
-    part.expiresAtSeconds = Math.max(part.expiresAtSeconds, until);
-    return at;
+  /** A record of this size is appended to the current segment; at which offset. */
+  int append(int size, double expiresAtSeconds) {
+    SegmentUsage segment = segments.peekLast();
+    int offset = segment.usedBytes;
+    segment.usedBytes += size;
+    segment.expiresAtSeconds = Math.max(segment.expiresAtSeconds, expiresAtSeconds);
+    return offset;
   }
 
-  /** Files at most. */
+  /** Segments at most. */
   int maxSegments() {
     return maxSegments;
   }
 
-  /** The numbers of all files. */
+  /** The numbers of all segments, in order. */
   List<Long> segmentNumbers() {
-    return segments.stream().map(part -> part.number).toList();
+    return segments.stream().map(segment -> segment.number).toList();
   }
 
-  /** No file is there. */
+  /** Forgets all segments and reservations. */
   void clear() {
     segments.clear();
     reservedBytes = 0;
   }
 
-  /** Promises room for an intent of this size and its result; false where it does not fit. */
+  /** Reserves space for an intent of this size and its result; false where there is none. */
   boolean tryReserve(int size) {
     if (!hasCapacityFor(size)) {
       return false;
@@ -122,15 +129,17 @@
     return true;
   }
 
+  /** True where an intent of this size and its result fit. */
   boolean hasCapacityFor(int size) {
-    long rest = segments.isEmpty() ? 0 : segmentBytes - segments.peekLast().usedBytes;
-    long whole = (long) (maxSegments - segments.size()) * (segmentBytes - Segment.HEADER_BYTES);
-    // What a record leaves unused at the end of a file is lost: at most a promise a file.
-    long lost = (long) RESERVED_BYTES_PER_INTENT * (maxSegments - segments.size() + 1);
-    return rest + whole - lost - reservedBytes >= size + RESERVED_BYTES_PER_INTENT;
+    long currentRest = segments.isEmpty() ? 0 : segmentBytes - segments.peekLast().usedBytes;
+    long newSegments =
+        (long) (maxSegments - segments.size()) * (segmentBytes - Segment.HEADER_BYTES);
+    // The end of a segment stays unused where the next record does not fit: a result at most.
+    long unusable = (long) RESERVED_BYTES_PER_INTENT * (maxSegments - segments.size() + 1);
+    return currentRest + newSegments - unusable - reservedBytes >= size + RESERVED_BYTES_PER_INTENT;
   }
 
-  /** A promise made for an intent of this size is over. */
+  /** Gives the reservation of an intent of this size back. */
   void release(int size) {
     reservedBytes -= size + RESERVED_BYTES_PER_INTENT;
   }
@@ -139,22 +148,22 @@
     return reservedBytes;
   }
 
-  /** The oldest file whose keys are all forgotten; -1 for none. The one that is written stays. */
+  /** The oldest segment whose keys are all forgotten; -1 for none. The current one stays. */
   long oldestExpiredSegment(double now) {
     SegmentUsage first = segments.peekFirst();
-    return segments.size() > 1 && first.expiresAtSeconds < now ? first.number : -1;
+    return segments.size() > 1 && first.expiresAtSeconds < now ? first.number : NO_SEGMENT;
   }
 
-  /** The oldest file is gone. */
+  /** The oldest segment is deleted. */
   void removeOldest() {
     segments.removeFirst();
   }
 
-  /** Seconds until there is room again as far as is known now: when the oldest file goes. */
+  /** Seconds until the oldest segment expires, as far as is known now. */
   double secondsUntilCapacity(double now) {
     SegmentUsage first = segments.peekFirst();
     return first == null || first.expiresAtSeconds == Double.NEGATIVE_INFINITY
-        ? 1
-        : Math.max(0.05, first.expiresAtSeconds - now);
+        ? DEFAULT_RETRY_AFTER_SECONDS
+        : Math.max(MIN_RETRY_AFTER_SECONDS, first.expiresAtSeconds - now);
   }
 }
--- a/src/main/java/wharftrestle/time/package-info.java
+++ b/src/main/java/wharftrestle/time/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The time of day. It owns the one place where the program reads it, and the scale on which stamps
- * of requests are compared. It must never be stepped by the machine's clock while a process lives:
- * windows of keys and due times hang on it.
+ * Time of day. Owns the one place where the program reads the wall clock, and the steady wall clock
+ * on which timestamps of requests are compared: idempotency windows and deadlines must not move
+ * when the machine's clock steps. No threads; {@link wharftrestle.time.SteadyWallClock} may be read
+ * by any.
  */
 package wharftrestle.time;
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -53,7 +53,7 @@
           .resideInAPackage("wharftrestle.storage..")
           .and()
           .haveNameNotMatching(
-              ".*\\.(WriteAheadLog|FileSegmentStore|SegmentStore|UnusableStorageException|Compaction|ResultLogTool)(\\$.*)?")
+              ".*\\.(WriteAheadLog|LogReader|LogWriter|SegmentWriter|LogMetrics|PendingRecord|FileSegmentStore|SegmentStore|UnusableStorageException|Compaction|ResultLogTool)(\\$.*)?")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
