--- a/src/main/java/wharftrestle/metrics/Counters.java
+++ b/src/main/java/wharftrestle/metrics/Counters.java
@@ -5,13 +5,12 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Owns the counts of what the program takes in, sends and answers. Any thread adds to them without
- * waiting; the door, the console, the SNMP agent and the exit show them. It must never decide
- * anything by them.
+ * Counts what the daemon receives, sends and answers. Any thread adds without waiting; the admin
+ * endpoint, the SNMP agent and the log at exit show the sums. No decision depends on them.
  */
 public final class Counters {
 
-  /** What is counted, in the order in which it is shown. */
+  /** What is counted, in the order of the MIB; the texts are those of the admin endpoint. */
   public enum Count {
     REQUESTS("requests taken in"),
     SERVED("answered: served"),
@@ -77,11 +76,11 @@
   private final List<String> classes;
   private final LongAdder[] adders = new LongAdder[Count.values().length];
   private final LongAdder[][] results;
-  private final LongAdder[] late;
-  private final AtomicInteger outstanding = new AtomicInteger();
+  private final LongAdder[] servedAfterObjective;
+  private final AtomicInteger inFlight = new AtomicInteger();
   private volatile KeyUsage keyUsage = new KeyUsage(0, 0, 0, 0);
 
-  /** Each class has its cells from the start, zeros too. */
+  /** Counts of each class are shown from the start, zeros too. */
   public Counters(List<String> classes) {
     this.classes = List.copyOf(classes);
     results = new LongAdder[classes.size()][Result.values().length];
@@ -89,8 +88,8 @@
       fill(cells);
     }
     fill(adders);
-    late = new LongAdder[classes.size()];
-    fill(late);
+    servedAfterObjective = new LongAdder[classes.size()];
+    fill(servedAfterObjective);
   }
 
   private static void fill(LongAdder[] cells) {
@@ -99,83 +98,86 @@
     }
   }
 
-  @SuppressWarnings("EnumOrdinal") // a place in the arrays above, never stored or sent
+  @SuppressWarnings("EnumOrdinal") // an index of the arrays above, never stored or sent
   private static int index(Enum<?> value) {
     return value.ordinal();
   }
 
+  /** Adds one. */
   public void add(Count count) {
     adders[index(count)].increment();
   }
 
+  /** The sum so far. */
   public long get(Count count) {
     return adders[index(count)].sum();
   }
 
-  /** A request was taken; its one answer, or its caller's end, is told by one of the two below. */
+  /** A request was received: {@link #answered} or {@link #callerGone} follows once. */
   public void requestReceived() {
     add(Count.REQUESTS);
-    outstanding.incrementAndGet();
+    inFlight.incrementAndGet();
   }
 
   /** The one answer of a request is fixed. */
   public void answered(int classIndex, Result result) {
-    outstanding.decrementAndGet();
+    inFlight.decrementAndGet();
     results[classIndex][index(result)].increment();
     add(result.total);
   }
 
-  /** The result that is its answer comes after its aim. */
+  /** The answer of a served request comes after its latency objective. */
   public void servedAfterObjective(int classIndex) {
-    late[classIndex].increment();
+    servedAfterObjective[classIndex].increment();
   }
 
-  /** Results of a class that came after its aim. */
+  /** Served requests of a class that were answered after their latency objective. */
   public long servedAfterObjectiveCount(int classIndex) {
-    return late[classIndex].sum();
+    return servedAfterObjective[classIndex].sum();
   }
 
-  /** Its caller is gone before that. */
+  /** The caller of a request is gone before its answer. */
   public void callerGone() {
-    outstanding.decrementAndGet();
+    inFlight.decrementAndGet();
     add(Count.CALLERS_GONE);
   }
 
-  /** Requests taken and not yet answered or given up. */
+  /** Requests received and neither answered nor given up by their callers. */
   public int inFlight() {
-    return outstanding.get();
+    return inFlight.get();
   }
 
   /**
-   * What is known of keys in memory.
+   * Idempotency keys in memory.
    *
    * @param keys known now
    * @param maxKeys at most
-   * @param bytes of those that are over, and of their results
-   * @param maxBytes at most, with what is promised
+   * @param bytes of settled keys and their results
+   * @param maxBytes at most, with what is reserved
    */
   public record KeyUsage(int keys, int maxKeys, long bytes, long maxBytes) {}
 
-  /** Keys keyUsage, as of the last look at them. */
+  /** As of the last expiry of keys. */
   public KeyUsage keyUsage() {
     return keyUsage;
   }
 
+  /** Called whenever the coordinator expires keys. */
   public void updateKeyUsage(KeyUsage now) {
     keyUsage = now;
   }
 
+  /** The names of the request classes, by index. */
   public List<String> classes() {
     return classes;
   }
 
+  /** Answers of a class that ended like this. */
   public long get(int classIndex, Result result) {
     return results[classIndex][index(result)].sum();
   }
 
-  /**
-   * The figures as the operators' door names them: one a line, counts since the start and gauges.
-   */
+  /** Counts since the start and gauges in the form of statsd, one a line. */
   public String statsdLines() {
     StringBuilder lines = new StringBuilder();
     for (int i = 0; i < results.length; i++) {
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
@@ -45,7 +45,7 @@
   // ---- The journal ----
 
   /** Each kind of line, and each state of a rollout; the last one can be gone on from. */
-  static List<RolloutController.JournalEntry> lines() throws IOException {
+  static List<JournalEntry> lines() throws IOException {
     Map<String, String> none = Map.of();
     Map<String, String> from = new LinkedHashMap<>();
     from.put("b1", "one");
@@ -99,24 +99,21 @@
                 Rollout.State.PAUSED, Rollout.State.OBSERVING, 1, fromTwo, triesTwo, "mañ")));
   }
 
-  private static RolloutController.JournalEntry enter(long at, Rollout.Snapshot kept)
-      throws IOException {
-    return line(at, "enter", kept, "", "", kept.reason());
+  private static JournalEntry enter(long at, Rollout.Snapshot snapshot) throws IOException {
+    return line(at, "enter", snapshot, "", "", snapshot.reason());
   }
 
-  private static RolloutController.JournalEntry line(
-      long at, String what, Rollout.Snapshot kept, String box, String to, String why)
+  private static JournalEntry line(
+      long at, String what, Rollout.Snapshot snapshot, String box, String to, String why)
       throws IOException {
-    String plan = RolloutController.sha256(Files.readString(Fixtures.path(PLAN)));
-    return new RolloutController.JournalEntry(
-        1_765_000_000_000L + at, what, 3, "d1", plan, kept, box, to, why);
+    String plan = ControllerDirectory.sha256(Files.readString(Fixtures.path(PLAN)));
+    return new JournalEntry(1_765_000_000_000L + at, what, 3, "d1", plan, snapshot, box, to, why);
   }
 
   static void writeJournal(Path file) throws IOException {
     Files.createDirectories(file.getParent());
-    try (JsonLineJournal<RolloutController.JournalEntry> journal =
-        new JsonLineJournal<>(file, RolloutController.JournalEntry.class)) {
-      for (RolloutController.JournalEntry line : lines()) {
+    try (JsonLineJournal<JournalEntry> journal = new JsonLineJournal<>(file, JournalEntry.class)) {
+      for (JournalEntry line : lines()) {
         journal.add(line);
       }
     }
@@ -126,10 +123,10 @@
 
   /** Orders at the socket of a controller that goes on with the recorded journal, with answers. */
   static JsonNode orders(Path folder) throws Exception {
-    Files.copy(Fixtures.path(JOURNAL), folder.resolve(RolloutController.JOURNAL_FILE));
+    Files.copy(Fixtures.path(JOURNAL), folder.resolve(ControllerDirectory.JOURNAL_FILE));
     ArrayNode all = JSON.createArrayNode();
     PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
-    try (RolloutController driver =
+    try (RolloutController controller =
         new RolloutController(
             folder,
             PlanScript.read(Fixtures.path(PLAN)),
@@ -163,7 +160,7 @@
     int port = Address.freePort();
     PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
     Path state = folder.resolve("watching");
-    try (ControllerEndpoint door =
+    try (ControllerEndpoint endpoint =
             new ControllerEndpoint(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 "b1",
@@ -181,7 +178,7 @@
                         "classes",
                         List.of(Map.of("name", "batch work"))),
                 (program, settings) -> true);
-        RolloutController driver =
+        RolloutController controller =
             new RolloutController(
                 state,
                 PlanScript.parse(
@@ -196,7 +193,7 @@
           new Thread(
               () -> {
                 try {
-                  driver.run();
+                  controller.run();
                 } catch (IOException | InterruptedException e) {
                   throw new IllegalStateException(e);
                 }
@@ -214,7 +211,7 @@
         status =
             JSON.readTree(CommandSocket.order(state.resolve("roll.sock"), "status").substring(3));
       }
-      driver.stop();
+      controller.stop();
       runs.join();
       ((ObjectNode) status).put("plan", "00");
       ((ObjectNode) status.path("boxes").path(0)).put("silent", 0.5);
@@ -235,7 +232,7 @@
     AtomicReference<String[]> told = new AtomicReference<>(new String[] {"go", "0", "one"});
     int port = Address.freePort();
     ByteArrayOutputStream events = new ByteArrayOutputStream();
-    try (ControllerEndpoint door =
+    try (ControllerEndpoint endpoint =
             new ControllerEndpoint(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 "b1",
@@ -264,7 +261,7 @@
                         "failed",
                         ""),
                 (program, settings) -> true);
-        RolloutController driver =
+        RolloutController controller =
             new RolloutController(
                 folder.resolve("rollout"),
                 PlanScript.parse(
@@ -275,13 +272,14 @@
                         + " worse = [], watch = 0, window = 0.5)\n"),
                 "d1",
                 new RolloutEventLog(new PrintStream(events, true, StandardCharsets.UTF_8), true))) {
-      driver.check(false);
-      driver.run();
+      controller.check(false);
+      controller.run();
     }
     Path said = Files.write(folder.resolve("events"), events.toByteArray());
     return new Run(
         fixed(
-            Fixtures.jsonLines(folder.resolve("rollout").resolve(RolloutController.JOURNAL_FILE))),
+            Fixtures.jsonLines(
+                folder.resolve("rollout").resolve(ControllerDirectory.JOURNAL_FILE))),
         fixed(Fixtures.jsonLines(said)));
   }
 
