--- a/src/main/java/wharftrestle/rollout/Rollout.java
+++ b/src/main/java/wharftrestle/rollout/Rollout.java
@@ -21,17 +21,22 @@
  * verdict. Not thread-safe. Times are in seconds of a clock that never goes back.
  *
  * <pre>
- * state         means                                              goes to
- * PROGRESSING   hosts of this stage are ordered to change          OBSERVING (all of them have), ROLLING_BACK or HELD (worse),
- *                                                                  HELD (hosts failed, or unreachable), PAUSED
- * OBSERVING     the stage is watched                               PROGRESSING (next stage), COMPLETED, ROLLING_BACK or HELD (worse),
- *                                                                  HELD (no verdict in time), PAUSED
- * HELD          waits for an operator, with a reason               PROGRESSING or COMPLETED (resume), ROLLING_BACK, ABORTED
- * PAUSED        an operator wants no further orders                PROGRESSING or OBSERVING (resume), ROLLING_BACK, ABORTED
- * ROLLING_BACK  changed hosts are rolled back, newest first        ROLLED_BACK (all are), ABORTED
+ * state         means                                   goes to
+ * PROGRESSING   hosts of this stage are ordered         OBSERVING (all of them have changed),
+ *               to change                               ROLLING_BACK or HELD (worse), HELD (hosts
+ *                                                       failed or are unreachable), PAUSED
+ * OBSERVING     the stage is watched                    PROGRESSING (next stage), COMPLETED,
+ *                                                       ROLLING_BACK or HELD (worse), HELD (no
+ *                                                       verdict in time), PAUSED
+ * HELD          waits for an operator, with a reason    PROGRESSING or COMPLETED (resume),
+ *                                                       ROLLING_BACK
+ * PAUSED        an operator wants no further orders     PROGRESSING or OBSERVING (resume),
+ *                                                       ROLLING_BACK
+ * ROLLING_BACK  changed hosts are rolled back,          ROLLED_BACK (all are)
+ *               newest first
  * COMPLETED     all hosts that a rollout may change run the release
  * ROLLED_BACK   all hosts run what they ran before
- * ABORTED       left as it is
+ * ABORTED       left as it is, by an operator, from any state that is not final
  * </pre>
  */
 public final class Rollout {
--- a/src/main/java/wharftrestle/rollout/package-info.java
+++ b/src/main/java/wharftrestle/rollout/package-info.java
@@ -1,13 +1,13 @@
 /**
- * Decides how a fleet of boxes is changed in stages: what is planned, which box goes next, who may
- * steer, who is in contact, whether a stage does worse, and what becomes of the change. Free of
- * I/O, threads and clocks; time is passed in, in seconds. It must never tell a box two things in
- * one epoch, have more boxes away than planned, or take silence for death.
+ * Decides how a fleet of hosts is changed in stages: the plan, which host goes next, who may send
+ * orders, which hosts are reachable, whether a stage does worse, and what becomes of the change. It
+ * owns no thread, no file, no socket and no clock; time is passed in, in seconds. Its classes are
+ * not thread-safe: a supervisor and a controller each call theirs under a lock of their own.
  *
- * <p>Read {@link wharftrestle.fleet.Plan}, then {@link wharftrestle.fleet.Roll}, which is the
- * change itself; beside it {@link wharftrestle.fleet.Fence} (a keeper's side) and {@link
- * wharftrestle.fleet.Steering} (a driver's side) of who may steer, {@link
- * wharftrestle.fleet.Members}, and {@link wharftrestle.fleet.Judge} over {@link
- * wharftrestle.fleet.Drift}.
+ * <p>Start with {@link wharftrestle.rollout.RolloutPlan} and {@link wharftrestle.rollout.Rollout},
+ * the state machine of a change. Beside it are {@link wharftrestle.rollout.EpochFence} (a
+ * supervisor's side) and {@link wharftrestle.rollout.ControllerLease} (a controller's side) of who
+ * may send orders, {@link wharftrestle.rollout.MembershipView}, and {@link
+ * wharftrestle.rollout.CanaryAnalysis} over {@link wharftrestle.rollout.ConfidenceSequence}.
  */
 package wharftrestle.rollout;
--- a/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
+++ b/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
@@ -16,7 +16,7 @@
 import wharftrestle.simulation.RolloutSimulation.Release;
 import wharftrestle.simulation.RolloutSimulation.Trouble;
 
-/** What the judge says, of made-up windows and of whole rolls in virtual time. */
+/** Verdicts on made-up windows, and on whole rollouts in simulated time. */
 class CanaryAnalysisTest {
   private static final int HOSTS = 6;
   private final SplittableRandom random = new SplittableRandom(5);
@@ -27,9 +27,7 @@
           2,
           0.05);
 
-  /**
-   * So many of 200 requests of each box fail; the first {@code changed} boxes have the new release.
-   */
+  /** Some of 200 requests of each host fail; the first {@code newHosts} run the new release. */
   private void addWindows(
       int count,
       int newHosts,
@@ -180,7 +178,7 @@
     RolloutSimulation.Result bad =
         RolloutSimulation.play(Release.LOSES_10, Trouble.NONE, Judging.SEQUENTIAL, 3);
     assertEquals(Rollout.State.ROLLED_BACK, bad.state(), bad.why());
-    assertEquals(1, bad.most(), "stopped at the first box");
+    assertEquals(1, bad.most(), "stopped at the first host");
     RolloutSimulation.Result slow =
         RolloutSimulation.play(Release.GOOD, Trouble.SLOW_MACHINE, Judging.PLAIN, 3);
     assertTrue(slow.stopped(), "a plain comparison takes a slow machine for a bad release");
--- a/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
+++ b/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * All that can come of two drivers and three keepers, by the shipped classes: the first driver's
- * answers and its order are late by any time or lost, it sleeps between any two steps, a keeper
- * starts anew. No order of an earlier epoch may be obeyed anywhere after one of a later epoch. What
- * the second driver hears late only makes it later, so it hears at once. Each seeded bug has to be
- * found, or the search shows nothing.
+ * Explores all that can come of two controllers and three supervisors, by the shipped classes: the
+ * first controller's answers and its order are late by any time or lost, it pauses between any two
+ * steps, a supervisor restarts. No order of an earlier epoch may be accepted anywhere after one of
+ * a later epoch. What the second controller receives late only makes it later, so it receives at
+ * once. Each seeded bug has to be found, or the search shows nothing.
  */
 @Timeout(60)
 class ControllerLeaseModelTest {
@@ -40,7 +40,7 @@
   /** Seconds of a tick: a lease. */
   private static final double TICK_SECONDS = EpochFence.LEASE_SECONDS;
 
-  /** Ticks after which a stamp, an answer, and the pause are over. */
+  /** Ticks after which a token or an answer has expired, and the wait for expiry is over. */
   private static final int TICKS_UNTIL_EXPIRED = 2;
 
   private static final int TICKS_OF_EXPIRY_WAIT = 3;
@@ -49,15 +49,15 @@
 
   private record PendingOrder(int supervisor, long token) {}
 
-  /** Everything at one moment; the first driver steers already, the second comes. */
+  /** Everything at one moment; the first controller holds the lease, the second claims it. */
   private static final class World {
     private int tick;
     private final EpochFence[] fences = new EpochFence[SUPERVISORS];
     private ControllerLease first;
     private ControllerLease second;
     private PendingReply[] replies =
-        new PendingReply[SUPERVISORS]; // to the first driver, on their way
-    private PendingOrder order; // of the first driver, on its way
+        new PendingReply[SUPERVISORS]; // to the first controller, in transit
+    private PendingOrder order; // of the first controller, in transit
     private boolean laterOrderAccepted;
     private boolean restarted;
     private boolean isRuleBroken;
@@ -97,8 +97,7 @@
     }
 
     /**
-     * Worlds that differ by the names of keepers, by the date, or by stamps that hold no more, are
-     * one.
+     * Worlds that differ by names of supervisors, by the date, or by expired tokens only, are one.
      */
     String key() {
       String[] each = new String[SUPERVISORS];
@@ -225,12 +224,12 @@
     return all;
   }
 
-  /** The first driver, or whoever has its epoch where keepers look at that alone. */
+  /** The first controller, or whoever has its epoch where only the epoch is checked. */
   private static String controllerName(World at, Bug bug, int supervisor) {
     return bug == Bug.ONE_EPOCH_FOR_TWO ? at.fences[supervisor].grant().controller() : "A";
   }
 
-  /** The second driver asks a keeper, hears at once, and gives its order as soon as it may. */
+  /** The second controller polls a supervisor and sends its order as soon as it may. */
   private static World second(World at, Bug bug, int supervisor) {
     World next = at.copy(bug);
     String name = "k" + supervisor;
@@ -274,7 +273,7 @@
   @Test
   void noOrderOfAnEarlierControllerIsAcceptedAfterOneOfALater() {
     int seen = explore(Bug.NONE);
-    System.out.println("steering: " + seen + " worlds, none wrong");
+    System.out.println("controller lease: " + seen + " worlds, none wrong");
     assertTrue(seen > 10_000, "too few worlds, or a wrong one: " + seen);
   }
 
@@ -282,7 +281,7 @@
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
   void aSeededBugIsFound(Bug bug) {
     int seen = explore(bug);
-    System.out.println("steering, " + bug + ": found after " + -seen + " worlds");
+    System.out.println("controller lease, " + bug + ": found after " + -seen + " worlds");
     assertTrue(seen < 0, "not found in " + seen + " worlds");
   }
 }
--- a/src/test/java/wharftrestle/rollout/MembershipViewTest.java
+++ b/src/test/java/wharftrestle/rollout/MembershipViewTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.rollout.MembershipView.Reachability;
 
-/** Who was heard when, by whom, and what that means. */
+/** What heartbeats, silence and indirect probes say of a host. */
 class MembershipViewTest {
   private final MembershipView members = new MembershipView(List.of("a", "b", "c"), 0);
 
--- a/src/test/java/wharftrestle/rollout/RolloutPlanTest.java
+++ b/src/test/java/wharftrestle/rollout/RolloutPlanTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Which box goes when, and who may be away together. */
+/** Which host goes when, and which may be unavailable together. */
 class RolloutPlanTest {
   static RolloutPlan plan(
       List<RolloutPlan.Host> hosts, int maxUnavailable, RolloutPlan.Stage... stages) {
@@ -79,7 +79,9 @@
         RolloutSchedule.of(plan).unmet());
   }
 
-  /** Whatever the fleet, every round keeps the rules, and every box that may go goes once. */
+  /**
+   * Whatever the fleet, every round keeps the rules, and every host that may change changes once.
+   */
   @Property(tries = 500)
   void everyRoundKeepsTheRules(
       @ForAll @Size(min = 1, max = 24) List<@IntRange(max = 4) Integer> zones,
--- a/src/test/java/wharftrestle/rollout/RolloutTest.java
+++ b/src/test/java/wharftrestle/rollout/RolloutTest.java
@@ -18,14 +18,14 @@
 import wharftrestle.rollout.CanaryAnalysis.Outcome;
 import wharftrestle.rollout.CanaryAnalysis.Verdict;
 
-/** What a roll does next, told event by event in made-up time over made-up keepers. */
+/** What a rollout orders next, event by event in simulated time over simulated hosts. */
 class RolloutTest {
   private static final Verdict PASSES = new Verdict(Outcome.PASS, "all the same");
   private static final Verdict FAILS = new Verdict(Outcome.FAIL, "it loses");
   private static final Verdict INCONCLUSIVE =
       new Verdict(Outcome.INCONCLUSIVE, "too little was seen");
 
-  /** A keeper and its daemon, as far as a roll sees them. */
+  /** A supervisor and its daemon, as far as a rollout sees them. */
   private static final class ReportedHost {
     private String runningRelease = "old";
     private String orderedRelease = "";
@@ -106,8 +106,8 @@
       orderedInEpoch.add(order.host() + " " + order.release());
       long releases =
           orderedInEpoch.stream().filter(each -> each.startsWith(order.host() + " ")).count();
-      assertEquals(1, releases, order.host() + " is told two releases in one epoch");
-      assertTrue(host.isReachable, "told though it cannot be reached");
+      assertEquals(1, releases, order.host() + " is ordered two releases in one epoch");
+      assertTrue(host.isReachable, "ordered though it cannot be reached");
       for (RolloutPlan.Host other : plan.hosts()) {
         boolean changing =
             !other.equals(plan.host(order.host())) && hosts.get(other.name()).isChanging(now);
@@ -288,7 +288,7 @@
           }
         }
         case 8 -> {
-          // The driver dies, and the next one steers in another epoch.
+          // The controller dies, and the next one resumes in another epoch.
           fleet.rollout = new Rollout(fleet.plan, fleet.rollout.snapshot(), fleet.now);
           fleet.epochs++;
           fleet.orderedInEpoch.clear();
--- a/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
@@ -13,7 +13,7 @@
 import wharftrestle.rollout.RolloutSchedule;
 import wharftrestle.settings.BadSettingsException;
 
-/** A plan's script: what it may say, and where it is told that it is wrong. */
+/** What a plan's script may say, and how errors in it are reported. */
 class PlanScriptTest {
   private static final String HOST = "box(\"b1\", zone = \"a\", keeper = \"127.0.0.1:7501\")\n";
 
@@ -24,10 +24,10 @@
             "p.star",
             HOST
                 + """
-                box("b2", zone = "b", keeper = "127.0.0.1:7502", tenants = ["omaruru"], front = "127.0.0.1:9002")
-                change(to = "2026-12-08", stages = [stage(boxes = 1, hold = 120), stage(share = 1, spread = "zone")],
-                       worse = [worth(0.02), cpu()], most_away = 2, when_cut = "go", when_worse = "hold")
-                """);
+box("b2", zone = "b", keeper = "127.0.0.1:7502", tenants = ["omaruru"], front = "127.0.0.1:9002")
+change(to = "2026-12-08", stages = [stage(boxes = 1, hold = 120), stage(share = 1, spread = "zone")],
+       worse = [worth(0.02), cpu()], most_away = 2, when_cut = "go", when_worse = "hold")
+""");
     RolloutPlan plan = script.plan();
     assertEquals(
         List.of(new RolloutPlan.Stage(1, 0, false, 120), new RolloutPlan.Stage(0, 1, true, 60)),
--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -35,7 +35,7 @@
 import wharftrestle.supervisor.ReleaseDirectory;
 import wharftrestle.transport.Address;
 
-/** Stories of drivers and the keepers' doors, with boxes that do as they are told at once. */
+/** Controllers and the endpoints of supervisors whose hosts execute every order at once. */
 @Timeout(60)
 class RolloutControllerTest {
   private static final PrintStream NOWHERE = new PrintStream(OutputStream.nullOutputStream());
@@ -46,7 +46,7 @@
   private final List<String> executed = new CopyOnWriteArrayList<>();
   private ReleaseDirectory releases;
 
-  /** A keeper's door, and a box that has every release at once. */
+  /** A supervisor's endpoint, and a host that runs every ordered release at once. */
   private final class TestSupervisor {
     private final String name;
     private final int port;
@@ -144,7 +144,8 @@
             + targetRelease
             + "\", stages = [stage(boxes = 1, hold = "
             + holdSeconds
-            + "), stage(share = 1, hold = 0)], worse = [], watch = 0, window = 0.5, patience = 86400)\n");
+            + "), stage(share = 1, hold = 0)], worse = [], watch = 0, window = 0.5, patience ="
+            + " 86400)\n");
   }
 
   private RolloutController controller(String directory, PlanScript script, String name)
@@ -173,7 +174,7 @@
       while (executed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
-      assertEquals(List.of("b1 two"), executed, "one box, and the hold goes on");
+      assertEquals(List.of("b1 two"), executed, "one host, and the hold goes on");
       try (RolloutController second = controller("d2", planScript("two", 0), "bob")) {
         String refusal =
             assertThrows(RolloutRefusedException.class, () -> second.check(false)).getMessage();
@@ -183,7 +184,8 @@
         assertEquals(RolloutController.Outcome.FENCED, outcome.get(20, TimeUnit.SECONDS));
         assertTrue(send("d2", "status").contains("\"driver\":\"bob\""));
         assertEquals(RolloutController.Outcome.COMPLETED, nextOutcome.get(30, TimeUnit.SECONDS));
-        assertEquals(List.of("b1 two", "b2 two", "b3 two"), executed, "and b1 was not told again");
+        assertEquals(
+            List.of("b1 two", "b2 two", "b3 two"), executed, "and b1 was not ordered again");
       }
     }
   }
@@ -222,9 +224,9 @@
                 RolloutRefusedException.class, () -> controller("d1", planScript("one", 0), "ann"))
             .getMessage();
     assertTrue(refusal.startsWith("another change is under way in "), refusal);
-    try (RolloutController nextOutcome = controller("d1", plan, "bob")) {
-      nextOutcome.check(false); // whoever steered from this folder has ended
-      FutureTask<RolloutController.Outcome> outcome = run(nextOutcome);
+    try (RolloutController next = controller("d1", plan, "bob")) {
+      next.check(false); // earlier controllers of this directory have ended
+      FutureTask<RolloutController.Outcome> outcome = run(next);
       while (!send("d1", "status").contains("\"steering\":\"steering\"")) {
         TimeUnit.MILLISECONDS.sleep(50);
       }
@@ -255,7 +257,7 @@
             .call("/order", order + granted.path("stamp").asLong() + "}")
             .path("answer")
             .asText(),
-        "a stamp of the start before");
+        "a token of the incarnation before");
     long stamp = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
     assertEquals("OBEYED", supervisor.call("/order", order + stamp + "}").path("answer").asText());
     stamp = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
