--- a/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
+++ b/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
@@ -99,7 +99,7 @@
         "txn="
             + reference
             + ",door="
-            + SteadyWallClock.now()
+            + SteadyWallClock.wallMillis()
             + ",lb=1,team=one,ram=24.5,standing=0.5"
             + (isKeyed ? ",unique=k" + tag : "");
     StringBuilder message = new StringBuilder("*5\r\n");
--- a/src/main/java/wharftrestle/daemon/HandoverActions.java
+++ b/src/main/java/wharftrestle/daemon/HandoverActions.java
@@ -81,7 +81,7 @@
 
   /** What this process states of itself now. */
   Capabilities capabilities() {
-    return host.capabilities().with(peerKeys.keyCapacity(), SteadyWallClock.base());
+    return host.capabilities().with(peerKeys.keyCapacity(), SteadyWallClock.offsetMillis());
   }
 
   /** Ends the threads of this process's actions. */
@@ -203,7 +203,7 @@
     if (!host.openStorage(STORAGE_ATTEMPTS_AFTER_PEER_EXIT)) {
       Logger.error("{}: kept results cannot be had, keyed requests are refused", name);
     }
-    peerKeys.peerGone();
+    peerKeys.peerLost();
     host.shareResources(false);
     if (lacksPredecessorKeys) {
       lacksPredecessorKeys = false;
@@ -231,7 +231,7 @@
     PlatformThreads.thread(
             "handover-keys",
             () -> {
-              int sent = peerKeys.sendSettledKeys(successor);
+              int sent = peerKeys.sendCompletedKeys(successor);
               events.whileSendingKeys(successor, attempt, () -> onCompletedKeysSent(sent));
             })
         .start();
@@ -249,7 +249,7 @@
 
   private int transferKeysTo(PeerLink successor) {
     host.shareResources(true);
-    int openKeys = peerKeys.handOverKeys(successor);
+    int openKeys = peerKeys.transferKeys(successor);
     host.closeStorage(); // Only the owner of the keys writes, and it reads what is on disk by now.
     pauseWatch.start();
     return openKeys;
@@ -263,7 +263,7 @@
             "handover-keys",
             () ->
                 successor.sendLegacyOwnership(
-                    openKeys + Math.max(0, peerKeys.sendSettledKeysAfterHandover(successor))))
+                    openKeys + Math.max(0, peerKeys.sendCompletedKeysAfterHandover(successor))))
         .start();
   }
 
@@ -274,7 +274,7 @@
     }
     pauseWatch.stop();
     host.openStorage(STORAGE_ATTEMPTS_AFTER_PEER_EXIT);
-    peerKeys.peerGone();
+    peerKeys.peerLost();
     host.shareResources(false);
     Logger.warn("{}: the process that took over is gone, this one owns its keys again", name);
   }
--- a/src/main/java/wharftrestle/daemon/StoredResults.java
+++ b/src/main/java/wharftrestle/daemon/StoredResults.java
@@ -61,7 +61,7 @@
 
   /** Opens the log where it is closed; false where that fails so often. */
   boolean open(int attempts) {
-    if (log == null || log.state() != WriteAheadLog.State.SHUT) {
+    if (log == null || log.state() != WriteAheadLog.State.CLOSED) {
       return true;
     }
     for (int i = 0; i < attempts; i++) {
--- a/src/main/java/wharftrestle/frontend/RespFrontend.java
+++ b/src/main/java/wharftrestle/frontend/RespFrontend.java
@@ -108,7 +108,7 @@
     Map<String, Acceptance.InFlight> open = new ConcurrentHashMap<>();
     int invalid = 0;
     int taken = 0;
-    connection.whenGone(() -> open.values().forEach(core::callerGone));
+    connection.whenGone(() -> open.values().forEach(core::callerDisconnected));
     // Guards against a cut while a message is half read: a peer whose next one is always there
     // before it is looked
     // for would never be known as one whose front says what is dealt with.
@@ -154,7 +154,7 @@
         Acceptance.InFlight left = open.remove(tag);
         if (left != null) {
           connection.end();
-          core.callerGone(left);
+          core.callerDisconnected(left);
         }
       }
       case "STATUS" -> {
@@ -236,7 +236,7 @@
     } catch (IOException e) {
       throw new InvalidException(e.getMessage());
     }
-    long now = SteadyWallClock.now();
+    long now = SteadyWallClock.wallMillis();
     if (ram <= 0
         || ram >= MOST_RAM
         || standing < 0
@@ -258,7 +258,7 @@
         cpu / 1000,
         key,
         item,
-        SteadyWallClock.even(door),
+        SteadyWallClock.toSteadyWallMillis(door),
         words.length > 4 ? words[4] : new byte[0]);
   }
 
--- a/src/main/java/wharftrestle/idempotency/KeyMemoryBudget.java
+++ b/src/main/java/wharftrestle/idempotency/KeyMemoryBudget.java
@@ -1,135 +1,126 @@
 package wharftrestle.idempotency;
 
 /**
- * How much a box may know of its keys in memory, and whether one more keyed request fits: it owns
- * the split of the bound and the promises made to what is in hand. It must never promise what the
- * bound does not hold. No clock, and no bytes: the table tells it what is in use.
+ * The memory for idempotency keys, split between keys and their results, and the reservations of
+ * requests in flight: whether one more keyed request fits. Holds figures alone; the table says what
+ * is in use. Not thread-safe: the lock of the table's caller guards it.
  */
 public final class KeyMemoryBudget {
-  /** Bytes of the largest result a run may end with (PROTOCOL). */
-  public static final int LONGEST_RESULT = 4096;
+  /** Bytes of the largest result that the protocol allows. */
+  public static final int MAX_RESULT_BYTES = 4096;
 
-  /**
-   * Bytes of one key without its result: its row in the index at its arrays' largest (40 of fields,
-   * 16 of the table, 6 of the free list, 24 of the wheel), and what the policy holds of a key that
-   * ran until its window is over (222: an operation of 128, its request of 88, its place in the
-   * order of ends).
-   */
-  static final int POLICY_COST = 222;
+  /** What the admission package holds of a key that ran until its window is over. */
+  static final int ADMISSION_BYTES_PER_KEY = 222;
 
-  static final int KEY_COST = 86 + POLICY_COST;
+  /** A row of the index with its arrays at their largest: fields, table, free list and wheel. */
+  private static final int INDEX_BYTES_PER_KEY = 40 + 16 + 6 + 24;
 
-  /** Bytes that do not grow: the heads of the wheels, the first rows. */
-  static final int FIXED = 8192;
+  static final int BYTES_PER_KEY = INDEX_BYTES_PER_KEY + ADMISSION_BYTES_PER_KEY;
 
-  /**
-   * Part of a heap for what is known of keys: two thirds of a heap are its old generation, half of
-   * that is this.
-   */
-  private static final double HEAP_SHARE = 0.3;
+  /** Bytes that do not grow: the slots of the wheels, the first rows. */
+  static final int FIXED_BYTES = 8192;
 
-  /**
-   * Part of the bound that keys have; results have the rest. Choice: a result of 900 bytes on the
-   * mean fills both.
-   */
-  private static final double KEYS_SHARE = 0.25;
+  /** Of the heap: about half of its old generation. */
+  private static final double HEAP_FRACTION = 0.3;
+
+  /** Of the bound, for keys; results have the rest. */
+  private static final double KEYS_FRACTION = 0.25;
 
   /** Keys, and blocks, at most. */
-  private static final int MOST = Integer.MAX_VALUE / 8;
+  private static final int MAX_COUNT = Integer.MAX_VALUE / 8;
 
-  /** Blocks of a promise. */
-  private static final int PROMISE = BlockStore.of(LONGEST_RESULT);
+  private static final int BLOCKS_PER_RESERVATION = BlockStore.blocksFor(MAX_RESULT_BYTES);
 
   private final long bytes;
-  private final int mostKeys;
-  private final int mostBlocks;
-  private int promises;
+  private final int maxKeys;
+  private final int maxBlocks;
+  private int reservations;
 
-  private KeyMemoryBudget(long bytes, int mostKeys, int mostBlocks) {
+  private KeyMemoryBudget(long bytes, int maxKeys, int maxBlocks) {
     this.bytes = bytes;
-    this.mostKeys = mostKeys;
-    this.mostBlocks = mostBlocks;
+    this.maxKeys = maxKeys;
+    this.maxBlocks = maxBlocks;
   }
 
-  /** Room for keys and results that take so many bytes at most. */
+  /** A budget for keys and results that take so many bytes at most. */
   public static KeyMemoryBudget of(long bytes) {
-    double grows = Math.max(0, bytes - FIXED);
-    int keys = (int) Math.min(MOST, grows * KEYS_SHARE / KEY_COST);
-    int blocks = (int) Math.min(MOST, grows * (1 - KEYS_SHARE) / BlockStore.COST);
-    return new KeyMemoryBudget(bytes, Math.max(1, keys), Math.max(PROMISE, blocks));
+    double grows = Math.max(0, bytes - FIXED_BYTES);
+    int keys = (int) Math.min(MAX_COUNT, grows * KEYS_FRACTION / BYTES_PER_KEY);
+    int blocks =
+        (int) Math.min(MAX_COUNT, grows * (1 - KEYS_FRACTION) / BlockStore.BYTES_PER_BLOCK);
+    return new KeyMemoryBudget(bytes, Math.max(1, keys), Math.max(BLOCKS_PER_RESERVATION, blocks));
   }
 
-  /** The part of a heap of so many bytes that keys may have. */
-  public static KeyMemoryBudget ofHeap(long heap) {
-    return of((long) (heap * HEAP_SHARE));
+  /** The budget that keys have in a heap of so many bytes. */
+  public static KeyMemoryBudget ofHeap(long heapBytes) {
+    return of((long) (heapBytes * HEAP_FRACTION));
   }
 
-  /** No bound worth the name: only a proof that the bound is needed has a use for it. */
+  /** A bound that is never met, for proofs that the bound is needed. */
   public static KeyMemoryBudget unbounded() {
-    return new KeyMemoryBudget(Long.MAX_VALUE, MOST, MOST);
+    return new KeyMemoryBudget(Long.MAX_VALUE, MAX_COUNT, MAX_COUNT);
   }
 
-  /** The bound itself. */
+  /** The bound, in bytes. */
   public long bytes() {
     return bytes;
   }
 
-  /** Keys known at once. */
-  public int mostKeys() {
-    return mostKeys;
+  /** Keys known at once at most. */
+  public int maxKeys() {
+    return maxKeys;
   }
 
-  /** Keys known at once where all results lie on disk: they have the whole of the bound. */
-  public int mostKeysOnDisk() {
-    return (int) Math.min(MOST, Math.max(1, (bytes - FIXED) / KEY_COST));
+  /** Keys known at once at most where results lie on disk: keys have all of the bound. */
+  public int maxKeysWithResultsOnDisk() {
+    return (int) Math.min(MAX_COUNT, Math.max(1, (bytes - FIXED_BYTES) / BYTES_PER_KEY));
   }
 
-  /** Blocks of results at once. */
-  public int mostBlocks() {
-    return mostBlocks;
+  /** Blocks of results at once at most. */
+  public int maxBlocks() {
+    return maxBlocks;
   }
 
-  /** Bytes of results at once, whole blocks. */
-  public long mostResultBytes() {
-    return (long) mostBlocks * BlockStore.COST;
+  /** Bytes of results at once at most, whole blocks. */
+  public long maxResultBytes() {
+    return (long) maxBlocks * BlockStore.BYTES_PER_BLOCK;
   }
 
-  /** Requests in hand that have a promise. */
-  public int promises() {
-    return promises;
+  /** Requests in flight that have a reservation. */
+  public int reservations() {
+    return reservations;
   }
 
   /**
-   * Promises a key and the largest result; false where they do not fit.
+   * Reserves memory for a key and the largest result; false where they do not fit.
    *
-   * @param keys known now and over, or with another process to end them
-   * @param blocks in use
-   * @param elsewhere keys of those that the other process of the box has yet to end: each may bring
-   *     a result
+   * @param keys settled ones, and those that the peer process has in hand
+   * @param usedBlocks of results
+   * @param peerOwnedKeys keys that the peer process has in hand: each may bring a result
    */
-  public boolean promise(int keys, int blocks, int elsewhere) {
-    if (keysWanted(keys) > 0 || blocksWanted(blocks, elsewhere) > 0) {
+  public boolean tryReserve(int keys, int usedBlocks, int peerOwnedKeys) {
+    if (excessKeys(keys) > 0 || excessBlocks(usedBlocks, peerOwnedKeys) > 0) {
       return false;
     }
-    promises++;
+    reservations++;
     return true;
   }
 
-  /** Keys that have to go before one more promise fits; 0 or less where none has to. */
-  int keysWanted(int keys) {
-    return keys + promises + 1 - mostKeys;
+  /** Keys that must expire before one more reservation fits; 0 or less where none must. */
+  int excessKeys(int keys) {
+    return keys + reservations + 1 - maxKeys;
   }
 
-  /** Blocks that have to go before one more promise fits; 0 or less where none has to. */
-  long blocksWanted(int blocks, int elsewhere) {
-    return blocks + (promises + elsewhere + 1L) * PROMISE - mostBlocks;
+  /** Blocks that must be freed before one more reservation fits; 0 or less where none must. */
+  long excessBlocks(int usedBlocks, int peerOwnedKeys) {
+    return usedBlocks + (reservations + peerOwnedKeys + 1L) * BLOCKS_PER_RESERVATION - maxBlocks;
   }
 
-  /** A promise is over: what came of it is in use by now, or nothing did. */
-  public void settle() {
-    if (promises == 0) {
-      throw new IllegalStateException("more promises settled than made");
+  /** A reservation is over: what came of it is counted as in use by now, or nothing did. */
+  public void release() {
+    if (reservations == 0) {
+      throw new IllegalStateException("expected a reservation to release, found none");
     }
-    promises--;
+    reservations--;
   }
 }
--- a/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
@@ -55,7 +55,7 @@
 
   private static String jsonLine(long epoch, int stage, String event, String host, String reason) {
     Map<String, Object> line = new LinkedHashMap<>();
-    line.put("at", SteadyWallClock.now());
+    line.put("at", SteadyWallClock.wallMillis());
     line.put("epoch", epoch);
     line.put("stage", stage);
     line.put("what", event);
--- a/src/main/java/wharftrestle/rollout/controller/RolloutExecution.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutExecution.java
@@ -104,7 +104,7 @@
   private void append(String event, String host, String release, String reason) throws IOException {
     directory.append(
         new JournalEntry(
-            SteadyWallClock.now(),
+            SteadyWallClock.wallMillis(),
             event,
             lease.epoch(),
             lease.controller(),
--- a/src/main/java/wharftrestle/time/SteadyWallClock.java
+++ b/src/main/java/wharftrestle/time/SteadyWallClock.java
@@ -7,66 +7,66 @@
 import java.nio.file.Path;
 
 /**
- * The machine's time of day, which may step, and a scale beside it that never does: Unix ms as they
- * were when this process began, and on from there by the steady clock. A stamp of a request is laid
- * on that scale as it is read, by its age then, so that a step of the clock moves neither a window
- * of a key nor a due time. Two processes of one box agree on the scale by {@link #adopt}: the one
- * that takes over goes on with that of the one before.
+ * The machine's wall clock, which may step, and a steady wall clock beside it that never does: Unix
+ * ms as they were when this process began, advanced from there by the monotonic clock. A request's
+ * timestamp is mapped to the steady clock by its age as it is read, so that a step of the wall
+ * clock moves neither a key's window nor a deadline. The successor of a handover goes on with its
+ * predecessor's clock by {@link #adoptOffset}. Safe for all threads.
  */
 public final class SteadyWallClock {
   /**
-   * Names a file of eight bytes, ms by which this process's time of day is off; the rig alone sets
-   * it.
+   * System property that names a file of eight bytes: ms by which this process's wall clock is
+   * skewed. Only the testbed sets it.
    */
-  public static final String OFF = "wharftrestle.clock";
+  public static final String SKEW_FILE_PROPERTY = "wharftrestle.clock";
 
-  private static final LongBuffer BY = off(System.getProperty(OFF));
-  private static volatile long base = now() - steady();
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final LongBuffer SKEW = openSkewFile(System.getProperty(SKEW_FILE_PROPERTY));
+  private static volatile long offsetMillis = wallMillis() - monotonicMillis();
 
   private SteadyWallClock() {}
 
-  private static LongBuffer off(String file) {
+  private static LongBuffer openSkewFile(String file) {
     if (file == null) {
       return null;
     }
     try (FileChannel channel = FileChannel.open(Path.of(file))) {
       return channel.map(FileChannel.MapMode.READ_ONLY, 0, Long.BYTES).asLongBuffer();
     } catch (IOException e) {
-      throw new UncheckedIOException("the rig's clock cannot be read", e);
+      throw new UncheckedIOException("cannot read the skewed clock " + file, e);
     }
   }
 
-  private static long steady() {
-    return System.nanoTime() / 1_000_000;
+  private static long monotonicMillis() {
+    return System.nanoTime() / NANOS_PER_MILLI;
   }
 
-  /** The time of day, Unix ms; it may step. */
-  public static long now() {
-    return System.currentTimeMillis() + (BY == null ? 0 : BY.get(0));
+  /** The wall clock, Unix ms; it may step. */
+  public static long wallMillis() {
+    return System.currentTimeMillis() + (SKEW == null ? 0 : SKEW.get(0));
   }
 
-  /** The time on the scale that never steps, ms. */
-  public static long even() {
-    return base + steady();
+  /** The steady wall clock, Unix ms; it never steps. */
+  public static long steadyWallMillis() {
+    return offsetMillis + monotonicMillis();
   }
 
   /**
-   * A stamp of the machine's clock, Unix ms, as it lies on the scale that never steps; none lies
-   * ahead of now.
+   * Maps a timestamp of the wall clock to the steady clock; one that lies ahead of now becomes now.
+   *
+   * @param timestampMillis Unix ms
    */
-  public static long even(long stamp) {
-    return even() - Math.max(0, now() - stamp);
+  public static long toSteadyWallMillis(long timestampMillis) {
+    return steadyWallMillis() - Math.max(0, wallMillis() - timestampMillis);
   }
 
-  /**
-   * Where the scale of this process begins, ms; another process of this machine goes on with it.
-   */
-  public static long base() {
-    return base;
+  /** Steady wall clock less monotonic clock, ms; the same for all processes of a handover. */
+  public static long offsetMillis() {
+    return offsetMillis;
   }
 
-  /** Goes on with the scale of the process before; nothing may have been stamped here yet. */
-  public static void adopt(long theirs) {
-    base = theirs;
+  /** Goes on with the predecessor's steady clock; nothing may have been stamped here yet. */
+  public static void adoptOffset(long predecessorOffsetMillis) {
+    offsetMillis = predecessorOffsetMillis;
   }
 }
