--- a/src/main/java/wharftrestle/admission/Admission.java
+++ b/src/main/java/wharftrestle/admission/Admission.java
@@ -122,6 +122,7 @@
    * @param remainingDeadlineSeconds how much longer its caller waits; 0 where unknown
    * @param priority 0 to under 1, by weight of its class and then by user
    */
+  @SuppressWarnings("checkstyle:RecordComponentNumber") // groups would cost allocations per request
   record Request(
       long id,
       boolean retry,
@@ -160,8 +161,8 @@
     /** The caller no longer waits; no answer is owed. */
     void callerGone(double now, long id);
 
-    /** This instance drains and is stopped after {@code secondsLeft}. */
-    void draining(double now, double secondsLeft);
+    /** This instance drains and is stopped after {@code remainingSeconds}. */
+    void draining(double now, double remainingSeconds);
 
     /**
      * From now on this instance has this fraction of the host's memory and call quota; 1 for all,
@@ -189,10 +190,10 @@
      * Final answer: rejected. It promises that this attempt was never executed, unless it is
      * idempotent; an idempotent one in execution goes on until its end is reported.
      *
-     * @param otherHostsToo whether a retry at another host is expected to be rejected as well
+     * @param everywhere whether a retry at another host is expected to be rejected as well
      * @param retryAfterSeconds 0 gives no advice
      */
-    void reject(long id, boolean otherHostsToo, double retryAfterSeconds);
+    void reject(long id, boolean everywhere, double retryAfterSeconds);
 
     /** Final answer: failed. */
     void fail(long id);
--- a/src/main/java/wharftrestle/admission/AdmissionController.java
+++ b/src/main/java/wharftrestle/admission/AdmissionController.java
@@ -58,8 +58,7 @@
     deadlines = new Deadlines(settings, estimator, drain);
     tenantQuota = new TenantQuota(settings);
     idleConnections = new IdleConnectionControl(actions, arrivals);
-    outliers =
-        new OutlierDetector(now, settings, actions, random, estimator, inflation, arrivals);
+    outliers = new OutlierDetector(now, settings, actions, random, estimator, inflation, arrivals);
     duplicates = new DuplicateTracker(settings, actions, requests, memory);
     RetryAdvice advice =
         new RetryAdvice(settings.retries(), estimator, inflation, arrivals, outliers);
@@ -70,14 +69,12 @@
     CallTimeLimit timeLimit = new CallTimeLimit(tick, estimator, value, callBudget, stalls);
     CallCongestion congestion = new CallCongestion(requests, estimator, callBudget);
     calls =
-        new DependencyCalls(
-            actions, random, requests, callBudget, timeLimit, congestion, answers);
+        new DependencyCalls(actions, random, requests, callBudget, timeLimit, congestion, answers);
     deadlineEnforcer = new DeadlineEnforcer(settings, actions, requests, answers);
     scheduler = new GroupEdfScheduler(estimator);
     memoryShedder = new MemoryShedder(requests, value, memory, answers);
     WorkAhead ahead = new WorkAhead(requests, estimator, limit, callBudget, stalls, outliers);
-    loadShedder =
-        new LoadShedder(requests, estimator, value, ahead, outliers, advice, answers);
+    loadShedder = new LoadShedder(requests, estimator, value, ahead, outliers, advice, answers);
     dispatcher = new Dispatcher(actions, requests, limit, memory, congestion, outliers);
     Obligations obligations = new Obligations(requests, deadlineEnforcer, limit, calls, outliers);
     timer = new ObligationTimer(tick, actions, obligations, stalls);
@@ -114,7 +111,7 @@
     if (request.state == TrackedRequest.State.EXECUTING) {
       executionCompleted(now, request, outcome, elapsedSeconds);
     }
-    calls.requestEnded(now, request);
+    calls.requestCompleted(now, request);
     answers.end(request);
   }
 
@@ -123,8 +120,7 @@
     if (outcome == Admission.Outcome.SUCCESS) {
       estimator.learn(request, elapsedSeconds, stalls.stallSeconds(), requests.onCores());
     }
-    boolean byItself =
-        outcome == Admission.Outcome.SUCCESS || outcome == Admission.Outcome.FAILURE;
+    boolean byItself = outcome == Admission.Outcome.SUCCESS || outcome == Admission.Outcome.FAILURE;
     if (byItself && !request.preempting) {
       outliers.recordCompletion(now, outcome == Admission.Outcome.FAILURE);
     }
@@ -159,13 +155,13 @@
   }
 
   @Override
-  public void draining(double now, double secondsLeft) {
-    drain.begin(now, secondsLeft);
+  public void draining(double now, double remainingSeconds) {
+    drain.begin(now, remainingSeconds);
     actions.reportHealth(false, true);
     // The wire carries this line; its words are fixed.
     actions.log(
         "leaving in "
-            + secondsLeft
+            + remainingSeconds
             + " s with "
             + requests.queued().size()
             + " held, "
--- a/src/main/java/wharftrestle/admission/ArrivalStatistics.java
+++ b/src/main/java/wharftrestle/admission/ArrivalStatistics.java
@@ -9,8 +9,7 @@
   void recordArrival(Admission.Request request) {
     retryFraction += Smoothing.SLOW_WEIGHT * ((request.retry() ? 1 : 0) - retryFraction);
     rejectedFraction -= Smoothing.SLOW_WEIGHT * rejectedFraction;
-    acceptLagSeconds +=
-        Smoothing.FAST_WEIGHT * (request.queueingDelaySeconds() - acceptLagSeconds);
+    acceptLagSeconds += Smoothing.FAST_WEIGHT * (request.queueingDelaySeconds() - acceptLagSeconds);
   }
 
   /** Records that a request which was not in execution is rejected. */
--- a/src/main/java/wharftrestle/admission/CallCongestion.java
+++ b/src/main/java/wharftrestle/admission/CallCongestion.java
@@ -9,8 +9,7 @@
   private final RunTimeEstimator estimator;
   private final DependencyCallBudget budget;
 
-  CallCongestion(
-      RequestTable requests, RunTimeEstimator estimator, DependencyCallBudget budget) {
+  CallCongestion(RequestTable requests, RunTimeEstimator estimator, DependencyCallBudget budget) {
     this.requests = requests;
     this.estimator = estimator;
     this.budget = budget;
--- a/src/main/java/wharftrestle/admission/CallTimeLimit.java
+++ b/src/main/java/wharftrestle/admission/CallTimeLimit.java
@@ -6,13 +6,13 @@
    * Multiple of the mean call for which one is waited: some never end, and each holds a part of the
    * quota.
    */
-  private static final double PATIENCE_MULTIPLE = 10;
+  private static final double WAIT_MULTIPLE = 10;
 
   /** The same where the call may not be repeated, so that the request is lost with it. */
-  private static final double PATIENCE_MULTIPLE_ONCE = 20;
+  private static final double WAIT_MULTIPLE_ONCE = 20;
 
   /** Fraction of the latency objective for which a call is waited at least. */
-  private static final double LEAST_PATIENCE_OF_OBJECTIVE = 0.1;
+  private static final double MIN_WAIT_OF_OBJECTIVE = 0.1;
 
   private final double tickSeconds;
   private final RunTimeEstimator estimator;
@@ -38,13 +38,13 @@
    * hardly end: sooner, it would fail or be repeated for nothing.
    */
   double giveUpAt(double now, TrackedRequest request) {
-    double multiple = request.isIdempotent() ? PATIENCE_MULTIPLE : PATIENCE_MULTIPLE_ONCE;
-    double patience =
+    double multiple = request.isIdempotent() ? WAIT_MULTIPLE : WAIT_MULTIPLE_ONCE;
+    double waitSeconds =
         Math.max(
-            LEAST_PATIENCE_OF_OBJECTIVE * request.requestClass.latencyObjectiveSeconds(),
+            MIN_WAIT_OF_OBJECTIVE * request.requestClass.latencyObjectiveSeconds(),
             multiple * budget.meanSeconds());
     double until = request.answered ? now : value.usefulUntil(now, request);
-    until = Math.min(until, now + stalls.stallSeconds() + patience);
+    until = Math.min(until, now + stalls.stallSeconds() + waitSeconds);
     if (request.maySkipCall()) {
       until = Math.min(until, Math.max(now + tickSeconds, skipFrom(request)));
     }
--- a/src/main/java/wharftrestle/admission/ClassEstimate.java
+++ b/src/main/java/wharftrestle/admission/ClassEstimate.java
@@ -12,7 +12,7 @@
   double costHintSeconds;
 
   /** Least own run time seen, per unit of cost where hinted; it ages slowly. 0 before any. */
-  double leastOwn;
+  double minimumOwn;
 
   /** Executions that ended successfully. */
   int executions;
--- a/src/main/java/wharftrestle/admission/ConcurrencyLimit.java
+++ b/src/main/java/wharftrestle/admission/ConcurrencyLimit.java
@@ -72,7 +72,7 @@
     nextStepAt = now + STEP_SECONDS;
     if (idle && !queueEmpty && onCores >= (int) limit) {
       limit += RAISE * capacity.cores();
-    } else if (!idle && inflation.ofClassMeans() > INFLATION_TOLERANCE) {
+    } else if (!idle && inflation.ofClasses() > INFLATION_TOLERANCE) {
       limit -= LOWER * (limit - capacity.cores());
     }
     limit = Math.max(capacity.cores(), Math.min(limit, survivable(now)));
--- a/src/main/java/wharftrestle/admission/DependencyCallBudget.java
+++ b/src/main/java/wharftrestle/admission/DependencyCallBudget.java
@@ -37,7 +37,7 @@
   private double accruedAt;
   private int inFlight;
   private double meanSeconds = INITIAL_CALL_SECONDS;
-  private double leastMeanSeconds = INITIAL_CALL_SECONDS;
+  private double minimumMeanSeconds = INITIAL_CALL_SECONDS;
   private double quotaFraction = 1;
 
   DependencyCallBudget(double now, AdmissionSettings.DependencyCalls settings) {
@@ -120,16 +120,18 @@
       return;
     }
     // Calls that never end are no sign of a slow dependency, which would be given fewer.
-    double most = outcome == Outcome.SUCCESS ? elapsedSeconds : MAX_ABANDONED_MULTIPLE * meanSeconds;
-    meanSeconds += CALL_WEIGHT * (Math.min(elapsedSeconds, most) - meanSeconds);
-    leastMeanSeconds =
+    double maximum =
+        outcome == Outcome.SUCCESS ? elapsedSeconds : MAX_ABANDONED_MULTIPLE * meanSeconds;
+    meanSeconds += CALL_WEIGHT * (Math.min(elapsedSeconds, maximum) - meanSeconds);
+    minimumMeanSeconds =
         Math.min(
             meanSeconds,
-            leastMeanSeconds + Smoothing.MINIMUM_AGING * (meanSeconds - leastMeanSeconds));
+            minimumMeanSeconds + Smoothing.MINIMUM_AGING * (meanSeconds - minimumMeanSeconds));
   }
 
   private double allowed() {
-    double fraction = QUICK_FRACTION * Math.min(1, SLOW_MULTIPLE * leastMeanSeconds / meanSeconds);
+    double fraction =
+        QUICK_FRACTION * Math.min(1, SLOW_MULTIPLE * minimumMeanSeconds / meanSeconds);
     return Math.max(SLOW_FRACTION, fraction) * quotaFraction * settings.quota();
   }
 }
--- a/src/main/java/wharftrestle/admission/DependencyCalls.java
+++ b/src/main/java/wharftrestle/admission/DependencyCalls.java
@@ -78,14 +78,14 @@
   }
 
   /** Gives up the call of a request that ends, if one is in flight. */
-  void requestEnded(double now, TrackedRequest request) {
+  void requestCompleted(double now, TrackedRequest request) {
     if (request.state == TrackedRequest.State.CALLING) {
       budget.endCall(now, true);
     }
   }
 
   /** Returns when blocked requests are looked at next; infinity where there are none. */
-  double nextLookAt(double now) {
+  double nextCheckAt(double now) {
     return requests.blocked().isEmpty()
         ? Double.POSITIVE_INFINITY
         : now
@@ -95,7 +95,7 @@
 
   private void failed(double now, TrackedRequest request, Outcome outcome) {
     request.failedCalls++;
-    requests.blockAgain(request);
+    requests.reblock(request);
     request.nextCallAt = now + backoffSeconds(request);
     if (skipIfDue(now, request.nextCallAt, request)) {
       return;
--- a/src/main/java/wharftrestle/admission/Drain.java
+++ b/src/main/java/wharftrestle/admission/Drain.java
@@ -17,9 +17,9 @@
     this.graceSeconds = graceSeconds;
   }
 
-  void begin(double now, double secondsLeft) {
+  void begin(double now, double remainingSeconds) {
     drainingSince = now;
-    stopAt = now + secondsLeft;
+    stopAt = now + remainingSeconds;
   }
 
   boolean isDraining(double now) {
--- a/src/main/java/wharftrestle/admission/DuplicateTracker.java
+++ b/src/main/java/wharftrestle/admission/DuplicateTracker.java
@@ -80,7 +80,7 @@
   }
 
   /** Releases the key of a request that ended unexecuted, so that a retry may be executed. */
-  void requestEnded(TrackedRequest request) {
+  void requestCompleted(TrackedRequest request) {
     if (!request.keyRetained) {
       return;
     }
--- a/src/main/java/wharftrestle/admission/FinalAnswers.java
+++ b/src/main/java/wharftrestle/admission/FinalAnswers.java
@@ -62,16 +62,16 @@
   /** Ends a request: its memory is freed, and its key where it was never executed. */
   void end(TrackedRequest request) {
     requests.remove(request);
-    duplicates.requestEnded(request);
+    duplicates.requestCompleted(request);
   }
 
   private void reject(double now, TrackedRequest request) {
-    boolean otherHostsToo = advice.expectsRejectionElsewhere(now, request);
+    boolean everywhere = advice.expectsRejectionEverywhere(now, request);
     double retryAfterSeconds = advice.retryAfterSeconds(now, request);
     if (!request.isStarted()) {
       arrivals.recordRejection();
     }
-    actions.reject(request.id(), otherHostsToo, retryAfterSeconds);
+    actions.reject(request.id(), everywhere, retryAfterSeconds);
   }
 
   private static boolean mayHaveExecuted(TrackedRequest request) {
--- a/src/main/java/wharftrestle/admission/LoadShedder.java
+++ b/src/main/java/wharftrestle/admission/LoadShedder.java
@@ -57,7 +57,7 @@
         order.remove(index);
         answers.rejectAndEnd(now, request);
       } else if (now + Math.max(callWait, coreWait) + needed > usefulUntil) {
-        rejectLeastValue(now, order, index, callWait > coreWait);
+        rejectLowestValue(now, order, index, callWait > coreWait);
       } else {
         workAhead.add(request);
         index++;
@@ -70,27 +70,26 @@
    * try with less. Without a hint the mean is all there is: a slow host would try in vain.
    */
   private double neededSeconds(TrackedRequest request, int index) {
-    boolean idleCore =
-        requests.hasIdleCoreBeyond(index) && request.request.costHintSeconds() > 0;
+    boolean idleCore = requests.hasIdleCoreBeyond(index) && request.request.costHintSeconds() > 0;
     return estimator.runSeconds(request) * (idleCore ? IDLE_CORE_FRACTION : 1);
   }
 
   /** Rejects the request of least value up to and including the one at the index. */
-  private void rejectLeastValue(
+  private void rejectLowestValue(
       double now, List<TrackedRequest> order, int index, boolean callsAreScarce) {
-    TrackedRequest late = order.get(index);
-    int least = index;
+    TrackedRequest overdue = order.get(index);
+    int lowest = index;
     for (int i = 0; i < index; i++) {
       // Where calls are scarce, rejecting what makes none would free nothing.
       if ((!callsAreScarce || order.get(i).estimate.calls > 0)
           && value.of(now, order.get(i), callsAreScarce)
-              < value.of(now, order.get(least), callsAreScarce)) {
-        least = i;
+              < value.of(now, order.get(lowest), callsAreScarce)) {
+        lowest = i;
       }
     }
-    TrackedRequest victim = order.remove(least);
-    if (least < index) {
-      workAhead.replace(victim, late);
+    TrackedRequest victim = order.remove(lowest);
+    if (lowest < index) {
+      workAhead.replace(victim, overdue);
     }
     answers.rejectAndEnd(now, victim);
   }
--- a/src/main/java/wharftrestle/admission/MemoryShedder.java
+++ b/src/main/java/wharftrestle/admission/MemoryShedder.java
@@ -20,17 +20,17 @@
   void shed(double now) {
     List<TrackedRequest> queued = requests.queued();
     while (!queued.isEmpty() && memory.isExceeded()) {
-      answers.rejectAndEnd(now, leastValue(now, queued));
+      answers.rejectAndEnd(now, lowestValue(now, queued));
     }
   }
 
-  private TrackedRequest leastValue(double now, List<TrackedRequest> queued) {
-    TrackedRequest least = queued.get(0);
+  private TrackedRequest lowestValue(double now, List<TrackedRequest> queued) {
+    TrackedRequest lowest = queued.get(0);
     for (TrackedRequest request : queued) {
-      if (value.of(now, request, false) < value.of(now, least, false)) {
-        least = request;
+      if (value.of(now, request, false) < value.of(now, lowest, false)) {
+        lowest = request;
       }
     }
-    return least;
+    return lowest;
   }
 }
--- a/src/main/java/wharftrestle/admission/Obligations.java
+++ b/src/main/java/wharftrestle/admission/Obligations.java
@@ -30,7 +30,7 @@
     if (!requests.queued().isEmpty()) {
       next = Math.min(next, limit.nextStepAt());
     }
-    next = Math.min(next, calls.nextLookAt(now));
+    next = Math.min(next, calls.nextCheckAt(now));
     if (!outliers.isHealthy() && !isDraining) {
       next = Math.min(next, outliers.ejectedUntil());
     }
--- a/src/main/java/wharftrestle/admission/OutlierDetector.java
+++ b/src/main/java/wharftrestle/admission/OutlierDetector.java
@@ -40,7 +40,9 @@
   /** Inflation beyond contention that is sufficient alone. */
   private static final double SUFFICIENT_INFLATION = 3.0;
 
-  /** Accept lag from which, with nearly all rejected, what is taken in is late before it is read. */
+  /**
+   * Accept lag from which, with nearly all rejected, what is taken in is late before it is read.
+   */
   private static final double ACCEPT_LAG_SECONDS = 1;
 
   /** Fraction of rejected arrivals for the same: a fleet that is overloaded still serves some. */
--- a/src/main/java/wharftrestle/admission/RequestTable.java
+++ b/src/main/java/wharftrestle/admission/RequestTable.java
@@ -101,7 +101,7 @@
   }
 
   /** Puts a request whose dependency call failed behind the others that are blocked. */
-  void blockAgain(TrackedRequest request) {
+  void reblock(TrackedRequest request) {
     request.state = TrackedRequest.State.BLOCKED;
     blocked.add(request);
   }
@@ -117,7 +117,7 @@
     if (request.state == TrackedRequest.State.BLOCKED) {
       blocked.remove(request);
     }
-    request.offCoresSeconds += now - request.blockedSince;
+    request.blockedSeconds += now - request.blockedSince;
     request.state = TrackedRequest.State.EXECUTING;
     onCores++;
   }
--- a/src/main/java/wharftrestle/admission/RetryAdvice.java
+++ b/src/main/java/wharftrestle/admission/RetryAdvice.java
@@ -40,7 +40,7 @@
   }
 
   /** Returns whether a retry of this request is expected to be rejected by other hosts too. */
-  boolean expectsRejectionElsewhere(double now, TrackedRequest request) {
+  boolean expectsRejectionEverywhere(double now, TrackedRequest request) {
     boolean storm =
         settings.marked()
             ? arrivals.retryFraction() > RETRY_STORM
--- a/src/main/java/wharftrestle/admission/RunTimeEstimator.java
+++ b/src/main/java/wharftrestle/admission/RunTimeEstimator.java
@@ -63,7 +63,7 @@
 
   /** Returns the own run time still expected of a started request. */
   double remainingOwnSeconds(double now, TrackedRequest request) {
-    double elapsed = now - request.dispatchedAt - request.offCoresSeconds(now);
+    double elapsed = now - request.dispatchedAt - request.blockedSeconds(now);
     return Math.max(ownSeconds(request) - elapsed, OVERRUN_FRACTION * elapsed);
   }
 
@@ -78,8 +78,8 @@
    */
   void learn(TrackedRequest request, double elapsedSeconds, double stallSeconds, int onCores) {
     ClassEstimate estimate = request.estimate;
-    double own = Math.max(0, elapsedSeconds - request.offCoresSeconds);
-    updateMeans(request, own);
+    double own = Math.max(0, elapsedSeconds - request.blockedSeconds);
+    updateAverages(request, own);
     double level =
         estimate.costHintSeconds > 0
             ? estimate.ownSeconds / estimate.costHintSeconds
@@ -87,19 +87,20 @@
     if (estimate.executions < MIN_EXECUTIONS) {
       return;
     }
-    estimate.leastOwn =
-        estimate.leastOwn == 0
+    estimate.minimumOwn =
+        estimate.minimumOwn == 0
             ? level
             : Math.min(
-                level, estimate.leastOwn + Smoothing.MINIMUM_AGING * (level - estimate.leastOwn));
+                level,
+                estimate.minimumOwn + Smoothing.MINIMUM_AGING * (level - estimate.minimumOwn));
     double certain = request.callsReached == 0 ? own : Math.max(0, own - stallSeconds);
     double hint = request.request.costHintSeconds();
     double perUnit = hint > 0 ? certain / hint : certain;
     inflation.record(
-        level / estimate.leastOwn, perUnit / estimate.leastOwn, (double) onCores / cores);
+        level / estimate.minimumOwn, perUnit / estimate.minimumOwn, (double) onCores / cores);
   }
 
-  private void updateMeans(TrackedRequest request, double own) {
+  private void updateAverages(TrackedRequest request, double own) {
     ClassEstimate estimate = request.estimate;
     double hint = request.request.costHintSeconds();
     estimate.executions++;
--- a/src/main/java/wharftrestle/admission/RunTimeInflation.java
+++ b/src/main/java/wharftrestle/admission/RunTimeInflation.java
@@ -8,7 +8,7 @@
   /** A single execution counts for at most this multiple of the least seen. */
   private static final double MAX_SINGLE = 4;
 
-  private double classMeans = 1;
+  private double classes = 1;
   private double executions = 1;
   private double contention = 1;
 
@@ -20,14 +20,14 @@
    * @param concurrencyPerCore executions per core at its end
    */
   void record(double classMean, double execution, double concurrencyPerCore) {
-    classMeans += Smoothing.SLOW_WEIGHT * (classMean - classMeans);
+    classes += Smoothing.SLOW_WEIGHT * (classMean - classes);
     executions += Smoothing.FAST_WEIGHT * (Math.min(MAX_SINGLE, execution) - executions);
     contention += Smoothing.FAST_WEIGHT * (Math.max(1, concurrencyPerCore) - contention);
   }
 
   /** Inflation of the class means: steady, it leads the concurrency limit. */
-  double ofClassMeans() {
-    return classMeans;
+  double ofClasses() {
+    return classes;
   }
 
   /** Inflation of single executions: quick and noisy, it shows degradation. */
--- a/src/main/java/wharftrestle/admission/StallDetector.java
+++ b/src/main/java/wharftrestle/admission/StallDetector.java
@@ -12,10 +12,10 @@
   private double measuredAt;
 
   /** Records that a timer fired so late. */
-  void recordLateness(double now, double lateSeconds) {
+  void recordLateness(double now, double latenessSeconds) {
     stallSeconds =
         Math.max(
-            lateSeconds - TIMER_TOLERANCE_SECONDS,
+            latenessSeconds - TIMER_TOLERANCE_SECONDS,
             stallSeconds * Math.exp((measuredAt - now) / MEMORY_SECONDS));
     measuredAt = now;
   }
--- a/src/main/java/wharftrestle/admission/TenantQuota.java
+++ b/src/main/java/wharftrestle/admission/TenantQuota.java
@@ -10,7 +10,7 @@
   /** Seconds over which rates are averaged: some dozens of requests. */
   private static final double RATE_SPAN_SECONDS = 10;
 
-  private static final double LEAST_RATE = 1e-9;
+  private static final double MIN_RATE = 1e-9;
 
   private final List<Admission.Tenant> tenants;
   private final int hosts;
@@ -44,7 +44,7 @@
       return 1;
     }
     double allowed = tenants.get(tenant).quotaPerSecond() / hosts;
-    double within = Math.min(1, allowed / Math.max(rates[tenant], LEAST_RATE));
+    double within = Math.min(1, allowed / Math.max(rates[tenant], MIN_RATE));
     return within + (1 - within) * weightOverQuota;
   }
 }
--- a/src/main/java/wharftrestle/admission/TrackedRequest.java
+++ b/src/main/java/wharftrestle/admission/TrackedRequest.java
@@ -45,7 +45,7 @@
   boolean preempting;
 
   /** Blocked and calling time of the calls that are over. */
-  double offCoresSeconds;
+  double blockedSeconds;
 
   /** When it blocked on its present call. */
   double blockedSince;
@@ -110,7 +110,7 @@
   }
 
   /** Returns the seconds since its dispatch that it spent off the cores. */
-  double offCoresSeconds(double now) {
-    return offCoresSeconds + (state == State.EXECUTING ? 0 : now - blockedSince);
+  double blockedSeconds(double now) {
+    return blockedSeconds + (state == State.EXECUTING ? 0 : now - blockedSince);
   }
 }
--- a/src/main/java/wharftrestle/admission/WorkAhead.java
+++ b/src/main/java/wharftrestle/admission/WorkAhead.java
@@ -87,7 +87,7 @@
     boolean onCore = request.state == TrackedRequest.State.EXECUTING;
     seconds += onCore ? estimator.remainingOwnSeconds(now, request) : 0;
     calls += onCore ? Math.max(0, request.estimate.calls - request.callsReached) : 1;
-    double elapsed = now - request.dispatchedAt - request.offCoresSeconds(now);
+    double elapsed = now - request.dispatchedAt - request.blockedSeconds(now);
     outliers.addExecution(elapsed - stalls.stallSeconds(), estimator.ownSeconds(request));
   }
 }
--- a/src/main/java/wharftrestle/daemon/ConfigReload.java
+++ b/src/main/java/wharftrestle/daemon/ConfigReload.java
@@ -34,7 +34,8 @@
 
   /** A file of another site would leave executions that call the store without it. */
   private boolean lacksStore(DaemonConfig next) {
-    return next.db() == null && parts.config().settings().calls().dependency() != Admission.Dependency.NONE;
+    return next.db() == null
+        && parts.config().settings().calls().dependency() != Admission.Dependency.NONE;
   }
 
   private void moveTo(DaemonConfig next) {
--- a/src/main/java/wharftrestle/daemon/DaemonAdmin.java
+++ b/src/main/java/wharftrestle/daemon/DaemonAdmin.java
@@ -22,7 +22,10 @@
    * @param shutdownRequest gives the daemon the notice to leave
    */
   DaemonAdmin(
-      DaemonParts parts, LifecycleState state, HandoverCoordinator handover, Runnable shutdownRequest) {
+      DaemonParts parts,
+      LifecycleState state,
+      HandoverCoordinator handover,
+      Runnable shutdownRequest) {
     this.parts = parts;
     this.state = state;
     this.handover = handover;
--- a/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
+++ b/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
@@ -39,7 +39,9 @@
   private static Capabilities.RequestClass requestClass(Admission.RequestClass settings) {
     boolean isKeyed = settings.idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY;
     return new Capabilities.RequestClass(
-        settings.name(), isKeyed, isKeyed ? Math.round(settings.idempotencyWindowSeconds() * 1000) : 0);
+        settings.name(),
+        isKeyed,
+        isKeyed ? Math.round(settings.idempotencyWindowSeconds() * 1000) : 0);
   }
 
   @Override
--- a/src/main/java/wharftrestle/daemon/GracefulShutdown.java
+++ b/src/main/java/wharftrestle/daemon/GracefulShutdown.java
@@ -85,7 +85,8 @@
     leaveRequests();
     double graceSeconds =
         Math.min(
-                parts.config().settings().timing().drainGraceSeconds() - AdmissionController.DRAIN_MARGIN_SECONDS,
+                parts.config().settings().timing().drainGraceSeconds()
+                    - AdmissionController.DRAIN_MARGIN_SECONDS,
                 parts.config().stopSeconds() - 2 * ANSWER_MARGIN_SECONDS)
             + IN_TRANSIT_SECONDS;
     double openSeconds = graceSeconds - (parts.config().stopSeconds() - remainingSeconds());
--- a/src/main/java/wharftrestle/request/AdmissionActions.java
+++ b/src/main/java/wharftrestle/request/AdmissionActions.java
@@ -1,10 +1,10 @@
 package wharftrestle.request;
 
 import org.tinylog.Logger;
-import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.Admission.Outcome;
 import wharftrestle.idempotency.IdempotencyTable;
+import wharftrestle.idempotency.KeyEntry;
 
 /**
  * Adapts what the admission module decides to steps of the request concerned, which that request's
@@ -66,7 +66,8 @@
     IncomingRequest incoming = request.incoming;
     IdempotencyTable<InFlightRequest> keys = keyed.table();
     KeyEntry<InFlightRequest> known = keys.find(request.key);
-    boolean hasExecuted = known != null && known.mayHaveRun() && known.covers(incoming.receivedAtMillis());
+    boolean hasExecuted =
+        known != null && known.mayHaveRun() && known.covers(incoming.receivedAtMillis());
     if (!hasExecuted && !keyed.reserveMemory(request)) {
       rejectForMemory(request);
       return false;
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -3,7 +3,6 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.locks.Condition;
 import wharftrestle.idempotency.KeyEntry;
-import wharftrestle.idempotency.IdempotencyTable;
 
 /**
  * One request in flight, and the steps that its own thread has yet to carry out. All but the final
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -1,10 +1,10 @@
 package wharftrestle.request;
 
 import org.tinylog.Logger;
-import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.admission.Admission.Outcome;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.idempotency.IdempotencyTable;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.idempotency.KeyMemoryBudget;
 import wharftrestle.idempotency.KeyState;
 import wharftrestle.metrics.Counters;
@@ -133,7 +133,8 @@
    */
   boolean complete(KeyEntry<InFlightRequest> entry, byte[] result) {
     ownership.sendCompletion(entry, result);
-    boolean wasExecuting = entry.state() == KeyState.RUNNING || entry.state() == KeyState.OWNED_BY_PEER;
+    boolean wasExecuting =
+        entry.state() == KeyState.RUNNING || entry.state() == KeyState.OWNED_BY_PEER;
     keys.complete(entry, result);
     if (wasExecuting) {
       recorder.executionEnded(entry, result);
@@ -213,8 +214,7 @@
     }
   }
 
-  private void executionEnded(
-      InFlightRequest attached, KeyEntry<InFlightRequest> entry) {
+  private void executionEnded(InFlightRequest attached, KeyEntry<InFlightRequest> entry) {
     admission.runAfterInstant(() -> endAttached(attached, entry));
   }
 }
--- a/src/main/java/wharftrestle/request/PeerClaims.java
+++ b/src/main/java/wharftrestle/request/PeerClaims.java
@@ -3,11 +3,11 @@
 import java.util.HashSet;
 import java.util.Set;
 import java.util.concurrent.locks.ReentrantLock;
-import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
 import wharftrestle.handover.PeerProcess.KeyUpdate;
 import wharftrestle.idempotency.IdempotencyTable;
+import wharftrestle.idempotency.KeyEntry;
 
 /**
  * What the requests of this process need of the peer process that owns their keys: a claim before
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import java.util.concurrent.locks.ReentrantLock;
 import org.tinylog.Logger;
-import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.handover.Capabilities;
 import wharftrestle.handover.KeyOwnershipTransfer;
 import wharftrestle.handover.PeerProcess;
-import wharftrestle.handover.PeerProcess.KeyUpdate;
 import wharftrestle.handover.PeerProcess.CompletedKey;
+import wharftrestle.handover.PeerProcess.KeyUpdate;
 import wharftrestle.idempotency.IdempotencyTable;
 import wharftrestle.idempotency.KeyDigest;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.idempotency.KeyMemoryBudget;
 
 /**
@@ -212,7 +212,8 @@
       double now = clock.now();
       if (!ownership.onKeyReceived(completedKey, now)) {
         isFirstLost = now > keysLostUntilSeconds;
-        keysLostUntilSeconds = Math.max(keysLostUntilSeconds, now + completedKey.remainingSeconds());
+        keysLostUntilSeconds =
+            Math.max(keysLostUntilSeconds, now + completedKey.remainingSeconds());
       }
     } finally {
       lock.unlock();
--- a/src/main/java/wharftrestle/request/RequestArrival.java
+++ b/src/main/java/wharftrestle/request/RequestArrival.java
@@ -1,8 +1,7 @@
 package wharftrestle.request;
 
-import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.admission.Admission;
-import wharftrestle.idempotency.IdempotencyTable;
+import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.idempotency.KeyState;
 import wharftrestle.metrics.Counters;
 import wharftrestle.metrics.Counters.Count;
@@ -46,8 +45,7 @@
     if (request.isAnswered) {
       return;
     }
-    KeyEntry<InFlightRequest> known =
-        request.key == null ? null : keyed.table().find(request.key);
+    KeyEntry<InFlightRequest> known = request.key == null ? null : keyed.table().find(request.key);
     boolean mayHaveExecuted =
         (known != null && known.mayHaveRun()) || (request.key != null && !claims.ownsKeys());
     if (inFlight.isFull()) {
@@ -67,8 +65,7 @@
     }
   }
 
-  private static boolean isAnsweredBy(
-      KeyEntry<InFlightRequest> known, InFlightRequest request) {
+  private static boolean isAnsweredBy(KeyEntry<InFlightRequest> known, InFlightRequest request) {
     return known != null
         && known.state() == KeyState.SUCCEEDED
         && known.covers(request.incoming.receivedAtMillis())
