--- a/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
+++ b/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
@@ -113,7 +113,8 @@
       return; // closed for want of room before its request was whole
     }
     AtomicReference<Acceptance> taken = new AtomicReference<>();
-    connection.whenGone(() -> core.callerDisconnected(taken.get())); // after its answer this means nothing
+    connection.whenGone(
+        () -> core.callerDisconnected(taken.get())); // after its answer this means nothing
     taken.set(
         core.accept(
             arrival,
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -32,7 +32,11 @@
    * @param answer null but for ANSWER
    */
   record Step(
-      StepKind kind, byte[] response, double callBySeconds, long announcementNumber, Answer answer) {
+      StepKind kind,
+      byte[] response,
+      double callBySeconds,
+      long announcementNumber,
+      Answer answer) {
 
     static final Step WRITE_INTENT = plain(StepKind.WRITE_INTENT);
     static final Step DISPATCH = plain(StepKind.DISPATCH);
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -214,8 +214,7 @@
     }
   }
 
-  private void executionCompleted(
-      InFlightRequest attached, KeyEntry<InFlightRequest> entry) {
+  private void executionCompleted(InFlightRequest attached, KeyEntry<InFlightRequest> entry) {
     admission.runAfterInstant(() -> completeAttached(attached, entry));
   }
 }
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -212,7 +212,8 @@
       double now = clock.now();
       if (!ownership.onKeyReceived(completedKey, now)) {
         isFirstLost = now > keysMissingUntilSeconds;
-        keysMissingUntilSeconds = Math.max(keysMissingUntilSeconds, now + completedKey.remainingSeconds());
+        keysMissingUntilSeconds =
+            Math.max(keysMissingUntilSeconds, now + completedKey.remainingSeconds());
       }
     } finally {
       lock.unlock();
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -13,8 +13,9 @@
  * The entry to the requests in flight for frontends, worker pool, daemon and peer process. Every
  * event enters here or at {@link PeerCoordinator}, one at a time under the one lock that guards all
  * decisions, and with a clock that never goes back. What the admission module decides becomes a
- * step of the request concerned, which that request's own thread carries out ({@link RequestLifecycle}).
- * No socket or file is read or written under the lock. All methods may be called by any thread.
+ * step of the request concerned, which that request's own thread carries out ({@link
+ * RequestLifecycle}). No socket or file is read or written under the lock. All methods may be
+ * called by any thread.
  */
 public final class RequestCoordinator {
   private final RequestParts parts;
--- a/src/main/java/wharftrestle/request/package-info.java
+++ b/src/main/java/wharftrestle/request/package-info.java
@@ -7,7 +7,8 @@
  * One lock, made in {@code RequestParts}, guards every decision and all state but the final fields;
  * sockets and files are used without it.
  *
- * <p>Start reading at {@code RequestLifecycle.run}, the life of one request, then {@code RequestArrival}
- * for what it meets first and {@code AdmissionActions} for what the admission module asks for.
+ * <p>Start reading at {@code RequestLifecycle.run}, the life of one request, then {@code
+ * RequestArrival} for what it meets first and {@code AdmissionActions} for what the admission
+ * module asks for.
  */
 package wharftrestle.request;
