--- a/src/main/java/wharftrestle/idempotency/KeyState.java
+++ b/src/main/java/wharftrestle/idempotency/KeyState.java
@@ -33,7 +33,7 @@
  * OWNED_BY_PEER    the peer process has it in hand      LEARN_FROM_PEER  OWNED_BY_PEER
  *                                                       SUCCEED          SUCCEEDED
  *                                                       SAVE_RESULT      SAVING
- *                                                       FAIL             OUTCOME_UNKNOWN (also where
+ *                                                       FAIL             OUTCOME_UNKNOWN (or where
  *                                                                        that process died)
  *                                                       RELEASE          ABSENT
  *                                                       VOID             ABSENT (its intent could
--- a/src/main/java/wharftrestle/storage/LogWriter.java
+++ b/src/main/java/wharftrestle/storage/LogWriter.java
@@ -16,6 +16,7 @@
   private static final long POLL_MILLIS = 250;
 
   private static final long RETRY_AFTER_FAILURE_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final double NANOS_PER_SECOND = 1e9;
   private static final long IDLE = 0;
 
   private final GroupCommitQueue<PendingRecord> queue;
@@ -66,7 +67,7 @@
   /** True where the batch in hand takes longer than so many seconds; from any thread. */
   boolean isStalled(double seconds) {
     long began = batchBeganNanos;
-    return began != IDLE && System.nanoTime() - began > seconds * TimeUnit.SECONDS.toNanos(1);
+    return began != IDLE && System.nanoTime() - began > seconds * NANOS_PER_SECOND;
   }
 
   @Override
--- a/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
+++ b/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
@@ -46,7 +46,7 @@
   }
 
   @Example
-  void ridersEndAsTheRunDoes() {
+  void waitersEndAsTheExecutionDoes() {
     keys.enqueue("k", BODY, 1000, "first");
     KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
     assertTrue(keys.attach(keys.findDuplicate("k", 1500), "second"));
@@ -58,7 +58,7 @@
   }
 
   @Example
-  void whereRunsAreRecordedNothingIsServedBeforeItIsOnDisk() {
+  void withPersistence_noResultIsGivenBeforeItIsOnDisk() {
     keys.enablePersistence(10);
     KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
     assertEquals(KeyState.RECORDING, entry.state());
@@ -80,7 +80,7 @@
   }
 
   @Example
-  void aResultThatCouldNotBeWrittenIsStillGivenFromMemory() {
+  void aResultThatCannotBeWrittenIsGivenFromMemory() {
     keys.enablePersistence(10);
     KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
     keys.intentRecorded(entry);
@@ -90,7 +90,7 @@
   }
 
   @Example
-  void aRunThatCouldNotBeRecordedLeavesItsKeyFree() {
+  void anExecutionWithoutARecordedIntentLeavesItsKeyFree() {
     keys.enablePersistence(10);
     KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
     keys.attach(entry, "second");
@@ -102,7 +102,7 @@
   }
 
   @Example
-  void whatADeadProcessLeftNeverRunsInItsWindow() {
+  void aRecoveredKeyNeverRunsInItsWindow() {
     keys.enablePersistence(10);
     assertTrue(keys.recover("known", 5, 30_000, KeyDigest.checksum(BODY), 50));
     assertTrue(keys.recover("open", CompactIndex.NO_RESULT, 30_000, KeyDigest.checksum(BODY), 50));
--- a/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
@@ -31,7 +31,7 @@
   // ---- Blocks against plain arrays ----
 
   @Property(tries = 400, seed = "29421")
-  void blocksGiveBackTheBytesThatWerePut(@ForAll("sizes") List<Integer> sizes) {
+  void blocksReturnTheBytesThatWerePut(@ForAll("sizes") List<Integer> sizes) {
     BlockStore blocks = new BlockStore(1500);
     ArrayDeque<Integer> at = new ArrayDeque<>();
     ArrayDeque<byte[]> plain = new ArrayDeque<>();
@@ -110,7 +110,7 @@
   private record Owed(byte[] result, double until) {}
 
   @Property(tries = 300, seed = "29421")
-  void bytesHeldStayWithinTheBoundAndNoKeyIsForgottenInItsWindow(
+  void memoryStaysWithinTheBudgetAndNoKeyIsForgottenInItsWindow(
       @ForAll("acts") List<Act> acts, @ForAll boolean clockSteps) {
     KeyMemoryBudget room = KeyMemoryBudget.of(96 << 10);
     IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, room);
@@ -176,7 +176,7 @@
   }
 
   @Property(tries = 200, seed = "29421")
-  void whoIsToldToComeAgainFindsRoomThenAndNotBefore(@ForAll("acts") List<Act> acts) {
+  void capacityIsBackAtTheStatedTimeAndNotBefore(@ForAll("acts") List<Act> acts) {
     IdempotencyTable<String> keys =
         new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(64 << 10));
     double now = 500;
@@ -221,7 +221,7 @@
   }
 
   @Example
-  void aKeyOfTheOtherProcessHasItsRoomAndAFullTableKeepsTheKeyWithoutItsResult() {
+  void aKeyOfThePeerHasItsMemoryAndAFullStoreKeepsTheKeyWithoutItsResult() {
     IdempotencyTable<String> keys =
         new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(64 << 10));
     int promised = 0;
--- a/src/test/java/wharftrestle/idempotency/KeyStructuresTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyStructuresTest.java
@@ -39,7 +39,7 @@
   }
 
   @Property(tries = 600, seed = "29421")
-  void theWheelTellsEachOnceNeverEarlyAndAtMostATickLate(@ForAll("acts") List<Act> acts) {
+  void theWheelFiresEachOnceNeverEarlyAndAtMostATickLate(@ForAll("acts") List<Act> acts) {
     TimingWheel wheel = new TimingWheel(0.25, 16); // 4 s a turn, so that much lies turns ahead
     Map<Integer, Double> plain = new HashMap<>();
     double now = 1000;
@@ -71,7 +71,7 @@
   }
 
   @Property(tries = 600, seed = "29421")
-  void theIndexKnowsWhatAMapKnows(@ForAll("acts") List<Act> acts) {
+  void theIndexHoldsWhatAMapHolds(@ForAll("acts") List<Act> acts) {
     CompactIndex index = new CompactIndex(30);
     Map<Integer, Long> plain = new HashMap<>();
     Map<Integer, Double> due = new HashMap<>();
@@ -116,7 +116,7 @@
   }
 
   @Example
-  void theIndexGrowsToItsBoundAndIsSmall() {
+  void theIndexGrowsToItsCapacityAndIsSmall() {
     CompactIndex index = new CompactIndex(100_000);
     for (int i = 0; i < 100_000; i++) {
       assertTrue(index.put(KeyDigest.of("2/0/" + i), i, i, i, 30 + i % 7));
--- a/src/test/java/wharftrestle/storage/GroupCommitQueueTest.java
+++ b/src/test/java/wharftrestle/storage/GroupCommitQueueTest.java
@@ -16,40 +16,40 @@
 public class GroupCommitQueueTest {
   private static final Integer[] ENTRIES = {null, 1000, 2000, 3000}; // told apart by identity
 
-  private final GroupCommitQueue<Integer> gather = new GroupCommitQueue<>(2);
+  private final GroupCommitQueue<Integer> queue = new GroupCommitQueue<>(2);
 
   @Operation
   public boolean add(@Param(name = "entry") int entry) {
-    return gather.add(ENTRIES[entry], 1, false);
+    return queue.add(ENTRIES[entry], 1, false);
   }
 
   @Operation
   public boolean must(@Param(name = "entry") int entry) {
-    return gather.add(ENTRIES[entry], 1, true);
+    return queue.add(ENTRIES[entry], 1, true);
   }
 
   @Operation
   public boolean withdraw(@Param(name = "entry") int entry) {
-    return gather.withdraw(ENTRIES[entry], 1);
+    return queue.withdraw(ENTRIES[entry], 1);
   }
 
   @Operation(nonParallelGroup = "writer")
   public List<Integer> drain() {
-    return gather.drain();
+    return queue.drain();
   }
 
   @Operation
   public long bytes() {
-    return gather.queuedBytes();
+    return queue.queuedBytes();
   }
 
   @Operation
   public void close() {
-    gather.close();
+    queue.close();
   }
 
   @Test
-  void everyInterleavingIsAsOneQueue() {
+  void everyInterleavingIsLinearizable() {
     new ModelCheckingOptions()
         .threads(3)
         .actorsPerThread(3)
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void alsoUnderStress() {
+  void stressedInterleavingsAreLinearizable() {
     new StressOptions()
         .threads(3)
         .actorsPerThread(3)
--- a/src/test/java/wharftrestle/storage/ResultLogToolTest.java
+++ b/src/test/java/wharftrestle/storage/ResultLogToolTest.java
@@ -55,16 +55,16 @@
   @BeforeEach
   void threeKeysOverThreeStarts() throws Exception {
     for (String key : new String[] {"2/0/first", "2/0/second", "2/1/third"}) {
-      try (WriteAheadLog journal = new WriteAheadLog(settings())) {
-        journal.open(20);
+      try (WriteAheadLog log = new WriteAheadLog(settings())) {
+        log.open(20);
         CountDownLatch written = new CountDownLatch(1);
-        journal.writeIntent(keyed(key), place -> written.countDown());
+        log.writeIntent(keyed(key), place -> written.countDown());
         written.await();
         assertThrows(
             UnusableStorageException.class, () -> new ResultLogTool(folder), "a daemon has it");
         if (!key.contains("third")) {
           CountDownLatch ended = new CountDownLatch(1);
-          journal.writeResult(keyed(key), RESULT, place -> ended.countDown());
+          log.writeResult(keyed(key), RESULT, place -> ended.countDown());
           ended.await();
         }
       }
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void aCompactedFolderSaysTheSame() throws Exception {
+  void aCompactedFolderHoldsTheSameKeys() throws Exception {
     assertTrue(
         said((results, out) -> results.compact(out))
             .startsWith("1 files, 256 kB; before: 3 files, 768 kB"));
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void damageIsFoundAndNotCompactedAway() throws Exception {
+  void damageIsReportedAndNotCompactedAway() throws Exception {
     String whole = said((results, out) -> results.verify(out));
     assertTrue((boolean) answer && whole.endsWith("whole\n"), whole);
     Path first;
--- a/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
+++ b/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
@@ -44,18 +44,18 @@
   }
 
   /** Where a record came to lie; waits for the word. */
-  private static final class Word implements ResultStore.WriteListener {
-    private final CountDownLatch said = new CountDownLatch(1);
+  private static final class WrittenLocation implements ResultStore.WriteListener {
+    private final CountDownLatch notified = new CountDownLatch(1);
     private volatile long place;
 
     @Override
     public void onWritten(long at) {
       place = at;
-      said.countDown();
+      notified.countDown();
     }
 
     long await() throws InterruptedException {
-      assertTrue(said.await(10, TimeUnit.SECONDS), "no word from the disk");
+      assertTrue(notified.await(10, TimeUnit.SECONDS), "no word from the disk");
       return place;
     }
   }
@@ -70,14 +70,14 @@
    * Runs one key from intent to result; where the result lies, below 0 where any of it was not
    * written.
    */
-  private static long run(WriteAheadLog journal, String key, byte[] result)
+  private static long run(WriteAheadLog log, String key, byte[] result)
       throws InterruptedException {
-    Word intent = new Word();
-    if (journal.writeIntent(keyed(key), intent) == null || intent.await() < 0) {
+    WrittenLocation intent = new WrittenLocation();
+    if (log.writeIntent(keyed(key), intent) == null || intent.await() < 0) {
       return -2;
     }
-    Word end = new Word();
-    journal.writeResult(keyed(key), result, end);
+    WrittenLocation end = new WrittenLocation();
+    log.writeResult(keyed(key), result, end);
     return end.await();
   }
 
@@ -87,26 +87,26 @@
     return all;
   }
 
-  private static boolean blind(ResultStore.RecoveredKeys recovered) {
+  private static boolean unknownKeysFail(ResultStore.RecoveredKeys recovered) {
     return recovered.unknownKeysFailUntilSeconds() > System.nanoTime() / 1e9;
   }
 
   @Example
-  void whatWasRecordedIsKnownAfterAKillByteForByte() throws Exception {
+  void recordsAreRecoveredByteForByteAfterAKill() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
-    try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> disk)) {
-      assertTrue(byKey(journal.open(WINDOW)).isEmpty());
-      assertTrue(run(journal, "2/0/good", result(3)) >= 0);
-      Word intent = new Word();
-      assertNotNull(journal.writeIntent(keyed("2/0/open"), intent));
+    try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> disk)) {
+      assertTrue(byKey(log.open(WINDOW)).isEmpty());
+      assertTrue(run(log, "2/0/good", result(3)) >= 0);
+      WrittenLocation intent = new WrittenLocation();
+      assertNotNull(log.writeIntent(keyed("2/0/open"), intent));
       intent.await();
-      Word failed = new Word();
-      journal.writeIntent(keyed("2/0/bad"), new Word());
-      journal.writeResult(keyed("2/0/bad"), null, failed);
+      WrittenLocation failed = new WrittenLocation();
+      log.writeIntent(keyed("2/0/bad"), new WrittenLocation());
+      log.writeResult(keyed("2/0/bad"), null, failed);
       failed.await();
-      PendingIntent given = journal.writeIntent(keyed("2/0/void"), intent);
-      journal.withdrawIntent(given, keyed("2/0/void"));
-      assertTrue(run(journal, "2/0/last", result(4)) >= 0);
+      PendingIntent given = log.writeIntent(keyed("2/0/void"), intent);
+      log.withdrawIntent(given, keyed("2/0/void"));
+      assertTrue(run(log, "2/0/last", result(4)) >= 0);
     }
     try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> disk.afterKill())) {
       Map<String, ResultStore.RecoveredKey> known = byKey(next.open(WINDOW));
@@ -123,7 +123,7 @@
   }
 
   @Example
-  void anotherProcessAnotherFormatAndANewerVersionAreToldInOneLine() throws Exception {
+  void aForeignFormatAndANewerVersionAreRejectedInOneLine() throws Exception {
     MemorySegmentStore foreign = new MemorySegmentStore();
     foreign.replace(
         1,
@@ -183,7 +183,7 @@
   }
 
   @Example
-  void aFileCutAtAnyByteNeverLosesAKeyUnseen() throws Exception {
+  void aSegmentCutAtAnyByteNeverLosesAKeyUndetected() throws Exception {
     List<LogRecord> records = new ArrayList<>();
     List<Integer> begins = new ArrayList<>();
     byte[] whole = written(records, begins);
@@ -202,7 +202,7 @@
   }
 
   @Example
-  void zerosFromAnyByteOnAreATornEndAndLoseNothingBefore() throws Exception {
+  void zerosFromAnyByteOnAreATornWriteAndLoseNothingBefore() throws Exception {
     List<LogRecord> records = new ArrayList<>();
     List<Integer> begins = new ArrayList<>();
     byte[] whole = written(records, begins);
@@ -231,7 +231,7 @@
       bad[at] ^= 0x41;
       int[] seen = {0};
       Segment.ScanResult scan = Segment.scan(ByteBuffer.wrap(bad), (record, offset) -> seen[0]++);
-      boolean padding = seen[0] == 9; // between two records nothing is said
+      boolean padding = seen[0] == 9; // between two records nothing is notified
       boolean lastBatch = at >= begins.get(6);
       assertTrue(padding || seen[0] == 8, "one byte harms one record");
       assertTrue(padding || lastBatch || scan.damaged(), "byte " + at + " of a synced batch");
@@ -322,7 +322,7 @@
   }
 
   @Property(tries = 300, seed = "29421")
-  void noBytesEndAScan(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int changes)
+  void noBytesMakeAScanFail(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int changes)
       throws Exception {
     byte[] bytes = written(new ArrayList<>(), new ArrayList<>());
     Random random = new Random(seed);
@@ -334,11 +334,11 @@
   }
 
   @Example
-  void aMissingFileOrListIsDamageAndUnknownKeysStayOut() throws Exception {
+  void aMissingSegmentOrManifestIsDamageAndUnknownKeysDoNotRun() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
-    try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> disk)) {
-      journal.open(WINDOW);
-      run(journal, "2/0/a", result(1));
+    try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> disk)) {
+      log.open(WINDOW);
+      run(log, "2/0/a", result(1));
     }
     MemorySegmentStore without = disk.afterKill();
     without.lose(without.numbers().get(0));
@@ -346,7 +346,7 @@
     for (int i = 0; i < 2; i++) { // and also where the process that found it dies as well
       MemorySegmentStore found = again;
       try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> found)) {
-        assertTrue(blind(next.open(WINDOW)));
+        assertTrue(unknownKeysFail(next.open(WINDOW)));
       }
       again = found.afterKill();
     }
@@ -354,12 +354,12 @@
     short1.replace(
         short1.numbers().get(0), Arrays.copyOf(short1.bytes(short1.numbers().get(0)), 100));
     try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> short1)) {
-      assertTrue(blind(next.open(WINDOW)), "a file that was cut");
+      assertTrue(unknownKeysFail(next.open(WINDOW)), "a file that was cut");
     }
     MemorySegmentStore unlisted = disk.afterKill();
     unlisted.writeManifest("rubbish".getBytes(StandardCharsets.UTF_8));
     try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> unlisted)) {
-      assertTrue(blind(next.open(WINDOW)), "a list that says nothing");
+      assertTrue(unknownKeysFail(next.open(WINDOW)), "a list that says nothing");
     }
   }
 
@@ -368,41 +368,41 @@
    * it, and a result is never another one. The power goes before each operation in turn.
    */
   @Example
-  void afterALossOfPowerAtAnyOperationWhatWasToldIsKnown() throws Exception {
+  void afterAPowerLossAtAnyOperationConfirmedRecordsAreRecovered() throws Exception {
     int operations = Integer.MAX_VALUE;
     for (int dieAt = 1; dieAt < operations; dieAt++) {
       MemorySegmentStore disk = new MemorySegmentStore();
       Set<String> intended = new HashSet<>();
       Map<String, byte[]> ended = new HashMap<>();
-      WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> disk);
+      WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> disk);
       disk.die(dieAt);
       try {
-        journal.open(WINDOW);
+        log.open(WINDOW);
       } catch (UnusableStorageException e) {
         continue; // nothing was told yet
       }
       for (int i = 0; i < 6; i++) {
         String key = "2/0/k" + i;
-        Word intent = new Word();
-        if (journal.writeIntent(keyed(key), intent) == null || intent.await() < 0) {
+        WrittenLocation intent = new WrittenLocation();
+        if (log.writeIntent(keyed(key), intent) == null || intent.await() < 0) {
           break;
         }
         intended.add(key);
-        Word end = new Word();
-        journal.writeResult(keyed(key), result(i), end);
+        WrittenLocation end = new WrittenLocation();
+        log.writeResult(keyed(key), result(i), end);
         if (end.await() >= 0) {
           ended.put(key, result(i));
         }
       }
       operations = disk.dead() ? operations : dieAt;
       MemorySegmentStore left = disk.afterPowerLoss(dieAt);
-      journal.close();
+      log.close();
       try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> left)) {
         ResultStore.RecoveredKeys recovered = next.open(WINDOW);
         Map<String, ResultStore.RecoveredKey> known = byKey(recovered);
         assertTrue(
             known.keySet().containsAll(intended), "power lost at " + dieAt + ": " + known.keySet());
-        assertFalse(blind(recovered), "power lost at " + dieAt);
+        assertFalse(unknownKeysFail(recovered), "power lost at " + dieAt);
         for (String key : ended.keySet()) {
           assertArrayEquals(ended.get(key), next.readResult(key, known.get(key).position()));
         }
@@ -414,66 +414,66 @@
   /** The next write goes well and its sync does not: that is told, and a fresh file goes on. */
   private static void goesOnAfter(Consumer<MemorySegmentStore> fault) throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
-    try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> disk)) {
-      journal.open(WINDOW);
-      run(journal, "2/0/before", result(1));
+    try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> disk)) {
+      log.open(WINDOW);
+      run(log, "2/0/before", result(1));
       fault.accept(disk);
-      Word intent = new Word();
-      journal.writeIntent(keyed("2/0/at"), intent);
+      WrittenLocation intent = new WrittenLocation();
+      log.writeIntent(keyed("2/0/at"), intent);
       assertEquals(-1, intent.await());
-      assertEquals(ResultStore.RejectionReason.DISK_FAILED, journal.rejectionReason());
-      assertNull(journal.writeIntent(keyed("2/0/while"), intent), "nothing is recorded meanwhile");
+      assertEquals(ResultStore.RejectionReason.DISK_FAILED, log.rejectionReason());
+      assertNull(log.writeIntent(keyed("2/0/while"), intent), "nothing is recorded meanwhile");
       long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-      while (journal.rejectionReason() != null && System.nanoTime() < until) {
+      while (log.rejectionReason() != null && System.nanoTime() < until) {
         Thread.onSpinWait();
       }
-      assertTrue(run(journal, "2/0/after", result(2)) >= 0);
+      assertTrue(run(log, "2/0/after", result(2)) >= 0);
       assertEquals(2, disk.numbers().size(), "in a fresh file");
     }
   }
 
   @Example
-  void aFaultOfTheDiskIsToldAndAFreshFileGoesOn() throws Exception {
+  void aDiskFaultIsReportedAndAFreshSegmentGoesOn() throws Exception {
     goesOnAfter(disk -> disk.fail(2, 1));
   }
 
   @Example
-  void anErrorOfAnyKindIsToldAndAFreshFileGoesOn() throws Exception {
+  void anErrorOfAnyKindIsReportedAndAFreshSegmentGoesOn() throws Exception {
     goesOnAfter(disk -> disk.failBadly(2, 1));
   }
 
   @Example
-  void aFaultInWhoIsToldEndsNoWriter() throws Exception {
-    try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), MemorySegmentStore::new)) {
-      journal.open(WINDOW);
-      journal.writeIntent(
+  void aFaultInAListenerDoesNotEndTheWriter() throws Exception {
+    try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), MemorySegmentStore::new)) {
+      log.open(WINDOW);
+      log.writeIntent(
           keyed("2/0/bad"),
           place -> {
             throw new StackOverflowError("made up");
           });
-      assertTrue(run(journal, "2/0/good", result(1)) >= 0);
+      assertTrue(run(log, "2/0/good", result(1)) >= 0);
     }
   }
 
   @Example
-  void aStalledDiskIsSeenAndWhatWaitsCanBeTakenBack() throws Exception {
+  void aStalledDiskIsDetectedAndAQueuedIntentCanBeWithdrawn() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
-    try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> disk)) {
-      journal.open(WINDOW);
+    try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> disk)) {
+      log.open(WINDOW);
       disk.stall();
-      Word first = new Word();
-      PendingIntent given = journal.writeIntent(keyed("2/0/a"), first);
+      WrittenLocation first = new WrittenLocation();
+      PendingIntent given = log.writeIntent(keyed("2/0/a"), first);
       disk.awaitStalled();
-      PendingIntent waits = journal.writeIntent(keyed("2/0/b"), new Word());
-      while (journal.rejectionReason() == null) {
+      PendingIntent waits = log.writeIntent(keyed("2/0/b"), new WrittenLocation());
+      while (log.rejectionReason() == null) {
         Thread.onSpinWait();
       }
-      assertEquals(ResultStore.RejectionReason.DISK_STALLED, journal.rejectionReason());
-      journal.withdrawIntent(waits, keyed("2/0/b")); // was never on its way
-      journal.withdrawIntent(given, keyed("2/0/a")); // is on disk without a run: a record says so
+      assertEquals(ResultStore.RejectionReason.DISK_STALLED, log.rejectionReason());
+      log.withdrawIntent(waits, keyed("2/0/b")); // was never on its way
+      log.withdrawIntent(given, keyed("2/0/a")); // is on disk without a run: a record says so
       disk.wake();
       first.await();
-      run(journal, "2/0/c", result(1));
+      run(log, "2/0/c", result(1));
     }
     try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> disk.afterKill())) {
       assertEquals(Set.of("2/0/c"), byKey(next.open(WINDOW)).keySet());
@@ -481,25 +481,25 @@
   }
 
   @Example
-  void aFullStoreTakesNoIntentWhoseResultWouldNotFit() throws Exception {
+  void aFullLogAcceptsNoIntentWhoseResultWouldNotFit() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
     DaemonConfig.Durable small = settings(4, "none");
     long lost = 0;
-    try (WriteAheadLog journal = new WriteAheadLog(small, () -> disk)) {
-      journal.open(WINDOW);
+    try (WriteAheadLog log = new WriteAheadLog(small, () -> disk)) {
+      log.open(WINDOW);
       int taken = 0;
       byte[] longest = new byte[4096];
       for (int i = 0; i < 5000; i++) {
         String key = "2/0/k" + i;
-        Word intent = new Word();
-        if (journal.writeIntent(keyed(key), intent) == null) {
-          assertEquals(ResultStore.RejectionReason.STORE_FULL, journal.rejectionReason());
+        WrittenLocation intent = new WrittenLocation();
+        if (log.writeIntent(keyed(key), intent) == null) {
+          assertEquals(ResultStore.RejectionReason.STORE_FULL, log.rejectionReason());
           break;
         }
         intent.await();
         taken++;
-        Word end = new Word();
-        journal.writeResult(keyed(key), longest, end);
+        WrittenLocation end = new WrittenLocation();
+        log.writeResult(keyed(key), longest, end);
         lost += end.await() < 0 ? 1 : 0;
       }
       assertTrue(taken > 700 && taken < 5000, taken + " keys in 4 MB");
@@ -507,35 +507,35 @@
       assertTrue(
           disk.numbers().stream().mapToLong(n -> disk.bytes(n).length).sum() <= 4 << 20, "bounded");
       assertTrue(
-          journal.retryAfterSeconds(ResultStore.RejectionReason.STORE_FULL) > 1,
+          log.retryAfterSeconds(ResultStore.RejectionReason.STORE_FULL) > 1,
           "and says when it is worth while to come again");
     }
   }
 
   @Example
-  void startsOneAfterAnotherDoNotFillTheFolder() throws Exception {
+  void repeatedStartsDoNotFillTheFolder() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
     for (int start = 0; start < 40; start++) {
       MemorySegmentStore found = disk;
-      try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> found)) {
-        Map<String, ResultStore.RecoveredKey> known = byKey(journal.open(WINDOW));
+      try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> found)) {
+        Map<String, ResultStore.RecoveredKey> known = byKey(log.open(WINDOW));
         assertEquals(start, known.size(), "start " + start);
-        assertNull(journal.rejectionReason(), "start " + start);
+        assertNull(log.rejectionReason(), "start " + start);
         for (int i = 0; i < start; i++) {
           ResultStore.RecoveredKey key = known.get("2/0/k" + i);
           if (i % 3 == 0) {
             assertEquals(-1, key.position());
           } else {
-            assertArrayEquals(result(i), journal.readResult(key.key(), key.position()));
+            assertArrayEquals(result(i), log.readResult(key.key(), key.position()));
           }
         }
         String key = "2/0/k" + start;
         if (start % 3 == 0) {
-          Word intent = new Word();
-          journal.writeIntent(keyed(key), intent);
+          WrittenLocation intent = new WrittenLocation();
+          log.writeIntent(keyed(key), intent);
           assertTrue(intent.await() >= 0);
         } else {
-          assertTrue(run(journal, key, result(start)) >= 0);
+          assertTrue(run(log, key, result(start)) >= 0);
         }
       }
       disk = disk.afterKill();
@@ -544,15 +544,15 @@
   }
 
   @Example
-  void aCompactionThatDiesAnywhereLeavesALogThatSaysTheSame() throws Exception {
+  void aCompactionThatDiesAtAnyOperationLosesNoKey() throws Exception {
     MemorySegmentStore full = new MemorySegmentStore();
     Map<String, byte[]> results = new HashMap<>();
     for (int start = 0; start < 5; start++) {
       MemorySegmentStore found = full;
-      try (WriteAheadLog journal = new WriteAheadLog(settings(4, "group"), () -> found)) {
-        journal.open(WINDOW);
+      try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> found)) {
+        log.open(WINDOW);
         results.put("2/0/k" + start, result(start));
-        run(journal, "2/0/k" + start, result(start));
+        run(log, "2/0/k" + start, result(start));
       }
       full = full.afterKill();
     }
@@ -569,7 +569,7 @@
       MemorySegmentStore left = disk.afterPowerLoss(dieAt);
       try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> left)) {
         ResultStore.RecoveredKeys recovered = next.open(WINDOW);
-        assertFalse(blind(recovered), "died at " + dieAt);
+        assertFalse(unknownKeysFail(recovered), "died at " + dieAt);
         Map<String, ResultStore.RecoveredKey> known = byKey(recovered);
         assertEquals(results.keySet(), known.keySet());
         for (String key : results.keySet()) {
@@ -581,26 +581,26 @@
   }
 
   @Example
-  void oldFilesGoAndTheirRoomComesBack() {
-    SpaceBudget room = new SpaceBudget(4 << 20);
-    room.addSegment(1, Segment.HEADER_BYTES, 0);
-    for (int i = 0; room.tryReserve(200); i++) {
-      room.release(200);
-      if (room.needsNewSegment(5000)) {
-        room.addSegment(room.currentSegment() + 1, Segment.HEADER_BYTES, Double.NEGATIVE_INFINITY);
+  void expiredSegmentsFreeTheirSpace() {
+    SpaceBudget space = new SpaceBudget(4 << 20);
+    space.addSegment(1, Segment.HEADER_BYTES, 0);
+    for (int i = 0; space.tryReserve(200); i++) {
+      space.release(200);
+      if (space.needsNewSegment(5000)) {
+        space.addSegment(space.currentSegment() + 1, Segment.HEADER_BYTES, Double.NEGATIVE_INFINITY);
       }
-      room.append(5000, 30 + i * 0.01);
+      space.append(5000, 30 + i * 0.01);
     }
-    assertEquals(16, room.segmentCount());
-    assertEquals(-1, room.oldestExpiredSegment(29));
-    assertEquals(1, room.oldestExpiredSegment(60));
-    room.removeOldest();
-    assertTrue(room.tryReserve(200), "whole files come back");
-    assertEquals(2, room.oldestExpiredSegment(1000), "the one that is written stays");
+    assertEquals(16, space.segmentCount());
+    assertEquals(-1, space.oldestExpiredSegment(29));
+    assertEquals(1, space.oldestExpiredSegment(60));
+    space.removeOldest();
+    assertTrue(space.tryReserve(200), "whole files come back");
+    assertEquals(2, space.oldestExpiredSegment(1000), "the one that is written stays");
   }
 
   @Example
-  void recordsOfAnEarlierBootOrOfACrashLoopAreAgedByTheSteadyClock() {
+  void recordsExpireByTheMonotonicClockUnlessOfAnEarlierBoot() {
     long now = 1_000_000;
     Recovery recovery = new Recovery(System.currentTimeMillis(), now);
     LogRecord old =
