--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -47,7 +47,7 @@
     this.inFlight = inFlight;
     this.admission = admission;
     this.callers = callers;
-    keys = new IdempotencyTable<>(this::executionEnded, memory);
+    keys = new IdempotencyTable<>(this::executionCompleted, memory);
   }
 
   /** Before the first request; these three refer to each other. */
@@ -136,7 +136,7 @@
     boolean wasExecuting = entry.state() == KeyState.RUNNING || entry.state() == KeyState.OWNED_BY_PEER;
     keys.complete(entry, result);
     if (wasExecuting) {
-      recorder.executionEnded(entry, result);
+      recorder.recordResult(entry, result);
     }
     ownership.forwardCompleted(entry.key(), recorder.isEnabled(), clock.now());
     return entry.state() == KeyState.SAVING;
@@ -156,7 +156,7 @@
     request.isAttached = true;
     request.startedAtSeconds = clock.now();
     if (entry == null || !keys.attach(entry, request)) {
-      executionEnded(request, entry);
+      executionCompleted(request, entry);
     }
   }
 
@@ -187,18 +187,18 @@
    * Ends a request as the execution that it is attached to did, with its result byte for byte. A
    * result on disk is read by the request's own thread, never under the lock.
    */
-  void endAttached(InFlightRequest request, KeyEntry<InFlightRequest> entry) {
+  void completeAttached(InFlightRequest request, KeyEntry<InFlightRequest> entry) {
     byte[] result = entry == null ? null : keys.result(entry);
     if (!request.isAnswered && entry != null && entry.isOnDisk() && result == null) {
       request.entry = entry;
       request.enqueue(InFlightRequest.Step.REPLAY_RESULT);
       return;
     }
-    endWith(request, result);
+    completeWith(request, result);
   }
 
   /** The result is null where the execution failed, or its result cannot be read. */
-  void endWith(InFlightRequest request, byte[] result) {
+  void completeWith(InFlightRequest request, byte[] result) {
     if (request.isAnswered) {
       return;
     }
@@ -213,8 +213,8 @@
     }
   }
 
-  private void executionEnded(
+  private void executionCompleted(
       InFlightRequest attached, KeyEntry<InFlightRequest> entry) {
-    admission.runAfterInstant(() -> endAttached(attached, entry));
+    admission.runAfterInstant(() -> completeAttached(attached, entry));
   }
 }
