--- a/src/main/java/wharftrestle/idempotency/KeyState.java
+++ b/src/main/java/wharftrestle/idempotency/KeyState.java
@@ -20,7 +20,7 @@
  *                                                       RECORD_INTENT    RECORDING
  *                                                       RELEASE          ABSENT
  * RECORDING        an execution was decided, its        INTENT_RECORDED  RUNNING
- *                  intent is being written              VOID             ABSENT (rejected, withdrawn)
+ *                  intent is being written              VOID             ABSENT (withdrawn)
  *                                                       SUCCEED, FAIL    OUTCOME_UNKNOWN (no begin
  *                                                                        was seen: cannot happen)
  * RUNNING          an execution was dispatched          SUCCEED          SUCCEEDED
