--- a/src/main/java/wharftrestle/idempotency/KeyState.java
+++ b/src/main/java/wharftrestle/idempotency/KeyState.java
@@ -20,7 +20,7 @@
  *                                                       RECORD_INTENT    RECORDING
  *                                                       RELEASE          ABSENT
  * RECORDING        an execution was decided, its        INTENT_RECORDED  RUNNING
- *                  intent is being written              VOID             ABSENT (rejected, withdrawn)
+ *                  intent is being written              VOID             ABSENT (withdrawn)
  *                                                       SUCCEED, FAIL    OUTCOME_UNKNOWN (no begin
  *                                                                        was seen: cannot happen)
  * RUNNING          an execution was dispatched          SUCCEED          SUCCEEDED
@@ -33,7 +33,7 @@
  * OWNED_BY_PEER    the peer process has it in hand      LEARN_FROM_PEER  OWNED_BY_PEER
  *                                                       SUCCEED          SUCCEEDED
  *                                                       SAVE_RESULT      SAVING
- *                                                       FAIL             OUTCOME_UNKNOWN (also where
+ *                                                       FAIL             OUTCOME_UNKNOWN (or where
  *                                                                        that process died)
  *                                                       RELEASE          ABSENT
  *                                                       VOID             ABSENT (its intent could
