--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -56,7 +56,9 @@
           .resideInAPackage("wharftrestle.storage..")
           .and()
           .haveNameNotMatching(
-              ".*\\.(WriteAheadLog|LogReader|LogWriter|SegmentWriter|LogMetrics|PendingRecord|FileSegmentStore|SegmentStore|UnusableStorageException|Compaction|ResultLogTool)(\\$.*)?")
+              ".*\\.(WriteAheadLog|LogReader|LogWriter|SegmentWriter|LogMetrics|PendingRecord"
+                  + "|FileSegmentStore|SegmentStore|UnusableStorageException|Compaction|ResultLogTool)"
+                  + "(\\$.*)?")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
--- a/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
+++ b/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
@@ -587,7 +587,8 @@
     for (int i = 0; space.tryReserve(200); i++) {
       space.release(200);
       if (space.needsNewSegment(5000)) {
-        space.addSegment(space.currentSegment() + 1, Segment.HEADER_BYTES, Double.NEGATIVE_INFINITY);
+        space.addSegment(
+            space.currentSegment() + 1, Segment.HEADER_BYTES, Double.NEGATIVE_INFINITY);
       }
       space.append(5000, 30 + i * 0.01);
     }
