--- a/src/main/java/wharftrestle/request/AdmissionActions.java
+++ b/src/main/java/wharftrestle/request/AdmissionActions.java
@@ -148,7 +148,7 @@
     InFlightRequest request = inFlight.withId(id);
     if (request != null && !request.isCompleted) {
       request.callStartedAtSeconds = clock.now();
-      request.enqueue(InFlightRequest.Step.callDependency(callBySeconds));
+      request.enqueue(new InFlightRequest.CallDependency(callBySeconds));
     }
   }
 
@@ -156,7 +156,7 @@
   public void skipCall(long id) {
     InFlightRequest request = inFlight.withId(id);
     if (request != null && !request.isCompleted) {
-      request.enqueue(InFlightRequest.Step.skipCall(request.callAnnouncement));
+      request.enqueue(new InFlightRequest.SkipCall(request.callAnnouncement));
     }
   }
 
--- a/src/main/java/wharftrestle/request/CallerNotifier.java
+++ b/src/main/java/wharftrestle/request/CallerNotifier.java
@@ -31,7 +31,7 @@
     }
     count(request.incoming, answer.kind());
     markAnswered(request);
-    request.enqueue(InFlightRequest.Step.answer(answer));
+    request.enqueue(new InFlightRequest.SendAnswer(answer));
   }
 
   /** The caller does not wait any more; false where the request was answered before. */
--- a/src/main/java/wharftrestle/request/DependencyCalls.java
+++ b/src/main/java/wharftrestle/request/DependencyCalls.java
@@ -104,7 +104,7 @@
       request.hasFailedCall = outcome != Outcome.SUCCESS && outcome != Outcome.TIMED_OUT;
       double now = clock.now();
       if (outcome == Outcome.SUCCESS) {
-        request.enqueue(InFlightRequest.Step.deliverResponse(response));
+        request.enqueue(new InFlightRequest.DeliverResponse(response));
       }
       admission
           .events()
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -23,45 +23,57 @@
     ANSWER
   }
 
-  /**
-   * One thing to carry out without the lock.
-   *
-   * @param response to deliver; null but for DELIVER_RESPONSE
-   * @param callBySeconds the call may not last longer; CALL_DEPENDENCY only
-   * @param announcementNumber announced the call to skip; SKIP_CALL only
-   * @param answer null but for ANSWER
-   */
-  record Step(
-      StepKind kind,
-      byte[] response,
-      double callBySeconds,
-      long announcementNumber,
-      Answer answer) {
-
-    static final Step WRITE_INTENT = plain(StepKind.WRITE_INTENT);
-    static final Step DISPATCH = plain(StepKind.DISPATCH);
-    static final Step SUSPEND = plain(StepKind.SUSPEND);
-    static final Step CANCEL_CALL = plain(StepKind.CANCEL_CALL);
-    static final Step REPLAY_RESULT = plain(StepKind.REPLAY_RESULT);
-
-    private static Step plain(StepKind kind) {
-      return new Step(kind, null, 0, 0, null);
-    }
+  /** One thing to carry out without the lock; its kind says which record it is. */
+  sealed interface Step {
+    Step WRITE_INTENT = new PlainStep(StepKind.WRITE_INTENT);
+    Step DISPATCH = new PlainStep(StepKind.DISPATCH);
+    Step SUSPEND = new PlainStep(StepKind.SUSPEND);
+    Step CANCEL_CALL = new PlainStep(StepKind.CANCEL_CALL);
+    Step REPLAY_RESULT = new PlainStep(StepKind.REPLAY_RESULT);
+
+    StepKind kind();
+  }
+
+  /** A step that its kind says all of. */
+  private record PlainStep(StepKind kind) implements Step {}
 
-    static Step deliverResponse(byte[] response) {
-      return new Step(StepKind.DELIVER_RESPONSE, response, 0, 0, null);
+  /** Hands the response of a dependency call to the execution. */
+  record DeliverResponse(byte[] response) implements Step {
+    @Override
+    public StepKind kind() {
+      return StepKind.DELIVER_RESPONSE;
     }
+  }
 
-    static Step callDependency(double callBySeconds) {
-      return new Step(StepKind.CALL_DEPENDENCY, null, callBySeconds, 0, null);
+  /**
+   * Makes the call at which the execution is blocked.
+   *
+   * @param callBySeconds the call may not last longer
+   */
+  record CallDependency(double callBySeconds) implements Step {
+    @Override
+    public StepKind kind() {
+      return StepKind.CALL_DEPENDENCY;
     }
+  }
 
-    static Step skipCall(long announcementNumber) {
-      return new Step(StepKind.SKIP_CALL, null, 0, announcementNumber, null);
+  /**
+   * Lets the execution go on without its call.
+   *
+   * @param announcementNumber of the notice that announced the call
+   */
+  record SkipCall(long announcementNumber) implements Step {
+    @Override
+    public StepKind kind() {
+      return StepKind.SKIP_CALL;
     }
+  }
 
-    static Step answer(Answer answer) {
-      return new Step(StepKind.ANSWER, null, 0, 0, answer);
+  /** Notifies the caller. */
+  record SendAnswer(Answer answer) implements Step {
+    @Override
+    public StepKind kind() {
+      return StepKind.ANSWER;
     }
   }
 
--- a/src/main/java/wharftrestle/request/RequestLifecycle.java
+++ b/src/main/java/wharftrestle/request/RequestLifecycle.java
@@ -146,13 +146,17 @@
           workerPool.dispatch(
               reference, settings.classes().get(incoming.classIndex()).name(), incoming.body());
         }
-        case CALL_DEPENDENCY -> dependencyCalls.begin(request, step.callBySeconds());
-        case DELIVER_RESPONSE -> workerPool.deliverResponse(reference, step.response());
-        case SKIP_CALL -> workerPool.skipCall(reference, step.announcementNumber());
+        case CALL_DEPENDENCY ->
+            dependencyCalls.begin(request, ((InFlightRequest.CallDependency) step).callBySeconds());
+        case DELIVER_RESPONSE ->
+            workerPool.deliverResponse(
+                reference, ((InFlightRequest.DeliverResponse) step).response());
+        case SKIP_CALL ->
+            workerPool.skipCall(reference, ((InFlightRequest.SkipCall) step).announcementNumber());
         case SUSPEND -> workerPool.suspend(reference);
         case CANCEL_CALL -> dependencyCalls.cancel(request);
         case REPLAY_RESULT -> replayResult(request);
-        case ANSWER -> request.listener.onAnswer(step.answer());
+        case ANSWER -> request.listener.onAnswer(((InFlightRequest.SendAnswer) step).answer());
       }
     }
   }
