--- a/src/main/java/wharftrestle/simulation/package-info.java
+++ b/src/main/java/wharftrestle/simulation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A fleet in virtual time: boxes that run the shipped policy, with cores, callers, a store and
- * troubles made up for it. Same seed, same play. It must never read a clock, and never decide
- * anything that the program decides itself.
+ * The shipped decisions in simulated time: hosts with cores, callers, a store and faults made up
+ * for them. Equal seeds give equal runs; no class reads a clock or decides what the program decides
+ * itself. Start with {@link wharftrestle.simulation.SimulatedHost}.
  */
 package wharftrestle.simulation;
--- /dev/null
+++ b/src/main/java/wharftrestle/snmp/package-info.java
@@ -0,0 +1,2 @@
+/** The SNMP agent: version 2c, read-only; serves what mib/WHARFTRESTLE-MIB.txt describes. */
+package wharftrestle.snmp;
--- a/src/main/java/wharftrestle/supervisor/package-info.java
+++ b/src/main/java/wharftrestle/supervisor/package-info.java
@@ -1,7 +1,9 @@
 /**
- * The keeper of one box: it starts the daemon, changes it to another release and back, and takes
- * back by itself what does worse. {@link wharftrestle.box.Keeper} decides, without I/O or clock;
- * {@link wharftrestle.box.BoxKeeper} carries out. Not on the platform; losing the keeper never ends
- * a daemon. It must never start a release that is not whole.
+ * The supervisor of one host: it starts the daemon, changes its release, watches the new one, and
+ * rolls back by itself what does worse. {@link wharftrestle.supervisor.SupervisorStateMachine}
+ * decides, without I/O or clock; {@link wharftrestle.supervisor.HostSupervisor} carries out and
+ * keeps the journal; {@link wharftrestle.supervisor.ControllerEndpoint} answers rollout
+ * controllers. No part of the daemon: a daemon outlives its supervisor. A release that is not whole
+ * is never started.
  */
 package wharftrestle.supervisor;
--- a/src/main/java/wharftrestle/testbed/package-info.java
+++ b/src/main/java/wharftrestle/testbed/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The rig: real processes of this program or any build of it, stand-ins for what they talk to,
- * links between them that can be made to fail, and checkers that watch from outside. No part of the
- * serving path may depend on it; it listens on loopback alone. Read {@link wharftrestle.lab.Floor}
- * first, then {@link wharftrestle.lab.Daemon}, then {@link wharftrestle.lab.Link}.
+ * Real processes of this program or of any build of it, stand-ins for what they talk to, proxies
+ * that inject faults, and checkers that watch from outside. The serving path does not depend on it;
+ * it listens on loopback alone. Start with {@link wharftrestle.testbed.HostTestbed}, then {@link
+ * wharftrestle.testbed.DaemonProcess} and {@link wharftrestle.testbed.FaultProxy}.
  */
 package wharftrestle.testbed;
