--- a/src/test/java/wharftrestle/prove/ProveChange.java
+++ b/src/test/java/wharftrestle/prove/ProveChange.java
@@ -266,7 +266,7 @@
         return unfinished(now, "did not serve after the old one was killed");
       }
       served();
-      if (!now.log().contains("to OPENING by")) {
+      if (!now.log().contains("to=OPENING_STORAGE event=")) {
         callers.forgotten(at); // it had not been given the keys: they died with their only holder
       }
       return now;
