--- a/src/main/java/wharftrestle/admission/AdmissionController.java
+++ b/src/main/java/wharftrestle/admission/AdmissionController.java
@@ -4,12 +4,15 @@
 import java.util.Random;
 
 /**
- * Decides, inside one service instance, which requests are dispatched, queued, rejected or failed.
- * It routes each event to the classes that decide on it, in a fixed order; none of them decides
- * outside these events. One object an instance; not thread-safe, the host serializes its events.
+ * The admission control of one service instance: decides which requests are dispatched, queued,
+ * rejected or failed. Routes each event to the classes that decide on it, in a fixed order;
+ * decisions are made only within these events. Not thread-safe: the host serializes the events.
  */
 public final class AdmissionController implements Admission.Events {
-  /** Seconds at the end of the drain grace in which nothing is dispatched any more. */
+  /**
+   * Seconds at the end of the drain grace period: a request that reached the host in them is not
+   * executed.
+   */
   public static final double DRAIN_MARGIN_SECONDS = Drain.MARGIN_SECONDS;
 
   private final AdmissionSettings settings;
@@ -37,12 +40,12 @@
   private final ObligationTimer timer;
 
   /**
-   * Starts healthy and without requests.
+   * Creates an instance that is healthy and has no requests, and reports its health.
    *
-   * @param now the host's monotonic clock
-   * @param seed of all random draws; equal seeds and events give equal decisions
-   * @param settings what the instance knows when it starts
-   * @param actions the host, which is called from here on
+   * @param now time of the host's monotonic clock
+   * @param seed seed of the random numbers; equal seeds and events give equal decisions
+   * @param settings the settings of the instance
+   * @param actions the host; called from the constructor on
    */
   public AdmissionController(
       double now, long seed, AdmissionSettings settings, Admission.Actions actions) {
@@ -87,7 +90,7 @@
         new TrackedRequest(
             request,
             settings.classes().get(request.classIndex()),
-            estimator.ofClass(request.classIndex()),
+            estimator.classEstimate(request.classIndex()),
             now - request.queueingDelaySeconds());
     deadlines.assign(now, arrived);
     requests.add(arrived);
@@ -118,10 +121,10 @@
   private void executionCompleted(
       double now, TrackedRequest request, Admission.Outcome outcome, double elapsedSeconds) {
     if (outcome == Admission.Outcome.SUCCESS) {
-      estimator.learn(request, elapsedSeconds, stalls.stallSeconds(), requests.onCores());
+      estimator.recordSuccess(request, elapsedSeconds, stalls.stallSeconds(), requests.onCores());
     }
-    boolean byItself = outcome == Admission.Outcome.SUCCESS || outcome == Admission.Outcome.FAILURE;
-    if (byItself && !request.preempting) {
+    boolean ranToEnd = outcome == Admission.Outcome.SUCCESS || outcome == Admission.Outcome.FAILURE;
+    if (ranToEnd && !request.preempting) {
       outliers.recordCompletion(now, outcome == Admission.Outcome.FAILURE);
     }
   }
@@ -158,7 +161,7 @@
   public void draining(double now, double remainingSeconds) {
     drain.begin(now, remainingSeconds);
     actions.reportHealth(false, true);
-    // The wire carries this line; its words are fixed.
+    // The text is fixed: the simulator receives this line, and recorded decisions contain it.
     actions.log(
         "leaving in "
             + remainingSeconds
--- a/src/main/java/wharftrestle/admission/AdmissionSettings.java
+++ b/src/main/java/wharftrestle/admission/AdmissionSettings.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * What an instance knows when it starts, grouped by subject. Absent optional values are 0, false or
- * an empty list. Units are those of {@link Admission}.
+ * The settings of one admission control instance, grouped by subject. Absent optional values are 0,
+ * false or an empty list. Units are those of {@link Admission}.
  *
  * @param classes request classes, by position
  * @param tenants tenants, by position; may be empty
  * @param fleet the other hosts and the callers
- * @param capacity what this host can hold and execute
+ * @param capacity cores and memory of this host
  * @param warmUp slow start of a cold host
  * @param calls dependency calls
  * @param timing clock and time limits
- * @param retries what is known and advised about retries
+ * @param retries retries of callers
  * @param weighting how the weight of answers is counted
- * @param gauges names of the gauges that come with the timer, by position
+ * @param gauges names of the gauges that are reported when a timer fires, by position
  */
 public record AdmissionSettings(
     List<Admission.RequestClass> classes,
@@ -33,10 +33,10 @@
    * The other hosts of the service, and its callers.
    *
    * @param hosts instances of this service when this one started, this one included
-   * @param callers callers when this one started
-   * @param notifiesCallerGone the host reports when a caller has gone
-   * @param healthChecksExecute health checks are executed unless answered from the cache
-   * @param endpointListFollowsHealth the callers' endpoint list follows the health reported here
+   * @param callers number of callers when this instance started
+   * @param notifiesCallerGone whether the host reports that a caller has disconnected
+   * @param healthChecksExecute whether health checks are executed unless answered from the cache
+   * @param endpointListFollowsHealth whether the callers' endpoint list follows the reported health
    */
   public record Fleet(
       int hosts,
@@ -46,15 +46,15 @@
       boolean endpointListFollowsHealth) {}
 
   /**
-   * What this host can hold and execute.
+   * Cores and memory of this host, and how it can preempt executions.
    *
    * @param cores cores of this host
    * @param memoryKb memory for queued and executing requests and retained keys
    * @param executionMemoryFactor memory of an executing request, as a multiple of a queued one
    * @param keyMemoryKb memory of one retained key
-   * @param preemption what can be done to executions
-   * @param survivableConcurrencyPerCore executions per core that a warm host survives
-   * @param concurrencyWindowSeconds the span of that mean
+   * @param preemption how executions can be preempted
+   * @param survivableConcurrencyPerCore mean executions per core that a warm host survives
+   * @param concurrencyWindowSeconds the window of that mean
    */
   public record Capacity(
       int cores,
@@ -68,18 +68,18 @@
   /**
    * Slow start of a cold host.
    *
-   * @param coldStart the host has just started
-   * @param coldSpeedFraction least fraction of its full speed while cold
-   * @param seconds it is warm after this time at the latest
+   * @param coldStart whether the host has just started
+   * @param coldSpeedFraction lowest speed while cold, as a fraction of the full speed
+   * @param seconds time after which the host is warm at the latest
    */
   public record WarmUp(boolean coldStart, double coldSpeedFraction, double seconds) {}
 
   /**
    * Dependency calls of executions.
    *
-   * @param dependency where they go
+   * @param dependency the kind of dependency that is called
    * @param quota calls in flight that this instance may have, as a mean over the window
-   * @param quotaWindowSeconds the span of that mean
+   * @param quotaWindowSeconds the window of that mean
    * @param abandonedSeconds longest time for which an abandoned call still occupies the dependency
    */
   public record DependencyCalls(
@@ -91,12 +91,12 @@
   /**
    * The host's clock, and time limits.
    *
-   * @param tickSeconds shortest gap between two instants of the host
-   * @param answerSlackSeconds an answer this long after its deadline still counts
-   * @param drainGraceSeconds what arrives later than this after the start of draining may not be
-   *     executed
-   * @param resultSharingSeconds how long the result of an idempotent request may answer others; 0
-   *     for never
+   * @param tickSeconds shortest interval between two instants of the host
+   * @param answerSlackSeconds how long after its deadline an answer still counts
+   * @param drainGraceSeconds a request that arrives later than this after the start of draining may
+   *     not be executed
+   * @param resultSharingSeconds how long the result of an idempotent request may answer duplicates;
+   *     0 to disable
    */
   public record Timing(
       double tickSeconds,
@@ -107,20 +107,20 @@
   /**
    * Retries of callers.
    *
-   * @param maxRetryAfterSeconds longest Retry-After that is observed; 0 where none is passed on
-   * @param marked clients mark retries
+   * @param maxRetryAfterSeconds longest Retry-After that callers observe; 0 if none is passed on
+   * @param marked whether clients mark retries
    */
   public record Retries(double maxRetryAfterSeconds, boolean marked) {}
 
   /**
    * How the weight of answers is counted.
    *
-   * @param perWork per unit of work, not per request
-   * @param overQuota fraction of the weight of what exceeds its tenant's quota
+   * @param perWork whether weight counts per unit of work instead of per request
+   * @param overQuota fraction of the weight that requests over their tenant's quota keep
    */
   public record Weighting(boolean perWork, double overQuota) {}
 
-  /** Returns the same settings for a host that may have started cold. */
+  /** Returns these settings, marked as a cold start if {@code cold} is set. */
   public AdmissionSettings withColdStart(boolean cold) {
     WarmUp started =
         new WarmUp(warmUp.coldStart() || cold, warmUp.coldSpeedFraction(), warmUp.seconds());
--- a/src/main/java/wharftrestle/admission/ArrivalStatistics.java
+++ b/src/main/java/wharftrestle/admission/ArrivalStatistics.java
@@ -12,7 +12,7 @@
     acceptLagSeconds += Smoothing.FAST_WEIGHT * (request.queueingDelaySeconds() - acceptLagSeconds);
   }
 
-  /** Records that a request which was not in execution is rejected. */
+  /** Records that a request which had not been started is rejected. */
   void recordRejection() {
     rejectedFraction += Smoothing.SLOW_WEIGHT;
   }
@@ -27,7 +27,7 @@
     return rejectedFraction;
   }
 
-  /** Returns the mean time between reaching the host and being read. */
+  /** Returns the mean queueing delay before read, in seconds. */
   double acceptLagSeconds() {
     return acceptLagSeconds;
   }
--- a/src/main/java/wharftrestle/admission/CallCongestion.java
+++ b/src/main/java/wharftrestle/admission/CallCongestion.java
@@ -1,8 +1,9 @@
 package wharftrestle.admission;
 
 /**
- * Knows when so many executions are blocked on dependency calls that no further one which needs its
- * call should be started: it would be started and lost, and bar others of more value.
+ * Detects that so many executions are blocked on dependency calls that no further request that
+ * needs a call should be dispatched: its call would come too late, and it would delay requests of
+ * higher value.
  */
 final class CallCongestion {
   private final RequestTable requests;
@@ -15,8 +16,11 @@
     this.budget = budget;
   }
 
-  /** Returns whether the calls in front of this request's would take longer than its own run. */
-  boolean affects(TrackedRequest request) {
+  /**
+   * Returns whether as many executions are blocked as there are cores, or whether the calls ahead
+   * of this request's call would take longer than its run time without calls.
+   */
+  boolean isCongestedFor(TrackedRequest request) {
     return requests.hasAllCoresBlocked()
         || (budget.isBounded()
             && budget.waitSeconds(requests.blocked().size() + budget.inFlight())
--- a/src/main/java/wharftrestle/admission/CallTimeLimit.java
+++ b/src/main/java/wharftrestle/admission/CallTimeLimit.java
@@ -1,18 +1,18 @@
 package wharftrestle.admission;
 
-/** Decides for how long a dependency call is waited for. */
+/** Sets the timeouts of dependency calls. */
 final class CallTimeLimit {
   /**
-   * Multiple of the mean call for which one is waited: some never end, and each holds a part of the
-   * quota.
+   * Timeout of a call, as a multiple of the mean call duration. Some calls never end, and each
+   * occupies a part of the quota until it times out.
    */
-  private static final double WAIT_MULTIPLE = 10;
+  private static final double TIMEOUT_MULTIPLE = 10;
 
-  /** The same where the call may not be repeated, so that the request is lost with it. */
-  private static final double WAIT_MULTIPLE_ONCE = 20;
+  /** The same for a call that may not be repeated: its request fails if the call times out. */
+  private static final double UNREPEATABLE_TIMEOUT_MULTIPLE = 20;
 
-  /** Fraction of the latency objective for which a call is waited at least. */
-  private static final double MIN_WAIT_OF_OBJECTIVE = 0.1;
+  /** Minimum timeout of a call, as a fraction of the latency objective. */
+  private static final double MIN_TIMEOUT_OBJECTIVE_FRACTION = 0.1;
 
   private final double tickSeconds;
   private final RunTimeEstimator estimator;
@@ -34,24 +34,26 @@
   }
 
   /**
-   * A call is given up when its answer has no more weight, or when it is so late that it will
-   * hardly end: sooner, it would fail or be repeated for nothing.
+   * Returns when a call that starts now times out: when the answer of its request has no more
+   * weight, or when the call is so late that it is unlikely to end. A shorter timeout would fail or
+   * repeat calls that are about to succeed.
    */
-  double giveUpAt(double now, TrackedRequest request) {
-    double multiple = request.isIdempotent() ? WAIT_MULTIPLE : WAIT_MULTIPLE_ONCE;
-    double waitSeconds =
+  double timeoutAt(double now, TrackedRequest request) {
+    double multiple =
+        request.isIdempotent() ? TIMEOUT_MULTIPLE : UNREPEATABLE_TIMEOUT_MULTIPLE;
+    double timeoutSeconds =
         Math.max(
-            MIN_WAIT_OF_OBJECTIVE * request.requestClass.latencyObjectiveSeconds(),
+            MIN_TIMEOUT_OBJECTIVE_FRACTION * request.requestClass.latencyObjectiveSeconds(),
             multiple * budget.meanSeconds());
     double until = request.answered ? now : value.usefulUntil(now, request);
-    until = Math.min(until, now + stalls.stallSeconds() + waitSeconds);
+    until = Math.min(until, now + stalls.stallSeconds() + timeoutSeconds);
     if (request.maySkipCall()) {
       until = Math.min(until, Math.max(now + tickSeconds, skipFrom(request)));
     }
     return budget.isBounded() ? Math.min(until, now + budget.burstCallSeconds()) : until;
   }
 
-  /** From then on a blocked execution meets its objective only without its call. */
+  /** Returns the time after which a blocked execution must skip its call to meet its objective. */
   double skipFrom(TrackedRequest request) {
     return request.objectiveAt - estimator.ownSeconds(request);
   }
--- a/src/main/java/wharftrestle/admission/ClassEstimate.java
+++ b/src/main/java/wharftrestle/admission/ClassEstimate.java
@@ -1,6 +1,6 @@
 package wharftrestle.admission;
 
-/** What was learned of one request class; written by {@link RunTimeEstimator}. */
+/** Run time statistics of one request class; written by {@link RunTimeEstimator}. */
 final class ClassEstimate {
   /** Moving average of the run time without dependency calls. */
   double ownSeconds;
@@ -8,12 +8,15 @@
   /** Moving average of the number of dependency calls in an execution. */
   double calls;
 
-  /** Moving average of the cost hint; 0 before any. */
+  /** Moving average of the cost hint; 0 before the first. */
   double costHintSeconds;
 
-  /** Least own run time seen, per unit of cost where hinted; it ages slowly. 0 before any. */
+  /**
+   * Slowly aging minimum of {@link #ownSeconds}, divided by the mean cost hint if there are hints;
+   * 0 before the first.
+   */
   double minimumOwn;
 
-  /** Executions that ended successfully. */
+  /** Successful executions. */
   int executions;
 }
--- a/src/main/java/wharftrestle/admission/ConcurrencyLimit.java
+++ b/src/main/java/wharftrestle/admission/ConcurrencyLimit.java
@@ -1,26 +1,33 @@
 package wharftrestle.admission;
 
 /**
- * Limits the executions on the cores at once: raised while cores idle and work waits, lowered while
- * run times are inflated, never below the cores nor above what the host survives.
+ * The limit on concurrent executions on the cores. It is raised while cores are idle and requests
+ * are queued, and lowered while run times are inflated; it stays between the number of cores and
+ * the concurrency that the host survives.
  */
 final class ConcurrencyLimit {
-  /** Fraction of the cores by which the limit is raised a step. */
-  private static final double RAISE = 0.5;
+  /** Fraction of the cores by which one step raises the limit. */
+  private static final double RAISE_FRACTION = 0.5;
 
-  /** Fraction of the excess over the cores by which the limit is lowered a step. */
-  private static final double LOWER = 0.1;
+  /** Fraction of the excess over the cores by which one step lowers the limit. */
+  private static final double LOWER_FRACTION = 0.1;
 
-  /** Inflation above which the limit is lowered; less is noise of few executions. */
+  /** Inflation above which the limit is lowered; lower values are noise of few executions. */
   private static final double INFLATION_TOLERANCE = 1.25;
 
-  /** Utilization below which cores count as idle: reading and health checks come and go. */
+  /**
+   * Utilization below which cores count as idle; below 1, since reading requests and health checks
+   * load them intermittently.
+   */
   private static final double BUSY_UTILIZATION = 0.9;
 
-  /** Seconds between two steps: half of the span of the utilization gauge. */
+  /** Seconds between two steps: half the averaging window of the utilization gauge. */
   private static final double STEP_SECONDS = 0.25;
 
-  /** Fraction of the survivable concurrency that is used: reading and calls come on top. */
+  /**
+   * Fraction of the survivable concurrency that is used: reading requests and dependency calls add
+   * to the load.
+   */
   private static final double CONCURRENCY_MARGIN = 0.7;
 
   private final AdmissionSettings.Capacity capacity;
@@ -43,22 +50,22 @@
     nextStepAt = now;
   }
 
-  /** Returns the limit, fractions of an execution included. */
+  /** Returns the limit, not rounded. */
   double value() {
     return limit;
   }
 
-  /** Returns the limit in whole executions. */
+  /** Returns the limit, rounded down. */
   int executions() {
     return (int) limit;
   }
 
-  /** Returns when the gauges are looked at next. */
+  /** Returns when the limit may be changed next. */
   double nextStepAt() {
     return nextStepAt;
   }
 
-  /** Moves the limit one step, unless the last step is too recent or gauges are missing. */
+  /** Changes the limit by one step, unless the last step is too recent or gauges are missing. */
   void update(double now, double[] gauges, boolean queueEmpty, int onCores) {
     if (utilizationGauge < 0 || utilizationGauge >= gauges.length) {
       return;
@@ -71,15 +78,18 @@
     }
     nextStepAt = now + STEP_SECONDS;
     if (idle && !queueEmpty && onCores >= (int) limit) {
-      limit += RAISE * capacity.cores();
-    } else if (!idle && inflation.ofClasses() > INFLATION_TOLERANCE) {
-      limit -= LOWER * (limit - capacity.cores());
+      limit += RAISE_FRACTION * capacity.cores();
+    } else if (!idle && inflation.classInflation() > INFLATION_TOLERANCE) {
+      limit -= LOWER_FRACTION * (limit - capacity.cores());
     }
-    limit = Math.max(capacity.cores(), Math.min(limit, survivable(now)));
+    limit = Math.max(capacity.cores(), Math.min(limit, survivableExecutions(now)));
   }
 
-  /** Returns what the host survives at its present speed, which is lower while it warms up. */
-  private double survivable(double now) {
+  /**
+   * Returns the concurrent executions that the host survives at its present speed, which is lower
+   * while it warms up.
+   */
+  private double survivableExecutions(double now) {
     double speed = 1;
     if (warmUp.coldStart() && warmUp.seconds() > 0) {
       speed =
--- a/src/main/java/wharftrestle/admission/DeadlineEnforcer.java
+++ b/src/main/java/wharftrestle/admission/DeadlineEnforcer.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Answers each request when it is due, whatever hangs, and preempts executions whose answers nobody
- * waits for.
+ * Answers each request at its deadline, even if its execution or dependency call hangs, and
+ * preempts executions whose results are no longer needed.
  */
 final class DeadlineEnforcer {
   private final boolean mayPreempt;
@@ -23,7 +23,7 @@
     this.answers = answers;
   }
 
-  /** Answers what is due and preempts what has no purpose any more. */
+  /** Answers requests whose deadline has come and preempts executions that are not needed. */
   void enforce(double now) {
     for (TrackedRequest request : List.copyOf(requests.all())) {
       if (!request.answered && now >= request.answerDueAt) {
@@ -34,19 +34,19 @@
         answers.fail(request);
       }
       if (request.isStarted() && mayPreempt) {
-        preemptIfPointless(now, request);
+        preemptIfNotNeeded(now, request);
       }
     }
   }
 
-  /** Returns when something of this request is due next; infinity where nothing is. */
+  /** Returns when this request must be answered or preempted next; infinity if never. */
   double nextDueAt(TrackedRequest request) {
     if (request.answered) {
       return mayPreempt && isPreemptible(request)
-          ? purposeUntil(request)
+          ? neededUntil(request)
           : Double.POSITIVE_INFINITY;
     }
-    return mayPreempt && request.isStarted() && losesAllAtObjective(request)
+    return mayPreempt && request.isStarted() && hasNoWeightAfterObjective(request)
         ? request.objectiveAt
         : request.answerDueAt;
   }
@@ -59,11 +59,11 @@
     }
   }
 
-  private void preemptIfPointless(double now, TrackedRequest request) {
-    if (!request.answered && now >= request.objectiveAt && losesAllAtObjective(request)) {
-      answers.giveUp(now, request);
+  private void preemptIfNotNeeded(double now, TrackedRequest request) {
+    if (!request.answered && now >= request.objectiveAt && hasNoWeightAfterObjective(request)) {
+      answers.answerLate(now, request);
     }
-    if (request.answered && isPreemptible(request) && now >= purposeUntil(request)) {
+    if (request.answered && isPreemptible(request) && now >= neededUntil(request)) {
       request.preempting = true;
       actions.preempt(request.id());
     }
@@ -73,16 +73,17 @@
     return request.state == TrackedRequest.State.EXECUTING && !request.preempting;
   }
 
-  private static boolean losesAllAtObjective(TrackedRequest request) {
+  private static boolean hasNoWeightAfterObjective(TrackedRequest request) {
     return request.requestClass.weightAfterObjective() == 0;
   }
 
   /**
-   * Until when an answered execution still serves someone. With an idempotency key, a retry of a
-   * caller that waits briefly may not be executed here, but takes this execution's result; the
-   * price is a core that may work for a caller that is gone.
+   * Returns until when the result of an answered execution may still be needed. A retry with the
+   * same idempotency key may not be executed again, but can be answered with this result if the
+   * caller's timeout was shorter than the execution. The cost is a core that may work for a caller
+   * that has disconnected.
    */
-  private static double purposeUntil(TrackedRequest request) {
+  private static double neededUntil(TrackedRequest request) {
     if (!request.hasIdempotencyKey()) {
       return Double.NEGATIVE_INFINITY;
     }
--- a/src/main/java/wharftrestle/admission/Deadlines.java
+++ b/src/main/java/wharftrestle/admission/Deadlines.java
@@ -1,9 +1,9 @@
 package wharftrestle.admission;
 
-/** Sets the moments by which a request must be answered, and by which it has its full weight. */
+/** Sets the time by which a request must be answered, and the time of its latency objective. */
 final class Deadlines {
-  /** Ticks left for an answer to be given before it is due. */
-  private static final double ANSWER_TICKS = 2;
+  /** Ticks by which answers are due before the deadline, so that they are sent in time. */
+  private static final double ANSWER_MARGIN_TICKS = 2;
 
   private final RunTimeEstimator estimator;
   private final AttemptAge attemptAge;
@@ -13,7 +13,7 @@
   Deadlines(AdmissionSettings settings, RunTimeEstimator estimator, Drain drain) {
     this.estimator = estimator;
     this.drain = drain;
-    marginSeconds = ANSWER_TICKS * settings.timing().tickSeconds();
+    marginSeconds = ANSWER_MARGIN_TICKS * settings.timing().tickSeconds();
     attemptAge = new AttemptAge(settings, marginSeconds);
   }
 
@@ -35,7 +35,7 @@
             arrived.reachedHostAt + objective - attemptAge.seconds(arrived) - marginSeconds);
   }
 
-  /** Brings the deadlines of a request forward to the stop of this process. */
+  /** Moves the deadlines of a request to the stop of this process if they are later. */
   void shortenToStop(TrackedRequest request) {
     request.answerDueAt = Math.min(request.answerDueAt, drain.stopAt() - marginSeconds);
     request.objectiveAt = Math.min(request.objectiveAt, request.answerDueAt);
--- a/src/main/java/wharftrestle/admission/DependencyCallBudget.java
+++ b/src/main/java/wharftrestle/admission/DependencyCallBudget.java
@@ -3,32 +3,33 @@
 import wharftrestle.admission.Admission.Outcome;
 
 /**
- * Keeps the dependency calls of this host, those in flight and those abandoned, under its quota of
- * what a shared dependency bears. A token bucket of call-seconds fills at the calls allowed and is
- * spent by those in flight, so that the mean over the quota's window stays bounded. The calls
- * allowed follow the latency of the dependency: more calls than it has slots only slow it further.
+ * Keeps the dependency calls of this host, in flight and abandoned, within its quota of the
+ * capacity of a shared dependency. A token bucket of call-seconds is filled at the rate of the
+ * allowed concurrent calls and drained by the calls in flight, so that their mean over the quota's
+ * window stays bounded. The allowed concurrency follows the latency of the dependency: more calls
+ * than it can process concurrently only slow it further.
  */
 final class DependencyCallBudget {
   /** Fraction of the quota, over its window, that one burst may spend. */
   private static final double BURST_FRACTION = 0.35;
 
-  /** Fraction of the quota in flight, at once and in steady use, while calls are quick. */
-  private static final double QUICK_FRACTION = 0.5;
+  /** Fraction of the quota that is allowed in flight, also in steady state, while calls are fast. */
+  private static final double FAST_FRACTION = 0.5;
 
   /** The same while calls are slow. */
   private static final double SLOW_FRACTION = 0.2;
 
-  /** Multiple of the least-seen mean call from which calls count as slow. */
+  /** Multiple of the minimum mean call duration above which calls count as slow. */
   private static final double SLOW_MULTIPLE = 2;
 
-  /** Weight of one call in the mean call: a slow dependency must show within few calls. */
+  /** Weight of one call in the mean duration: a slow dependency must be detected in few calls. */
   private static final double CALL_WEIGHT = 1.0 / 10;
 
   private static final double INITIAL_CALL_SECONDS = 0.1;
 
   /**
-   * Multiple of the mean call that an abandoned call counts for at most: more would measure the
-   * time limit, not the dependency.
+   * Maximum duration that an abandoned call adds to the mean, as a multiple of the mean: a longer
+   * one would measure the timeout, not the dependency.
    */
   private static final double MAX_ABANDONED_MULTIPLE = 3;
 
@@ -46,7 +47,7 @@
     accruedAt = now;
   }
 
-  /** Returns whether calls are bounded by a quota at all. */
+  /** Returns whether a quota applies to dependency calls. */
   boolean isBounded() {
     return settings.dependency() == Admission.Dependency.SHARED && settings.quota() > 0;
   }
@@ -60,43 +61,46 @@
     return inFlight;
   }
 
-  /** Returns the most call-seconds that the budget holds. */
+  /** Returns the capacity of the token bucket in call-seconds. */
   double burstCallSeconds() {
     return BURST_FRACTION * quotaFraction * settings.quota() * settings.quotaWindowSeconds();
   }
 
-  /** Brings the budget up to date: filled at the calls allowed, spent by those in flight. */
+  /** Fills and drains the token bucket up to now. */
   void accrue(double now) {
-    double gained = (allowed() - inFlight) * (now - accruedAt);
+    double gained = (allowedCalls() - inFlight) * (now - accruedAt);
     budgetCallSeconds = Math.min(burstCallSeconds(), budgetCallSeconds + gained);
     accruedAt = now;
   }
 
-  /** Sets the fraction of the quota that this process has. */
+  /** Sets the fraction of the host's quota that this process may use. */
   void setQuotaFraction(double now, double fraction) {
     accrue(now);
     quotaFraction = fraction;
     budgetCallSeconds = Math.min(budgetCallSeconds, burstCallSeconds());
   }
 
-  /** Returns whether one more call may be made now; {@link #accrue} comes first. */
+  /** Returns whether one more call may be made now; call {@link #accrue} first. */
   boolean permitsCall() {
     if (!isBounded()) {
       return true;
     }
     if (inFlight > 0
-        && (inFlight >= allowed() || budgetCallSeconds < (inFlight + 1) * meanSeconds)) {
+        && (inFlight >= allowedCalls() || budgetCallSeconds < (inFlight + 1) * meanSeconds)) {
       return false;
     }
     return !(budgetCallSeconds < Math.min(meanSeconds, burstCallSeconds()));
   }
 
-  /** Returns the seconds until so many further calls are over, by calls allowed and by budget. */
+  /**
+   * Returns the seconds that one more call waits behind this many calls; the longer of the waits
+   * for the allowed concurrency and for the token bucket.
+   */
   double waitSeconds(double calls) {
-    double atOnce = Math.max(1, allowed());
+    double concurrency = Math.max(1, allowedCalls());
     return Math.max(
-        Math.max(0, calls + 1 - atOnce) * meanSeconds / atOnce,
-        (calls * meanSeconds - budgetCallSeconds) / allowed());
+        Math.max(0, calls + 1 - concurrency) * meanSeconds / concurrency,
+        (calls * meanSeconds - budgetCallSeconds) / allowedCalls());
   }
 
   void beginCall() {
@@ -106,7 +110,8 @@
   /**
    * Ends a call.
    *
-   * @param abandoned it still occupies the dependency, which is paid for at once
+   * @param abandoned whether the call still occupies the dependency; the budget is charged for that
+   *     immediately
    */
   void endCall(double now, boolean abandoned) {
     accrue(now);
@@ -114,12 +119,13 @@
     budgetCallSeconds -= abandoned ? settings.abandonedSeconds() : 0;
   }
 
-  /** Learns the duration of a call that succeeded or was given up. */
-  void learn(Outcome outcome, double elapsedSeconds) {
+  /** Adds the duration of a call that succeeded or timed out to the mean; ignores others. */
+  void recordDuration(Outcome outcome, double elapsedSeconds) {
     if (outcome != Outcome.SUCCESS && outcome != Outcome.TIMED_OUT) {
       return;
     }
-    // Calls that never end are no sign of a slow dependency, which would be given fewer.
+    // Calls that never end do not show that the dependency is slow, so they must not lower the
+    // allowed concurrency as slow calls do.
     double maximum =
         outcome == Outcome.SUCCESS ? elapsedSeconds : MAX_ABANDONED_MULTIPLE * meanSeconds;
     meanSeconds += CALL_WEIGHT * (Math.min(elapsedSeconds, maximum) - meanSeconds);
@@ -129,9 +135,10 @@
             minimumMeanSeconds + Smoothing.MINIMUM_AGING * (meanSeconds - minimumMeanSeconds));
   }
 
-  private double allowed() {
+  /** Returns the calls that may be in flight. */
+  private double allowedCalls() {
     double fraction =
-        QUICK_FRACTION * Math.min(1, SLOW_MULTIPLE * minimumMeanSeconds / meanSeconds);
+        FAST_FRACTION * Math.min(1, SLOW_MULTIPLE * minimumMeanSeconds / meanSeconds);
     return Math.max(SLOW_FRACTION, fraction) * quotaFraction * settings.quota();
   }
 }
--- a/src/main/java/wharftrestle/admission/DependencyCalls.java
+++ b/src/main/java/wharftrestle/admission/DependencyCalls.java
@@ -5,12 +5,15 @@
 import wharftrestle.admission.Admission.Outcome;
 
 /**
- * Decides for executions that are blocked on a dependency call whether and when the call is made,
- * repeated or skipped.
+ * Decides whether and when the dependency calls that executions are blocked on are made, retried or
+ * skipped.
  */
 final class DependencyCalls {
-  /** Fraction of the latency objective before the first repeat of a call; doubles each time. */
-  private static final double BACKOFF_OF_OBJECTIVE = 0.025;
+  /**
+   * Base of the backoff between attempts of a call, as a fraction of the latency objective; doubled
+   * after each failed attempt.
+   */
+  private static final double BACKOFF_OBJECTIVE_FRACTION = 0.025;
 
   private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
@@ -39,14 +42,14 @@
     this.answers = answers;
   }
 
-  /** An execution blocks on a call. */
+  /** Records that an execution is blocked on a dependency call. */
   void blocked(double now, TrackedRequest request) {
     requests.block(now, request);
     request.nextCallAt = now;
     request.failedCalls = 0;
   }
 
-  /** Makes the calls that are due and permitted, in the order in which requests blocked. */
+  /** Makes the calls that are due and permitted by the budget, in the order of blocking. */
   void makeCalls(double now) {
     if (requests.blocked().isEmpty()) {
       return;
@@ -61,15 +64,15 @@
       }
       requests.beginCall(request);
       budget.beginCall();
-      actions.callDependency(request.id(), timeLimit.giveUpAt(now, request));
+      actions.callDependency(request.id(), timeLimit.timeoutAt(now, request));
     }
   }
 
-  /** A call in flight has ended. */
+  /** Handles the end of a call in flight. */
   void completed(double now, TrackedRequest request, Outcome outcome, double elapsedSeconds) {
-    // One that broke is over at the dependency: only what was given up still occupies it.
+    // Only a timed-out call still occupies the dependency; one whose connection broke does not.
     budget.endCall(now, outcome == Outcome.TIMED_OUT);
-    budget.learn(outcome, elapsedSeconds);
+    budget.recordDuration(outcome, elapsedSeconds);
     if (outcome == Outcome.SUCCESS) {
       requests.resume(now, request);
     } else {
@@ -77,19 +80,19 @@
     }
   }
 
-  /** Gives up the call of a request that ends, if one is in flight. */
+  /** Abandons the call of a request that ends, if one is in flight. */
   void requestCompleted(double now, TrackedRequest request) {
     if (request.state == TrackedRequest.State.CALLING) {
       budget.endCall(now, true);
     }
   }
 
-  /** Returns when blocked requests are looked at next; infinity where there are none. */
+  /** Returns when blocked requests must be checked next; infinity if there are none. */
   double nextCheckAt(double now) {
     return requests.blocked().isEmpty()
         ? Double.POSITIVE_INFINITY
         : now
-            + BACKOFF_OF_OBJECTIVE
+            + BACKOFF_OBJECTIVE_FRACTION
                 * requests.blocked().peek().requestClass.latencyObjectiveSeconds();
   }
 
@@ -100,30 +103,32 @@
     if (skipIfDue(now, request.nextCallAt, request)) {
       return;
     }
-    // A call with effects may have been carried out: it is repeated only when it provably was not.
-    boolean mayRepeat = request.isIdempotent() || outcome.neverExecuted();
-    if (!request.answered && (!mayRepeat || request.nextCallAt > request.objectiveAt)) {
+    // A call of a request that is not idempotent is retried only if it provably was not executed.
+    boolean mayRetry = request.isIdempotent() || outcome.neverExecuted();
+    if (!request.answered && (!mayRetry || request.nextCallAt > request.objectiveAt)) {
       answers.fail(request);
     }
   }
 
   private double backoffSeconds(TrackedRequest request) {
     double backoff =
-        BACKOFF_OF_OBJECTIVE
+        BACKOFF_OBJECTIVE_FRACTION
             * request.requestClass.latencyObjectiveSeconds()
             * (1 << Math.min(request.failedCalls, MAX_BACKOFF_DOUBLINGS));
     return backoff * (0.5 + random.nextDouble());
   }
 
   /**
-   * Resumes without the call where that keeps a part of the weight and waiting would lose all.
+   * Resumes an execution without its call if the answer then has a part of its weight and would
+   * lose all weight by waiting for the call.
    *
-   * @param callAt when the call could be made at the earliest
+   * @param callAt earliest time at which the call could be made
+   * @return whether the call was skipped
    */
   private boolean skipIfDue(double now, double callAt, TrackedRequest request) {
     if (request.answered
         || !request.maySkipCall()
-        || (callAt < timeLimit.skipFrom(request) && !congestion.affects(request))
+        || (callAt < timeLimit.skipFrom(request) && !congestion.isCongestedFor(request))
         || now > request.objectiveAt) {
       return false;
     }
--- a/src/main/java/wharftrestle/admission/Dispatcher.java
+++ b/src/main/java/wharftrestle/admission/Dispatcher.java
@@ -26,7 +26,11 @@
     this.outliers = outliers;
   }
 
-  /** Dispatches from the queue, given in the order of dispatch. */
+  /**
+   * Dispatches queued requests.
+   *
+   * @param order the queue in the order of dispatch
+   */
   void dispatch(double now, List<TrackedRequest> order) {
     for (TrackedRequest request : order) {
       if (requests.onCores() >= (outliers.isFailing() ? 1 : limit.executions())) {
@@ -43,10 +47,10 @@
     if (request.state != TrackedRequest.State.QUEUED || memory.lacksExecutionMemory(request)) {
       return false;
     }
-    // Blocked executions are outside the concurrency limit and need a bound of their own: they are
-    // started and lost if their calls come too late. What may skip its call is started anyway.
+    // The concurrency limit does not count blocked executions. Without this bound, requests would be
+    // dispatched whose calls come too late. Requests that may skip their call are dispatched anyway.
     return !request.requestClass.callsDependency()
         || request.maySkipCall()
-        || !congestion.affects(request);
+        || !congestion.isCongestedFor(request);
   }
 }
--- a/src/main/java/wharftrestle/admission/Drain.java
+++ b/src/main/java/wharftrestle/admission/Drain.java
@@ -1,9 +1,10 @@
 package wharftrestle.admission;
 
-/** Knows whether and since when this instance drains, and what may still be executed then. */
+/** The draining state of this instance, and which requests may still be executed while draining. */
 final class Drain {
   /**
-   * Seconds of the grace that are not used: on contended cores the notice itself is read late.
+   * Seconds at the end of the grace period that are not used: on contended cores this process reads
+   * the drain event itself late.
    *
    * @see AdmissionController#DRAIN_MARGIN_SECONDS
    */
@@ -26,7 +27,7 @@
     return drainingSince <= now;
   }
 
-  /** Returns when the process is stopped; infinity while it does not drain. */
+  /** Returns when the process is stopped; infinity before draining. */
   double stopAt() {
     return stopAt;
   }
--- a/src/main/java/wharftrestle/admission/DuplicateTracker.java
+++ b/src/main/java/wharftrestle/admission/DuplicateTracker.java
@@ -5,12 +5,13 @@
 import java.util.PriorityQueue;
 
 /**
- * Handles duplicates. A request with an idempotency key has its key retained before it can be
- * executed, and what duplicates it attaches to its result and is never executed again. Idempotent
- * requests share results in the same way while a result is fresh.
+ * Detects duplicate requests and attaches them to the request that they duplicate. The key of a
+ * request with an idempotency key is retained before the request can be executed; its duplicates
+ * are answered with its result and never executed. Idempotent requests for the same resource share
+ * a result in the same way while it is fresh.
  */
 final class DuplicateTracker {
-  /** Seconds for which a key is retained beyond its window, for rounding. */
+  /** Seconds for which a key is retained beyond its window, to cover rounding of times. */
   private static final double KEY_MARGIN_SECONDS = 0.02;
 
   private final double resultSharingSeconds;
@@ -37,9 +38,9 @@
   }
 
   /**
-   * Attaches an arrived request to the one that it duplicates, or retains its key.
+   * Attaches an arrived request to the request that it duplicates, or retains its key.
    *
-   * @return false where its key must be retained and cannot, so that it must be rejected
+   * @return false if its key must be retained but memory is short, so that it must be rejected
    */
   boolean register(double now, TrackedRequest arrived) {
     boolean keyed = arrived.hasIdempotencyKey();
@@ -48,8 +49,8 @@
     }
     if (arrived.request.duplicateOf() != 0) {
       TrackedRequest prior = latestAttempt(arrived.request.duplicateOf());
-      // Unknown here or executed: never again. Known to have ended unexecuted: this attempt
-      // replaces it.
+      // A prior attempt that is unknown here or has been executed must not be executed again. This
+      // attempt replaces a prior one that ended without execution.
       if (prior == null || prior.state != TrackedRequest.State.DONE || prior.executed) {
         actions.attach(arrived.id());
         requests.attach(arrived, prior);
@@ -65,7 +66,7 @@
     return true;
   }
 
-  /** Drops the keys whose time is over. */
+  /** Removes the keys that are past their retention time. */
   void expireKeys(double now) {
     for (TrackedRequest first = byExpiry.peek();
         first != null && first.keyRetainedUntil < now;
@@ -79,13 +80,13 @@
     }
   }
 
-  /** Releases the key of a request that ended unexecuted, so that a retry may be executed. */
+  /** Releases the key of a request that ended without execution, so that a retry is executed. */
   void requestCompleted(TrackedRequest request) {
     if (!request.keyRetained) {
       return;
     }
     if (request.executed) {
-      // The host still knows the key: a duplicate that finds no request here is attached anyway.
+      // The host still has the key, and a duplicate of a request that is unknown here is attached.
       retained.remove(request.id());
       return;
     }
@@ -108,7 +109,7 @@
     return attempt;
   }
 
-  /** A shared result's entry lasts while the request may be open and its result fresh. */
+  /** Returns until when a key is retained; for shared results, while the result may be fresh. */
   private double retainUntil(TrackedRequest request) {
     return request.hasIdempotencyKey()
         ? request.reachedHostAt
--- a/src/main/java/wharftrestle/admission/FinalAnswers.java
+++ b/src/main/java/wharftrestle/admission/FinalAnswers.java
@@ -1,6 +1,6 @@
 package wharftrestle.admission;
 
-/** Gives requests their final answers, other than results, and ends them. */
+/** Sends the final answers that are not results: rejections and failures. Also ends requests. */
 final class FinalAnswers {
   private final Admission.Actions actions;
   private final RequestTable requests;
@@ -22,8 +22,9 @@
   }
 
   /**
-   * Rejects and ends a request that is not in execution. It was never executed, so that its key is
-   * released and a retry may be executed; one that may have been executed is failed instead.
+   * Rejects and ends a request that is not in execution. A request that was never executed is
+   * rejected and its key is released, so that a retry may be executed. A request that may have been
+   * executed is failed instead.
    */
   void rejectAndEnd(double now, TrackedRequest request) {
     if (mayHaveExecuted(request)) {
@@ -34,17 +35,18 @@
     end(request);
   }
 
-  /** Fails and ends a request that waits for the result of another. */
+  /** Fails and ends an attached request. */
   void failAndEnd(TrackedRequest request) {
     actions.fail(request.id());
     end(request);
   }
 
   /**
-   * Answers a request in execution whose objective is lost; the execution goes on until the host
-   * reports its end. An idempotent one is rejected, since it may be executed again elsewhere.
+   * Answers a request in execution that has missed its latency objective; the execution continues
+   * until the host reports its end. An idempotent request is rejected, since another host may
+   * execute it again; others are failed.
    */
-  void giveUp(double now, TrackedRequest request) {
+  void answerLate(double now, TrackedRequest request) {
     if (request.isIdempotent()) {
       reject(now, request);
       request.answered = true;
@@ -53,13 +55,13 @@
     }
   }
 
-  /** Fails a request in execution; the execution goes on until the host reports its end. */
+  /** Fails a request in execution; the execution continues until the host reports its end. */
   void fail(TrackedRequest request) {
     actions.fail(request.id());
     request.answered = true;
   }
 
-  /** Ends a request: its memory is freed, and its key where it was never executed. */
+  /** Ends a request: frees its memory, and releases its key if it was never executed. */
   void end(TrackedRequest request) {
     requests.remove(request);
     duplicates.requestCompleted(request);
--- a/src/main/java/wharftrestle/admission/GroupEdfScheduler.java
+++ b/src/main/java/wharftrestle/admission/GroupEdfScheduler.java
@@ -5,14 +5,17 @@
 
 /**
  * Orders the queue by group earliest deadline first (Gr-EDF): the queued requests whose scheduling
- * deadlines lie close to the earliest one form a group, and within the group the shortest goes
+ * deadlines are close to the earliest form a group, and within a group the shortest request is
  * first.
  */
 final class GroupEdfScheduler {
-  /** Multiple of the run time that makes a request's scheduling deadline (D multiplier). */
+  /** Scheduling deadline of a request, as a multiple of its run time (D multiplier). */
   private static final double DEADLINE_MULTIPLE = 10;
 
-  /** Fraction of the earliest remaining time by which others may be later in its group (Gr). */
+  /**
+   * Maximum by which the remaining time of a group member exceeds the earliest one, as a fraction
+   * of the earliest (Gr).
+   */
   private static final double GROUP_RANGE = 0.4;
 
   private final RunTimeEstimator estimator;
@@ -34,7 +37,7 @@
 
   private int shortestOfFirstGroup(double now, List<TrackedRequest> waiting) {
     double earliest = remainingSeconds(now, waiting.get(0));
-    // A negative remaining time would invert the range: all that is overdue is one group.
+    // A negative remaining time would invert the range, so all overdue requests form one group.
     double last = earliest > 0 ? earliest * (1 + GROUP_RANGE) : 0;
     int shortest = 0;
     for (int i = 1; i < waiting.size() && remainingSeconds(now, waiting.get(i)) <= last; i++) {
--- a/src/main/java/wharftrestle/admission/IdleConnectionControl.java
+++ b/src/main/java/wharftrestle/admission/IdleConnectionControl.java
@@ -4,44 +4,45 @@
 import java.util.Map;
 
 /**
- * Sets for how long idle connections stay open. Where callers come back soon, connections stay.
- * Where they seldom do, idle ones are closed early, so that they do not fill the connection table
- * and keep others out. While the ingress is backlogged, opening connections would eat the cores:
- * idle ones then stay longer step by step, until the full table keeps others out without work. The
- * size of the table is not known here, so the return of callers and the accept lag decide; a burst
- * may fill the table for seconds.
+ * Sets the idle timeout of connections. If callers usually return soon, idle connections stay open.
+ * If callers seldom return, idle connections are closed early, so that they do not fill the
+ * connection table and keep other callers out. While there is an ingress backlog, accepting
+ * connections would consume too much CPU: the timeout is then raised step by step, until the full
+ * table keeps new connections out without any work. The size of the table is not available here, so
+ * the fraction of returning callers and the accept lag decide; a burst may fill the table for
+ * seconds.
  */
 final class IdleConnectionControl {
-  /** A caller must be back within this for its idle connection to be worth its memory. */
+  /** A caller counts as returning if its next request arrives within this time. */
   private static final double RETURN_SECONDS = 5;
 
-  /** Fraction of returning callers above which idle connections stay. */
+  /** Fraction of returning callers above which idle connections stay open. */
   private static final double RETURN_FRACTION = 0.4;
 
-  /** Added to that once connections close early, against flapping. */
+  /** Added to that fraction while connections are closed early, to avoid flapping. */
   private static final double RETURN_HYSTERESIS = 0.2;
 
-  /** Least timeout where callers seldom come back: retries follow fast. */
+  /** Shortest timeout if callers seldom return; long enough for immediate retries. */
   private static final double MIN_TIMEOUT_SECONDS = 0.1;
 
-  /** Longest timeout where callers seldom come back. */
+  /** Longest timeout if callers seldom return. */
   private static final double MAX_TIMEOUT_SECONDS = 13;
 
-  /** Between two steps of the timeout, each a doubling or a halving. */
+  /** Seconds between two steps of the timeout; a step doubles or halves it. */
   private static final double STEP_SECONDS = 1;
 
-  /** Accept lag from which the ingress counts as backlogged: reading itself takes far less. */
+  /** Accept lag above which the ingress counts as backlogged; reading alone takes far less. */
   private static final double BACKLOG_SECONDS = 0.15;
 
   private final Admission.Actions actions;
   private final ArrivalStatistics arrivals;
 
-  /** Callers by number, longest unseen first. */
+  /** Time of the last arrival by caller number, least recent first. */
   private final Map<Integer, Double> lastArrivals = new LinkedHashMap<>();
 
   private double returnFraction = 0.5;
 
-  /** 0 for the longest that the host allows. */
+  /** The present idle timeout; 0 for the longest that the host allows. */
   private double timeoutSeconds;
 
   private double nextStepAt;
@@ -51,7 +52,7 @@
     this.arrivals = arrivals;
   }
 
-  /** Records an arrival, after {@link ArrivalStatistics#recordArrival}, and moves the timeout. */
+  /** Records an arrival, after {@link ArrivalStatistics#recordArrival}, and adapts the timeout. */
   void recordArrival(double now, Admission.Request request) {
     recordReturn(now, request.caller());
     if (now < nextStepAt) {
--- a/src/main/java/wharftrestle/admission/LoadShedder.java
+++ b/src/main/java/wharftrestle/admission/LoadShedder.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * Rejects queued requests that cannot be served in time: it walks the queue in the order of
- * dispatch, and while one request would end late, the one of least value up to it is rejected.
+ * Sheds load: rejects queued requests so that the remaining ones are expected to complete in time.
+ * It iterates over the queue in the order of dispatch; while a request is expected to complete
+ * late, the request of lowest value up to and including it is rejected.
  */
 final class LoadShedder {
   /**
-   * Fraction of the estimate that must fit before the deadline where a core is idle: the mean it is
-   * scaled by stems from busier times.
+   * Fraction of the estimated run time that must fit before the deadline if a core is idle: the
+   * mean that the estimate is scaled by was measured under more contention.
    */
   private static final double IDLE_CORE_FRACTION = 0.75;
 
@@ -39,7 +40,7 @@
   }
 
   /**
-   * Rejects what would end late.
+   * Rejects queued requests until none is expected to complete late.
    *
    * @param order the queue in the order of dispatch; rejected requests are removed from it
    */
@@ -66,31 +67,32 @@
   }
 
   /**
-   * Run time that must fit before the answer loses its weight. On an idle core a hinted request may
-   * try with less. Without a hint the mean is all there is: a slow host would try in vain.
+   * Returns the run time that must fit before the answer loses its weight. It is reduced for a
+   * request with a cost hint that would be dispatched to an idle core. Without a hint the estimate
+   * is only the class mean, and a slow host would start executions that complete late.
    */
   private double neededSeconds(TrackedRequest request, int index) {
     boolean idleCore = requests.hasIdleCoreBeyond(index) && request.request.costHintSeconds() > 0;
     return estimator.runSeconds(request) * (idleCore ? IDLE_CORE_FRACTION : 1);
   }
 
-  /** Rejects the request of least value up to and including the one at the index. */
+  /** Rejects the request of lowest value up to and including the one at the index. */
   private void rejectLowestValue(
       double now, List<TrackedRequest> order, int index, boolean callsAreScarce) {
     TrackedRequest overdue = order.get(index);
     int lowest = index;
     for (int i = 0; i < index; i++) {
-      // Where calls are scarce, rejecting what makes none would free nothing.
+      // If calls are scarce, rejecting a request that makes no calls would not help.
       if ((!callsAreScarce || order.get(i).estimate.calls > 0)
-          && value.of(now, order.get(i), callsAreScarce)
-              < value.of(now, order.get(lowest), callsAreScarce)) {
+          && value.compute(now, order.get(i), callsAreScarce)
+              < value.compute(now, order.get(lowest), callsAreScarce)) {
         lowest = i;
       }
     }
-    TrackedRequest victim = order.remove(lowest);
+    TrackedRequest rejected = order.remove(lowest);
     if (lowest < index) {
-      workAhead.replace(victim, overdue);
+      workAhead.replace(rejected, overdue);
     }
-    answers.rejectAndEnd(now, victim);
+    answers.rejectAndEnd(now, rejected);
   }
 }
--- a/src/main/java/wharftrestle/admission/MemoryBudget.java
+++ b/src/main/java/wharftrestle/admission/MemoryBudget.java
@@ -1,14 +1,17 @@
 package wharftrestle.admission;
 
 /**
- * Accounts for the memory of queued and executing requests and of retained keys, and says what
- * still fits. {@link RequestTable} and {@link DuplicateTracker} report every change.
+ * Accounts for the memory of queued and executing requests and of retained keys, and checks whether
+ * more fits. {@link RequestTable} and {@link DuplicateTracker} report every change.
  */
 final class MemoryBudget {
-  /** Fraction for executions and keys; the rest is for what is read before it is rejected. */
+  /**
+   * Fraction of the memory up to which executions are dispatched and keys are retained. The
+   * remainder is for requests that are read and then rejected.
+   */
   private static final double EXECUTION_FRACTION = 0.85;
 
-  /** Fraction for all together. */
+  /** Fraction of the memory above which queued requests are rejected. */
   private static final double TOTAL_FRACTION = 0.95;
 
   private final AdmissionSettings.Capacity capacity;
@@ -21,7 +24,7 @@
     this.capacity = capacity;
   }
 
-  /** Sets the fraction of the host's memory that executions and keys here may use. */
+  /** Sets the fraction of the host's memory that executions and keys of this process may use. */
   void setQuotaFraction(double fraction) {
     quotaFraction = fraction;
   }
@@ -50,14 +53,14 @@
     retainedKeys--;
   }
 
-  /** Returns whether a queued request could not be dispatched now. */
+  /** Returns whether memory is short for dispatching this queued request. */
   boolean lacksExecutionMemory(TrackedRequest request) {
     double more = request.request.memoryKb() * (capacity.executionMemoryFactor() - 1);
     return queuedKb + executingKb + keysKb() + more
         > EXECUTION_FRACTION * quotaFraction * capacity.memoryKb();
   }
 
-  /** Returns whether no further key can be retained. */
+  /** Returns whether memory is short for retaining one more key. */
   boolean lacksKeyMemory() {
     return EXECUTION_FRACTION * quotaFraction * capacity.memoryKb()
             - executingKb
--- a/src/main/java/wharftrestle/admission/MemoryShedder.java
+++ b/src/main/java/wharftrestle/admission/MemoryShedder.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Rejects the queued requests of least value until all that is here fits into memory. */
+/** Rejects queued requests, lowest value first, until the memory budget is no longer exceeded. */
 final class MemoryShedder {
   private final RequestTable requests;
   private final RequestValue value;
@@ -27,7 +27,7 @@
   private TrackedRequest lowestValue(double now, List<TrackedRequest> queued) {
     TrackedRequest lowest = queued.get(0);
     for (TrackedRequest request : queued) {
-      if (value.of(now, request, false) < value.of(now, lowest, false)) {
+      if (value.compute(now, request, false) < value.compute(now, lowest, false)) {
         lowest = request;
       }
     }
--- a/src/main/java/wharftrestle/admission/ObligationTimer.java
+++ b/src/main/java/wharftrestle/admission/ObligationTimer.java
@@ -1,6 +1,9 @@
 package wharftrestle.admission;
 
-/** Keeps the host's one timer set to the next obligation. */
+/**
+ * Sets the timer of the host to the time of the next decision in {@link Obligations}. Only the
+ * latest timer counts; how late it fires is reported to {@link StallDetector}.
+ */
 final class ObligationTimer {
   private static final long LABEL = 0;
 
@@ -21,7 +24,7 @@
     this.stalls = stalls;
   }
 
-  /** A timer fired; one that was set before the latest may fire early. */
+  /** Handles a fired timer. A timer that was set before the latest one fires earlier. */
   void fired(double now) {
     if (now >= dueAt) {
       stalls.recordLateness(now, now - dueAt);
@@ -29,7 +32,7 @@
     }
   }
 
-  /** Sets the timer, unless it is already set as early as that. */
+  /** Sets the timer, unless it is already set to this time or earlier. */
   void set(double now, boolean isDraining) {
     double next = Math.max(obligations.nextAt(now, isDraining), now + tickSeconds);
     if (next < dueAt - tickSeconds / 2) {
--- a/src/main/java/wharftrestle/admission/Obligations.java
+++ b/src/main/java/wharftrestle/admission/Obligations.java
@@ -1,6 +1,6 @@
 package wharftrestle.admission;
 
-/** Knows when the next decision is due, whatever happens in between. */
+/** Computes when the next decision is due if no other event arrives before. */
 final class Obligations {
   private final RequestTable requests;
   private final DeadlineEnforcer deadlines;
@@ -21,7 +21,7 @@
     this.outliers = outliers;
   }
 
-  /** Returns when the next one is due, which may be in the past; infinity where there is none. */
+  /** Returns when the next decision is due, possibly in the past; infinity if none is pending. */
   double nextAt(double now, boolean isDraining) {
     double next = Double.POSITIVE_INFINITY;
     for (TrackedRequest request : requests.all()) {
--- a/src/main/java/wharftrestle/admission/OutlierDetector.java
+++ b/src/main/java/wharftrestle/admission/OutlierDetector.java
@@ -4,51 +4,66 @@
 import java.util.Random;
 
 /**
- * Decides whether this host reports itself unhealthy, so that the endpoint list leaves it out: it
- * fails executions quickly (and so looks free), runs them slowly or hangs. What it takes is lost
- * while others could serve it.
+ * Decides whether this host is an outlier and reports itself unhealthy, so that it is ejected from
+ * the endpoint list. An outlier fails executions quickly (and so appears to have free capacity),
+ * executes them slowly, or hangs. Requests that it accepts fail although other hosts could serve
+ * them.
  *
- * <p>Only its own executions count, never dependency calls, since a bad dependency strikes all
- * hosts at once. A host that reads late and rejects everything has no executions to go by; that
- * counts only without retries about, since in a retry storm all hosts are so. Trials of at least
- * the same length, out of step between hosts, keep half of the hosts in the list if all of them are
- * unhealthy together. A host that was stalled itself sees short executions as overdue, and so does
- * one whose commands wait: executions in flight make it unhealthy only where those that end are
- * slow too, or none ends.
+ * <p>The criteria:
+ *
+ * <ul>
+ *   <li>Executions count, dependency calls do not, since a faulty dependency affects all hosts.
+ *   <li>A host that reads requests late and rejects nearly all of them has hardly any executions to
+ *       measure. It counts as an outlier only if few arrivals are retries, since in a retry storm
+ *       all hosts are in this state.
+ *   <li>After an ejection the host stays in the list for a trial period that is at least as long as
+ *       a mean ejection. The periods are random, hence not synchronized between hosts, so that
+ *       about half of the hosts remain in the list if all of them are unhealthy.
+ *   <li>Executions in flight also appear overdue if this host was stalled or if their commands
+ *       waited before the worker pool read them. They make the host an outlier only if completed
+ *       executions were slow too, or if none completes.
+ * </ul>
  */
 final class OutlierDetector {
-  /** Fraction of executions that fail by themselves. */
+  /** Fraction of failed executions above which the host is an outlier. */
   private static final double FAILURE_FRACTION = 0.35;
 
-  /** Elapsed over estimated time of all executions in flight; guards against uneven run times. */
+  /**
+   * Elapsed over estimated time, summed over all executions in flight, above which they are
+   * overdue. It is above 1 since run times vary.
+   */
   private static final double OVERRUN_MULTIPLE = 5;
 
-  /** One execution counts for at most this multiple of its estimate: few long ones are usual. */
+  /** Maximum elapsed time that one execution adds, in estimates: a few long ones are normal. */
   private static final double MAX_SINGLE_OVERRUN = 16;
 
-  /** Mean executions added as if on time: few in flight are little evidence. */
+  /** Executions of mean length added as if on time, since a few in flight are weak evidence. */
   private static final double ON_TIME_PRIOR_EXECUTIONS = 3;
 
-  /** Without a completion for this long, and for so many mean run times, overrun is confirmed. */
+  /** Overrun is confirmed if no execution completes in this time and in this many run times. */
   private static final double NO_COMPLETION_SECONDS = 0.5;
 
   private static final double NO_COMPLETION_RUN_TIMES = 5;
 
-  /** Inflation beyond contention that confirms overrun while executions complete. */
+  /** Inflation as a multiple of contention that confirms overrun while executions complete. */
   private static final double CONFIRMING_INFLATION = 2;
 
-  /** Inflation beyond contention that is sufficient alone. */
+  /** Inflation as a multiple of contention that makes the host an outlier without overrun. */
   private static final double SUFFICIENT_INFLATION = 3.0;
 
   /**
-   * Accept lag from which, with nearly all rejected, what is taken in is late before it is read.
+   * Accept lag above which requests are too late before they are read; counts only together with
+   * {@link #REJECTED_FRACTION}.
    */
   private static final double ACCEPT_LAG_SECONDS = 1;
 
-  /** Fraction of rejected arrivals for the same: a fleet that is overloaded still serves some. */
+  /** Fraction of rejected arrivals for the same; an overloaded fleet still serves some requests. */
   private static final double REJECTED_FRACTION = 0.8;
 
-  /** Mean length of an ejection, and least length of a trial: lists follow seconds late. */
+  /**
+   * Mean length of an ejection and minimum length of the trial after it; endpoint lists follow the
+   * reported health with a delay of seconds.
+   */
   private static final double EJECTION_SECONDS = 4;
 
   private final boolean marksRetries;
@@ -82,31 +97,31 @@
     lastCompletionAt = now;
   }
 
-  /** Records that an execution ended by itself. */
+  /** Records that an execution ended with success or failure and was not preempted. */
   void recordCompletion(double now, boolean failed) {
     lastCompletionAt = now;
     failureFraction += Smoothing.FAST_WEIGHT * ((failed ? 1 : 0) - failureFraction);
   }
 
-  /** Starts a new measurement of the executions in flight. */
-  void clearOverrun() {
+  /** Starts a new measurement of the overrun of the executions in flight. */
+  void beginOverrunMeasurement() {
     elapsedSeconds = 0;
     estimatedSeconds = 0;
   }
 
-  /** Adds one execution in flight: its time on the cores, stalls apart, and its estimate. */
+  /** Adds an execution in flight: its time on the cores without stalls, and its estimate. */
   void addExecution(double onCoresSeconds, double ownSeconds) {
     elapsedSeconds += Math.min(MAX_SINGLE_OVERRUN * ownSeconds, Math.max(0, onCoresSeconds));
     estimatedSeconds += ownSeconds;
   }
 
-  /** Ends the measurement. */
-  void measureOverrun() {
+  /** Ends the measurement of the overrun. */
+  void endOverrunMeasurement() {
     double prior = ON_TIME_PRIOR_EXECUTIONS * estimator.meanOwnSeconds();
     overrun = (elapsedSeconds + prior) / (estimatedSeconds + prior);
   }
 
-  /** Returns whether executions fail by themselves, so that only single ones are tried. */
+  /** Returns whether so many executions fail that only one at a time is dispatched. */
   boolean isFailing() {
     return failureFraction > FAILURE_FRACTION;
   }
@@ -115,12 +130,12 @@
     return healthy;
   }
 
-  /** Returns until when this host is ejected; in the past where it is not. */
+  /** Returns when the latest ejection ends or ended; negative infinity before the first. */
   double ejectedUntil() {
     return ejectedUntil;
   }
 
-  /** Reports a change of health, unless this instance drains. */
+  /** Updates the health of the host and reports a change, unless this instance drains. */
   void evaluate(double now, boolean isDraining) {
     if (isDraining) {
       return;
@@ -137,12 +152,12 @@
   private boolean isOutlier(double now) {
     return isFailing()
         || (overrun > OVERRUN_MULTIPLE && confirmsOverrun(now))
-        || inflation.ofExecutions() > SUFFICIENT_INFLATION * inflation.contention()
+        || inflation.executionInflation() > SUFFICIENT_INFLATION * inflation.contention()
         || rejectsNearlyAll();
   }
 
   private boolean confirmsOverrun(double now) {
-    return inflation.ofExecutions() > CONFIRMING_INFLATION * inflation.contention()
+    return inflation.executionInflation() > CONFIRMING_INFLATION * inflation.contention()
         || now - lastCompletionAt
             > Math.max(NO_COMPLETION_SECONDS, NO_COMPLETION_RUN_TIMES * estimator.meanOwnSeconds());
   }
@@ -151,21 +166,21 @@
     return arrivals.acceptLagSeconds() > ACCEPT_LAG_SECONDS
         && arrivals.rejectedFraction() > REJECTED_FRACTION
         && marksRetries
-        && arrivals.retryFraction() < RetryAdvice.RETRY_STORM / 2;
+        && arrivals.retryFraction() < RetryAdvice.RETRY_STORM_FRACTION / 2;
   }
 
   private void eject(double now) {
     ejectedUntil = now + EJECTION_SECONDS * (0.75 + random.nextDouble() / 2);
     healthy = false;
     actions.reportHealth(false, true);
-    // The wire carries this line; its words are fixed.
+    // The text is fixed: the simulator receives this line, and recorded decisions contain it.
     actions.log(
         String.format(
             Locale.ROOT,
             "ill: failing %.2f, strain %.1f, drag %.1f, unread %.1f s",
             failureFraction,
             overrun,
-            inflation.ofExecutions(),
+            inflation.executionInflation(),
             arrivals.acceptLagSeconds()));
   }
 }
--- a/src/main/java/wharftrestle/admission/RequestTable.java
+++ b/src/main/java/wharftrestle/admission/RequestTable.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * Owns the requests in flight and where each of them stands: the queue, the executions on the cores
- * and those blocked on dependency calls. Every change of a {@link TrackedRequest.State} is made
- * here, together with its memory accounting.
+ * The requests in flight by id and by state: the queue, the number of executions on the cores, and
+ * the executions blocked on dependency calls. All changes of {@link TrackedRequest#state} and their
+ * memory accounting are made here.
  */
 final class RequestTable {
   private final Map<Long, TrackedRequest> byId = new LinkedHashMap<>();
@@ -25,7 +25,7 @@
     this.memory = memory;
   }
 
-  /** Returns the request in flight with this id; null where there is none. */
+  /** Returns the request in flight with this id, or null. */
   TrackedRequest find(long id) {
     return byId.get(id);
   }
@@ -40,7 +40,7 @@
     return queued;
   }
 
-  /** Returns those blocked on a dependency call, longest first; not a copy. */
+  /** Returns the requests whose dependency call is to be made, in the order of calls; not a copy. */
   ArrayDeque<TrackedRequest> blocked() {
     return blocked;
   }
@@ -50,7 +50,7 @@
     return onCores;
   }
 
-  /** Returns whether a core would be idle if so many more executions were dispatched. */
+  /** Returns whether a core would remain idle if this many more executions were dispatched. */
   boolean hasIdleCoreBeyond(int more) {
     return onCores + more < cores;
   }
@@ -66,7 +66,7 @@
     memory.addQueued(request);
   }
 
-  /** Moves a queued request onto the cores. */
+  /** Changes a queued request to executing. */
   void dispatch(double now, TrackedRequest request) {
     queued.remove(request);
     memory.removeQueued(request);
@@ -78,9 +78,10 @@
   }
 
   /**
-   * Takes a request out of the queue to wait for another's result; it still occupies its memory.
+   * Removes a request from the queue to wait for the result of another one; it still occupies its
+   * memory.
    *
-   * @param prior the request it waits for; null where that is unknown here
+   * @param prior the request whose result it waits for; null if that is unknown here
    */
   void attach(TrackedRequest request, TrackedRequest prior) {
     queued.remove(request);
@@ -91,7 +92,7 @@
     }
   }
 
-  /** Takes an execution off the cores, to wait for a dependency call. */
+  /** Changes an execution to blocked on a dependency call; it then occupies no core. */
   void block(double now, TrackedRequest request) {
     onCores--;
     request.state = TrackedRequest.State.BLOCKED;
@@ -100,7 +101,7 @@
     blocked.add(request);
   }
 
-  /** Puts a request whose dependency call failed behind the others that are blocked. */
+  /** Appends a request whose dependency call failed to the blocked requests. */
   void reblock(TrackedRequest request) {
     request.state = TrackedRequest.State.BLOCKED;
     blocked.add(request);
@@ -112,7 +113,7 @@
     request.state = TrackedRequest.State.CALLING;
   }
 
-  /** Puts an execution back onto the cores, with or without its dependency call. */
+  /** Changes a blocked or calling request back to executing, with or without its call made. */
   void resume(double now, TrackedRequest request) {
     if (request.state == TrackedRequest.State.BLOCKED) {
       blocked.remove(request);
@@ -122,7 +123,7 @@
     onCores++;
   }
 
-  /** Removes a request, wherever it stands. */
+  /** Removes a request in any state. */
   void remove(TrackedRequest request) {
     byId.remove(request.id());
     switch (request.state) {
--- a/src/main/java/wharftrestle/admission/RequestValue.java
+++ b/src/main/java/wharftrestle/admission/RequestValue.java
@@ -1,6 +1,6 @@
 package wharftrestle.admission;
 
-/** Values a request by the weight of its answer for the scarce resource that it takes. */
+/** The value of a request: the weight of its answer per unit of the scarce resource it uses. */
 final class RequestValue {
   private final boolean weightPerWork;
   private final RunTimeEstimator estimator;
@@ -13,8 +13,8 @@
   }
 
   /**
-   * Returns until when an answer still has weight: the latency objective, or the deadline where
-   * answers after the objective have weight and the objective is lost.
+   * Returns the time that an execution started now should meet: the latency objective, or the
+   * deadline if the objective can no longer be met and later answers still have weight.
    */
   double usefulUntil(double now, TrackedRequest request) {
     return request.hasWeightAfterObjective()
@@ -24,12 +24,12 @@
   }
 
   /**
-   * Returns the expected weight per unit of what is scarce; attached requests count with the one
-   * execution that answers them.
+   * Returns the expected weight per unit of the scarce resource. The weight of attached requests is
+   * included in that of the execution that answers them.
    *
-   * @param callsAreScarce dependency calls are what is scarce, not the cores
+   * @param callsAreScarce whether dependency calls are the scarce resource instead of the cores
    */
-  double of(double now, TrackedRequest request, boolean callsAreScarce) {
+  double compute(double now, TrackedRequest request, boolean callsAreScarce) {
     double weight =
         request.requestClass.weight()
             * (1 + request.attachedCount)
--- a/src/main/java/wharftrestle/admission/RetryAdvice.java
+++ b/src/main/java/wharftrestle/admission/RetryAdvice.java
@@ -1,17 +1,17 @@
 package wharftrestle.admission;
 
-/** Decides what a rejected caller is advised: whether to retry elsewhere and after how long. */
+/** Computes the advice in a rejection: whether another host may accept a retry, and Retry-After. */
 final class RetryAdvice {
-  /** Fraction of retries in arrivals above which other hosts are taken to reject as well. */
-  static final double RETRY_STORM = 0.12;
+  /** Fraction of retries in arrivals above which other hosts are assumed to reject as well. */
+  static final double RETRY_STORM_FRACTION = 0.12;
 
-  /** Fraction of rejected arrivals above which the same holds where retries are not marked. */
-  private static final double REJECTION_STORM = 0.4;
+  /** Fraction of rejected arrivals above which the same is assumed if retries are not marked. */
+  private static final double REJECTION_STORM_FRACTION = 0.4;
 
-  /** Fraction of the backlog for which a rejected caller is advised to stay away. */
+  /** Retry-After as a fraction of the backlog, per unit of run-time inflation. */
   private static final double BACKLOG_FRACTION = 0.3;
 
-  /** Most of the time left until its execution must start that a caller is asked to wait. */
+  /** Maximum Retry-After as a fraction of the time until the execution must start. */
   private static final double SLACK_FRACTION = 0.1;
 
   private final AdmissionSettings.Retries settings;
@@ -34,7 +34,7 @@
     this.outliers = outliers;
   }
 
-  /** Sets the seconds of work in flight, as of the last pass over the queue. */
+  /** Sets the seconds of work in flight and queued; updated once per batch. */
   void setBacklogSeconds(double seconds) {
     backlogSeconds = seconds;
   }
@@ -43,12 +43,12 @@
   boolean expectsRejectionEverywhere(double now, TrackedRequest request) {
     boolean storm =
         settings.marked()
-            ? arrivals.retryFraction() > RETRY_STORM
-            : arrivals.rejectedFraction() > REJECTION_STORM;
+            ? arrivals.retryFraction() > RETRY_STORM_FRACTION
+            : arrivals.rejectedFraction() > REJECTION_STORM_FRACTION;
     return storm || (settings.marked() && slackSeconds(now, request) <= 0);
   }
 
-  /** Returns the Retry-After for a request, in seconds; 0 gives no advice. */
+  /** Returns the Retry-After for a request, in seconds; 0 for none. */
   double retryAfterSeconds(double now, TrackedRequest request) {
     return Math.min(settings.maxRetryAfterSeconds(), uncappedSeconds(now, request));
   }
@@ -58,21 +58,23 @@
       return settings.maxRetryAfterSeconds();
     }
     double advice =
-        Math.min(1, BACKLOG_FRACTION * inflation.ofExecutions()) * backlogSeconds
+        Math.min(1, BACKLOG_FRACTION * inflation.executionInflation()) * backlogSeconds
             + arrivals.acceptLagSeconds();
-    // Without marks nobody knows who comes back and how late: callers then spread the load.
+    // If retries are not marked, the age of a retry is unknown, so the remaining time of the
+    // request is not used; the advice then spreads the retries of all callers over time.
     if (!settings.marked()) {
       return advice;
     }
     double slack = slackSeconds(now, request);
     if (slack > 0) {
-      // Advice must not cost the objective: clients count their attempts, and a late one is lost.
+      // Retry-After must leave time to meet the latency objective: clients limit the number of
+      // their attempts, and an attempt that is too late is wasted.
       return Math.min(advice, SLACK_FRACTION * slack);
     }
     return request.isStarted() ? settings.maxRetryAfterSeconds() : advice;
   }
 
-  /** Time until the execution must start for its answer to meet the objective. */
+  /** Returns the time until the execution must start to meet the latency objective. */
   private double slackSeconds(double now, TrackedRequest request) {
     return request.objectiveAt - now - estimator.runSeconds(request);
   }
--- a/src/main/java/wharftrestle/admission/RunTimeEstimator.java
+++ b/src/main/java/wharftrestle/admission/RunTimeEstimator.java
@@ -1,17 +1,21 @@
 package wharftrestle.admission;
 
 /**
- * Estimates run times: moving averages of successful executions of a class, scaled by the cost hint
- * of a request.
+ * Estimates run times as moving averages over the successful executions of a class, scaled by the
+ * cost hint of a request. The own run time of an execution is its run time without dependency
+ * calls.
  */
 final class RunTimeEstimator {
-  /** Fraction of the latency objective taken as the run time before any execution was seen. */
+  /** Initial estimate of the run time of a class, as a fraction of its latency objective. */
   private static final double INITIAL_OBJECTIVE_FRACTION = 1.0 / 8;
 
-  /** Executions of a class before its mean may set the least run time. */
+  /** Executions of a class before its mean may set the minimum run time. */
   private static final int MIN_EXECUTIONS = 5;
 
-  /** Fraction of its time so far that an overdue execution still takes: long ones have a tail. */
+  /**
+   * Expected remaining time of an overdue execution, as a fraction of its elapsed time: the
+   * distribution of run times has a long tail.
+   */
   private static final double OVERRUN_FRACTION = 0.25;
 
   private final int cores;
@@ -35,7 +39,7 @@
     }
   }
 
-  ClassEstimate ofClass(int classIndex) {
+  ClassEstimate classEstimate(int classIndex) {
     return classes[classIndex];
   }
 
@@ -68,15 +72,16 @@
   }
 
   /**
-   * Learns from a successful execution. Failures are not learned from: quick ones would make work
-   * look short.
+   * Records a successful execution. Failed executions are not recorded, since quick failures would
+   * lower the estimate.
    *
-   * @param elapsedSeconds since its dispatch
-   * @param stallSeconds how late this host's timers were of late; dependency calls are timed by the
-   *     host, so that much of the run time may be its own
+   * @param elapsedSeconds time since its dispatch
+   * @param stallSeconds recent lateness of this host's timers; the host measures dependency calls,
+   *     so this part of the run time may be a delay of the host itself
    * @param onCores executions on the cores at its end, this one included
    */
-  void learn(TrackedRequest request, double elapsedSeconds, double stallSeconds, int onCores) {
+  void recordSuccess(
+      TrackedRequest request, double elapsedSeconds, double stallSeconds, int onCores) {
     ClassEstimate estimate = request.estimate;
     double own = Math.max(0, elapsedSeconds - request.blockedSeconds);
     updateAverages(request, own);
@@ -93,9 +98,9 @@
             : Math.min(
                 level,
                 estimate.minimumOwn + Smoothing.MINIMUM_AGING * (level - estimate.minimumOwn));
-    double certain = request.callsReached == 0 ? own : Math.max(0, own - stallSeconds);
+    double ownWithoutStall = request.callsReached == 0 ? own : Math.max(0, own - stallSeconds);
     double hint = request.request.costHintSeconds();
-    double perUnit = hint > 0 ? certain / hint : certain;
+    double perUnit = hint > 0 ? ownWithoutStall / hint : ownWithoutStall;
     inflation.record(
         level / estimate.minimumOwn, perUnit / estimate.minimumOwn, (double) onCores / cores);
   }
--- a/src/main/java/wharftrestle/admission/RunTimeInflation.java
+++ b/src/main/java/wharftrestle/admission/RunTimeInflation.java
@@ -1,41 +1,46 @@
 package wharftrestle.admission;
 
 /**
- * How much longer executions take than the least that was seen of their class. Written by {@link
- * RunTimeEstimator}; read by the concurrency limit, the health decision and the retry advice.
+ * Run-time inflation: the run time of executions as a multiple of the minimum of their class.
+ * Written by {@link RunTimeEstimator}; read by {@link ConcurrencyLimit}, {@link OutlierDetector}
+ * and {@link RetryAdvice}.
  */
 final class RunTimeInflation {
-  /** A single execution counts for at most this multiple of the least seen. */
-  private static final double MAX_SINGLE = 4;
+  /** Maximum inflation that a single execution counts for. */
+  private static final double MAX_SINGLE_INFLATION = 4;
 
-  private double classes = 1;
-  private double executions = 1;
+  private double classInflation = 1;
+  private double executionInflation = 1;
   private double contention = 1;
 
   /**
    * Records one successful execution.
    *
-   * @param classMean the class's mean run time over its least seen
-   * @param execution this execution's run time over the same
+   * @param classMean mean run time of the class, over its minimum
+   * @param execution run time of this execution, over the same minimum
    * @param concurrencyPerCore executions per core at its end
    */
   void record(double classMean, double execution, double concurrencyPerCore) {
-    classes += Smoothing.SLOW_WEIGHT * (classMean - classes);
-    executions += Smoothing.FAST_WEIGHT * (Math.min(MAX_SINGLE, execution) - executions);
+    classInflation += Smoothing.SLOW_WEIGHT * (classMean - classInflation);
+    executionInflation +=
+        Smoothing.FAST_WEIGHT * (Math.min(MAX_SINGLE_INFLATION, execution) - executionInflation);
     contention += Smoothing.FAST_WEIGHT * (Math.max(1, concurrencyPerCore) - contention);
   }
 
-  /** Inflation of the class means: steady, it leads the concurrency limit. */
-  double ofClasses() {
-    return classes;
+  /** Returns the inflation of the class means; steady, used by the concurrency limit. */
+  double classInflation() {
+    return classInflation;
   }
 
-  /** Inflation of single executions: quick and noisy, it shows degradation. */
-  double ofExecutions() {
-    return executions;
+  /** Returns the inflation of single executions; fast and noisy, used to detect degradation. */
+  double executionInflation() {
+    return executionInflation;
   }
 
-  /** Mean executions per core, at least 1: inflation by contention alone is no degradation. */
+  /**
+   * Returns the mean executions per core, at least 1. Inflation caused by contention alone is not
+   * degradation.
+   */
   double contention() {
     return contention;
   }
--- a/src/main/java/wharftrestle/admission/StallDetector.java
+++ b/src/main/java/wharftrestle/admission/StallDetector.java
@@ -1,26 +1,29 @@
 package wharftrestle.admission;
 
-/** Knows how late this host's timers were of late: so much of a run time may be the host's own. */
+/**
+ * Measures recent stalls of this host by the lateness of its timers. A measured run time may contain
+ * a delay of this length that is caused by the host itself.
+ */
 final class StallDetector {
-  /** Seconds by which a timer may be late, for its gauges, before the host counts as stalled. */
+  /** Lateness of a timer that is not a stall; reading the gauges for it delays a timer. */
   private static final double TIMER_TOLERANCE_SECONDS = 0.02;
 
-  /** Seconds over which a stall is forgotten: executions that it touched are over by then. */
-  private static final double MEMORY_SECONDS = 2;
+  /** Time constant of the decay of a stall; executions affected by it have then ended. */
+  private static final double DECAY_SECONDS = 2;
 
   private double stallSeconds;
   private double measuredAt;
 
-  /** Records that a timer fired so late. */
+  /** Records the lateness of a fired timer. */
   void recordLateness(double now, double latenessSeconds) {
     stallSeconds =
         Math.max(
             latenessSeconds - TIMER_TOLERANCE_SECONDS,
-            stallSeconds * Math.exp((measuredAt - now) / MEMORY_SECONDS));
+            stallSeconds * Math.exp((measuredAt - now) / DECAY_SECONDS));
     measuredAt = now;
   }
 
-  /** Returns the longest recent stall, as of the last timer. */
+  /** Returns the length of the longest recent stall, decayed, as of the last timer. */
   double stallSeconds() {
     return stallSeconds;
   }
--- a/src/main/java/wharftrestle/admission/TenantQuota.java
+++ b/src/main/java/wharftrestle/admission/TenantQuota.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Weighs requests by their tenant's quota: what exceeds it has a fraction of its weight. An
- * instance sees its part of the traffic, so that its part of the quota counts.
+ * Reduces the weight of requests of tenants over their quota. An instance sees its share of the
+ * traffic, so the rate of a tenant is compared with the quota divided by the number of hosts.
  */
 final class TenantQuota {
-  /** Seconds over which rates are averaged: some dozens of requests. */
+  /** Seconds over which request rates are averaged: a few dozen requests. */
   private static final double RATE_SPAN_SECONDS = 10;
 
   private static final double MIN_RATE = 1e-9;
@@ -26,7 +26,7 @@
     lastArrivals = new double[rates.length];
   }
 
-  /** Counts an arrival; retries are not counted, since they are no further work of the tenant. */
+  /** Records an arrival. Retries are not counted, since they are no additional work. */
   void recordArrival(double now, Admission.Request request) {
     int tenant = request.tenantIndex();
     if (tenant < rates.length && !request.retry()) {
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Returns the factor by which a request's weight is reduced; 1 within the quota. */
+  /** Returns the factor of a request's weight; 1 within the quota. */
   double weightFactor(Admission.Request request) {
     int tenant = request.tenantIndex();
     if (tenant >= tenants.size() || hosts <= 0) {
--- a/src/main/java/wharftrestle/admission/TrackedRequest.java
+++ b/src/main/java/wharftrestle/admission/TrackedRequest.java
@@ -5,18 +5,18 @@
 import wharftrestle.admission.Admission.RequestClass;
 
 /**
- * One request from its arrival to its end, and after that while its key is retained. Only {@link
- * RequestTable} changes {@link #state}; the other fields belong to the class named at each.
+ * One request from its arrival to its end, and beyond that while its key is retained. Only {@link
+ * RequestTable} changes {@link #state}; the comment of a field names the class that sets it.
  */
 final class TrackedRequest {
 
-  /** Where a request stands. */
+  /** The states of a request. */
   enum State {
     QUEUED,
     EXECUTING,
-    /** Off the cores, waiting until its dependency call may be made. */
+    /** Occupies no core; its dependency call is not yet made. */
     BLOCKED,
-    /** Off the cores, with a dependency call in flight. */
+    /** Occupies no core; its dependency call is in flight. */
     CALLING,
     /** Waits for the result of the request that it duplicates. */
     ATTACHED,
@@ -28,50 +28,53 @@
   final ClassEstimate estimate;
   final double reachedHostAt;
 
-  /** The answer must be out by then; kept by {@link Deadlines}. */
+  /** The answer must be sent by this time; set by {@link Deadlines}. */
   double answerDueAt;
 
-  /** An answer has its full weight until then; kept by {@link Deadlines}. */
+  /** An answer has its full weight until this time; set by {@link Deadlines}. */
   double objectiveAt;
 
   State state = State.QUEUED;
   double dispatchedAt;
   boolean executed;
 
-  /** Kept by {@link FinalAnswers}. */
+  /** Answered or its caller has disconnected; set by {@link FinalAnswers} and on disconnection. */
   boolean answered;
 
-  /** The host was asked to preempt it; kept by {@link DeadlineEnforcer}. */
+  /** Its preemption has been requested; set by {@link DeadlineEnforcer}. */
   boolean preempting;
 
-  /** Blocked and calling time of the calls that are over. */
+  /** Total blocked time of its completed dependency calls; set by {@link RequestTable}. */
   double blockedSeconds;
 
-  /** When it blocked on its present call. */
+  /** Time when it blocked on its present call; set by {@link RequestTable}. */
   double blockedSince;
 
-  /** The present call is not repeated before; kept by {@link DependencyCalls}. */
+  /** Earliest time of the next attempt of its call; set by {@link DependencyCalls}. */
   double nextCallAt;
 
-  /** Failed attempts of the present call; kept by {@link DependencyCalls}. */
+  /** Failed attempts of the present call; set by {@link DependencyCalls}. */
   int failedCalls;
 
-  /** Dependency calls it has blocked on so far. */
+  /** Number of dependency calls that it has blocked on; set by {@link RequestTable}. */
   int callsReached;
 
-  /** Its entry in the table of keys lasts until then; kept by {@link DuplicateTracker}. */
+  /** Its key is retained until this time; set by {@link DuplicateTracker}. */
   double keyRetainedUntil;
 
-  /** Kept by {@link DuplicateTracker}. */
+  /** Whether its key is retained; set by {@link DuplicateTracker}. */
   boolean keyRetained;
 
-  /** The attempt that took over, where this one ended without execution. */
+  /**
+   * The attempt that replaced this one, which ended without execution; set by {@link
+   * DuplicateTracker}.
+   */
   TrackedRequest successor;
 
-  /** The attempt whose result it waits for; null where that is unknown here. */
+  /** The attempt whose result it waits for, or null; set by {@link RequestTable}. */
   TrackedRequest attachedTo;
 
-  /** Attached requests that wait for this one. */
+  /** Number of requests attached to this one; set by {@link RequestTable}. */
   int attachedCount;
 
   TrackedRequest(
@@ -86,7 +89,7 @@
     return request.id();
   }
 
-  /** Returns whether it was dispatched and has not ended, on the cores or off them. */
+  /** Returns whether it was dispatched and has not ended. */
   boolean isStarted() {
     return state == State.EXECUTING || state == State.BLOCKED || state == State.CALLING;
   }
@@ -99,7 +102,7 @@
     return requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
   }
 
-  /** Returns whether its dependency call may be skipped for a part of its weight. */
+  /** Returns whether its dependency call may be skipped, at the cost of a part of its weight. */
   boolean maySkipCall() {
     return requestClass.weightWithoutCall() > 0;
   }
@@ -109,7 +112,7 @@
     return requestClass.weightAfterObjective() > 0;
   }
 
-  /** Returns the seconds since its dispatch that it spent off the cores. */
+  /** Returns the seconds since its dispatch in which it was blocked or calling. */
   double blockedSeconds(double now) {
     return blockedSeconds + (state == State.EXECUTING ? 0 : now - blockedSince);
   }
--- a/src/main/java/wharftrestle/admission/WorkAhead.java
+++ b/src/main/java/wharftrestle/admission/WorkAhead.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Sums up the work that comes before a queued request: executions in flight, and what stands before
- * it in the queue. {@link LoadShedder} walks the queue with it.
+ * Sums up the work ahead of a queued request: the executions in flight and the requests before it
+ * in the queue. Used by {@link LoadShedder} while it iterates over the queue.
  */
 final class WorkAhead {
   private final RequestTable requests;
@@ -14,7 +14,7 @@
   private final StallDetector stalls;
   private final OutlierDetector outliers;
 
-  /** Own run time over all cores. */
+  /** Total own run time of the work ahead. */
   private double seconds;
 
   private double calls;
@@ -34,23 +34,23 @@
     this.outliers = outliers;
   }
 
-  /** Starts with the executions in flight, and compares them with their estimates. */
+  /** Resets the sums to the executions in flight, and updates their overrun. */
   void begin(double now) {
     seconds = 0;
     calls = 0;
-    outliers.clearOverrun();
+    outliers.beginOverrunMeasurement();
     for (TrackedRequest request : requests.all()) {
       if (request.isStarted() && !request.preempting) {
         addExecution(now, request);
       }
     }
-    outliers.measureOverrun();
+    outliers.endOverrunMeasurement();
     if (callBudget.isBounded()) {
       callBudget.accrue(now);
     }
   }
 
-  /** Returns the seconds that all executions and this queue would take. */
+  /** Returns the seconds until all executions in flight and this queue would be completed. */
   double backlogSeconds(List<TrackedRequest> queue) {
     double all = seconds;
     for (TrackedRequest request : queue) {
@@ -59,12 +59,12 @@
     return all / limit.value();
   }
 
-  /** Returns the seconds until the next request gets a core. */
+  /** Returns the seconds until the next request would be dispatched. */
   double coreWaitSeconds() {
     return seconds / limit.value();
   }
 
-  /** Returns the seconds until this request, if it came next, gets its dependency calls. */
+  /** Returns the seconds until the dependency calls of this request, as the next, would be made. */
   double callWaitSeconds(TrackedRequest request) {
     boolean needsCalls =
         callBudget.isBounded() && request.estimate.calls > 0 && !request.maySkipCall();
@@ -77,7 +77,7 @@
     calls += request.estimate.calls;
   }
 
-  /** Adds a request that stays in the queue, and takes one out that was added before. */
+  /** Replaces a request that was added before by another one that stays in the queue. */
   void replace(TrackedRequest removed, TrackedRequest added) {
     seconds += estimator.ownSeconds(added) - estimator.ownSeconds(removed);
     calls += added.estimate.calls - removed.estimate.calls;
--- a/src/main/java/wharftrestle/metrics/Counters.java
+++ b/src/main/java/wharftrestle/metrics/Counters.java
@@ -5,12 +5,13 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts what the daemon receives, sends and answers. Any thread adds without waiting; the admin
- * endpoint, the SNMP agent and the log at exit show the sums. No decision depends on them.
+ * Counters of requests, answers, executions, dependency calls and connections of the daemon.
+ * Thread-safe; adding never blocks. The admin endpoint, the SNMP agent and the log at exit show the
+ * sums. No decision depends on them.
  */
 public final class Counters {
 
-  /** What is counted, in the order of the MIB; the texts are those of the admin endpoint. */
+  /** The counters in the order of the MIB, each with its text at the admin endpoint. */
   public enum Count {
     REQUESTS("requests taken in"),
     SERVED("answered: served"),
@@ -47,13 +48,13 @@
       this.text = text;
     }
 
-    /** The count in words. */
+    /** Returns its text at the admin endpoint. */
     public String text() {
       return text;
     }
   }
 
-  /** How the one answer of a request came out, as the figures name it. */
+  /** The result of the final answer of a request, as the metrics name it. */
   public enum Result {
     SERVED("succeeded", Count.SERVED),
     REJECTED("declined", Count.REJECTED),
@@ -67,7 +68,7 @@
       this.total = total;
     }
 
-    /** Its name at the admin endpoint and in the MIB. */
+    /** Returns its name at the admin endpoint and in the MIB. */
     public String publishedName() {
       return publishedName;
     }
@@ -80,7 +81,7 @@
   private final AtomicInteger inFlight = new AtomicInteger();
   private volatile KeyUsage keyUsage = new KeyUsage(0, 0, 0, 0);
 
-  /** Counts of each class are shown from the start, zeros too. */
+  /** Creates counters that are all 0, also those of each class. */
   public Counters(List<String> classes) {
     this.classes = List.copyOf(classes);
     results = new LongAdder[classes.size()][Result.values().length];
@@ -98,86 +99,89 @@
     }
   }
 
-  @SuppressWarnings("EnumOrdinal") // an index of the arrays above, never stored or sent
+  @SuppressWarnings("EnumOrdinal") // only an index of the arrays above, never stored or sent
   private static int index(Enum<?> value) {
     return value.ordinal();
   }
 
-  /** Adds one. */
+  /** Adds 1 to a counter. */
   public void add(Count count) {
     adders[index(count)].increment();
   }
 
-  /** The sum so far. */
+  /** Returns the value of a counter. */
   public long get(Count count) {
     return adders[index(count)].sum();
   }
 
-  /** A request was received: {@link #answered} or {@link #callerDisconnected} follows once. */
+  /**
+   * Counts a received request. Exactly one call of {@link #answered} or {@link #callerDisconnected}
+   * must follow for it.
+   */
   public void requestReceived() {
     add(Count.REQUESTS);
     inFlight.incrementAndGet();
   }
 
-  /** The one answer of a request is fixed. */
+  /** Counts the final answer of a request. */
   public void answered(int classIndex, Result result) {
     inFlight.decrementAndGet();
     results[classIndex][index(result)].increment();
     add(result.total);
   }
 
-  /** The answer of a served request comes after its latency objective. */
+  /** Counts a served request whose answer missed its latency objective. */
   public void servedAfterObjective(int classIndex) {
     servedAfterObjective[classIndex].increment();
   }
 
-  /** Served requests of a class that were answered after their latency objective. */
+  /** Returns the served requests of a class whose answers missed their latency objective. */
   public long servedAfterObjectiveCount(int classIndex) {
     return servedAfterObjective[classIndex].sum();
   }
 
-  /** The caller of a request is gone before its answer. */
+  /** Counts a request whose caller disconnected before its answer. */
   public void callerDisconnected() {
     inFlight.decrementAndGet();
     add(Count.CALLERS_DISCONNECTED);
   }
 
-  /** Requests received and neither answered nor given up by their callers. */
+  /** Returns the requests in flight: neither answered nor abandoned by their callers. */
   public int inFlight() {
     return inFlight.get();
   }
 
   /**
-   * Idempotency keys in memory.
+   * Memory usage of idempotency keys.
    *
-   * @param keys known now
-   * @param maxKeys at most
-   * @param bytes of settled keys and their results
-   * @param maxBytes at most, with what is reserved
+   * @param keys keys in memory
+   * @param maxKeys maximum number of keys
+   * @param bytes bytes of completed keys and their results
+   * @param maxBytes maximum number of bytes, reservations included
    */
   public record KeyUsage(int keys, int maxKeys, long bytes, long maxBytes) {}
 
-  /** As of the last expiry of keys. */
+  /** Returns the usage as of the last expiry of keys. */
   public KeyUsage keyUsage() {
     return keyUsage;
   }
 
-  /** Called whenever the coordinator expires keys. */
+  /** Sets the key usage; called whenever the coordinator expires keys. */
   public void updateKeyUsage(KeyUsage now) {
     keyUsage = now;
   }
 
-  /** The names of the request classes, by index. */
+  /** Returns the names of the request classes, by index. */
   public List<String> classes() {
     return classes;
   }
 
-  /** Answers of a class that ended like this. */
+  /** Returns the answers of a class with this result. */
   public long get(int classIndex, Result result) {
     return results[classIndex][index(result)].sum();
   }
 
-  /** Counts since the start and gauges in the form of statsd, one a line. */
+  /** Returns counters since the start and gauges in the statsd format, one per line. */
   public String statsdLines() {
     StringBuilder lines = new StringBuilder();
     for (int i = 0; i < results.length; i++) {
@@ -202,7 +206,7 @@
         .toString();
   }
 
-  /** One line a count. */
+  /** Returns the counters with their texts, one per line. */
   public String table() {
     StringBuilder lines = new StringBuilder();
     for (Count count : Count.values()) {
--- a/src/main/java/wharftrestle/metrics/ResultMetric.java
+++ b/src/main/java/wharftrestle/metrics/ResultMetric.java
@@ -1,8 +1,9 @@
 package wharftrestle.metrics;
 
 /**
- * The figures of results kept over restarts, under one name at the door, in status and in the MIB
- * (in this order). It owns names and meanings; the journal fills them in.
+ * The metrics of the store of results that survive restarts. Each has the same name at the admin
+ * endpoint, in status and in the MIB (in this order). This enum defines names and meanings; the
+ * write-ahead log supplies the values.
  */
 public enum ResultMetric {
   STATE("state", false, "1 off, 2 open, 3 the disk failed"),
@@ -42,12 +43,12 @@
     this.description = description;
   }
 
-  /** True where it only rises, from 0 at the start. */
+  /** Returns whether it is a counter, which starts at 0 and never decreases. */
   public boolean isCounter() {
     return isCounter;
   }
 
-  /** True where it counts keyed requests that were rejected as their key could not be recorded. */
+  /** Returns whether it counts keyed requests rejected because their key could not be recorded. */
   public boolean isRejection() {
     return switch (this) {
       case REJECTED_STORE_FULL,
@@ -60,12 +61,12 @@
     };
   }
 
-  /** Its meaning in words, as the admin endpoint shows it. */
+  /** Returns its meaning, as the admin endpoint shows it. */
   public String description() {
     return description;
   }
 
-  /** Its name at the admin endpoint, in status and in the MIB. */
+  /** Returns its name at the admin endpoint, in status and in the MIB. */
   public String publishedName() {
     return publishedName;
   }
--- a/src/main/java/wharftrestle/metrics/package-info.java
+++ b/src/main/java/wharftrestle/metrics/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Counters of what the daemon reads, dispatches and answers, and the figures of stored results. Any
- * thread adds to them without waiting; the admin endpoint, the SNMP agent and the exit log show
- * them.
+ * Counters of requests, executions and answers of the daemon, and the metrics of stored results.
+ * Any thread may add to the counters without blocking; the admin endpoint, the SNMP agent and the
+ * log at exit show them.
  */
 package wharftrestle.metrics;
--- a/src/main/java/wharftrestle/simulator/ActionWriter.java
+++ b/src/main/java/wharftrestle/simulator/ActionWriter.java
@@ -2,7 +2,7 @@
 
 import wharftrestle.admission.Admission;
 
-/** Writes the actions of one instance as wire lines. */
+/** Writes the actions of one instance as lines of the simulator protocol. */
 final class ActionWriter implements Admission.Actions {
   private final int instance;
   private final StringBuilder lines = new StringBuilder();
@@ -11,7 +11,7 @@
     this.instance = instance;
   }
 
-  /** Moves what was written to the reply, or drops it where that is null. */
+  /** Appends the written lines to the reply and clears them; a null reply discards them. */
   void drainTo(StringBuilder reply) {
     if (reply != null && lines.length() > 0) {
       reply.append("source\tinstance=").append(instance).append('\n').append(lines);
@@ -19,116 +19,116 @@
     lines.setLength(0);
   }
 
-  /** Text without anything that would break a line of the wire. */
-  static String plain(String text) {
+  /** Replaces control characters, which would break a protocol line, by spaces. */
+  static String replaceControlCharacters(String text) {
     return text.replaceAll("\\p{Cntrl}", " ");
   }
 
-  private StringBuilder act(String name, long id) {
+  private StringBuilder beginAction(String name, long id) {
     return lines.append(name).append("\topId=").append(id);
   }
 
-  /** Microseconds are the finest the wire counts in. */
-  private StringBuilder seconds(String field, double value) {
+  /** Appends a field in seconds; the protocol has a resolution of microseconds. */
+  private StringBuilder appendSeconds(String field, double value) {
     long micros = Math.max(0, Math.round(value * 1e6));
     lines.append('\t').append(field).append('=').append(micros / 1_000_000).append('.');
-    String rest = Long.toString(micros % 1_000_000);
-    return lines.append("000000", 0, 6 - rest.length()).append(rest);
+    String fraction = Long.toString(micros % 1_000_000);
+    return lines.append("000000", 0, 6 - fraction.length()).append(fraction);
   }
 
-  private void end() {
+  private void endLine() {
     lines.append('\n');
   }
 
   @Override
   public void dispatch(long id) {
-    act("admit", id);
-    end();
+    beginAction("admit", id);
+    endLine();
   }
 
   @Override
-  public void reject(long id, boolean nowhereElse, double retryAfter) {
-    act("deny", id);
-    if (nowhereElse) {
+  public void reject(long id, boolean everywhere, double retryAfterSeconds) {
+    beginAction("deny", id);
+    if (everywhere) {
       lines.append("\tgiveUp=1");
     }
-    if (retryAfter > 0) {
-      seconds("coolDown", retryAfter);
+    if (retryAfterSeconds > 0) {
+      appendSeconds("coolDown", retryAfterSeconds);
     }
-    end();
+    endLine();
   }
 
   @Override
   public void fail(long id) {
-    act("report_failure", id);
-    end();
+    beginAction("report_failure", id);
+    endLine();
   }
 
   @Override
   public void preempt(long id) {
-    act("suspend", id);
-    end();
+    beginAction("suspend", id);
+    endLine();
   }
 
   @Override
-  public void callDependency(long id, double notPast) {
-    act("call", id);
-    seconds("notPast", notPast);
-    end();
+  public void callDependency(long id, double timeoutAt) {
+    beginAction("call", id);
+    appendSeconds("notPast", timeoutAt);
+    endLine();
   }
 
   @Override
   public void skipCall(long id) {
-    act("fall_back", id);
-    end();
+    beginAction("fall_back", id);
+    endLine();
   }
 
   @Override
-  public void retainKey(long id, double time) {
-    act("memo", id);
-    seconds("ttl", time);
-    end();
+  public void retainKey(long id, double retentionSeconds) {
+    beginAction("memo", id);
+    appendSeconds("ttl", retentionSeconds);
+    endLine();
   }
 
   @Override
   public void releaseKey(long id) {
-    act("release_key", id);
-    end();
+    beginAction("release_key", id);
+    endLine();
   }
 
   @Override
   public void attach(long id) {
-    act("attach", id);
-    end();
+    beginAction("attach", id);
+    endLine();
   }
 
   @Override
-  public void reportHealth(boolean good, boolean fromStore) {
+  public void reportHealth(boolean healthy, boolean cached) {
     lines
         .append("set_health\twant=")
-        .append(good ? 1 : 0)
+        .append(healthy ? 1 : 0)
         .append("\tcheap=")
-        .append(fromStore ? 1 : 0);
-    end();
+        .append(cached ? 1 : 0);
+    endLine();
   }
 
   @Override
-  public void setIdleTimeout(double time) {
+  public void setIdleTimeout(double timeoutSeconds) {
     lines.append("idle_limit");
-    seconds("ttl", time);
-    end();
+    appendSeconds("ttl", timeoutSeconds);
+    endLine();
   }
 
   @Override
-  public void setTimer(long label, double in) {
+  public void setTimer(long label, double delaySeconds) {
     lines.append("set_timer\tlabel=").append(label);
-    seconds("sleepFor", in);
-    end();
+    appendSeconds("sleepFor", delaySeconds);
+    endLine();
   }
 
   @Override
   public void log(String line) {
-    lines.append("log\tline=").append(plain(line));
-    end();
+    lines.append("log\tline=").append(replaceControlCharacters(line));
+    endLine();
   }
 }
--- a/src/main/java/wharftrestle/simulator/MalformedLineException.java
+++ b/src/main/java/wharftrestle/simulator/MalformedLineException.java
@@ -1,6 +1,6 @@
 package wharftrestle.simulator;
 
-/** A line of the wire that lacks a needed field or holds what cannot be read. */
+/** Thrown if a protocol line or the settings lack a required field or contain an invalid value. */
 public final class MalformedLineException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wharftrestle/simulator/ProtocolLine.java
+++ b/src/main/java/wharftrestle/simulator/ProtocolLine.java
@@ -1,6 +1,10 @@
 package wharftrestle.simulator;
 
-/** One line of the wire: a name and tab-separated fields, found by scanning. */
+/**
+ * One line of the simulator protocol: a name and tab-separated fields {@code field=value}. Fields
+ * are looked up by scanning the line. Methods without a default value throw {@link
+ * MalformedLineException} if the field is absent or empty.
+ */
 final class ProtocolLine {
   private final String line;
   private final String name;
@@ -23,7 +27,7 @@
     return value;
   }
 
-  String text(String field, String absent) {
+  String text(String field, String defaultValue) {
     int from = name.length();
     while (from < line.length()) {
       int start = from + 1;
@@ -31,37 +35,37 @@
       end = end < 0 ? line.length() : end;
       int equals = start + field.length();
       if (equals < end && line.charAt(equals) == '=' && line.startsWith(field, start)) {
-        return equals + 1 == end ? absent : line.substring(equals + 1, end);
+        return equals + 1 == end ? defaultValue : line.substring(equals + 1, end);
       }
       from = end;
     }
-    return absent;
+    return defaultValue;
   }
 
   double number(String field) throws MalformedLineException {
-    return parse(field, text(field));
+    return parseNumber(field, text(field));
   }
 
-  double number(String field, double absent) throws MalformedLineException {
+  double number(String field, double defaultValue) throws MalformedLineException {
     String value = text(field, null);
-    return value == null ? absent : parse(field, value);
+    return value == null ? defaultValue : parseNumber(field, value);
   }
 
   long id(String field) throws MalformedLineException {
-    return whole(field, text(field));
+    return parseUnsigned(field, text(field));
   }
 
-  long id(String field, long absent) throws MalformedLineException {
+  long id(String field, long defaultValue) throws MalformedLineException {
     String value = text(field, null);
-    return value == null ? absent : whole(field, value);
+    return value == null ? defaultValue : parseUnsigned(field, value);
   }
 
   int integer(String field) throws MalformedLineException {
-    return small(field, id(field));
+    return toInt(field, id(field));
   }
 
-  int integer(String field, int absent) throws MalformedLineException {
-    return small(field, id(field, absent));
+  int integer(String field, int defaultValue) throws MalformedLineException {
+    return toInt(field, id(field, defaultValue));
   }
 
   boolean bool(String field) throws MalformedLineException {
@@ -72,39 +76,39 @@
     return value.equals("1");
   }
 
-  double[] row(String field) throws MalformedLineException {
+  double[] numbers(String field) throws MalformedLineException {
     String value = text(field, "");
     if (value.isEmpty()) {
       return new double[0];
     }
     String[] parts = value.split(",", -1);
-    double[] row = new double[parts.length];
+    double[] numbers = new double[parts.length];
     for (int i = 0; i < parts.length; i++) {
-      row[i] = parse(field, parts[i]);
+      numbers[i] = parseNumber(field, parts[i]);
     }
-    return row;
+    return numbers;
   }
 
-  private int small(String field, long value) throws MalformedLineException {
+  private int toInt(String field, long value) throws MalformedLineException {
     if (value < 0 || value > Integer.MAX_VALUE) {
       throw unreadable(field, Long.toString(value));
     }
     return (int) value;
   }
 
-  private double parse(String field, String value) throws MalformedLineException {
+  private double parseNumber(String field, String value) throws MalformedLineException {
     try {
       double number = Double.parseDouble(value);
       if (Double.isFinite(number)) {
         return number;
       }
     } catch (NumberFormatException e) {
-      // Named below, as what is not finite is.
+      // Reported below, like numbers that are not finite.
     }
     throw unreadable(field, value);
   }
 
-  private long whole(String field, String value) throws MalformedLineException {
+  private long parseUnsigned(String field, String value) throws MalformedLineException {
     try {
       // The seed and timer labels reach 2^63 and may use all 64 bits.
       return Long.parseUnsignedLong(value);
--- a/src/main/java/wharftrestle/simulator/SettingsReader.java
+++ b/src/main/java/wharftrestle/simulator/SettingsReader.java
@@ -9,8 +9,8 @@
 import wharftrestle.admission.AdmissionSettings;
 
 /**
- * Reads the settings object of a start. What is absent is 0, false or empty; unknown keys are
- * skipped.
+ * Reads the settings of an instance from JSON. Absent optional values are read as 0, false or
+ * empty, unless the code names another default; unknown keys are ignored.
  */
 public final class SettingsReader {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -27,110 +27,110 @@
     return read(root);
   }
 
-  /** The same from JSON that was read already. */
+  /** Reads the settings from parsed JSON. */
   public static AdmissionSettings read(JsonNode root) throws MalformedLineException {
     if (root == null || !root.isObject()) {
-      throw new MalformedLineException("the settings are no object");
+      throw new MalformedLineException("the settings are not a JSON object");
     }
-    JsonNode own = need(root, "specifics");
-    JsonNode rules = need(root, "obligations");
-    JsonNode limits = root.path("ceilings");
+    JsonNode specifics = require(root, "specifics");
+    JsonNode obligations = require(root, "obligations");
+    JsonNode ceilings = root.path("ceilings");
     List<Admission.Tenant> tenants = new ArrayList<>();
-    for (JsonNode t : root.path("tenants")) {
+    for (JsonNode tenant : root.path("tenants")) {
       tenants.add(
           new Admission.Tenant(
-              t.path("name").asText(),
-              t.path("allowancePerS").asDouble(),
-              t.path("portion").asDouble()));
+              tenant.path("name").asText(),
+              tenant.path("allowancePerS").asDouble(),
+              tenant.path("portion").asDouble()));
     }
     List<String> gauges = new ArrayList<>();
-    own.path("gauges").forEach(g -> gauges.add(g.asText()));
+    specifics.path("gauges").forEach(gauge -> gauges.add(gauge.asText()));
     return new AdmissionSettings(
-        classes(need(root, "categories"), own),
+        classes(require(root, "categories"), specifics),
         List.copyOf(tenants),
         new AdmissionSettings.Fleet(
             root.path("peersTotal").asInt(),
-            own.path("callers").asInt(),
-            own.path("tellsGone").asBoolean(),
-            own.path("realChecks").asBoolean(),
-            own.path("listFollows").asBoolean()),
+            specifics.path("callers").asInt(),
+            specifics.path("tellsGone").asBoolean(),
+            specifics.path("realChecks").asBoolean(),
+            specifics.path("listFollows").asBoolean()),
         new AdmissionSettings.Capacity(
-            need(own, "nCores").asInt(),
-            need(own, "memoryKb").asDouble(),
-            own.path("runFactor").asDouble(1),
-            own.path("keyKb").asDouble(),
-            preemption(own),
-            need(rules, "tipMultiple").asDouble(),
-            rules.path("fall").asDouble()),
+            require(specifics, "nCores").asInt(),
+            require(specifics, "memoryKb").asDouble(),
+            specifics.path("runFactor").asDouble(1),
+            specifics.path("keyKb").asDouble(),
+            preemption(specifics),
+            require(obligations, "tipMultiple").asDouble(),
+            obligations.path("fall").asDouble()),
         new AdmissionSettings.WarmUp(
-            own.path("justStarted").asBoolean(),
-            rules.path("coldFrom").asDouble(1),
-            rules.path("cold").asDouble()),
+            specifics.path("justStarted").asBoolean(),
+            obligations.path("coldFrom").asDouble(1),
+            obligations.path("cold").asDouble()),
         new AdmissionSettings.DependencyCalls(
-            downstream(own),
-            own.path("callShare").asDouble(),
-            own.path("callsOver").asDouble(),
-            own.path("linger").asDouble()),
+            dependency(specifics),
+            specifics.path("callShare").asDouble(),
+            specifics.path("callsOver").asDouble(),
+            specifics.path("linger").asDouble()),
         new AdmissionSettings.Timing(
             root.path("tick").asDouble(),
-            rules.path("answerSlack").asDouble(),
-            rules.path("drainGrace").asDouble(),
-            own.path("shareFor").asDouble()),
+            obligations.path("answerSlack").asDouble(),
+            obligations.path("drainGrace").asDouble(),
+            specifics.path("shareFor").asDouble()),
         new AdmissionSettings.Retries(
-            limits.path("retryAfter").asBoolean() ? limits.path("maxRetryAfter").asDouble() : 0,
+            ceilings.path("retryAfter").asBoolean() ? ceilings.path("maxRetryAfter").asDouble() : 0,
             root.path("clients").path("marksRetry").asBoolean()),
         new AdmissionSettings.Weighting(
             root.path("worthBy").asText().equals("work"), root.path("overShareWorth").asDouble(1)),
         List.copyOf(gauges));
   }
 
-  private static List<Admission.RequestClass> classes(JsonNode nodes, JsonNode own)
+  private static List<Admission.RequestClass> classes(JsonNode nodes, JsonNode specifics)
       throws MalformedLineException {
     List<Admission.RequestClass> classes = new ArrayList<>();
-    for (JsonNode c : nodes) {
-      int i = classes.size();
-      String repeat = need(c, "repeat").asText();
+    for (JsonNode node : nodes) {
+      int index = classes.size();
+      String repeat = require(node, "repeat").asText();
       classes.add(
           new Admission.RequestClass(
-              c.path("name").asText(),
-              need(c, "slo").asDouble(),
-              c.path("aimStretch").asDouble(),
-              need(c, "deadline").asDouble(),
-              c.path("importance").asDouble(1),
-              c.path("lateWorth").asDouble(),
+              node.path("name").asText(),
+              require(node, "slo").asDouble(),
+              node.path("aimStretch").asDouble(),
+              require(node, "deadline").asDouble(),
+              node.path("importance").asDouble(1),
+              node.path("lateWorth").asDouble(),
               switch (repeat) {
                 case "read_like" -> Admission.Idempotency.IDEMPOTENT;
                 case "idempotency_key" -> Admission.Idempotency.IDEMPOTENCY_KEY;
                 case "non_idempotent" -> Admission.Idempotency.NON_IDEMPOTENT;
                 default -> throw new MalformedLineException("unknown repeat '" + repeat + "'");
               },
-              c.path("memorySpan").asDouble(),
-              own.path("classCalls").path(i).asBoolean(),
-              own.path("classSkipWorth").path(i).asDouble()));
+              node.path("memorySpan").asDouble(),
+              specifics.path("classCalls").path(index).asBoolean(),
+              specifics.path("classSkipWorth").path(index).asDouble()));
     }
     return List.copyOf(classes);
   }
 
-  private static Admission.Preemption preemption(JsonNode own) {
-    return switch (own.path("preemption").asText()) {
+  private static Admission.Preemption preemption(JsonNode specifics) {
+    return switch (specifics.path("preemption").asText()) {
       case "drop" -> Admission.Preemption.DROP;
       case "pause" -> Admission.Preemption.PAUSE;
       default -> Admission.Preemption.NONE;
     };
   }
 
-  private static Admission.Dependency downstream(JsonNode own) {
-    return switch (own.path("downstream").asText()) {
+  private static Admission.Dependency dependency(JsonNode specifics) {
+    return switch (specifics.path("downstream").asText()) {
       case "shared" -> Admission.Dependency.SHARED;
       case "tier" -> Admission.Dependency.TIER;
       default -> Admission.Dependency.NONE;
     };
   }
 
-  private static JsonNode need(JsonNode node, String key) throws MalformedLineException {
+  private static JsonNode require(JsonNode node, String key) throws MalformedLineException {
     JsonNode value = node.get(key);
     if (value == null || value.isNull()) {
-      throw new MalformedLineException("the settings lack '" + key + "'");
+      throw new MalformedLineException("missing key '" + key + "' in the settings");
     }
     return value;
   }
--- a/src/main/java/wharftrestle/simulator/SimulatorAdapter.java
+++ b/src/main/java/wharftrestle/simulator/SimulatorAdapter.java
@@ -14,12 +14,12 @@
 import wharftrestle.admission.AdmissionSettings;
 
 /**
- * Translates wire batches to events of the instances and their actions to replies. It decides
- * nothing.
+ * Connects admission control instances to the simulator: translates batches of protocol lines to
+ * events, and the actions of the instances to reply lines. Not thread-safe.
  */
 public final class SimulatorAdapter {
 
-  /** Makes the control of one instance. */
+  /** Creates the admission control of one instance. */
   public interface Factory {
     Admission.Events create(
         double now, long seed, AdmissionSettings settings, Admission.Actions actions);
@@ -28,7 +28,7 @@
   private static final class Instance {
     final ActionWriter actions;
     Admission.Events events;
-    boolean touched;
+    boolean inBatch;
 
     Instance(int number) {
       actions = new ActionWriter(number);
@@ -37,7 +37,10 @@
 
   private final Factory factory;
   private final Map<Integer, Instance> instances = new HashMap<>();
-  private final List<Instance> touched = new ArrayList<>();
+
+  /** The instances named in the present batch, in the order of their first mention. */
+  private final List<Instance> batchInstances = new ArrayList<>();
+
   private final StringBuilder reply = new StringBuilder();
   private double now;
   private Instance current;
@@ -46,49 +49,55 @@
     this.factory = factory;
   }
 
-  /** Answers batches until the input ends. */
+  /**
+   * Processes batches until the input ends. A batch ends with the line {@code commit}, on which its
+   * reply is written. After an error the remaining lines of the batch are skipped, and the reply is
+   * a line {@code crash} with the error.
+   */
   public void serve(InputStream in, OutputStream out) throws IOException {
     BufferedReader lines =
         new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
-    String crash = null;
+    String error = null;
     for (String line; (line = lines.readLine()) != null; ) {
       if (line.equals("commit")) {
-        if (crash == null) {
-          crash = settle();
+        if (error == null) {
+          error = completeBatch();
         }
-        write(out, crash);
-        crash = null;
-      } else if (crash == null) {
-        crash = take(line);
+        writeReply(out, error);
+        error = null;
+      } else if (error == null) {
+        error = process(line);
       }
     }
   }
 
-  private String take(String line) {
+  /** Processes one line; returns an error message, or null. */
+  private String process(String line) {
     try {
-      event(new ProtocolLine(line));
+      handleEvent(new ProtocolLine(line));
       return null;
     } catch (MalformedLineException e) {
-      return "malformed line: " + e.getMessage() + " in: " + clip(line);
+      return "malformed line: " + e.getMessage() + " in: " + truncate(line);
     } catch (RuntimeException e) {
-      return "exception " + e + place(e) + " at: " + clip(line);
+      return "exception " + e + location(e) + " at: " + truncate(line);
     }
   }
 
-  private String settle() {
+  /** Completes the batch at all instances named in it; returns an error message, or null. */
+  private String completeBatch() {
     try {
-      for (Instance instance : touched) {
+      for (Instance instance : batchInstances) {
         if (instance.events != null) {
           instance.events.batchCompleted(now);
         }
       }
       return null;
     } catch (RuntimeException e) {
-      return "exception " + e + place(e) + " at: commit";
+      return "exception " + e + location(e) + " at: commit";
     }
   }
 
-  private void event(ProtocolLine line) throws MalformedLineException {
+  private void handleEvent(ProtocolLine line) throws MalformedLineException {
     switch (line.name()) {
       case "clock" -> {
         now = line.number("now");
@@ -96,23 +105,23 @@
       }
       case "at" -> {
         current = instances.computeIfAbsent(line.integer("instance"), Instance::new);
-        if (!current.touched) {
-          current.touched = true;
-          touched.add(current);
+        if (!current.inBatch) {
+          current.inBatch = true;
+          batchInstances.add(current);
         }
       }
       case "spawn" -> {
-        Instance instance = addressed();
+        Instance instance = currentInstance();
         instance.events =
             factory.create(
                 now, line.id("prng"), SettingsReader.read(line.text("facts")), instance.actions);
       }
       case "down" -> {
-        addressed().events = null;
+        currentInstance().events = null;
         current.actions.drainTo(null);
       }
       case "arrival" ->
-          living()
+          startedInstance()
               .arrived(
                   now,
                   new Admission.Request(
@@ -129,13 +138,13 @@
                       line.number("timeBudget", 0),
                       line.number("prio", 0)));
       case "work_done" ->
-          living().completed(now, line.id("opId"), outcome(line), line.number("costTime", 0));
-      case "ready_to_call" -> living().blockedOnCall(now, line.id("opId"));
+          startedInstance().completed(now, line.id("opId"), outcome(line), line.number("costTime", 0));
+      case "ready_to_call" -> startedInstance().blockedOnCall(now, line.id("opId"));
       case "downstream" ->
-          living().callCompleted(now, line.id("opId"), outcome(line), line.number("costTime", 0));
-      case "cancelled_by_client" -> living().callerGone(now, line.id("opId"));
-      case "lame_duck" -> living().draining(now, line.number("timeBudget"));
-      case "timeout_fired" -> living().timerFired(now, line.id("label"), line.row("usage"));
+          startedInstance().callCompleted(now, line.id("opId"), outcome(line), line.number("costTime", 0));
+      case "cancelled_by_client" -> startedInstance().callerGone(now, line.id("opId"));
+      case "lame_duck" -> startedInstance().draining(now, line.number("timeBudget"));
+      case "timeout_fired" -> startedInstance().timerFired(now, line.id("label"), line.numbers("usage"));
       default -> {}
     }
   }
@@ -155,29 +164,32 @@
     };
   }
 
-  private Instance addressed() throws MalformedLineException {
+  private Instance currentInstance() throws MalformedLineException {
     if (current == null) {
-      throw new MalformedLineException("no instance named by 'at'");
+      throw new MalformedLineException("no instance selected by an 'at' line");
     }
     return current;
   }
 
-  private Admission.Events living() throws MalformedLineException {
-    Instance instance = addressed();
+  private Admission.Events startedInstance() throws MalformedLineException {
+    Instance instance = currentInstance();
     if (instance.events == null) {
-      throw new MalformedLineException("the instance has not been started by 'spawn'");
+      throw new MalformedLineException("the instance has not been started by a 'spawn' line");
     }
     return instance.events;
   }
 
-  private void write(OutputStream out, String crash) throws IOException {
-    for (Instance instance : touched) {
-      instance.actions.drainTo(crash == null ? reply : null);
-      instance.touched = false;
+  private void writeReply(OutputStream out, String error) throws IOException {
+    for (Instance instance : batchInstances) {
+      instance.actions.drainTo(error == null ? reply : null);
+      instance.inBatch = false;
     }
-    touched.clear();
-    if (crash != null) {
-      reply.append("crash\tline=").append(ActionWriter.plain(crash)).append('\n');
+    batchInstances.clear();
+    if (error != null) {
+      reply
+          .append("crash\tline=")
+          .append(ActionWriter.replaceControlCharacters(error))
+          .append('\n');
     }
     reply.append("ok\n");
     out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
@@ -185,11 +197,11 @@
     reply.setLength(0);
   }
 
-  private static String place(RuntimeException e) {
+  private static String location(RuntimeException e) {
     return e.getStackTrace().length == 0 ? "" : " (" + e.getStackTrace()[0] + ")";
   }
 
-  private static String clip(String line) {
+  private static String truncate(String line) {
     return line.length() <= 200 ? line : line.substring(0, 200) + "...";
   }
 }
--- a/src/main/java/wharftrestle/simulator/package-info.java
+++ b/src/main/java/wharftrestle/simulator/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The adapter to the simulator: its lines in, admission events; admission actions, lines out. It
- * maps the names of the wire and decides nothing.
+ * The adapter between the simulator and the admission control: translates the lines of the
+ * simulator protocol to events, and actions to lines. It maps the names of the protocol and makes
+ * no decisions.
  */
 package wharftrestle.simulator;
