--- a/src/main/java/wharftrestle/admission/Dispatcher.java
+++ b/src/main/java/wharftrestle/admission/Dispatcher.java
@@ -47,8 +47,9 @@
     if (request.state != TrackedRequest.State.QUEUED || memory.lacksExecutionMemory(request)) {
       return false;
     }
-    // The concurrency limit does not count blocked executions. Without this bound, requests would be
-    // dispatched whose calls come too late. Requests that may skip their call are dispatched anyway.
+    // The concurrency limit does not count blocked executions. Without this bound, requests would
+    // be dispatched whose calls are made too late. Requests that may skip their call are
+    // dispatched anyway.
     return !request.requestClass.callsDependency()
         || request.maySkipCall()
         || !congestion.isCongestedFor(request);
--- a/src/main/java/wharftrestle/admission/TrackedRequest.java
+++ b/src/main/java/wharftrestle/admission/TrackedRequest.java
@@ -26,6 +26,8 @@
   final Request request;
   final RequestClass requestClass;
   final ClassEstimate estimate;
+
+  /** When it reached the host, before its queueing delay before read. */
   final double reachedHostAt;
 
   /** The answer must be sent by this time; set by {@link Deadlines}. */
--- a/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
+++ b/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
@@ -4,153 +4,156 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static wharftrestle.RecordingHost.Phase.ATTACHED;
-import static wharftrestle.RecordingHost.Phase.AT_CALL;
+import static wharftrestle.RecordingHost.Phase.BLOCKED;
 import static wharftrestle.RecordingHost.Phase.CALLING;
-import static wharftrestle.RecordingHost.Phase.HELD;
-import static wharftrestle.RecordingHost.Phase.OVER;
-import static wharftrestle.RecordingHost.Phase.RUNNING;
+import static wharftrestle.RecordingHost.Phase.QUEUED;
+import static wharftrestle.RecordingHost.Phase.DONE;
+import static wharftrestle.RecordingHost.Phase.EXECUTING;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import wharftrestle.admission.Admission;
+import wharftrestle.admission.AdmissionController;
 
-/** One section a concern of the module, in its order. */
+/** Tests of the decisions of {@link AdmissionController}, in one section per concern. */
 class GroupEdfSchedulerTest {
 
-  /** Runs requests of a class one after another, each for the given time. */
-  private static void teach(RecordingHost host, int type, int runs, double seconds) {
-    for (int i = 0; i < runs; i++) {
-      long id = host.arriveAndSettle(type);
-      assertEquals(RUNNING, host.phase(id));
-      host.pass(seconds);
-      host.end(id, Admission.Outcome.SUCCESS);
+  /** Completes executions of a class one after another, each after the same run time. */
+  private static void completeExecutions(
+      RecordingHost host, int classIndex, int executions, double seconds) {
+    for (int i = 0; i < executions; i++) {
+      long id = host.arriveInBatch(classIndex);
+      assertEquals(EXECUTING, host.phase(id));
+      host.advanceTime(seconds);
+      host.complete(id, Admission.Outcome.SUCCESS);
     }
   }
 
-  private static RecordingHost.Requests hinted(RecordingHost host, double cost) {
-    return host.request(Sites.READ).cost(cost);
+  private static RecordingHost.RequestBuilder readWithHint(RecordingHost host, double costHint) {
+    return host.request(Sites.READ).costHint(costHint);
   }
 
-  // ---- Estimate ----
+  // ---- Run time estimate ----
 
   @Test
-  void quickFailuresDoNotMakeWorkLookShort() {
+  void quickFailuresDoNotLowerTheRunTimeEstimate() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    teach(host, Sites.SAVE, 20, 0.5);
+    completeExecutions(host, Sites.SAVE, 20, 0.5);
     for (int i = 0; i < 3; i++) {
-      long id = host.arriveAndSettle(Sites.SAVE);
-      host.pass(0.001);
-      host.end(id, Admission.Outcome.FAILURE);
+      long id = host.arriveInBatch(Sites.SAVE);
+      host.advanceTime(0.001);
+      host.complete(id, Admission.Outcome.FAILURE);
     }
-    // Half a second of work does not fit into 0.4 s of patience.
-    long id = host.arrive(host.request(Sites.SAVE).patience(0.4).build());
-    host.settle();
-    assertEquals("refused", host.answer(id));
+    // A run time of 0.5 s does not fit into a remaining deadline of 0.4 s.
+    long id = host.arrive(host.request(Sites.SAVE).remainingDeadline(0.4).build());
+    host.completeBatch();
+    assertEquals("rejected", host.answer(id));
   }
 
   @Test
-  void timeAtCallsIsKeptApartFromTimeOnCores() {
+  void slowDependencyCallsDoNotMakeHostUnhealthy() {
     Sites.Builder site = Sites.site();
     site.calls = true;
     RecordingHost host = new RecordingHost(site.build());
     for (int i = 0; i < 30; i++) {
-      long id = host.arriveAndSettle(Sites.LONG);
-      host.pass(0.1);
-      host.needCall(id);
-      host.pass(i < 10 ? 0.05 : 1.0);
-      host.endCall(id, Admission.Outcome.SUCCESS);
-      host.end(id, Admission.Outcome.SUCCESS);
+      long id = host.arriveInBatch(Sites.LONG);
+      host.advanceTime(0.1);
+      host.blockOnCall(id);
+      host.advanceTime(i < 10 ? 0.05 : 1.0);
+      host.completeCall(id, Admission.Outcome.SUCCESS);
+      host.complete(id, Admission.Outcome.SUCCESS);
     }
-    assertTrue(host.healthy, "slow calls are not this machine's illness");
+    assertTrue(host.healthy, "slow dependency calls must not make this host unhealthy");
   }
 
-  // ---- Order ----
+  // ---- Order of dispatch ----
 
   @Test
-  void shortestStartsFirstWithinAGroupAndGroupsByDeadline() {
+  void shortestIsDispatchedFirstWithinGroupAndGroupsAreOrderedByDeadline() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    long a = host.arriveAndSettle(Sites.SAVE);
-    long b = host.arriveAndSettle(Sites.SAVE);
-    // Time left 2.0, 2.6 and 1.95 s: all within 1.4 of the earliest, so the shortest of them is
-    // first.
-    long mid = host.arrive(hinted(host, 0.20).build());
-    long tall = host.arrive(hinted(host, 0.26).build());
-    long first = host.arrive(hinted(host, 0.195).build());
-    long far = host.arrive(hinted(host, 0.60).build());
-    host.settle();
-    host.pass(0.05);
-    host.end(a, Admission.Outcome.SUCCESS);
-    host.end(b, Admission.Outcome.SUCCESS);
-    host.end(first, Admission.Outcome.SUCCESS);
-    host.end(mid, Admission.Outcome.SUCCESS);
+    long a = host.arriveInBatch(Sites.SAVE);
+    long b = host.arriveInBatch(Sites.SAVE);
+    // Remaining times of 2.0, 2.6 and 1.95 s: all within 1.4 times the earliest, so the shortest
+    // of them is first.
+    long second = host.arrive(readWithHint(host, 0.20).build());
+    long third = host.arrive(readWithHint(host, 0.26).build());
+    long first = host.arrive(readWithHint(host, 0.195).build());
+    long fourth = host.arrive(readWithHint(host, 0.60).build());
+    host.completeBatch();
+    host.advanceTime(0.05);
+    host.complete(a, Admission.Outcome.SUCCESS);
+    host.complete(b, Admission.Outcome.SUCCESS);
+    host.complete(first, Admission.Outcome.SUCCESS);
+    host.complete(second, Admission.Outcome.SUCCESS);
     assertEquals(
         List.of(
-            "start " + a,
-            "start " + b,
-            "start " + first,
-            "start " + mid,
-            "start " + tall,
-            "start " + far),
-        host.startsLogged());
+            "dispatch " + a,
+            "dispatch " + b,
+            "dispatch " + first,
+            "dispatch " + second,
+            "dispatch " + third,
+            "dispatch " + fourth),
+        host.dispatches());
   }
 
   @Test
-  void anEarlierDeadlineOutsideTheGroupBeatsAShorterRun() {
+  void earlierDeadlineOutsideTheGroupIsDispatchedBeforeShorterRunTime() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    long a = host.arriveAndSettle(Sites.SAVE);
-    long b = host.arriveAndSettle(Sites.SAVE);
-    long old = host.arrive(hinted(host, 0.15).lay(1.2).build());
-    long brief = host.arrive(hinted(host, 0.1).build());
-    host.settle();
-    host.end(a, Admission.Outcome.SUCCESS);
-    // 0.3 s left against 1.0 s: the longer run goes first.
-    assertEquals(RUNNING, host.phase(old));
-    assertEquals(HELD, host.phase(brief));
-    host.end(b, Admission.Outcome.SUCCESS);
-    assertEquals(RUNNING, host.phase(brief));
+    long a = host.arriveInBatch(Sites.SAVE);
+    long b = host.arriveInBatch(Sites.SAVE);
+    long earlier = host.arrive(readWithHint(host, 0.15).queueingDelay(1.2).build());
+    long shorter = host.arrive(readWithHint(host, 0.1).build());
+    host.completeBatch();
+    host.complete(a, Admission.Outcome.SUCCESS);
+    // Remaining times of 0.3 s and 1.0 s: the request with the longer run time is first.
+    assertEquals(EXECUTING, host.phase(earlier));
+    assertEquals(QUEUED, host.phase(shorter));
+    host.complete(b, Admission.Outcome.SUCCESS);
+    assertEquals(EXECUTING, host.phase(shorter));
   }
 
   @Test
-  void allOverdueRequestsAreOneGroup() {
+  void allOverdueRequestsFormOneGroup() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    long a = host.arriveAndSettle(Sites.LONG);
-    host.arriveAndSettle(Sites.LONG);
-    // Both deadlines (10 x cost) have passed, though the class waits longer: shortest first.
-    long more = host.arrive(host.request(Sites.LONG).cost(0.1).lay(1.5).build());
-    long less = host.arrive(host.request(Sites.LONG).cost(0.05).lay(0.9).build());
-    host.settle();
-    host.end(a, Admission.Outcome.SUCCESS);
-    assertEquals(RUNNING, host.phase(less));
-    assertEquals(HELD, host.phase(more));
+    long a = host.arriveInBatch(Sites.LONG);
+    host.arriveInBatch(Sites.LONG);
+    // Both scheduling deadlines (10 x cost) have passed, the deadline of the class has not; the
+    // shortest request is first.
+    long longer = host.arrive(host.request(Sites.LONG).costHint(0.1).queueingDelay(1.5).build());
+    long shorter = host.arrive(host.request(Sites.LONG).costHint(0.05).queueingDelay(0.9).build());
+    host.completeBatch();
+    host.complete(a, Admission.Outcome.SUCCESS);
+    assertEquals(EXECUTING, host.phase(shorter));
+    assertEquals(QUEUED, host.phase(longer));
   }
 
-  // ---- Refusal ----
+  // ---- Load shedding ----
 
   @Test
-  void whatCannotFinishInTimeIsRefusedAtOnce() {
+  void requestThatCannotCompleteInTimeIsRejectedImmediately() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    long late = host.arrive(hinted(host, 0.5).lay(1.7).build());
-    long fine = host.arrive(hinted(host, 0.5).lay(0.2).build());
-    host.settle();
-    assertEquals("refused", host.answer(late));
-    assertEquals(RUNNING, host.phase(fine));
+    long late = host.arrive(readWithHint(host, 0.5).queueingDelay(1.7).build());
+    long inTime = host.arrive(readWithHint(host, 0.5).queueingDelay(0.2).build());
+    host.completeBatch();
+    assertEquals("rejected", host.answer(late));
+    assertEquals(EXECUTING, host.phase(inTime));
   }
 
   @Test
-  void anIdleCoreMayTryWhatTheEstimateHoldsSlightlyTooLong() {
+  void idleCoreIsUsedForRequestWhoseEstimateIsSlightlyTooLong() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    long large = host.arrive(hinted(host, 2.3).build());
-    host.settle();
-    assertEquals(RUNNING, host.phase(large));
-    host.arriveAndSettle(Sites.LONG);
-    long more = host.arrive(hinted(host, 2.3).build());
-    host.settle();
-    assertEquals("refused", host.answer(more));
+    long onIdleCore = host.arrive(readWithHint(host, 2.3).build());
+    host.completeBatch();
+    assertEquals(EXECUTING, host.phase(onIdleCore));
+    host.arriveInBatch(Sites.LONG);
+    long withoutIdleCore = host.arrive(readWithHint(host, 2.3).build());
+    host.completeBatch();
+    assertEquals("rejected", host.answer(withoutIdleCore));
   }
 
   @Test
-  void theLeastWorthForItsWorkIsTurnedAwayFirst() {
+  void requestOfLowestValueIsRejectedFirst() {
     RecordingHost host = new RecordingHost(Sites.site().build());
     List<Long> reads = new ArrayList<>();
     List<Long> saves = new ArrayList<>();
@@ -158,431 +161,455 @@
       reads.add(host.arrive(host.request(Sites.READ).build()));
       saves.add(host.arrive(host.request(Sites.SAVE).build()));
     }
-    host.settle();
+    host.completeBatch();
     long saved = saves.stream().filter(id -> host.answer(id).isEmpty()).count();
     long read = reads.stream().filter(id -> host.answer(id).isEmpty()).count();
     assertEquals(12, saved);
-    assertTrue(read < 6, "reads kept: " + read);
+    assertTrue(read < 6, "reads that are not rejected: " + read);
   }
 
   @Test
-  void trafficBeyondATenantsShareIsTurnedAwayFirst() {
+  void requestsOverTenantQuotaAreRejectedFirst() {
     Sites.Builder site = Sites.site();
     site.tenants = List.of(new Admission.Tenant("a", 0.5, 0.5), new Admission.Tenant("b", 50, 0.5));
-    site.overShareWorth = 0.1;
+    site.weightOverQuota = 0.1;
     RecordingHost host = new RecordingHost(site.build());
-    List<Long> over = new ArrayList<>();
-    List<Long> within = new ArrayList<>();
+    List<Long> overQuota = new ArrayList<>();
+    List<Long> withinQuota = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      over.add(host.arrive(host.request(Sites.READ).tenant(0).build()));
+      overQuota.add(host.arrive(host.request(Sites.READ).tenant(0).build()));
     }
     for (int i = 0; i < 6; i++) {
-      within.add(host.arrive(host.request(Sites.READ).tenant(1).build()));
+      withinQuota.add(host.arrive(host.request(Sites.READ).tenant(1).build()));
     }
-    host.settle();
-    assertEquals(6, within.stream().filter(id -> host.answer(id).isEmpty()).count());
-    assertTrue(over.stream().anyMatch(id -> host.answer(id).equals("refused")));
+    host.completeBatch();
+    assertEquals(6, withinQuota.stream().filter(id -> host.answer(id).isEmpty()).count());
+    assertTrue(overQuota.stream().anyMatch(id -> host.answer(id).equals("rejected")));
   }
 
-  /** A refusal of what others may still serve in time. */
-  private static void untilOneIsRefused(RecordingHost host) {
-    int refused = host.refusals();
-    while (host.refusals() == refused) {
-      host.arriveAndSettle(Sites.READ);
+  /** Adds requests until one is rejected that another host could still serve in time. */
+  private static void arriveUntilRejection(RecordingHost host) {
+    int rejections = host.rejectionCount();
+    while (host.rejectionCount() == rejections) {
+      host.arriveInBatch(Sites.READ);
     }
   }
 
-  private static RecordingHost pausing() {
+  private static RecordingHost hostWithPausing() {
     Sites.Builder site = Sites.site();
     site.preemption = Admission.Preemption.PAUSE;
     return new RecordingHost(site.build());
   }
 
   @Test
-  void pausableWorkWithoutAPurposeIsStopped() {
-    RecordingHost host = pausing();
-    long gone = host.arriveAndSettle(Sites.READ);
-    host.gone(gone);
-    assertEquals(List.of("stop " + gone), host.stops());
-    host.stopped(gone);
-    long late = host.arriveAndSettle(Sites.READ);
-    host.pass(2.1);
+  void pausableExecutionWhoseResultIsNotNeededIsPreempted() {
+    RecordingHost host = hostWithPausing();
+    long disconnected = host.arriveInBatch(Sites.READ);
+    host.disconnectCaller(disconnected);
+    assertEquals(List.of("preempt " + disconnected), host.preemptions());
+    host.confirmPreemption(disconnected);
+    long late = host.arriveInBatch(Sites.READ);
+    host.advanceTime(2.1);
     assertEquals(
-        "refused", host.answer(late), "its aim is lost: at once, with advice, though not yet due");
-    assertTrue(host.lastNowhereElse && host.lastAdvice == 1);
-    assertTrue(host.stops().contains("stop " + late));
+        "rejected",
+        host.answer(late),
+        "must be rejected with Retry-After when it misses its objective, before its deadline");
+    assertTrue(host.lastRejectedEverywhere && host.lastRetryAfter == 1);
+    assertTrue(host.preemptions().contains("preempt " + late));
   }
 
   @Test
-  void aKeyedRunOutlivesItsFirstAnswerForTheTryThatComesAgain() {
-    RecordingHost host = pausing();
-    long first = host.arrive(host.request(Sites.KEYED).subject("k").patience(0.4).build(), true);
-    host.pass(0.5);
+  void answeredKeyedExecutionContinuesSoThatRetryCanAttach() {
+    RecordingHost host = hostWithPausing();
+    long first = host.arrive(host.request(Sites.KEYED).resourceKey("k").remainingDeadline(0.4).build(), true);
+    host.advanceTime(0.5);
     assertEquals("failed", host.answer(first));
-    assertEquals(List.of(), host.stops());
-    long again = host.arrive(host.request(Sites.KEYED).subject("k").repeatOf(first).build(), true);
-    assertEquals(ATTACHED, host.phase(again));
-    host.pass(1.6);
-    assertTrue(host.stops().contains("stop " + first), "past its aim it serves nobody");
+    assertEquals(List.of(), host.preemptions());
+    long retry = host.arrive(host.request(Sites.KEYED).resourceKey("k").duplicateOf(first).build(), true);
+    assertEquals(ATTACHED, host.phase(retry));
+    host.advanceTime(1.6);
+    assertTrue(
+        host.preemptions().contains("preempt " + first),
+        "must be preempted after its latency objective");
   }
 
   @Test
-  void aFurtherTryIsAsOldAsItsWaitTells() {
+  void ageOfRetryIsDerivedFromItsRemainingDeadline() {
     RecordingHost host = new RecordingHost(Sites.site().build());
     for (int i = 0; i < 3; i++) {
-      long id = host.arrive(host.request(Sites.SAVE).patience(3).build(), true);
-      host.pass(0.2);
-      host.end(id, Admission.Outcome.SUCCESS);
+      long id = host.arrive(host.request(Sites.SAVE).remainingDeadline(3).build(), true);
+      host.advanceTime(0.2);
+      host.complete(id, Admission.Outcome.SUCCESS);
     }
-    // The deadline is 6 s and the aim 2 s: waited for 3.9 s, a last try is 2.1 s old.
-    long last = host.arrive(host.request(Sites.SAVE).further().patience(3.9).build(), true);
-    assertEquals("refused", host.answer(last));
-    long soon = host.arrive(host.request(Sites.SAVE).further().patience(5.9).build(), true);
-    assertEquals(RUNNING, host.phase(soon));
-    host.end(soon, Admission.Outcome.SUCCESS);
-    // Passed on after 1.9 s of the 3 s of a first try.
-    long passedOn = host.arrive(host.request(Sites.SAVE).further().patience(1.1).build(), true);
-    assertEquals("refused", host.answer(passedOn));
-    long again = host.arrive(host.request(Sites.SAVE).further().patience(3).build(), true);
-    assertEquals(RUNNING, host.phase(again));
+    // The deadline is 6 s and the latency objective 2 s: a last attempt with 3.9 s remaining is
+    // 2.1 s old.
+    long last = host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(3.9).build(), true);
+    assertEquals("rejected", host.answer(last));
+    long recent = host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(5.9).build(), true);
+    assertEquals(EXECUTING, host.phase(recent));
+    host.complete(recent, Admission.Outcome.SUCCESS);
+    // Forwarded after 1.9 s of the 3 s for which the client waits for a first attempt.
+    long forwarded = host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(1.1).build(), true);
+    assertEquals("rejected", host.answer(forwarded));
+    long immediate = host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(3).build(), true);
+    assertEquals(EXECUTING, host.phase(immediate));
   }
 
   @Test
-  void whereFirstTriesAreWaitedForDifferentlyAShortWaitTellsNoAge() {
+  void shortRemainingDeadlineDoesNotAgeRetryIfFirstAttemptsDiffer() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    for (double waits : new double[] {3, 0.5, 3, 0.5}) {
-      long id = host.arrive(host.request(Sites.SAVE).patience(waits).build(), true);
-      host.end(id, Admission.Outcome.SUCCESS);
+    for (double wait : new double[] {3, 0.5, 3, 0.5}) {
+      long id = host.arrive(host.request(Sites.SAVE).remainingDeadline(wait).build(), true);
+      host.complete(id, Admission.Outcome.SUCCESS);
     }
-    long hasty = host.arrive(host.request(Sites.SAVE).further().patience(0.5).build(), true);
-    assertEquals(RUNNING, host.phase(hasty));
+    long retry = host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(0.5).build(), true);
+    assertEquals(EXECUTING, host.phase(retry));
   }
 
   @Test
-  void aGoneCallersRequestIsNeverStarted() {
+  void queuedRequestOfDisconnectedCallerIsNeverDispatched() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    long a = host.arriveAndSettle(Sites.SAVE);
-    host.arriveAndSettle(Sites.SAVE);
-    long waits = host.arriveAndSettle(Sites.SAVE);
-    host.gone(waits);
-    host.end(a, Admission.Outcome.SUCCESS);
-    assertEquals(OVER, host.phase(waits));
-    assertEquals(2, host.startsLogged().size());
+    long a = host.arriveInBatch(Sites.SAVE);
+    host.arriveInBatch(Sites.SAVE);
+    long queued = host.arriveInBatch(Sites.SAVE);
+    host.disconnectCaller(queued);
+    host.complete(a, Admission.Outcome.SUCCESS);
+    assertEquals(DONE, host.phase(queued));
+    assertEquals(2, host.dispatches().size());
   }
 
   @Test
-  void workWithoutAPurposeIsStoppedWherePossible() {
+  void executionWhoseResultIsNotNeededIsDropped() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    long gone = host.arriveAndSettle(Sites.READ);
-    host.gone(gone);
-    assertTrue(host.log.contains("stop " + gone));
-    long late = host.arriveAndSettle(Sites.READ);
-    host.pass(2.1);
-    assertEquals("refused", host.answer(late));
-    assertTrue(host.log.contains("stop " + late));
-    host.end(late, Admission.Outcome.WITHDRAWN);
-    long effect = host.arriveAndSettle(Sites.UNSAFE);
-    host.pass(2.1);
-    assertEquals("failed", host.answer(effect), "an effect that ran is never refused");
+    long disconnected = host.arriveInBatch(Sites.READ);
+    host.disconnectCaller(disconnected);
+    assertTrue(host.log.contains("preempt " + disconnected));
+    long late = host.arriveInBatch(Sites.READ);
+    host.advanceTime(2.1);
+    assertEquals("rejected", host.answer(late));
+    assertTrue(host.log.contains("preempt " + late));
+    host.complete(late, Admission.Outcome.WITHDRAWN);
+    long nonIdempotent = host.arriveInBatch(Sites.UNSAFE);
+    host.advanceTime(2.1);
+    assertEquals(
+        "failed",
+        host.answer(nonIdempotent),
+        "a request that is not idempotent must not be rejected after it was executed");
   }
 
   @Test
-  void aLateAnswerThatStillPaysRunsOn() {
+  void executionContinuesAfterObjectiveWhileLateAnswerHasWeight() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    long id = host.arriveAndSettle(Sites.LONG);
-    host.pass(10);
+    long id = host.arriveInBatch(Sites.LONG);
+    host.advanceTime(10);
     assertEquals("", host.answer(id));
-    host.pass(10.1);
+    host.advanceTime(10.1);
     assertEquals("failed", host.answer(id));
   }
 
   @Test
-  void whateverHangsIsAnsweredWhenDue() {
+  void hangingRequestsAreAnsweredAtTheirDeadlines() {
     for (Admission.Preemption preemption : Admission.Preemption.values()) {
       Sites.Builder site = Sites.site();
       site.preemption = preemption;
       RecordingHost host = new RecordingHost(site.build());
       for (int i = 0; i < 30; i++) {
-        host.arriveAndSettle(i % 4);
-        host.pass(0.05);
+        host.arriveInBatch(i % 4);
+        host.advanceTime(0.05);
       }
-      host.pass(30);
-      host.known.values().forEach(k -> assertTrue(k.answered));
+      host.advanceTime(30);
+      host.requests.values().forEach(state -> assertTrue(state.answered));
     }
   }
 
   @Test
-  void aRetryStormAsksNotToTryElsewhere() {
+  void rejectionAdvisesAgainstOtherHostsDuringRetryStorm() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    untilOneIsRefused(host);
-    assertFalse(host.lastNowhereElse);
+    arriveUntilRejection(host);
+    assertFalse(host.lastRejectedEverywhere);
     for (int i = 0; i < 50; i++) {
-      host.arrive(hinted(host, 3).further().build());
+      host.arrive(readWithHint(host, 3).retry().build());
     }
-    host.settle();
-    assertTrue(host.lastNowhereElse);
-    // It lets go by itself.
+    host.completeBatch();
+    assertTrue(host.lastRejectedEverywhere);
+    // First attempts end the storm.
     for (int i = 0; i < 60; i++) {
-      host.arrive(hinted(host, 3).build());
+      host.arrive(readWithHint(host, 3).build());
     }
-    host.settle();
-    untilOneIsRefused(host);
-    assertFalse(host.lastNowhereElse);
+    host.completeBatch();
+    arriveUntilRejection(host);
+    assertFalse(host.lastRejectedEverywhere);
   }
 
   @Test
-  void refusalsAdviseToStayAwayWhileWorkIsInHand() {
+  void retryAfterGrowsWithTheBacklog() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    host.arrive(hinted(host, 3).build());
-    host.settle();
-    double idle = host.lastAdvice;
+    host.arrive(readWithHint(host, 3).build());
+    host.completeBatch();
+    double idleRetryAfter = host.lastRetryAfter;
     for (int i = 0; i < 40; i++) {
       host.arrive(host.request(Sites.READ).build());
     }
-    host.settle();
+    host.completeBatch();
+    assertTrue(
+        host.lastRetryAfter > 0 && host.lastRetryAfter < 0.2,
+        "must leave time to meet the latency objective: Retry-After " + host.lastRetryAfter);
+    host.arrive(readWithHint(host, 3).build(), true);
     assertTrue(
-        host.lastAdvice > 0 && host.lastAdvice < 0.2, "time left for its aim: " + host.lastAdvice);
-    host.arrive(hinted(host, 3).build(), true);
-    assertTrue(host.lastAdvice > idle + 0.1, "advice " + host.lastAdvice + " against " + idle);
+        host.lastRetryAfter > idleRetryAfter + 0.1,
+        "Retry-After " + host.lastRetryAfter + ", when idle " + idleRetryAfter);
   }
 
   @Test
-  void refusalsAdviseToStayAwayWhereRequestsStandUnread() {
+  void retryAfterGrowsWithTheAcceptLag() {
     RecordingHost host = new RecordingHost(Sites.site().build());
     for (int i = 0; i < 40; i++) {
-      host.arrive(hinted(host, 3).lay(1).build(), true);
+      host.arrive(readWithHint(host, 3).queueingDelay(1).build(), true);
     }
-    assertTrue(host.lastAdvice > 0.8, "advice " + host.lastAdvice);
+    assertTrue(host.lastRetryAfter > 0.8, "Retry-After " + host.lastRetryAfter);
   }
 
   @Test
-  void whereFurtherTriesAreUnmarkedManyRefusalsTellTheStorm() {
+  void retryStormIsDetectedByRejectionsIfRetriesAreNotMarked() {
     Sites.Builder site = Sites.site();
-    site.marksRetry = false;
+    site.marksRetries = false;
     RecordingHost host = new RecordingHost(site.build());
     for (int i = 0; i < 40; i++) {
-      host.arrive(hinted(host, 3).build());
-      host.settle();
+      host.arrive(readWithHint(host, 3).build());
+      host.completeBatch();
     }
-    assertTrue(host.lastNowhereElse);
-    // It lets go by itself.
+    assertTrue(host.lastRejectedEverywhere);
+    // Requests that are not rejected end the storm.
     for (int i = 0; i < 40; i++) {
-      host.end(host.arriveAndSettle(Sites.READ), Admission.Outcome.SUCCESS);
+      host.complete(host.arriveInBatch(Sites.READ), Admission.Outcome.SUCCESS);
     }
-    untilOneIsRefused(host);
-    assertFalse(host.lastNowhereElse);
+    arriveUntilRejection(host);
+    assertFalse(host.lastRejectedEverywhere);
   }
 
-  // ---- Running limit ----
+  // ---- Concurrency limit ----
 
   @Test
-  void theLimitStartsAtTheCoresAndHoldsWhileTheyAreBusy() {
+  void limitStartsAtNumberOfCoresAndStaysWhileTheyAreBusy() {
     RecordingHost host = new RecordingHost(Sites.site().build());
     for (int i = 0; i < 5; i++) {
-      host.arriveAndSettle(Sites.LONG);
+      host.arriveInBatch(Sites.LONG);
     }
-    host.pass(2);
-    assertEquals(2, host.in(RUNNING).size());
+    host.advanceTime(2);
+    assertEquals(2, host.withPhase(EXECUTING).size());
   }
 
   @Test
-  void theLimitClimbsWhileCoresIdleAndWorkWaitsButNeverToTheCrowd() {
+  void limitRisesWhileCoresAreIdleAndRequestsAreQueuedButStaysSurvivable() {
     RecordingHost host = new RecordingHost(Sites.site().build());
     host.gauges = new double[] {0.3, 0};
     for (int i = 0; i < 25; i++) {
-      host.arrive(host.request(Sites.LONG).cost(0.2).build());
+      host.arrive(host.request(Sites.LONG).costHint(0.2).build());
     }
-    host.settle();
-    host.pass(1);
-    assertTrue(host.in(RUNNING).size() >= 4, "running " + host.in(RUNNING).size());
-    host.pass(4);
-    assertTrue(host.in(RUNNING).size() < 2 * 6, "running " + host.in(RUNNING).size());
+    host.completeBatch();
+    host.advanceTime(1);
+    assertTrue(host.withPhase(EXECUTING).size() >= 4, "executions " + host.withPhase(EXECUTING).size());
+    host.advanceTime(4);
+    assertTrue(host.withPhase(EXECUTING).size() < 2 * 6, "executions " + host.withPhase(EXECUTING).size());
   }
 
   @Test
-  void aColdMachineBearsASmallerCrowd() {
+  void limitIsLowerOnColdHost() {
     Sites.Builder site = Sites.site();
-    site.justStarted = true;
+    site.coldStart = true;
     RecordingHost host = new RecordingHost(site.build());
     host.gauges = new double[] {0.3, 0};
     for (int i = 0; i < 50; i++) {
-      host.arrive(host.request(Sites.LONG).cost(0.2).build());
+      host.arrive(host.request(Sites.LONG).costHint(0.2).build());
     }
-    host.settle();
-    host.pass(1);
-    // A share of speed of 0.25 to 0.33: 2 x (1 + 5 x 0.33) = 5.3 dies, 0.7 of it is the most.
-    assertTrue(host.in(RUNNING).size() <= 3, "running " + host.in(RUNNING).size());
+    host.completeBatch();
+    host.advanceTime(1);
+    // At a speed of 0.25 to 0.33 the host survives 2 x (1 + 5 x 0.33) = 5.3 executions; the limit
+    // is at most 0.7 of that.
+    assertTrue(host.withPhase(EXECUTING).size() <= 3, "executions " + host.withPhase(EXECUTING).size());
   }
 
-  // ---- Calls ----
+  // ---- Dependency calls ----
 
-  private static RecordingHost calling(double share) {
+  private static RecordingHost hostWithCallQuota(double quota) {
     Sites.Builder site = Sites.site();
     site.calls = true;
-    site.callShare = share;
+    site.callQuota = quota;
     site.cores = 4;
     return new RecordingHost(site.build());
   }
 
   @Test
-  void callsInHandStayUnderTheShareOverItsSpan() {
-    for (double share : new double[] {0.3, 1, 4}) {
-      RecordingHost host = calling(share);
-      int passed = 0;
-      double from = host.now;
+  void meanCallsInFlightStayWithinTheQuota() {
+    for (double quota : new double[] {0.3, 1, 4}) {
+      RecordingHost host = hostWithCallQuota(quota);
+      int succeeded = 0;
+      double startedAt = host.now;
       for (int step = 0; step < 2000; step++) {
         if (step % 10 == 0) {
-          host.arriveAndSettle(Sites.READ);
+          host.arriveInBatch(Sites.READ);
         }
-        List<Long> running = host.in(RUNNING);
+        List<Long> running = host.withPhase(EXECUTING);
         if (!running.isEmpty() && step % 5 == 0) {
-          host.needCall(running.get(0));
+          host.blockOnCall(running.get(0));
         }
-        List<Long> calls = host.in(CALLING);
+        List<Long> calls = host.withPhase(CALLING);
         if (!calls.isEmpty() && step % 23 == 0) {
-          host.endCall(calls.get(0), Admission.Outcome.SUCCESS);
-          host.end(calls.get(0), Admission.Outcome.SUCCESS);
-          passed++;
+          host.completeCall(calls.get(0), Admission.Outcome.SUCCESS);
+          host.complete(calls.get(0), Admission.Outcome.SUCCESS);
+          succeeded++;
         }
-        for (long id : host.in(AT_CALL)) {
-          if (host.known.get(id).answered) {
-            host.end(id, Admission.Outcome.WITHDRAWN);
+        for (long id : host.withPhase(BLOCKED)) {
+          if (host.requests.get(id).answered) {
+            host.complete(id, Admission.Outcome.WITHDRAWN);
           }
         }
-        for (long id : host.in(CALLING)) {
-          if (host.known.get(id).answered) {
-            host.end(id, Admission.Outcome.WITHDRAWN);
+        for (long id : host.withPhase(CALLING)) {
+          if (host.requests.get(id).answered) {
+            host.complete(id, Admission.Outcome.WITHDRAWN);
           }
         }
-        host.pass(0.01);
+        host.advanceTime(0.01);
       }
-      double mean = host.callSeconds / (host.now - from);
-      assertTrue(mean <= Math.max(share, 0.3), "mean in hand " + mean + " of " + share);
-      assertTrue(passed > 0, "no call got through at a share of " + share);
+      double mean = host.callSeconds / (host.now - startedAt);
+      assertTrue(
+          mean <= Math.max(quota, 0.3), "mean calls in flight " + mean + ", quota " + quota);
+      assertTrue(succeeded > 0, "no call succeeded with a quota of " + quota);
     }
   }
 
   @Test
-  void anEffectfulCallIsRepeatedOnlyWhenItProvablyNeverRan() {
-    RecordingHost host = calling(10);
-    long id = host.arriveAndSettle(Sites.UNSAFE);
-    host.needCall(id);
-    host.endCall(id, Admission.Outcome.UNREACHABLE);
-    host.pass(0.3);
+  void nonIdempotentCallIsRetriedOnlyIfItProvablyWasNotExecuted() {
+    RecordingHost host = hostWithCallQuota(10);
+    long id = host.arriveInBatch(Sites.UNSAFE);
+    host.blockOnCall(id);
+    host.completeCall(id, Admission.Outcome.UNREACHABLE);
+    host.advanceTime(0.3);
     assertEquals(CALLING, host.phase(id));
-    host.endCall(id, Admission.Outcome.TIMED_OUT);
-    host.pass(0.5);
+    host.completeCall(id, Admission.Outcome.TIMED_OUT);
+    host.advanceTime(0.5);
     assertEquals("failed", host.answer(id));
   }
 
   @Test
-  void aSafeCallIsRepeatedWhileItStillPays() {
-    RecordingHost host = calling(10);
-    long id = host.arriveAndSettle(Sites.READ);
-    host.needCall(id);
-    host.endCall(id, Admission.Outcome.FAILURE);
-    host.pass(0.3);
+  void idempotentCallIsRetriedWithinTheLatencyObjective() {
+    RecordingHost host = hostWithCallQuota(10);
+    long id = host.arriveInBatch(Sites.READ);
+    host.blockOnCall(id);
+    host.completeCall(id, Admission.Outcome.FAILURE);
+    host.advanceTime(0.3);
     assertEquals(CALLING, host.phase(id));
   }
 
   @Test
-  void whatWaitsAtASlowDependencyKeepsOthersUnstarted() {
-    RecordingHost host = calling(10);
+  void blockedExecutionsKeepFurtherRequestsQueued() {
+    RecordingHost host = hostWithCallQuota(10);
     for (int i = 0; i < 40; i++) {
-      long id = host.arriveAndSettle(Sites.LONG);
-      if (host.phase(id) == RUNNING) {
-        host.needCall(id);
+      long id = host.arriveInBatch(Sites.LONG);
+      if (host.phase(id) == EXECUTING) {
+        host.blockOnCall(id);
       }
     }
-    // Five calls may be in hand; about as many as there are cores wait for their turn.
-    assertTrue(host.in(AT_CALL).size() + host.in(CALLING).size() <= 5 + 4);
-    assertTrue(host.in(HELD).size() > 0);
+    // Five calls may be in flight; about as many executions as there are cores are blocked.
+    assertTrue(host.withPhase(BLOCKED).size() + host.withPhase(CALLING).size() <= 5 + 4);
+    assertTrue(host.withPhase(QUEUED).size() > 0);
   }
 
   @Test
-  void aCallThatWillHardlyEndHoldsItsShareNoLonger() {
+  void callTimesOutAtMultipleOfMeanDuration() {
     Sites.Builder site = Sites.site();
     site.calls = true;
     RecordingHost host = new RecordingHost(site.build());
     for (int i = 0; i < 40; i++) { // calls of 0.05 s
-      long id = host.arriveAndSettle(Sites.READ);
-      host.needCall(id);
-      host.endCall(id, Admission.Outcome.SUCCESS);
-      host.pass(0.1);
-      host.end(id, Admission.Outcome.SUCCESS);
+      long id = host.arriveInBatch(Sites.READ);
+      host.blockOnCall(id);
+      host.completeCall(id, Admission.Outcome.SUCCESS);
+      host.advanceTime(0.1);
+      host.complete(id, Admission.Outcome.SUCCESS);
     }
-    long safe = host.arriveAndSettle(Sites.READ);
-    host.needCall(safe);
-    assertEquals(0.5, host.known.get(safe).notPast - host.now, 0.1, "it may be made again");
-    long once = host.arriveAndSettle(Sites.KEYED);
-    host.needCall(once);
-    assertEquals(1.0, host.known.get(once).notPast - host.now, 0.2, "its request is lost with it");
+    long repeatable = host.arriveInBatch(Sites.READ);
+    host.blockOnCall(repeatable);
+    assertEquals(
+        0.5, host.requests.get(repeatable).callTimeoutAt - host.now, 0.1, "timeout of a repeatable call");
+    long unrepeatable = host.arriveInBatch(Sites.KEYED);
+    host.blockOnCall(unrepeatable);
+    assertEquals(
+        1.0,
+        host.requests.get(unrepeatable).callTimeoutAt - host.now,
+        0.2,
+        "timeout of a call that may not be repeated");
   }
 
   @Test
-  void callsThatNeverEndOrBreakTakeNoneOfTheShareFromOthers() {
-    RecordingHost host = calling(10);
+  void hangingAndBrokenCallsDoNotReduceTheAllowedCalls() {
+    RecordingHost host = hostWithCallQuota(10);
     for (int i = 0; i < 200; i++) {
-      long id = host.arriveAndSettle(Sites.UNSAFE);
-      host.needCall(id);
-      assertEquals(CALLING, host.phase(id), "what broke is over below and does not linger");
-      host.endCall(id, Admission.Outcome.BROKEN);
-      host.end(id, Admission.Outcome.WITHDRAWN);
+      long id = host.arriveInBatch(Sites.UNSAFE);
+      host.blockOnCall(id);
+      assertEquals(
+          CALLING, host.phase(id), "a call whose connection broke must not occupy the quota");
+      host.completeCall(id, Admission.Outcome.BROKEN);
+      host.complete(id, Admission.Outcome.WITHDRAWN);
     }
     for (int i = 0; i < 100; i++) {
-      long id = host.arriveAndSettle(Sites.UNSAFE);
-      host.needCall(id);
-      host.known.get(id).callMayHaveRun = true;
-      host.known.get(id).phase = i % 10 == 0 ? AT_CALL : RUNNING;
-      host.module.callCompleted(
+      long id = host.arriveInBatch(Sites.UNSAFE);
+      host.blockOnCall(id);
+      host.requests.get(id).callMayHaveExecuted = true;
+      host.requests.get(id).phase = i % 10 == 0 ? BLOCKED : EXECUTING;
+      host.control.callCompleted(
           host.now,
           id,
           i % 10 == 0 ? Admission.Outcome.TIMED_OUT : Admission.Outcome.SUCCESS,
           i % 10 == 0 ? 5 : 0.05);
-      host.pass(0.1);
-      host.end(id, i % 10 == 0 ? Admission.Outcome.WITHDRAWN : Admission.Outcome.SUCCESS);
+      host.advanceTime(0.1);
+      host.complete(id, i % 10 == 0 ? Admission.Outcome.WITHDRAWN : Admission.Outcome.SUCCESS);
     }
-    long next = host.arriveAndSettle(Sites.READ);
-    host.needCall(next);
-    assertEquals(0.6, host.known.get(next).notPast - host.now, 0.2, "calls are as quick as before");
+    long next = host.arriveInBatch(Sites.READ);
+    host.blockOnCall(next);
+    assertEquals(
+        0.6,
+        host.requests.get(next).callTimeoutAt - host.now,
+        0.2,
+        "timeout at an unchanged mean duration of calls");
   }
 
   @Test
-  void aRunGoesOnWithoutACallThatWouldCostItsAim() {
+  void executionSkipsCallThatWouldMissTheLatencyObjective() {
     Sites.Builder site = Sites.site();
     site.calls = true;
-    site.skipWorth = 0.6;
+    site.weightWithoutCall = 0.6;
     RecordingHost host = new RecordingHost(site.build());
-    long id = host.arriveAndSettle(Sites.READ);
-    host.pass(0.5);
-    host.needCall(id);
-    for (double left = host.known.get(id).notPast - host.now;
+    long id = host.arriveInBatch(Sites.READ);
+    host.advanceTime(0.5);
+    host.blockOnCall(id);
+    for (double remaining = host.requests.get(id).callTimeoutAt - host.now;
         host.phase(id) == CALLING;
-        left = host.known.get(id).notPast - host.now) {
-      host.pass(left);
-      host.endCall(id, Admission.Outcome.TIMED_OUT);
-      host.pass(0.2);
+        remaining = host.requests.get(id).callTimeoutAt - host.now) {
+      host.advanceTime(remaining);
+      host.completeCall(id, Admission.Outcome.TIMED_OUT);
+      host.advanceTime(0.2);
     }
-    assertEquals(RUNNING, host.phase(id));
+    assertEquals(EXECUTING, host.phase(id));
     assertTrue(host.log.contains("skip " + id));
-    host.end(id, Admission.Outcome.SUCCESS);
+    host.complete(id, Admission.Outcome.SUCCESS);
     assertEquals("SUCCESS", host.answer(id));
   }
 
   @Test
-  void whatMayLeaveItsCallOutDoesSoAtOnceWhereCallsAreJammed() {
+  void executionSkipsCallImmediatelyIfCallsAreCongested() {
     Sites.Builder site = Sites.site();
     site.calls = true;
-    site.callShare = 2;
-    site.skipWorth = 0.6;
+    site.callQuota = 2;
+    site.weightWithoutCall = 0.6;
     RecordingHost host = new RecordingHost(site.build());
     for (int i = 0;
         i < 8;
-        i++) { // the first calls never end; what stands behind them must not wait for its aim
-      long id = host.arriveAndSettle(Sites.READ);
-      assertEquals(RUNNING, host.phase(id), "begun, jam or not: " + host.log);
-      host.needCall(id);
-      host.in(RUNNING).forEach(skipped -> host.end(skipped, Admission.Outcome.SUCCESS));
+        i++) { // the first calls never end; executions behind them must skip their calls early
+      long id = host.arriveInBatch(Sites.READ);
+      assertEquals(
+          EXECUTING, host.phase(id), "must be dispatched despite the congestion: " + host.log);
+      host.blockOnCall(id);
+      host.withPhase(EXECUTING).forEach(skipped -> host.complete(skipped, Admission.Outcome.SUCCESS));
     }
     assertTrue(
         host.log.stream().filter(line -> line.startsWith("skip ")).count() >= 5,
@@ -590,460 +617,468 @@
   }
 
   @Test
-  void runsThatSeemOverdueAreNoIllnessWhileOthersEndInTime() {
+  void overdueExecutionDoesNotMakeHostUnhealthyWhileOthersCompleteInTime() {
     RecordingHost host = new RecordingHost(Sites.site().build());
     host.gauges = new double[0];
-    teach(host, Sites.LONG, 25, 0.1);
-    long waits = host.arriveAndSettle(Sites.LONG); // its command has yet to cross the socket
+    completeExecutions(host, Sites.LONG, 25, 0.1);
+    long overdue = host.arriveInBatch(Sites.LONG); // its command is not yet sent to the worker
     for (int i = 0; i < 50; i++) {
-      long id = host.arriveAndSettle(Sites.LONG);
-      host.pass(0.1);
-      host.end(id, Admission.Outcome.SUCCESS);
-      assertTrue(host.healthy, "runs end as they always did");
+      long id = host.arriveInBatch(Sites.LONG);
+      host.advanceTime(0.1);
+      host.complete(id, Admission.Outcome.SUCCESS);
+      assertTrue(host.healthy, "unhealthy although executions complete in the usual time");
     }
-    host.end(waits, Admission.Outcome.SUCCESS);
+    host.complete(overdue, Admission.Outcome.SUCCESS);
   }
 
   @Test
-  void aFewLongRunsAmongShortOnesAreNoIllness() {
+  void fewLongExecutionsAmongShortOnesDoNotMakeHostUnhealthy() {
     RecordingHost host = new RecordingHost(Sites.site().build());
     host.gauges = new double[0];
-    teach(host, Sites.LONG, 80, 0.02);
-    long hangs = host.arriveAndSettle(Sites.LONG);
+    completeExecutions(host, Sites.LONG, 80, 0.02);
+    long hangs = host.arriveInBatch(Sites.LONG);
     for (int i = 0; i < 44; i++) {
-      long id = host.arriveAndSettle(Sites.LONG);
-      host.pass(i % 4 == 3 ? 0.08 : 0.02); // their mean is 1.75 times the least seen
-      host.end(id, Admission.Outcome.SUCCESS);
-      assertTrue(host.healthy, "after " + i + " runs");
+      long id = host.arriveInBatch(Sites.LONG);
+      host.advanceTime(i % 4 == 3 ? 0.08 : 0.02); // their mean is 1.75 times the least seen
+      host.complete(id, Admission.Outcome.SUCCESS);
+      assertTrue(host.healthy, "unhealthy after execution " + i);
     }
-    host.end(hangs, Admission.Outcome.SUCCESS);
+    host.complete(hangs, Admission.Outcome.SUCCESS);
   }
 
   @Test
-  void aSlowDependencyIsGivenFewerCallsAtOnce() {
-    RecordingHost host = calling(20);
+  void allowedCallsAreReducedWhileDependencyIsSlow() {
+    RecordingHost host = hostWithCallQuota(20);
     for (int i = 0; i < 30; i++) {
-      long id = host.arriveAndSettle(Sites.LONG);
-      host.needCall(id);
-      host.known.get(id).phase = RUNNING;
-      host.module.callCompleted(host.now, id, Admission.Outcome.SUCCESS, i < 10 ? 0.02 : 1.0);
-      host.end(id, Admission.Outcome.SUCCESS);
+      long id = host.arriveInBatch(Sites.LONG);
+      host.blockOnCall(id);
+      host.requests.get(id).phase = EXECUTING;
+      host.control.callCompleted(host.now, id, Admission.Outcome.SUCCESS, i < 10 ? 0.02 : 1.0);
+      host.complete(id, Admission.Outcome.SUCCESS);
     }
     for (int i = 0; i < 8; i++) {
-      long id = host.arriveAndSettle(Sites.LONG);
-      if (host.phase(id) == RUNNING) {
-        host.needCall(id);
+      long id = host.arriveInBatch(Sites.LONG);
+      if (host.phase(id) == EXECUTING) {
+        host.blockOnCall(id);
       }
     }
-    assertEquals(4, host.in(CALLING).size());
+    assertEquals(4, host.withPhase(CALLING).size());
   }
 
   @Test
-  void withAShareBelowOneWhatWaitsForTheBudgetIsRefusedUnstarted() {
-    RecordingHost host = calling(0.4);
+  void requestsThatWouldWaitForCallBudgetAreRejectedIfQuotaIsBelowOne() {
+    RecordingHost host = hostWithCallQuota(0.4);
     for (int i = 0; i < 25; i++) {
-      long id = host.arriveAndSettle(Sites.READ);
-      host.pass(0.1);
-      host.needCall(id);
-      host.pass(0.3);
-      host.known.get(id).phase = RUNNING;
-      host.module.callCompleted(host.now, id, Admission.Outcome.SUCCESS, 0.3);
-      host.end(id, Admission.Outcome.SUCCESS);
-      host.pass(4);
+      long id = host.arriveInBatch(Sites.READ);
+      host.advanceTime(0.1);
+      host.blockOnCall(id);
+      host.advanceTime(0.3);
+      host.requests.get(id).phase = EXECUTING;
+      host.control.callCompleted(host.now, id, Admission.Outcome.SUCCESS, 0.3);
+      host.complete(id, Admission.Outcome.SUCCESS);
+      host.advanceTime(4);
     }
-    // The budget of 0.7 call-seconds is full: it bears some calls of 0.3 s, the rest would wait
-    // past the aim.
+    // The budget of 0.7 call-seconds is full: it suffices for some calls of 0.3 s; further ones
+    // would be made after the latency objective.
     for (int i = 0; i < 8; i++) {
-      long id = host.arriveAndSettle(Sites.READ);
-      if (host.phase(id) == RUNNING) {
-        host.needCall(id);
+      long id = host.arriveInBatch(Sites.READ);
+      if (host.phase(id) == EXECUTING) {
+        host.blockOnCall(id);
       }
     }
-    int kept = host.in(HELD).size() + host.in(AT_CALL).size() + host.in(CALLING).size();
-    assertTrue(kept >= 1 && kept <= 4, "kept " + kept);
+    int admitted = host.withPhase(QUEUED).size() + host.withPhase(BLOCKED).size() + host.withPhase(CALLING).size();
+    assertTrue(admitted >= 1 && admitted <= 4, "admitted " + admitted);
   }
 
-  // ---- Repeats ----
+  // ---- Duplicates ----
 
   @Test
-  void aKeyedRequestIsKeptBeforeItRunsAndItsRepeatAttached() {
+  void keyIsRetainedBeforeDispatchAndDuplicateIsAttached() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    long a = host.arrive(host.request(Sites.KEYED).subject("k").lay(0.5).build());
-    long b = host.arrive(host.request(Sites.KEYED).subject("k").repeatOf(a).build());
-    host.settle();
-    assertTrue(host.log.indexOf("keep " + a) < host.log.indexOf("start " + a));
-    assertTrue(host.known.get(a).keyUntil >= host.known.get(a).arrived + 12);
+    long a = host.arrive(host.request(Sites.KEYED).resourceKey("k").queueingDelay(0.5).build());
+    long b = host.arrive(host.request(Sites.KEYED).resourceKey("k").duplicateOf(a).build());
+    host.completeBatch();
+    assertTrue(host.log.indexOf("retain " + a) < host.log.indexOf("dispatch " + a));
+    assertTrue(host.requests.get(a).keyRetainedUntil >= host.requests.get(a).arrivedAt + 12);
     assertEquals(ATTACHED, host.phase(b));
-    host.end(a, Admission.Outcome.SUCCESS);
-    host.end(b, Admission.Outcome.SUCCESS);
-    host.pass(11);
-    long c = host.arrive(host.request(Sites.KEYED).subject("k").repeatOf(a).build());
-    host.settle();
+    host.complete(a, Admission.Outcome.SUCCESS);
+    host.complete(b, Admission.Outcome.SUCCESS);
+    host.advanceTime(11);
+    long c = host.arrive(host.request(Sites.KEYED).resourceKey("k").duplicateOf(a).build());
+    host.completeBatch();
     assertEquals(ATTACHED, host.phase(c));
   }
 
   @Test
-  void aRepeatOfOneThatNeverRanTakesItsPlace() {
+  void duplicateReplacesRequestThatWasNeverExecuted() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    host.arriveAndSettle(Sites.SAVE);
-    host.arriveAndSettle(Sites.SAVE);
-    long a = host.arrive(host.request(Sites.KEYED).subject("k").build());
-    host.settle();
-    host.gone(a);
+    host.arriveInBatch(Sites.SAVE);
+    host.arriveInBatch(Sites.SAVE);
+    long a = host.arrive(host.request(Sites.KEYED).resourceKey("k").build());
+    host.completeBatch();
+    host.disconnectCaller(a);
     assertTrue(host.log.contains("release " + a));
-    long b = host.arrive(host.request(Sites.KEYED).subject("k").repeatOf(a).build());
-    long c = host.arrive(host.request(Sites.KEYED).subject("k").repeatOf(a).build());
-    host.settle();
-    assertEquals(HELD, host.phase(b));
+    long b = host.arrive(host.request(Sites.KEYED).resourceKey("k").duplicateOf(a).build());
+    long c = host.arrive(host.request(Sites.KEYED).resourceKey("k").duplicateOf(a).build());
+    host.completeBatch();
+    assertEquals(QUEUED, host.phase(b));
     assertEquals(ATTACHED, host.phase(c));
   }
 
   @Test
-  void anUnknownEarlierTryIsTakenToHaveRun() {
+  void duplicateOfUnknownRequestIsAttached() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    long a = host.arrive(host.request(Sites.KEYED).subject("k").repeatOf(999_999).build());
-    host.settle();
+    long a = host.arrive(host.request(Sites.KEYED).resourceKey("k").duplicateOf(999_999).build());
+    host.completeBatch();
     assertEquals(ATTACHED, host.phase(a));
-    host.pass(7);
+    host.advanceTime(7);
     assertEquals("failed", host.answer(a));
   }
 
   @Test
-  void withoutRoomForItsKeyAKeyedRequestIsRefusedUnstarted() {
+  void keyedRequestIsRejectedIfMemoryForItsKeyIsShort() {
     Sites.Builder site = Sites.site();
     site.memory = 200;
     site.keyMemory = 60;
     RecordingHost host = new RecordingHost(site.build());
     List<Long> ids = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      ids.add(host.arrive(host.request(Sites.KEYED).subject("k" + i).memory(5).build()));
-      host.settle();
+      ids.add(host.arrive(host.request(Sites.KEYED).resourceKey("k" + i).memory(5).build()));
+      host.completeBatch();
     }
-    assertEquals("refused", host.answer(ids.get(3)));
+    assertEquals("rejected", host.answer(ids.get(3)));
     assertTrue(
-        host.log.stream().noneMatch(l -> l.startsWith("release")), "a needed entry was given up");
+        host.log.stream().noneMatch(l -> l.startsWith("release")), "released a key still needed");
   }
 
   @Test
-  void readsShareAnswersOnlyWhereAllowed() {
+  void readsShareResultsOnlyIfSharingIsEnabled() {
     Sites.Builder site = Sites.site();
-    RecordingHost strict = new RecordingHost(site.build());
-    long a = strict.arrive(strict.request(Sites.READ).subject("s").build());
-    long b = strict.arrive(strict.request(Sites.READ).subject("s").repeatOf(a).build());
-    strict.settle();
-    assertEquals(RUNNING, strict.phase(b));
-    site.shareFor = 1;
+    RecordingHost notSharing = new RecordingHost(site.build());
+    long a = notSharing.arrive(notSharing.request(Sites.READ).resourceKey("s").build());
+    long b = notSharing.arrive(notSharing.request(Sites.READ).resourceKey("s").duplicateOf(a).build());
+    notSharing.completeBatch();
+    assertEquals(EXECUTING, notSharing.phase(b));
+    site.resultSharing = 1;
     RecordingHost sharing = new RecordingHost(site.build());
-    long c = sharing.arrive(sharing.request(Sites.READ).subject("s").build());
-    long d = sharing.arrive(sharing.request(Sites.READ).subject("s").repeatOf(c).build());
-    sharing.settle();
+    long c = sharing.arrive(sharing.request(Sites.READ).resourceKey("s").build());
+    long d = sharing.arrive(sharing.request(Sites.READ).resourceKey("s").duplicateOf(c).build());
+    sharing.completeBatch();
     assertEquals(ATTACHED, sharing.phase(d));
   }
 
   // ---- Memory ----
 
   @Test
-  void aBatchOfManyArrivalsFitsTheMemory() {
+  void memoryIsNotExceededByBatchOfManyArrivals() {
     Sites.Builder site = Sites.site();
     site.memory = 500;
     RecordingHost host = new RecordingHost(site.build());
     for (int i = 0; i < 500; i++) {
-      host.arrive(host.request(i % 5).memory(20).subject("k" + i).build());
+      host.arrive(host.request(i % 5).memory(20).resourceKey("k" + i).build());
     }
-    host.settle();
-    assertTrue(host.in(RUNNING).size() == 2);
+    host.completeBatch();
+    assertTrue(host.withPhase(EXECUTING).size() == 2);
   }
 
   @Test
-  void whileTwoProcessesServeEachKeepsToItsPart() {
+  void quotaFractionLimitsMemoryWhileTwoProcessesServe() {
     Sites.Builder site = Sites.site();
     site.memory = 250;
     RecordingHost host = new RecordingHost(site.build());
-    host.module.quotaChanged(host.now, 0.5);
+    host.control.quotaChanged(host.now, 0.5);
     for (int i = 0; i < 2; i++) {
       host.arrive(host.request(Sites.READ).memory(20).build());
     }
-    host.settle();
-    assertEquals(1, host.in(RUNNING).size(), "a second one would take more than half");
-    host.module.quotaChanged(host.now, 1);
-    host.settle();
-    assertEquals(2, host.in(RUNNING).size());
+    host.completeBatch();
+    assertEquals(
+        1, host.withPhase(EXECUTING).size(), "a second execution would use more than half of the memory");
+    host.control.quotaChanged(host.now, 1);
+    host.completeBatch();
+    assertEquals(2, host.withPhase(EXECUTING).size());
   }
 
   // ---- Drain ----
 
   @Test
-  void nothingRunsThatCameAfterTheGraceAndAllIsAnsweredBeforeTheStop() {
+  void requestsAfterDrainGraceAreRejectedAndAllAreAnsweredBeforeTheStop() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    host.arriveAndSettle(Sites.LONG);
-    host.leave(5);
+    host.arriveInBatch(Sites.LONG);
+    host.drain(5);
     assertFalse(host.healthy);
-    long soon = host.arriveAndSettle(Sites.READ);
-    assertEquals(RUNNING, host.phase(soon));
-    host.pass(1.7);
-    long close = host.arriveAndSettle(Sites.READ);
-    assertEquals("refused", host.answer(close), "the notice may have been heard late");
-    host.pass(0.8);
-    long late = host.arriveAndSettle(Sites.READ);
-    assertEquals("refused", host.answer(late));
-    long early = host.arrive(host.request(Sites.LONG).lay(1).cost(0.1).build());
-    host.settle();
-    assertFalse(host.answer(early).equals("refused"));
-    host.pass(2.5);
-    host.known.values().forEach(k -> assertTrue(k.answered));
+    long soon = host.arriveInBatch(Sites.READ);
+    assertEquals(EXECUTING, host.phase(soon));
+    host.advanceTime(1.7);
+    long close = host.arriveInBatch(Sites.READ);
+    assertEquals(
+        "rejected", host.answer(close), "the drain event may be read late, hence the margin");
+    host.advanceTime(0.8);
+    long late = host.arriveInBatch(Sites.READ);
+    assertEquals("rejected", host.answer(late));
+    long early = host.arrive(host.request(Sites.LONG).queueingDelay(1).costHint(0.1).build());
+    host.completeBatch();
+    assertFalse(host.answer(early).equals("rejected"));
+    host.advanceTime(2.5);
+    host.requests.values().forEach(state -> assertTrue(state.answered));
   }
 
   // ---- Health ----
 
   @Test
-  void aMachineThatFailsFastLeavesTheListAndTriesAgain() {
+  void hostThatFailsExecutionsQuicklyIsUnhealthyUntilTheyRecover() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    teach(host, Sites.SAVE, 10, 0.2);
+    completeExecutions(host, Sites.SAVE, 10, 0.2);
     for (int i = 0; i < 12; i++) {
-      long id = host.arriveAndSettle(Sites.SAVE);
-      if (host.phase(id) == RUNNING) {
-        host.end(id, Admission.Outcome.FAILURE);
+      long id = host.arriveInBatch(Sites.SAVE);
+      if (host.phase(id) == EXECUTING) {
+        host.complete(id, Admission.Outcome.FAILURE);
       }
     }
     assertFalse(host.healthy);
-    long probe = host.arriveAndSettle(Sites.SAVE);
-    long turned = host.arriveAndSettle(Sites.SAVE);
-    assertEquals(RUNNING, host.phase(probe), "one run at a time goes on");
-    assertEquals("refused", host.answer(turned));
-    assertEquals(1.0, host.lastAdvice);
-    host.pass(0.2);
-    host.end(probe, Admission.Outcome.SUCCESS);
-    host.pass(6);
-    assertTrue(host.healthy, "it must let go by itself");
+    long probe = host.arriveInBatch(Sites.SAVE);
+    long rejected = host.arriveInBatch(Sites.SAVE);
+    assertEquals(EXECUTING, host.phase(probe), "one execution at a time must continue");
+    assertEquals("rejected", host.answer(rejected));
+    assertEquals(1.0, host.lastRetryAfter);
+    host.advanceTime(0.2);
+    host.complete(probe, Admission.Outcome.SUCCESS);
+    host.advanceTime(6);
+    assertTrue(host.healthy, "the ejection must end without further requests");
   }
 
   @Test
-  void aMachineThatDragsLeavesTheList() {
+  void hostWithOverdueExecutionsIsUnhealthy() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    teach(host, Sites.LONG, 20, 0.2);
-    host.arriveAndSettle(Sites.LONG);
-    host.arriveAndSettle(Sites.LONG);
-    host.pass(0.4);
+    completeExecutions(host, Sites.LONG, 20, 0.2);
+    host.arriveInBatch(Sites.LONG);
+    host.arriveInBatch(Sites.LONG);
+    host.advanceTime(0.4);
     assertTrue(host.healthy);
-    host.arriveAndSettle(Sites.LONG);
-    host.pass(1.5);
+    host.arriveInBatch(Sites.LONG);
+    host.advanceTime(1.5);
     assertTrue(
-        host.healthy, "two runs that took 4.4 times what was expected, the usual runs counted in");
-    host.pass(1);
-    host.arriveAndSettle(Sites.LONG);
+        host.healthy,
+        "two executions at 4.4 times their estimate, prior executions on time included");
+    host.advanceTime(1);
+    host.arriveInBatch(Sites.LONG);
     assertFalse(host.healthy);
   }
 
   @Test
-  void aMachineWhoseRunsAllGrowSlowLeavesTheListButNotForOneLongRun() {
+  void hostIsUnhealthyIfAllExecutionsAreSlowButNotForOneLongExecution() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    teach(host, Sites.LONG, 25, 0.2);
+    completeExecutions(host, Sites.LONG, 25, 0.2);
     host.gauges = new double[0];
-    long one = host.arriveAndSettle(Sites.LONG);
-    // The host's clock is left alone: only the told run time is long, 40 times the usual.
-    host.known.get(one).phase = OVER;
-    host.known.get(one).answered = true;
-    host.module.completed(host.now, one, Admission.Outcome.SUCCESS, 8);
-    host.settle();
+    long one = host.arriveInBatch(Sites.LONG);
+    // The clock does not advance; only the reported run time is long, 40 times the usual.
+    host.requests.get(one).phase = DONE;
+    host.requests.get(one).answered = true;
+    host.control.completed(host.now, one, Admission.Outcome.SUCCESS, 8);
+    host.completeBatch();
     assertTrue(host.healthy);
     for (int i = 0; i < 14; i++) {
-      long id = host.arriveAndSettle(Sites.LONG);
-      host.known.get(id).phase = OVER;
-      host.known.get(id).answered = true;
-      host.module.completed(host.now, id, Admission.Outcome.SUCCESS, 1);
-      host.settle();
+      long id = host.arriveInBatch(Sites.LONG);
+      host.requests.get(id).phase = DONE;
+      host.requests.get(id).answered = true;
+      host.control.completed(host.now, id, Admission.Outcome.SUCCESS, 1);
+      host.completeBatch();
     }
     assertFalse(host.healthy);
   }
 
   @Test
-  void runsStretchedByACrowdAreNoIllness() {
-    for (double times : new double[] {2.7, 3.9}) {
+  void inflationMakesHostUnhealthyOnlyAboveItsThreshold() {
+    for (double inflation : new double[] {2.7, 3.9}) {
       RecordingHost host = new RecordingHost(Sites.site().build());
-      teach(host, Sites.LONG, 25, 0.2);
+      completeExecutions(host, Sites.LONG, 25, 0.2);
       host.gauges = new double[0];
       for (int i = 0; i < 40; i++) {
-        long id = host.arriveAndSettle(Sites.LONG);
-        host.known.get(id).phase = OVER;
-        host.known.get(id).answered = true;
-        host.module.completed(host.now, id, Admission.Outcome.SUCCESS, 0.2 * times);
-        host.settle();
+        long id = host.arriveInBatch(Sites.LONG);
+        host.requests.get(id).phase = DONE;
+        host.requests.get(id).answered = true;
+        host.control.completed(host.now, id, Admission.Outcome.SUCCESS, 0.2 * inflation);
+        host.completeBatch();
       }
-      assertEquals(times < 3, host.healthy, times + " times the least seen");
+      assertEquals(
+          inflation < 3, host.healthy, inflation + " times the minimum run time of the class");
     }
   }
 
   @Test
-  void aCrowdOfItsOwnExplainsHowSlowItsRunsAre() {
+  void inflationByContentionDoesNotMakeHostUnhealthy() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    teach(host, Sites.LONG, 25, 0.2);
+    completeExecutions(host, Sites.LONG, 25, 0.2);
     host.gauges =
-        new double[] {0.1, 0}; // cores idle, as runs wait for something else: the limit climbs
+        new double[] {0.1, 0}; // cores idle, as executions wait for I/O: the limit rises
     for (int i = 0; i < 60; i++) {
       host.arrive(host.request(Sites.LONG).build());
     }
-    host.settle();
-    for (int i = 0; i < 40 && host.in(RUNNING).size() < 6; i++) {
-      host.pass(0.02);
+    host.completeBatch();
+    for (int i = 0; i < 40 && host.withPhase(EXECUTING).size() < 6; i++) {
+      host.advanceTime(0.02);
     }
-    assertEquals(6, host.in(RUNNING).size(), "three a core");
+    assertEquals(6, host.withPhase(EXECUTING).size(), "three executions per core");
     host.gauges = new double[0];
     for (int i = 0; i < 30; i++) {
-      long id = host.in(RUNNING).get(0);
-      host.known.get(id).phase = OVER;
-      host.known.get(id).answered = true;
-      host.module.completed(host.now, id, Admission.Outcome.SUCCESS, 0.2 * 3.9);
-      host.settle();
+      long id = host.withPhase(EXECUTING).get(0);
+      host.requests.get(id).phase = DONE;
+      host.requests.get(id).answered = true;
+      host.control.completed(host.now, id, Admission.Outcome.SUCCESS, 0.2 * 3.9);
+      host.completeBatch();
     }
-    assertTrue(host.healthy, "3.9 times the least seen, with three a core");
+    assertTrue(
+        host.healthy, "3.9 times the minimum run time of the class, three executions per core");
   }
 
   @Test
-  void oneLongRunOnTwoCoresIsNoIllnessButTwoThatHangAre() {
+  void twoHangingExecutionsMakeHostUnhealthyButOneLongExecutionDoesNot() {
     RecordingHost host = new RecordingHost(Sites.site().build());
     host.gauges = new double[0];
-    teach(host, Sites.LONG, 25, 0.2);
-    host.arriveAndSettle(Sites.LONG);
-    host.pass(1);
-    host.settle();
-    assertTrue(host.healthy, "one run at five times its estimate");
-    host.arriveAndSettle(Sites.LONG);
-    host.pass(3);
-    host.settle();
+    completeExecutions(host, Sites.LONG, 25, 0.2);
+    host.arriveInBatch(Sites.LONG);
+    host.advanceTime(1);
+    host.completeBatch();
+    assertTrue(host.healthy, "one execution at five times its estimate");
+    host.arriveInBatch(Sites.LONG);
+    host.advanceTime(3);
+    host.completeBatch();
     assertFalse(host.healthy);
   }
 
   @Test
-  void aMachineThatReadsLateAndRefusesAllLeavesTheListButNotInARetryStorm() {
-    for (boolean further : new boolean[] {false, true}) {
+  void hostThatReadsLateAndRejectsNearlyAllIsUnhealthyExceptInRetryStorm() {
+    for (boolean retryStorm : new boolean[] {false, true}) {
       RecordingHost host = new RecordingHost(Sites.site().build());
       for (int i = 0; i < 60; i++) {
-        RecordingHost.Requests request = hinted(host, 3).lay(2);
-        host.arrive(further && i % 4 == 0 ? request.further().build() : request.build());
-        host.settle();
-        host.pass(0.05);
+        RecordingHost.RequestBuilder request = readWithHint(host, 3).queueingDelay(2);
+        host.arrive(retryStorm && i % 4 == 0 ? request.retry().build() : request.build());
+        host.completeBatch();
+        host.advanceTime(0.05);
       }
-      assertEquals(further, host.healthy);
-      if (!further) {
-        host.pass(8);
-        assertTrue(host.healthy, "it must let go by itself");
+      assertEquals(retryStorm, host.healthy);
+      if (!retryStorm) {
+        host.advanceTime(8);
+        assertTrue(host.healthy, "the ejection must end without further requests");
       }
     }
   }
 
   @Test
-  void healthStaysBadAfterTheNoticeToLeaveInTheInstantASpellEnds() {
+  void hostStaysUnhealthyIfDrainingStartsWhenItsEjectionEnds() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    teach(host, Sites.SAVE, 10, 0.2);
+    completeExecutions(host, Sites.SAVE, 10, 0.2);
     for (int i = 0; i < 12; i++) {
-      long id = host.arriveAndSettle(Sites.SAVE);
-      if (host.phase(id) == RUNNING) {
-        host.end(id, Admission.Outcome.FAILURE);
+      long id = host.arriveInBatch(Sites.SAVE);
+      if (host.phase(id) == EXECUTING) {
+        host.complete(id, Admission.Outcome.FAILURE);
       }
     }
     assertFalse(host.healthy);
     host.now += 6;
-    host.module.draining(host.now, 5);
-    host.settle();
+    host.control.draining(host.now, 5);
+    host.completeBatch();
     assertFalse(host.healthy);
   }
 
   @Test
-  void whereCallsAreShortALargeRequestIsWorthMoreForItsCall() {
+  void valuePerCallOfLargeRequestIsHigherIfCallsAreScarceAndWeightIsPerWork() {
     Sites.Builder site = Sites.site();
     site.calls = true;
-    site.callShare = 2;
-    site.worthByWork = true;
+    site.callQuota = 2;
+    site.weightPerWork = true;
     RecordingHost host = new RecordingHost(site.build());
     for (int i = 0; i < 30; i++) {
-      long id = host.arrive(host.request(Sites.READ).cost(0.01).build(), true);
-      host.needCall(id);
-      host.known.get(id).phase = RUNNING;
-      host.module.callCompleted(host.now, id, Admission.Outcome.SUCCESS, 0.9);
-      host.pass(0.01);
-      host.end(id, Admission.Outcome.SUCCESS);
+      long id = host.arrive(host.request(Sites.READ).costHint(0.01).build(), true);
+      host.blockOnCall(id);
+      host.requests.get(id).phase = EXECUTING;
+      host.control.callCompleted(host.now, id, Admission.Outcome.SUCCESS, 0.9);
+      host.advanceTime(0.01);
+      host.complete(id, Admission.Outcome.SUCCESS);
     }
     for (int i = 0; i < 6; i++) {
-      host.arrive(host.request(Sites.READ).cost(0.01).build());
+      host.arrive(host.request(Sites.READ).costHint(0.01).build());
     }
-    long large = host.arrive(host.request(Sites.READ).cost(0.2).build());
-    host.settle();
+    long large = host.arrive(host.request(Sites.READ).costHint(0.2).build());
+    host.completeBatch();
     assertEquals("", host.answer(large));
-    assertTrue(host.known.values().stream().anyMatch(k -> k.answer.equals("refused")));
+    assertTrue(host.requests.values().stream().anyMatch(state -> state.answer.equals("rejected")));
   }
 
   @Test
-  void callsAheadAtASlowDependencyRefuseCallingWorkUnstarted() {
-    RecordingHost host = calling(2);
+  void requestsThatWouldWaitForSlowCallsAreRejected() {
+    RecordingHost host = hostWithCallQuota(2);
     for (int i = 0; i < 30; i++) {
-      long id = host.arriveAndSettle(Sites.READ);
-      host.needCall(id);
-      host.known.get(id).phase = RUNNING;
-      host.module.callCompleted(host.now, id, Admission.Outcome.SUCCESS, 0.9);
-      host.end(id, Admission.Outcome.SUCCESS);
+      long id = host.arriveInBatch(Sites.READ);
+      host.blockOnCall(id);
+      host.requests.get(id).phase = EXECUTING;
+      host.control.callCompleted(host.now, id, Admission.Outcome.SUCCESS, 0.9);
+      host.complete(id, Admission.Outcome.SUCCESS);
     }
     List<Long> ids = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      ids.add(host.arrive(host.request(Sites.READ).cost(0.01).build()));
+      ids.add(host.arrive(host.request(Sites.READ).costHint(0.01).build()));
     }
-    host.settle();
-    // One call at a time takes 0.9 s: within the aim of 2 s there is room for two, not for six.
-    long kept = ids.stream().filter(id -> host.answer(id).isEmpty()).count();
-    assertTrue(kept >= 1 && kept <= 3, "kept " + kept);
+    host.completeBatch();
+    // Calls are made one at a time and take 0.9 s: the latency objective of 2 s suffices for two of
+    // them, not for six.
+    long admitted = ids.stream().filter(id -> host.answer(id).isEmpty()).count();
+    assertTrue(admitted >= 1 && admitted <= 3, "admitted " + admitted);
   }
 
   // ---- Connections ----
 
   @Test
-  void idleConnectionsCloseEarlyWhereCallersSeldomComeBack() {
+  void idleTimeoutIsShortIfCallersSeldomReturn() {
     RecordingHost host = new RecordingHost(Sites.site().build());
     for (int i = 0; i < 100; i++) {
-      host.pass(0.1);
-      host.end(
+      host.advanceTime(0.1);
+      host.complete(
           host.arrive(host.request(Sites.READ).caller(i).build(), true), Admission.Outcome.SUCCESS);
     }
-    assertTrue(host.idleLimit > 0 && host.idleLimit < 1, "idle " + host.idleLimit);
-    assertEquals(1, host.idleLimits, "it must not flap");
-    // Requests stand unread: opening connections eats the cores, so they stay longer, up to a
-    // bound.
+    assertTrue(host.idleTimeout > 0 && host.idleTimeout < 1, "idle timeout " + host.idleTimeout);
+    assertEquals(1, host.idleTimeoutChanges, "the idle timeout must not flap");
+    // With an ingress backlog, accepting connections consumes CPU, so the idle timeout is raised,
+    // up to a bound.
     for (int i = 0; i < 150; i++) {
-      host.pass(0.1);
-      host.end(
-          host.arrive(host.request(Sites.READ).caller(i).lay(0.5).build(), true),
+      host.advanceTime(0.1);
+      host.complete(
+          host.arrive(host.request(Sites.READ).caller(i).queueingDelay(0.5).build(), true),
           Admission.Outcome.SUCCESS);
     }
-    assertTrue(host.idleLimit > 5 && host.idleLimit < 30, "idle " + host.idleLimit);
+    assertTrue(host.idleTimeout > 5 && host.idleTimeout < 30, "idle timeout " + host.idleTimeout);
     for (int i = 0; i < 150; i++) {
-      host.pass(0.1);
-      host.end(
+      host.advanceTime(0.1);
+      host.complete(
           host.arrive(host.request(Sites.READ).caller(i).build(), true), Admission.Outcome.SUCCESS);
     }
-    assertTrue(host.idleLimit < 1, "it must let go by itself: " + host.idleLimit);
-    // The same few callers again and again.
+    assertTrue(
+        host.idleTimeout < 1,
+        "must be short again once the backlog has ended: idle timeout " + host.idleTimeout);
+    // The same few callers return all the time.
     for (int i = 0; i < 100; i++) {
-      host.pass(0.1);
-      host.end(
+      host.advanceTime(0.1);
+      host.complete(
           host.arrive(host.request(Sites.READ).caller(i % 4).build(), true),
           Admission.Outcome.SUCCESS);
     }
-    assertEquals(0, host.idleLimit);
+    assertEquals(0, host.idleTimeout);
   }
 
   // ---- Robustness ----
 
   @Test
-  void eventsAboutWhatIsOverAreHarmless() {
+  void eventsAboutEndedAndUnknownRequestsHaveNoEffect() {
     RecordingHost host = new RecordingHost(Sites.site().build());
-    long id = host.arriveAndSettle(Sites.READ);
-    host.end(id, Admission.Outcome.SUCCESS);
-    int said = host.log.size();
-    for (long over : new long[] {id, 424242}) {
-      host.module.completed(host.now, over, Admission.Outcome.VOID, 0);
-      host.module.blockedOnCall(host.now, over);
-      host.module.callCompleted(host.now, over, Admission.Outcome.SUCCESS, 0);
-      host.module.callerGone(host.now, over);
+    long id = host.arriveInBatch(Sites.READ);
+    host.complete(id, Admission.Outcome.SUCCESS);
+    int actions = host.log.size();
+    for (long ended : new long[] {id, 424242}) {
+      host.control.completed(host.now, ended, Admission.Outcome.VOID, 0);
+      host.control.blockedOnCall(host.now, ended);
+      host.control.callCompleted(host.now, ended, Admission.Outcome.SUCCESS, 0);
+      host.control.callerGone(host.now, ended);
     }
-    host.settle();
-    assertEquals(said, host.log.size());
+    host.completeBatch();
+    assertEquals(actions, host.log.size());
   }
 }
--- a/src/test/java/wharftrestle/RecordingHost.java
+++ b/src/test/java/wharftrestle/RecordingHost.java
@@ -15,50 +15,58 @@
 import wharftrestle.admission.AdmissionSettings;
 
 /**
- * Records what the module asks for and enforces the four rules on it. It plays no server: tests say
- * what happens.
+ * A host that records the actions of an admission control and asserts that they are legal. It
+ * simulates no executions: tests report the events. Its rules are in particular:
+ *
+ * <ul>
+ *   <li>each request receives exactly one answer, at its deadline at the latest;
+ *   <li>a request that is not idempotent is executed at most once, and one that was executed is not
+ *       rejected;
+ *   <li>the memory of requests and keys stays within the settings;
+ *   <li>no request that arrives after the drain grace period is executed.
+ * </ul>
  */
 final class RecordingHost implements Admission.Actions {
   enum Phase {
-    HELD,
+    QUEUED,
     PAUSED,
-    RUNNING,
-    AT_CALL,
+    EXECUTING,
+    BLOCKED,
     CALLING,
     ATTACHED,
-    OVER
+    DONE
   }
 
-  static final class Known {
+  static final class RequestState {
     Admission.Request request;
-    double arrived;
-    double due;
-    Phase phase = Phase.HELD;
-    boolean ran;
+    double arrivedAt;
+    double deadline;
+    Phase phase = Phase.QUEUED;
+    boolean executed;
     boolean answered;
-    boolean stopAsked;
-    boolean callMayHaveRun;
-    double since;
-    double keyUntil = Double.NEGATIVE_INFINITY;
-    double notPast;
+    boolean preemptionRequested;
+    boolean callMayHaveExecuted;
+    double startedAt;
+    double keyRetainedUntil = Double.NEGATIVE_INFINITY;
+    double callTimeoutAt;
     String answer = "";
   }
 
-  private record Due(double at, long label) {}
+  private record ScheduledTimer(double at, long label) {}
 
   final AdmissionSettings settings;
-  final AdmissionController module;
-  final Map<Long, Known> known = new LinkedHashMap<>();
+  final AdmissionController control;
+  final Map<Long, RequestState> requests = new LinkedHashMap<>();
   final List<String> log = new ArrayList<>();
-  final PriorityQueue<Due> timers = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
-  final Map<String, Double> keyRanArrival = new LinkedHashMap<>();
+  final PriorityQueue<ScheduledTimer> timers = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
+  final Map<String, Double> executedKeyArrivals = new LinkedHashMap<>();
   double now;
-  double leftAt = Double.POSITIVE_INFINITY;
+  double drainingSince = Double.POSITIVE_INFINITY;
   boolean healthy = true;
-  double lastAdvice;
-  boolean lastNowhereElse;
-  double idleLimit;
-  int idleLimits;
+  double lastRetryAfter;
+  boolean lastRejectedEverywhere;
+  double idleTimeout;
+  int idleTimeoutChanges;
   double callSeconds;
   double[] gauges = {1.0, 99};
   private long nextId = 1;
@@ -70,322 +78,326 @@
   RecordingHost(AdmissionSettings settings, long seed) {
     this.settings = settings;
     this.now = 100;
-    this.module = new AdmissionController(now, seed, settings, this);
+    this.control = new AdmissionController(now, seed, settings, this);
   }
 
-  // ---- What happens ----
+  // ---- Events ----
 
-  long arrive(int type) {
-    return arrive(request(type).build());
+  long arrive(int classIndex) {
+    return arrive(request(classIndex).build());
   }
 
-  Requests request(int type) {
-    return new Requests(nextId++, type);
+  RequestBuilder request(int classIndex) {
+    return new RequestBuilder(nextId++, classIndex);
   }
 
   long arrive(Admission.Request r) {
-    Known k = new Known();
-    k.request = r;
-    k.arrived = now - r.queueingDelaySeconds();
-    Admission.RequestClass type = settings.classes().get(r.classIndex());
-    k.due =
+    RequestState state = new RequestState();
+    state.request = r;
+    state.arrivedAt = now - r.queueingDelaySeconds();
+    Admission.RequestClass requestClass = settings.classes().get(r.classIndex());
+    state.deadline =
         Math.max(
             now,
             r.remainingDeadlineSeconds() > 0
                 ? now + r.remainingDeadlineSeconds()
-                : k.arrived + type.deadlineSeconds());
-    known.put(r.id(), k);
-    module.arrived(now, r);
+                : state.arrivedAt + requestClass.deadlineSeconds());
+    requests.put(r.id(), state);
+    control.arrived(now, r);
     return r.id();
   }
 
-  long arrive(Admission.Request r, boolean settles) {
+  long arrive(Admission.Request r, boolean completesBatch) {
     long id = arrive(r);
-    if (settles) {
-      settle();
+    if (completesBatch) {
+      completeBatch();
     }
     return id;
   }
 
-  void settle() {
-    module.batchCompleted(now);
+  void completeBatch() {
+    control.batchCompleted(now);
     checkMemory();
   }
 
-  long arriveAndSettle(int type) {
-    long id = arrive(type);
-    settle();
+  long arriveInBatch(int classIndex) {
+    long id = arrive(classIndex);
+    completeBatch();
     return id;
   }
 
-  /** Moves the clock, letting timers fire on the way, and checks that nothing owed is overdue. */
-  void pass(double seconds) {
+  /** Advances the clock, fires the timers that are due, and checks that no answer is overdue. */
+  void advanceTime(double seconds) {
     double until = now + seconds;
     while (!timers.isEmpty() && timers.peek().at <= until) {
-      Due due = timers.poll();
-      advance(Math.max(now, due.at));
-      module.timerFired(now, due.label, gauges);
-      settle();
+      ScheduledTimer timer = timers.poll();
+      setClock(Math.max(now, timer.at));
+      control.timerFired(now, timer.label, gauges);
+      completeBatch();
       checkAnswers();
     }
-    advance(until);
+    setClock(until);
     checkAnswers();
   }
 
-  private void advance(double to) {
+  private void setClock(double to) {
     callSeconds +=
-        (to - now) * known.values().stream().filter(k -> k.phase == Phase.CALLING).count();
+        (to - now) * requests.values().stream().filter(state -> state.phase == Phase.CALLING).count();
     now = to;
   }
 
-  void end(long id, Admission.Outcome outcome) {
-    Known k = known.get(id);
-    if (!k.answered
+  void complete(long id, Admission.Outcome outcome) {
+    RequestState state = requests.get(id);
+    if (!state.answered
         && (outcome == Admission.Outcome.SUCCESS || outcome == Admission.Outcome.FAILURE)) {
-      answer(k, outcome.name());
+      setAnswer(state, outcome.name());
     }
-    k.phase = Phase.OVER;
-    module.completed(now, id, outcome, now - k.since);
-    settle();
+    state.phase = Phase.DONE;
+    control.completed(now, id, outcome, now - state.startedAt);
+    completeBatch();
   }
 
   /**
-   * Confirms that running work stopped: it is paused where it may be, over where its answer was
-   * given.
+   * Confirms a requested preemption. The execution ends if its request has been answered, and is
+   * paused otherwise.
    */
-  void stopped(long id) {
-    Known k = known.get(id);
-    assertTrue(k.stopAsked && k.phase == Phase.RUNNING, "nobody asked to stop " + id);
-    k.stopAsked = false;
-    k.phase = k.answered ? Phase.OVER : Phase.PAUSED;
-    module.completed(now, id, Admission.Outcome.WITHDRAWN, now - k.since);
-    settle();
-  }
-
-  void needCall(long id) {
-    known.get(id).phase = Phase.AT_CALL;
-    module.blockedOnCall(now, id);
-    settle();
-  }
-
-  void endCall(long id, Admission.Outcome outcome) {
-    Known k = known.get(id);
-    k.phase = outcome == Admission.Outcome.SUCCESS ? Phase.RUNNING : Phase.AT_CALL;
-    k.callMayHaveRun = outcome != Admission.Outcome.SUCCESS && !outcome.neverExecuted();
-    module.callCompleted(now, id, outcome, 0.05);
-    settle();
-  }
-
-  void gone(long id) {
-    Known k = known.get(id);
-    k.answered = true;
-    if (k.phase == Phase.HELD || k.phase == Phase.PAUSED || k.phase == Phase.ATTACHED) {
-      k.phase = Phase.OVER;
+  void confirmPreemption(long id) {
+    RequestState state = requests.get(id);
+    assertTrue(
+        state.preemptionRequested && state.phase == Phase.EXECUTING, "no preemption requested for request " + id);
+    state.preemptionRequested = false;
+    state.phase = state.answered ? Phase.DONE : Phase.PAUSED;
+    control.completed(now, id, Admission.Outcome.WITHDRAWN, now - state.startedAt);
+    completeBatch();
+  }
+
+  void blockOnCall(long id) {
+    requests.get(id).phase = Phase.BLOCKED;
+    control.blockedOnCall(now, id);
+    completeBatch();
+  }
+
+  void completeCall(long id, Admission.Outcome outcome) {
+    RequestState state = requests.get(id);
+    state.phase = outcome == Admission.Outcome.SUCCESS ? Phase.EXECUTING : Phase.BLOCKED;
+    state.callMayHaveExecuted = outcome != Admission.Outcome.SUCCESS && !outcome.neverExecuted();
+    control.callCompleted(now, id, outcome, 0.05);
+    completeBatch();
+  }
+
+  void disconnectCaller(long id) {
+    RequestState state = requests.get(id);
+    state.answered = true;
+    if (state.phase == Phase.QUEUED || state.phase == Phase.PAUSED || state.phase == Phase.ATTACHED) {
+      state.phase = Phase.DONE;
     }
-    module.callerGone(now, id);
-    settle();
+    control.callerGone(now, id);
+    completeBatch();
   }
 
-  void leave(double timeLeft) {
-    leftAt = now;
-    module.draining(now, timeLeft);
-    settle();
+  void drain(double remainingSeconds) {
+    drainingSince = now;
+    control.draining(now, remainingSeconds);
+    completeBatch();
   }
 
-  // ---- What is seen ----
+  // ---- State ----
 
   Phase phase(long id) {
-    return known.get(id).phase;
+    return requests.get(id).phase;
   }
 
   String answer(long id) {
-    return known.get(id).answer;
+    return requests.get(id).answer;
   }
 
-  List<Long> in(Phase phase) {
-    return known.values().stream().filter(k -> k.phase == phase).map(k -> k.request.id()).toList();
+  List<Long> withPhase(Phase phase) {
+    return requests.values().stream().filter(state -> state.phase == phase).map(state -> state.request.id()).toList();
   }
 
-  List<String> startsLogged() {
-    return log.stream().filter(l -> l.startsWith("start ")).toList();
+  List<String> dispatches() {
+    return log.stream().filter(l -> l.startsWith("dispatch ")).toList();
   }
 
-  int refusals() {
-    return (int) log.stream().filter(l -> l.startsWith("refuse ")).count();
+  int rejectionCount() {
+    return (int) log.stream().filter(l -> l.startsWith("reject ")).count();
   }
 
-  List<String> stops() {
-    return log.stream().filter(l -> l.startsWith("stop ")).toList();
+  List<String> preemptions() {
+    return log.stream().filter(l -> l.startsWith("preempt ")).toList();
   }
 
   void checkMemory() {
     double used = 0;
-    for (Known k : known.values()) {
+    for (RequestState state : requests.values()) {
       used +=
-          switch (k.phase) {
-            case HELD, ATTACHED -> k.request.memoryKb();
-            case PAUSED, RUNNING, AT_CALL, CALLING ->
-                k.request.memoryKb() * settings.capacity().executionMemoryFactor();
-            case OVER -> 0;
+          switch (state.phase) {
+            case QUEUED, ATTACHED -> state.request.memoryKb();
+            case PAUSED, EXECUTING, BLOCKED, CALLING ->
+                state.request.memoryKb() * settings.capacity().executionMemoryFactor();
+            case DONE -> 0;
           };
-      used += k.keyUntil >= now ? settings.capacity().keyMemoryKb() : 0;
+      used += state.keyRetainedUntil >= now ? settings.capacity().keyMemoryKb() : 0;
     }
     assertTrue(
         used <= settings.capacity().memoryKb(),
-        "memory " + used + " over " + settings.capacity().memoryKb());
+        "memory in use " + used + " KB, limit " + settings.capacity().memoryKb() + " KB");
   }
 
   void checkAnswers() {
-    for (Known k : known.values()) {
+    for (RequestState state : requests.values()) {
       assertTrue(
-          k.answered || now <= k.due + settings.timing().answerSlackSeconds(),
-          "request " + k.request.id() + " unanswered " + (now - k.due) + " s after it was due");
+          state.answered || now <= state.deadline + settings.timing().answerSlackSeconds(),
+          "request " + state.request.id() + " unanswered " + (now - state.deadline) + " s after its deadline");
     }
   }
 
-  // ---- What the module asks for, held against the rules ----
+  // ---- Actions, checked against the rules ----
 
-  private Known own(long id) {
-    Known k = known.get(id);
-    assertNotNull(k, "unknown request " + id);
-    return k;
+  private RequestState find(long id) {
+    RequestState state = requests.get(id);
+    assertNotNull(state, "unknown request " + id);
+    return state;
   }
 
-  private void answer(Known k, String what) {
-    assertFalse(k.answered, "second answer to " + k.request.id());
-    k.answered = true;
-    k.answer = what;
+  private void setAnswer(RequestState state, String answer) {
+    assertFalse(state.answered, "second answer to request " + state.request.id());
+    state.answered = true;
+    state.answer = answer;
   }
 
-  private boolean effectful(Known k) {
-    return settings.classes().get(k.request.classIndex()).idempotency()
+  private boolean isNonIdempotent(RequestState state) {
+    return settings.classes().get(state.request.classIndex()).idempotency()
         != Admission.Idempotency.IDEMPOTENT;
   }
 
   @Override
   public void dispatch(long id) {
-    Known k = own(id);
-    log.add("start " + id);
-    assertFalse(k.answered, "started though answered: " + id);
-    if (k.phase == Phase.PAUSED) {
-      k.phase = Phase.RUNNING;
-      k.since = now;
+    RequestState state = find(id);
+    log.add("dispatch " + id);
+    assertFalse(state.answered, "dispatched although answered: request " + id);
+    if (state.phase == Phase.PAUSED) {
+      state.phase = Phase.EXECUTING;
+      state.startedAt = now;
       return;
     }
-    assertEquals(Phase.HELD, k.phase, "started though not held: " + id);
-    assertFalse(k.ran && effectful(k), "ran twice: " + id);
+    assertEquals(Phase.QUEUED, state.phase, "dispatched although not queued: request " + id);
+    assertFalse(state.executed && isNonIdempotent(state), "executed twice: request " + id);
     assertTrue(
-        k.arrived <= leftAt + settings.timing().drainGraceSeconds(),
-        "started after the grace: " + id);
-    Admission.RequestClass type = settings.classes().get(k.request.classIndex());
-    if (type.idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY) {
+        state.arrivedAt <= drainingSince + settings.timing().drainGraceSeconds(),
+        "arrived after the drain grace period, but dispatched: request " + id);
+    Admission.RequestClass requestClass = settings.classes().get(state.request.classIndex());
+    if (requestClass.idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY) {
       assertTrue(
-          k.keyUntil >= k.arrived + type.idempotencyWindowSeconds(),
-          "keyed request started without a lasting entry");
-      Double ran = keyRanArrival.get(k.request.resourceKey());
+          state.keyRetainedUntil >= state.arrivedAt + requestClass.idempotencyWindowSeconds(),
+          "dispatched although its key is not retained for the idempotency window: request " + id);
+      Double executedArrival = executedKeyArrivals.get(state.request.resourceKey());
       assertTrue(
-          ran == null || k.arrived > ran + type.idempotencyWindowSeconds(),
-          "key ran twice: " + k.request.resourceKey());
-      keyRanArrival.put(k.request.resourceKey(), k.arrived);
+          executedArrival == null || state.arrivedAt > executedArrival + requestClass.idempotencyWindowSeconds(),
+          "key executed twice within its window: " + state.request.resourceKey());
+      executedKeyArrivals.put(state.request.resourceKey(), state.arrivedAt);
     }
-    k.ran = true;
-    k.phase = Phase.RUNNING;
-    k.since = now;
+    state.executed = true;
+    state.phase = Phase.EXECUTING;
+    state.startedAt = now;
   }
 
   @Override
-  public void reject(long id, boolean nowhereElse, double retryAfter) {
-    Known k = own(id);
-    log.add("refuse " + id);
-    lastAdvice = retryAfter;
-    lastNowhereElse = nowhereElse;
-    assertFalse(effectful(k) && k.ran, "turned away after it ran: " + id);
-    assertTrue(retryAfter <= settings.retries().maxRetryAfterSeconds());
-    answer(k, "refused");
-    if (k.phase == Phase.HELD || k.phase == Phase.PAUSED || k.phase == Phase.ATTACHED) {
-      k.phase = Phase.OVER;
+  public void reject(long id, boolean everywhere, double retryAfterSeconds) {
+    RequestState state = find(id);
+    log.add("reject " + id);
+    lastRetryAfter = retryAfterSeconds;
+    lastRejectedEverywhere = everywhere;
+    assertFalse(isNonIdempotent(state) && state.executed, "rejected after it was executed: request " + id);
+    assertTrue(retryAfterSeconds <= settings.retries().maxRetryAfterSeconds());
+    setAnswer(state, "rejected");
+    if (state.phase == Phase.QUEUED || state.phase == Phase.PAUSED || state.phase == Phase.ATTACHED) {
+      state.phase = Phase.DONE;
     }
   }
 
   @Override
   public void fail(long id) {
-    Known k = own(id);
+    RequestState state = find(id);
     log.add("fail " + id);
-    answer(k, "failed");
-    if (k.phase == Phase.HELD || k.phase == Phase.PAUSED || k.phase == Phase.ATTACHED) {
-      k.phase = Phase.OVER;
+    setAnswer(state, "failed");
+    if (state.phase == Phase.QUEUED || state.phase == Phase.PAUSED || state.phase == Phase.ATTACHED) {
+      state.phase = Phase.DONE;
     }
   }
 
   @Override
   public void preempt(long id) {
-    log.add("stop " + id);
+    log.add("preempt " + id);
     assertTrue(settings.capacity().preemption() != Admission.Preemption.NONE);
-    assertEquals(Phase.RUNNING, own(id).phase);
+    assertEquals(Phase.EXECUTING, find(id).phase);
     assertTrue(
-        own(id).answered || settings.capacity().preemption() == Admission.Preemption.PAUSE,
-        "stopped while an answer is owed: " + id);
-    own(id).stopAsked = true;
+        find(id).answered || settings.capacity().preemption() == Admission.Preemption.PAUSE,
+        "dropped before it was answered: request " + id);
+    find(id).preemptionRequested = true;
   }
 
   @Override
-  public void callDependency(long id, double notPast) {
-    Known k = own(id);
+  public void callDependency(long id, double timeoutAt) {
+    RequestState state = find(id);
     log.add("call " + id);
-    assertEquals(Phase.AT_CALL, k.phase);
-    assertFalse(k.callMayHaveRun && effectful(k), "call repeated though it may have run: " + id);
-    assertTrue(notPast <= k.due, "call given up only after the answer is due");
-    k.notPast = notPast;
-    k.phase = Phase.CALLING;
+    assertEquals(Phase.BLOCKED, state.phase);
+    assertFalse(
+        state.callMayHaveExecuted && isNonIdempotent(state),
+        "call retried although it may have been executed: request " + id);
+    assertTrue(timeoutAt <= state.deadline, "the call times out after the deadline: request " + id);
+    state.callTimeoutAt = timeoutAt;
+    state.phase = Phase.CALLING;
   }
 
   @Override
   public void skipCall(long id) {
     log.add("skip " + id);
-    assertTrue(settings.classes().get(own(id).request.classIndex()).weightWithoutCall() > 0);
-    assertEquals(Phase.AT_CALL, own(id).phase);
-    own(id).phase = Phase.RUNNING;
+    assertTrue(settings.classes().get(find(id).request.classIndex()).weightWithoutCall() > 0);
+    assertEquals(Phase.BLOCKED, find(id).phase);
+    find(id).phase = Phase.EXECUTING;
   }
 
   @Override
-  public void retainKey(long id, double time) {
-    log.add("keep " + id);
-    own(id).keyUntil = now + time;
+  public void retainKey(long id, double seconds) {
+    log.add("retain " + id);
+    find(id).keyRetainedUntil = now + seconds;
   }
 
   @Override
   public void releaseKey(long id) {
     log.add("release " + id);
-    own(id).keyUntil = Double.NEGATIVE_INFINITY;
+    find(id).keyRetainedUntil = Double.NEGATIVE_INFINITY;
   }
 
   @Override
   public void attach(long id) {
-    Known k = own(id);
+    RequestState state = find(id);
     log.add("attach " + id);
-    assertTrue(k.request.duplicateOf() != 0, "attached without a request to attach to");
-    assertEquals(Phase.HELD, k.phase);
-    k.phase = Phase.ATTACHED;
-    k.since = now;
+    assertTrue(
+        state.request.duplicateOf() != 0, "attached although it duplicates no request: request " + id);
+    assertEquals(Phase.QUEUED, state.phase);
+    state.phase = Phase.ATTACHED;
+    state.startedAt = now;
   }
 
   @Override
-  public void reportHealth(boolean good, boolean fromStore) {
-    log.add("health " + good);
-    healthy = good;
+  public void reportHealth(boolean isHealthy, boolean cached) {
+    log.add("health " + isHealthy);
+    healthy = isHealthy;
   }
 
   @Override
-  public void setIdleTimeout(double time) {
-    assertTrue(time >= 0);
-    idleLimit = time;
-    idleLimits++;
+  public void setIdleTimeout(double seconds) {
+    assertTrue(seconds >= 0);
+    idleTimeout = seconds;
+    idleTimeoutChanges++;
   }
 
   @Override
-  public void setTimer(long label, double in) {
-    assertTrue(in > 0);
-    timers.add(new Due(now + in, label));
+  public void setTimer(long label, double delaySeconds) {
+    assertTrue(delaySeconds > 0);
+    timers.add(new ScheduledTimer(now + delaySeconds, label));
   }
 
   @Override
@@ -393,73 +405,73 @@
     log.add("log " + line);
   }
 
-  /** Builds one request. */
-  static final class Requests {
+  /** Builds an arriving request. */
+  static final class RequestBuilder {
     private final long id;
-    private final int type;
-    private boolean further;
-    private double lay;
+    private final int classIndex;
+    private boolean retry;
+    private double queueingDelay;
     private int tenant;
     private double memory = 10;
-    private double cost;
-    private String subject;
-    private long repeatOf;
-    private double patience;
+    private double costHint;
+    private String resourceKey;
+    private long duplicateOf;
+    private double remainingDeadline;
     private int caller;
 
-    Requests(long id, int type) {
+    RequestBuilder(long id, int classIndex) {
       this.id = id;
-      this.type = type;
+      this.classIndex = classIndex;
     }
 
-    Requests further() {
-      further = true;
+    RequestBuilder retry() {
+      retry = true;
       return this;
     }
 
-    Requests lay(double value) {
-      lay = value;
+    RequestBuilder queueingDelay(double value) {
+      queueingDelay = value;
       return this;
     }
 
-    Requests tenant(int value) {
+    RequestBuilder tenant(int value) {
       tenant = value;
       return this;
     }
 
-    Requests memory(double value) {
+    RequestBuilder memory(double value) {
       memory = value;
       return this;
     }
 
-    Requests cost(double value) {
-      cost = value;
+    RequestBuilder costHint(double value) {
+      costHint = value;
       return this;
     }
 
-    Requests subject(String value) {
-      subject = value;
+    RequestBuilder resourceKey(String value) {
+      resourceKey = value;
       return this;
     }
 
-    Requests repeatOf(long value) {
-      repeatOf = value;
+    RequestBuilder duplicateOf(long value) {
+      duplicateOf = value;
       return this;
     }
 
-    Requests caller(int value) {
+    RequestBuilder caller(int value) {
       caller = value;
       return this;
     }
 
-    Requests patience(double value) {
-      patience = value;
+    RequestBuilder remainingDeadline(double value) {
+      remainingDeadline = value;
       return this;
     }
 
     Admission.Request build() {
       return new Admission.Request(
-          id, further, lay, type, tenant, memory, caller, cost, subject, repeatOf, patience, 0);
+          id, retry, queueingDelay, classIndex, tenant, memory, caller, costHint, resourceKey, duplicateOf, remainingDeadline, 0);
     }
   }
 }
--- a/src/test/java/wharftrestle/Sites.java
+++ b/src/test/java/wharftrestle/Sites.java
@@ -4,7 +4,7 @@
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.AdmissionSettings;
 
-/** Settings made up for tests; two cores, so that the running limit starts at two. */
+/** Admission settings for tests; two cores by default, so that the concurrency limit starts at 2. */
 public final class Sites {
   static final int READ = 0;
   static final int SAVE = 1;
@@ -18,76 +18,85 @@
     return new Builder();
   }
 
-  /** The same classes, the first two of them in the other order. */
+  /** Returns a builder with the same classes, the first two of them in the other order. */
   static Builder swapped() {
     Builder site = new Builder();
     site.swapped = true;
     return site;
   }
 
-  /** What a test may have otherwise before it builds. */
+  /** Builds settings; a test may change the fields first. */
   public static final class Builder {
     private boolean swapped;
     double memory = 10_000;
     double keyMemory = 10;
-    double shareFor;
+    double resultSharing;
     Admission.Preemption preemption = Admission.Preemption.DROP;
     boolean calls;
-    double callShare = 10;
-    boolean justStarted;
+    double callQuota = 10;
+    boolean coldStart;
     int cores = 2;
     List<Admission.Tenant> tenants = List.of();
-    double overShareWorth = 1;
-    boolean marksRetry = true;
-    boolean worthByWork;
-    double skipWorth; // of an answer without its call
-    double window = 12; // in which a key may come again, in seconds
-    double share = 1; // of a core that the daemon itself may use
-    double haste = 1; // times by which all clients wait less
+    double weightOverQuota = 1;
+    boolean marksRetries = true;
+    boolean weightPerWork;
+    double weightWithoutCall; // fraction of the weight of an answer without its call
+    double window = 12; // idempotency window in seconds
+    double share = 1; // fraction of a core that the daemon itself may use
+    double haste = 1; // divisor of all latency objectives and deadlines
 
-    private Admission.RequestClass type(
+    private Admission.RequestClass requestClass(
         String name,
-        double aim,
+        double latencyObjective,
         double deadline,
-        double worth,
-        double late,
-        Admission.Idempotency repeat) {
+        double weight,
+        double weightAfterObjective,
+        Admission.Idempotency idempotency) {
       return new Admission.RequestClass(
-          name, aim / haste, 0, deadline / haste, worth, late, repeat, window, calls, skipWorth);
+          name,
+          latencyObjective / haste,
+          0,
+          deadline / haste,
+          weight,
+          weightAfterObjective,
+          idempotency,
+          window,
+          calls,
+          weightWithoutCall);
     }
 
     public AdmissionSettings build() {
       return new AdmissionSettings(
           List.of(
-              type(
+              requestClass(
                   swapped ? "save" : "read",
                   2,
                   6,
                   swapped ? 3 : 1,
                   0,
                   Admission.Idempotency.IDEMPOTENT),
-              type(
+              requestClass(
                   swapped ? "read" : "save",
                   2,
                   6,
                   swapped ? 1 : 3,
                   0,
                   Admission.Idempotency.IDEMPOTENT),
-              type("keyed", 2, 6, 3, 0, Admission.Idempotency.IDEMPOTENCY_KEY),
-              type("unsafe", 2, 6, 3, 0, Admission.Idempotency.NON_IDEMPOTENT),
-              type("long", 8, 20, 1, 0.2, Admission.Idempotency.IDEMPOTENT)),
+              requestClass("keyed", 2, 6, 3, 0, Admission.Idempotency.IDEMPOTENCY_KEY),
+              requestClass("unsafe", 2, 6, 3, 0, Admission.Idempotency.NON_IDEMPOTENT),
+              requestClass("long", 8, 20, 1, 0.2, Admission.Idempotency.IDEMPOTENT)),
           tenants,
           new AdmissionSettings.Fleet(1, 3, true, false, true),
           new AdmissionSettings.Capacity(cores, memory, 4, keyMemory, preemption, 6, 2),
-          new AdmissionSettings.WarmUp(justStarted, 0.25, 10),
+          new AdmissionSettings.WarmUp(coldStart, 0.25, 10),
           new AdmissionSettings.DependencyCalls(
               calls ? Admission.Dependency.SHARED : Admission.Dependency.NONE,
-              calls ? callShare : 0,
+              calls ? callQuota : 0,
               5,
               0.2),
-          new AdmissionSettings.Timing(0.004, 0.08, 2, shareFor),
-          new AdmissionSettings.Retries(1, marksRetry),
-          new AdmissionSettings.Weighting(worthByWork, overShareWorth),
+          new AdmissionSettings.Timing(0.004, 0.08, 2, resultSharing),
+          new AdmissionSettings.Retries(1, marksRetries),
+          new AdmissionSettings.Weighting(weightPerWork, weightOverQuota),
           List.of("cpu_busy", "runnable"));
     }
   }
--- a/src/test/java/wharftrestle/admission/ModuleShapeTest.java
+++ b/src/test/java/wharftrestle/admission/ModuleShapeTest.java
@@ -11,7 +11,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The decision code is read aloud after outages: its width is bounded and its types are named. */
+/**
+ * Checks the layout of the decision code, which is read out in reviews after outages: line length,
+ * and a doc comment at the head of each file.
+ */
 class ModuleShapeTest {
   private static final int MAX_COLUMNS = 100;
   private static final int FIRST_LINES = 20;
@@ -28,7 +31,7 @@
   }
 
   @Test
-  void everyFileStaysNarrow() throws IOException {
+  void noLineExceedsTheMaximumLength() throws IOException {
     assertTrue(files().contains(PACKAGE.resolve("AdmissionController.java")));
     for (Path file : files()) {
       List<String> lines = Files.readAllLines(file);
@@ -40,20 +43,20 @@
   }
 
   @Test
-  void thePackagePageNamesTheInterfaceAndTheEntryInItsFirstLines() throws IOException {
+  void packageDocNamesInterfaceAndControllerInItsFirstLines() throws IOException {
     String first = String.join(" ", firstLines(PACKAGE.resolve("package-info.java")));
     assertTrue(first.contains("wharftrestle.admission.Admission}"), first);
     assertTrue(first.contains("wharftrestle.admission.AdmissionController}"), first);
   }
 
   @Test
-  void everyFileSaysInItsFirstLinesWhatItsTypeIsFor() throws IOException {
-    List<String> silent = new ArrayList<>();
+  void everyFileHasDocCommentInItsFirstLines() throws IOException {
+    List<String> undocumented = new ArrayList<>();
     for (Path file : files()) {
       if (firstLines(file).stream().noneMatch(line -> line.startsWith("/**"))) {
-        silent.add(file.toString());
+        undocumented.add(file.toString());
       }
     }
-    assertEquals(List.of(), silent);
+    assertEquals(List.of(), undocumented);
   }
 }
