--- a/src/test/java/wharftrestle/AdmissionLines.java
+++ b/src/test/java/wharftrestle/AdmissionLines.java
@@ -10,24 +10,24 @@
 import wharftrestle.simulator.SettingsReader;
 
 /**
- * Drives one instance of the admission control by text lines, past the wire. The lines look like
- * those of the wire; there are two differences: the event 'shares' exists here only, and the
- * numbers of the actions are written in full instead of in microseconds.
+ * Drives one admission control instance by text lines, without the simulator adapter. The lines are
+ * those of the simulator protocol, with two differences: the event 'shares' exists only here, and
+ * numbers in actions are written with full precision instead of in microseconds.
  *
- * <p>This is the only place where the lines meet the names of the Java interface, so that the
- * recordings stay valid when methods or constants of it are renamed.
+ * <p>This is the only class that maps these lines to names of the Java interface, so that the
+ * recordings remain valid when its methods or constants are renamed.
  */
 final class AdmissionLines implements Admission.Actions {
   private final StringBuilder reply = new StringBuilder();
   private Admission.Events events;
   private double now;
 
-  /** Takes the lines of one batch, 'commit' included, and returns the reply. */
-  String answer(String batch) throws IOException {
+  /** Processes the lines of one batch, 'commit' included, and returns the reply. */
+  String process(String batch) throws IOException {
     reply.setLength(0);
     for (String line : batch.split("\n")) {
       try {
-        take(line);
+        processLine(line);
       } catch (MalformedLineException e) {
         throw new IOException(e);
       }
@@ -35,7 +35,7 @@
     return reply.append("ok\n").toString();
   }
 
-  /** The name of a line under the empty key, and its fields. */
+  /** Returns the fields of a line, and its name under the empty key. */
   static Map<String, String> fields(String line) {
     Map<String, String> fields = new HashMap<>();
     String[] parts = line.split("\t");
@@ -47,43 +47,43 @@
     return fields;
   }
 
-  private void take(String line) throws IOException, MalformedLineException {
-    Map<String, String> f = fields(line);
-    switch (f.get("")) {
-      case "clock" -> now = number(f, "now");
+  private void processLine(String line) throws IOException, MalformedLineException {
+    Map<String, String> values = fields(line);
+    switch (values.get("")) {
+      case "clock" -> now = number(values, "now");
       case "at" -> {}
       case "spawn" ->
           events =
               new AdmissionController(
                   now,
-                  id(f, "prng"),
-                  SettingsReader.read(new ObjectMapper().readTree(f.get("facts"))),
+                  id(values, "prng"),
+                  SettingsReader.read(new ObjectMapper().readTree(values.get("facts"))),
                   this);
       case "down" -> events = null;
       case "arrival" ->
           events.arrived(
               now,
               new Admission.Request(
-                  id(f, "opId"),
-                  id(f, "isRetry") == 1,
-                  number(f, "lay"),
-                  (int) id(f, "service"),
-                  (int) id(f, "clientGroup"),
-                  number(f, "kb"),
-                  (int) id(f, "src"),
-                  number(f, "cost"),
-                  f.get("pathKey"),
-                  id(f, "forerunner"),
-                  number(f, "timeBudget"),
-                  number(f, "prio")));
-      case "work_done" -> events.completed(now, id(f, "opId"), outcome(f), number(f, "costTime"));
-      case "ready_to_call" -> events.blockedOnCall(now, id(f, "opId"));
+                  id(values, "opId"),
+                  id(values, "isRetry") == 1,
+                  number(values, "lay"),
+                  (int) id(values, "service"),
+                  (int) id(values, "clientGroup"),
+                  number(values, "kb"),
+                  (int) id(values, "src"),
+                  number(values, "cost"),
+                  values.get("pathKey"),
+                  id(values, "forerunner"),
+                  number(values, "timeBudget"),
+                  number(values, "prio")));
+      case "work_done" -> events.completed(now, id(values, "opId"), outcome(values), number(values, "costTime"));
+      case "ready_to_call" -> events.blockedOnCall(now, id(values, "opId"));
       case "downstream" ->
-          events.callCompleted(now, id(f, "opId"), outcome(f), number(f, "costTime"));
-      case "cancelled_by_client" -> events.callerGone(now, id(f, "opId"));
-      case "lame_duck" -> events.draining(now, number(f, "timeBudget"));
-      case "shares" -> events.quotaChanged(now, number(f, "part"));
-      case "timeout_fired" -> events.timerFired(now, id(f, "label"), row(f.get("usage")));
+          events.callCompleted(now, id(values, "opId"), outcome(values), number(values, "costTime"));
+      case "cancelled_by_client" -> events.callerGone(now, id(values, "opId"));
+      case "lame_duck" -> events.draining(now, number(values, "timeBudget"));
+      case "shares" -> events.quotaChanged(now, number(values, "part"));
+      case "timeout_fired" -> events.timerFired(now, id(values, "label"), numbers(values.get("usage")));
       case "commit" -> {
         if (events != null) {
           events.batchCompleted(now);
@@ -93,28 +93,28 @@
     }
   }
 
-  private static double number(Map<String, String> f, String field) {
-    return Double.parseDouble(f.getOrDefault(field, "0"));
+  private static double number(Map<String, String> values, String field) {
+    return Double.parseDouble(values.getOrDefault(field, "0"));
   }
 
-  private static long id(Map<String, String> f, String field) {
-    return Long.parseLong(f.getOrDefault(field, "0"));
+  private static long id(Map<String, String> values, String field) {
+    return Long.parseLong(values.getOrDefault(field, "0"));
   }
 
-  private static double[] row(String text) {
+  private static double[] numbers(String text) {
     if (text == null) {
       return new double[0];
     }
     String[] parts = text.split(",");
-    double[] row = new double[parts.length];
+    double[] numbers = new double[parts.length];
     for (int i = 0; i < parts.length; i++) {
-      row[i] = Double.parseDouble(parts[i]);
+      numbers[i] = Double.parseDouble(parts[i]);
     }
-    return row;
+    return numbers;
   }
 
-  private static Admission.Outcome outcome(Map<String, String> f) throws IOException {
-    return switch (f.get("status")) {
+  private static Admission.Outcome outcome(Map<String, String> values) throws IOException {
+    return switch (values.get("status")) {
       case "success" -> Admission.Outcome.SUCCESS;
       case "failure" -> Admission.Outcome.FAILURE;
       case "overloaded" -> Admission.Outcome.OVERLOADED;
@@ -123,11 +123,11 @@
       case "broken" -> Admission.Outcome.BROKEN;
       case "withdrawn" -> Admission.Outcome.WITHDRAWN;
       case "void" -> Admission.Outcome.VOID;
-      default -> throw new IOException("unknown status " + f.get("status"));
+      default -> throw new IOException("unknown status " + values.get("status"));
     };
   }
 
-  private void say(String name, Object... fields) {
+  private void writeAction(String name, Object... fields) {
     reply.append(name);
     for (int i = 0; i < fields.length; i += 2) {
       reply.append('\t').append(fields[i]).append('=').append(fields[i + 1]);
@@ -137,66 +137,66 @@
 
   @Override
   public void dispatch(long id) {
-    say("admit", "opId", id);
+    writeAction("admit", "opId", id);
   }
 
   @Override
-  public void reject(long id, boolean nowhereElse, double retryAfter) {
-    say("deny", "opId", id, "giveUp", nowhereElse ? 1 : 0, "coolDown", retryAfter);
+  public void reject(long id, boolean everywhere, double retryAfterSeconds) {
+    writeAction("deny", "opId", id, "giveUp", everywhere ? 1 : 0, "coolDown", retryAfterSeconds);
   }
 
   @Override
   public void fail(long id) {
-    say("report_failure", "opId", id);
+    writeAction("report_failure", "opId", id);
   }
 
   @Override
   public void preempt(long id) {
-    say("suspend", "opId", id);
+    writeAction("suspend", "opId", id);
   }
 
   @Override
-  public void callDependency(long id, double notPast) {
-    say("call", "opId", id, "notPast", notPast);
+  public void callDependency(long id, double timeoutAt) {
+    writeAction("call", "opId", id, "notPast", timeoutAt);
   }
 
   @Override
   public void skipCall(long id) {
-    say("fall_back", "opId", id);
+    writeAction("fall_back", "opId", id);
   }
 
   @Override
-  public void retainKey(long id, double time) {
-    say("memo", "opId", id, "ttl", time);
+  public void retainKey(long id, double seconds) {
+    writeAction("memo", "opId", id, "ttl", seconds);
   }
 
   @Override
   public void releaseKey(long id) {
-    say("release_key", "opId", id);
+    writeAction("release_key", "opId", id);
   }
 
   @Override
   public void attach(long id) {
-    say("attach", "opId", id);
+    writeAction("attach", "opId", id);
   }
 
   @Override
-  public void reportHealth(boolean good, boolean fromStore) {
-    say("set_health", "want", good ? 1 : 0, "cheap", fromStore ? 1 : 0);
+  public void reportHealth(boolean healthy, boolean cached) {
+    writeAction("set_health", "want", healthy ? 1 : 0, "cheap", cached ? 1 : 0);
   }
 
   @Override
-  public void setIdleTimeout(double time) {
-    say("idle_limit", "ttl", time);
+  public void setIdleTimeout(double seconds) {
+    writeAction("idle_limit", "ttl", seconds);
   }
 
   @Override
-  public void setTimer(long label, double in) {
-    say("set_timer", "label", label, "sleepFor", in);
+  public void setTimer(long label, double delaySeconds) {
+    writeAction("set_timer", "label", label, "sleepFor", delaySeconds);
   }
 
   @Override
   public void log(String line) {
-    say("log", "line", line);
+    writeAction("log", "line", line);
   }
 }
--- a/src/test/java/wharftrestle/DecisionGenerator.java
+++ b/src/test/java/wharftrestle/DecisionGenerator.java
@@ -24,37 +24,38 @@
 import wharftrestle.simulator.SimulatorAdapter;
 
 /**
- * Makes the recordings that {@link DecisionRecordingTest} replays. A small simulated host plays
- * callers, cores and a dependency from a seed: it reacts to the actions of the control and writes
- * down every batch of events with its reply. The load goes through phases (quiet, overload, runs
- * that fail or hang, a slow dependency, a stalled host and so on), so that each part of the control
- * is reached.
+ * Generates the recordings that {@link DecisionRecordingTest} replays. A small simulation with a
+ * fixed seed models callers, cores and a dependency: it reacts to the actions of the admission
+ * control and records every batch of events with its reply. The load passes through phases (quiet,
+ * overload, executions that fail or hang, a slow dependency, a stalled host and others), so that
+ * all parts of the admission control are exercised.
  *
- * <p>The recordings are the reference for what the control decides. A change that only restructures
- * the code must replay them as they are: do not make them anew for it. Where a decision is changed
- * on purpose, make them anew in the same commit and say there why: run {@link #main} with the test
- * class path, from the root of the project. A change of this class alone does not change the files.
+ * <p>The recordings are the reference for the decisions of the admission control. A change that
+ * only restructures code must reproduce them unchanged; do not regenerate them for it. If a
+ * decision is changed intentionally, regenerate them in the same commit and state the reason there:
+ * run {@link #main} with the test class path, from the root of the project. A change of this class
+ * alone does not change the files.
  *
- * <p>Form of a file: the lines of each batch as they are sent, up to 'commit', then the lines of
- * its reply with "> " in front of each.
+ * <p>File format: the lines of each batch as they are sent, up to 'commit', then the lines of its
+ * reply, each prefixed with "> ".
  */
 final class DecisionGenerator {
-  static final Path FOLDER = Path.of("src/test/resources/fixtures/decisions");
-  static final String REPLY = "> ";
+  static final Path DIRECTORY = Path.of("src/test/resources/fixtures/decisions");
+  static final String REPLY_PREFIX = "> ";
 
-  private static final int SEEDS = 22;
-  private static final int MORE_SEEDS = 10;
+  private static final int SITE_SEEDS = 22;
+  private static final int FEATURE_SEEDS = 10;
   private static final int INTERFACE_SEEDS = 6;
   private static final int EVENTS = 1600;
-  private static final long MILLI = 1000;
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_MILLI = 1000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
-  /** What answers a batch. */
+  /** Processes a batch of lines and returns the lines of the reply. */
   interface Endpoint {
-    String answer(String batch) throws IOException;
+    String process(String batch) throws IOException;
   }
 
-  /** What the load or the machine is like for some seconds. */
+  /** The condition of the load, the host or the dependency for some seconds. */
   private enum Phase {
     QUIET,
     STEADY,
@@ -62,9 +63,9 @@
     BURSTS,
     RETRY_STORM,
     LAST_RETRIES,
-    RUNS_FAIL,
-    RUNS_SLOW,
-    RUNS_HANG,
+    EXECUTIONS_FAIL,
+    EXECUTIONS_SLOW,
+    EXECUTIONS_HANG,
     CALLS_SLOW,
     CALLS_FAIL,
     CALLS_HANG,
@@ -76,30 +77,30 @@
   }
 
   private enum State {
-    HELD,
-    RUNNING,
-    AT_CALL,
+    QUEUED,
+    EXECUTING,
+    BLOCKED,
     CALLING,
     ATTACHED,
-    OVER
+    DONE
   }
 
-  private static final class Op {
+  private static final class SimulatedRequest {
     long id;
-    int type;
-    String key; // of a repeatable request, on the wire for reads alone
-    State state = State.HELD;
-    boolean ran;
+    int classIndex;
+    String key; // of a request that may be duplicated; sent for reads only
+    State state = State.QUEUED;
+    boolean executed;
     boolean answered;
     boolean failed;
-    long began;
-    long callBegan;
-    long notPast;
-    long rest; // work left after the next call
+    long startedAt;
+    long callStartedAt;
+    long callTimeoutAt;
+    long partMicros; // run time of each part between calls, in microseconds
     int callsLeft;
-    int serial; // of the last thing scheduled for it; earlier ones are void
+    int serial; // number of its latest scheduled step; earlier steps are cancelled
     long prior;
-    int tries;
+    int retries;
     int caller;
     double cost;
     int kb;
@@ -109,21 +110,21 @@
     void run();
   }
 
-  private record Due(long at, long order, Step step) {}
+  private record ScheduledStep(long at, long order, Step step) {}
 
   private final Random random;
-  private final ObjectNode facts;
+  private final ObjectNode settings;
   private final Endpoint endpoint;
-  private final boolean past; // straight at the interface, past the wire
+  private final boolean viaInterface; // uses the Java interface instead of the simulator protocol
   private final StringBuilder batch = new StringBuilder();
   private final StringBuilder recording = new StringBuilder();
-  private final PriorityQueue<Due> agenda =
+  private final PriorityQueue<ScheduledStep> eventQueue =
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private final Map<Long, Op> ops = new LinkedHashMap<>();
-  private final Map<String, Long> entries = new LinkedHashMap<>();
-  private final Map<String, Long> earlier = new LinkedHashMap<>(); // the entry before that
-  private final Map<String, Long> entryEnds = new LinkedHashMap<>();
+  private final Map<Long, SimulatedRequest> requests = new LinkedHashMap<>();
+  private final Map<String, Long> retainedKeys = new LinkedHashMap<>();
+  private final Map<String, Long> previousKeys = new LinkedHashMap<>(); // request before the present one
+  private final Map<String, Long> keyExpiries = new LinkedHashMap<>();
   private final int classes;
   private final int cores;
   private final int tenants;
@@ -131,32 +132,32 @@
   private long order;
   private long nextId = 1;
   private int events;
-  private int lives;
-  private int running;
+  private int restarts;
+  private int executing;
   private Phase phase = Phase.STEADY;
-  private final List<Phase> phases = new ArrayList<>(); // still to come
-  private boolean severe; // how strong the phase is
-  private boolean retrying; // late requests are retries, in part
-  private double fast = 1; // speed of the machine's runs
+  private final List<Phase> phases = new ArrayList<>(); // remaining phases
+  private boolean severe; // the stronger form of the phase
+  private boolean retrying; // some of the requests that are read late are retries
+  private double runTimeFactor = 1; // factor of run times
 
-  private DecisionGenerator(long seed, ObjectNode facts, Endpoint endpoint, boolean past) {
+  private DecisionGenerator(long seed, ObjectNode settings, Endpoint endpoint, boolean viaInterface) {
     this.random = new Random(seed);
-    this.facts = facts;
+    this.settings = settings;
     this.endpoint = endpoint;
-    this.past = past;
-    this.classes = facts.get("categories").size();
-    this.cores = facts.at("/specifics/nCores").asInt();
-    this.tenants = facts.get("tenants").size();
-    this.now = SECOND * (10 + random.nextInt(1000));
+    this.viaInterface = viaInterface;
+    this.classes = settings.get("categories").size();
+    this.cores = settings.at("/specifics/nCores").asInt();
+    this.tenants = settings.get("tenants").size();
+    this.now = MICROS_PER_SECOND * (10 + random.nextInt(1000));
   }
 
-  /** Makes all recordings anew. */
+  /** Regenerates all recordings. */
   public static void main(String[] args) throws IOException {
-    for (int seed = 1; seed <= SEEDS; seed++) {
+    for (int seed = 1; seed <= SITE_SEEDS; seed++) {
       write("shared-store", seed, false);
       write("no-store", seed, false);
     }
-    for (int seed = 1; seed <= MORE_SEEDS; seed++) {
+    for (int seed = 1; seed <= FEATURE_SEEDS; seed++) {
       write("every-feature", seed, false);
     }
     for (int seed = 1; seed <= INTERFACE_SEEDS; seed++) {
@@ -164,28 +165,28 @@
     }
   }
 
-  private static void write(String site, int seed, boolean past) throws IOException {
-    ObjectNode facts =
+  private static void write(String site, int seed, boolean viaInterface) throws IOException {
+    ObjectNode settings =
         (ObjectNode)
-            new ObjectMapper().readTree(Files.readString(FOLDER.resolve("site-" + site + ".json")));
-    vary(facts, site, seed);
-    Endpoint endpoint = past ? new AdmissionLines()::answer : wire();
-    String text = new DecisionGenerator(seed, facts, endpoint, past).record(seed);
-    String name = String.format("%s%s-%02d.txt.gz", past ? "interface-" : "wire-", site, seed);
-    try (OutputStream out = new Packed(Files.newOutputStream(FOLDER.resolve(name)))) {
+            new ObjectMapper().readTree(Files.readString(DIRECTORY.resolve("site-" + site + ".json")));
+    vary(settings, site, seed);
+    Endpoint endpoint = viaInterface ? new AdmissionLines()::process : simulatorAdapter();
+    String text = new DecisionGenerator(seed, settings, endpoint, viaInterface).record(seed);
+    String name = String.format("%s%s-%02d.txt.gz", viaInterface ? "interface-" : "wire-", site, seed);
+    try (OutputStream out = new BestCompressionGzip(Files.newOutputStream(DIRECTORY.resolve(name)))) {
       out.write(text.getBytes(StandardCharsets.UTF_8));
     }
   }
 
-  private static final class Packed extends GZIPOutputStream {
-    Packed(OutputStream out) throws IOException {
+  private static final class BestCompressionGzip extends GZIPOutputStream {
+    BestCompressionGzip(OutputStream out) throws IOException {
       super(out);
       def.setLevel(Deflater.BEST_COMPRESSION);
     }
   }
 
-  /** The adapter of the wire, one batch at a time. */
-  static Endpoint wire() {
+  /** Returns an endpoint that passes one batch at a time to a simulator adapter. */
+  static Endpoint simulatorAdapter() {
     SimulatorAdapter adapter = new SimulatorAdapter(AdmissionController::new);
     return batch -> {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -195,69 +196,69 @@
     };
   }
 
-  /** The sites keep their settings; the one of all features differs by seed. */
-  private static void vary(ObjectNode facts, String site, int seed) {
-    ObjectNode own = (ObjectNode) facts.get("specifics");
-    own.put("justStarted", seed % 5 == 0);
+  /** Varies the settings by seed; sites other than every-feature vary in the cold start only. */
+  private static void vary(ObjectNode settings, String site, int seed) {
+    ObjectNode specifics = (ObjectNode) settings.get("specifics");
+    specifics.put("justStarted", seed % 5 == 0);
     if (site.equals("every-feature")) {
-      own.put("preemption", List.of("drop", "pause", "none").get(seed % 3));
-      own.put("shareFor", seed % 4 == 0 ? 0 : 1.5);
-      own.put("callShare", List.of(0.6, 4.0, 8.0, 1.5).get(seed % 4));
-      own.put("callsOver", seed % 4 == 2 ? 0.4 : 5);
-      own.put("downstream", seed % 5 == 4 ? "tier" : "shared");
-      own.put("memoryKb", List.of(600, 1100, 2600).get(seed / 2 % 3));
-      ((ObjectNode) facts.get("clients")).put("marksRetry", seed % 3 != 1);
-      facts.put("worthBy", seed % 2 == 0 ? "work" : "request");
-      if (seed == 6) { // no share of calls is told, so calls have no bound
-        own.put("callShare", 0);
-        ((ObjectNode) facts.get("obligations")).put("cold", 0);
-        own.put("justStarted", true);
+      specifics.put("preemption", List.of("drop", "pause", "none").get(seed % 3));
+      specifics.put("shareFor", seed % 4 == 0 ? 0 : 1.5);
+      specifics.put("callShare", List.of(0.6, 4.0, 8.0, 1.5).get(seed % 4));
+      specifics.put("callsOver", seed % 4 == 2 ? 0.4 : 5);
+      specifics.put("downstream", seed % 5 == 4 ? "tier" : "shared");
+      specifics.put("memoryKb", List.of(600, 1100, 2600).get(seed / 2 % 3));
+      ((ObjectNode) settings.get("clients")).put("marksRetry", seed % 3 != 1);
+      settings.put("worthBy", seed % 2 == 0 ? "work" : "request");
+      if (seed == 6) { // no call quota, so calls are not bounded
+        specifics.put("callShare", 0);
+        ((ObjectNode) settings.get("obligations")).put("cold", 0);
+        specifics.put("justStarted", true);
       }
-      if (seed == 9) { // keys that may come again for a moment only
-        facts.put("peersTotal", 0);
-        ((ObjectNode) facts.at("/categories/2")).put("memorySpan", 0.05);
+      if (seed == 9) { // a very short idempotency window
+        settings.put("peersTotal", 0);
+        ((ObjectNode) settings.at("/categories/2")).put("memorySpan", 0.05);
       }
       if (seed == 7) {
-        own.putArray("gauges").add("mem_used");
+        specifics.putArray("gauges").add("mem_used");
       } else if (seed == 8) {
-        own.putArray("gauges").add("mem_used").add("cpu_busy");
+        specifics.putArray("gauges").add("mem_used").add("cpu_busy");
       }
     }
   }
 
-  // ---- The recording ----
+  // ---- Recording ----
 
   private String record(int seed) throws IOException {
     spawn();
     after(0, this::nextPhase);
     after(1, this::arrivals);
-    if (past) {
-      after(3 * SECOND, this::share);
-    }
-    boolean restarts = seed % 6 == 0;
-    boolean left = false;
-    long stop = Long.MAX_VALUE;
-    while (now < stop && !agenda.isEmpty()) {
-      if (restarts && events > EVENTS / 2) {
-        restarts = false;
+    if (viaInterface) {
+      after(3 * MICROS_PER_SECOND, this::changeQuota);
+    }
+    boolean restartDue = seed % 6 == 0;
+    boolean stopping = false;
+    long stopAt = Long.MAX_VALUE;
+    while (now < stopAt && !eventQueue.isEmpty()) {
+      if (restartDue && events > EVENTS / 2) {
+        restartDue = false;
         restart();
       }
-      if (!left && events >= EVENTS) {
-        left = true;
+      if (!stopping && events >= EVENTS) {
+        stopping = true;
         if (seed % 2 == 0) {
-          double notice = seed % 4 == 0 ? 1.5 : 4;
-          event("lame_duck", "timeBudget", notice);
-          stop = now + (long) (notice * SECOND);
+          double drainSeconds = seed % 4 == 0 ? 1.5 : 4;
+          event("lame_duck", "timeBudget", drainSeconds);
+          stopAt = now + (long) (drainSeconds * MICROS_PER_SECOND);
         } else {
-          stop = now + SECOND;
+          stopAt = now + MICROS_PER_SECOND;
         }
       }
-      while (!agenda.isEmpty() && agenda.peek().at <= now) {
-        agenda.poll().step.run();
+      while (!eventQueue.isEmpty() && eventQueue.peek().at <= now) {
+        eventQueue.poll().step.run();
       }
       commit();
-      long next = agenda.isEmpty() ? now : agenda.peek().at;
-      now = (Math.max(next, now + 4 * MILLI) + MILLI - 1) / MILLI * MILLI;
+      long next = eventQueue.isEmpty() ? now : eventQueue.peek().at;
+      now = (Math.max(next, now + 4 * MICROS_PER_MILLI) + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI * MICROS_PER_MILLI;
     }
     return recording.toString();
   }
@@ -265,11 +266,11 @@
   private void commit() throws IOException {
     String sent = "clock\tnow=" + seconds(now) + "\n" + batch + "commit\n";
     batch.setLength(0);
-    String reply = endpoint.answer(sent);
+    String reply = endpoint.process(sent);
     recording.append(sent);
     for (String line : reply.split("\n")) {
-      recording.append(REPLY).append(line).append('\n');
-      act(AdmissionLines.fields(line));
+      recording.append(REPLY_PREFIX).append(line).append('\n');
+      perform(AdmissionLines.fields(line));
     }
   }
 
@@ -290,28 +291,28 @@
   }
 
   private void after(long micros, Step step) {
-    agenda.add(new Due(now + Math.max(0, micros), order++, step));
+    eventQueue.add(new ScheduledStep(now + Math.max(0, micros), order++, step));
   }
 
   private void spawn() {
-    event("spawn", "prng", random.nextInt(1_000_000), "facts", facts);
+    event("spawn", "prng", random.nextInt(1_000_000), "facts", settings);
   }
 
-  /** The process dies and comes back cold in the same batch; nothing of it is known any more. */
+  /** Restarts the process cold in the same batch, without its previous state. */
   private void restart() {
     event("down");
-    ((ObjectNode) facts.get("specifics")).put("justStarted", true);
-    lives++;
-    ops.clear();
-    entries.clear();
-    earlier.clear();
-    running = 0;
+    ((ObjectNode) settings.get("specifics")).put("justStarted", true);
+    restarts++;
+    requests.clear();
+    retainedKeys.clear();
+    previousKeys.clear();
+    executing = 0;
     spawn();
   }
 
-  private void share() {
+  private void changeQuota() {
     event("shares", "part", List.of("1", "0.5", "0.25", "0.75").get(random.nextInt(4)));
-    after(2 * SECOND, this::share);
+    after(2 * MICROS_PER_SECOND, this::changeQuota);
   }
 
   // ---- Load ----
@@ -320,14 +321,14 @@
     if (phases.isEmpty()) {
       phases.addAll(List.of(Phase.values()));
       Collections.shuffle(phases, random);
-      phases.remove(Phase.RUNS_HANG); // when runs are slow already
-      phases.add(phases.indexOf(Phase.RUNS_SLOW) + 1, Phase.RUNS_HANG);
+      phases.remove(Phase.EXECUTIONS_HANG); // follows the phase in which executions are slow
+      phases.add(phases.indexOf(Phase.EXECUTIONS_SLOW) + 1, Phase.EXECUTIONS_HANG);
     }
     phase = phases.remove(0);
     severe = random.nextBoolean();
     retrying = random.nextInt(3) == 0;
-    fast = 0.8 + random.nextDouble() * 0.4;
-    after((2 + random.nextInt(4)) * SECOND, this::nextPhase);
+    runTimeFactor = 0.8 + random.nextDouble() * 0.4;
+    after((2 + random.nextInt(4)) * MICROS_PER_SECOND, this::nextPhase);
   }
 
   private void arrivals() {
@@ -339,67 +340,68 @@
               case OVERLOAD, LATE_READING -> 2.5;
               case BIG_REQUESTS -> 1.2;
               case RETRY_STORM, LAST_RETRIES -> 1.8;
-              case RUNS_HANG -> 0.9;
-              case RUNS_SLOW -> 1;
+              case EXECUTIONS_HANG -> 0.9;
+              case EXECUTIONS_SLOW -> 1;
               case BURSTS -> 0.3;
               default -> 0.7;
             };
-    int many = phase == Phase.BURSTS && random.nextInt(8) == 0 ? 2 + random.nextInt(25) : 1;
-    for (int i = 0; i < many; i++) {
+    int count = phase == Phase.BURSTS && random.nextInt(8) == 0 ? 2 + random.nextInt(25) : 1;
+    for (int i = 0; i < count; i++) {
       arrive(null);
     }
-    after((long) (-Math.log(1 - random.nextDouble()) / rate * SECOND), this::arrivals);
+    after((long) (-Math.log(1 - random.nextDouble()) / rate * MICROS_PER_SECOND), this::arrivals);
   }
 
-  private void arrive(Op again) {
-    Op op = new Op();
-    op.id = nextId++;
-    op.type = again == null ? random.nextInt(classes) : again.type;
-    String repeat = facts.at("/categories/" + op.type + "/repeat").asText();
+  /** Sends a request; a duplicate or a retry of an earlier one unless that is null. */
+  private void arrive(SimulatedRequest original) {
+    SimulatedRequest request = new SimulatedRequest();
+    request.id = nextId++;
+    request.classIndex = original == null ? random.nextInt(classes) : original.classIndex;
+    String repeat = settings.at("/categories/" + request.classIndex + "/repeat").asText();
     boolean keyed = repeat.equals("idempotency_key");
-    boolean read = repeat.equals("read_like") && facts.at("/specifics/shareFor").asDouble() > 0;
-    boolean sent = keyed || (read && random.nextInt(3) > 0);
-    op.key = again != null ? again.key : sent ? op.type + "k" + random.nextInt(40) : null;
-    op.tries = again == null ? 0 : again.tries + 1;
-    boolean fresh = phase == Phase.NEW_CALLERS || phase == Phase.NEW_CALLERS_LATE;
-    op.caller = fresh ? 100 + (int) op.id : random.nextInt(4);
-    op.cost = random.nextInt(4) == 0 ? 0 : (20 + random.nextInt(400)) / 1000.0;
-    op.kb = phase == Phase.BIG_REQUESTS ? 40 + random.nextInt(60) : 2 + random.nextInt(10);
-    ops.put(op.id, op);
+    boolean read = repeat.equals("read_like") && settings.at("/specifics/shareFor").asDouble() > 0;
+    boolean hasKey = keyed || (read && random.nextInt(3) > 0);
+    request.key = original != null ? original.key : hasKey ? request.classIndex + "k" + random.nextInt(40) : null;
+    request.retries = original == null ? 0 : original.retries + 1;
+    boolean newCaller = phase == Phase.NEW_CALLERS || phase == Phase.NEW_CALLERS_LATE;
+    request.caller = newCaller ? 100 + (int) request.id : random.nextInt(4);
+    request.cost = random.nextInt(4) == 0 ? 0 : (20 + random.nextInt(400)) / 1000.0;
+    request.kb = phase == Phase.BIG_REQUESTS ? 40 + random.nextInt(60) : 2 + random.nextInt(10);
+    requests.put(request.id, request);
     boolean storm = phase == Phase.RETRY_STORM || (phase == Phase.LATE_READING && retrying);
-    boolean retry = op.tries > 0 || (storm && random.nextInt(4) == 0);
-    boolean marked = facts.at("/clients/marksRetry").asBoolean();
-    List<Object> f = new ArrayList<>(List.of("opId", op.id));
+    boolean retry = request.retries > 0 || (storm && random.nextInt(4) == 0);
+    boolean marked = settings.at("/clients/marksRetry").asBoolean();
+    List<Object> fields = new ArrayList<>(List.of("opId", request.id));
     if (marked && retry) {
-      f.addAll(List.of("isRetry", 1));
+      fields.addAll(List.of("isRetry", 1));
     }
-    f.addAll(List.of("lay", lay(), "service", op.type, "kb", op.kb, "src", op.caller));
-    if (op.cost > 0 && marked) { // the site that marks retries is the one that hints at work
-      f.addAll(List.of("cost", op.cost));
+    fields.addAll(List.of("lay", queueingDelay(), "service", request.classIndex, "kb", request.kb, "src", request.caller));
+    if (request.cost > 0 && marked) { // only the site that marks retries sends cost hints
+      fields.addAll(List.of("cost", request.cost));
     }
-    if (op.key != null && !keyed) {
-      f.addAll(List.of("pathKey", op.key));
+    if (request.key != null && !keyed) {
+      fields.addAll(List.of("pathKey", request.key));
     }
-    Long prior = op.key == null ? null : entries.get(op.key);
-    if (prior != null && entryEnds.get(op.key) >= now) {
-      op.prior = random.nextInt(8) == 0 ? earlier.getOrDefault(op.key, prior) : prior;
+    Long prior = request.key == null ? null : retainedKeys.get(request.key);
+    if (prior != null && keyExpiries.get(request.key) >= now) {
+      request.prior = random.nextInt(8) == 0 ? previousKeys.getOrDefault(request.key, prior) : prior;
     } else if (keyed && random.nextInt(60) == 0) {
-      op.prior = 1_000_000 + op.id; // one that the control has forgotten
+      request.prior = 1_000_000 + request.id; // a request that is unknown to the admission control
     }
-    if (op.prior != 0) {
-      f.addAll(List.of("forerunner", op.prior));
+    if (request.prior != 0) {
+      fields.addAll(List.of("forerunner", request.prior));
     }
-    long patience = patience(op, retry);
-    if (patience > 0) {
-      f.addAll(List.of("timeBudget", seconds(patience)));
+    long remainingDeadline = remainingDeadline(request, retry);
+    if (remainingDeadline > 0) {
+      fields.addAll(List.of("timeBudget", seconds(remainingDeadline)));
     }
-    f.addAll(List.of("prio", random.nextInt(100) / 100.0, "clientGroup", tenant()));
-    event("arrival", f.toArray());
+    fields.addAll(List.of("prio", random.nextInt(100) / 100.0, "clientGroup", tenant()));
+    event("arrival", fields.toArray());
     if (random.nextInt(12) == 0) {
-      after(200 * MILLI + random.nextInt(2500) * MILLI, () -> callerLeaves(op));
+      after(200 * MICROS_PER_MILLI + random.nextInt(2500) * MICROS_PER_MILLI, () -> disconnectCaller(request));
     }
-    if (op.key != null && random.nextInt(6) == 0) {
-      after(random.nextInt(3000) * MILLI, () -> arrive(op));
+    if (request.key != null && random.nextInt(6) == 0) {
+      after(random.nextInt(3000) * MICROS_PER_MILLI, () -> arrive(request));
     }
   }
 
@@ -407,7 +409,7 @@
     return random.nextInt(3) > 0 ? 0 : random.nextInt(tenants + 1);
   }
 
-  private double lay() {
+  private double queueingDelay() {
     return switch (phase) {
       case LATE_READING -> ((severe ? 6500 : 1500) + random.nextInt(1500)) / 1000.0;
       case NEW_CALLERS_LATE -> (150 + random.nextInt(400)) / 1000.0;
@@ -416,91 +418,92 @@
     };
   }
 
-  private long patience(Op op, boolean retry) {
-    if (op.type % 2 == 1 || phase == Phase.LATE_READING) {
+  private long remainingDeadline(SimulatedRequest request, boolean retry) {
+    if (request.classIndex % 2 == 1 || phase == Phase.LATE_READING) {
       return 0;
     }
-    int most = 1000 * facts.at("/categories/" + op.type + "/deadline").asInt();
+    int maxMillis = 1000 * settings.at("/categories/" + request.classIndex + "/deadline").asInt();
     if (phase == Phase.LAST_RETRIES && retry) {
-      return most * MILLI;
+      return maxMillis * MICROS_PER_MILLI;
     }
-    int least = retry ? 30 : most / 3;
-    return (least + random.nextInt(most / 2)) * MILLI;
+    int minMillis = retry ? 30 : maxMillis / 3;
+    return (minMillis + random.nextInt(maxMillis / 2)) * MICROS_PER_MILLI;
   }
 
-  private void callerLeaves(Op op) {
-    if (ops.get(op.id) != op || op.answered || op.state == State.OVER) {
+  private void disconnectCaller(SimulatedRequest request) {
+    if (requests.get(request.id) != request || request.answered || request.state == State.DONE) {
       return;
     }
-    event("cancelled_by_client", "opId", op.id);
-    op.answered = true;
-    if (op.state == State.HELD || op.state == State.ATTACHED) {
-      op.state = State.OVER;
-      endRiders(op);
-    } else if (op.state == State.CALLING && random.nextInt(2) == 0) {
-      scheduled(op, 5 * MILLI, () -> callEndsAnswered(op));
-    } else if (op.state != State.RUNNING) {
-      done(op, "withdrawn");
+    event("cancelled_by_client", "opId", request.id);
+    request.answered = true;
+    if (request.state == State.QUEUED || request.state == State.ATTACHED) {
+      request.state = State.DONE;
+      completeAttached(request);
+    } else if (request.state == State.CALLING && random.nextInt(2) == 0) {
+      schedule(request, 5 * MICROS_PER_MILLI, () -> endCallOfAnswered(request));
+    } else if (request.state != State.EXECUTING) {
+      complete(request, "withdrawn");
     }
   }
 
-  private void comeAgain(Op op) {
+  private void retryLater(SimulatedRequest request) {
     boolean storm = phase == Phase.RETRY_STORM || phase == Phase.LAST_RETRIES;
-    if (phase != Phase.LATE_READING && op.tries < 4 && random.nextInt(storm ? 5 : 3) > 0 == storm) {
-      after((5 + random.nextInt(500)) * MILLI, () -> arrive(op));
+    if (phase != Phase.LATE_READING && request.retries < 4 && random.nextInt(storm ? 5 : 3) > 0 == storm) {
+      after((5 + random.nextInt(500)) * MICROS_PER_MILLI, () -> arrive(request));
     }
   }
 
-  // ---- Runs and calls ----
+  // ---- Executions and calls ----
 
-  private void act(Map<String, String> f) {
-    if (f.get("").equals("set_timer")) {
-      timer(f);
+  /** Performs one action of the admission control. */
+  private void perform(Map<String, String> fields) {
+    if (fields.get("").equals("set_timer")) {
+      scheduleTimer(fields);
       return;
     }
-    Op op = f.containsKey("opId") ? ops.get(Long.parseLong(f.get("opId"))) : null;
-    if (op == null) {
+    SimulatedRequest request = fields.containsKey("opId") ? requests.get(Long.parseLong(fields.get("opId"))) : null;
+    if (request == null) {
       return;
     }
-    switch (f.get("")) {
-      case "admit" -> admit(op);
-      case "deny", "report_failure" -> answered(op);
-      case "suspend" -> suspend(op);
-      case "call" -> call(op, f.get("notPast"));
-      case "fall_back" -> resume(op);
+    switch (fields.get("")) {
+      case "admit" -> dispatch(request);
+      case "deny", "report_failure" -> handleAnswer(request);
+      case "suspend" -> preempt(request);
+      case "call" -> call(request, fields.get("notPast"));
+      case "fall_back" -> resume(request);
       case "memo" -> {
-        Long before = entries.put(op.key, op.id);
+        Long before = retainedKeys.put(request.key, request.id);
         if (before != null) {
-          earlier.put(op.key, before);
+          previousKeys.put(request.key, before);
         }
-        entryEnds.put(op.key, now + micros(f.get("ttl")));
+        keyExpiries.put(request.key, now + micros(fields.get("ttl")));
       }
       case "release_key" -> {
-        // A repeat that was on its way may still name an entry that is gone.
-        if (entries.getOrDefault(op.key, 0L) == op.id && random.nextInt(4) == 0) {
-          entries.remove(op.key);
+        // A duplicate may refer to a key that was released while the duplicate was sent.
+        if (retainedKeys.getOrDefault(request.key, 0L) == request.id && random.nextInt(4) == 0) {
+          retainedKeys.remove(request.key);
         }
       }
-      case "attach" -> attach(op);
+      case "attach" -> attach(request);
       default -> {}
     }
   }
 
   private static long micros(String seconds) {
-    return Math.round(Double.parseDouble(seconds) * SECOND);
+    return Math.round(Double.parseDouble(seconds) * MICROS_PER_SECOND);
   }
 
-  private void timer(Map<String, String> f) {
-    long late =
-        phase == Phase.HOST_STALLS && random.nextInt(3) == 0 ? random.nextInt(900) * MILLI : 0;
-    int life = lives;
+  private void scheduleTimer(Map<String, String> fields) {
+    long lateness =
+        phase == Phase.HOST_STALLS && random.nextInt(3) == 0 ? random.nextInt(900) * MICROS_PER_MILLI : 0;
+    int setInProcess = restarts;
     after(
-        micros(f.get("sleepFor")) + late,
+        micros(fields.get("sleepFor")) + lateness,
         () -> {
-          if (life != lives) {
+          if (setInProcess != restarts) {
             return;
           }
-          List<Object> gauges = new ArrayList<>(List.of("label", f.get("label")));
+          List<Object> gauges = new ArrayList<>(List.of("label", fields.get("label")));
           if (random.nextInt(40) > 0) {
             gauges.addAll(List.of("usage", usage()));
           }
@@ -509,190 +512,193 @@
   }
 
   private String usage() {
-    double busy = random.nextInt(5) == 0 ? random.nextDouble() : Math.min(1, running * 1.0 / cores);
+    double busy = random.nextInt(5) == 0 ? random.nextDouble() : Math.min(1, executing * 1.0 / cores);
     boolean idle = List.of(Phase.CALLS_SLOW, Phase.CALLS_HANG, Phase.BIG_REQUESTS).contains(phase);
     busy = idle ? busy / 2 : busy;
-    String first = Double.toString(Math.round(busy * 100) / 100.0);
-    if (facts.at("/specifics/gauges").size() < 2) {
-      return first;
+    String utilization = Double.toString(Math.round(busy * 100) / 100.0);
+    if (settings.at("/specifics/gauges").size() < 2) {
+      return utilization;
     }
-    int wanting = idle ? running / 3 : running; // the others wait for a disk
-    int runnable = wanting + (random.nextInt(4) == 0 ? random.nextInt(9) : 0);
-    String row = first + "," + runnable;
-    return facts.at("/specifics/gauges").size() < 4 ? row : row + ",0.4," + (20 + running);
+    int onCores = idle ? executing / 3 : executing; // the others wait for a disk
+    int runnable = onCores + (random.nextInt(4) == 0 ? random.nextInt(9) : 0);
+    String gauges = utilization + "," + runnable;
+    return settings.at("/specifics/gauges").size() < 4 ? gauges : gauges + ",0.4," + (20 + executing);
   }
 
-  private void admit(Op op) {
-    if (op.state == State.OVER) {
-      after(4 * MILLI, () -> event("work_done", "opId", op.id, "status", "void"));
+  private void dispatch(SimulatedRequest request) {
+    if (request.state == State.DONE) {
+      after(4 * MICROS_PER_MILLI, () -> event("work_done", "opId", request.id, "status", "void"));
       return;
     }
-    op.state = State.RUNNING;
-    op.ran = true;
-    op.began = now;
-    running++;
-    boolean calls = facts.at("/specifics/classCalls/" + op.type).asBoolean();
-    op.callsLeft = calls ? random.nextInt(3) : 0;
-    double work =
-        op.cost > 0 ? op.cost : 0.2 * (0.3 + random.nextDouble() * random.nextDouble() * 4);
-    work *= Math.max(1, 1.0 * running / cores) * fast * (0.7 + 0.6 * random.nextDouble());
-    if (phase == Phase.RUNS_SLOW) {
-      work *= severe ? 3 + 20 * Math.pow(random.nextDouble(), 4) : 2.2;
-    }
-    int failing = phase == Phase.RUNS_FAIL ? 2 : 25;
-    op.failed = random.nextInt(failing) == 0;
-    work *= phase == Phase.RUNS_FAIL && op.failed ? 0.1 : 1;
-    if (phase == Phase.RUNS_HANG) { // some end, slowly; the others hang
-      work = random.nextBoolean() ? work + 12 : work * 2.2;
-    }
-    op.rest = (long) (work * SECOND / (op.callsLeft + 1));
-    part(op);
-  }
-
-  /** The next part of a run: up to its next call or to its end. */
-  private void part(Op op) {
-    scheduled(
-        op,
-        op.rest,
+    request.state = State.EXECUTING;
+    request.executed = true;
+    request.startedAt = now;
+    executing++;
+    boolean calls = settings.at("/specifics/classCalls/" + request.classIndex).asBoolean();
+    request.callsLeft = calls ? random.nextInt(3) : 0;
+    double runSeconds =
+        request.cost > 0 ? request.cost : 0.2 * (0.3 + random.nextDouble() * random.nextDouble() * 4);
+    runSeconds *= Math.max(1, 1.0 * executing / cores) * runTimeFactor * (0.7 + 0.6 * random.nextDouble());
+    if (phase == Phase.EXECUTIONS_SLOW) {
+      runSeconds *= severe ? 3 + 20 * Math.pow(random.nextDouble(), 4) : 2.2;
+    }
+    int executionsPerFailure = phase == Phase.EXECUTIONS_FAIL ? 2 : 25;
+    request.failed = random.nextInt(executionsPerFailure) == 0;
+    runSeconds *= phase == Phase.EXECUTIONS_FAIL && request.failed ? 0.1 : 1;
+    if (phase == Phase.EXECUTIONS_HANG) { // some complete slowly; the others hang
+      runSeconds = random.nextBoolean() ? runSeconds + 12 : runSeconds * 2.2;
+    }
+    request.partMicros = (long) (runSeconds * MICROS_PER_SECOND / (request.callsLeft + 1));
+    scheduleNextPart(request);
+  }
+
+  /** Schedules the next part of an execution, up to its next call or to its end. */
+  private void scheduleNextPart(SimulatedRequest request) {
+    schedule(
+        request,
+        request.partMicros,
         () -> {
-          if (op.callsLeft == 0) {
-            done(op, op.failed ? "failure" : "success");
-          } else if (op.answered) {
-            done(op, "withdrawn");
+          if (request.callsLeft == 0) {
+            complete(request, request.failed ? "failure" : "success");
+          } else if (request.answered) {
+            complete(request, "withdrawn");
           } else {
-            op.callsLeft--;
-            op.state = State.AT_CALL;
-            running--;
-            event("ready_to_call", "opId", op.id);
+            request.callsLeft--;
+            request.state = State.BLOCKED;
+            executing--;
+            event("ready_to_call", "opId", request.id);
           }
         });
   }
 
-  /** Replaces whatever was scheduled for the request. */
-  private void scheduled(Op op, long in, Step step) {
-    int serial = ++op.serial;
+  /** Schedules the next step of a request, in place of one that is already scheduled. */
+  private void schedule(SimulatedRequest request, long delayMicros, Step step) {
+    int serial = ++request.serial;
     after(
-        in,
+        delayMicros,
         () -> {
-          if (op.serial == serial && op.state != State.OVER && ops.get(op.id) == op) {
+          if (request.serial == serial && request.state != State.DONE && requests.get(request.id) == request) {
             step.run();
           }
         });
   }
 
-  private void call(Op op, String notPast) {
-    if (op.state != State.AT_CALL) {
+  private void call(SimulatedRequest request, String callTimeoutAt) {
+    if (request.state != State.BLOCKED) {
       return;
     }
-    op.state = State.CALLING;
-    op.callBegan = now;
-    op.notPast = micros(notPast);
-    double takes = 0.03 + random.nextDouble() * 0.1;
-    takes *= phase == Phase.CALLS_SLOW ? 15 * random.nextDouble() : 1;
-    boolean never = random.nextInt(phase == Phase.CALLS_HANG ? 2 : 60) == 0;
+    request.state = State.CALLING;
+    request.callStartedAt = now;
+    request.callTimeoutAt = micros(callTimeoutAt);
+    double durationSeconds = 0.03 + random.nextDouble() * 0.1;
+    durationSeconds *= phase == Phase.CALLS_SLOW ? 15 * random.nextDouble() : 1;
+    boolean hangs = random.nextInt(phase == Phase.CALLS_HANG ? 2 : 60) == 0;
     boolean fails = random.nextInt(phase == Phase.CALLS_FAIL ? 2 : 20) == 0;
     String status =
         fails
             ? List.of("failure", "overloaded", "unreachable", "broken").get(random.nextInt(4))
             : "success";
-    long end = now + (long) (takes * SECOND);
-    boolean late = never || end > op.notPast;
-    scheduled(op, (late ? op.notPast : end) - now, () -> called(op, late ? "timed_out" : status));
+    long endsAt = now + (long) (durationSeconds * MICROS_PER_SECOND);
+    boolean timesOut = hangs || endsAt > request.callTimeoutAt;
+    schedule(
+        request,
+        (timesOut ? request.callTimeoutAt : endsAt) - now,
+        () -> completeCall(request, timesOut ? "timed_out" : status));
   }
 
-  private void called(Op op, String status) {
-    event("downstream", "opId", op.id, "costTime", seconds(now - op.callBegan), "status", status);
-    op.state = State.AT_CALL;
+  private void completeCall(SimulatedRequest request, String status) {
+    event("downstream", "opId", request.id, "costTime", seconds(now - request.callStartedAt), "status", status);
+    request.state = State.BLOCKED;
     if (status.equals("success")) {
-      resume(op);
+      resume(request);
     }
   }
 
-  private void resume(Op op) {
-    if (op.state != State.AT_CALL) {
+  private void resume(SimulatedRequest request) {
+    if (request.state != State.BLOCKED) {
       return;
     }
-    op.state = State.RUNNING;
-    running++;
-    part(op);
+    request.state = State.EXECUTING;
+    executing++;
+    scheduleNextPart(request);
   }
 
-  private void answered(Op op) {
-    boolean first = !op.answered;
-    op.answered = true;
-    if (op.state == State.HELD || op.state == State.ATTACHED) {
-      op.state = State.OVER;
-      endRiders(op);
-    } else if (op.state == State.CALLING && random.nextInt(3) == 0) {
-      // Its call ends first.
-      scheduled(op, 5 * MILLI, () -> callEndsAnswered(op));
-    } else if (op.state == State.AT_CALL || op.state == State.CALLING) {
-      scheduled(op, 1, () -> done(op, "withdrawn"));
+  private void handleAnswer(SimulatedRequest request) {
+    boolean firstAnswer = !request.answered;
+    request.answered = true;
+    if (request.state == State.QUEUED || request.state == State.ATTACHED) {
+      request.state = State.DONE;
+      completeAttached(request);
+    } else if (request.state == State.CALLING && random.nextInt(3) == 0) {
+      // Its call ends before its execution is reported as ended.
+      schedule(request, 5 * MICROS_PER_MILLI, () -> endCallOfAnswered(request));
+    } else if (request.state == State.BLOCKED || request.state == State.CALLING) {
+      schedule(request, 1, () -> complete(request, "withdrawn"));
     }
-    if (first) {
-      comeAgain(op);
+    if (firstAnswer) {
+      retryLater(request);
     }
   }
 
-  private void callEndsAnswered(Op op) {
+  private void endCallOfAnswered(SimulatedRequest request) {
     List<String> failed = List.of("failure", "overloaded", "unreachable", "broken", "timed_out");
-    called(op, failed.get(random.nextInt(failed.size())));
-    scheduled(op, 8 * MILLI, () -> done(op, "withdrawn"));
+    completeCall(request, failed.get(random.nextInt(failed.size())));
+    schedule(request, 8 * MICROS_PER_MILLI, () -> complete(request, "withdrawn"));
   }
 
-  private void suspend(Op op) {
-    if (op.state == State.RUNNING) {
-      scheduled(op, random.nextInt(60) * MILLI, () -> done(op, "withdrawn"));
+  private void preempt(SimulatedRequest request) {
+    if (request.state == State.EXECUTING) {
+      schedule(request, random.nextInt(60) * MICROS_PER_MILLI, () -> complete(request, "withdrawn"));
     }
   }
 
-  private void done(Op op, String status) {
-    event("work_done", "opId", op.id, "status", status, "costTime", seconds(now - op.began));
-    running -= op.state == State.RUNNING ? 1 : 0;
-    op.state = State.OVER;
-    op.failed = !status.equals("success");
-    if (op.failed && !op.answered) {
-      comeAgain(op);
+  private void complete(SimulatedRequest request, String status) {
+    event("work_done", "opId", request.id, "status", status, "costTime", seconds(now - request.startedAt));
+    executing -= request.state == State.EXECUTING ? 1 : 0;
+    request.state = State.DONE;
+    request.failed = !status.equals("success");
+    if (request.failed && !request.answered) {
+      retryLater(request);
     }
-    op.answered = true;
-    endRiders(op);
+    request.answered = true;
+    completeAttached(request);
     if (random.nextInt(40) == 0) {
-      withoutEffect(op);
+      sendIgnoredEvents(request);
     }
   }
 
-  /** Events about what is over, and about requests that are in no state for them. */
-  private void withoutEffect(Op over) {
-    event("downstream", "opId", over.id, "costTime", "0.01", "status", "success");
-    event("ready_to_call", "opId", over.id);
-    event("work_done", "opId", over.id, "status", "void");
-    event("cancelled_by_client", "opId", over.id);
-    for (Op op : ops.values()) {
-      if (op.state == State.RUNNING) {
-        event("downstream", "opId", op.id, "costTime", "0.01", "status", "success");
+  /** Sends events about an ended request, and one about a request in an unsuitable state. */
+  private void sendIgnoredEvents(SimulatedRequest ended) {
+    event("downstream", "opId", ended.id, "costTime", "0.01", "status", "success");
+    event("ready_to_call", "opId", ended.id);
+    event("work_done", "opId", ended.id, "status", "void");
+    event("cancelled_by_client", "opId", ended.id);
+    for (SimulatedRequest request : requests.values()) {
+      if (request.state == State.EXECUTING) {
+        event("downstream", "opId", request.id, "costTime", "0.01", "status", "success");
         return;
-      } else if (op.state == State.HELD || op.state == State.CALLING) {
-        event("ready_to_call", "opId", op.id);
+      } else if (request.state == State.QUEUED || request.state == State.CALLING) {
+        event("ready_to_call", "opId", request.id);
         return;
       }
     }
   }
 
-  private void attach(Op op) {
-    op.state = State.ATTACHED;
-    op.began = now;
-    Op prior = ops.get(op.prior);
-    if (prior == null || prior.state == State.OVER) {
-      boolean good = prior != null && prior.ran && !prior.failed;
-      scheduled(op, 8 * MILLI, () -> done(op, good ? "success" : "failure"));
+  private void attach(SimulatedRequest request) {
+    request.state = State.ATTACHED;
+    request.startedAt = now;
+    SimulatedRequest prior = requests.get(request.prior);
+    if (prior == null || prior.state == State.DONE) {
+      boolean succeeded = prior != null && prior.executed && !prior.failed;
+      schedule(request, 8 * MICROS_PER_MILLI, () -> complete(request, succeeded ? "success" : "failure"));
     }
   }
 
-  private void endRiders(Op prior) {
-    for (Op op : List.copyOf(ops.values())) {
-      if (op.state == State.ATTACHED && op.prior == prior.id) {
-        boolean good = prior.ran && !prior.failed;
-        scheduled(op, 8 * MILLI, () -> done(op, good ? "success" : "failure"));
+  private void completeAttached(SimulatedRequest prior) {
+    for (SimulatedRequest request : List.copyOf(requests.values())) {
+      if (request.state == State.ATTACHED && request.prior == prior.id) {
+        boolean succeeded = prior.executed && !prior.failed;
+        schedule(request, 8 * MICROS_PER_MILLI, () -> complete(request, succeeded ? "success" : "failure"));
       }
     }
   }
--- a/src/test/java/wharftrestle/DecisionRecordingTest.java
+++ b/src/test/java/wharftrestle/DecisionRecordingTest.java
@@ -19,50 +19,59 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Replays recorded events and compares every reply byte for byte. The events come from the files
- * alone, so one decision that differs cannot change what follows. {@link DecisionGenerator} says
- * how the files were made and when they may be made anew.
+ * Replays recorded events and compares every reply byte for byte. All events are read from the
+ * files, so a decision that differs does not change the events after it. {@link DecisionGenerator}
+ * describes how the files were generated and when they may be regenerated.
  */
 class DecisionRecordingTest {
 
   static List<Path> recordings() throws IOException {
-    try (Stream<Path> files = Files.list(DecisionGenerator.FOLDER)) {
+    try (Stream<Path> files = Files.list(DecisionGenerator.DIRECTORY)) {
       return files.filter(f -> f.toString().endsWith(".txt.gz")).sorted().toList();
     }
   }
 
   @ParameterizedTest
   @MethodSource("recordings")
-  void everyReplyIsAsRecorded(Path file) throws IOException {
+  void repliesEqualTheRecording(Path file) throws IOException {
     String name = file.getFileName().toString().replace(".txt.gz", "");
     DecisionGenerator.Endpoint endpoint =
-        name.startsWith("interface-") ? new AdmissionLines()::answer : DecisionGenerator.wire();
+        name.startsWith("interface-") ? new AdmissionLines()::process : DecisionGenerator.simulatorAdapter();
     List<String> lines = read(file);
     StringBuilder batch = new StringBuilder();
-    int at = 0;
-    while (at < lines.size()) {
+    int index = 0;
+    while (index < lines.size()) {
       batch.setLength(0);
-      while (at < lines.size() && !lines.get(at).startsWith(DecisionGenerator.REPLY)) {
-        batch.append(lines.get(at++)).append('\n');
+      while (index < lines.size() && !lines.get(index).startsWith(DecisionGenerator.REPLY_PREFIX)) {
+        batch.append(lines.get(index++)).append('\n');
       }
-      int first = at;
+      int first = index;
       StringBuilder expected = new StringBuilder();
-      while (at < lines.size() && lines.get(at).startsWith(DecisionGenerator.REPLY)) {
-        expected.append(lines.get(at++).substring(DecisionGenerator.REPLY.length())).append('\n');
+      while (index < lines.size() && lines.get(index).startsWith(DecisionGenerator.REPLY_PREFIX)) {
+        expected
+            .append(lines.get(index++).substring(DecisionGenerator.REPLY_PREFIX.length()))
+            .append('\n');
       }
-      String actual = endpoint.answer(batch.toString());
+      String actual = endpoint.process(batch.toString());
       if (!actual.contentEquals(expected)) {
         fail(difference(name, first + 1, expected.toString(), actual));
       }
     }
   }
 
-  /** The file's name tells the site and the seed. */
+  /**
+   * Returns a message about the first line that differs.
+   *
+   * @param name the name of the recording, which ends with '-' and the seed
+   * @param line line number of the first expected line in the recording
+   */
   private static String difference(String name, int line, String expected, String actual) {
-    String[] want = expected.split("\n", -1);
-    String[] have = actual.split("\n", -1);
+    String[] expectedLines = expected.split("\n", -1);
+    String[] actualLines = actual.split("\n", -1);
     int i = 0;
-    while (i < want.length && i < have.length && want[i].equals(have[i])) {
+    while (i < expectedLines.length
+        && i < actualLines.length
+        && expectedLines[i].equals(actualLines[i])) {
       i++;
     }
     int seed = name.lastIndexOf('-');
@@ -71,8 +80,8 @@
         name.substring(0, seed),
         name.substring(seed + 1),
         line + i,
-        i < want.length ? want[i] : "",
-        i < have.length ? have[i] : "");
+        i < expectedLines.length ? expectedLines[i] : "",
+        i < actualLines.length ? actualLines[i] : "");
   }
 
   private static List<String> read(Path file) throws IOException {
@@ -89,7 +98,7 @@
   }
 
   @Test
-  void bothSitesAreRecordedWithAtLeastTwentySeedsEach() throws IOException {
+  void bothSitesHaveAtLeastTwentyRecordings() throws IOException {
     for (String site : List.of("wire-shared-store-", "wire-no-store-")) {
       int seeds = 0;
       for (Path file : recordings()) {
@@ -98,10 +107,11 @@
         }
         seeds++;
         List<String> lines = read(file);
-        assertEquals(DecisionGenerator.REPLY + "ok", lines.get(lines.size() - 1), file.toString());
+        assertEquals(
+            DecisionGenerator.REPLY_PREFIX + "ok", lines.get(lines.size() - 1), file.toString());
         long events =
             lines.stream()
-                .filter(l -> !l.startsWith(DecisionGenerator.REPLY))
+                .filter(l -> !l.startsWith(DecisionGenerator.REPLY_PREFIX))
                 .filter(l -> !l.matches("(clock|at|commit)(\t.*)?"))
                 .count();
         assertTrue(events >= 1500, file + " has " + events + " events");
--- a/src/test/java/wharftrestle/EmbeddingExample.java
+++ b/src/test/java/wharftrestle/EmbeddingExample.java
@@ -5,7 +5,7 @@
 import wharftrestle.admission.AdmissionController;
 import wharftrestle.admission.AdmissionSettings;
 
-/** The example of the README, compiled here. */
+/** The example in the README, compiled as a test so that it remains valid. */
 final class EmbeddingExample {
   private EmbeddingExample() {}
 
--- a/src/test/java/wharftrestle/NoDeploymentTest.java
+++ b/src/test/java/wharftrestle/NoDeploymentTest.java
@@ -16,14 +16,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Nothing in the program, or in how it is started, goes by the name or a limit of one deployment;
- * the rig's plays may.
+ * Checks that neither the program nor the files that start it contain a name or a limit of one
+ * particular deployment. The test bed and the simulation are exempt.
  */
 class NoDeploymentTest {
-  /**
-   * Classes, tenants, zones and sites of the deployments served, besides those under deploy/sites.
-   */
-  private static final Set<String> KNOWN =
+  /** Names of classes, tenants, zones and sites of deployments that have no file in deploy/sites. */
+  private static final Set<String> OTHER_NAMES =
       Set.of(
           "windhoek",
           "khomas",
@@ -57,8 +55,8 @@
           "aluva",
           "thrissur");
 
-  /** Windows and the like that are no round figures: milliseconds. */
-  private static final Set<String> LIMITS = Set.of("23547", "11178", "21744");
+  /** Windows and deadlines of these deployments in milliseconds, if not round numbers. */
+  private static final Set<String> OTHER_LIMITS = Set.of("23547", "11178", "21744");
 
   private static final Pattern NAME =
       Pattern.compile("\\[\\[(class|tenant)]]\\s+name = \"([^\"]+)\"");
@@ -68,13 +66,13 @@
   private static final Pattern QUOTED =
       Pattern.compile("(?s)\"\"\".*?\"\"\"|\"(?:[^\"\\\\\\n]|\\\\.)*\"");
 
-  @TempDir private Path planted;
+  @TempDir private Path scannedDirectory;
 
-  /** Names, and figures as they may stand in code: whole, in seconds, with underscores. */
-  private record Words(Set<String> names, Set<String> figures) {
-    static Words read() throws IOException {
-      Words words = new Words(new TreeSet<>(KNOWN), new TreeSet<>());
-      Set<String> limits = new TreeSet<>(LIMITS);
+  /** Names, and limits as code may contain them: with or without underscores, or in seconds. */
+  private record ForbiddenWords(Set<String> names, Set<String> limitForms) {
+    static ForbiddenWords read() throws IOException {
+      ForbiddenWords words = new ForbiddenWords(new TreeSet<>(OTHER_NAMES), new TreeSet<>());
+      Set<String> limits = new TreeSet<>(OTHER_LIMITS);
       try (Stream<Path> sites = Files.list(Path.of("deploy/sites"))) {
         for (Path site :
             (Iterable<Path>) sites.filter(each -> each.toString().endsWith(".toml"))::iterator) {
@@ -94,65 +92,65 @@
         }
       }
       for (String limit : limits) {
-        int thousand = limit.length() - 3;
-        words.figures.add(limit);
-        words.figures.add(limit.substring(0, thousand) + "_" + limit.substring(thousand));
-        words.figures.add(limit.substring(0, thousand) + "." + limit.substring(thousand));
+        int thousands = limit.length() - 3;
+        words.limitForms.add(limit);
+        words.limitForms.add(limit.substring(0, thousands) + "_" + limit.substring(thousands));
+        words.limitForms.add(limit.substring(0, thousands) + "." + limit.substring(thousands));
       }
       return words;
     }
   }
 
-  private static void look(String where, String text, Set<String> words, List<String> found) {
+  private static void search(String path, String text, Set<String> words, List<String> matches) {
     for (String word : words) {
-      Matcher at =
+      Matcher matcher =
           Pattern.compile("(?i)(?<![\\w.])" + Pattern.quote(word) + "(?![\\w])").matcher(text);
-      if (at.find()) {
-        found.add(where + ": " + word);
+      if (matcher.find()) {
+        matches.add(path + ": " + word);
       }
     }
   }
 
-  private static List<String> scan(Path root, Words words) throws IOException {
-    List<String> found = new ArrayList<>();
+  private static List<String> scan(Path root, ForbiddenWords words) throws IOException {
+    List<String> matches = new ArrayList<>();
     try (Stream<Path> files = Files.walk(root)) {
       for (Path file : (Iterable<Path>) files.filter(Files::isRegularFile).sorted()::iterator) {
-        String where = root.relativize(file).toString();
+        String path = root.relativize(file).toString();
         String text = Files.readString(file);
-        if (where.contains("wharftrestle/testbed/") || where.contains("wharftrestle/simulation/")) {
+        if (path.contains("wharftrestle/testbed/") || path.contains("wharftrestle/simulation/")) {
           continue;
         }
-        if (where.endsWith(".java")) {
+        if (path.endsWith(".java")) {
           String code = COMMENT.matcher(text).replaceAll("");
           QUOTED
               .matcher(code)
               .results()
-              .forEach(each -> look(where, each.group(), words.names(), found));
-          look(where, QUOTED.matcher(code).replaceAll("\"\""), words.figures(), found);
+              .forEach(each -> search(path, each.group(), words.names(), matches));
+          search(path, QUOTED.matcher(code).replaceAll("\"\""), words.limitForms(), matches);
         } else {
-          look(where, text, words.names(), found);
-          look(where, text, words.figures(), found);
+          search(path, text, words.names(), matches);
+          search(path, text, words.limitForms(), matches);
         }
       }
     }
-    return found;
+    return matches;
   }
 
   @Test
-  void nothingIsFittedToADeployment() throws IOException {
-    Words words = Words.read();
+  void programAndStartFilesContainNoDeploymentNamesOrLimits() throws IOException {
+    ForbiddenWords words = ForbiddenWords.read();
     assertEquals(List.of(), scan(Path.of("src/main"), words));
     List<String> started = new ArrayList<>();
     for (String file : List.of("deploy/run.sh", "deploy/balancer.toml", "deploy/appliance.star")) {
-      look(file, Files.readString(Path.of(file)), words.names(), started);
-      look(file, Files.readString(Path.of(file)), words.figures(), started);
+      search(file, Files.readString(Path.of(file)), words.names(), started);
+      search(file, Files.readString(Path.of(file)), words.limitForms(), started);
     }
     assertEquals(List.of(), started);
   }
 
   @Test
-  void whatIsPlantedIsFound() throws IOException {
-    Path code = Files.createDirectories(planted.resolve("java/wharftrestle/net"));
+  void scanFindsNamesAndLimitsInCodeAndResources() throws IOException {
+    Path code = Files.createDirectories(scannedDirectory.resolve("java/wharftrestle/net"));
     Files.writeString(
         code.resolve("A.java"),
         """
@@ -164,9 +162,9 @@
                     static final String PLAIN = "an outcomes";
                 }
                 """);
-    Path rig = Files.createDirectories(planted.resolve("java/wharftrestle/testbed"));
+    Path rig = Files.createDirectories(scannedDirectory.resolve("java/wharftrestle/testbed"));
     Files.writeString(rig.resolve("B.java"), "class B { String name = \"outcome\"; }\n");
-    Files.writeString(planted.resolve("run.json"), "{\"name\": \"mooring-fee\", \"ms\": 3137}\n");
+    Files.writeString(scannedDirectory.resolve("run.json"), "{\"name\": \"mooring-fee\", \"ms\": 3137}\n");
     assertEquals(
         List.of(
             "java/wharftrestle/net/A.java: prefill",
@@ -174,6 +172,6 @@
             "java/wharftrestle/net/A.java: 23.547",
             "run.json: mooring-fee",
             "run.json: 3137"),
-        scan(planted, Words.read()));
+        scan(scannedDirectory, ForbiddenWords.read()));
   }
 }
--- a/src/test/java/wharftrestle/WireAdapterTest.java
+++ b/src/test/java/wharftrestle/WireAdapterTest.java
@@ -12,7 +12,7 @@
 import wharftrestle.admission.AdmissionController;
 import wharftrestle.simulator.SimulatorAdapter;
 
-/** The wire by hand-written lines. */
+/** Tests {@link SimulatorAdapter} with hand-written protocol lines. */
 class WireAdapterTest {
   private static final String FACTS =
       "{\"categories\":[{\"deadline\":6,\"slo\":2,\"importance\":1,"
@@ -35,24 +35,25 @@
     return "at\tinstance=" + instance + "\nspawn\tprng=18446744073709551615\tfacts=" + FACTS;
   }
 
+  /** Serves a batch that contains this line, and returns the reply's line with the error. */
   private static String crash(String line) throws IOException {
-    String said =
+    String reply =
         serve("clock\tnow=1", spawn(3), "commit", "clock\tnow=2", "at\tinstance=3", line, "commit");
-    assertTrue(said.endsWith("\nok\n"), said);
-    String[] parts = said.split("\n", 0);
-    assertTrue(parts[parts.length - 2].startsWith("crash\tline="), said);
-    assertFalse(said.contains("\tat "), said);
-    return parts[parts.length - 2];
+    assertTrue(reply.endsWith("\nok\n"), reply);
+    String[] lines = reply.split("\n", 0);
+    assertTrue(lines[lines.length - 2].startsWith("crash\tline="), reply);
+    assertFalse(reply.contains("\tat "), reply);
+    return lines[lines.length - 2];
   }
 
   @Test
-  void anEmptyBatchIsAnsweredByOkAlone() throws IOException {
+  void replyToEmptyBatchIsOk() throws IOException {
     assertEquals("ok\n", serve("clock\tnow=8.41225", "commit"));
     assertEquals("", serve());
   }
 
   @Test
-  void actionsStandUnderTheirInstanceInTheOrderAsked() throws IOException {
+  void actionsAreListedByInstanceInTheOrderRequested() throws IOException {
     assertEquals(
         "source\tinstance=3\nset_health\twant=1\tcheap=1\n"
             + "source\tinstance=5\nset_health\twant=1\tcheap=1\nok\n"
@@ -70,7 +71,7 @@
   }
 
   @Test
-  void unknownMessagesAndFieldsAreSkipped() throws IOException {
+  void unknownEventsAndFieldsAreIgnored() throws IOException {
     assertEquals(
         "source\tinstance=3\nset_health\twant=1\tcheap=1\nok\nok\n",
         serve(
@@ -86,7 +87,7 @@
   }
 
   @Test
-  void aMalformedLineIsNamed() throws IOException {
+  void errorForMalformedLineNamesFieldAndLine() throws IOException {
     assertTrue(crash("arrival\topId=7\tservice=0").contains("missing field 'kb' of 'arrival'"));
     assertTrue(crash("arrival\topId=x7\tservice=0\tkb=1").contains("unreadable field 'opId'"));
     assertTrue(crash("work_done\topId=7\tstatus=splendid").contains("unknown status 'splendid'"));
@@ -96,13 +97,13 @@
   }
 
   @Test
-  void anExceptionOfTheModuleIsNamed() throws IOException {
+  void exceptionOfAdmissionControlIsReported() throws IOException {
     assertTrue(crash("arrival\topId=7\tservice=9\tkb=1").contains("exception"));
   }
 
   @Test
-  void whatDiedIsForgottenAndMayStartAgain() throws IOException {
-    String said =
+  void instanceRestartsWithoutStateAfterDown() throws IOException {
+    String reply =
         serve(
             "clock\tnow=1",
             spawn(3),
@@ -116,6 +117,6 @@
     assertEquals(
         "source\tinstance=3\nset_health\twant=1\tcheap=1\nok\n"
             + "source\tinstance=3\nset_health\twant=1\tcheap=1\nok\n",
-        said);
+        reply);
   }
 }
