--- a/src/main/java/wharftrestle/admission/Admission.java
+++ b/src/main/java/wharftrestle/admission/Admission.java
@@ -209,10 +209,10 @@
     /** Resumes a request that is blocked on a dependency call, without the call. */
     void skipCall(long id);
 
-    /** Retains the key of the request in the table of idempotency keys for this long from now. */
+    /** Enters the key of the request into the table of retained keys for this long from now. */
     void retainKey(long id, double seconds);
 
-    /** Removes the key of the request from the table of idempotency keys. */
+    /** Removes the key of the request from the table of retained keys. */
     void releaseKey(long id);
 
     /** Answers a queued request with the result of the request that it duplicates. */
--- a/src/main/java/wharftrestle/admission/OutlierDetector.java
+++ b/src/main/java/wharftrestle/admission/OutlierDetector.java
@@ -17,8 +17,8 @@
  *       measure. It counts as an outlier only if few arrivals are retries, since in a retry storm
  *       all hosts are in this state.
  *   <li>After an ejection the host stays in the list for a trial period that is at least as long as
- *       a mean ejection. The periods are random, hence not synchronized between hosts, so that
- *       about half of the hosts remain in the list if all of them are unhealthy.
+ *       a mean ejection. Ejections have random lengths, so they are not synchronized between hosts,
+ *       and about half of the hosts remain in the list if all of them are unhealthy.
  *   <li>Executions in flight also appear overdue if this host was stalled or if their commands
  *       waited before the worker pool read them. They make the host an outlier only if completed
  *       executions were slow too, or if none completes.
--- a/src/main/java/wharftrestle/admission/RequestTable.java
+++ b/src/main/java/wharftrestle/admission/RequestTable.java
@@ -40,7 +40,7 @@
     return queued;
   }
 
-  /** Returns the requests whose dependency call is to be made, in the order of calls; not a copy. */
+  /** Returns the blocked requests in the order in which they last blocked; not a copy. */
   ArrayDeque<TrackedRequest> blocked() {
     return blocked;
   }
--- a/src/test/java/wharftrestle/DecisionGenerator.java
+++ b/src/test/java/wharftrestle/DecisionGenerator.java
@@ -122,8 +122,8 @@
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
   private final Map<Long, SimulatedRequest> requests = new LinkedHashMap<>();
-  private final Map<String, Long> retainedKeys = new LinkedHashMap<>();
-  private final Map<String, Long> previousKeys = new LinkedHashMap<>(); // request before the present one
+  private final Map<String, Long> retainedKeys = new LinkedHashMap<>(); // request ids by key
+  private final Map<String, Long> previousRetainedKeys = new LinkedHashMap<>(); // ids before the present ones
   private final Map<String, Long> keyExpiries = new LinkedHashMap<>();
   private final int classes;
   private final int cores;
@@ -305,7 +305,7 @@
     restarts++;
     requests.clear();
     retainedKeys.clear();
-    previousKeys.clear();
+    previousRetainedKeys.clear();
     executing = 0;
     spawn();
   }
@@ -384,7 +384,7 @@
     }
     Long prior = request.key == null ? null : retainedKeys.get(request.key);
     if (prior != null && keyExpiries.get(request.key) >= now) {
-      request.prior = random.nextInt(8) == 0 ? previousKeys.getOrDefault(request.key, prior) : prior;
+      request.prior = random.nextInt(8) == 0 ? previousRetainedKeys.getOrDefault(request.key, prior) : prior;
     } else if (keyed && random.nextInt(60) == 0) {
       request.prior = 1_000_000 + request.id; // a request that is unknown to the admission control
     }
@@ -474,7 +474,7 @@
       case "memo" -> {
         Long before = retainedKeys.put(request.key, request.id);
         if (before != null) {
-          previousKeys.put(request.key, before);
+          previousRetainedKeys.put(request.key, before);
         }
         keyExpiries.put(request.key, now + micros(fields.get("ttl")));
       }
--- a/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
+++ b/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
@@ -639,7 +639,7 @@
     long hangs = host.arriveInBatch(Sites.LONG);
     for (int i = 0; i < 44; i++) {
       long id = host.arriveInBatch(Sites.LONG);
-      host.advanceTime(i % 4 == 3 ? 0.08 : 0.02); // their mean is 1.75 times the least seen
+      host.advanceTime(i % 4 == 3 ? 0.08 : 0.02); // their mean is 1.75 times the minimum
       host.complete(id, Admission.Outcome.SUCCESS);
       assertTrue(host.healthy, "unhealthy after execution " + i);
     }
--- a/src/test/java/wharftrestle/NoDeploymentTest.java
+++ b/src/test/java/wharftrestle/NoDeploymentTest.java
@@ -140,12 +140,12 @@
   void programAndStartFilesContainNoDeploymentNamesOrLimits() throws IOException {
     ForbiddenWords words = ForbiddenWords.read();
     assertEquals(List.of(), scan(Path.of("src/main"), words));
-    List<String> started = new ArrayList<>();
+    List<String> inStartFiles = new ArrayList<>();
     for (String file : List.of("deploy/run.sh", "deploy/balancer.toml", "deploy/appliance.star")) {
-      search(file, Files.readString(Path.of(file)), words.names(), started);
-      search(file, Files.readString(Path.of(file)), words.limitForms(), started);
+      search(file, Files.readString(Path.of(file)), words.names(), inStartFiles);
+      search(file, Files.readString(Path.of(file)), words.limitForms(), inStartFiles);
     }
-    assertEquals(List.of(), started);
+    assertEquals(List.of(), inStartFiles);
   }
 
   @Test
@@ -162,8 +162,8 @@
                     static final String PLAIN = "an outcomes";
                 }
                 """);
-    Path rig = Files.createDirectories(scannedDirectory.resolve("java/wharftrestle/testbed"));
-    Files.writeString(rig.resolve("B.java"), "class B { String name = \"outcome\"; }\n");
+    Path testbed = Files.createDirectories(scannedDirectory.resolve("java/wharftrestle/testbed"));
+    Files.writeString(testbed.resolve("B.java"), "class B { String name = \"outcome\"; }\n");
     Files.writeString(scannedDirectory.resolve("run.json"), "{\"name\": \"mooring-fee\", \"ms\": 3137}\n");
     assertEquals(
         List.of(
