--- a/src/main/java/wharftrestle/admission/Admission.java
+++ b/src/main/java/wharftrestle/admission/Admission.java
@@ -203,7 +203,9 @@
     /** Drops or pauses an execution; this does not answer the request. */
     void preempt(long id);
 
-    /** Makes the dependency call that a request is blocked on; it times out at {@code timeoutAt}. */
+    /**
+     * Makes the dependency call that a request is blocked on; it times out at {@code timeoutAt}.
+     */
     void callDependency(long id, double timeoutAt);
 
     /** Resumes a request that is blocked on a dependency call, without the call. */
--- a/src/main/java/wharftrestle/admission/CallTimeLimit.java
+++ b/src/main/java/wharftrestle/admission/CallTimeLimit.java
@@ -39,8 +39,7 @@
    * repeat calls that are about to succeed.
    */
   double timeoutAt(double now, TrackedRequest request) {
-    double multiple =
-        request.isIdempotent() ? TIMEOUT_MULTIPLE : UNREPEATABLE_TIMEOUT_MULTIPLE;
+    double multiple = request.isIdempotent() ? TIMEOUT_MULTIPLE : UNREPEATABLE_TIMEOUT_MULTIPLE;
     double timeoutSeconds =
         Math.max(
             MIN_TIMEOUT_OBJECTIVE_FRACTION * request.requestClass.latencyObjectiveSeconds(),
--- a/src/main/java/wharftrestle/admission/DeadlineEnforcer.java
+++ b/src/main/java/wharftrestle/admission/DeadlineEnforcer.java
@@ -42,9 +42,7 @@
   /** Returns when this request must be answered or preempted next; infinity if never. */
   double nextDueAt(TrackedRequest request) {
     if (request.answered) {
-      return mayPreempt && isPreemptible(request)
-          ? neededUntil(request)
-          : Double.POSITIVE_INFINITY;
+      return mayPreempt && isPreemptible(request) ? neededUntil(request) : Double.POSITIVE_INFINITY;
     }
     return mayPreempt && request.isStarted() && hasNoWeightAfterObjective(request)
         ? request.objectiveAt
--- a/src/main/java/wharftrestle/admission/DependencyCallBudget.java
+++ b/src/main/java/wharftrestle/admission/DependencyCallBudget.java
@@ -13,7 +13,9 @@
   /** Fraction of the quota, over its window, that one burst may spend. */
   private static final double BURST_FRACTION = 0.35;
 
-  /** Fraction of the quota that is allowed in flight, also in steady state, while calls are fast. */
+  /**
+   * Fraction of the quota that is allowed in flight, also in steady state, while calls are fast.
+   */
   private static final double FAST_FRACTION = 0.5;
 
   /** The same while calls are slow. */
@@ -137,8 +139,7 @@
 
   /** Returns the calls that may be in flight. */
   private double allowedCalls() {
-    double fraction =
-        FAST_FRACTION * Math.min(1, SLOW_MULTIPLE * minimumMeanSeconds / meanSeconds);
+    double fraction = FAST_FRACTION * Math.min(1, SLOW_MULTIPLE * minimumMeanSeconds / meanSeconds);
     return Math.max(SLOW_FRACTION, fraction) * quotaFraction * settings.quota();
   }
 }
--- a/src/main/java/wharftrestle/admission/StallDetector.java
+++ b/src/main/java/wharftrestle/admission/StallDetector.java
@@ -1,8 +1,8 @@
 package wharftrestle.admission;
 
 /**
- * Measures recent stalls of this host by the lateness of its timers. A measured run time may contain
- * a delay of this length that is caused by the host itself.
+ * Measures recent stalls of this host by the lateness of its timers. A measured run time may
+ * contain a delay of this length that is caused by the host itself.
  */
 final class StallDetector {
   /** Lateness of a timer that is not a stall; reading the gauges for it delays a timer. */
--- a/src/main/java/wharftrestle/simulator/SimulatorAdapter.java
+++ b/src/main/java/wharftrestle/simulator/SimulatorAdapter.java
@@ -51,8 +51,8 @@
 
   /**
    * Processes batches until the input ends. A batch ends with the line {@code commit}, on which its
-   * reply is written. After an error the remaining lines of the batch are skipped, and the reply is
-   * a line {@code crash} with the error.
+   * reply is written. After an error the remaining lines of the batch are skipped, and the reply
+   * contains a line {@code crash} with the error instead of actions.
    */
   public void serve(InputStream in, OutputStream out) throws IOException {
     BufferedReader lines =
@@ -138,13 +138,16 @@
                       line.number("timeBudget", 0),
                       line.number("prio", 0)));
       case "work_done" ->
-          startedInstance().completed(now, line.id("opId"), outcome(line), line.number("costTime", 0));
+          startedInstance()
+              .completed(now, line.id("opId"), outcome(line), line.number("costTime", 0));
       case "ready_to_call" -> startedInstance().blockedOnCall(now, line.id("opId"));
       case "downstream" ->
-          startedInstance().callCompleted(now, line.id("opId"), outcome(line), line.number("costTime", 0));
+          startedInstance()
+              .callCompleted(now, line.id("opId"), outcome(line), line.number("costTime", 0));
       case "cancelled_by_client" -> startedInstance().callerGone(now, line.id("opId"));
       case "lame_duck" -> startedInstance().draining(now, line.number("timeBudget"));
-      case "timeout_fired" -> startedInstance().timerFired(now, line.id("label"), line.numbers("usage"));
+      case "timeout_fired" ->
+          startedInstance().timerFired(now, line.id("label"), line.numbers("usage"));
       default -> {}
     }
   }
--- a/src/test/java/wharftrestle/AdmissionLines.java
+++ b/src/test/java/wharftrestle/AdmissionLines.java
@@ -76,14 +76,17 @@
                   id(values, "forerunner"),
                   number(values, "timeBudget"),
                   number(values, "prio")));
-      case "work_done" -> events.completed(now, id(values, "opId"), outcome(values), number(values, "costTime"));
+      case "work_done" ->
+          events.completed(now, id(values, "opId"), outcome(values), number(values, "costTime"));
       case "ready_to_call" -> events.blockedOnCall(now, id(values, "opId"));
       case "downstream" ->
-          events.callCompleted(now, id(values, "opId"), outcome(values), number(values, "costTime"));
+          events.callCompleted(
+              now, id(values, "opId"), outcome(values), number(values, "costTime"));
       case "cancelled_by_client" -> events.callerGone(now, id(values, "opId"));
       case "lame_duck" -> events.draining(now, number(values, "timeBudget"));
       case "shares" -> events.quotaChanged(now, number(values, "part"));
-      case "timeout_fired" -> events.timerFired(now, id(values, "label"), numbers(values.get("usage")));
+      case "timeout_fired" ->
+          events.timerFired(now, id(values, "label"), numbers(values.get("usage")));
       case "commit" -> {
         if (events != null) {
           events.batchCompleted(now);
--- a/src/test/java/wharftrestle/DecisionGenerator.java
+++ b/src/test/java/wharftrestle/DecisionGenerator.java
@@ -123,7 +123,8 @@
           (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
   private final Map<Long, SimulatedRequest> requests = new LinkedHashMap<>();
   private final Map<String, Long> retainedKeys = new LinkedHashMap<>(); // request ids by key
-  private final Map<String, Long> previousRetainedKeys = new LinkedHashMap<>(); // ids before the present ones
+  private final Map<String, Long> previousRetainedKeys =
+      new LinkedHashMap<>(); // ids before the present ones
   private final Map<String, Long> keyExpiries = new LinkedHashMap<>();
   private final int classes;
   private final int cores;
@@ -140,7 +141,8 @@
   private boolean retrying; // some of the requests that are read late are retries
   private double runTimeFactor = 1; // factor of run times
 
-  private DecisionGenerator(long seed, ObjectNode settings, Endpoint endpoint, boolean viaInterface) {
+  private DecisionGenerator(
+      long seed, ObjectNode settings, Endpoint endpoint, boolean viaInterface) {
     this.random = new Random(seed);
     this.settings = settings;
     this.endpoint = endpoint;
@@ -168,12 +170,15 @@
   private static void write(String site, int seed, boolean viaInterface) throws IOException {
     ObjectNode settings =
         (ObjectNode)
-            new ObjectMapper().readTree(Files.readString(DIRECTORY.resolve("site-" + site + ".json")));
+            new ObjectMapper()
+                .readTree(Files.readString(DIRECTORY.resolve("site-" + site + ".json")));
     vary(settings, site, seed);
     Endpoint endpoint = viaInterface ? new AdmissionLines()::process : simulatorAdapter();
     String text = new DecisionGenerator(seed, settings, endpoint, viaInterface).record(seed);
-    String name = String.format("%s%s-%02d.txt.gz", viaInterface ? "interface-" : "wire-", site, seed);
-    try (OutputStream out = new BestCompressionGzip(Files.newOutputStream(DIRECTORY.resolve(name)))) {
+    String name =
+        String.format("%s%s-%02d.txt.gz", viaInterface ? "interface-" : "wire-", site, seed);
+    try (OutputStream out =
+        new BestCompressionGzip(Files.newOutputStream(DIRECTORY.resolve(name)))) {
       out.write(text.getBytes(StandardCharsets.UTF_8));
     }
   }
@@ -258,7 +263,10 @@
       }
       commit();
       long next = eventQueue.isEmpty() ? now : eventQueue.peek().at;
-      now = (Math.max(next, now + 4 * MICROS_PER_MILLI) + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI * MICROS_PER_MILLI;
+      now =
+          (Math.max(next, now + 4 * MICROS_PER_MILLI) + MICROS_PER_MILLI - 1)
+              / MICROS_PER_MILLI
+              * MICROS_PER_MILLI;
     }
     return recording.toString();
   }
@@ -361,7 +369,10 @@
     boolean keyed = repeat.equals("idempotency_key");
     boolean read = repeat.equals("read_like") && settings.at("/specifics/shareFor").asDouble() > 0;
     boolean hasKey = keyed || (read && random.nextInt(3) > 0);
-    request.key = original != null ? original.key : hasKey ? request.classIndex + "k" + random.nextInt(40) : null;
+    request.key =
+        original != null
+            ? original.key
+            : hasKey ? request.classIndex + "k" + random.nextInt(40) : null;
     request.retries = original == null ? 0 : original.retries + 1;
     boolean newCaller = phase == Phase.NEW_CALLERS || phase == Phase.NEW_CALLERS_LATE;
     request.caller = newCaller ? 100 + (int) request.id : random.nextInt(4);
@@ -375,7 +386,16 @@
     if (marked && retry) {
       fields.addAll(List.of("isRetry", 1));
     }
-    fields.addAll(List.of("lay", queueingDelay(), "service", request.classIndex, "kb", request.kb, "src", request.caller));
+    fields.addAll(
+        List.of(
+            "lay",
+            queueingDelay(),
+            "service",
+            request.classIndex,
+            "kb",
+            request.kb,
+            "src",
+            request.caller));
     if (request.cost > 0 && marked) { // only the site that marks retries sends cost hints
       fields.addAll(List.of("cost", request.cost));
     }
@@ -384,7 +404,8 @@
     }
     Long prior = request.key == null ? null : retainedKeys.get(request.key);
     if (prior != null && keyExpiries.get(request.key) >= now) {
-      request.prior = random.nextInt(8) == 0 ? previousRetainedKeys.getOrDefault(request.key, prior) : prior;
+      request.prior =
+          random.nextInt(8) == 0 ? previousRetainedKeys.getOrDefault(request.key, prior) : prior;
     } else if (keyed && random.nextInt(60) == 0) {
       request.prior = 1_000_000 + request.id; // a request that is unknown to the admission control
     }
@@ -398,7 +419,9 @@
     fields.addAll(List.of("prio", random.nextInt(100) / 100.0, "clientGroup", tenant()));
     event("arrival", fields.toArray());
     if (random.nextInt(12) == 0) {
-      after(200 * MICROS_PER_MILLI + random.nextInt(2500) * MICROS_PER_MILLI, () -> disconnectCaller(request));
+      after(
+          200 * MICROS_PER_MILLI + random.nextInt(2500) * MICROS_PER_MILLI,
+          () -> disconnectCaller(request));
     }
     if (request.key != null && random.nextInt(6) == 0) {
       after(random.nextInt(3000) * MICROS_PER_MILLI, () -> arrive(request));
@@ -448,7 +471,9 @@
 
   private void retryLater(SimulatedRequest request) {
     boolean storm = phase == Phase.RETRY_STORM || phase == Phase.LAST_RETRIES;
-    if (phase != Phase.LATE_READING && request.retries < 4 && random.nextInt(storm ? 5 : 3) > 0 == storm) {
+    if (phase != Phase.LATE_READING
+        && request.retries < 4
+        && random.nextInt(storm ? 5 : 3) > 0 == storm) {
       after((5 + random.nextInt(500)) * MICROS_PER_MILLI, () -> arrive(request));
     }
   }
@@ -461,7 +486,8 @@
       scheduleTimer(fields);
       return;
     }
-    SimulatedRequest request = fields.containsKey("opId") ? requests.get(Long.parseLong(fields.get("opId"))) : null;
+    SimulatedRequest request =
+        fields.containsKey("opId") ? requests.get(Long.parseLong(fields.get("opId"))) : null;
     if (request == null) {
       return;
     }
@@ -495,7 +521,9 @@
 
   private void scheduleTimer(Map<String, String> fields) {
     long lateness =
-        phase == Phase.HOST_STALLS && random.nextInt(3) == 0 ? random.nextInt(900) * MICROS_PER_MILLI : 0;
+        phase == Phase.HOST_STALLS && random.nextInt(3) == 0
+            ? random.nextInt(900) * MICROS_PER_MILLI
+            : 0;
     int setInProcess = restarts;
     after(
         micros(fields.get("sleepFor")) + lateness,
@@ -512,7 +540,8 @@
   }
 
   private String usage() {
-    double busy = random.nextInt(5) == 0 ? random.nextDouble() : Math.min(1, executing * 1.0 / cores);
+    double busy =
+        random.nextInt(5) == 0 ? random.nextDouble() : Math.min(1, executing * 1.0 / cores);
     boolean idle = List.of(Phase.CALLS_SLOW, Phase.CALLS_HANG, Phase.BIG_REQUESTS).contains(phase);
     busy = idle ? busy / 2 : busy;
     String utilization = Double.toString(Math.round(busy * 100) / 100.0);
@@ -522,7 +551,9 @@
     int onCores = idle ? executing / 3 : executing; // the others wait for a disk
     int runnable = onCores + (random.nextInt(4) == 0 ? random.nextInt(9) : 0);
     String gauges = utilization + "," + runnable;
-    return settings.at("/specifics/gauges").size() < 4 ? gauges : gauges + ",0.4," + (20 + executing);
+    return settings.at("/specifics/gauges").size() < 4
+        ? gauges
+        : gauges + ",0.4," + (20 + executing);
   }
 
   private void dispatch(SimulatedRequest request) {
@@ -537,8 +568,11 @@
     boolean calls = settings.at("/specifics/classCalls/" + request.classIndex).asBoolean();
     request.callsLeft = calls ? random.nextInt(3) : 0;
     double runSeconds =
-        request.cost > 0 ? request.cost : 0.2 * (0.3 + random.nextDouble() * random.nextDouble() * 4);
-    runSeconds *= Math.max(1, 1.0 * executing / cores) * runTimeFactor * (0.7 + 0.6 * random.nextDouble());
+        request.cost > 0
+            ? request.cost
+            : 0.2 * (0.3 + random.nextDouble() * random.nextDouble() * 4);
+    runSeconds *=
+        Math.max(1, 1.0 * executing / cores) * runTimeFactor * (0.7 + 0.6 * random.nextDouble());
     if (phase == Phase.EXECUTIONS_SLOW) {
       runSeconds *= severe ? 3 + 20 * Math.pow(random.nextDouble(), 4) : 2.2;
     }
@@ -577,7 +611,9 @@
     after(
         delayMicros,
         () -> {
-          if (request.serial == serial && request.state != State.DONE && requests.get(request.id) == request) {
+          if (request.serial == serial
+              && request.state != State.DONE
+              && requests.get(request.id) == request) {
             step.run();
           }
         });
@@ -607,7 +643,14 @@
   }
 
   private void completeCall(SimulatedRequest request, String status) {
-    event("downstream", "opId", request.id, "costTime", seconds(now - request.callStartedAt), "status", status);
+    event(
+        "downstream",
+        "opId",
+        request.id,
+        "costTime",
+        seconds(now - request.callStartedAt),
+        "status",
+        status);
     request.state = State.BLOCKED;
     if (status.equals("success")) {
       resume(request);
@@ -648,12 +691,20 @@
 
   private void preempt(SimulatedRequest request) {
     if (request.state == State.EXECUTING) {
-      schedule(request, random.nextInt(60) * MICROS_PER_MILLI, () -> complete(request, "withdrawn"));
+      schedule(
+          request, random.nextInt(60) * MICROS_PER_MILLI, () -> complete(request, "withdrawn"));
     }
   }
 
   private void complete(SimulatedRequest request, String status) {
-    event("work_done", "opId", request.id, "status", status, "costTime", seconds(now - request.startedAt));
+    event(
+        "work_done",
+        "opId",
+        request.id,
+        "status",
+        status,
+        "costTime",
+        seconds(now - request.startedAt));
     executing -= request.state == State.EXECUTING ? 1 : 0;
     request.state = State.DONE;
     request.failed = !status.equals("success");
@@ -690,7 +741,10 @@
     SimulatedRequest prior = requests.get(request.prior);
     if (prior == null || prior.state == State.DONE) {
       boolean succeeded = prior != null && prior.executed && !prior.failed;
-      schedule(request, 8 * MICROS_PER_MILLI, () -> complete(request, succeeded ? "success" : "failure"));
+      schedule(
+          request,
+          8 * MICROS_PER_MILLI,
+          () -> complete(request, succeeded ? "success" : "failure"));
     }
   }
 
@@ -698,7 +752,10 @@
     for (SimulatedRequest request : List.copyOf(requests.values())) {
       if (request.state == State.ATTACHED && request.prior == prior.id) {
         boolean succeeded = prior.executed && !prior.failed;
-        schedule(request, 8 * MICROS_PER_MILLI, () -> complete(request, succeeded ? "success" : "failure"));
+        schedule(
+            request,
+            8 * MICROS_PER_MILLI,
+            () -> complete(request, succeeded ? "success" : "failure"));
       }
     }
   }
--- a/src/test/java/wharftrestle/DecisionRecordingTest.java
+++ b/src/test/java/wharftrestle/DecisionRecordingTest.java
@@ -36,7 +36,9 @@
   void repliesEqualTheRecording(Path file) throws IOException {
     String name = file.getFileName().toString().replace(".txt.gz", "");
     DecisionGenerator.Endpoint endpoint =
-        name.startsWith("interface-") ? new AdmissionLines()::process : DecisionGenerator.simulatorAdapter();
+        name.startsWith("interface-")
+            ? new AdmissionLines()::process
+            : DecisionGenerator.simulatorAdapter();
     List<String> lines = read(file);
     StringBuilder batch = new StringBuilder();
     int index = 0;
--- a/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
+++ b/src/test/java/wharftrestle/GroupEdfSchedulerTest.java
@@ -6,9 +6,9 @@
 import static wharftrestle.RecordingHost.Phase.ATTACHED;
 import static wharftrestle.RecordingHost.Phase.BLOCKED;
 import static wharftrestle.RecordingHost.Phase.CALLING;
-import static wharftrestle.RecordingHost.Phase.QUEUED;
 import static wharftrestle.RecordingHost.Phase.DONE;
 import static wharftrestle.RecordingHost.Phase.EXECUTING;
+import static wharftrestle.RecordingHost.Phase.QUEUED;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -221,11 +221,14 @@
   @Test
   void answeredKeyedExecutionContinuesSoThatRetryCanAttach() {
     RecordingHost host = hostWithPausing();
-    long first = host.arrive(host.request(Sites.KEYED).resourceKey("k").remainingDeadline(0.4).build(), true);
+    long first =
+        host.arrive(
+            host.request(Sites.KEYED).resourceKey("k").remainingDeadline(0.4).build(), true);
     host.advanceTime(0.5);
     assertEquals("failed", host.answer(first));
     assertEquals(List.of(), host.preemptions());
-    long retry = host.arrive(host.request(Sites.KEYED).resourceKey("k").duplicateOf(first).build(), true);
+    long retry =
+        host.arrive(host.request(Sites.KEYED).resourceKey("k").duplicateOf(first).build(), true);
     assertEquals(ATTACHED, host.phase(retry));
     host.advanceTime(1.6);
     assertTrue(
@@ -245,13 +248,16 @@
     // 2.1 s old.
     long last = host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(3.9).build(), true);
     assertEquals("rejected", host.answer(last));
-    long recent = host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(5.9).build(), true);
+    long recent =
+        host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(5.9).build(), true);
     assertEquals(EXECUTING, host.phase(recent));
     host.complete(recent, Admission.Outcome.SUCCESS);
     // Forwarded after 1.9 s of the 3 s for which the client waits for a first attempt.
-    long forwarded = host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(1.1).build(), true);
+    long forwarded =
+        host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(1.1).build(), true);
     assertEquals("rejected", host.answer(forwarded));
-    long immediate = host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(3).build(), true);
+    long immediate =
+        host.arrive(host.request(Sites.SAVE).retry().remainingDeadline(3).build(), true);
     assertEquals(EXECUTING, host.phase(immediate));
   }
 
@@ -408,9 +414,11 @@
     }
     host.completeBatch();
     host.advanceTime(1);
-    assertTrue(host.withPhase(EXECUTING).size() >= 4, "executions " + host.withPhase(EXECUTING).size());
+    assertTrue(
+        host.withPhase(EXECUTING).size() >= 4, "executions " + host.withPhase(EXECUTING).size());
     host.advanceTime(4);
-    assertTrue(host.withPhase(EXECUTING).size() < 2 * 6, "executions " + host.withPhase(EXECUTING).size());
+    assertTrue(
+        host.withPhase(EXECUTING).size() < 2 * 6, "executions " + host.withPhase(EXECUTING).size());
   }
 
   @Test
@@ -426,7 +434,8 @@
     host.advanceTime(1);
     // At a speed of 0.25 to 0.33 the host survives 2 x (1 + 5 x 0.33) = 5.3 executions; the limit
     // is at most 0.7 of that.
-    assertTrue(host.withPhase(EXECUTING).size() <= 3, "executions " + host.withPhase(EXECUTING).size());
+    assertTrue(
+        host.withPhase(EXECUTING).size() <= 3, "executions " + host.withPhase(EXECUTING).size());
   }
 
   // ---- Dependency calls ----
@@ -472,8 +481,7 @@
         host.advanceTime(0.01);
       }
       double mean = host.callSeconds / (host.now - startedAt);
-      assertTrue(
-          mean <= Math.max(quota, 0.3), "mean calls in flight " + mean + ", quota " + quota);
+      assertTrue(mean <= Math.max(quota, 0.3), "mean calls in flight " + mean + ", quota " + quota);
       assertTrue(succeeded > 0, "no call succeeded with a quota of " + quota);
     }
   }
@@ -530,7 +538,10 @@
     long repeatable = host.arriveInBatch(Sites.READ);
     host.blockOnCall(repeatable);
     assertEquals(
-        0.5, host.requests.get(repeatable).callTimeoutAt - host.now, 0.1, "timeout of a repeatable call");
+        0.5,
+        host.requests.get(repeatable).callTimeoutAt - host.now,
+        0.1,
+        "timeout of a repeatable call");
     long unrepeatable = host.arriveInBatch(Sites.KEYED);
     host.blockOnCall(unrepeatable);
     assertEquals(
@@ -609,7 +620,8 @@
       assertEquals(
           EXECUTING, host.phase(id), "must be dispatched despite the congestion: " + host.log);
       host.blockOnCall(id);
-      host.withPhase(EXECUTING).forEach(skipped -> host.complete(skipped, Admission.Outcome.SUCCESS));
+      host.withPhase(EXECUTING)
+          .forEach(skipped -> host.complete(skipped, Admission.Outcome.SUCCESS));
     }
     assertTrue(
         host.log.stream().filter(line -> line.startsWith("skip ")).count() >= 5,
@@ -686,7 +698,10 @@
         host.blockOnCall(id);
       }
     }
-    int admitted = host.withPhase(QUEUED).size() + host.withPhase(BLOCKED).size() + host.withPhase(CALLING).size();
+    int admitted =
+        host.withPhase(QUEUED).size()
+            + host.withPhase(BLOCKED).size()
+            + host.withPhase(CALLING).size();
     assertTrue(admitted >= 1 && admitted <= 4, "admitted " + admitted);
   }
 
@@ -756,7 +771,8 @@
     Sites.Builder site = Sites.site();
     RecordingHost notSharing = new RecordingHost(site.build());
     long a = notSharing.arrive(notSharing.request(Sites.READ).resourceKey("s").build());
-    long b = notSharing.arrive(notSharing.request(Sites.READ).resourceKey("s").duplicateOf(a).build());
+    long b =
+        notSharing.arrive(notSharing.request(Sites.READ).resourceKey("s").duplicateOf(a).build());
     notSharing.completeBatch();
     assertEquals(EXECUTING, notSharing.phase(b));
     site.resultSharing = 1;
@@ -792,7 +808,9 @@
     }
     host.completeBatch();
     assertEquals(
-        1, host.withPhase(EXECUTING).size(), "a second execution would use more than half of the memory");
+        1,
+        host.withPhase(EXECUTING).size(),
+        "a second execution would use more than half of the memory");
     host.control.quotaChanged(host.now, 1);
     host.completeBatch();
     assertEquals(2, host.withPhase(EXECUTING).size());
@@ -908,8 +926,7 @@
   void inflationByContentionDoesNotMakeHostUnhealthy() {
     RecordingHost host = new RecordingHost(Sites.site().build());
     completeExecutions(host, Sites.LONG, 25, 0.2);
-    host.gauges =
-        new double[] {0.1, 0}; // cores idle, as executions wait for I/O: the limit rises
+    host.gauges = new double[] {0.1, 0}; // cores idle, as executions wait for I/O: the limit rises
     for (int i = 0; i < 60; i++) {
       host.arrive(host.request(Sites.LONG).build());
     }
--- a/src/test/java/wharftrestle/NoDeploymentTest.java
+++ b/src/test/java/wharftrestle/NoDeploymentTest.java
@@ -20,7 +20,9 @@
  * particular deployment. The test bed and the simulation are exempt.
  */
 class NoDeploymentTest {
-  /** Names of classes, tenants, zones and sites of deployments that have no file in deploy/sites. */
+  /**
+   * Names of classes, tenants, zones and sites of deployments that have no file in deploy/sites.
+   */
   private static final Set<String> OTHER_NAMES =
       Set.of(
           "windhoek",
@@ -164,7 +166,8 @@
                 """);
     Path testbed = Files.createDirectories(scannedDirectory.resolve("java/wharftrestle/testbed"));
     Files.writeString(testbed.resolve("B.java"), "class B { String name = \"outcome\"; }\n");
-    Files.writeString(scannedDirectory.resolve("run.json"), "{\"name\": \"mooring-fee\", \"ms\": 3137}\n");
+    Files.writeString(
+        scannedDirectory.resolve("run.json"), "{\"name\": \"mooring-fee\", \"ms\": 3137}\n");
     assertEquals(
         List.of(
             "java/wharftrestle/net/A.java: prefill",
--- a/src/test/java/wharftrestle/RandomSequencesTest.java
+++ b/src/test/java/wharftrestle/RandomSequencesTest.java
@@ -48,7 +48,8 @@
       }
       host.completeBatch();
       reportRandomEvents(host, random);
-      host.advanceTime(random.nextInt(100) == 0 ? random.nextDouble() * 0.05 : random.nextDouble() * 0.01);
+      host.advanceTime(
+          random.nextInt(100) == 0 ? random.nextDouble() * 0.05 : random.nextDouble() * 0.01);
     }
     if (drains) {
       host.advanceTime(Math.max(0, host.drainingSince + 5 - host.now));
@@ -118,7 +119,8 @@
             continue;
           }
           if (state.answered || random.nextInt(40) == 0) {
-            boolean calls = host.settings.classes().get(state.request.classIndex()).callsDependency();
+            boolean calls =
+                host.settings.classes().get(state.request.classIndex()).callsDependency();
             if (state.answered) {
               host.complete(id, Admission.Outcome.WITHDRAWN);
             } else if (calls && random.nextBoolean()) {
@@ -154,7 +156,9 @@
           if (prior == null || prior.phase == RecordingHost.Phase.DONE) {
             host.complete(
                 id,
-                prior != null && prior.executed ? Admission.Outcome.SUCCESS : Admission.Outcome.FAILURE);
+                prior != null && prior.executed
+                    ? Admission.Outcome.SUCCESS
+                    : Admission.Outcome.FAILURE);
           }
         }
         case DONE -> {}
--- a/src/test/java/wharftrestle/RecordingHost.java
+++ b/src/test/java/wharftrestle/RecordingHost.java
@@ -58,7 +58,8 @@
   final AdmissionController control;
   final Map<Long, RequestState> requests = new LinkedHashMap<>();
   final List<String> log = new ArrayList<>();
-  final PriorityQueue<ScheduledTimer> timers = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
+  final PriorityQueue<ScheduledTimer> timers =
+      new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
   final Map<String, Double> executedKeyArrivals = new LinkedHashMap<>();
   double now;
   double drainingSince = Double.POSITIVE_INFINITY;
@@ -142,7 +143,8 @@
 
   private void setClock(double to) {
     callSeconds +=
-        (to - now) * requests.values().stream().filter(state -> state.phase == Phase.CALLING).count();
+        (to - now)
+            * requests.values().stream().filter(state -> state.phase == Phase.CALLING).count();
     now = to;
   }
 
@@ -164,7 +166,8 @@
   void confirmPreemption(long id) {
     RequestState state = requests.get(id);
     assertTrue(
-        state.preemptionRequested && state.phase == Phase.EXECUTING, "no preemption requested for request " + id);
+        state.preemptionRequested && state.phase == Phase.EXECUTING,
+        "no preemption requested for request " + id);
     state.preemptionRequested = false;
     state.phase = state.answered ? Phase.DONE : Phase.PAUSED;
     control.completed(now, id, Admission.Outcome.WITHDRAWN, now - state.startedAt);
@@ -188,7 +191,9 @@
   void disconnectCaller(long id) {
     RequestState state = requests.get(id);
     state.answered = true;
-    if (state.phase == Phase.QUEUED || state.phase == Phase.PAUSED || state.phase == Phase.ATTACHED) {
+    if (state.phase == Phase.QUEUED
+        || state.phase == Phase.PAUSED
+        || state.phase == Phase.ATTACHED) {
       state.phase = Phase.DONE;
     }
     control.callerGone(now, id);
@@ -212,7 +217,10 @@
   }
 
   List<Long> withPhase(Phase phase) {
-    return requests.values().stream().filter(state -> state.phase == phase).map(state -> state.request.id()).toList();
+    return requests.values().stream()
+        .filter(state -> state.phase == phase)
+        .map(state -> state.request.id())
+        .toList();
   }
 
   List<String> dispatches() {
@@ -248,7 +256,11 @@
     for (RequestState state : requests.values()) {
       assertTrue(
           state.answered || now <= state.deadline + settings.timing().answerSlackSeconds(),
-          "request " + state.request.id() + " unanswered " + (now - state.deadline) + " s after its deadline");
+          "request "
+              + state.request.id()
+              + " unanswered "
+              + (now - state.deadline)
+              + " s after its deadline");
     }
   }
 
@@ -293,7 +305,8 @@
           "dispatched although its key is not retained for the idempotency window: request " + id);
       Double executedArrival = executedKeyArrivals.get(state.request.resourceKey());
       assertTrue(
-          executedArrival == null || state.arrivedAt > executedArrival + requestClass.idempotencyWindowSeconds(),
+          executedArrival == null
+              || state.arrivedAt > executedArrival + requestClass.idempotencyWindowSeconds(),
           "key executed twice within its window: " + state.request.resourceKey());
       executedKeyArrivals.put(state.request.resourceKey(), state.arrivedAt);
     }
@@ -308,10 +321,13 @@
     log.add("reject " + id);
     lastRetryAfter = retryAfterSeconds;
     lastRejectedEverywhere = everywhere;
-    assertFalse(isNonIdempotent(state) && state.executed, "rejected after it was executed: request " + id);
+    assertFalse(
+        isNonIdempotent(state) && state.executed, "rejected after it was executed: request " + id);
     assertTrue(retryAfterSeconds <= settings.retries().maxRetryAfterSeconds());
     setAnswer(state, "rejected");
-    if (state.phase == Phase.QUEUED || state.phase == Phase.PAUSED || state.phase == Phase.ATTACHED) {
+    if (state.phase == Phase.QUEUED
+        || state.phase == Phase.PAUSED
+        || state.phase == Phase.ATTACHED) {
       state.phase = Phase.DONE;
     }
   }
@@ -321,7 +337,9 @@
     RequestState state = find(id);
     log.add("fail " + id);
     setAnswer(state, "failed");
-    if (state.phase == Phase.QUEUED || state.phase == Phase.PAUSED || state.phase == Phase.ATTACHED) {
+    if (state.phase == Phase.QUEUED
+        || state.phase == Phase.PAUSED
+        || state.phase == Phase.ATTACHED) {
       state.phase = Phase.DONE;
     }
   }
@@ -375,7 +393,8 @@
     RequestState state = find(id);
     log.add("attach " + id);
     assertTrue(
-        state.request.duplicateOf() != 0, "attached although it duplicates no request: request " + id);
+        state.request.duplicateOf() != 0,
+        "attached although it duplicates no request: request " + id);
     assertEquals(Phase.QUEUED, state.phase);
     state.phase = Phase.ATTACHED;
     state.startedAt = now;
@@ -471,7 +490,18 @@
 
     Admission.Request build() {
       return new Admission.Request(
-          id, retry, queueingDelay, classIndex, tenant, memory, caller, costHint, resourceKey, duplicateOf, remainingDeadline, 0);
+          id,
+          retry,
+          queueingDelay,
+          classIndex,
+          tenant,
+          memory,
+          caller,
+          costHint,
+          resourceKey,
+          duplicateOf,
+          remainingDeadline,
+          0);
     }
   }
 }
--- a/src/test/java/wharftrestle/Sites.java
+++ b/src/test/java/wharftrestle/Sites.java
@@ -4,7 +4,9 @@
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.AdmissionSettings;
 
-/** Admission settings for tests; two cores by default, so that the concurrency limit starts at 2. */
+/**
+ * Admission settings for tests; two cores by default, so that the concurrency limit starts at 2.
+ */
 public final class Sites {
   static final int READ = 0;
   static final int SAVE = 1;
--- a/src/test/java/wharftrestle/WireAdapterTest.java
+++ b/src/test/java/wharftrestle/WireAdapterTest.java
@@ -93,7 +93,8 @@
     assertTrue(crash("work_done\topId=7\tstatus=splendid").contains("unknown status 'splendid'"));
     assertTrue(crash("lame_duck\ttimeBudget=NaN").contains("unreadable field 'timeBudget'"));
     assertTrue(crash("spawn\tprng=1\tfacts={nonsense").contains("unreadable settings"));
-    assertTrue(crash("spawn\tprng=1\tfacts={}").contains("missing key 'specifics' in the settings"));
+    assertTrue(
+        crash("spawn\tprng=1\tfacts={}").contains("missing key 'specifics' in the settings"));
   }
 
   @Test
