--- a/src/test/java/wharftrestle/FullTableTest.java
+++ b/src/test/java/wharftrestle/FullTableTest.java
@@ -25,9 +25,20 @@
 
   @TempDir private Path folder;
 
-  private Loopback box(Loopback elder, long bytes) throws Exception {
-    return new Loopback(
-        Sites.site(), NONE, 1024, folder.resolve("n1.sock"), elder, KeyMemoryBudget.of(bytes));
+  private Loopback box(Loopback elder, KeyMemoryBudget budget) throws Exception {
+    return new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), elder, budget);
+  }
+
+  /**
+   * Waits until no request has a reservation. Each is released after the reply: a key that is asked
+   * before that may be rejected although the table has memory for one more.
+   */
+  private static void awaitReservationsReleased(KeyMemoryBudget budget) throws Exception {
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
+    while (budget.reservations() > 0) {
+      assertTrue(System.nanoTime() < deadline, "a reservation was not released");
+      Thread.sleep(1);
+    }
   }
 
   private static void ask(Caller caller, int tag, String key) throws IOException {
@@ -47,7 +58,7 @@
   }
 
   /** Asks new keys, one by one and with the largest results, until one is refused; how many ran. */
-  private static int fill(Loopback box, Caller caller) throws Exception {
+  private static int fill(Loopback box, Caller caller, KeyMemoryBudget budget) throws Exception {
     for (int key = 1; ; key++) {
       ask(caller, key, "k" + key);
       Command run = awaitDispatchOrReply(box, caller);
@@ -61,15 +72,17 @@
       }
       box.finish(run.ref(), "good", 1, LARGE.substring(4) + String.format("%04d", key));
       assertEquals("done", caller.reply().word());
+      awaitReservationsReleased(budget);
       assertTrue(key < 1000, "nothing bounds the table");
     }
   }
 
   @Test
   void aNewKeyIsRefusedAtOnceAndAllElseGoesOn() throws Exception {
-    try (Loopback box = box(null, 300 << 10);
+    KeyMemoryBudget budget = KeyMemoryBudget.of(300 << 10);
+    try (Loopback box = box(null, budget);
         Caller caller = box.new Caller()) {
-      int ran = fill(box, caller);
+      int ran = fill(box, caller, budget);
       assertTrue(ran >= 20 && ran < 75, ran + " results of 4 kB in 300 kB");
       assertEquals(1, box.life.counters().get(Count.KEY_MEMORY_FULL));
       for (int key = 1; key <= ran; key++) {
@@ -101,10 +114,11 @@
   @Test
   void aFullTableGoesAlongInAnUpgrade() throws Exception {
     Files.writeString(folder.resolve("n1.sock"), "stale");
-    try (Loopback old = box(null, 300 << 10);
+    KeyMemoryBudget budget = KeyMemoryBudget.of(300 << 10);
+    try (Loopback old = box(null, budget);
         Caller before = old.new Caller()) {
-      int ran = fill(old, before);
-      try (Loopback next = box(old, 300 << 10)) {
+      int ran = fill(old, before, budget);
+      try (Loopback next = box(old, KeyMemoryBudget.of(300 << 10))) {
         next.awaitTaking();
         try (Caller after = next.new Caller()) {
           for (int key = 1; key <= ran; key++) {
@@ -124,10 +138,11 @@
   @Test
   void aProcessWithLessMemoryForgetsResultsButNoKey() throws Exception {
     Files.writeString(folder.resolve("n1.sock"), "stale");
-    try (Loopback old = box(null, 300 << 10);
+    KeyMemoryBudget budget = KeyMemoryBudget.of(300 << 10);
+    try (Loopback old = box(null, budget);
         Caller before = old.new Caller()) {
-      int ran = fill(old, before);
-      try (Loopback next = box(old, 120 << 10)) {
+      int ran = fill(old, before, budget);
+      try (Loopback next = box(old, KeyMemoryBudget.of(120 << 10))) {
         next.awaitTaking();
         try (Caller after = next.new Caller()) {
           int served = 0;
