--- a/src/main/java/wharftrestle/rollout/CanaryAnalysis.java
+++ b/src/main/java/wharftrestle/rollout/CanaryAnalysis.java
@@ -5,23 +5,25 @@
 import java.util.Map;
 
 /**
- * Decides whether a new release does worse than the old one, from windows of the same seconds of
- * all hosts. Each host is compared with the old hosts of its own zone, and with its own difference
- * from them before it was changed: so a slow machine, a lost zone, a burst or a dependency that
- * slows for all is no fault of the release.
+ * Decides whether a new release performs worse than the old one, from windows that cover the same
+ * seconds on all hosts. Each host is compared with the hosts of its zone that run the old release,
+ * and the difference that it had from them before it was changed is subtracted. A slow machine, a
+ * lost zone, a burst of requests or a dependency that is slow for all hosts therefore does not
+ * count against the release.
  *
- * <p>Each metric is a {@link ConfidenceSequence} of its own, by request class where it has any,
- * begun anew with each stage, as a fault may show only then. A release <em>fails</em> if the loss
- * is surely over a third of a metric's limit, and <em>passes</em> if it is surely under the limit
- * by every metric; else the verdict is inconclusive, as it is while nothing was compared. The
- * probability that a release that loses no more than the tolerated third fails is at most the
- * plan's, over all stages, metrics, classes and moments.
+ * <p>Each metric has its own {@link ConfidenceSequence}, or one for each request class where the
+ * metric is by class. The sequences restart in each stage, because a regression may appear only in
+ * that stage. A release <em>fails</em> if the lower bound of a loss is above a third of the
+ * metric's limit, and <em>passes</em> if the upper bound of every loss is below its limit;
+ * otherwise the verdict is inconclusive, as it is before the first comparison. A release whose loss
+ * stays within the tolerated third of the limits fails with at most the plan's error probability,
+ * over all stages, metrics, classes and moments.
  *
  * <p>Not thread-safe.
  */
 public final class CanaryAnalysis {
 
-  /** What a verdict says. */
+  /** The result of the analysis. */
   public enum Outcome {
     PASS("same"),
     FAIL("worse"),
@@ -33,23 +35,23 @@
       this.publishedName = publishedName;
     }
 
-    /** Its name in status, events and the daemons' metrics. */
+    /** The name in status, events and the daemons' metrics. */
     public String publishedName() {
       return publishedName;
     }
   }
 
-  /** A verdict with its reason, in one line. */
+  /** A verdict with its reason on one line. */
   public record Verdict(Outcome outcome, String reason) {}
 
   /**
-   * One metric as it stands.
+   * The current state of one metric.
    *
-   * @param requestClass empty for all
-   * @param loss of the new release beyond the old one
-   * @param lowerBound of the loss; infinite while too little is known
-   * @param upperBound of the loss; infinite while too little is known
-   * @param windows that were compared in this stage
+   * @param requestClass empty for all classes
+   * @param loss of the new release in excess of the old one
+   * @param lowerBound of the loss; infinite until there are enough windows
+   * @param upperBound of the loss; infinite until there are enough windows
+   * @param windows compared in this stage
    */
   public record Reading(
       CanaryMetric metric,
@@ -60,10 +62,13 @@
       double limit,
       long windows) {}
 
-  /** Fraction of all requests below which a class keeps no stage waiting: it may still fail it. */
+  /**
+   * Fraction of all requests below which a class does not delay the pass of a stage. Such a class
+   * can still fail the stage.
+   */
   private static final double SMALL_CLASS_FRACTION = 0.05;
 
-  /** Requests of a host below which a window says nothing of it. */
+  /** Requests of a host below which its window is not compared. */
   private static final long MIN_REQUESTS = 5;
 
   private final List<MetricSeries> series = new ArrayList<>();
@@ -71,11 +76,12 @@
   private long comparedWindows; // of this stage
 
   /**
-   * An analysis of one rollout.
+   * Creates the analysis of one rollout.
    *
-   * @param limits by metric; absent ones are not compared
-   * @param stages of the plan
-   * @param errorProbability that a release that does no worse fails, over everything
+   * @param limits by metric; metrics without a limit are not compared
+   * @param stages number of stages of the plan
+   * @param errorProbability of failing a release that is no worse, over all stages, metrics,
+   *     classes and moments
    */
   public CanaryAnalysis(
       Map<CanaryMetric, Double> limits,
@@ -96,28 +102,31 @@
     }
   }
 
-  /** A stage begins: what was seen of the new release before does not hide what shows only now. */
+  /**
+   * Begins a stage and discards the losses of the stages before it, which could hide a regression
+   * that appears only in this stage.
+   */
   public void beginStage() {
     series.forEach(MetricSeries::beginStage);
     comparedWindows = 0;
   }
 
-  /** A daemon died by itself. */
+  /** Records that a daemon died without being stopped. */
   public void onDaemonDeath(String host, boolean onNewRelease) {
     faults.onDaemonDeath(host, onNewRelease);
   }
 
-  /** A host rolled the new release back by itself; twice at one host is the release's fault. */
+  /** Records that a host rolled back on its own; two rollbacks of one host fail the release. */
   public void onHostRollback(String host, String reason) {
     faults.onHostRollback(host, reason);
   }
 
-  /** The new release broke a rule at a host: it fails whatever the metrics say. */
+  /** Fails the release, whatever the metrics are, because it broke a rule at a host. */
   public void onViolation(String host, String violated) {
     faults.onViolation(host, violated);
   }
 
-  /** Takes one window of all hosts. */
+  /** Adds one window with the samples of all hosts. */
   public void addWindow(List<HostSample> samples) {
     long newHosts = samples.stream().filter(HostSample::onNewRelease).count();
     faults.addWindow(newHosts, samples.size() - newHosts);
@@ -130,12 +139,12 @@
     comparedWindows += isCompared ? 1 : 0;
   }
 
-  /** All metrics as they stand in this stage. */
+  /** The current state of all metrics in this stage. */
   public List<Reading> readings() {
     return series.stream().map(MetricSeries::reading).toList();
   }
 
-  /** The verdict on this stage now. */
+  /** The current verdict on this stage. */
   public Verdict verdict() {
     if (!faults.fault().isEmpty()) {
       return new Verdict(Outcome.FAIL, faults.fault());
@@ -154,16 +163,16 @@
     return series.stream()
         .filter(each -> !each.isWithinLimit() && !isSmall(each))
         .findFirst()
-        .map(each -> new Verdict(Outcome.INCONCLUSIVE, each.openReason()))
-        .orElseGet(() -> new Verdict(Outcome.PASS, "every metric is surely within its limit"));
+        .map(each -> new Verdict(Outcome.INCONCLUSIVE, each.inconclusiveReason()))
+        .orElseGet(() -> new Verdict(Outcome.PASS, "every metric is within its limit"));
   }
 
-  private boolean isSmall(MetricSeries of) {
+  private boolean isSmall(MetricSeries candidate) {
     long requests =
         series.stream()
             .filter(each -> each.metric() == CanaryMetric.FAILED)
             .mapToLong(MetricSeries::requests)
             .sum();
-    return of.isOfOneClass() && of.requests() < SMALL_CLASS_FRACTION * requests;
+    return candidate.hasRequestClass() && candidate.requests() < SMALL_CLASS_FRACTION * requests;
   }
 }
--- a/src/main/java/wharftrestle/rollout/CanaryCriteria.java
+++ b/src/main/java/wharftrestle/rollout/CanaryCriteria.java
@@ -3,11 +3,12 @@
 import java.util.Map;
 
 /**
- * By what a new release is compared with the old one.
+ * The criteria by which a new release is compared with the old one.
  *
- * @param limits loss at which a release must not go on, by metric; absent metrics are not compared
- * @param errorProbability that a release that does no worse is stopped, over all stages and metrics
- * @param warmUpSeconds of a daemon's life that do not count
+ * @param limits loss at which a rollout must not continue, by metric; metrics without a limit are
+ *     not compared
+ * @param errorProbability of stopping a release that is no worse, over all stages and metrics
+ * @param warmUpSeconds after a daemon's start that are not compared
  */
 public record CanaryCriteria(
     Map<CanaryMetric, Double> limits, double errorProbability, double warmUpSeconds) {}
--- a/src/main/java/wharftrestle/rollout/CanaryMetric.java
+++ b/src/main/java/wharftrestle/rollout/CanaryMetric.java
@@ -1,12 +1,12 @@
 package wharftrestle.rollout;
 
 /**
- * By what hosts are compared. Each is a loss: more is worse. The limit of a metric is the loss at
- * which a release must not go on; a third of it is tolerated for good, so that a true difference of
- * nothing is never a reason to stop.
+ * The metrics by which hosts are compared. Each is a loss: higher is worse. The limit of a metric is
+ * the loss at which a rollout must not continue. A third of the limit is always tolerated, so that a
+ * release without any true difference is not stopped.
  */
 public enum CanaryMetric {
-  /** Fraction of the priority weight asked for that was not served, over all classes. */
+  /** Fraction of the requested priority weight that was not served, over all classes. */
   LOST_WEIGHT("worth", 0.03, true, false),
   /** Fraction of a class's requests that failed. */
   FAILED("failed", 0.03, true, true),
@@ -16,11 +16,11 @@
   LATE("late", 0.1, true, true),
   /** Fraction of dependency calls that failed. */
   DEPENDENCY("store", 0.05, true, false),
-  /** CPU time for a request, as a fraction of what the old release takes. */
+  /** CPU time per request, relative to the old release. */
   CPU("cpu", 0.5, false, false),
-  /** Own memory of the daemon, as a fraction of what the old release has. */
+  /** Own memory of the daemon, relative to the old release. */
   MEMORY("memory", 0.5, false, false),
-  /** Growth of own memory, MB a minute, beyond that of the old release. */
+  /** Growth of own memory in MB per minute, in excess of the old release. */
   MEMORY_GROWTH("growth", 6, false, false);
 
   private final String publishedName;
@@ -36,13 +36,13 @@
     this.isByRequestClass = isByRequestClass;
   }
 
-  /** Its name in plans, tables and logs. */
+  /** The name in plans, tables and logs. */
   public String publishedName() {
     return publishedName;
   }
 
   /**
-   * The metric of this name.
+   * The metric with this published name.
    *
    * @throws IllegalArgumentException if there is none
    */
@@ -55,17 +55,17 @@
     throw new IllegalArgumentException("expected the name of a metric, got " + publishedName);
   }
 
-  /** Its limit if a plan names none. */
+  /** The limit that applies if a plan does not set one. */
   public double defaultLimit() {
     return defaultLimit;
   }
 
-  /** True if it is a fraction of requests or calls, and so a limit is at most 1. */
+  /** True if the metric is a fraction of requests or calls, so that its limit is at most 1. */
   public boolean isFraction() {
     return isFraction;
   }
 
-  /** True if it is compared for each request class by itself. */
+  /** True if the metric is compared separately for each request class. */
   public boolean isByRequestClass() {
     return isByRequestClass;
   }
--- a/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
+++ b/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
@@ -1,34 +1,34 @@
 package wharftrestle.rollout;
 
 /**
- * Estimates the mean of a sequence, with bounds that hold at whatever moment they are read: a
- * confidence sequence for sums that behave like a random walk (Robbins' normal mixture;
- * Waudby-Smith et al., Time-uniform central limit theory and asymptotic confidence sequences, 2021,
- * theorem 2.2). The variance is estimated as it goes, and widened by what neighbours in the
- * sequence have in common (lag one), as windows of one host are no independent draws.
+ * Estimates the mean of a sequence, with bounds that are valid at every moment at once, not only at
+ * one chosen in advance: a confidence sequence for sums that behave like a random walk (Robbins'
+ * normal mixture; Waudby-Smith et al., Time-uniform central limit theory and asymptotic confidence
+ * sequences, 2021, theorem 2.2). The variance is estimated from the values and increased for the
+ * lag-one autocorrelation, because successive windows of a host are not independent.
  *
- * <p>O(1) in time and memory for each value.
+ * <p>O(1) in time and memory for each value. Not thread-safe.
  */
 public final class ConfidenceSequence {
-  /** Values below which there are no bounds: the variance is not known before. */
+  /** Number of values below which there are no bounds: the variance estimate is too uncertain. */
   public static final int MIN_VALUES = 8;
 
   /** The number of values at which the bounds are tightest; see {@link #mixtureVariance}. */
   private static final double TIGHTEST_AT_VALUES = 40;
 
-  /** Values at which the variance is doubled, since it is estimated from few. */
+  /** Number of values at which the variance is doubled to correct for the small sample. */
   private static final double SMALL_SAMPLE_VALUES = 4;
 
-  /** Highest correlation of neighbours that widens the bounds. */
+  /** Upper bound on the estimated lag-one autocorrelation. */
   private static final double MAX_CORRELATION = 0.8;
 
   private long count;
   private double mean;
-  private double squaredDeviations; // of distances from the mean
-  private double neighbourProducts; // products of neighbours' distances from the mean as it was
+  private double squaredDeviations; // sum of squared deviations from the mean
+  private double neighbourProducts; // sum of lag-one products of deviations from the running mean
   private double lastValue;
 
-  /** Takes the next value. */
+  /** Adds the next value. */
   public void add(double value) {
     count++;
     double deviation = value - mean;
@@ -40,20 +40,20 @@
     lastValue = value;
   }
 
-  /** Values taken. */
+  /** Number of values added. */
   public long count() {
     return count;
   }
 
-  /** Their mean; 0 for none. */
+  /** Mean of the values; 0 if there are none. */
   public double mean() {
     return mean;
   }
 
   /**
-   * Variance of one value, widened by what neighbours have in common, and for what is not known of
-   * it yet: an estimate from few values is often too small, and so is one of their correlation
-   * (Kendall's correction).
+   * Variance of one value, increased for the autocorrelation and for the small sample. An estimate
+   * of the variance from few values is often too small; so is an estimate of the autocorrelation,
+   * which has Kendall's bias correction.
    */
   public double variance() {
     if (count < 2 || squaredDeviations <= 0) {
@@ -70,19 +70,19 @@
   }
 
   /**
-   * The mixture's spread for which the bounds at {@code tightest} values are least, for an error of
-   * {@code error}.
+   * The variance of the normal mixture for which the bounds are tightest at {@code atValues} values,
+   * for the error probability {@code error}.
    */
   private static double mixtureVariance(double error, double atValues) {
     double logError = -2 * Math.log(error);
-    return (logError + Math.log(logError) + 1) / atValues; // squared
+    return (logError + Math.log(logError) + 1) / atValues;
   }
 
   /**
-   * Half the width of the bounds now; infinite where too little is known. One-sided: the error is
-   * that of the lower bound, and of the upper, each.
+   * Half the current width of the bounds; infinite below {@link #MIN_VALUES} values.
    *
-   * @param error probability that the mean is ever outside, at any moment of the sequence
+   * @param error probability that the mean is ever below the lower bound, at any moment of the
+   *     sequence; the same applies to the upper bound by itself
    */
   public double halfWidth(double error) {
     if (count < MIN_VALUES) {
@@ -92,14 +92,14 @@
   }
 
   static double halfWidth(double error, double count, double variance) {
-    double twoSidedError = 2 * error; // the sequence is two-sided
-    double spread = mixtureVariance(twoSidedError, TIGHTEST_AT_VALUES);
-    double scale = count * spread + 1;
+    double twoSidedError = 2 * error; // the formula is for two-sided bounds
+    double mixtureVariance = mixtureVariance(twoSidedError, TIGHTEST_AT_VALUES);
+    double scale = count * mixtureVariance + 1;
     return Math.sqrt(
         variance
             * 2
             * scale
-            / (count * count * spread)
+            / (count * count * mixtureVariance)
             * Math.log(Math.sqrt(scale) / twoSidedError));
   }
 }
--- a/src/main/java/wharftrestle/rollout/ControllerLease.java
+++ b/src/main/java/wharftrestle/rollout/ControllerLease.java
@@ -7,28 +7,30 @@
 
 /**
  * A controller's right to send orders: the epoch that it claims, and what each supervisor last
- * acknowledged. No order goes out unless more than half of all supervisors have acknowledged, in
- * this epoch, a request that was sent within the lease; and none before every order of an earlier
- * controller has expired. Not thread-safe. Times are in seconds of a clock that never goes back.
+ * acknowledged. A controller sends an order only if more than half of all supervisors have
+ * acknowledged, in this epoch, a request that was sent within the last lease, and only after every
+ * order of an earlier controller has expired. Not thread-safe. Times are seconds of a monotonic
+ * clock.
  *
- * <p>Why no two controllers send orders at once: the quorum that granted this epoch and any quorum
- * of an earlier one share a supervisor, which answers the earlier controller no more. So that
- * controller's last check of its lease succeeds at most one lease after these grants, and a token
- * that it had until then holds one lease longer. {@link #EXPIRY_WAIT_SECONDS} is twice the lease,
- * with a margin for clocks that run at different rates.
+ * <p>Two controllers never send orders at the same time: the quorum that granted this epoch and any
+ * quorum of an earlier epoch share a supervisor, which no longer acknowledges the earlier
+ * controller. The last successful lease check of that controller is therefore at most one lease
+ * after these grants, and a token that it had by then is valid for one lease more. {@link
+ * #EXPIRY_WAIT_SECONDS} is twice the lease, with a margin for clocks that run at different rates.
  *
  * <pre>
- * state            means                                       goes to
- * CLAIMING         asks all supervisors for the epoch          AWAITING_EXPIRY (a quorum granted
+ * state            meaning                                     next states
+ * CLAIMING         claims the epoch at all supervisors         AWAITING_EXPIRY (a quorum granted
  *                                                              it), LOST (a higher one is known)
  * AWAITING_EXPIRY  waits until earlier orders have expired     HELD (time), LOST
- * HELD             may send orders while acknowledged          LOST
+ * HELD             may send orders while a quorum              LOST
+ *                  acknowledges
  * LOST             another controller has a higher epoch       CLAIMING (claim)
  * </pre>
  */
 public final class ControllerLease {
 
-  /** Its states; the table of {@link ControllerLease} says what each means. */
+  /** The states of the lease, described in the table of {@link ControllerLease}. */
   public enum State {
     CLAIMING("claiming"),
     AWAITING_EXPIRY("pausing"),
@@ -41,7 +43,7 @@
       this.publishedName = publishedName;
     }
 
-    /** Its name in the controller's status. */
+    /** The name in the controller's status. */
     public String publishedName() {
       return publishedName;
     }
@@ -58,20 +60,20 @@
   private final int supervisors;
   private final double expiryWaitSeconds;
   private final Set<String> grantedBy = new HashSet<>();
-  private final Map<String, Double> acknowledgedAt = new HashMap<>(); // when the request was sent
+  private final Map<String, Double> acknowledgedAt = new HashMap<>(); // send time of the request
   private final Map<String, Long> tokens = new HashMap<>();
   private State state = State.CLAIMING;
   private long epoch;
-  private long highestEpoch; // that any supervisor or this controller is known to have
+  private long highestEpoch; // highest epoch granted by any supervisor or claimed here
   private String supersededBy = "";
   private double quorumGrantedAt;
 
   /**
-   * A lease that has claimed nothing yet.
+   * Creates a lease that has not claimed an epoch yet.
    *
-   * @param controller a name that no other controller has
-   * @param supervisors of the whole fleet, reachable or not
-   * @param lastEpoch the highest that this controller's journal names
+   * @param controller unique name of the controller
+   * @param supervisors number of supervisors in the whole fleet, reachable or not
+   * @param lastEpoch highest epoch in this controller's journal
    */
   public ControllerLease(String controller, int supervisors, long lastEpoch) {
     this.controller = controller;
@@ -80,7 +82,7 @@
     highestEpoch = lastEpoch;
   }
 
-  /** A copy with another wait and number of supervisors, for model checks. */
+  /** Copies a lease with a different wait and number of supervisors, for model checking. */
   ControllerLease(ControllerLease other, int supervisors, double expiryWaitSeconds) {
     controller = other.controller;
     this.supervisors = supervisors;
@@ -95,27 +97,27 @@
     tokens.putAll(other.tokens);
   }
 
-  /** When the request was sent that a supervisor last acknowledged; NaN for none. */
+  /** Send time of the last request that a supervisor acknowledged; NaN if there is none. */
   double acknowledgedAt(String host) {
     return acknowledgedAt.getOrDefault(host, Double.NaN);
   }
 
-  /** When a quorum had granted the epoch; of no meaning before. */
+  /** When a quorum had granted the epoch; undefined before that. */
   double quorumGrantedAt() {
     return quorumGrantedAt;
   }
 
-  /** Where it is. */
+  /** The current state. */
   public State state() {
     return state;
   }
 
-  /** The epoch that is claimed or held; 0 before the first claim. */
+  /** The epoch claimed or held; 0 before the first claim. */
   public long epoch() {
     return epoch;
   }
 
-  /** The name of its controller. */
+  /** The name of the controller that this lease is for. */
   public String controller() {
     return controller;
   }
@@ -125,12 +127,12 @@
     return supersededBy;
   }
 
-  /** A supervisor is known to have granted this epoch: the next one claimed is above it. */
+  /** Records an epoch that a supervisor has granted; the next claim uses a higher one. */
   public void observeEpoch(long grantedEpoch) {
     highestEpoch = Math.max(highestEpoch, grantedEpoch);
   }
 
-  /** Claims a new epoch; the caller journals it before any supervisor is asked. */
+  /** Claims a new epoch, which the caller must journal before it sends the claim. */
   public long claim() {
     epoch = Math.max(highestEpoch, epoch) + 1;
     highestEpoch = epoch;
@@ -143,8 +145,9 @@
   }
 
   /**
-   * A supervisor replied at {@code now} to a request of an epoch that was sent at {@code sentAt}.
-   * Replies to earlier epochs count for nothing.
+   * Records the reply of a supervisor, received at {@code now}, to a request sent at {@code sentAt}
+   * in the epoch {@code inEpoch}. Replies to requests of earlier epochs are ignored, except that
+   * their granted epoch is recorded.
    */
   public void onReply(
       String host, long inEpoch, EpochFence.Reply reply, double sentAt, double now) {
@@ -169,8 +172,8 @@
   }
 
   private void onFenced(EpochFence.Grant grant) {
-    boolean isOthers = grant.epoch() == epoch && !grant.controller().equals(controller);
-    if (grant.epoch() > epoch || isOthers) {
+    boolean isHeldByOther = grant.epoch() == epoch && !grant.controller().equals(controller);
+    if (grant.epoch() > epoch || isHeldByOther) {
       state = State.LOST;
       supersededBy = grant.controller();
     }
@@ -180,19 +183,19 @@
     return count * 2 > supervisors;
   }
 
-  /** Some time has passed. */
+  /** Updates the state for the passage of time. */
   public void tick(double now) {
     if (state == State.AWAITING_EXPIRY && now >= quorumGrantedAt + expiryWaitSeconds) {
       state = State.HELD;
     }
   }
 
-  /** True if a supervisor has yet to be asked for the epoch. */
+  /** True if a supervisor has not granted the epoch yet. */
   public boolean needsClaim(String host) {
     return state != State.LOST && !grantedBy.contains(host);
   }
 
-  /** True if an order may go out now. */
+  /** True if an order may be sent now. */
   public boolean mayOrder(double now) {
     tick(now);
     long acknowledged =
@@ -202,7 +205,7 @@
     return state == State.HELD && isQuorum(acknowledged);
   }
 
-  /** The token that an order to this host carries; 0 if it has issued none in this epoch. */
+  /** The token for an order to this host; 0 if its supervisor has issued none in this epoch. */
   public long token(String host) {
     return tokens.getOrDefault(host, 0L);
   }
--- a/src/main/java/wharftrestle/rollout/EpochFence.java
+++ b/src/main/java/wharftrestle/rollout/EpochFence.java
@@ -4,48 +4,48 @@
 
 /**
  * A supervisor's side of the {@link ControllerLease}: the highest epoch that it has granted, and
- * what its host was ordered in that epoch. Both are on disk before anybody hears of them. An epoch
- * is never granted to two controllers; an order is never accepted of an epoch that is not the
- * highest known, of a controller that has sent no heartbeat within the lease, or for a second
- * target in one epoch. Not thread-safe. Times are in seconds of a clock that never goes back.
+ * what its host was ordered to run in that epoch. Both are persisted before they are acknowledged.
+ * An epoch is never granted to two controllers. An order is rejected if its epoch is not the
+ * highest granted, if its controller has sent no heartbeat within the lease, or if it has a second
+ * target in the same epoch. Not thread-safe. Times are seconds of a monotonic clock.
  *
- * <p>An order carries the token of this supervisor's last answer to that controller: so a
- * controller that paused between its check of the lease and the order is found out here, by this
- * supervisor's own monotonic clock, whatever the time of day says.
+ * <p>An order carries the token of this supervisor's last answer to that controller. If a
+ * controller was paused between its lease check and the order, this supervisor detects that by its
+ * own monotonic clock, independently of the wall clock.
  *
  * <pre>
- * request               with                                               answer
- * claim(e, c)           e over the known epoch                             GRANTED, once on disk
- *                       e the known epoch, c its controller                GRANTED again
- *                       else                                               FENCED, and by whom
+ * request               condition                                          answer
+ * claim(e, c)           e is above the known epoch                         GRANTED, once on disk
+ *                       e is the known epoch, c its controller             GRANTED again
+ *                       else                                               FENCED, with the holder
  * heartbeat(e, c)       the known epoch and controller                     RENEWED, with a token
  *                       else                                               FENCED
- * order(e, c, t, r)     another epoch or controller than the known         FENCED
- *                       a token that is not the last one, or too old       STALE: ask again
- *                       another target than the one of this epoch          CONFLICTING_TARGET
+ * order(e, c, t, r)     an epoch or controller other than the known        FENCED
+ *                       a token that is not the last one, or expired       STALE: get a new token
+ *                       a target other than that of this epoch             CONFLICTING_TARGET
  *                       else                                               ACCEPTED, once on disk
  * </pre>
  */
 public final class EpochFence {
 
   /**
-   * What is on disk. The annotations hold the names there.
+   * The persisted state of the fence. The annotations keep the names used on disk.
    *
-   * @param epoch the highest granted; 0 for none
-   * @param controller that holds it; empty for none
-   * @param targetRelease ordered in it; empty for none yet
-   * @param attempt orders accepted in it
+   * @param epoch highest granted; 0 for none
+   * @param controller holder of the epoch; empty for none
+   * @param targetRelease ordered in this epoch; empty if none has been ordered
+   * @param attempt number of orders accepted in this epoch
    */
   public record Grant(
       long epoch,
       @JsonProperty("driver") String controller,
       @JsonProperty("target") String targetRelease,
       int attempt) {
-    /** Nothing was ever granted. */
+    /** The state before the first grant. */
     public static final Grant NONE = new Grant(0, "", "", 0);
   }
 
-  /** How a supervisor answers; the table of {@link EpochFence} says when. */
+  /** The answers of a supervisor, described in the table of {@link EpochFence}. */
   public enum Answer {
     GRANTED("GRANTED"),
     RENEWED("STAMPED"),
@@ -60,13 +60,13 @@
       this.publishedName = publishedName;
     }
 
-    /** Its name in the messages between controller and supervisor. */
+    /** The name in the messages between controller and supervisor. */
     public String publishedName() {
       return publishedName;
     }
 
     /**
-     * The answer of this published name.
+     * The answer with this published name.
      *
      * @throws IllegalArgumentException if there is none
      */
@@ -83,22 +83,22 @@
   /** Persists grants. */
   public interface GrantStore {
     /**
-     * Writes a grant, which is on disk when this returns.
+     * Writes a grant to disk durably before it returns.
      *
-     * @return false if it could not be written: then nothing is granted or accepted
+     * @return false if the grant could not be written; the request is then rejected
      */
     boolean persist(Grant grant);
   }
 
   /**
-   * An answer.
+   * The reply to a request.
    *
-   * @param leaseToken that the next order has to carry; 0 for none
-   * @param grant as it is after the request
+   * @param leaseToken that the next order must carry; 0 for none
+   * @param grant state after the request
    */
   public record Reply(Answer answer, long leaseToken, Grant grant) {}
 
-  /** Seconds for which a token holds, and a quorum's acknowledgement; several polls fit in. */
+  /** Seconds for which a token or an acknowledgement is valid; longer than several polls. */
   public static final double LEASE_SECONDS = 2;
 
   private final GrantStore store;
@@ -108,10 +108,10 @@
   private double tokenIssuedAt = Double.NEGATIVE_INFINITY;
 
   /**
-   * A fence that goes on from what is on disk.
+   * Creates a fence from its persisted state.
    *
-   * @param lastToken that an earlier incarnation of this supervisor may have issued; tokens go on
-   *     beyond it
+   * @param lastToken highest token that an earlier incarnation of this supervisor may have issued;
+   *     new tokens are higher
    */
   public EpochFence(Grant grant, long lastToken, GrantStore store) {
     this.grant = grant;
@@ -120,7 +120,7 @@
     leaseToken = lastToken;
   }
 
-  /** A copy with another lease, for model checks. */
+  /** Copies a fence with a different lease duration, for model checking. */
   EpochFence(EpochFence other, GrantStore store, double leaseSeconds) {
     this.grant = other.grant;
     this.store = store;
@@ -129,7 +129,7 @@
     tokenIssuedAt = other.tokenIssuedAt;
   }
 
-  /** Seconds since the last heartbeat or claim of the holder; infinite for none. */
+  /** Seconds since the last heartbeat or claim of the holder; infinite if there was none. */
   public double secondsSinceHeartbeat(double now) {
     return now - tokenIssuedAt;
   }
@@ -139,12 +139,12 @@
     return leaseToken;
   }
 
-  /** When it was issued. */
+  /** When the last token was issued; negative infinity if none was. */
   double tokenIssuedAt() {
     return tokenIssuedAt;
   }
 
-  /** What is on disk. */
+  /** The persisted state. */
   public Grant grant() {
     return grant;
   }
@@ -170,7 +170,7 @@
     return epoch == grant.epoch() && epoch > 0 && controller.equals(grant.controller());
   }
 
-  /** A controller claims an epoch. */
+  /** Handles a controller's claim of an epoch. */
   public Reply claim(long epoch, String controller, double now) {
     if (isHolder(epoch, controller)) {
       return replyWithToken(Answer.GRANTED, now);
@@ -183,12 +183,12 @@
     return replyWithToken(Answer.GRANTED, now);
   }
 
-  /** A controller's heartbeat; only the holder of the epoch receives a token. */
+  /** Handles a controller's heartbeat; only the holder of the epoch receives a token. */
   public Reply heartbeat(long epoch, String controller, double now) {
     return isHolder(epoch, controller) ? replyWithToken(Answer.RENEWED, now) : reply(Answer.FENCED);
   }
 
-  /** A controller orders this host to run a release. */
+  /** Handles a controller's order to run a release on this host. */
   public Reply order(long epoch, String controller, long token, String targetRelease, double now) {
     if (!isHolder(epoch, controller)) {
       return reply(Answer.FENCED);
--- a/src/main/java/wharftrestle/rollout/FleetObservation.java
+++ b/src/main/java/wharftrestle/rollout/FleetObservation.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** What the hosts of a plan report at one moment. Immutable; made for one decision. */
+/** The reported states of a plan's hosts at one moment. Immutable; created for one decision. */
 final class FleetObservation {
   private final RolloutPlan plan;
   private final Map<String, Rollout.ReportedState> reported;
@@ -20,14 +20,14 @@
     return reported.containsKey(host) && reported.get(host).reachable();
   }
 
-  /** True if a host is reachable, no change is going on, and its daemon is this release. */
+  /** True if a host is reachable, is not changing and runs this release. */
   boolean runs(String host, String release) {
     return isReachable(host)
         && reported.get(host).settled()
         && release.equals(reported.get(host).runningRelease());
   }
 
-  /** What a reachable host reports. */
+  /** The last reported state of a host that has reported one. */
   Rollout.ReportedState state(String host) {
     return reported.get(host);
   }
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Hosts that run the target release. One that cannot be reached and was seen with it counts: it
-   * was ordered to run it, and nobody rolls it back unasked.
+   * Hosts that run the target release. An unreachable host that last reported the target release is
+   * included: it was ordered to run it and is not rolled back without an order.
    */
   Set<String> changed() {
     return hosts(host -> runs(host, plan.targetRelease()) || wasLastSeenChanged(host));
@@ -50,27 +50,28 @@
         && plan.targetRelease().equals(reported.get(host).runningRelease());
   }
 
-  private Set<String> hosts(Predicate<String> which) {
+  private Set<String> hosts(Predicate<String> condition) {
     Set<String> names = new LinkedHashSet<>();
     for (RolloutPlan.Host host : plan.hosts()) {
-      if (which.test(host.name())) {
+      if (condition.test(host.name())) {
         names.add(host.name());
       }
     }
     return names;
   }
 
-  /** Hosts that a stage still has to change. */
+  /** Hosts that this stage has yet to change. */
   List<RolloutPlan.Host> remaining(int stage) {
     Set<String> changed = changed();
     List<RolloutPlan.Host> candidates = plan.candidates(stage, changed);
-    int missing = plan.reachableTarget(stage) - changed.size();
-    return candidates.subList(0, Math.max(0, Math.min(candidates.size(), missing)));
+    int missingHosts = plan.reachableTarget(stage) - changed.size();
+    return candidates.subList(0, Math.max(0, Math.min(candidates.size(), missingHosts)));
   }
 
   /**
-   * Why a host may not go now; empty if it may. None of a tenant or a small zone goes while others
-   * of it are unavailable, or while no owner of the tenant can be reached.
+   * Why a host may not be changed now; empty if it may. A host is blocked while another host of its
+   * small zone is unavailable, or while a tenant of the host has no other reachable and available
+   * owner.
    */
   String blockingReason(RolloutPlan.Host host, Set<String> unavailable) {
     String blocked = plan.blockingReason(host, unavailable);
--- a/src/main/java/wharftrestle/rollout/HostComparison.java
+++ b/src/main/java/wharftrestle/rollout/HostComparison.java
@@ -5,48 +5,49 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Compares what one host lost in a window with what the hosts of the old release lost in the same
- * window, by one metric and request class. NaN stands for a window that says nothing of it.
+ * Compares the loss of one host in a window with the losses of the hosts on the old release in the
+ * same window, by one metric and request class. NaN means that the window has no data for the
+ * metric.
  *
- * @param requestClass empty for a metric over all classes
+ * @param requestClass empty for a metric that is not by class
  */
 record HostComparison(CanaryMetric metric, String requestClass) {
 
-  /** The loss of a host beyond that of the old hosts; NaN if either is unknown. */
+  /** The loss of a host in excess of that of the old hosts; NaN if either is unknown. */
   double difference(HostSample host, List<HostSample> oldHosts) {
-    double own = loss(host);
-    double reference = referenceLoss(host, oldHosts);
-    if (Double.isNaN(own) || Double.isNaN(reference)) {
+    double hostLoss = loss(host);
+    double baselineLoss = referenceLoss(host, oldHosts);
+    if (Double.isNaN(hostLoss) || Double.isNaN(baselineLoss)) {
       return Double.NaN;
     }
     return switch (metric) {
-      case CPU, MEMORY -> reference <= 0 ? 0 : own / reference - 1;
-      case MEMORY_GROWTH -> growthBeyond(own - reference, host, oldHosts);
-      default -> own - reference;
+      case CPU, MEMORY -> baselineLoss <= 0 ? 0 : hostLoss / baselineLoss - 1;
+      case MEMORY_GROWTH -> growthBeyond(hostLoss - baselineLoss, host, oldHosts);
+      default -> hostLoss - baselineLoss;
     };
   }
 
-  /** A young process grows to the size that old ones have: only what goes beyond it counts. */
+  /** Ignores memory growth of a new process until it reaches the mean size of the old processes. */
   private static double growthBeyond(double growth, HostSample host, List<HostSample> oldHosts) {
     double oldMemoryMb =
         oldHosts.stream()
             .mapToDouble(HostSample::memoryMb)
             .average()
             .orElse(Double.POSITIVE_INFINITY);
-    boolean isStillFilling = host.onNewRelease() && host.memoryMb() < oldMemoryMb;
-    return isStillFilling ? Math.min(0, growth) : growth;
+    boolean isStillGrowing = host.onNewRelease() && host.memoryMb() < oldMemoryMb;
+    return isStillGrowing ? Math.min(0, growth) : growth;
   }
 
-  /** Mean loss of the other old hosts of the zone, or of all zones if it has none. */
+  /** Mean loss of the other old hosts in the zone, or in all zones if the zone has none. */
   private double referenceLoss(HostSample host, List<HostSample> oldHosts) {
     Predicate<HostSample> isOther = each -> !each.host().equals(host.host());
-    double ofZone = meanLoss(oldHosts, isOther.and(each -> each.zone().equals(host.zone())));
-    return Double.isNaN(ofZone) ? meanLoss(oldHosts, isOther) : ofZone;
+    double zoneLoss = meanLoss(oldHosts, isOther.and(each -> each.zone().equals(host.zone())));
+    return Double.isNaN(zoneLoss) ? meanLoss(oldHosts, isOther) : zoneLoss;
   }
 
-  private double meanLoss(List<HostSample> hosts, Predicate<HostSample> which) {
+  private double meanLoss(List<HostSample> hosts, Predicate<HostSample> condition) {
     return hosts.stream()
-        .filter(which)
+        .filter(condition)
         .mapToDouble(this::loss)
         .filter(loss -> !Double.isNaN(loss))
         .average()
@@ -70,15 +71,15 @@
   }
 
   private static double lostWeight(HostSample host) {
-    double all = 0;
-    double lost = 0;
+    double totalWeight = 0;
+    double lostTotal = 0;
     for (HostSample.Counts each : host.classCounts()) {
-      all += each.priorityWeight() * each.requests();
-      lost +=
+      totalWeight += each.priorityWeight() * each.requests();
+      lostTotal +=
           each.priorityWeight()
               * (each.requests() - each.served() + each.late() * (1 - each.lateWeightFraction()));
     }
-    return all > 0 ? lost / all : Double.NaN;
+    return totalWeight > 0 ? lostTotal / totalWeight : Double.NaN;
   }
 
   private double fraction(HostSample host, ToLongFunction<HostSample.Counts> count) {
@@ -92,7 +93,7 @@
     return Double.NaN;
   }
 
-  /** Requests of the class; of all classes where the metric is over all. */
+  /** Requests of the class, or of all classes if the metric is not by class. */
   long requests(HostSample host) {
     return requestClass.isEmpty()
         ? host.requests()
--- a/src/main/java/wharftrestle/rollout/HostSample.java
+++ b/src/main/java/wharftrestle/rollout/HostSample.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * What one host did within one window, the same seconds for all hosts.
+ * The measurements of one host in one window, which covers the same seconds on all hosts.
  *
  * @param zone empty for none
- * @param onNewRelease its daemon is the new release at the window's end
- * @param steady one process, warmed up and reachable throughout; other samples are not compared
+ * @param onNewRelease true if its daemon runs the new release at the end of the window
+ * @param steady true if one warmed-up process was reachable throughout; other samples are not
+ *     compared
  * @param classCounts in the order of the settings
- * @param dependencyCalls that ended
- * @param failedDependencyCalls of them
- * @param cpuSeconds of all cores
- * @param memoryMb the daemon's own memory at the window's end
- * @param memoryGrowthMbPerMinute within the window
+ * @param dependencyCalls completed calls
+ * @param failedDependencyCalls number of the completed calls that failed
+ * @param cpuSeconds over all cores
+ * @param memoryMb the daemon's own memory at the end of the window
+ * @param memoryGrowthMbPerMinute during the window
  */
 public record HostSample(
     String host,
@@ -28,15 +29,15 @@
     double memoryGrowthMbPerMinute) {
 
   /**
-   * One request class.
+   * The counts of one request class.
    *
-   * @param requests that were answered
-   * @param served of them
-   * @param late served after the latency objective
-   * @param rejected of them
-   * @param failed of them
+   * @param requests answered requests
+   * @param served answered requests that were served
+   * @param late served requests that missed the latency objective
+   * @param rejected answered requests that were rejected
+   * @param failed answered requests that failed
    * @param priorityWeight of one request
-   * @param lateWeightFraction of the priority weight that a late one still has
+   * @param lateWeightFraction fraction of the priority weight that a late request still has
    */
   public record Counts(
       String name,
@@ -48,7 +49,7 @@
       double priorityWeight,
       double lateWeightFraction) {}
 
-  /** Requests of all classes. */
+  /** Number of requests of all classes. */
   public long requests() {
     return classCounts.stream().mapToLong(Counts::requests).sum();
   }
--- a/src/main/java/wharftrestle/rollout/MembershipView.java
+++ b/src/main/java/wharftrestle/rollout/MembershipView.java
@@ -7,24 +7,25 @@
 import java.util.Optional;
 
 /**
- * Which hosts of the fleet are reachable: whose supervisor sent a heartbeat when, and what other
- * hosts say of silent ones. Silence is never taken for death: a host that this controller does not
- * reach may serve its clients, and others may reach it. Not thread-safe. Times are in seconds of a
- * clock that never goes back.
+ * Tracks which hosts of the fleet are reachable, from the heartbeats of their supervisors and from
+ * the indirect probes that other hosts make of silent ones. A silent host is never assumed to be
+ * down: it may serve its clients and be reachable from other hosts. Not thread-safe. Times are
+ * seconds of a monotonic clock.
  *
  * <pre>
- * reachability  means                                               goes to
+ * reachability  meaning                                             next values
  * UNKNOWN       no heartbeat yet                                    REACHABLE, PARTITIONED
  * REACHABLE     a heartbeat within SUSPECT_AFTER_SECONDS            SUSPECTED
- * SUSPECTED     silent, and no probe has reached it lately          REACHABLE, PARTITIONED, LOST
- * PARTITIONED   silent here, reached by another host, or serving    REACHABLE, SUSPECTED
- * LOST          silent for LOST_AFTER_SECONDS, to probes as well    REACHABLE, PARTITIONED
- * DUPLICATE     two supervisors use its name in turn                REACHABLE, once one is silent
+ * SUSPECTED     silent, and no recent probe has reached it          REACHABLE, PARTITIONED, LOST
+ * PARTITIONED   silent here, but a probe reached it or its clients' REACHABLE, SUSPECTED
+ *               address
+ * LOST          silent for LOST_AFTER_SECONDS, also to probes       REACHABLE, PARTITIONED
+ * DUPLICATE     two supervisors answer alternately under its name   REACHABLE, once one is silent
  * </pre>
  */
 public final class MembershipView {
 
-  /** How a host is reachable; the table of {@link MembershipView} says what each means. */
+  /** The reachability of a host, described in the table of {@link MembershipView}. */
   public enum Reachability {
     UNKNOWN("never"),
     REACHABLE("heard"),
@@ -39,29 +40,29 @@
       this.publishedName = publishedName;
     }
 
-    /** Its name in the controller's status and events. */
+    /** The name in the controller's status and events. */
     public String publishedName() {
       return publishedName;
     }
   }
 
-  /** Seconds of silence after which a host is suspected, and probed by others. */
+  /** Seconds without a heartbeat after which a host is suspected and probed by other hosts. */
   public static final double SUSPECT_AFTER_SECONDS = 2.5;
 
-  /** Seconds of silence to all after which a host counts as lost; it may still come back. */
+  /** Seconds without contact by any host after which a host is lost; it may still return. */
   public static final double LOST_AFTER_SECONDS = 15;
 
-  /** Seconds for which a successful indirect probe counts. */
+  /** Seconds for which a successful indirect probe is valid. */
   private static final double PROBE_VALID_SECONDS = 5;
 
   /**
-   * What is known of one host.
+   * The status of one host.
    *
    * @param lastHeartbeatAt negative infinity for never
    * @param incarnation of its supervisor; empty for none
-   * @param witness the host whose probe reached it last; empty for none
-   * @param servesClients true if that probe found it serving its clients
-   * @param rejoins times it came back under the same name as another incarnation
+   * @param witness the host whose probe last succeeded; empty for none
+   * @param servesClients true if that probe probeResult that the host serves its clients
+   * @param rejoins number of times it returned under the same name with another incarnation
    */
   public record HostStatus(
       Reachability reachability,
@@ -79,7 +80,7 @@
     private double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
     private String incarnation = "";
     private String previousIncarnation = "";
-    private double previousHeartbeatAt = Double.NEGATIVE_INFINITY; // of that incarnation
+    private double previousHeartbeatAt = Double.NEGATIVE_INFINITY; // of previousIncarnation
     private double duplicateAt = Double.NEGATIVE_INFINITY;
     private String witness = "";
     private boolean servesClients;
@@ -91,7 +92,7 @@
   private final List<Transition> transitions = new ArrayList<>();
   private final double startedAt;
 
-  /** A view of these hosts, of which nothing is known yet. */
+  /** Creates a view of these hosts, all of unknown reachability. */
   public MembershipView(List<String> hosts, double now) {
     hosts.forEach(host -> members.put(host, new Member()));
     startedAt = now;
@@ -104,7 +105,7 @@
     }
   }
 
-  /** A supervisor answered; hosts that are not of this fleet are ignored. */
+  /** Records the answer of a supervisor; hosts outside this fleet are ignored. */
   public void onHeartbeat(String host, String incarnation, double now) {
     Member member = members.get(host);
     if (member == null) {
@@ -122,7 +123,10 @@
     }
   }
 
-  /** An incarnation that is heard again after its successor belongs to a second supervisor. */
+  /**
+   * Detects a second supervisor under the same name: an incarnation that answers again after a
+   * later one has answered.
+   */
   private static void onOtherIncarnation(Member member, String incarnation, double now) {
     if (incarnation.equals(member.previousIncarnation)
         && now - member.previousHeartbeatAt <= LOST_AFTER_SECONDS) {
@@ -134,7 +138,7 @@
     member.previousHeartbeatAt = member.lastHeartbeatAt;
   }
 
-  /** Another host said whether it reaches this one, and whether this one serves its clients. */
+  /** Records whether a witness reaches a host and whether that host serves its clients. */
   public void onIndirectProbe(
       String host, String witness, boolean reachable, boolean servesClients, double now) {
     Member member = members.get(host);
@@ -145,28 +149,32 @@
     }
   }
 
-  /** Some time has passed; the transitions since the last tick. */
+  /**
+   * Updates the reachability of all hosts for the passage of time.
+   *
+   * @return the transitions since the last tick
+   */
   public List<Transition> tick(double now) {
-    members.forEach((host, member) -> judge(host, member, now));
+    members.forEach((host, member) -> updateReachability(host, member, now));
     List<Transition> drained = List.copyOf(transitions);
     transitions.clear();
     return drained;
   }
 
-  private void judge(String host, Member member, double now) {
+  private void updateReachability(String host, Member member, double now) {
     double silentSeconds = silentSeconds(member, now);
     if (now - member.lastHeartbeatAt <= SUSPECT_AFTER_SECONDS) {
       return;
     }
     if (now - member.probedAt <= PROBE_VALID_SECONDS) {
-      String found = member.servesClients ? " finds it serving" : " hears it";
-      transition(host, member, Reachability.PARTITIONED, member.witness + found);
+      String probeResult = member.servesClients ? " finds that it serves clients" : " reaches it";
+      transition(host, member, Reachability.PARTITIONED, member.witness + probeResult);
     } else if (silentSeconds > LOST_AFTER_SECONDS) {
-      String silence = "silent to all for " + Math.round(silentSeconds) + " s";
-      transition(host, member, Reachability.LOST, silence);
+      String lostReason = "no contact by any host for " + Math.round(silentSeconds) + " s";
+      transition(host, member, Reachability.LOST, lostReason);
     } else if (silentSeconds > SUSPECT_AFTER_SECONDS
         && member.reachability != Reachability.UNKNOWN) {
-      transition(host, member, Reachability.SUSPECTED, "silent");
+      transition(host, member, Reachability.SUSPECTED, "no heartbeat");
     }
   }
 
@@ -174,7 +182,7 @@
     return now - Math.max(member.lastHeartbeatAt, startedAt);
   }
 
-  /** Hosts that are to be probed by others. */
+  /** Hosts that other hosts should probe. */
   public List<String> silentHosts(double now) {
     List<String> names = new ArrayList<>();
     members.forEach(
@@ -186,7 +194,7 @@
     return names;
   }
 
-  /** Hosts that can probe others, as they have sent a heartbeat lately. */
+  /** Hosts that can probe other hosts, because they have sent a recent heartbeat. */
   public List<String> witnesses(double now) {
     List<String> names = new ArrayList<>();
     members.forEach(
@@ -198,7 +206,7 @@
     return names;
   }
 
-  /** What is known of a host; empty if it is not of this fleet. */
+  /** The status of a host; empty if it is not in this fleet. */
   public Optional<HostStatus> status(String host) {
     return Optional.ofNullable(members.get(host))
         .map(
@@ -212,7 +220,7 @@
                     member.rejoins));
   }
 
-  /** True if what a host reports counts now. */
+  /** True if the reports of a host are current and may be used. */
   public boolean isReachable(String host) {
     Member member = members.get(host);
     return member != null && member.reachability == Reachability.REACHABLE;
--- a/src/main/java/wharftrestle/rollout/MetricSeries.java
+++ b/src/main/java/wharftrestle/rollout/MetricSeries.java
@@ -6,14 +6,15 @@
 import java.util.Map;
 
 /**
- * One metric of the canary analysis, of one request class or over all: each host's usual difference
- * from the old hosts, its baseline, and the losses of the new release beyond it, a value a window.
+ * One metric of the canary analysis, for one request class or for all. It keeps a baseline for each
+ * host, which is the host's difference from the other hosts on the old release, and the losses of
+ * the new release in excess of the baselines, one value for each window. Not thread-safe.
  */
 final class MetricSeries {
-  /** Fraction of the limit that is tolerated for good. */
+  /** Fraction of the limit that is always tolerated. */
   private static final double TOLERATED_FRACTION = 1.0 / 3;
 
-  /** Old hosts below which nobody knows by how much hosts differ. */
+  /** Number of old hosts below which the variance among hosts cannot be estimated. */
   private static final int MIN_BASELINE_HOSTS = 3;
 
   private final HostComparison comparison;
@@ -33,13 +34,13 @@
     this.errorProbability = errorProbability;
   }
 
-  /** Baselines stay; losses begin anew. */
+  /** Resets the losses and keeps the baselines. */
   void beginStage() {
     losses = new ConfidenceSequence();
     requests = 0;
   }
 
-  /** Takes one window; true if some host of the new release could be compared. */
+  /** Adds one window; true if at least one host on the new release could be compared. */
   boolean addWindow(List<HostSample> samples) {
     List<HostSample> oldHosts = samples.stream().filter(each -> !each.onNewRelease()).toList();
     double sum = 0;
@@ -56,10 +57,10 @@
         baseline.add(difference);
         continue;
       }
-      double spread = spread(baseline, oldHosts);
-      if (!Double.isNaN(spread)) {
-        sum += difference - (isKnown(baseline) ? baseline.mean() : 0);
-        variance += spread;
+      double hostVariance = hostVariance(baseline, oldHosts);
+      if (!Double.isNaN(hostVariance)) {
+        sum += difference - (hasEnoughWindows(baseline) ? baseline.mean() : 0);
+        variance += hostVariance;
         compared++;
         requests += comparison.requests(host);
       }
@@ -71,91 +72,92 @@
     return compared > 0;
   }
 
-  private static boolean isKnown(ConfidenceSequence baseline) {
+  private static boolean hasEnoughWindows(ConfidenceSequence baseline) {
     return baseline.count() >= ConfidenceSequence.MIN_VALUES;
   }
 
   /**
-   * Variance of a host's baseline. A controller that followed another one has none of hosts that
-   * had changed before: the variance among the old hosts stands in. NaN if that is unknown too.
+   * Variance of a host's baseline. A controller that replaces another one has no baseline for hosts
+   * that were changed earlier, and uses the variance among the old hosts instead. NaN if that is
+   * unknown too.
    */
-  private double spread(ConfidenceSequence baseline, List<HostSample> oldHosts) {
-    return isKnown(baseline) ? baseline.variance() / baseline.count() : varianceAmong(oldHosts);
+  private double hostVariance(ConfidenceSequence baseline, List<HostSample> oldHosts) {
+    return hasEnoughWindows(baseline) ? baseline.variance() / baseline.count() : varianceAmong(oldHosts);
   }
 
   private double varianceAmong(List<HostSample> oldHosts) {
-    int known = 0;
+    int baselineCount = 0;
     double squares = 0;
     for (HostSample host : oldHosts) {
       ConfidenceSequence baseline = baselines.get(host.host());
-      if (baseline != null && isKnown(baseline)) {
-        // Their mean is zero, as each is compared with the others.
+      if (baseline != null && hasEnoughWindows(baseline)) {
+        // The baselines have a mean of zero, because each host is compared with the others.
         squares += baseline.mean() * baseline.mean();
-        known++;
+        baselineCount++;
       }
     }
-    return known < MIN_BASELINE_HOSTS ? Double.NaN : squares / (known - 1);
+    return baselineCount < MIN_BASELINE_HOSTS ? Double.NaN : squares / (baselineCount - 1);
   }
 
-  /** Half the width of the bounds of the loss now; infinite while too little is known. */
+  /** Half the current width of the bounds of the loss; infinite until there are enough windows. */
   private double halfWidth() {
     if (losses.count() < ConfidenceSequence.MIN_VALUES) {
       return Double.POSITIVE_INFINITY;
     }
-    // The baseline's error stays while that of the losses shrinks.
-    double ofBaseline = -2 * Math.log(errorProbability) * baselineVariance;
-    double ofLosses = losses.halfWidth(errorProbability);
-    return Math.sqrt(ofLosses * ofLosses + ofBaseline);
+    // The error of the baseline does not shrink as losses are added.
+    double squaredBaselineWidth = -2 * Math.log(errorProbability) * baselineVariance;
+    double lossesHalfWidth = losses.halfWidth(errorProbability);
+    return Math.sqrt(lossesHalfWidth * lossesHalfWidth + squaredBaselineWidth);
   }
 
   CanaryMetric metric() {
     return comparison.metric();
   }
 
-  /** Requests of the new release in this stage. */
+  /** Number of requests to the new release in this stage. */
   long requests() {
     return requests;
   }
 
-  boolean isOfOneClass() {
+  boolean hasRequestClass() {
     return !comparison.requestClass().isEmpty();
   }
 
-  /** True if the loss is surely beyond what is tolerated. */
+  /** True if the lower bound of the loss is above the tolerated fraction of the limit. */
   boolean isWorse() {
     return losses.mean() - halfWidth() > TOLERATED_FRACTION * limit;
   }
 
-  /** True if the loss is surely within the limit. */
+  /** True if the upper bound of the loss is below the limit. */
   boolean isWithinLimit() {
     return !hasTooFewRequests() && losses.mean() + halfWidth() < limit;
   }
 
-  /** Guards against taking a loss of nothing in a handful of requests for none. */
+  /** True if so few requests could by chance show no loss although the loss is at the limit. */
   private boolean hasTooFewRequests() {
     return metric().isFraction() && requests * limit < -Math.log(errorProbability);
   }
 
-  /** Why it is not within the limit yet. */
-  String openReason() {
+  /** Why the loss is not known to be within the limit yet. */
+  String inconclusiveReason() {
     return hasTooFewRequests() ? name() + ": " + requests + " requests are too few" : summary();
   }
 
   private String name() {
-    return metric().publishedName() + (isOfOneClass() ? " of " + comparison.requestClass() : "");
+    return metric().publishedName() + (hasRequestClass() ? " of " + comparison.requestClass() : "");
   }
 
-  /** The loss and its bounds, in one line. */
+  /** The loss and its bounds on one line. */
   String summary() {
     boolean isPercentage = metric() != CanaryMetric.MEMORY_GROWTH;
     double scale = isPercentage ? 100 : 1;
     double width = halfWidth();
     return String.format(
         Locale.ROOT,
-        "%s: %+.1f%s beyond the old release, surely from %+.1f to %+.1f, limit %.1f",
+        "%s: %+.1f%s relative to the old release, bounds %+.1f to %+.1f, limit %.1f",
         name(),
         scale * losses.mean(),
-        isPercentage ? "%" : " MB a minute",
+        isPercentage ? "%" : " MB per minute",
         scale * (losses.mean() - width),
         scale * (losses.mean() + width),
         scale * limit);
--- a/src/main/java/wharftrestle/rollout/OrderLedger.java
+++ b/src/main/java/wharftrestle/rollout/OrderLedger.java
@@ -7,15 +7,18 @@
 import java.util.Set;
 
 /**
- * The orders of one rollout: what each host was last ordered, when, and how often. From these and
- * from what hosts report it tells which hosts are unavailable. Times are in seconds of a clock that
- * never goes back.
+ * The orders of one rollout: the release last ordered for each host, when and how often. Determines
+ * from these and from the reported states which hosts are unavailable. Not thread-safe. Times are
+ * seconds of a monotonic clock.
  */
 final class OrderLedger {
-  /** Seconds after an order in which a host that reports nothing of it is unavailable. */
+  /** Seconds after an order for which a host counts as unavailable unless it reports on the order. */
   static final double ORDER_UNAVAILABLE_SECONDS = 10;
 
-  /** The same for a host that is unreachable since, where the plan goes on without those. */
+  /**
+   * The same for a host that became unreachable after its order, if the plan continues without
+   * unreachable hosts.
+   */
   static final double UNREACHABLE_UNAVAILABLE_SECONDS = 120;
 
   private final RolloutPlan plan;
@@ -29,7 +32,7 @@
     this.plan = plan;
   }
 
-  /** An earlier controller may just have sent this order. */
+  /** Restores an order that an earlier controller may have sent just now. */
   void restore(String host, String release, double now) {
     orderedReleases.put(host, release);
     orderedAt.put(host, now);
@@ -46,7 +49,7 @@
     orderedAt.put(host, now);
   }
 
-  /** Orders to a host that count against {@link RolloutPlan#maxAttempts}. */
+  /** Number of orders to a host that count toward {@link RolloutPlan#maxAttempts}. */
   int attempts(String host) {
     return attempts.getOrDefault(host, 0);
   }
@@ -63,13 +66,16 @@
     attempts.clear();
   }
 
-  /** Orders of earlier epochs may still be executed, so when they were sent stands. */
+  /**
+   * Resets the counts of an epoch. The send times stay, because orders of earlier epochs may still be
+   * executed.
+   */
   void onEpochClaimed() {
     reportedFailures.clear();
     ordersInEpoch.clear();
   }
 
-  /** The last order to a host was not executed, and costs no attempt. */
+  /** Removes the last order to a host, which was not executed and does not count as an attempt. */
   void onOrderRefused(String host) {
     orderedAt.remove(host);
     orderedReleases.remove(host);
@@ -77,7 +83,7 @@
     attempts.computeIfPresent(host, (name, count) -> count - 1);
   }
 
-  /** True if the failure of this attempt is reported for the first time. */
+  /** True if the failure of this attempt has not been recorded before; records it. */
   boolean isNewFailure(String host, int attempt) {
     if (reportedFailures.getOrDefault(host, 0) >= attempt) {
       return false;
@@ -87,9 +93,10 @@
   }
 
   /**
-   * Hosts that are in a change, or were ordered and have reported nothing of it yet. One that
-   * became unreachable after its order may still be changing: it is unavailable until it is heard,
-   * or for a while where the plan goes on without unreachable hosts.
+   * Hosts that are changing, or that have an order on which they have not reported yet. A host that
+   * became unreachable after its order may still be changing. It is unavailable until it is reachable
+   * again or, if the plan continues without unreachable hosts, for {@link
+   * #UNREACHABLE_UNAVAILABLE_SECONDS}.
    */
   Set<String> unavailable(FleetObservation observed, double now) {
     Set<String> unavailable = new LinkedHashSet<>();
@@ -117,7 +124,7 @@
     return age < ORDER_UNAVAILABLE_SECONDS || mayStillChange;
   }
 
-  /** True if a host reports that its last order was executed or has failed. */
+  /** True if a host reports that its last order was executed or failed. */
   private boolean isAnswered(String host, FleetObservation observed) {
     if (!observed.isReachable(host)) {
       return false;
--- a/src/main/java/wharftrestle/rollout/ReleaseFaults.java
+++ b/src/main/java/wharftrestle/rollout/ReleaseFaults.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * Faults of a new release that stop it whatever the metrics say: deaths of daemons, rollbacks by
- * hosts themselves, broken rules. Counted over all stages.
+ * Faults that fail a new release whatever its metrics are: daemon deaths, rollbacks that hosts start
+ * on their own, and broken rules. Counted over all stages. Not thread-safe.
  */
 final class ReleaseFaults {
-  /** Deaths or rollbacks at one host that are the release's fault and not the host's. */
-  private static final int LOOP_COUNT = 2;
+  /** Number of deaths or rollbacks at one host that are attributed to the release. */
+  private static final int REPEAT_THRESHOLD = 2;
 
-  /** Probability below which more deaths on the new release are no coincidence. */
-  private static final double COINCIDENCE_PROBABILITY = 0.001;
+  /** Significance level at which additional deaths on the new release fail it. */
+  private static final double SIGNIFICANCE_LEVEL = 0.001;
 
-  /** Keeps the odds finite when no old host is left. */
+  /** Upper bound on the fraction of new hosts, so that the odds are finite without an old host. */
   private static final double MAX_NEW_FRACTION = 0.999;
 
   private final Map<String, Integer> deathsByHost = new HashMap<>(); // on the new release
@@ -25,7 +25,7 @@
   private double oldHostWindows;
   private String fault = "";
 
-  /** One window, with so many hosts on either release. */
+  /** Records one window with the number of hosts on each release. */
   void addWindow(long newHosts, long oldHosts) {
     newHostWindows += newHosts;
     oldHostWindows += oldHosts;
@@ -38,17 +38,17 @@
     }
     newDeaths++;
     int deaths = deathsByHost.merge(host, 1, Integer::sum);
-    if (deaths >= LOOP_COUNT) {
+    if (deaths >= REPEAT_THRESHOLD) {
       fault = "the new release died " + deaths + " times at " + host;
-    } else if (newDeaths > LOOP_COUNT && newHostWindows > 0 && isNoCoincidence()) {
+    } else if (newDeaths > REPEAT_THRESHOLD && newHostWindows > 0 && areNewDeathsSignificant()) {
       fault = "the new release died " + newDeaths + " times, the old one " + oldDeaths + " times";
     }
   }
 
   void onHostRollback(String host, String reason) {
     int rollbacks = rollbacksByHost.merge(host, 1, Integer::sum);
-    if (rollbacks >= LOOP_COUNT) {
-      fault = host + " rolled it back by itself " + rollbacks + " times: " + reason;
+    if (rollbacks >= REPEAT_THRESHOLD) {
+      fault = host + " rolled the release back on its own " + rollbacks + " times: " + reason;
     }
   }
 
@@ -56,22 +56,25 @@
     fault = violated + " at " + host;
   }
 
-  /** The latest fault that stops the release; empty for none. */
+  /** The latest fault that fails the release; empty for none. */
   String fault() {
     return fault;
   }
 
-  /** Binomial tail: so many of all deaths on the new release, by its share of the time. */
-  private boolean isNoCoincidence() {
-    int all = newDeaths + oldDeaths;
+  /**
+   * Binomial test: the probability of at least this many of all deaths on the new release, given its
+   * fraction of the host time.
+   */
+  private boolean areNewDeathsSignificant() {
+    int totalDeaths = newDeaths + oldDeaths;
     double newFraction =
         Math.min(MAX_NEW_FRACTION, newHostWindows / (newHostWindows + oldHostWindows));
-    double term = Math.pow(newFraction, all); // all of them on the new release
+    double term = Math.pow(newFraction, totalDeaths); // all deaths on the new release
     double tail = 0;
-    for (int i = all; i >= newDeaths; i--) {
+    for (int i = totalDeaths; i >= newDeaths; i--) {
       tail += term;
-      term *= i / (all - i + 1.0) * (1 - newFraction) / newFraction;
+      term *= i / (totalDeaths - i + 1.0) * (1 - newFraction) / newFraction;
     }
-    return tail < COINCIDENCE_PROBABILITY;
+    return tail < SIGNIFICANCE_LEVEL;
   }
 }
--- a/src/main/java/wharftrestle/rollout/RollbackDecision.java
+++ b/src/main/java/wharftrestle/rollout/RollbackDecision.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * Which changed hosts are rolled back now, newest first, and what keeps the rest. Made for one
- * decision of {@link Rollout}; it changes nothing itself.
+ * Decides which changed hosts are rolled back now, the most recently changed first, and why others
+ * cannot be. Created for one decision of {@link Rollout}; has no side effects.
  */
 final class RollbackDecision {
   private final RolloutPlan plan;
@@ -17,11 +17,11 @@
   private final boolean mayOrder;
   private final Set<String> unavailable;
   private final List<RolloutPlan.Host> orders = new ArrayList<>();
-  private boolean isEveryHostBack = true;
+  private boolean allRolledBack = true;
   private String obstacle = "";
 
   /**
-   * @param previousReleases by host, in the order in which hosts were changed
+   * @param previousReleases by host, in the order in which the hosts were changed
    */
   RollbackDecision(
       RolloutPlan plan,
@@ -39,13 +39,13 @@
     Collections.reverse(newestFirst);
     for (String host : newestFirst) {
       if (!observed.runs(host, previousReleases.get(host))) {
-        isEveryHostBack = false;
-        consider(host);
+        allRolledBack = false;
+        decideHost(host);
       }
     }
   }
 
-  private void consider(String name) {
+  private void decideHost(String name) {
     RolloutPlan.Host host = plan.host(name);
     if (!observed.isReachable(name)) {
       obstacle = name + " cannot be reached, and is rolled back once it is";
@@ -64,17 +64,17 @@
         && observed.blockingReason(host, unavailable).isEmpty();
   }
 
-  /** Hosts that are ordered back now, in this order. */
+  /** Hosts that are ordered to roll back now, in this order. */
   List<RolloutPlan.Host> orders() {
     return orders;
   }
 
-  /** True if every changed host runs what it ran before. */
+  /** True if every changed host runs its previous release again. */
   boolean isComplete() {
-    return isEveryHostBack && unavailable.isEmpty();
+    return allRolledBack && unavailable.isEmpty();
   }
 
-  /** What keeps a host from being rolled back; empty for nothing. */
+  /** Why a host cannot be rolled back; empty if none is blocked. */
   String obstacle() {
     return obstacle;
   }
