--- a/src/main/java/wharftrestle/rollout/MembershipView.java
+++ b/src/main/java/wharftrestle/rollout/MembershipView.java
@@ -61,7 +61,7 @@
    * @param lastHeartbeatAt negative infinity for never
    * @param incarnation of its supervisor; empty for none
    * @param witness the host whose probe last succeeded; empty for none
-   * @param servesClients true if that probe probeResult that the host serves its clients
+   * @param servesClients true if that probe found that the host serves its clients
    * @param rejoins number of times it returned under the same name with another incarnation
    */
   public record HostStatus(
--- a/src/main/java/wharftrestle/rollout/Rollout.java
+++ b/src/main/java/wharftrestle/rollout/Rollout.java
@@ -12,36 +12,38 @@
 import java.util.Set;
 
 /**
- * One rolling change as a state machine: which host is ordered next, and what becomes of the
- * change. Input are the states that hosts report and the commands of operators; output are {@link
- * Action}s, in the order in which they are to be carried out. What hosts run is read from what they
- * report, not from what they were ordered: a host that came back with the old release is changed
- * again. Never are more hosts unavailable than planned, is a host ordered two releases in one
- * epoch, does a host go against {@link RolloutPlan#blockingReason}, or does a stage end without a
- * verdict. Not thread-safe. Times are in seconds of a clock that never goes back.
+ * The state machine of one rollout: decides which host is ordered next and how the rollout ends.
+ * The inputs are the states that hosts report and the commands of operators; the outputs are {@link
+ * Action}s, in the order in which the caller must carry them out. The release that a host runs is
+ * taken from its report, not from its orders: a host that returned to the old release is changed
+ * again. Not thread-safe. Times are seconds of a monotonic clock.
+ *
+ * <p>Invariants: no more hosts are unavailable than planned, a host is not ordered two releases in
+ * one epoch, a host is not changed while {@link RolloutPlan#blockingReason} blocks it, and a stage
+ * does not end without a verdict.
  *
  * <pre>
- * state         means                                   goes to
+ * state         meaning                                 next states
  * PROGRESSING   hosts of this stage are ordered         OBSERVING (all of them have changed),
  *               to change                               ROLLING_BACK or HELD (worse), HELD (hosts
  *                                                       failed or are unreachable), PAUSED
- * OBSERVING     the stage is watched                    PROGRESSING (next stage), COMPLETED,
+ * OBSERVING     the stage is observed                   PROGRESSING (next stage), COMPLETED,
  *                                                       ROLLING_BACK or HELD (worse), HELD (no
  *                                                       verdict in time), PAUSED
  * HELD          waits for an operator, with a reason    PROGRESSING or COMPLETED (resume),
  *                                                       ROLLING_BACK
- * PAUSED        an operator wants no further orders     PROGRESSING or OBSERVING (resume),
+ * PAUSED        an operator stopped further orders      PROGRESSING or OBSERVING (resume),
  *                                                       ROLLING_BACK
  * ROLLING_BACK  changed hosts are rolled back,          ROLLED_BACK (all are)
  *               newest first
  * COMPLETED     all hosts that a rollout may change run the release
- * ROLLED_BACK   all hosts run what they ran before
- * ABORTED       left as it is, by an operator, from any state that is not final
+ * ROLLED_BACK   all changed hosts run their previous releases
+ * ABORTED       ended by an operator, hosts unchanged; from any state that is not final
  * </pre>
  */
 public final class Rollout {
 
-  /** Its states; the table of {@link Rollout} says what each means. */
+  /** The states of a rollout, described in the table of {@link Rollout}. */
   public enum State {
     PROGRESSING("CHANGING"),
     OBSERVING("HOLDING"),
@@ -58,18 +60,18 @@
       this.storedName = storedName;
     }
 
-    /** Its name in the controller's journal. */
+    /** The name in the controller's journal. */
     @JsonValue
     public String storedName() {
       return storedName;
     }
 
-    /** Its name in the controller's status and events. */
+    /** The name in the controller's status and events. */
     public String publishedName() {
       return storedName.toLowerCase(Locale.ROOT);
     }
 
-    /** True if no state follows. */
+    /** True if there is no next state. */
     public boolean isFinal() {
       return TRANSITIONS.get(this).isEmpty();
     }
@@ -103,14 +105,14 @@
   }
 
   /**
-   * What a host reports.
+   * The state that a host reports.
    *
-   * @param reachable answers this controller
-   * @param runningRelease of its daemon, by the daemon's own digest; empty if none is known
-   * @param settled one daemon serves, no change is going on
-   * @param orderedRelease the last one ordered in the current epoch; empty for none
-   * @param attempt orders in the current epoch
-   * @param failure why the host itself rolled its last change back; empty if it did not
+   * @param reachable true if the host answers this controller
+   * @param runningRelease release of its daemon, by the daemon's own digest; empty if unknown
+   * @param settled true if one daemon serves and no change is in progress
+   * @param orderedRelease release last ordered in the current epoch; empty for none
+   * @param attempt number of orders in the current epoch
+   * @param failure why the host rolled its last change back on its own; empty if it did not
    */
   public record ReportedState(
       boolean reachable,
@@ -120,30 +122,30 @@
       int attempt,
       String failure) {}
 
-  /** What is to be done; each is written to the journal before it is done. */
+  /** A step for the caller to carry out, after writing it to the journal. */
   public sealed interface Action {
-    /** A host is ordered to run a release. */
+    /** Order a host to run a release. */
     record Order(String host, String release, String reason) implements Action {}
 
-    /** A new epoch: only then may a host be ordered another release than before. */
+    /** Claim a new epoch, which is required before a host is ordered a different release. */
     record ClaimEpoch(String reason) implements Action {}
 
-    /** A stage begins, from 0: the canary analysis begins anew. */
+    /** Restart the canary analysis for a stage; stages are numbered from 0. */
     record BeginStage(int stage) implements Action {}
 
-    /** A host rolled its change back by itself. */
+    /** Record that a host rolled its change back on its own. */
     record HostRolledBack(String host, String reason) implements Action {}
 
-    /** The state changed, or its reason. */
+    /** Record a change of the state or of its reason. */
     record EnterState(State state, int stage, String reason) implements Action {}
   }
 
   /**
-   * What a journal holds of it.
+   * The state of a rollout as the journal stores it.
    *
-   * @param resumeState the state to which a pause returns
-   * @param previousReleases by host, in the order in which hosts were changed
-   * @param attempts orders by host
+   * @param resumeState state that follows a pause
+   * @param previousReleases by host, in the order in which the hosts were changed
+   * @param attempts number of orders by host
    */
   public record Snapshot(
       State state,
@@ -153,7 +155,7 @@
       @JsonProperty("tries") Map<String, Integer> attempts,
       @JsonProperty("why") String reason) {}
 
-  private static final String STILL = "; still: ";
+  private static final String OBSTACLE_SEPARATOR = "; still: ";
 
   private final RolloutPlan plan;
   private final OrderLedger ledger;
@@ -166,14 +168,14 @@
   private String reason = "";
   private boolean isStarted;
 
-  /** A rollout that has changed nothing yet. */
+  /** Creates a rollout that has not changed any host yet. */
   public Rollout(RolloutPlan plan, double now) {
     this.plan = plan;
     ledger = new OrderLedger(plan);
     enteredAt = now;
   }
 
-  /** Resumes from a journal; a stage that was observed is observed anew. */
+  /** Resumes from a journal; the observation of a stage starts again from its beginning. */
   public Rollout(RolloutPlan plan, Snapshot snapshot, double now) {
     this(plan, now);
     stage = snapshot.stage();
@@ -188,22 +190,22 @@
                 host, state == State.ROLLING_BACK ? previous : plan.targetRelease(), now));
   }
 
-  /** Where it is. */
+  /** The current state. */
   public State state() {
     return state;
   }
 
-  /** The stage, from 0. */
+  /** The current stage, from 0. */
   public int stage() {
     return stage;
   }
 
-  /** Why it is in this state; empty for nothing special. */
+  /** Why the rollout is in this state; empty if there is no particular reason. */
   public String reason() {
     return reason;
   }
 
-  /** What a journal holds of it. */
+  /** The current state as the journal stores it. */
   public Snapshot snapshot() {
     return new Snapshot(
         state,
@@ -214,7 +216,7 @@
         reason);
   }
 
-  /** Seconds in this state. */
+  /** Seconds since the current state was entered. */
   public double secondsInState(double now) {
     return now - enteredAt;
   }
@@ -237,7 +239,7 @@
 
   // ---- Commands of operators ----
 
-  /** Sends no further orders. No action where it cannot be paused. */
+  /** Stops further orders. No action in a state that cannot be paused. */
   public List<Action> pause(double now) {
     if (state == State.PROGRESSING || state == State.OBSERVING) {
       resumeState = state;
@@ -247,8 +249,8 @@
   }
 
   /**
-   * Goes on from a pause; if held with the same stage, or with the next one if this one's hosts
-   * have changed; while rolling back, hosts that failed are tried again.
+   * Resumes after a pause. A held rollout continues with the same stage, or with the next one if all
+   * hosts of this stage have changed. During a rollback, hosts that failed are tried again.
    */
   public List<Action> resume(Map<String, ReportedState> reported, double now) {
     if (state == State.ROLLING_BACK) {
@@ -262,17 +264,17 @@
     return drainActions();
   }
 
-  private void resumeHeld(boolean isStageChanged, double now) {
-    boolean isOver = isStageChanged && isLastStage();
-    enter(isOver ? State.COMPLETED : State.PROGRESSING, "an operator said go", now);
-    if (!isStageChanged) {
+  private void resumeHeld(boolean isStageComplete, double now) {
+    boolean isRolloutComplete = isStageComplete && isLastStage();
+    enter(isRolloutComplete ? State.COMPLETED : State.PROGRESSING, "an operator said go", now);
+    if (!isStageComplete) {
       actions.add(new Action.BeginStage(stage));
-    } else if (!isOver) {
+    } else if (!isRolloutComplete) {
       beginNextStage();
     }
   }
 
-  /** Rolls all changed hosts back. No action if it is final or does so already. */
+  /** Rolls all changed hosts back. No action in a final state or during a rollback. */
   public List<Action> rollBack(String rollbackReason, double now) {
     if (!state.isFinal() && state != State.ROLLING_BACK) {
       actions.add(new Action.ClaimEpoch(rollbackReason));
@@ -283,7 +285,7 @@
     return drainActions();
   }
 
-  /** Leaves every host as it is. */
+  /** Ends the rollout and leaves every host as it is. */
   public List<Action> abort(double now) {
     if (!state.isFinal()) {
       enter(State.ABORTED, "an operator ended it", now);
@@ -293,22 +295,22 @@
 
   // ---- Events ----
 
-  /** A new epoch was granted: orders of the one before count for nothing. */
+  /** Resets the orders of the previous epoch after a new one has been claimed. */
   public void onEpochClaimed() {
     ledger.onEpochClaimed();
   }
 
-  /** A host did not execute the order that it was just sent: it may be ordered again. */
+  /** Records that a host did not execute its last order and may be ordered again. */
   public void onOrderRefused(String host) {
     ledger.onOrderRefused(host);
   }
 
   /**
-   * Some time has passed.
+   * Decides the next actions.
    *
-   * @param reported states by host; hosts that have never answered are absent
+   * @param reported states by host, without hosts that have never answered
    * @param verdict of the canary analysis on this stage
-   * @param mayOrder an order may go out now
+   * @param mayOrder true if an order may be sent now
    */
   public List<Action> tick(
       Map<String, ReportedState> reported,
@@ -348,11 +350,11 @@
     if (state != State.PROGRESSING && state != State.OBSERVING) {
       return;
     }
-    String worse = "stage " + (stage + 1) + " does worse: " + verdict.reason();
+    String regressionReason = "stage " + (stage + 1) + " does worse: " + verdict.reason();
     if (plan.regressionPolicy() == RolloutPlan.RegressionPolicy.ROLL_BACK) {
-      actions.addAll(rollBack(worse, now));
+      actions.addAll(rollBack(regressionReason, now));
     } else {
-      enter(State.HELD, worse, now);
+      enter(State.HELD, regressionReason, now);
     }
   }
 
@@ -381,8 +383,8 @@
     if (decision.isComplete()) {
       enter(State.OBSERVING, "", now);
     } else if (decision.isFailed()) {
-      String failed = decision.failedHosts() + " hosts could not go, at last ";
-      enter(State.HELD, failed + decision.obstacle(), now);
+      String failureCount = decision.failedHosts() + " hosts could not be changed, most recently ";
+      enter(State.HELD, failureCount + decision.obstacle(), now);
     } else if (decision.isBlocked()) {
       onBlocked(decision, now);
     }
@@ -391,7 +393,7 @@
   private void onBlocked(StageDecision decision, double now) {
     if (decision.onlyUnreachableRemain()
         && plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.CONTINUE) {
-      enter(State.OBSERVING, decision.obstacle() + "; it goes on without", now);
+      enter(State.OBSERVING, decision.obstacle() + "; continuing without unreachable hosts", now);
     } else if (secondsInState(now) > plan.verdictTimeoutSeconds()) {
       enter(State.HELD, decision.obstacle(), now);
     }
@@ -400,22 +402,22 @@
   private void observeStage(FleetObservation observed, CanaryAnalysis.Verdict verdict, double now) {
     boolean holdsIfUnreachable = plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.HOLD;
     if (holdsIfUnreachable && !observed.remaining(stage).isEmpty()) {
-      enter(State.PROGRESSING, "a host of this stage is behind again", now);
+      enter(State.PROGRESSING, "a host of this stage no longer runs the new release", now);
       return;
     }
     int unreachable = observed.unreachable().size();
-    boolean isCutOff = holdsIfUnreachable && unreachable * 2 >= plan.hosts().size();
-    // Without a host of the old release there is nothing to compare with: deaths and broken rules
-    // still count.
+    boolean tooManyUnreachable = holdsIfUnreachable && unreachable * 2 >= plan.hosts().size();
+    // Without a host on the old release there is nothing to compare with. Deaths and broken rules
+    // still fail the stage.
     boolean isBaselineGone =
         isLastStage() && observed.changed().size() + unreachable >= plan.hosts().size();
     boolean isAccepted = verdict.outcome() == CanaryAnalysis.Outcome.PASS || isBaselineGone;
     double holdSeconds = plan.stages().get(stage).holdSeconds();
-    if (secondsInState(now) >= holdSeconds && !isCutOff && isAccepted) {
+    if (secondsInState(now) >= holdSeconds && !tooManyUnreachable && isAccepted) {
       endStage(verdict, now);
     } else if (secondsInState(now) >= holdSeconds + plan.verdictTimeoutSeconds()) {
-      String undecided = "nobody can tell whether stage " + (stage + 1) + " does worse: ";
-      enter(State.HELD, undecided + verdict.reason(), now);
+      String timeoutReason = "stage " + (stage + 1) + " could not be accepted in time: ";
+      enter(State.HELD, timeoutReason + verdict.reason(), now);
     }
   }
 
@@ -430,7 +432,7 @@
 
   // ---- Rollback ----
 
-  /** Hosts that cannot be reached keep it from ending; they are rolled back once they can. */
+  /** The rollback does not end before unreachable hosts are reachable again and rolled back. */
   private void rollBackHosts(FleetObservation observed, boolean mayOrder, double now) {
     RollbackDecision decision =
         new RollbackDecision(plan, previousReleases, observed, ledger, mayOrder, now);
@@ -440,7 +442,7 @@
     if (decision.isComplete()) {
       enter(State.ROLLED_BACK, reason, now);
     } else if (!decision.obstacle().isEmpty() && !reason.contains(decision.obstacle())) {
-      reason = reason.split(STILL, 2)[0] + STILL + decision.obstacle();
+      reason = reason.split(OBSTACLE_SEPARATOR, 2)[0] + OBSTACLE_SEPARATOR + decision.obstacle();
       actions.add(new Action.EnterState(state, stage, reason));
     }
   }
--- a/src/main/java/wharftrestle/rollout/RolloutPlan.java
+++ b/src/main/java/wharftrestle/rollout/RolloutPlan.java
@@ -8,18 +8,18 @@
 import java.util.Set;
 
 /**
- * What is to be changed, how, and when it is stopped. It holds the rules of which hosts may be
- * unavailable together and in which order hosts go. Immutable.
+ * The plan of a rollout: its target, its stages and its stop criteria. Decides which hosts may be
+ * unavailable together and in which order hosts are changed. Immutable.
  *
- * @param targetRelease the release that all hosts are to run
- * @param hosts of the whole fleet, in the order they are listed; names are unique
- * @param stages in their order, each with more hosts than the one before
+ * @param targetRelease release that all hosts shall run
+ * @param hosts of the whole fleet, in the order of the plan; names are unique
+ * @param stages in order, each with more hosts than the previous one
  * @param criteria by which the new release is compared
- * @param maxUnavailable hosts that change at once
- * @param maxAttempts orders to one host, until it is left as it is
- * @param verdictTimeoutSeconds for which a verdict is awaited beyond a stage's hold
+ * @param maxUnavailable maximum number of hosts that change at the same time
+ * @param maxAttempts maximum number of orders to one host
+ * @param verdictTimeoutSeconds to wait for a verdict after a stage's hold
  * @param unreachablePolicy for hosts that cannot be reached
- * @param regressionPolicy for a stage that does worse
+ * @param regressionPolicy for a stage that performs worse
  */
 public record RolloutPlan(
     String targetRelease,
@@ -32,10 +32,10 @@
     UnreachablePolicy unreachablePolicy,
     RegressionPolicy regressionPolicy) {
 
-  /** Hosts of a zone below which no two of it may be unavailable together. */
+  /** Zones with fewer hosts may have only one of them unavailable at a time. */
   static final int SMALL_ZONE_HOSTS = 4;
 
-  /** Guards comparisons of fractions against rounding. */
+  /** Tolerance for rounding errors in comparisons of fractions. */
   private static final double FRACTION_TOLERANCE = 1e-12;
 
   /**
@@ -43,22 +43,23 @@
    *
    * @param zone empty for none
    * @param supervisor address of its supervisor, HOST:PORT
-   * @param tenants whose traffic it owns; empty where all hosts serve all
+   * @param tenants whose traffic it owns; empty if all hosts serve all tenants
    */
   public record Host(String name, String zone, String supervisor, List<String> tenants) {}
 
   /**
-   * One stage: so many hosts in all run the release at its end.
+   * One stage, which ends when a number of hosts runs the release.
    *
-   * @param hosts in all; 0 where a fraction is given
-   * @param fraction of the fleet, over 0 to 1; 0 where a number is given
-   * @param spreadOverZones hosts of all zones in turn, instead of the listed order
+   * @param hosts number of hosts over all stages so far; 0 if a fraction is set
+   * @param fraction of the fleet over all stages so far, above 0 and at most 1; 0 if a number of
+   *     hosts is set
+   * @param spreadOverZones true to take hosts of all zones in turn instead of the plan's order
    * @param holdSeconds for which the stage is observed once all of its hosts run the release
    */
   public record Stage(int hosts, double fraction, boolean spreadOverZones, double holdSeconds) {
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    /** Hosts in all at its end, of a fleet of this size. */
+    /** Number of hosts that run the release at the end of the stage, in a fleet of this size. */
     public int targetHosts(int fleetSize) {
       return hosts > 0
           ? Math.min(hosts, fleetSize)
@@ -66,27 +67,27 @@
     }
   }
 
-  /** What is done while hosts cannot be reached. */
+  /** The policy while hosts cannot be reached. */
   public enum UnreachablePolicy {
     HOLD,
     CONTINUE
   }
 
-  /** What is done if a stage does worse. */
+  /** The policy if a stage performs worse. */
   public enum RegressionPolicy {
     ROLL_BACK,
     HOLD
   }
 
-  /** True for a host of the fleet. */
+  /** True if the fleet has a host of this name. */
   public boolean hasHost(String name) {
     return find(name).isPresent();
   }
 
   /**
-   * The host of this name.
+   * The host with this name.
    *
-   * @throws IllegalArgumentException if there is none
+   * @throws IllegalArgumentException if the plan has no such host
    */
   public Host host(String name) {
     return find(name)
@@ -103,7 +104,9 @@
     return (int) hosts.stream().filter(host -> host.zone().equals(zone)).count();
   }
 
-  /** True if no other host owns some tenant of this one: a rollout never changes it. */
+  /**
+   * True if a tenant of this host has no other owner. A rollout does not change such a host.
+   */
   public boolean isSoleOwner(Host host) {
     return unservedTenant(host, Set.of()).isPresent();
   }
@@ -113,12 +116,12 @@
     return (int) hosts.stream().filter(host -> !isSoleOwner(host)).count();
   }
 
-  /** Hosts that run the release at the end of a stage, without those that may not change. */
+  /** Number of hosts that a stage can reach, as sole owners of a tenant are not changed. */
   int reachableTarget(int stage) {
     return Math.min(stages.get(stage).targetHosts(hosts.size()), changeableHosts());
   }
 
-  /** A tenant of this host that no other host owns, but for the absent ones. */
+  /** A tenant of this host that no other host owns, apart from the absent hosts. */
   Optional<String> unservedTenant(Host host, Set<String> absent) {
     return host.tenants().stream()
         .filter(
@@ -132,10 +135,10 @@
         .findFirst();
   }
 
-  /** Why this host may not go while these are unavailable; empty if it may. */
+  /** Why this host may not be changed while these are unavailable; empty if it may. */
   public String blockingReason(Host host, Set<String> unavailable) {
     if (unavailable.size() >= maxUnavailable) {
-      return unavailable.size() + " are unavailable, which is the most";
+      return unavailable.size() + " hosts are unavailable, the plan's maximum";
     }
     boolean inSmallZone = !host.zone().isEmpty() && zoneSize(host.zone()) < SMALL_ZONE_HOSTS;
     for (String name : unavailable) {
@@ -148,7 +151,7 @@
         .orElse("");
   }
 
-  /** All changeable hosts in the order in which a stage takes them on, without those changed. */
+  /** The unchanged hosts that a stage may change, in the order in which it changes them. */
   List<Host> candidates(int stage, Set<String> changed) {
     List<Host> remaining = new ArrayList<>();
     for (Host host : hosts) {
@@ -159,7 +162,7 @@
     return stages.get(stage).spreadOverZones() ? spread(remaining, changed) : remaining;
   }
 
-  /** Always the next host of the zone with the lowest fraction of changed hosts. */
+  /** Orders hosts by always choosing one of the zone with the lowest fraction of changed hosts. */
   private List<Host> spread(List<Host> remaining, Set<String> changed) {
     Map<String, Integer> changedByZone = new LinkedHashMap<>();
     for (Host host : hosts) {
--- a/src/main/java/wharftrestle/rollout/RolloutSchedule.java
+++ b/src/main/java/wharftrestle/rollout/RolloutSchedule.java
@@ -6,23 +6,24 @@
 import java.util.Set;
 
 /**
- * Which host goes when if all goes well, and what of a plan cannot be met. A preview for operators;
- * {@link Rollout} decides anew from what hosts report.
+ * A preview for operators of the order in which a plan changes hosts if no host fails, and of the
+ * parts of the plan that cannot be met. {@link Rollout} does not use it: it decides from the reported
+ * states.
  *
- * @param changes in their order
- * @param unmet each in one line
+ * @param changes in order
+ * @param unmet one line for each part of the plan that cannot be met
  */
 public record RolloutSchedule(List<Change> changes, List<String> unmet) {
 
   /**
-   * One host's change.
+   * The change of one host.
    *
    * @param stage from 0
    * @param round of the stage, from 0; hosts of one round are unavailable together
    */
   public record Change(int stage, int round, RolloutPlan.Host host, String reason) {}
 
-  /** The schedule of a plan. */
+  /** Computes the schedule of a plan. */
   public static RolloutSchedule of(RolloutPlan plan) {
     Builder builder = new Builder(plan);
     builder.addSoleOwners();
@@ -54,10 +55,10 @@
     }
 
     void addStage(int stage) {
-      int wanted = plan.stages().get(stage).targetHosts(plan.hosts().size());
+      int plannedTarget = plan.stages().get(stage).targetHosts(plan.hosts().size());
       int target = plan.reachableTarget(stage);
-      if (wanted > target) {
-        unmet.add("stage " + (stage + 1) + " reaches " + target + " of " + wanted + " hosts");
+      if (plannedTarget > target) {
+        unmet.add("stage " + (stage + 1) + " reaches " + target + " of " + plannedTarget + " hosts");
       }
       for (int round = 0; changed.size() < target; round++) {
         if (!addRound(stage, round, target)) {
@@ -76,12 +77,12 @@
       }
     }
 
-    /** False if no host may go. */
+    /** Adds one round; false if no host may be changed. */
     private boolean addRound(int stage, int round, int target) {
       Set<String> unavailable = new LinkedHashSet<>();
       String reason =
           plan.stages().get(stage).spreadOverZones()
-              ? "its zone has the least of the new release"
+              ? "its zone has the lowest fraction of changed hosts"
               : "as listed";
       for (RolloutPlan.Host host : plan.candidates(stage, changed)) {
         if (changed.size() + unavailable.size() < target
--- a/src/main/java/wharftrestle/rollout/StageDecision.java
+++ b/src/main/java/wharftrestle/rollout/StageDecision.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 
 /**
- * Which hosts of a stage are ordered to change now, and what keeps the rest. Made for one decision
- * of {@link Rollout}; it changes nothing itself.
+ * Decides which hosts of a stage are ordered to change now, and why others cannot be. Created for one
+ * decision of {@link Rollout}; has no side effects.
  */
 final class StageDecision {
-  /** Hosts whose attempts are spent, after which no further host is tried. */
+  /** Number of hosts without attempts left at which no further host is changed. */
   private static final int MAX_FAILED_HOSTS = 2;
 
   private final RolloutPlan plan;
@@ -46,21 +46,21 @@
   }
 
   private void chooseOrders(List<RolloutPlan.Host> candidates) {
-    int mostUnavailable = Math.min(plan.maxUnavailable(), remaining.size());
+    int maxUnavailableHosts = Math.min(plan.maxUnavailable(), remaining.size());
     for (RolloutPlan.Host host : candidates) {
-      // Guards against trying a release that cannot go anywhere at every host of the fleet.
+      // A release that no host can run would otherwise fail on every host of the fleet in turn.
       if (failedHosts >= MAX_FAILED_HOSTS) {
         return;
       }
-      if (unavailable.size() >= mostUnavailable) {
+      if (unavailable.size() >= maxUnavailableHosts) {
         isWaiting = true;
         return;
       }
-      consider(host);
+      decideHost(host);
     }
   }
 
-  private void consider(RolloutPlan.Host host) {
+  private void decideHost(RolloutPlan.Host host) {
     String name = host.name();
     if (unavailable.contains(name)) {
       isWaiting = true;
@@ -90,42 +90,42 @@
     }
   }
 
-  private void noteObstacle(String next) {
-    obstacle = obstacle.isEmpty() ? next : obstacle;
+  private void noteObstacle(String newObstacle) {
+    obstacle = obstacle.isEmpty() ? newObstacle : obstacle;
   }
 
-  /** Nothing is awaited of hosts that were ordered and cannot be reached since. */
+  /** Stops waiting if every unavailable host became unreachable after its order. */
   private void noteUnreachableOrdered() {
     Set<String> unreachableOrdered = new LinkedHashSet<>(unavailable);
     unreachableOrdered.retainAll(unreachable);
     if (!unreachableOrdered.isEmpty() && unreachableOrdered.size() == unavailable.size()) {
       isWaiting = false;
       noteObstacle(
-          String.join(", ", unreachableOrdered) + " was ordered and cannot be reached since");
+          String.join(", ", unreachableOrdered) + " cannot be reached since the last order");
     }
   }
 
-  /** Hosts that are ordered now, in this order. */
+  /** Hosts that are ordered to change now, in this order. */
   List<RolloutPlan.Host> orders() {
     return orders;
   }
 
-  /** True if no host of the stage has to be changed any more, and none is changing. */
+  /** True if every host of the stage has been changed and none is changing. */
   boolean isComplete() {
     return remaining.isEmpty() && unavailable.isEmpty();
   }
 
-  /** True if so many hosts have failed that the release is not tried any further. */
+  /** True if {@link #MAX_FAILED_HOSTS} hosts have failed and none is changing. */
   boolean isFailed() {
     return failedHosts >= MAX_FAILED_HOSTS && unavailable.isEmpty();
   }
 
-  /** True if the stage cannot go on by itself. */
+  /** True if the stage cannot progress unless the state of a host changes. */
   boolean isBlocked() {
     return !remaining.isEmpty() && !isWaiting && !obstacle.isEmpty();
   }
 
-  /** True if every host that is left to change cannot be reached. */
+  /** True if none of the hosts that remain to be changed can be reached. */
   boolean onlyUnreachableRemain() {
     return remaining.stream().allMatch(host -> unreachable.contains(host.name()));
   }
@@ -134,7 +134,7 @@
     return failedHosts;
   }
 
-  /** What keeps the stage; empty for nothing. */
+  /** Why the stage does not progress; empty if it is not blocked. */
   String obstacle() {
     return obstacle;
   }
--- a/src/main/java/wharftrestle/rollout/controller/CanaryTracker.java
+++ b/src/main/java/wharftrestle/rollout/controller/CanaryTracker.java
@@ -8,9 +8,9 @@
 import wharftrestle.rollout.RolloutPlan;
 
 /**
- * Feeds the canary analysis of one rollout with windows and holds its latest verdict. The analysis
- * is created once a daemon has reported its request classes. Not thread-safe: used under the lock
- * of {@link RolloutExecution}. Times are seconds of the monotonic clock.
+ * Passes windows of samples to the canary analysis of one rollout and keeps the latest verdict. The
+ * analysis is created as soon as a daemon has reported its request classes. Not thread-safe; used
+ * under the lock of {@link RolloutExecution}. Times are seconds of the monotonic clock.
  */
 final class CanaryTracker {
   private static final CanaryAnalysis.Verdict NOTHING_COMPARED =
@@ -29,7 +29,7 @@
     this.windowSeconds = windowSeconds;
   }
 
-  /** The first window starts now. */
+  /** Starts the first window. */
   void start(double now) {
     windowStartedAt = now;
   }
@@ -42,7 +42,7 @@
     return verdict;
   }
 
-  /** Every metric as it stands; empty before anything is compared. */
+  /** The current state of every metric; empty before the analysis is created. */
   List<CanaryAnalysis.Reading> readings() {
     return analysis == null ? List.of() : analysis.readings();
   }
@@ -69,13 +69,13 @@
     }
   }
 
-  /** Fails the stage; only while {@link #isComparing}. */
+  /** Fails the stage for a broken rule. Requires {@link #isComparing}. */
   void onViolation(String host, String violated) {
     analysis.onViolation(host, violated);
     verdict = analysis.verdict();
   }
 
-  /** Ends the window if it is over; true where the verdict has another outcome than before. */
+  /** Adds the window to the analysis if it has ended; true if the verdict's outcome changed. */
   boolean tick(Map<String, HostView> views, Predicate<String> isReachable, double now) {
     if (analysis == null && !createAnalysis(views)) {
       return false;
--- a/src/main/java/wharftrestle/rollout/controller/ControllerDirectory.java
+++ b/src/main/java/wharftrestle/rollout/controller/ControllerDirectory.java
@@ -16,8 +16,8 @@
 import wharftrestle.supervisor.JsonLineJournal;
 
 /**
- * A controller's directory: its lock, its journal and the copies of the plans it has carried out.
- * One controller owns it at a time; the next one resumes from the journal. Opened and closed by
+ * A controller's directory: its lock file, its journal and copies of the plans it has carried out.
+ * Used by one controller at a time; the next one resumes from the journal. Opened and closed by
  * {@link RolloutController}; entries are appended under the lock of {@link RolloutExecution}.
  */
 final class ControllerDirectory implements Closeable {
@@ -25,7 +25,7 @@
   static final String SOCKET_FILE = "roll.sock";
   private static final String LOCK_FILE = "roll.lock";
 
-  /** Characters of a plan's digest that name it in files and to operators. */
+  /** Characters of a plan's digest that identify it in file names and in displayed status. */
   private static final int SHORT_DIGEST_CHARACTERS = 12;
 
   private final Path directory;
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Locks the directory, which is created if absent, and copies the plan into it.
+   * Locks the directory, after creating it if absent, and copies the plan into it.
    *
    * @throws RolloutRefusedException if another controller holds the directory, or a rollout of
    *     another plan is under way in it
@@ -55,26 +55,26 @@
       throw new RolloutRefusedException("another controller holds " + directory);
     }
     ControllerDirectory opened = new ControllerDirectory(directory, sha256(script.text()), lock);
-    opened.refuseAnotherPlan();
-    Files.writeString(directory.resolve(planCopy(opened.planDigest)), script.text());
+    opened.requireSamePlan();
+    Files.writeString(directory.resolve(planCopyName(opened.planDigest)), script.text());
     return opened;
   }
 
-  private void refuseAnotherPlan() throws IOException, RolloutRefusedException {
+  private void requireSamePlan() throws IOException, RolloutRefusedException {
     JournalEntry last = journal.last();
-    if (unfinished().isEmpty() || last.planDigest().equals(planDigest)) {
+    if (unfinishedRollout().isEmpty() || last.planDigest().equals(planDigest)) {
       return;
     }
     close();
     throw new RolloutRefusedException(
         "another change is under way in "
             + directory
-            + ": go on with its own copy, "
-            + directory.resolve(planCopy(last.planDigest()))
-            + ", or end it there by 'back' or 'abort' first");
+            + ": resume it with its own plan, "
+            + directory.resolve(planCopyName(last.planDigest()))
+            + ", or end it with 'back' or 'abort' first");
   }
 
-  private static String planCopy(String planDigest) {
+  private static String planCopyName(String planDigest) {
     return "plan-" + shortDigest(planDigest) + ".star";
   }
 
@@ -92,20 +92,20 @@
     }
   }
 
-  /** The rollout that the journal leaves unfinished; empty if there is none. */
-  Optional<Rollout.Snapshot> unfinished() {
+  /** The unfinished rollout of the journal; empty if there is none. */
+  Optional<Rollout.Snapshot> unfinishedRollout() {
     return Optional.ofNullable(journal.last())
         .map(JournalEntry::rollout)
         .filter(rollout -> !rollout.state().isFinal());
   }
 
-  /** The highest epoch that a controller of this directory has claimed; 0 for none. */
+  /** The highest epoch that a controller has claimed from this directory; 0 for none. */
   long highestEpoch() {
     return journal.entries().stream().mapToLong(JournalEntry::epoch).max().orElse(0);
   }
 
-  /** Names of the controllers that have used this directory; all but its owner have ended. */
-  Set<String> controllers() {
+  /** Names of the controllers in the journal, which have ended, as the directory is locked. */
+  Set<String> controllerNames() {
     return journal.entries().stream().map(JournalEntry::controller).collect(Collectors.toSet());
   }
 
@@ -117,7 +117,7 @@
     return directory.resolve(SOCKET_FILE);
   }
 
-  /** Appends an entry, which is on disk when this returns. */
+  /** Appends an entry, durably on disk on return. */
   void append(JournalEntry entry) throws IOException {
     journal.add(entry);
   }
--- a/src/main/java/wharftrestle/rollout/controller/HostView.java
+++ b/src/main/java/wharftrestle/rollout/controller/HostView.java
@@ -12,9 +12,9 @@
 import wharftrestle.rollout.RolloutPlan;
 
 /**
- * The state that one host last reported, read from its supervisor's answers for {@link Rollout} and
- * the canary analysis. An order that was accepted in another epoch is no answer to this one. Not
- * thread-safe: used under the lock of {@link RolloutExecution}.
+ * The last reported state of one host, from its supervisor's answers, for {@link Rollout} and the
+ * canary analysis. Orders accepted in other epochs are ignored. Not thread-safe; used under the lock
+ * of {@link RolloutExecution}.
  */
 final class HostView {
   private record WindowStart(JsonNode reported, double at) {}
@@ -30,16 +30,18 @@
   }
 
   /**
-   * Takes a supervisor's answer. The releases whose daemons have died since its last one, one for
-   * each death; deaths before the first answer of an incarnation do not count.
+   * Updates the view from a supervisor's answer. Deaths before the first answer of an incarnation
+   * are ignored.
+   *
+   * @return the release of each daemon that has died since the last answer, once for each death
    */
   List<String> update(SupervisorClient.Answer answer) {
-    JsonNode now = answer.body().path("box");
+    JsonNode current = answer.body().path("box");
     boolean sameIncarnation = answer.incarnation().equals(incarnation);
     List<String> deaths =
-        sameIncarnation ? newDeaths(reported.path("deaths"), now.path("deaths")) : List.of();
+        sameIncarnation ? newDeaths(reported.path("deaths"), current.path("deaths")) : List.of();
     incarnation = answer.incarnation();
-    reported = now;
+    reported = current;
     grant = answer.reply().grant();
     return deaths;
   }
@@ -62,33 +64,33 @@
     return incarnation;
   }
 
-  /** The release of the daemon, by its own digest; empty if none is known. */
+  /** The release of the daemon, by the daemon's own digest; empty if unknown. */
   String runningRelease() {
     return reported.path("acts").asText();
   }
 
-  /** The supervisor's state, as it is published; "unknown" before its first answer. */
+  /** The supervisor's state by its published name; "unknown" before its first answer. */
   String state() {
     return reported.path("state").asText("unknown");
   }
 
-  /** Why the last change was rolled back by the host itself; empty if it was not. */
+  /** Why the host rolled its last change back on its own; empty if it did not. */
   String failure() {
     return reported.path("failed").asText();
   }
 
-  /** The names of the request classes; empty if the daemon has reported none yet. */
+  /** The names of the request classes; empty until the daemon has reported them. */
   List<String> requestClasses() {
     List<String> names = new ArrayList<>();
     reported.path("classes").forEach(each -> names.add(each.path("name").asText()));
     return names;
   }
 
-  /** The state as {@link Rollout} takes it, with the orders of this epoch only. */
+  /** The state for {@link Rollout}, with the orders of this epoch only. */
   Rollout.ReportedState reportedState(boolean reachable, long epoch) {
     boolean isOrdered = grant.epoch() == epoch && !grant.targetRelease().isEmpty();
-    // A supervisor persists an order before it executes it: until then nothing that it reports is
-    // an answer to the order.
+    // A supervisor persists an order before it executes it. What it reports before the execution
+    // does not refer to the order.
     boolean isExecuted =
         isOrdered
             && reported.path("told").asText().equals(grant.targetRelease())
@@ -108,10 +110,10 @@
   }
 
   /**
-   * Ends a window and starts the next one: what the host did in between, or empty if it reported
-   * too little.
+   * Ends the current window and starts the next one.
    *
-   * @param warmUpSeconds of a daemon's life that do not count
+   * @param warmUpSeconds after a daemon's start that are not compared
+   * @return the sample of the ended window; empty if the host has not reported at both of its ends
    */
   Optional<HostSample> sampleWindow(
       boolean reachable, String newRelease, double warmUpSeconds, double now) {
--- a/src/main/java/wharftrestle/rollout/controller/IndirectProber.java
+++ b/src/main/java/wharftrestle/rollout/controller/IndirectProber.java
@@ -9,8 +9,8 @@
 import org.tinylog.Logger;
 
 /**
- * Asks reachable supervisors about hosts that are silent to this controller, in one thread. What
- * they answer goes to {@link RolloutExecution}. No lock is held during a call.
+ * Has reachable supervisors probe the hosts that do not answer this controller, and passes the
+ * results to {@link RolloutExecution}. Runs in one thread and holds no lock during a call.
  */
 final class IndirectProber implements Runnable {
   private static final int WITNESSES_PER_HOST = 2;
@@ -50,10 +50,13 @@
     }
   }
 
-  /** The same witnesses for a host as long as nobody comes or goes, spread over the hosts. */
+  /**
+   * Chooses the witnesses for a host: the same ones while the list is unchanged, and different ones
+   * for different hosts, to spread the probes.
+   */
   static List<String> chooseWitnesses(String host, List<String> witnesses) {
     int count = witnesses.size();
-    // The remainder comes first: the absolute value of Integer.MIN_VALUE is negative.
+    // The remainder is taken before abs, because abs(Integer.MIN_VALUE) is negative.
     int first = count == 0 ? 0 : Math.abs(host.hashCode() % count);
     return IntStream.range(0, Math.min(WITNESSES_PER_HOST, count))
         .mapToObj(i -> witnesses.get((first + i) % count))
@@ -75,7 +78,7 @@
           MonotonicClock.seconds());
     } catch (IOException unreachable) {
       Logger.debug(
-          "indirect probe without an answer: host={} witness={} reason={}",
+          "indirect probe was not answered: host={} witness={} reason={}",
           host,
           witness,
           unreachable.getMessage());
--- a/src/main/java/wharftrestle/rollout/controller/JournalEntry.java
+++ b/src/main/java/wharftrestle/rollout/controller/JournalEntry.java
@@ -4,17 +4,17 @@
 import wharftrestle.rollout.Rollout;
 
 /**
- * One line of a controller's journal: what it was about to do, and the rollout as it is then. The
- * component names are those of the code; the annotations hold the names on disk.
+ * One line of a controller's journal, written before the controller acts: the intended action and
+ * the state of the rollout. The annotations keep the names used on disk.
  *
  * @param timestampMs Unix time, displayed only
  * @param event "claim", "order", "enter" or "stage"
- * @param epoch in which the controller acted
- * @param controller its name
+ * @param epoch of the controller
+ * @param controller name of the controller
  * @param planDigest SHA-256 of the plan's text
- * @param rollout from which a later controller resumes
- * @param host that is ordered; empty where the event concerns none
- * @param release that it is ordered to run; empty for none
+ * @param rollout state from which a later controller resumes
+ * @param host that is ordered; empty if the event concerns no host
+ * @param release that the host is ordered to run; empty for none
  * @param reason displayed only; empty for none
  */
 record JournalEntry(
--- a/src/main/java/wharftrestle/rollout/controller/MonotonicClock.java
+++ b/src/main/java/wharftrestle/rollout/controller/MonotonicClock.java
@@ -1,6 +1,6 @@
 package wharftrestle.rollout.controller;
 
-/** The clock of a controller's decisions. It never steps, whatever the time of day does. */
+/** The clock of a controller's decisions, unaffected by steps of the wall clock. */
 final class MonotonicClock {
   private MonotonicClock() {}
 
--- a/src/main/java/wharftrestle/rollout/controller/OperatorCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/OperatorCommand.java
@@ -9,8 +9,8 @@
 import wharftrestle.supervisor.CommandSocket;
 
 /**
- * A command of {@code fleet roll} that is sent to the socket of the running controller. Most are
- * sent as their own name, which {@link OperatorCommands} executes.
+ * A command of {@code fleet roll} that is sent to the socket of the running controller and executed
+ * there by {@link OperatorCommands}. Unless overridden, the line sent is the command's name.
  */
 abstract class OperatorCommand implements Callable<Integer> {
   private static final String ACCEPTED = "ok ";
@@ -29,12 +29,12 @@
     return directory.toAbsolutePath();
   }
 
-  /** What is sent to the controller. */
+  /** The line that is sent to the controller. */
   String line() {
     return spec.name();
   }
 
-  /** Sends the command; the answer with its "ok " or "no ", or null if no controller answers. */
+  /** Sends the command. The answer begins with "ok " or "no "; null if no controller answers. */
   final String send() {
     return CommandSocket.order(directory().resolve(ControllerDirectory.SOCKET_FILE), line());
   }
@@ -60,11 +60,11 @@
   }
 
   /** {@code fleet roll pause}. */
-  @Command(name = "pause", description = "begin nothing more; what is going on ends")
+  @Command(name = "pause", description = "send no further orders; changes in progress are completed")
   static final class Pause extends OperatorCommand {}
 
   /** {@code fleet roll go}. */
-  @Command(name = "go", description = "go on from a pause, or with a change that is held")
+  @Command(name = "go", description = "resume a paused or held rollout")
   static final class Go extends OperatorCommand {}
 
   /** {@code fleet roll back}. */
@@ -72,13 +72,13 @@
   static final class Back extends OperatorCommand {}
 
   /** {@code fleet roll abort}. */
-  @Command(name = "abort", description = "end the change and leave every host as it is")
+  @Command(name = "abort", description = "end the rollout and leave every host as it is")
   static final class Abort extends OperatorCommand {}
 
   /** {@code fleet roll broken}. */
   @Command(
       name = "broken",
-      description = "a rule was broken at a host by the new release: the stage is worse at once")
+      description = "report that the new release broke a rule at a host; fails the stage at once")
   static final class Broken extends OperatorCommand {
     @Parameters(paramLabel = "BOX", index = "0")
     private String host;
--- a/src/main/java/wharftrestle/rollout/controller/OperatorCommands.java
+++ b/src/main/java/wharftrestle/rollout/controller/OperatorCommands.java
@@ -5,9 +5,9 @@
 import wharftrestle.rollout.RolloutPlan;
 
 /**
- * Executes the commands that operators send to the controller's socket, a line each, and words the
- * answers: "ok ..." or "no ...". Called in a thread for each command; a command and its answer are
- * one step under the lock of {@link RolloutExecution}.
+ * Executes the commands that operators send to the controller's socket, one per line, and formats
+ * the answers: "ok ..." or "no ...". Called in a thread for each command. A command is executed and
+ * its answer formatted while the lock of {@link RolloutExecution} is held.
  */
 final class OperatorCommands {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -20,7 +20,7 @@
     this.execution = execution;
   }
 
-  /** Executes a command; the answer, in one line. */
+  /** Executes a command and returns the answer as one line. */
   String execute(String command) {
     synchronized (execution) {
       try {
--- a/src/main/java/wharftrestle/rollout/controller/PlanCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/PlanCommand.java
@@ -13,10 +13,10 @@
 import picocli.CommandLine.Parameters;
 import wharftrestle.rollout.RolloutSchedule;
 
-/** {@code fleet plan}: shows a plan's schedule and starts nothing. */
+/** {@code fleet plan}: prints the schedule of a plan without starting a rollout. */
 @Command(
     name = "plan",
-    description = "which host goes when and why, and what cannot be met; nothing is started")
+    description = "show when and why each host is changed, and what cannot be met; starts nothing")
 final class PlanCommand implements Callable<Integer> {
   private static final String ROW = "%-6s %-6s %-16s %-12s %s%n";
 
@@ -26,7 +26,7 @@
   @Option(
       names = "--window",
       paramLabel = "SECONDS",
-      description = "the longest idempotency window, for a warning",
+      description = "longest idempotency window of the settings, for a warning",
       defaultValue = "24")
   private double idempotencyWindowSeconds;
 
@@ -81,6 +81,6 @@
           change.reason());
     }
     schedule.unmet().forEach(each -> System.out.println("not met: " + each));
-    warnings.forEach(each -> System.out.println("look at: " + each));
+    warnings.forEach(each -> System.out.println("warning: " + each));
   }
 }
--- a/src/main/java/wharftrestle/rollout/controller/PlanScript.java
+++ b/src/main/java/wharftrestle/rollout/controller/PlanScript.java
@@ -11,14 +11,15 @@
 import wharftrestle.settings.BadSettingsException;
 
 /**
- * The plan of a rolling change, as a script in the settings' language. {@link PlanScriptReader} has
- * its words. Immutable.
+ * The plan of a rollout, read from a script in the language of the settings. {@link PlanScriptReader}
+ * defines the functions of the script. Immutable.
  *
- * @param plan by which is decided
- * @param clientAddresses where clients reach each host, by its name; absent if the script says none
+ * @param plan the plan that the script defines
+ * @param clientAddresses address at which clients reach a host, by host name; absent for hosts
+ *     without a client address in the script
  * @param windowSeconds over which hosts are compared
- * @param observationSeconds for which the fleet is observed before the first host goes
- * @param text as it was read
+ * @param observationSeconds for which the fleet is observed before the first host is changed
+ * @param text of the script
  */
 public record PlanScript(
     RolloutPlan plan,
@@ -31,7 +32,7 @@
   /**
    * Reads a plan.
    *
-   * @throws BadSettingsException in one line, with the place of what is wrong
+   * @throws BadSettingsException with a one-line message that has the position of the error
    */
   public static PlanScript read(Path file) throws BadSettingsException {
     try {
@@ -48,17 +49,17 @@
   /**
    * Reads a plan from its text.
    *
-   * @param name of the text in errors
-   * @throws BadSettingsException in one line, with the place of what is wrong
+   * @param name of the text in error messages
+   * @throws BadSettingsException with a one-line message that has the position of the error
    */
   public static PlanScript parse(String name, String text) throws BadSettingsException {
     return PlanScriptReader.read(name, text);
   }
 
   /**
-   * What an operator should still look at in a plan that can be carried out.
+   * Warnings for an operator about a valid plan.
    *
-   * @param idempotencyWindowSeconds the longest of the settings
+   * @param idempotencyWindowSeconds longest idempotency window of the settings
    */
   public List<String> warnings(double idempotencyWindowSeconds) {
     List<String> warnings = new ArrayList<>();
@@ -68,8 +69,8 @@
         warnings.add(
             String.format(
                 Locale.ROOT,
-                "stage %d holds %.0f s, less than the longest window of keys (%.0f s): what "
-                    + "shows only after it shows in no stage",
+                "stage %d holds %.0f s, less than the longest idempotency window (%.0f s): a "
+                    + "fault that appears only after that time is found in no stage",
                 i + 1,
                 holdSeconds,
                 idempotencyWindowSeconds));
@@ -77,10 +78,10 @@
     }
     long zones = plan.hosts().stream().map(RolloutPlan.Host::zone).distinct().count();
     if (zones > 1 && plan.stages().stream().noneMatch(RolloutPlan.Stage::spreadOverZones)) {
-      warnings.add("no stage spreads over zones: a whole zone may go first");
+      warnings.add("no stage spreads over zones: all hosts of one zone may be changed first");
     }
     if (plan.criteria().limits().isEmpty()) {
-      warnings.add("nothing is compared: only deaths and broken rules stop the change");
+      warnings.add("no metric is compared: only daemon deaths and broken rules stop the rollout");
     }
     return warnings;
   }
--- a/src/main/java/wharftrestle/rollout/controller/PlanScriptReader.java
+++ b/src/main/java/wharftrestle/rollout/controller/PlanScriptReader.java
@@ -15,20 +15,20 @@
 import wharftrestle.transport.Address;
 
 /**
- * Reads a plan's script: {@code box(...)} for each host of the fleet, and {@code change(...)} once.
- * It maps the script's words, which are published, to the names of {@link RolloutPlan}, and checks
- * their bounds. Made for one script.
+ * Reads a plan's script, which calls {@code box(...)} for each host of the fleet and {@code
+ * change(...)} once. Maps the published functions and parameters of the script to {@link RolloutPlan}
+ * and checks the ranges of their values. Created for one script.
  */
 final class PlanScriptReader implements Scripts.Words {
   private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
   private static final int DAY_SECONDS = 86_400;
 
-  /** Windows of a host that the canary analysis needs before the host is changed. */
+  /** Number of windows that the canary analysis needs of a host before the host is changed. */
   private static final int MIN_BASELINE_WINDOWS = 8;
 
   private static final double DEFAULT_WINDOW_SECONDS = 10;
 
-  /** Seconds beyond the baseline windows, for daemons to report. */
+  /** Seconds in addition to the baseline windows, until all daemons have reported. */
   private static final double OBSERVATION_MARGIN_SECONDS = 20;
 
   private static final Map<String, RolloutPlan.UnreachablePolicy> UNREACHABLE_POLICIES =
@@ -76,7 +76,7 @@
 
   private PlanScriptReader() {}
 
-  /** Reads a script; {@code name} is for errors. */
+  /** Reads a script; {@code name} is used in error messages. */
   static PlanScript read(String name, String text) throws BadSettingsException {
     PlanScriptReader reader = new PlanScriptReader();
     Scripts.run(name, text, reader);
@@ -126,7 +126,7 @@
     String supervisor = address(call, "keeper");
     String clientAddress = call.values().containsKey("front") ? address(call, "front") : "";
     if (hosts.values().stream().anyMatch(each -> each.supervisor().equals(supervisor))) {
-      throw refused(call, "keeper", "the supervisor at " + supervisor + " has another host");
+      throw refused(call, "keeper", "box.keeper: " + supervisor + " is used by another box");
     }
     if (!clientAddress.isEmpty()) {
       clientAddresses.put(name, clientAddress);
@@ -182,8 +182,8 @@
 
   private static Limit limit(Scripts.Call call) throws RefusedException {
     CanaryMetric metric = CanaryMetric.ofPublishedName(call.word());
-    double highest = metric.isFraction() ? 1 : 1e6;
-    return new Limit(metric, call.number("limit", metric.defaultLimit(), 1e-4, highest));
+    double maxLimit = metric.isFraction() ? 1 : 1e6;
+    return new Limit(metric, call.number("limit", metric.defaultLimit(), 1e-4, maxLimit));
   }
 
   // ---- change(...) ----
@@ -287,8 +287,8 @@
     int maxAttempts = (int) change.number("tries", 2, 1, 100);
     double warmUpSeconds = change.number("warm", 30, 0, 3600);
     double verdictTimeoutSeconds = change.number("patience", 1800, 0, DAY_SECONDS);
-    String whenCut = change.text("when_cut", "hold", "hold|go", "\"hold\" or \"go\"");
-    String whenWorse = change.text("when_worse", "back", "back|hold", "\"back\" or \"hold\"");
+    String unreachablePolicy = change.text("when_cut", "hold", "hold|go", "\"hold\" or \"go\"");
+    String regressionPolicy = change.text("when_worse", "back", "back|hold", "\"back\" or \"hold\"");
     return new RolloutPlan(
         targetRelease,
         List.copyOf(hosts.values()),
@@ -297,7 +297,7 @@
         maxUnavailable,
         maxAttempts,
         verdictTimeoutSeconds,
-        UNREACHABLE_POLICIES.get(whenCut),
-        REGRESSION_POLICIES.get(whenWorse));
+        UNREACHABLE_POLICIES.get(unreachablePolicy),
+        REGRESSION_POLICIES.get(regressionPolicy));
   }
 }
--- a/src/main/java/wharftrestle/rollout/controller/PreflightCheck.java
+++ b/src/main/java/wharftrestle/rollout/controller/PreflightCheck.java
@@ -13,11 +13,12 @@
 import wharftrestle.rollout.RolloutPlan;
 
 /**
- * Asks every supervisor, before anything moves, who holds the lease and whether its host can go to
- * the release and back. Made for one use by {@link RolloutController#check}.
+ * Queries every supervisor, before the first order, for the holder of the lease and for whether its
+ * host can change to the release and be rolled back. Created for one use by {@link
+ * RolloutController#check}.
  */
 final class PreflightCheck {
-  /** Seconds since its last heartbeat for which another controller counts as alive. */
+  /** Seconds after its last heartbeat for which another controller is considered alive. */
   private static final double CONTROLLER_ALIVE_SECONDS = 10;
 
   private static final int MAX_SHOWN_OBJECTIONS = 5;
@@ -34,9 +35,10 @@
   private String firstBuild = "";
 
   /**
-   * @param endedControllers names that hold no lease any more, whatever supervisors say
-   * @param isResuming true where the hosts' releases were checked before the rollout began
-   * @param takesOver true where a controller that is alive is no objection
+   * @param endedControllers names of controllers that have ended, even if a supervisor still reports
+   *     one as the holder
+   * @param isResuming true if the releases were checked when the rollout began
+   * @param takesOver true to replace a controller that is alive
    */
   PreflightCheck(
       RolloutPlan plan,
@@ -54,12 +56,12 @@
   }
 
   /**
-   * Asks all supervisors at once.
+   * Queries all supervisors concurrently.
    *
    * @throws RolloutRefusedException with every objection
    */
   void run() throws RolloutRefusedException, InterruptedException {
-    Map<String, HostAnswers> answers = askAll();
+    Map<String, HostAnswers> answers = queryAll();
     if (!isResuming && answers.size() * 2 <= plan.hosts().size()) {
       objections.add(
           answers.size()
@@ -81,9 +83,9 @@
     }
   }
 
-  private Map<String, HostAnswers> askAll() throws InterruptedException {
+  private Map<String, HostAnswers> queryAll() throws InterruptedException {
     Map<String, HostAnswers> answers = new LinkedHashMap<>();
-    CountDownLatch asked = new CountDownLatch(plan.hosts().size());
+    CountDownLatch pendingQueries = new CountDownLatch(plan.hosts().size());
     for (RolloutPlan.Host host : plan.hosts()) {
       ControllerThreads.start(
           "check " + host.name(),
@@ -99,11 +101,11 @@
                   host.name(),
                   unreachable.getMessage());
             } finally {
-              asked.countDown();
+              pendingQueries.countDown();
             }
           });
     }
-    asked.await();
+    pendingQueries.await();
     return answers;
   }
 
@@ -122,7 +124,7 @@
               + host.supervisor()
               + " is of host '"
               + name
-              + "', not "
+              + "', expected "
               + host.name());
     }
     String holder = status.path("driver").asText();
@@ -135,7 +137,7 @@
           String.format(
               Locale.ROOT,
               "%s holds the lease in epoch %d (its last heartbeat to %s was %.1f s ago); "
-                  + "--take-over goes on in its place",
+                  + "--take-over replaces it",
               holder,
               status.path("epoch").asLong(),
               host.name(),
@@ -155,7 +157,7 @@
           host.name()
               + ": its release '"
               + plan.targetRelease()
-              + "' has another program than the first host's");
+              + "' contains a different program than that of the first host");
     }
     String irreversible = release.path("back").asText();
     if (!irreversible.isEmpty()
--- a/src/main/java/wharftrestle/rollout/controller/RolloutCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutCommand.java
@@ -3,25 +3,25 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line of a fleet: {@code fleet plan} and the commands of {@code fleet roll}. */
+/** The commands for a fleet: {@code fleet plan} and those of {@code fleet roll}. */
 @Command(
     name = "fleet",
     description = "change a fleet of hosts in stages",
     subcommands = {PlanCommand.class, RolloutCommand.RollCommand.class})
 public final class RolloutCommand implements Runnable {
-  /** Exit code: the change arrived everywhere, or a command was accepted. */
+  /** Exit code: the rollout completed, or a command was accepted. */
   static final int EXIT_COMPLETED = 0;
 
-  /** Exit code: the change was rolled back, ended or refused, or a command was not accepted. */
+  /** Exit code: the rollout was rolled back, aborted or refused, or a command was rejected. */
   static final int EXIT_ROLLED_BACK = 1;
 
   /** Exit code: another controller holds the lease. */
   static final int EXIT_FENCED = 3;
 
-  /** Exit code: the change waits for an operator. */
+  /** Exit code: the rollout waits for an operator. */
   static final int EXIT_HELD = 4;
 
-  /** Exit code: the change is under way. */
+  /** Exit code: the rollout is in progress. */
   static final int EXIT_UNDER_WAY = 5;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -35,7 +35,7 @@
   /** The commands that start and control a rollout. */
   @Command(
       name = "roll",
-      description = "carry out a rolling change, and control the one that is under way",
+      description = "start a rollout, or control the one in progress",
       subcommands = {
         StartCommand.class,
         StatusCommand.class,
--- a/src/main/java/wharftrestle/rollout/controller/RolloutController.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutController.java
@@ -10,10 +10,10 @@
 import wharftrestle.supervisor.CommandSocket;
 
 /**
- * Carries out one rolling change of a fleet. It owns a directory, the socket for operators, and the
- * threads: one that polls each supervisor, one for indirect probes, and the caller's, which decides
- * in {@link #run}. What is decided and in which order is {@link RolloutExecution}'s. A controller
- * that ends leaves the fleet as it is; the next one of the directory resumes from the journal.
+ * Carries out one rollout. Opens the controller's directory and the socket for operators, and starts
+ * the threads: one poller for each supervisor and one for indirect probes. {@link #run} decides in
+ * the caller's thread, through {@link RolloutExecution}. When a controller ends, the fleet stays as it
+ * is, and the next controller of the directory resumes from the journal.
  */
 public final class RolloutController implements Closeable {
   private static final long TICK_INTERVAL_MS = 100;
@@ -37,9 +37,9 @@
   private volatile boolean isStopped;
 
   /**
-   * Takes the directory, and resumes the rollout of this plan that its journal leaves unfinished.
+   * Locks the directory, and resumes this plan's rollout if its journal has an unfinished one.
    *
-   * @param name that no other controller has
+   * @param name unique name of the controller
    * @throws RolloutRefusedException if another controller holds the directory, or a rollout of
    *     another plan is under way in it
    */
@@ -47,19 +47,19 @@
       throws IOException, RolloutRefusedException {
     this.script = script;
     directory = ControllerDirectory.open(folder, script);
-    endedControllers = directory.controllers();
-    isResuming = directory.unfinished().isPresent();
+    endedControllers = directory.controllerNames();
+    isResuming = directory.unfinishedRollout().isPresent();
     execution = new RolloutExecution(script, name, directory, events, MonotonicClock.seconds());
     OperatorCommands commands = new OperatorCommands(script.plan(), execution);
     socket = new CommandSocket(directory.socketFile(), commands::execute);
   }
 
   /**
-   * Asks every supervisor who holds the lease, and whether its host can go to the release and back;
-   * the latter not for a rollout that is resumed.
+   * Queries every supervisor for the holder of the lease and, unless a rollout is resumed, for
+   * whether its host can change to the release and be rolled back.
    *
-   * @param takesOver true to go on in place of a controller that is alive
-   * @throws RolloutRefusedException with every objection, before anything has moved
+   * @param takesOver true to replace a controller that is alive
+   * @throws RolloutRefusedException with the objections, before any order is sent
    */
   public void check(boolean takesOver) throws RolloutRefusedException, InterruptedException {
     new PreflightCheck(
@@ -67,7 +67,7 @@
         .run();
   }
 
-  /** Carries out the rollout to its end, or until {@link #stop}. */
+  /** Carries out the rollout until it ends or {@link #stop} is called. */
   public Outcome run() throws IOException, InterruptedException {
     execution.begin(MonotonicClock.seconds());
     for (RolloutPlan.Host host : script.plan().hosts()) {
@@ -95,7 +95,10 @@
     }
   }
 
-  /** Ends {@link #run} soon. The fleet stays as it is; the next controller resumes. */
+  /**
+   * Makes {@link #run} return within one tick. The fleet stays as it is, and the next controller
+   * resumes.
+   */
   public void stop() {
     isStopped = true;
   }
--- a/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
@@ -11,8 +11,8 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * Writes a controller's events, a line each: text for operators or a JSON object under published
- * names. Each event names the epoch and the stage. Thread-safe.
+ * Writes a controller's events, one per line, as text for operators or as JSON objects with published
+ * names. Each event has the epoch and the stage. Thread-safe.
  */
 final class RolloutEventLog {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,7 +30,7 @@
    * Writes one event.
    *
    * @param stage from 1
-   * @param host empty if the event concerns none
+   * @param host empty if the event concerns no host
    * @param reason empty for none
    */
   synchronized void log(long epoch, int stage, String event, String host, String reason) {
--- a/src/main/java/wharftrestle/rollout/controller/RolloutExecution.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutExecution.java
@@ -16,33 +16,33 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * One rollout as its controller carries it out: what is known of the hosts, the decisions of {@link
- * Rollout}, {@link ControllerLease} and {@link MembershipView}, and the orders that wait to go out.
- * It calls no supervisor; the threads of {@link SupervisorPoller}, {@link IndirectProber}, {@link
- * OperatorCommands} and {@link RolloutController} bring what they hear and take what is to be sent.
- * Every method holds this object's lock, the only lock of a rollout. Every order is in the journal
- * before it can be taken. Times are seconds of the monotonic clock.
+ * The state of one rollout in its controller: the reported states of the hosts, the decisions of
+ * {@link Rollout}, {@link ControllerLease} and {@link MembershipView}, and the pending orders. It makes
+ * no calls to supervisors: {@link SupervisorPoller} and {@link IndirectProber} pass in the answers and
+ * send the orders, {@link OperatorCommands} passes in commands, and {@link RolloutController} calls
+ * {@link #tick}. Thread-safe: methods hold this object's lock, the only lock of a rollout. Every
+ * order is written to the journal before it can be sent. Times are seconds of the monotonic clock.
  */
 final class RolloutExecution {
   private static final double ORDER_TIMEOUT_SECONDS = 2;
   private static final int MAX_REASON_CHARACTERS = 400;
 
-  /** How a supervisor's reason begins if a release could not be tried at all. */
-  private static final String UNTRIED_PREFIX = "it cannot take over";
+  /** Prefix of a supervisor's reason if the release could not be started. */
+  private static final String NOT_STARTED_PREFIX = "it cannot take over";
 
-  /** The first claim's reason, as journals hold it. */
+  /** The reason of the first claim in the journal. */
   private static final String FIRST_CLAIM_REASON = "the driver began";
 
   /**
-   * What the next poll of a supervisor carries.
+   * The contents of the next poll of a supervisor.
    *
-   * @param claims true where the epoch is to be claimed, false for a heartbeat
+   * @param claims true to claim the epoch, false for a heartbeat
    * @param stage from 1
-   * @param verdict the published name of its outcome
+   * @param verdict published name of the verdict's outcome
    */
   record Poll(long epoch, boolean claims, int stage, String verdict) {}
 
-  /** The epoch and the token under which an order may go out now. */
+  /** The epoch and the token with which an order may be sent now. */
   record Permit(long epoch, long leaseToken) {}
 
   private final RolloutPlan plan;
@@ -57,7 +57,7 @@
   private final Map<String, PendingOrder> orders = new HashMap<>();
   private double observedFrom;
 
-  /** Resumes the rollout that the directory's journal leaves unfinished, or begins a new one. */
+  /** Resumes the unfinished rollout of the directory's journal, or creates a new one. */
   RolloutExecution(
       PlanScript script,
       String controller,
@@ -75,7 +75,7 @@
     plan.hosts().forEach(host -> views.put(host.name(), new HostView(host)));
     rollout =
         directory
-            .unfinished()
+            .unfinishedRollout()
             .map(snapshot -> new Rollout(plan, snapshot, now))
             .orElseGet(() -> new Rollout(plan, now));
   }
@@ -88,7 +88,7 @@
     lease.observeEpoch(epoch);
   }
 
-  /** Claims the first epoch, and observes the hosts from now on. */
+  /** Claims the first epoch and starts observing the hosts. */
   synchronized void begin(double now) throws IOException {
     claim(FIRST_CLAIM_REASON);
     observedFrom = now;
@@ -125,10 +125,10 @@
 
   // ---- Decisions ----
 
-  /** Some time has passed: decides what comes next. How the rollout ended; empty if it goes on. */
+  /** Decides and carries out the next actions. Returns the outcome if the rollout has ended. */
   synchronized Optional<RolloutController.Outcome> tick(double now) throws IOException {
     if (lease.state() == ControllerLease.State.LOST) {
-      log("is fenced", "", lease.supersededBy() + " steers now");
+      log("is fenced", "", lease.supersededBy() + " holds the lease");
       return Optional.of(RolloutController.Outcome.FENCED);
     }
     logTransitions(now);
@@ -137,9 +137,9 @@
       log("verdict " + verdict.outcome().publishedName(), "", verdict.reason());
     }
     dropTimedOutOrders(now);
-    boolean observed = now - observedFrom >= observationSeconds;
+    boolean isObserved = now - observedFrom >= observationSeconds;
     carryOut(
-        rollout.tick(reportedStates(), canary.verdict(), observed && lease.mayOrder(now), now),
+        rollout.tick(reportedStates(), canary.verdict(), isObserved && lease.mayOrder(now), now),
         now);
     return outcome();
   }
@@ -166,7 +166,7 @@
     }
   }
 
-  /** An order whose host was not reached in time never went out. */
+  /** Drops orders that were not sent in time because the supervisor did not answer. */
   private void dropTimedOutOrders(double now) {
     for (Map.Entry<String, PendingOrder> order : List.copyOf(orders.entrySet())) {
       if (now - order.getValue().queuedAt() > ORDER_TIMEOUT_SECONDS) {
@@ -219,7 +219,7 @@
   private void onHostRolledBack(Rollout.Action.HostRolledBack rolledBack) {
     String reason = abbreviated(rolledBack.reason());
     log("is undone", rolledBack.host(), reason);
-    if (!rolledBack.reason().startsWith(UNTRIED_PREFIX)) {
+    if (!rolledBack.reason().startsWith(NOT_STARTED_PREFIX)) {
       canary.onHostRollback(rolledBack.host(), reason);
     }
   }
@@ -241,8 +241,9 @@
   }
 
   /**
-   * A supervisor answered a poll of this epoch that was sent at {@code sentAt}. The order that may
-   * go out to its host now; empty for none.
+   * Handles a supervisor's answer to a poll of this epoch that was sent at {@code sentAt}.
+   *
+   * @return the order that may be sent to the host now; empty if there is none
    */
   synchronized Optional<PendingOrder> onAnswer(
       String host, long epoch, SupervisorClient.Answer answer, double sentAt, double now) {
@@ -255,11 +256,11 @@
       log("death", host, "a daemon of " + release + " died");
       canary.onDaemonDeath(host, release.equals(plan.targetRelease()));
     }
-    boolean mayGoOut = answer.reply().leaseToken() != 0 && lease.mayOrder(now);
-    return mayGoOut ? Optional.ofNullable(orders.remove(host)) : Optional.empty();
+    boolean maySend = answer.reply().leaseToken() != 0 && lease.mayOrder(now);
+    return maySend ? Optional.ofNullable(orders.remove(host)) : Optional.empty();
   }
 
-  /** The lease is checked once more right before an order goes out; empty if it may not. */
+  /** Checks the lease again directly before an order is sent; empty if it may not be sent. */
   synchronized Optional<Permit> permit(String host, double now) {
     long leaseToken = lease.token(host);
     if (!lease.mayOrder(now) || leaseToken == 0) {
@@ -269,7 +270,7 @@
     return Optional.of(new Permit(lease.epoch(), leaseToken));
   }
 
-  /** A supervisor answered an order of this epoch. */
+  /** Handles a supervisor's answer to an order of this epoch. */
   synchronized void onOrderAnswer(String host, long epoch, SupervisorClient.Answer answer) {
     EpochFence.Answer fenceAnswer = answer.reply().answer();
     if (fenceAnswer != EpochFence.Answer.ACCEPTED) {
@@ -316,7 +317,7 @@
     return canary.isComparing();
   }
 
-  /** The new release broke a rule at a host; only while {@link #isComparing}. */
+  /** Fails the stage for a rule broken at a host. Requires {@link #isComparing}. */
   synchronized void reportViolation(String host, String violated) {
     canary.onViolation(host, abbreviated(violated));
     log("is told of a broken rule", host, violated);
@@ -330,7 +331,7 @@
     return rollout.reason();
   }
 
-  /** The status as it is published to operators. */
+  /** The published status. */
   synchronized Map<String, Object> status(double now) {
     return new StatusReport(directory.planDigest(), plan, rollout, lease, canary, membership, views)
         .toMap(now);
--- a/src/main/java/wharftrestle/rollout/controller/RolloutRefusedException.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutRefusedException.java
@@ -1,6 +1,6 @@
 package wharftrestle.rollout.controller;
 
-/** A rollout cannot begin, or its directory belongs to another controller. */
+/** Thrown if a rollout cannot start, or if its directory is in use by another controller. */
 public final class RolloutRefusedException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wharftrestle/rollout/controller/StartCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/StartCommand.java
@@ -7,12 +7,12 @@
 import picocli.CommandLine.Parameters;
 import wharftrestle.config.DaemonConfig;
 
-/** {@code fleet roll start}: carries out a plan in the foreground. */
+/** {@code fleet roll start}: carries out or resumes a plan's rollout in the foreground. */
 @Command(
     name = "start",
     description = {
-      "carry out the change of a plan, in the foreground; if it is under way, go on",
-      "exit: 0 it arrived, 1 rolled back or ended or refused, 2 bad use,"
+      "carry out a plan in the foreground; resumes it if it is in progress",
+      "exit: 0 completed, 1 rolled back, aborted or refused, 2 invalid usage,"
           + " 3 another controller holds the lease"
     })
 final class StartCommand implements Callable<Integer> {
@@ -25,19 +25,19 @@
       names = "--dir",
       paramLabel = "DIR",
       required = true,
-      description = "the controller's own directory, with its journal")
+      description = "directory of the controller, with its journal")
   private Path directory;
 
   @Option(
       names = "--driver",
       paramLabel = "NAME",
-      description = "the controller's name, that no other has; default: drawn anew")
+      description = "unique name of the controller; default: generated")
   private String name;
 
-  @Option(names = "--take-over", description = "go on in place of a controller that is alive")
+  @Option(names = "--take-over", description = "replace a controller that is alive")
   private boolean takesOver;
 
-  @Option(names = "--json", description = "a JSON object an event")
+  @Option(names = "--json", description = "print one JSON object per event")
   private boolean json;
 
   @Override
@@ -46,12 +46,12 @@
     PlanScript script = PlanScript.read(file);
     if (name != null && !name.matches(NAME_PATTERN)) {
       throw new DaemonConfig.BadConfigException(
-          "--driver is a name of letters, digits, '.', '_' and '-', not '" + name + "'");
+          "--driver: expected a name of letters, digits, '.', '_' and '-', got '" + name + "'");
     }
     RolloutEventLog events = new RolloutEventLog(System.out, json);
     try (RolloutController controller =
         new RolloutController(
-            directory.toAbsolutePath(), script, name == null ? drawnName() : name, events)) {
+            directory.toAbsolutePath(), script, name == null ? generatedName() : name, events)) {
       Runtime.getRuntime().addShutdownHook(new Thread(controller::stop));
       controller.check(takesOver);
       return exitCode(controller.run());
@@ -61,7 +61,7 @@
     }
   }
 
-  private static String drawnName() {
+  private static String generatedName() {
     return "driver-"
         + ProcessHandle.current().pid()
         + "-"
--- a/src/main/java/wharftrestle/rollout/controller/StatusCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/StatusCommand.java
@@ -13,12 +13,12 @@
 import picocli.CommandLine.Option;
 import wharftrestle.supervisor.JsonLineJournal;
 
-/** {@code fleet roll status}: asks the controller, or reads its journal if none runs. */
+/** {@code fleet roll status}: queries the controller, or reads its journal if none is running. */
 @Command(
     name = "status",
     description = {
-      "how the change is; from the journal if no controller runs",
-      "exit: 0 it arrived, 1 rolled back or ended, 4 it waits for an operator, 5 under way"
+      "show the state of the rollout; from the journal if no controller is running",
+      "exit: 0 completed, 1 rolled back or aborted, 4 waits for an operator, 5 in progress"
     })
 final class StatusCommand extends OperatorCommand {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -27,7 +27,7 @@
   @Option(names = "--json", description = "one JSON object")
   private boolean json;
 
-  @Option(names = "--follow", description = "a live table, until the change is over")
+  @Option(names = "--follow", description = "show a live table until the rollout ends")
   private boolean follow;
 
   @Override
@@ -73,7 +73,7 @@
     };
   }
 
-  /** The status that the journal's last entry gives; null without an entry. */
+  /** The status from the last entry of the journal; null if there is none. */
   private JsonNode fromJournal() throws IOException {
     Path file = directory().resolve(ControllerDirectory.JOURNAL_FILE);
     if (!Files.exists(file)) {
--- a/src/main/java/wharftrestle/rollout/controller/StatusReport.java
+++ b/src/main/java/wharftrestle/rollout/controller/StatusReport.java
@@ -11,8 +11,8 @@
 import wharftrestle.rollout.RolloutPlan;
 
 /**
- * Writes a rollout's status under its published names, for operators and scripts. Made for one use,
- * under the lock of {@link RolloutExecution}.
+ * Formats a rollout's status with its published names, for operators and scripts. Created for one
+ * use, under the lock of {@link RolloutExecution}.
  */
 record StatusReport(
     String planDigest,
@@ -63,16 +63,16 @@
     for (RolloutPlan.Host host : plan.hosts()) {
       MembershipView.HostStatus member = membership.status(host.name()).orElseThrow();
       HostView view = views.get(host.name());
-      Map<String, Object> one = new LinkedHashMap<>();
-      one.put("box", host.name());
-      one.put("zone", host.zone());
-      one.put("acts", view.runningRelease());
-      one.put("state", view.state());
-      one.put("contact", member.reachability().publishedName());
-      one.put("silent", finiteOrNull(now - member.lastHeartbeatAt()));
-      one.put("witness", member.witness());
-      one.put("failed", view.failure());
-      hosts.add(one);
+      Map<String, Object> entry = new LinkedHashMap<>();
+      entry.put("box", host.name());
+      entry.put("zone", host.zone());
+      entry.put("acts", view.runningRelease());
+      entry.put("state", view.state());
+      entry.put("contact", member.reachability().publishedName());
+      entry.put("silent", finiteOrNull(now - member.lastHeartbeatAt()));
+      entry.put("witness", member.witness());
+      entry.put("failed", view.failure());
+      hosts.add(entry);
     }
     return hosts;
   }
--- a/src/main/java/wharftrestle/rollout/controller/StatusTable.java
+++ b/src/main/java/wharftrestle/rollout/controller/StatusTable.java
@@ -10,11 +10,11 @@
 
   private StatusTable() {}
 
-  /** The status as the journal gives it. */
+  /** Formats a status that was read from the journal. */
   static String ofJournal(JsonNode status) {
     return format(
-        "change of plan %s: %s%s%nstage %d, epoch %d by %s;"
-            + " no controller runs, this is its journal",
+        "rollout of plan %s: %s%s%nstage %d, epoch %d by %s;"
+            + " no controller is running, read from its journal",
         status.path("plan").asText(),
         status.path("state").asText(),
         reason(status),
@@ -23,7 +23,7 @@
         status.path("driver").asText());
   }
 
-  /** The status as a running controller gives it. */
+  /** Formats the status of a running controller. */
   static String live(JsonNode status) {
     StringBuilder text = new StringBuilder(header(status));
     text.append(format("%n" + HOST_ROW, "host", "zone", "runs", "supervisor", "contact", "note"));
@@ -36,7 +36,7 @@
 
   private static String header(JsonNode status) {
     return format(
-        "change to %s: %s%s%nstage %d of %d, epoch %d by %s (%s)%nverdict %s: %s%n",
+        "rollout to %s: %s%s%nstage %d of %d, epoch %d by %s (%s)%nverdict %s: %s%n",
         status.path("to").asText(),
         status.path("state").asText(),
         reason(status),
--- a/src/main/java/wharftrestle/rollout/controller/SupervisorClient.java
+++ b/src/main/java/wharftrestle/rollout/controller/SupervisorClient.java
@@ -15,18 +15,18 @@
 import wharftrestle.rollout.EpochFence;
 
 /**
- * Calls supervisors over HTTP and maps their messages; the only class that knows their published
- * names. A call is made once and never repeated. Thread-safe. Every call throws an {@link
- * IOException} if the supervisor does not answer in time or answers with an error.
+ * Calls supervisors over HTTP and maps their messages to and from the published names. Calls are
+ * not retried. Every call throws an {@link IOException} if the supervisor does not answer in time or
+ * answers with an error. Thread-safe.
  */
 final class SupervisorClient {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(900);
 
-  /** A supervisor that probes another one waits for that one's answer itself. */
+  /** Longer than {@link #REQUEST_TIMEOUT}, because a probe waits for the probed supervisor. */
   private static final Duration PROBE_TIMEOUT = REQUEST_TIMEOUT.multipliedBy(3);
 
-  /** A supervisor reads both releases from disk before it answers. */
+  /** Long enough for a supervisor to read both releases from disk. */
   private static final Duration RELEASE_CHECK_TIMEOUT = Duration.ofSeconds(30);
 
   private final HttpClient client =
@@ -38,9 +38,9 @@
   /**
    * A supervisor's answer to a claim, a heartbeat or an order.
    *
-   * @param reply of its fence
-   * @param orderResult "ok ..." or "no ..."; empty for what is no order
-   * @param body the whole answer, with the state of its host
+   * @param reply of the supervisor's fence
+   * @param orderResult "ok ..." or "no ..."; empty unless the request was an order
+   * @param body the whole answer, with the state of the host
    */
   record Answer(EpochFence.Reply reply, String orderResult, JsonNode body) {
     /** The name of the host that answered. */
@@ -48,7 +48,7 @@
       return body.path("name").asText();
     }
 
-    /** Which start of the supervisor answered. */
+    /** The incarnation of the supervisor that answered. */
     String incarnation() {
       return body.path("incarnation").asText();
     }
@@ -60,10 +60,10 @@
   }
 
   /**
-   * Asks for the state of a host, and for a new lease token.
+   * Sends a heartbeat, which requests the state of a host and a new lease token.
    *
    * @param stage from 1
-   * @param verdict the published name of its outcome, for the daemon's metrics
+   * @param verdict published name of the verdict's outcome, for the daemon's metrics
    */
   Answer heartbeat(String supervisor, long epoch, String controller, int stage, String verdict)
       throws IOException {
@@ -76,8 +76,8 @@
   /**
    * Orders a host to run a release.
    *
-   * @param leaseToken of the supervisor's last answer
-   * @param rollback true if the host must never fall back to the release that it runs now
+   * @param leaseToken from the supervisor's last answer
+   * @param rollback true if the host must never return to the release that it runs now
    */
   Answer order(
       String supervisor,
@@ -96,19 +96,25 @@
     return post(supervisor, "/order", order);
   }
 
-  /** The state of a host, whoever holds the lease. */
+  /** Requests the state of a host; the caller need not hold the lease. */
   JsonNode hostStatus(String supervisor) throws IOException {
     return get(supervisor, "/box", REQUEST_TIMEOUT);
   }
 
-  /** Asks a supervisor whether it reaches another one, and whether that host serves clients. */
+  /**
+   * Asks a supervisor whether it reaches another one, and whether the host at the client address
+   * serves clients.
+   *
+   * @param target address of the other supervisor
+   * @param clientAddress empty for none
+   */
   JsonNode indirectProbe(String supervisor, String target, String clientAddress)
       throws IOException {
     String front = clientAddress.isEmpty() ? "" : "&front=" + clientAddress;
     return get(supervisor, "/look?keeper=" + target + front, PROBE_TIMEOUT);
   }
 
-  /** Whether a host can go to a release and back. */
+  /** Asks a supervisor whether its host can change to a release and be rolled back. */
   JsonNode checkRelease(String supervisor, String release) throws IOException {
     String name = URLEncoder.encode(release, StandardCharsets.UTF_8);
     return get(supervisor, "/release?name=" + name, RELEASE_CHECK_TIMEOUT);
--- a/src/main/java/wharftrestle/rollout/controller/SupervisorPoller.java
+++ b/src/main/java/wharftrestle/rollout/controller/SupervisorPoller.java
@@ -8,12 +8,12 @@
 import wharftrestle.rollout.RolloutPlan;
 
 /**
- * Polls one supervisor in a thread of its own: claims the epoch or sends a heartbeat, hands the
- * answer to {@link RolloutExecution}, and sends the order that may then go out. No lock is held
- * during a call.
+ * Polls one supervisor in its own thread: claims the epoch or sends a heartbeat, passes the answer to
+ * {@link RolloutExecution}, and sends the pending order if there is one. No lock is held during a
+ * call.
  */
 final class SupervisorPoller implements Runnable {
-  /** Several polls within a lease. */
+  /** Several polls fit in one lease. */
   private static final long POLL_INTERVAL_MS = 500;
 
   private final RolloutPlan.Host host;
@@ -51,7 +51,7 @@
     }
   }
 
-  /** One poll; the order that may go out after it. */
+  /** Polls once and returns the order that may be sent afterwards, if any. */
   private Optional<PendingOrder> poll() throws IOException {
     double sentAt = MonotonicClock.seconds();
     RolloutExecution.Poll poll = execution.nextPoll(host.name());
@@ -82,8 +82,8 @@
               order.rollback());
       execution.onOrderAnswer(host.name(), epoch, answer);
     } catch (IOException unknown) {
-      // The order may have arrived: what the host reports next tells.
-      Logger.debug("order without an answer: host={} reason={}", host.name(), unknown.getMessage());
+      // The order may have been received; the next report of the host will show it.
+      Logger.debug("order was not answered: host={} reason={}", host.name(), unknown.getMessage());
     }
   }
 }
--- a/src/main/java/wharftrestle/rollout/package-info.java
+++ b/src/main/java/wharftrestle/rollout/package-info.java
@@ -1,13 +1,15 @@
 /**
- * Decides how a fleet of hosts is changed in stages: the plan, which host goes next, who may send
- * orders, which hosts are reachable, whether a stage does worse, and what becomes of the change. It
- * owns no thread, no file, no socket and no clock; time is passed in, in seconds. Its classes are
- * not thread-safe: a supervisor and a controller each call theirs under a lock of their own.
+ * The decisions of a staged rollout over a fleet of hosts: the plan, which host is changed next,
+ * which controller may send orders, which hosts are reachable, and whether the new release performs
+ * worse than the old one. The package has no threads, files, sockets or clocks; callers pass the
+ * time in seconds. Its classes are not thread-safe: a supervisor and a controller each guard their
+ * instances with their own lock.
  *
  * <p>Start with {@link wharftrestle.rollout.RolloutPlan} and {@link wharftrestle.rollout.Rollout},
- * the state machine of a change. Beside it are {@link wharftrestle.rollout.EpochFence} (a
- * supervisor's side) and {@link wharftrestle.rollout.ControllerLease} (a controller's side) of who
- * may send orders, {@link wharftrestle.rollout.MembershipView}, and {@link
- * wharftrestle.rollout.CanaryAnalysis} over {@link wharftrestle.rollout.ConfidenceSequence}.
+ * the state machine of a rollout. {@link wharftrestle.rollout.ControllerLease} (in a controller) and
+ * {@link wharftrestle.rollout.EpochFence} (in a supervisor) ensure that only one controller at a time
+ * sends orders. {@link wharftrestle.rollout.MembershipView} tracks reachability, and {@link
+ * wharftrestle.rollout.CanaryAnalysis} compares releases by {@link
+ * wharftrestle.rollout.ConfidenceSequence}s.
  */
 package wharftrestle.rollout;
--- a/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
+++ b/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
@@ -16,7 +16,7 @@
 import wharftrestle.simulation.RolloutSimulation.Release;
 import wharftrestle.simulation.RolloutSimulation.Trouble;
 
-/** Verdicts on made-up windows, and on whole rollouts in simulated time. */
+/** Tests verdicts on synthetic windows, and on whole rollouts in simulated time. */
 class CanaryAnalysisTest {
   private static final int HOSTS = 6;
   private final SplittableRandom random = new SplittableRandom(5);
@@ -27,7 +27,10 @@
           2,
           0.05);
 
-  /** Some of 200 requests of each host fail; the first {@code newHosts} run the new release. */
+  /**
+   * Adds windows in which a random part of 200 requests of each host fails. The first {@code newHosts}
+   * hosts run the new release.
+   */
   private void addWindows(
       int count,
       int newHosts,
@@ -71,7 +74,7 @@
   }
 
   @Test
-  void verdict_passesOnceItIsSureAndFailsInTheStageThatDoesWorse() {
+  void verdict_lossWithinLimitThenAboveItInTheNextStage_passesThenFails() {
     addWindows(20, 0, 0.02, 0, 0);
     analysis.beginStage();
     addWindows(40, 1, 0.02, 0.02, 0);
@@ -83,12 +86,12 @@
         analysis.verdict().outcome(),
         "in the second stage alone: " + analysis.verdict().reason());
     assertTrue(
-        analysis.verdict().reason().contains("beyond the old release, surely from"),
+        analysis.verdict().reason().contains("relative to the old release, bounds "),
         analysis.verdict().reason());
   }
 
   @Test
-  void verdict_hostThatWasWorseBefore_isNoFaultOfTheRelease() {
+  void verdict_hostThatWasWorseBeforeTheChange_passes() {
     addWindows(150, 0, 0.02, 0, 0.2);
     analysis.beginStage();
     addWindows(150, 1, 0.02, 0.02, 0.2);
@@ -96,7 +99,7 @@
   }
 
   @Test
-  void verdict_withoutBaselineOfChangedHosts_usesTheVarianceAmongOldHosts() {
+  void verdict_changedHostsWithoutBaseline_usesVarianceAmongOldHosts() {
     analysis.beginStage();
     addWindows(60, 1, 0.02, 0.02, 0);
     assertEquals(Outcome.PASS, analysis.verdict().outcome(), analysis.verdict().reason());
@@ -106,17 +109,18 @@
   }
 
   @Test
-  void verdict_hostThatRollsBackTwice_fails() {
+  void verdict_twoRollbacksOfOneHost_fails() {
     analysis.onHostRollback("b1", "it died in its probation");
     analysis.onHostRollback("b2", "it died in its probation");
     assertEquals(Outcome.INCONCLUSIVE, analysis.verdict().outcome(), analysis.verdict().reason());
     analysis.onHostRollback("b1", "30% failed, 1% before");
     assertEquals(
-        "b1 rolled it back by itself 2 times: 30% failed, 1% before", analysis.verdict().reason());
+        "b1 rolled the release back on its own 2 times: 30% failed, 1% before",
+        analysis.verdict().reason());
   }
 
   @Test
-  void verdict_twoDeathsAtOneHost_failsAndDeathsOfAllHostsDoNot() {
+  void verdict_singleDeathsOfManyHosts_isInconclusiveUntilOneHostDiesTwice() {
     analysis.beginStage();
     addWindows(10, 3, 0.02, 0.02, 0);
     analysis.onDaemonDeath("b0", true);
@@ -131,7 +135,7 @@
   }
 
   @Test
-  void verdict_deathsOnTheNewReleaseAlone_fails() {
+  void verdict_deathsOnlyOnTheNewRelease_fails() {
     addWindows(10, 1, 0.02, 0.02, 0);
     for (int i = 0; i < 5; i++) {
       analysis.onDaemonDeath("b" + i, true);
@@ -140,36 +144,36 @@
   }
 
   /**
-   * The bounds hold at every moment: a walk of no drift leaves them in no more walks than the error
-   * allows.
+   * The bounds are valid at every moment: sequences with a mean of zero leave them no more often than
+   * the error probability allows.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.6})
-  void halfWidth_boundsHoldAtEveryMoment(double correlation) {
-    int walksOutside = 0;
+  void halfWidth_sequenceWithMeanZero_leavesBoundsRarely(double correlation) {
+    int sequencesOutside = 0;
     for (int walk = 0; walk < 1000; walk++) {
       ConfidenceSequence sequence = new ConfidenceSequence();
       double noise = 0;
       boolean isOutside = false;
       for (int i = 0; i < 300; i++) {
-        noise = correlation * noise + gauss() * Math.sqrt(1 - correlation * correlation);
+        noise = correlation * noise + standardNormal() * Math.sqrt(1 - correlation * correlation);
         sequence.add(noise);
         isOutside |= sequence.mean() - sequence.halfWidth(0.025) > 0;
       }
-      walksOutside += isOutside ? 1 : 0;
+      sequencesOutside += isOutside ? 1 : 0;
     }
-    // The variance is estimated, from eight values on: so the error is kept to within a factor
-    // where values are tied.
-    assertTrue(walksOutside < (correlation == 0 ? 25 : 90), walksOutside + " of 1000 walks");
+    // The variance is estimated, from as few as eight values, so that correlated values exceed the
+    // error probability of 0.025 by a factor.
+    assertTrue(sequencesOutside < (correlation == 0 ? 25 : 90), sequencesOutside + " of 1000 sequences");
   }
 
-  private double gauss() {
+  private double standardNormal() {
     return Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
         * Math.cos(2 * Math.PI * random.nextDouble());
   }
 
   @Test
-  void rolloutsInSimulatedTimeCompleteOrAreStoppedAndAreTheSameForTheSameSeed() {
+  void simulatedRollout_goodOrBadRelease_completesOrRollsBackReproducibly() {
     RolloutSimulation.Result good =
         RolloutSimulation.play(Release.GOOD, Trouble.ZONE_LOST, Judging.SEQUENTIAL, 3);
     assertEquals(Rollout.State.COMPLETED, good.state(), good.why());
@@ -181,6 +185,6 @@
     assertEquals(1, bad.most(), "stopped at the first host");
     RolloutSimulation.Result slow =
         RolloutSimulation.play(Release.GOOD, Trouble.SLOW_MACHINE, Judging.PLAIN, 3);
-    assertTrue(slow.stopped(), "a plain comparison takes a slow machine for a bad release");
+    assertTrue(slow.stopped(), "a plain comparison mistakes a slow machine for a bad release");
   }
 }
--- a/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
+++ b/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
@@ -14,15 +14,16 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Explores all that can come of two controllers and three supervisors, by the shipped classes: the
- * first controller's answers and its order are late by any time or lost, it pauses between any two
- * steps, a supervisor restarts. No order of an earlier epoch may be accepted anywhere after one of
- * a later epoch. What the second controller receives late only makes it later, so it receives at
- * once. Each seeded bug has to be found, or the search shows nothing.
+ * Model checking of {@link ControllerLease} and {@link EpochFence} with two controllers and three
+ * supervisors. The search covers arbitrary delay or loss of the first controller's replies and order,
+ * pauses of that controller between any two steps, and the restart of a supervisor. No supervisor may
+ * accept an order of the earlier epoch after an order of the later epoch was accepted anywhere.
+ * Replies to the second controller arrive at once, because a delay would only postpone its order. The
+ * search must also find each seeded bug; otherwise its result has no meaning.
  */
 @Timeout(60)
 class ControllerLeaseModelTest {
-  /** What is wrong on purpose. */
+  /** The seeded bugs. */
   enum Bug {
     NONE,
     NO_EXPIRY_WAIT,
@@ -37,20 +38,24 @@
 
   private static final int SUPERVISORS = 3;
 
-  /** Seconds of a tick: a lease. */
+  /** Seconds of a tick, which is one lease. */
   private static final double TICK_SECONDS = EpochFence.LEASE_SECONDS;
 
-  /** Ticks after which a token or an answer has expired, and the wait for expiry is over. */
+  /** Ticks after which a token or a reply has expired. */
   private static final int TICKS_UNTIL_EXPIRED = 2;
 
+  /** Ticks after which the wait for expiry has ended. */
   private static final int TICKS_OF_EXPIRY_WAIT = 3;
 
   private record PendingReply(EpochFence.Reply reply, double sentAt) {}
 
   private record PendingOrder(int supervisor, long token) {}
 
-  /** Everything at one moment; the first controller holds the lease, the second claims it. */
-  private static final class World {
+  /**
+   * One state of the model. Initially the first controller holds the lease and the second one claims
+   * it.
+   */
+  private static final class ModelState {
     private int tick;
     private final EpochFence[] fences = new EpochFence[SUPERVISORS];
     private ControllerLease first;
@@ -60,14 +65,14 @@
     private PendingOrder order; // of the first controller, in transit
     private boolean laterOrderAccepted;
     private boolean restarted;
-    private boolean isRuleBroken;
+    private boolean isViolated;
 
     double now() {
       return tick * TICK_SECONDS;
     }
 
-    World copy(Bug bug) {
-      World next = new World();
+    ModelState copy(Bug bug) {
+      ModelState next = new ModelState();
       next.tick = tick;
       double lease = bug == Bug.NO_TOKENS ? 1e9 : EpochFence.LEASE_SECONDS;
       double expiryWait =
@@ -89,15 +94,16 @@
       return next;
     }
 
-    /** Ticks since then, as far as they matter. */
-    private String age(double at, int most) {
+    /** Ticks since {@code at}, capped at {@code maxTicks}, beyond which they make no difference. */
+    private String age(double at, int maxTicks) {
       return Double.isNaN(at)
           ? "-"
-          : Integer.toString((int) Math.min(most, Math.round((now() - at) / TICK_SECONDS)));
+          : Integer.toString((int) Math.min(maxTicks, Math.round((now() - at) / TICK_SECONDS)));
     }
 
     /**
-     * Worlds that differ by names of supervisors, by the date, or by expired tokens only, are one.
+     * Identifies equivalent states: those that differ only in the order of supervisors, in absolute
+     * time or in expired tokens have the same key.
      */
     String key() {
       String[] each = new String[SUPERVISORS];
@@ -134,8 +140,8 @@
     }
   }
 
-  private static World first(Bug bug) {
-    World world = new World();
+  private static ModelState first(Bug bug) {
+    ModelState world = new ModelState();
     ControllerLease holder = new ControllerLease("A", SUPERVISORS, 0);
     holder.claim();
     for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
@@ -153,9 +159,9 @@
     return world.copy(bug);
   }
 
-  private static List<World> next(World at, Bug bug) {
-    List<World> all = new ArrayList<>();
-    World later = at.copy(bug);
+  private static List<ModelState> next(ModelState at, Bug bug) {
+    List<ModelState> all = new ArrayList<>();
+    ModelState later = at.copy(bug);
     later.tick++;
     later.first.tick(later.now());
     later.second.tick(later.now());
@@ -163,7 +169,7 @@
     for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
       String name = "k" + supervisor;
       if (!at.restarted && at.fences[supervisor].grant().epoch() > 1) {
-        World restarted = at.copy(bug);
+        ModelState restarted = at.copy(bug);
         restarted.restarted = true;
         restarted.fences[supervisor] =
             new EpochFence(
@@ -175,8 +181,8 @@
         all.add(restarted);
       }
       if (at.first.state() != ControllerLease.State.LOST) {
-        // A new question overtakes an answer that is late: so answers are lost as well.
-        World sent = at.copy(bug);
+        // A new request replaces a reply that is still in transit, which models a lost reply.
+        ModelState sent = at.copy(bug);
         sent.replies[supervisor] =
             new PendingReply(
                 sent.fences[supervisor].heartbeat(
@@ -185,7 +191,7 @@
         all.add(sent);
       }
       if (at.replies[supervisor] != null) {
-        World received = at.copy(bug);
+        ModelState received = at.copy(bug);
         PendingReply reply = received.replies[supervisor];
         received.replies[supervisor] = null;
         received.first.onReply(
@@ -196,12 +202,12 @@
             received.now());
         all.add(received);
       }
-      boolean may =
+      boolean mayOrder =
           bug == Bug.LEASE_NOT_CHECKED
               ? at.first.state() == ControllerLease.State.HELD
               : at.first.mayOrder(at.now());
-      if (at.order == null && may && at.first.token(name) != 0) {
-        World sent = at.copy(bug);
+      if (at.order == null && mayOrder && at.first.token(name) != 0) {
+        ModelState sent = at.copy(bug);
         sent.order = new PendingOrder(supervisor, sent.first.token(name));
         all.add(sent);
       }
@@ -210,7 +216,7 @@
       }
     }
     if (at.order != null) {
-      World accepted = at.copy(bug);
+      ModelState accepted = at.copy(bug);
       accepted.order = null;
       int supervisor = at.order.supervisor();
       EpochFence.Answer answer =
@@ -218,20 +224,23 @@
               .fences[supervisor]
               .order(1, controllerName(at, bug, supervisor), at.order.token(), "x", accepted.now())
               .answer();
-      accepted.isRuleBroken = answer == EpochFence.Answer.ACCEPTED && accepted.laterOrderAccepted;
+      accepted.isViolated = answer == EpochFence.Answer.ACCEPTED && accepted.laterOrderAccepted;
       all.add(accepted);
     }
     return all;
   }
 
-  /** The first controller, or whoever has its epoch where only the epoch is checked. */
-  private static String controllerName(World at, Bug bug, int supervisor) {
+  /**
+   * The first controller's name; with {@link Bug#ONE_EPOCH_FOR_TWO}, the name of the current holder, as
+   * if only the epoch were checked.
+   */
+  private static String controllerName(ModelState at, Bug bug, int supervisor) {
     return bug == Bug.ONE_EPOCH_FOR_TWO ? at.fences[supervisor].grant().controller() : "A";
   }
 
   /** The second controller polls a supervisor and sends its order as soon as it may. */
-  private static World second(World at, Bug bug, int supervisor) {
-    World next = at.copy(bug);
+  private static ModelState second(ModelState at, Bug bug, int supervisor) {
+    ModelState next = at.copy(bug);
     String name = "k" + supervisor;
     long epoch = next.second.epoch();
     if (bug == Bug.ONE_EPOCH_FOR_TWO && next.second.needsClaim(name)) {
@@ -251,15 +260,15 @@
     return next;
   }
 
-  /** Worlds that were seen; negative where one broke the rule. */
+  /** Returns the number of explored states, negated if one violates the rule. */
   private static int explore(Bug bug) {
     Set<String> seen = new HashSet<>();
-    ArrayDeque<World> open = new ArrayDeque<>();
+    ArrayDeque<ModelState> open = new ArrayDeque<>();
     open.add(first(bug));
     seen.add(open.peek().key());
     while (!open.isEmpty()) {
-      for (World next : next(bug == Bug.NONE ? open.poll() : open.pollLast(), bug)) {
-        if (next.isRuleBroken) {
+      for (ModelState next : next(bug == Bug.NONE ? open.poll() : open.pollLast(), bug)) {
+        if (next.isViolated) {
           return -seen.size();
         }
         if (seen.add(next.key())) {
@@ -271,17 +280,17 @@
   }
 
   @Test
-  void noOrderOfAnEarlierControllerIsAcceptedAfterOneOfALater() {
+  void explore_withoutBug_neverAcceptsAnEarlierOrderAfterALaterOne() {
     int seen = explore(Bug.NONE);
-    System.out.println("controller lease: " + seen + " worlds, none wrong");
-    assertTrue(seen > 10_000, "too few worlds, or a wrong one: " + seen);
+    System.out.println("controller lease: " + seen + " states, no violation");
+    assertTrue(seen > 10_000, "too few states, or a violation: " + seen);
   }
 
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-  void aSeededBugIsFound(Bug bug) {
+  void explore_withSeededBug_findsViolation(Bug bug) {
     int seen = explore(bug);
-    System.out.println("controller lease, " + bug + ": found after " + -seen + " worlds");
-    assertTrue(seen < 0, "not found in " + seen + " worlds");
+    System.out.println("controller lease, " + bug + ": found after " + -seen + " states");
+    assertTrue(seen < 0, "not found in " + seen + " states");
   }
 }
--- a/src/test/java/wharftrestle/rollout/MembershipViewTest.java
+++ b/src/test/java/wharftrestle/rollout/MembershipViewTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.rollout.MembershipView.Reachability;
 
-/** What heartbeats, silence and indirect probes say of a host. */
+/** Tests the reachability of hosts after heartbeats, silence and indirect probes. */
 class MembershipViewTest {
   private final MembershipView members = new MembershipView(List.of("a", "b", "c"), 0);
 
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void aSilentHostIsSuspectedThenLostAndReachableAgainAfterAHeartbeat() {
+  void tick_silentHost_isSuspectedThenLostAndReachableAfterAHeartbeat() {
     sendHeartbeats("a", "1", 0, 5);
     assertTrue(members.isReachable("a"));
     members.tick(8);
@@ -40,24 +40,24 @@
                 "a", Reachability.LOST, Reachability.REACHABLE, "answered")),
         members.tick(40).stream().filter(each -> each.host().equals("a")).toList());
     assertEquals(
-        1, members.status("a").orElseThrow().rejoins(), "under the same name, as another start");
+        1, members.status("a").orElseThrow().rejoins(), "the same name with another incarnation");
   }
 
   @Test
-  void aHostThatOthersReachIsPartitionedAndNotLost() {
+  void onIndirectProbe_silentHostThatServesClients_isPartitionedUntilTheProbeExpires() {
     sendHeartbeats("a", "1", 0, 30);
     sendHeartbeats("b", "1", 0, 3);
     members.onIndirectProbe("b", "a", false, true, 30);
     members.tick(31);
     assertEquals(Reachability.PARTITIONED, reachability("b"));
     assertEquals("a", members.status("b").orElseThrow().witness());
-    assertFalse(members.isReachable("b"), "its own answers do not count");
+    assertFalse(members.isReachable("b"), "the controller itself has no current answer");
     members.tick(40);
-    assertEquals(Reachability.LOST, reachability("b"), "nobody has said so for long");
+    assertEquals(Reachability.LOST, reachability("b"), "the probe has expired");
   }
 
   @Test
-  void aFailedIndirectProbeChangesNothing() {
+  void onIndirectProbe_failedProbe_leavesHostSuspected() {
     sendHeartbeats("b", "1", 0, 3);
     members.onIndirectProbe("b", "a", false, false, 8);
     members.tick(9);
@@ -65,19 +65,19 @@
   }
 
   @Test
-  void twoSupervisorsUnderOneNameAreToldApartFromARestart() {
+  void onHeartbeat_alternatingIncarnations_isDuplicateUnlikeARestart() {
     sendHeartbeats("a", "1", 0, 5);
     sendHeartbeats("a", "2", 6, 10);
-    assertEquals(Reachability.REACHABLE, reachability("a"), "a start anew");
+    assertEquals(Reachability.REACHABLE, reachability("a"), "a restart");
     members.onHeartbeat("a", "1", 11);
     members.onHeartbeat("a", "2", 12);
     assertEquals(Reachability.DUPLICATE, reachability("a"));
     sendHeartbeats("a", "2", 13, 40);
-    assertEquals(Reachability.REACHABLE, reachability("a"), "the other one is silent for long");
+    assertEquals(Reachability.REACHABLE, reachability("a"), "the other supervisor has been silent long enough");
   }
 
   @Test
-  void aHostOutsideTheFleetIsIgnored() {
+  void onHeartbeat_hostOutsideTheFleet_isIgnored() {
     members.onHeartbeat("z", "1", 1);
     members.onIndirectProbe("z", "a", true, true, 1);
     assertEquals(Optional.empty(), members.status("z"));
--- a/src/test/java/wharftrestle/rollout/RolloutPlanTest.java
+++ b/src/test/java/wharftrestle/rollout/RolloutPlanTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Which host goes when, and which may be unavailable together. */
+/** Tests the order in which hosts change, and which may be unavailable together. */
 class RolloutPlanTest {
   static RolloutPlan plan(
       List<RolloutPlan.Host> hosts, int maxUnavailable, RolloutPlan.Stage... stages) {
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void stagesContinueEachOtherAndSpreadOverZones() {
+  void schedule_stagesSpreadOverZones_continueThePreviousStage() {
     RolloutPlan plan =
         plan(
             List.of(host("a1", "a"), host("a2", "a"), host("b1", "b"), host("b2", "b")),
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void twoHostsOfASmallZoneNeverChangeTogether() {
+  void schedule_smallZone_changesOneHostAtATime() {
     RolloutPlan plan =
         plan(
             List.of(host("a1", "a"), host("a2", "a"), host("b1", "b")),
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void theSoleOwnerOfATenantIsNotChangedAndReportedAsUnmet() {
+  void schedule_soleOwnerOfATenant_isReportedAsUnmet() {
     RolloutPlan plan =
         plan(
             List.of(host("a", "", "alone"), host("b", "", "both"), host("c", "", "both")),
@@ -73,17 +73,18 @@
     assertEquals(
         List.of("0.0 b", "0.1 c"),
         scheduledHosts(plan),
-        "and the two owners of one tenant go one after the other");
+        "the two owners of a tenant change one after the other");
     assertEquals(
         List.of("a stays as it is: no other host owns alone", "stage 1 reaches 2 of 3 hosts"),
         RolloutSchedule.of(plan).unmet());
   }
 
   /**
-   * Whatever the fleet, every round keeps the rules, and every host that may change changes once.
+   * For any fleet, every round respects the limits on unavailable hosts, and every changeable host
+   * changes exactly once.
    */
   @Property(tries = 500)
-  void everyRoundKeepsTheRules(
+  void schedule_anyFleet_respectsLimitsAndChangesEveryHostOnce(
       @ForAll @Size(min = 1, max = 24) List<@IntRange(max = 4) Integer> zones,
       @ForAll @IntRange(min = 1, max = 5) int maxUnavailable,
       @ForAll @IntRange(max = 3) int tenants,
@@ -123,7 +124,7 @@
             others.size() >= maxUnavailable
                 || plan.blockingReason(change.host(), others).isEmpty()
                 || (others.size() + 1 <= maxUnavailable
-                    && plan.blockingReason(change.host(), others).contains("which is the most")),
+                    && plan.blockingReason(change.host(), others).contains("the plan's maximum")),
             change.host().name() + ": " + plan.blockingReason(change.host(), others));
       }
     }
--- a/src/test/java/wharftrestle/rollout/RolloutTest.java
+++ b/src/test/java/wharftrestle/rollout/RolloutTest.java
@@ -18,14 +18,14 @@
 import wharftrestle.rollout.CanaryAnalysis.Outcome;
 import wharftrestle.rollout.CanaryAnalysis.Verdict;
 
-/** What a rollout orders next, event by event in simulated time over simulated hosts. */
+/** Tests the actions of a rollout in simulated time over simulated hosts. */
 class RolloutTest {
-  private static final Verdict PASSES = new Verdict(Outcome.PASS, "all the same");
+  private static final Verdict PASSES = new Verdict(Outcome.PASS, "no difference");
   private static final Verdict FAILS = new Verdict(Outcome.FAIL, "it loses");
   private static final Verdict INCONCLUSIVE =
-      new Verdict(Outcome.INCONCLUSIVE, "too little was seen");
+      new Verdict(Outcome.INCONCLUSIVE, "too few windows");
 
-  /** A supervisor and its daemon, as far as a rollout sees them. */
+  /** The state of a supervisor and its daemon that a rollout can observe. */
   private static final class ReportedHost {
     private String runningRelease = "old";
     private String orderedRelease = "";
@@ -46,8 +46,8 @@
     private Rollout rollout;
     private double now;
     private int epochs = 1;
-    private boolean losesOrders; // orders on their way
-    private boolean nextChangeFails; // the next change
+    private boolean losesOrders; // drops orders in transit
+    private boolean nextChangeFails;
     private final List<String> entered = new ArrayList<>();
     private final Map<String, Integer> orders = new HashMap<>();
 
@@ -76,7 +76,7 @@
     void tick(Verdict verdict) {
       carryOut(rollout.tick(reportedStates(), verdict, true, now));
       long changing = hosts.values().stream().filter(each -> each.isChanging(now)).count();
-      assertTrue(changing <= plan.maxUnavailable(), changing + " are away");
+      assertTrue(changing <= plan.maxUnavailable(), changing + " hosts are unavailable");
     }
 
     void carryOut(List<Rollout.Action> actions) {
@@ -107,7 +107,7 @@
       long releases =
           orderedInEpoch.stream().filter(each -> each.startsWith(order.host() + " ")).count();
       assertEquals(1, releases, order.host() + " is ordered two releases in one epoch");
-      assertTrue(host.isReachable, "ordered though it cannot be reached");
+      assertTrue(host.isReachable, "an unreachable host is ordered");
       for (RolloutPlan.Host other : plan.hosts()) {
         boolean changing =
             !other.equals(plan.host(order.host())) && hosts.get(other.name()).isChanging(now);
@@ -115,7 +115,7 @@
             other.zone().equals(plan.host(order.host()).zone()) && !other.zone().isEmpty();
         assertTrue(
             !(changing && sameZone && plan.zoneSize(other.zone()) < RolloutPlan.SMALL_ZONE_HOSTS),
-            "two of a small zone");
+            "two hosts of a small zone change at once");
       }
       if (losesOrders) {
         return;
@@ -160,21 +160,21 @@
   }
 
   @Test
-  void aGoodReleaseArrivesEverywhereStageByStage() {
+  void tick_passingVerdicts_completesStageByStage() {
     SimulatedFleet fleet = new SimulatedFleet(plan(6, 1));
     fleet.passTime(8, PASSES);
-    assertEquals(1, running(fleet, "new"), "the first stage is watched");
+    assertEquals(1, running(fleet, "new"), "the first stage is under observation");
     fleet.passTime(100, PASSES);
     assertEquals(Rollout.State.COMPLETED, fleet.rollout.state());
     assertEquals(6, running(fleet, "new"));
   }
 
   @Test
-  void withoutAVerdictTheStageIsHeldAndAnOperatorDecides() {
+  void tick_noVerdictInTime_holdsUntilAnOperatorResumes() {
     SimulatedFleet fleet = new SimulatedFleet(plan(6, 1));
     fleet.passTime(200, INCONCLUSIVE);
     assertEquals(Rollout.State.HELD, fleet.rollout.state());
-    assertTrue(fleet.rollout.reason().startsWith("nobody can tell"), fleet.rollout.reason());
+    assertTrue(fleet.rollout.reason().startsWith("stage 1 could not be accepted in time: "), fleet.rollout.reason());
     assertEquals(1, running(fleet, "new"));
     fleet.carryOut(fleet.rollout.resume(fleet.reportedStates(), fleet.now));
     fleet.passTime(100, PASSES);
@@ -182,7 +182,7 @@
   }
 
   @Test
-  void aReleaseThatFailsIsRolledBackInANewEpoch() {
+  void tick_failingVerdict_rollsBackInANewEpoch() {
     SimulatedFleet fleet = new SimulatedFleet(plan(6, 1));
     fleet.passTime(30, PASSES);
     assertTrue(running(fleet, "new") > 1);
@@ -194,7 +194,7 @@
   }
 
   @Test
-  void aHostThatFailsIsOrderedNoMoreOftenThanPlanned() {
+  void tick_hostThatFails_isOrderedAtMostMaxAttemptsTimes() {
     SimulatedFleet fleet = new SimulatedFleet(plan(4, 1));
     for (int i = 0; i < 3; i++) {
       fleet.nextChangeFails = true;
@@ -202,11 +202,11 @@
     }
     fleet.nextChangeFails = true;
     fleet.passTime(100, INCONCLUSIVE);
-    assertTrue(fleet.orders.get("b0") <= 2, "a budget of tries: " + fleet.orders);
+    assertTrue(fleet.orders.get("b0") <= 2, "at most two attempts: " + fleet.orders);
   }
 
   @Test
-  void aHostThatCameBackWithTheOldReleaseIsChangedAgain() {
+  void tick_hostThatReturnsWithTheOldRelease_isChangedAgain() {
     SimulatedFleet fleet = new SimulatedFleet(plan(4, 1));
     fleet.passTime(8, PASSES);
     fleet.hosts.get("b0").runningRelease = "old";
@@ -216,7 +216,7 @@
   }
 
   @Test
-  void anUnreachableHostKeepsTheRollbackOpenAndIsRolledBackOnceReachable() {
+  void tick_unreachableHostDuringRollback_isRolledBackOnceReachable() {
     SimulatedFleet fleet = new SimulatedFleet(plan(4, 1));
     fleet.passTime(8, PASSES);
     fleet.hosts.get("b0").isReachable = false;
@@ -233,7 +233,7 @@
   }
 
   @Test
-  void aLaterControllerResumesFromTheJournal() {
+  void snapshot_midRollout_isResumedByAnotherController() {
     SimulatedFleet fleet = new SimulatedFleet(plan(6, 1));
     fleet.passTime(30, PASSES);
     Rollout.Snapshot snapshot = fleet.rollout.snapshot();
@@ -246,7 +246,7 @@
   }
 
   @Test
-  void aPauseOutlivesItsController() {
+  void snapshot_pausedRollout_staysPausedInAnotherController() {
     SimulatedFleet fleet = new SimulatedFleet(plan(4, 1));
     fleet.passTime(2, INCONCLUSIVE);
     fleet.carryOut(fleet.rollout.pause(fleet.now));
@@ -259,19 +259,20 @@
   }
 
   /**
-   * Whatever happens in whatever order, the rules hold; and once all is well, every change ends.
+   * For any sequence of events the rules that {@link SimulatedFleet} checks are kept, and once all
+   * faults are removed every rollout ends.
    */
   @Property(tries = 1500)
-  void rulesHoldWhateverHappensAndEveryRolloutEnds(
+  void tick_anySequenceOfEvents_keepsRulesAndEnds(
       @ForAll @IntRange(min = 2, max = 9) int hostCount,
       @ForAll @IntRange(min = 1, max = 3) int maxUnavailable,
       @ForAll @Size(max = 80) List<@IntRange(max = 13) Integer> events,
-      @ForAll @IntRange(max = 100) int which) {
+      @ForAll @IntRange(max = 100) int firstHost) {
     SimulatedFleet fleet = new SimulatedFleet(plan(hostCount, maxUnavailable));
-    int at = which;
+    int hostIndex = firstHost;
     for (int event : events) {
-      at += 7;
-      ReportedHost host = fleet.hosts.get("b" + at % hostCount);
+      hostIndex += 7;
+      ReportedHost host = fleet.hosts.get("b" + hostIndex % hostCount);
       switch (event) {
         case 0 -> host.isReachable = false;
         case 1 -> host.isReachable = true;
@@ -279,16 +280,16 @@
         case 3 -> fleet.losesOrders = !fleet.losesOrders;
         case 4 ->
             host.runningRelease =
-                fleet.rollout.state().isFinal() ? host.runningRelease : "old"; // it came back cold
+                fleet.rollout.state().isFinal() ? host.runningRelease : "old"; // restarted with the old release
         case 5 -> fleet.carryOut(fleet.rollout.pause(fleet.now));
         case 6 -> fleet.carryOut(fleet.rollout.resume(fleet.reportedStates(), fleet.now));
         case 7 -> {
-          if (at % 3 == 0) {
+          if (hostIndex % 3 == 0) {
             fleet.carryOut(fleet.rollout.rollBack("asked for", fleet.now));
           }
         }
         case 8 -> {
-          // The controller dies, and the next one resumes in another epoch.
+          // The controller ends and another one resumes in a new epoch.
           fleet.rollout = new Rollout(fleet.plan, fleet.rollout.snapshot(), fleet.now);
           fleet.epochs++;
           fleet.orderedInEpoch.clear();
@@ -301,7 +302,7 @@
                     each.attempt = 0;
                   });
         }
-        case 9 -> fleet.passTime(1, at % 5 == 0 ? FAILS : INCONCLUSIVE);
+        case 9 -> fleet.passTime(1, hostIndex % 5 == 0 ? FAILS : INCONCLUSIVE);
         case 10 -> fleet.passTime(12, PASSES);
         default -> fleet.passTime(2, PASSES);
       }
--- a/src/test/java/wharftrestle/rollout/controller/IndirectProberTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/IndirectProberTest.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which hosts are asked about one that is silent. */
+/** Tests the choice of the hosts that probe a silent one. */
 class IndirectProberTest {
   private static final List<String> REACHABLE = List.of("a", "b", "c", "d", "e", "f", "g");
 
-  /** Its hash code is the only one without an absolute value. */
+  /** A name whose hash code is Integer.MIN_VALUE, of which Math.abs is negative. */
   private static final String LOWEST_HASH = "polygenelubricants";
 
   @Test
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void chooseWitnesses_anyOtherName_choosesAsTheHashCodeAlwaysDid() {
+  void chooseWitnesses_anyOtherName_startsAtTheHashCodeModuloTheCount() {
     for (int i = 0; i < 1000; i++) {
       String host = "host-" + i;
       int first = (int) (Math.abs((long) host.hashCode()) % REACHABLE.size());
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void chooseWitnesses_fewReachable_choosesThose() {
+  void chooseWitnesses_fewerThanTwoReachable_choosesAll() {
     assertEquals(List.of("a"), IndirectProber.chooseWitnesses(LOWEST_HASH, List.of("a")));
     assertTrue(IndirectProber.chooseWitnesses(LOWEST_HASH, List.of()).isEmpty());
   }
--- a/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/PlanScriptTest.java
@@ -13,7 +13,7 @@
 import wharftrestle.rollout.RolloutSchedule;
 import wharftrestle.settings.BadSettingsException;
 
-/** What a plan's script may say, and how errors in it are reported. */
+/** Tests reading of a plan's script and the error messages for invalid ones. */
 class PlanScriptTest {
   private static final String HOST = "box(\"b1\", zone = \"a\", keeper = \"127.0.0.1:7501\")\n";
 
@@ -38,23 +38,23 @@
     assertEquals(Map.of("b2", "127.0.0.1:9002"), script.clientAddresses());
     assertEquals(RolloutPlan.UnreachablePolicy.CONTINUE, plan.unreachablePolicy());
     assertEquals(RolloutPlan.RegressionPolicy.HOLD, plan.regressionPolicy());
-    assertEquals(100, script.observationSeconds(), "eight windows and some");
+    assertEquals(100, script.observationSeconds(), "eight windows of 10 s and a margin of 20 s");
     assertTrue(
         script
             .warnings(150)
             .get(0)
-            .startsWith("stage 1 holds 120 s, less than the longest window"));
+            .startsWith("stage 1 holds 120 s, less than the longest idempotency window"));
   }
 
   @Test
-  void parse_planWithoutMeasures_comparesAllMetrics() throws Exception {
+  void parse_planWithoutMetrics_comparesAllMetrics() throws Exception {
     RolloutPlan plan =
         PlanScript.parse("p.star", HOST + "change(to = \"x\", stages = [stage(boxes = 1)])").plan();
     assertEquals(CanaryMetric.values().length, plan.criteria().limits().size());
   }
 
   @Test
-  void parse_wrongPlan_isRefusedWithItsPlace() {
+  void parse_invalidPlan_isRejectedWithPosition() {
     String[][] cases = {
       {"", "p.star: has no change(to = ..., stages = [...])"},
       {
@@ -97,7 +97,7 @@
       {HOST + HOST, "p.star:2:1: box b1 is defined twice"},
       {
         HOST + "box(\"b2\", keeper = \"127.0.0.1:7501\")",
-        "p.star:2:20: the supervisor at 127.0.0.1:7501 has another host"
+        "p.star:2:20: box.keeper: 127.0.0.1:7501 is used by another box"
       },
       {
         "box(\"b1\", keeper = \"keeper.example.org:1\")",
@@ -105,18 +105,18 @@
             + "with a numeric host, got keeper.example.org:1"
       },
     };
-    for (String[] wrongAndMessage : cases) {
+    for (String[] scriptAndMessage : cases) {
       BadSettingsException e =
           assertThrows(
               BadSettingsException.class,
-              () -> PlanScript.parse("p.star", wrongAndMessage[0]),
-              wrongAndMessage[0]);
-      assertEquals(wrongAndMessage[1], e.getMessage());
+              () -> PlanScript.parse("p.star", scriptAndMessage[0]),
+              scriptAndMessage[0]);
+      assertEquals(scriptAndMessage[1], e.getMessage());
     }
   }
 
   @Test
-  void schedule_ofTheShippedPlan_meetsAllOfIt() throws Exception {
+  void schedule_ofTheExamplePlan_hasNothingUnmet() throws Exception {
     RolloutPlan plan = PlanScript.read(Path.of("docs/examples/roll.star")).plan();
 
     RolloutSchedule schedule = RolloutSchedule.of(plan);
--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -35,7 +35,7 @@
 import wharftrestle.supervisor.ReleaseDirectory;
 import wharftrestle.transport.Address;
 
-/** Controllers and the endpoints of supervisors whose hosts execute every order at once. */
+/** Tests controllers against supervisor endpoints whose hosts execute every order at once. */
 @Timeout(60)
 class RolloutControllerTest {
   private static final PrintStream NOWHERE = new PrintStream(OutputStream.nullOutputStream());
@@ -46,7 +46,7 @@
   private final List<String> executed = new CopyOnWriteArrayList<>();
   private ReleaseDirectory releases;
 
-  /** A supervisor's endpoint, and a host that runs every ordered release at once. */
+  /** A supervisor's endpoint and a simulated host that runs every ordered release at once. */
   private final class TestSupervisor {
     private final String name;
     private final int port;
@@ -167,14 +167,14 @@
   }
 
   @Test
-  void aSecondControllerIsRefusedUntilItTakesOverAndThenTheFirstIsFenced() throws Exception {
+  void check_anotherControllerAlive_isRefusedUntilTakeOverFencesIt() throws Exception {
     try (RolloutController first = controller("d1", planScript("two", 600), "ann")) {
       first.check(false);
       FutureTask<RolloutController.Outcome> outcome = run(first);
       while (executed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
-      assertEquals(List.of("b1 two"), executed, "one host, and the hold goes on");
+      assertEquals(List.of("b1 two"), executed, "one host, and the stage is still in its hold");
       try (RolloutController second = controller("d2", planScript("two", 0), "bob")) {
         String refusal =
             assertThrows(RolloutRefusedException.class, () -> second.check(false)).getMessage();
@@ -185,13 +185,13 @@
         assertTrue(send("d2", "status").contains("\"driver\":\"bob\""));
         assertEquals(RolloutController.Outcome.COMPLETED, nextOutcome.get(30, TimeUnit.SECONDS));
         assertEquals(
-            List.of("b1 two", "b2 two", "b3 two"), executed, "and b1 was not ordered again");
+            List.of("b1 two", "b2 two", "b3 two"), executed, "b1 is not ordered again");
       }
     }
   }
 
   @Test
-  void anImpossibleRolloutIsRefusedBeforeAnyOrder() throws Exception {
+  void check_missingReleaseOrQuorum_isRefusedBeforeAnyOrder() throws Exception {
     try (RolloutController controller = controller("d1", planScript("three", 0), "ann")) {
       String refusal =
           assertThrows(RolloutRefusedException.class, () -> controller.check(false)).getMessage();
@@ -208,7 +208,7 @@
   }
 
   @Test
-  void aRolloutUnderWayResumesWithItsOwnPlanAndItsDirectoryHasOneController() throws Exception {
+  void open_directoryOfAnUnfinishedRollout_resumesItsPlanWithOneController() throws Exception {
     PlanScript plan = planScript("two", 600);
     try (RolloutController first = controller("d1", plan, "ann")) {
       assertThrows(RolloutRefusedException.class, () -> controller("d1", plan, "bob"));
@@ -233,12 +233,12 @@
       assertEquals("no name a box of the plan, and what it broke", send("d1", "broken b9 x"));
       assertTrue(send("d1", "broken b1 a key ran twice").startsWith("ok "));
       assertEquals(RolloutController.Outcome.ROLLED_BACK, outcome.get(20, TimeUnit.SECONDS));
-      assertEquals(List.of("b1 two", "b1 one"), executed, "a broken rule is worse at once");
+      assertEquals(List.of("b1 two", "b1 one"), executed, "a broken rule fails the stage at once");
     }
   }
 
   @Test
-  void anEndpointKeepsItsEpochOverRestartsAndAnswersNonsenseWithAnError() throws Exception {
+  void endpoint_afterRestart_keepsItsEpochAndRejectsInvalidRequests() throws Exception {
     TestSupervisor supervisor = supervisors.get(0);
     JsonNode granted = supervisor.call("/claim", "{\"epoch\":7,\"driver\":\"ann\"}");
     assertEquals("GRANTED", granted.path("answer").asText());
@@ -257,7 +257,7 @@
             .call("/order", order + granted.path("stamp").asLong() + "}")
             .path("answer")
             .asText(),
-        "a token of the incarnation before");
+        "a token of the previous incarnation");
     long stamp = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
     assertEquals("OBEYED", supervisor.call("/order", order + stamp + "}").path("answer").asText());
     stamp = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtureWriter.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtureWriter.java
@@ -7,29 +7,29 @@
 import wharftrestle.Fixtures;
 
 /**
- * Records the rollout controller's fixtures, as the README beside them says. Its name keeps it out
- * of a build: it runs only by {@code -Dtest=RolloutFixtureWriter}, and writes over no recorded
- * file.
+ * Records the rollout controller's fixtures, as described in the README next to them. The class name
+ * does not match the test pattern of a build, so it runs only with {@code
+ * -Dtest=RolloutFixtureWriter}. It does not overwrite recorded files.
  */
 class RolloutFixtureWriter {
   @TempDir private Path scratch;
 
   @Test
   void write() throws Exception {
-    RolloutFixtures.writeJournal(fresh(RolloutFixtures.JOURNAL));
+    RolloutFixtures.writeJournal(newFile(RolloutFixtures.JOURNAL));
     Path resumed = Files.createDirectories(scratch.resolve("resumed"));
-    Fixtures.writeJson(fresh(RolloutFixtures.ORDERS), RolloutFixtures.orders(resumed));
+    Fixtures.writeJson(newFile(RolloutFixtures.ORDERS), RolloutFixtures.orders(resumed));
     RolloutFixtures.Run run = RolloutFixtures.run(scratch);
-    RolloutFixtures.writeLines(fresh(RolloutFixtures.RUN), run.journal());
-    RolloutFixtures.writeLines(fresh(RolloutFixtures.EVENTS), run.events());
+    RolloutFixtures.writeLines(newFile(RolloutFixtures.RUN), run.journal());
+    RolloutFixtures.writeLines(newFile(RolloutFixtures.EVENTS), run.events());
   }
 
   @Test
   void writeStatus() throws Exception {
-    Fixtures.writeJson(fresh(RolloutFixtures.STATUS), RolloutFixtures.statusWhileWatching(scratch));
+    Fixtures.writeJson(newFile(RolloutFixtures.STATUS), RolloutFixtures.statusWhileObserving(scratch));
   }
 
-  private static Path fresh(String name) {
+  private static Path newFile(String name) {
     Path file = Fixtures.path(name);
     if (Files.exists(file)) {
       throw new IllegalStateException(file + " is recorded already: remove it first");
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
@@ -26,8 +26,8 @@
 import wharftrestle.transport.Address;
 
 /**
- * Objects of the rollout controller's fixtures and the code that writes them through the production
- * writers. {@link RolloutFixtureWriter} records them; the tests write into a temporary folder and
+ * The objects of the rollout controller's fixtures, and methods that write them with the production
+ * code. {@link RolloutFixtureWriter} records the fixtures; the tests write to a temporary folder and
  * compare.
  */
 final class RolloutFixtures {
@@ -44,7 +44,7 @@
 
   // ---- The journal ----
 
-  /** Each kind of line, and each state of a rollout; the last one can be gone on from. */
+  /** Each kind of line and each state of a rollout; the last line is a resumable state. */
   static List<JournalEntry> lines() throws IOException {
     Map<String, String> none = Map.of();
     Map<String, String> from = new LinkedHashMap<>();
@@ -119,19 +119,19 @@
     }
   }
 
-  // ---- Orders of operators ----
+  // ---- Commands of operators ----
 
-  /** Orders at the socket of a controller that goes on with the recorded journal, with answers. */
+  /** Sends commands to a controller that resumes from the recorded journal; returns the answers. */
   static JsonNode orders(Path folder) throws Exception {
     Files.copy(Fixtures.path(JOURNAL), folder.resolve(ControllerDirectory.JOURNAL_FILE));
     ArrayNode all = JSON.createArrayNode();
-    PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
+    PrintStream discarded = new PrintStream(OutputStream.nullOutputStream());
     try (RolloutController controller =
         new RolloutController(
             folder,
             PlanScript.read(Fixtures.path(PLAN)),
             "d2",
-            new RolloutEventLog(nowhere, true))) {
+            new RolloutEventLog(discarded, true))) {
       for (String order :
           List.of("status", "broken b1 a rule", "go", "pause", "back", "abort", "fly")) {
         String answer = CommandSocket.order(folder.resolve("roll.sock"), order);
@@ -155,10 +155,10 @@
     return all;
   }
 
-  /** The status of a controller that watches one host and compares one measure. */
-  static JsonNode statusWhileWatching(Path folder) throws Exception {
+  /** The status of a controller that observes one host and compares two metrics. */
+  static JsonNode statusWhileObserving(Path folder) throws Exception {
     int port = Address.freePort();
-    PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
+    PrintStream discarded = new PrintStream(OutputStream.nullOutputStream());
     Path state = folder.resolve("watching");
     try (ControllerEndpoint endpoint =
             new ControllerEndpoint(
@@ -188,8 +188,8 @@
                         + "\")\nchange(to = \"two\", stages = [stage(boxes = 1)],"
                         + " worse = [worth(0.03), late(0.1)], watch = 600, window = 60)\n"),
                 "d1",
-                new RolloutEventLog(nowhere, true))) {
-      Thread runs =
+                new RolloutEventLog(discarded, true))) {
+      Thread controllerThread =
           new Thread(
               () -> {
                 try {
@@ -199,20 +199,20 @@
                 }
               },
               "controller");
-      runs.start();
+      controllerThread.start();
       JsonNode status = JSON.createObjectNode();
       long until = System.nanoTime() + 30_000_000_000L;
       while (status.path("measures").isEmpty()
           || !status.path("steering").asText().equals("steering")) {
         if (System.nanoTime() > until) {
-          throw new AssertionError("measures were expected, it is " + status);
+          throw new AssertionError("expected measures in the status, got " + status);
         }
         Thread.sleep(50);
         status =
             JSON.readTree(CommandSocket.order(state.resolve("roll.sock"), "status").substring(3));
       }
       controller.stop();
-      runs.join();
+      controllerThread.join();
       ((ObjectNode) status).put("plan", "00");
       ((ObjectNode) status.path("boxes").path(0)).put("silent", 0.5);
       return status;
@@ -221,7 +221,10 @@
 
   // ---- A whole rollout ----
 
-  /** What one rollout of one host wrote; times and the plan's digest are fixed. */
+  /**
+   * The journal and the events of a rollout of one host, with a fixed time and plan digest in each
+   * line.
+   */
   record Run(List<JsonNode> journal, List<JsonNode> events) {}
 
   static Run run(Path folder) throws Exception {
@@ -229,7 +232,7 @@
     Path jar = Files.writeString(folder.resolve("any.jar"), "a program");
     releases.pack(jar, null, "one");
     releases.pack(jar, null, "two");
-    AtomicReference<String[]> told = new AtomicReference<>(new String[] {"go", "0", "one"});
+    AtomicReference<String[]> lastOrder = new AtomicReference<>(new String[] {"go", "0", "one"});
     int port = Address.freePort();
     ByteArrayOutputStream events = new ByteArrayOutputStream();
     try (ControllerEndpoint endpoint =
@@ -240,7 +243,7 @@
                 releases,
                 order -> {
                   if (order.startsWith("go ")) {
-                    told.set(order.split(" "));
+                    lastOrder.set(order.split(" "));
                   }
                   return "ok";
                 },
@@ -249,15 +252,15 @@
                         "state",
                         "serving",
                         "release",
-                        told.get()[2],
+                        lastOrder.get()[2],
                         "settled",
                         true,
                         "acts",
-                        told.get()[2],
+                        lastOrder.get()[2],
                         "told",
-                        told.get()[2],
+                        lastOrder.get()[2],
                         "attempt",
-                        Integer.parseInt(told.get()[1]),
+                        Integer.parseInt(lastOrder.get()[1]),
                         "failed",
                         ""),
                 (program, settings) -> true);
@@ -275,15 +278,15 @@
       controller.check(false);
       controller.run();
     }
-    Path said = Files.write(folder.resolve("events"), events.toByteArray());
+    Path eventFile = Files.write(folder.resolve("events"), events.toByteArray());
     return new Run(
-        fixed(
+        withFixedValues(
             Fixtures.jsonLines(
                 folder.resolve("rollout").resolve(ControllerDirectory.JOURNAL_FILE))),
-        fixed(Fixtures.jsonLines(said)));
+        withFixedValues(Fixtures.jsonLines(eventFile)));
   }
 
-  private static List<JsonNode> fixed(List<JsonNode> lines) {
+  private static List<JsonNode> withFixedValues(List<JsonNode> lines) {
     for (JsonNode line : lines) {
       ((ObjectNode) line).put("at", 1_765_000_000_000L);
       if (line.has("plan")) {
--- a/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
@@ -34,8 +34,8 @@
 import wharftrestle.supervisor.JsonLineJournal;
 
 /**
- * Files and messages of the rollout controller, as released builds have written them: they are read
- * to the same objects and written with the same bytes or fields.
+ * Tests that files and messages recorded from released builds are read into the same objects, and
+ * that the current code writes them with the same bytes or fields.
  */
 @Timeout(60)
 class StoredFormatTest {
@@ -47,7 +47,7 @@
   // ---- The journal ----
 
   @Test
-  void journal_recorded_isReadToTheSameLines() throws Exception {
+  void journal_recorded_isReadAsTheSameEntries() throws Exception {
     List<JournalEntry> read =
         JsonLineJournal.read(Fixtures.path(RolloutFixtures.JOURNAL), JournalEntry.class);
 
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void journal_writtenAnew_hasTheRecordedBytes() throws Exception {
+  void journal_written_hasTheRecordedBytes() throws Exception {
     Path written = folder.resolve("roll.jsonl");
 
     RolloutFixtures.writeJournal(written);
@@ -71,7 +71,7 @@
 
     RolloutFixtures.Run run = RolloutFixtures.run(folder);
 
-    // An order that was not obeyed in time is given again, in the same words.
+    // An order that is not executed in time is repeated with the same text.
     assertEquals(journal, run.journal().stream().distinct().toList());
     assertTrue(run.events().containsAll(events), run.events().toString());
     assertEquals(fields(events), fields(run.events()));
@@ -86,7 +86,7 @@
   // ---- The plan ----
 
   @Test
-  void plan_recorded_isReadToTheSamePlan() throws Exception {
+  void plan_recorded_isReadAsTheSamePlan() throws Exception {
     PlanScript read = PlanScript.read(Fixtures.path(RolloutFixtures.PLAN));
 
     assertEquals(
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void plan_ofARolloutUnderWay_isKeptBesideItsJournalUnderItsDigest() throws Exception {
+  void plan_ofAnUnfinishedRollout_isCopiedNextToItsJournalUnderItsDigest() throws Exception {
     RolloutFixtures.orders(folder);
 
     assertEquals(
@@ -129,10 +129,10 @@
         Files.readString(folder.resolve("plan-1cac7deef149.star")));
   }
 
-  // ---- Orders of operators ----
+  // ---- Commands of operators ----
 
   @Test
-  void orders_toAControllerThatGoesOn_areAnsweredAsRecorded() throws Exception {
+  void commands_toAResumedController_areAnsweredAsRecorded() throws Exception {
     JsonNode recorded = Fixtures.json(RolloutFixtures.ORDERS);
 
     JsonNode answered = RolloutFixtures.orders(folder);
@@ -141,20 +141,20 @@
   }
 
   @Test
-  void status_whileAHostIsWatched_isShownAsRecorded() throws Exception {
+  void status_whileAHostIsObserved_hasTheRecordedFields() throws Exception {
     JsonNode recorded = Fixtures.json(RolloutFixtures.STATUS);
 
-    JsonNode shown = RolloutFixtures.statusWhileWatching(folder);
+    JsonNode status = RolloutFixtures.statusWhileObserving(folder);
 
-    assertEquals(recorded, JSON.readTree(shown.toString()));
+    assertEquals(recorded, JSON.readTree(status.toString()));
   }
 
   // ---- Messages between controller and supervisor ----
 
-  /** Answers each request with the next recorded answer, and keeps what was asked. */
+  /** Answers each request with the next recorded answer and stores the request. */
   private static final class RecordedSupervisor implements AutoCloseable {
     private final HttpServer server;
-    private final List<JsonNode> asked = new ArrayList<>();
+    private final List<JsonNode> requests = new ArrayList<>();
     private volatile JsonNode next = MissingNode.getInstance();
 
     RecordedSupervisor() throws IOException {
@@ -171,7 +171,7 @@
               if (!body.isEmpty()) {
                 request.set("request", JSON.readTree(body));
               }
-              asked.add(request);
+              requests.add(request);
               byte[] answer = JSON.writeValueAsBytes(next.path("answer"));
               call.sendResponseHeaders(next.path("status").asInt(), answer.length);
               call.getResponseBody().write(answer);
@@ -202,7 +202,7 @@
     return all;
   }
 
-  private static JsonNode asked(JsonNode exchange) {
+  private static JsonNode requestOf(JsonNode exchange) {
     ObjectNode request = exchange.deepCopy();
     request.remove(List.of("status", "answer"));
     return request;
@@ -212,17 +212,17 @@
     SupervisorClient calls = new SupervisorClient();
     JsonNode request = exchange.path("request");
     long epoch = request.path("epoch").asLong();
-    String driver = request.path("driver").asText();
+    String controller = request.path("driver").asText();
     return switch (exchange.path("path").asText()) {
-      case "/claim" -> calls.claim(at, epoch, driver);
+      case "/claim" -> calls.claim(at, epoch, controller);
       case "/ask" ->
           calls.heartbeat(
-              at, epoch, driver, request.path("stage").asInt(), request.path("verdict").asText());
+              at, epoch, controller, request.path("stage").asInt(), request.path("verdict").asText());
       default ->
           calls.order(
               at,
               epoch,
-              driver,
+              controller,
               request.path("stamp").asLong(),
               request.path("to").asText(),
               request.path("back").asBoolean());
@@ -230,20 +230,20 @@
   }
 
   @Test
-  void posts_ofEveryKind_areSentAsRecordedAndTheirAnswersAreRead() throws Exception {
+  void posts_ofEveryKind_areSentAndTheirAnswersReadAsRecorded() throws Exception {
     List<JsonNode> recorded = exchanges(true, "POST");
-    List<EpochFence.Reply> said = new ArrayList<>();
-    List<String> obeyed = new ArrayList<>();
+    List<EpochFence.Reply> replies = new ArrayList<>();
+    List<String> orderResults = new ArrayList<>();
 
     try (RecordedSupervisor supervisor = new RecordedSupervisor()) {
       for (JsonNode each : recorded) {
         supervisor.next = each;
-        SupervisorClient.Answer heard = post(supervisor.address(), each);
-        said.add(heard.reply());
-        obeyed.add(heard.orderResult());
+        SupervisorClient.Answer answer = post(supervisor.address(), each);
+        replies.add(answer.reply());
+        orderResults.add(answer.orderResult());
       }
       assertEquals(
-          recorded.stream().map(StoredFormatTest::asked).toList(), List.copyOf(supervisor.asked));
+          recorded.stream().map(StoredFormatTest::requestOf).toList(), List.copyOf(supervisor.requests));
     }
 
     EpochFence.Grant first = new EpochFence.Grant(1, "d1", "", 0);
@@ -262,8 +262,8 @@
                 EpochFence.Answer.GRANTED, STAMP, new EpochFence.Grant(2, "d2", "", 0)),
             new EpochFence.Reply(
                 EpochFence.Answer.ACCEPTED, 0, new EpochFence.Grant(2, "d2", "one", 1))),
-        said);
-    assertEquals(List.of("", "", "", "", "", "", "ok obeyed", "", "", "ok obeyed"), obeyed);
+        replies);
+    assertEquals(List.of("", "", "", "", "", "", "ok obeyed", "", "", "ok obeyed"), orderResults);
   }
 
   @Test
@@ -289,12 +289,12 @@
         assertEquals(each.path("answer"), answer);
       }
       assertEquals(
-          recorded.stream().map(StoredFormatTest::asked).toList(), List.copyOf(supervisor.asked));
+          recorded.stream().map(StoredFormatTest::requestOf).toList(), List.copyOf(supervisor.requests));
     }
   }
 
   @Test
-  void answers_thatRefuseACall_areReadWithTheirReason() throws Exception {
+  void answers_withAnErrorStatus_areReadWithTheirReason() throws Exception {
     List<JsonNode> recorded = exchanges(false, "GET");
 
     try (RecordedSupervisor supervisor = new RecordedSupervisor()) {
@@ -311,7 +311,7 @@
     }
   }
 
-  private static SupervisorClient.Answer obeyed(JsonNode answer) {
+  private static SupervisorClient.Answer acceptedOrder(JsonNode answer) {
     return new SupervisorClient.Answer(
         new EpochFence.Reply(
             EpochFence.Answer.ACCEPTED, 0, new EpochFence.Grant(1, "d1", "two", 1)),
@@ -324,12 +324,12 @@
   }
 
   @Test
-  void host_inARecordedAnswer_isShownToTheRollout() throws Exception {
+  void host_inARecordedAnswer_isReportedToTheRollout() throws Exception {
     HostView view = new HostView(new RolloutPlan.Host("b1", "north", "127.0.0.1:7501", List.of()));
 
-    List<String> deaths = view.update(obeyed(answerToTheOrder()));
+    List<String> deaths = view.update(acceptedOrder(answerToTheOrder()));
 
-    assertEquals(List.of(), deaths, "those before the first answer are no news");
+    assertEquals(List.of(), deaths, "deaths before the first answer are ignored");
     assertEquals(
         new Rollout.ReportedState(true, "one", true, "two", 1, "it died before it served"),
         view.reportedState(true, 1));
@@ -339,7 +339,7 @@
   }
 
   @Test
-  void host_inTwoRecordedAnswers_givesTheCountsBetweenThem() throws Exception {
+  void host_inTwoRecordedAnswers_hasTheIncreaseOfTheCounts() throws Exception {
     HostView view = new HostView(new RolloutPlan.Host("b1", "north", "127.0.0.1:7501", List.of()));
     JsonNode later = answerToTheOrder().deepCopy();
     ObjectNode host = (ObjectNode) later.path("box");
@@ -347,10 +347,10 @@
     counts.put("asked", 150).put("served", 110).put("late", 9).put("refused", 25).put("failed", 15);
     host.put("calls", 20).put("badCalls", 4).put("cpu", 2.0).put("ownMb", 23.5);
     ((ObjectNode) host.path("deaths")).put("two", 3);
-    view.update(obeyed(answerToTheOrder()));
+    view.update(acceptedOrder(answerToTheOrder()));
     view.sampleWindow(true, "two", 30, 100);
 
-    List<String> deaths = view.update(obeyed(later));
+    List<String> deaths = view.update(acceptedOrder(later));
     HostSample sample = view.sampleWindow(true, "two", 30, 110).orElseThrow();
 
     assertEquals(List.of("two", "two"), deaths);
