--- a/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
+++ b/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
@@ -93,13 +93,13 @@
 
   static double halfWidth(double error, double count, double variance) {
     double twoSidedError = 2 * error; // the formula is for two-sided bounds
-    double mixtureVariance = mixtureVariance(twoSidedError, TIGHTEST_AT_VALUES);
-    double scale = count * mixtureVariance + 1;
+    double mixingVariance = mixtureVariance(twoSidedError, TIGHTEST_AT_VALUES);
+    double scale = count * mixingVariance + 1;
     return Math.sqrt(
         variance
             * 2
             * scale
-            / (count * count * mixtureVariance)
+            / (count * count * mixingVariance)
             * Math.log(Math.sqrt(scale) / twoSidedError));
   }
 }
--- a/src/main/java/wharftrestle/rollout/MembershipView.java
+++ b/src/main/java/wharftrestle/rollout/MembershipView.java
@@ -170,7 +170,7 @@
       String probeResult = member.servesClients ? " finds that it serves clients" : " reaches it";
       transition(host, member, Reachability.PARTITIONED, member.witness + probeResult);
     } else if (silentSeconds > LOST_AFTER_SECONDS) {
-      String lostReason = "no contact by any host for " + Math.round(silentSeconds) + " s";
+      String lostReason = "not reached by any host for " + Math.round(silentSeconds) + " s";
       transition(host, member, Reachability.LOST, lostReason);
     } else if (silentSeconds > SUSPECT_AFTER_SECONDS
         && member.reachability != Reachability.UNKNOWN) {
--- a/src/main/java/wharftrestle/rollout/controller/PreflightCheck.java
+++ b/src/main/java/wharftrestle/rollout/controller/PreflightCheck.java
@@ -21,7 +21,7 @@
   /** Seconds after its last heartbeat for which another controller is considered alive. */
   private static final double CONTROLLER_ALIVE_SECONDS = 10;
 
-  private static final int MAX_SHOWN_OBJECTIONS = 5;
+  private static final int MAX_DISPLAYED_OBJECTIONS = 5;
 
   private record HostAnswers(JsonNode status, JsonNode release) {}
 
@@ -91,7 +91,7 @@
           "check " + host.name(),
           () -> {
             try {
-              HostAnswers answer = ask(host);
+              HostAnswers answer = query(host);
               synchronized (answers) {
                 answers.put(host.name(), answer);
               }
@@ -109,7 +109,7 @@
     return answers;
   }
 
-  private HostAnswers ask(RolloutPlan.Host host) throws IOException {
+  private HostAnswers query(RolloutPlan.Host host) throws IOException {
     return new HostAnswers(
         supervisors.hostStatus(host.supervisor()),
         supervisors.checkRelease(host.supervisor(), plan.targetRelease()));
@@ -167,9 +167,9 @@
   }
 
   private String summary() {
-    int shown = Math.min(MAX_SHOWN_OBJECTIONS, objections.size());
-    int hidden = objections.size() - shown;
-    return String.join("; ", objections.subList(0, shown))
-        + (hidden > 0 ? "; and " + hidden + " more" : "");
+    int displayed = Math.min(MAX_DISPLAYED_OBJECTIONS, objections.size());
+    int omitted = objections.size() - displayed;
+    return String.join("; ", objections.subList(0, displayed))
+        + (omitted > 0 ? "; and " + omitted + " more" : "");
   }
 }
--- a/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
+++ b/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
@@ -28,12 +28,12 @@
     NONE,
     NO_EXPIRY_WAIT,
     EXPIRY_WAIT_OF_ONE_LEASE,
-    NO_TOKENS,
-    A_MINORITY_GRANTS,
-    ACKNOWLEDGED_WHEN_RECEIVED,
-    SUPERVISOR_FORGETS,
+    NO_TOKEN_EXPIRY,
+    MINORITY_QUORUM,
+    ACKNOWLEDGED_AT_RECEIPT_TIME,
+    GRANT_LOST_ON_RESTART,
     LEASE_NOT_CHECKED,
-    ONE_EPOCH_FOR_TWO
+    SHARED_EPOCH
   }
 
   private static final int SUPERVISORS = 3;
@@ -74,7 +74,7 @@
     ModelState copy(Bug bug) {
       ModelState next = new ModelState();
       next.tick = tick;
-      double lease = bug == Bug.NO_TOKENS ? 1e9 : EpochFence.LEASE_SECONDS;
+      double lease = bug == Bug.NO_TOKEN_EXPIRY ? 1e9 : EpochFence.LEASE_SECONDS;
       double expiryWait =
           bug == Bug.NO_EXPIRY_WAIT
               ? 0
@@ -82,11 +82,11 @@
                   ? EpochFence.LEASE_SECONDS
                   : ControllerLease.EXPIRY_WAIT_SECONDS;
       for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
-        next.fences[supervisor] = new EpochFence(fences[supervisor], kept -> true, lease);
+        next.fences[supervisor] = new EpochFence(fences[supervisor], grant -> true, lease);
       }
       next.first = new ControllerLease(first, SUPERVISORS, expiryWait);
       next.second =
-          new ControllerLease(second, bug == Bug.A_MINORITY_GRANTS ? 1 : SUPERVISORS, expiryWait);
+          new ControllerLease(second, bug == Bug.MINORITY_QUORUM ? 1 : SUPERVISORS, expiryWait);
       next.replies = replies.clone();
       next.order = order;
       next.laterOrderAccepted = laterOrderAccepted;
@@ -140,112 +140,112 @@
     }
   }
 
-  private static ModelState first(Bug bug) {
-    ModelState world = new ModelState();
+  private static ModelState initialState(Bug bug) {
+    ModelState state = new ModelState();
     ControllerLease holder = new ControllerLease("A", SUPERVISORS, 0);
     holder.claim();
     for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
-      world.fences[supervisor] = new EpochFence(EpochFence.Grant.NONE, 0, kept -> true);
-      holder.onReply("k" + supervisor, 1, world.fences[supervisor].claim(1, "A", -20), -20, -20);
+      state.fences[supervisor] = new EpochFence(EpochFence.Grant.NONE, 0, grant -> true);
+      holder.onReply("k" + supervisor, 1, state.fences[supervisor].claim(1, "A", -20), -20, -20);
     }
     holder.tick(-1);
     for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
-      holder.onReply("k" + supervisor, 1, world.fences[supervisor].heartbeat(1, "A", 0), 0, 0);
+      holder.onReply("k" + supervisor, 1, state.fences[supervisor].heartbeat(1, "A", 0), 0, 0);
     }
     assertTrue(holder.mayOrder(0));
-    world.first = holder;
-    world.second = new ControllerLease("B", SUPERVISORS, bug == Bug.ONE_EPOCH_FOR_TWO ? 0 : 1);
-    world.second.claim();
-    return world.copy(bug);
+    state.first = holder;
+    state.second = new ControllerLease("B", SUPERVISORS, bug == Bug.SHARED_EPOCH ? 0 : 1);
+    state.second.claim();
+    return state.copy(bug);
   }
 
-  private static List<ModelState> next(ModelState at, Bug bug) {
-    List<ModelState> all = new ArrayList<>();
-    ModelState later = at.copy(bug);
+  private static List<ModelState> successors(ModelState state, Bug bug) {
+    List<ModelState> successors = new ArrayList<>();
+    ModelState later = state.copy(bug);
     later.tick++;
     later.first.tick(later.now());
     later.second.tick(later.now());
-    all.add(later);
+    successors.add(later);
     for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
       String name = "k" + supervisor;
-      if (!at.restarted && at.fences[supervisor].grant().epoch() > 1) {
-        ModelState restarted = at.copy(bug);
+      if (!state.restarted && state.fences[supervisor].grant().epoch() > 1) {
+        ModelState restarted = state.copy(bug);
         restarted.restarted = true;
         restarted.fences[supervisor] =
             new EpochFence(
-                bug == Bug.SUPERVISOR_FORGETS
+                bug == Bug.GRANT_LOST_ON_RESTART
                     ? new EpochFence.Grant(1, "A", "", 0)
-                    : at.fences[supervisor].grant(),
+                    : state.fences[supervisor].grant(),
                 1000,
-                kept -> true);
-        all.add(restarted);
+                grant -> true);
+        successors.add(restarted);
       }
-      if (at.first.state() != ControllerLease.State.LOST) {
+      if (state.first.state() != ControllerLease.State.LOST) {
         // A new request replaces a reply that is still in transit, which models a lost reply.
-        ModelState sent = at.copy(bug);
+        ModelState sent = state.copy(bug);
         sent.replies[supervisor] =
             new PendingReply(
                 sent.fences[supervisor].heartbeat(
-                    1, controllerName(at, bug, supervisor), sent.now()),
+                    1, controllerName(state, bug, supervisor), sent.now()),
                 sent.now());
-        all.add(sent);
+        successors.add(sent);
       }
-      if (at.replies[supervisor] != null) {
-        ModelState received = at.copy(bug);
+      if (state.replies[supervisor] != null) {
+        ModelState received = state.copy(bug);
         PendingReply reply = received.replies[supervisor];
         received.replies[supervisor] = null;
         received.first.onReply(
             name,
             1,
             reply.reply(),
-            bug == Bug.ACKNOWLEDGED_WHEN_RECEIVED ? received.now() : reply.sentAt(),
+            bug == Bug.ACKNOWLEDGED_AT_RECEIPT_TIME ? received.now() : reply.sentAt(),
             received.now());
-        all.add(received);
+        successors.add(received);
       }
-      boolean mayOrder =
+      boolean isOrderAllowed =
           bug == Bug.LEASE_NOT_CHECKED
-              ? at.first.state() == ControllerLease.State.HELD
-              : at.first.mayOrder(at.now());
-      if (at.order == null && mayOrder && at.first.token(name) != 0) {
-        ModelState sent = at.copy(bug);
+              ? state.first.state() == ControllerLease.State.HELD
+              : state.first.mayOrder(state.now());
+      if (state.order == null && isOrderAllowed && state.first.token(name) != 0) {
+        ModelState sent = state.copy(bug);
         sent.order = new PendingOrder(supervisor, sent.first.token(name));
-        all.add(sent);
+        successors.add(sent);
       }
-      if (at.second.state() != ControllerLease.State.LOST && !at.laterOrderAccepted) {
-        all.add(second(at, bug, supervisor));
+      if (state.second.state() != ControllerLease.State.LOST && !state.laterOrderAccepted) {
+        successors.add(pollBySecond(state, bug, supervisor));
       }
     }
-    if (at.order != null) {
-      ModelState accepted = at.copy(bug);
+    if (state.order != null) {
+      ModelState accepted = state.copy(bug);
       accepted.order = null;
-      int supervisor = at.order.supervisor();
+      int supervisor = state.order.supervisor();
       EpochFence.Answer answer =
           accepted
               .fences[supervisor]
-              .order(1, controllerName(at, bug, supervisor), at.order.token(), "x", accepted.now())
+              .order(1, controllerName(state, bug, supervisor), state.order.token(), "x", accepted.now())
               .answer();
       accepted.isViolated = answer == EpochFence.Answer.ACCEPTED && accepted.laterOrderAccepted;
-      all.add(accepted);
+      successors.add(accepted);
     }
-    return all;
+    return successors;
   }
 
   /**
-   * The first controller's name; with {@link Bug#ONE_EPOCH_FOR_TWO}, the name of the current holder, as
+   * The first controller's name; with {@link Bug#SHARED_EPOCH}, the name of the current holder, as
    * if only the epoch were checked.
    */
-  private static String controllerName(ModelState at, Bug bug, int supervisor) {
-    return bug == Bug.ONE_EPOCH_FOR_TWO ? at.fences[supervisor].grant().controller() : "A";
+  private static String controllerName(ModelState state, Bug bug, int supervisor) {
+    return bug == Bug.SHARED_EPOCH ? state.fences[supervisor].grant().controller() : "A";
   }
 
   /** The second controller polls a supervisor and sends its order as soon as it may. */
-  private static ModelState second(ModelState at, Bug bug, int supervisor) {
-    ModelState next = at.copy(bug);
+  private static ModelState pollBySecond(ModelState state, Bug bug, int supervisor) {
+    ModelState next = state.copy(bug);
     String name = "k" + supervisor;
     long epoch = next.second.epoch();
-    if (bug == Bug.ONE_EPOCH_FOR_TWO && next.second.needsClaim(name)) {
+    if (bug == Bug.SHARED_EPOCH && next.second.needsClaim(name)) {
       next.fences[supervisor] =
-          new EpochFence(new EpochFence.Grant(epoch, "B", "", 0), 500, kept -> true);
+          new EpochFence(new EpochFence.Grant(epoch, "B", "", 0), 500, grant -> true);
     }
     EpochFence.Reply reply =
         next.second.needsClaim(name)
@@ -263,16 +263,16 @@
   /** Returns the number of explored states, negated if one violates the rule. */
   private static int explore(Bug bug) {
     Set<String> seen = new HashSet<>();
-    ArrayDeque<ModelState> open = new ArrayDeque<>();
-    open.add(first(bug));
-    seen.add(open.peek().key());
-    while (!open.isEmpty()) {
-      for (ModelState next : next(bug == Bug.NONE ? open.poll() : open.pollLast(), bug)) {
+    ArrayDeque<ModelState> frontier = new ArrayDeque<>();
+    frontier.add(initialState(bug));
+    seen.add(frontier.peek().key());
+    while (!frontier.isEmpty()) {
+      for (ModelState next : successors(bug == Bug.NONE ? frontier.poll() : frontier.pollLast(), bug)) {
         if (next.isViolated) {
           return -seen.size();
         }
         if (seen.add(next.key())) {
-          open.add(next);
+          frontier.add(next);
         }
       }
     }
--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -38,7 +38,7 @@
 /** Tests controllers against supervisor endpoints whose hosts execute every order at once. */
 @Timeout(60)
 class RolloutControllerTest {
-  private static final PrintStream NOWHERE = new PrintStream(OutputStream.nullOutputStream());
+  private static final PrintStream DISCARDED = new PrintStream(OutputStream.nullOutputStream());
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
 
   @TempDir private Path folder;
@@ -115,7 +115,7 @@
   }
 
   @BeforeEach
-  void fleet() throws IOException {
+  void startSupervisors() throws IOException {
     releases = new ReleaseDirectory(folder.resolve("releases"));
     Path jar = Files.writeString(folder.resolve("any.jar"), "a program");
     releases.pack(jar, null, "one");
@@ -133,13 +133,13 @@
   }
 
   private PlanScript planScript(String targetRelease, double holdSeconds) throws Exception {
-    StringBuilder line = new StringBuilder();
+    StringBuilder hostLines = new StringBuilder();
     supervisors.forEach(
         each ->
-            line.append("box(\"" + each.name + "\", keeper = \"127.0.0.1:" + each.port + "\")\n"));
+            hostLines.append("box(\"" + each.name + "\", keeper = \"127.0.0.1:" + each.port + "\")\n"));
     return PlanScript.parse(
         "p.star",
-        line
+        hostLines
             + "change(to = \""
             + targetRelease
             + "\", stages = [stage(boxes = 1, hold = "
@@ -151,10 +151,10 @@
   private RolloutController controller(String directory, PlanScript script, String name)
       throws Exception {
     return new RolloutController(
-        folder.resolve(directory), script, name, new RolloutEventLog(NOWHERE, true));
+        folder.resolve(directory), script, name, new RolloutEventLog(DISCARDED, true));
   }
 
-  private static FutureTask<RolloutController.Outcome> run(RolloutController controller) {
+  private static FutureTask<RolloutController.Outcome> start(RolloutController controller) {
     FutureTask<RolloutController.Outcome> outcome =
         new FutureTask<>((Callable<RolloutController.Outcome>) controller::run);
     new Thread(outcome).start();
@@ -170,7 +170,7 @@
   void check_anotherControllerAlive_isRefusedUntilTakeOverFencesIt() throws Exception {
     try (RolloutController first = controller("d1", planScript("two", 600), "ann")) {
       first.check(false);
-      FutureTask<RolloutController.Outcome> outcome = run(first);
+      FutureTask<RolloutController.Outcome> outcome = start(first);
       while (executed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
@@ -180,7 +180,7 @@
             assertThrows(RolloutRefusedException.class, () -> second.check(false)).getMessage();
         assertTrue(refusal.contains("ann holds the lease in epoch 1"), refusal);
         second.check(true);
-        FutureTask<RolloutController.Outcome> nextOutcome = run(second);
+        FutureTask<RolloutController.Outcome> nextOutcome = start(second);
         assertEquals(RolloutController.Outcome.FENCED, outcome.get(20, TimeUnit.SECONDS));
         assertTrue(send("d2", "status").contains("\"driver\":\"bob\""));
         assertEquals(RolloutController.Outcome.COMPLETED, nextOutcome.get(30, TimeUnit.SECONDS));
@@ -212,7 +212,7 @@
     PlanScript plan = planScript("two", 600);
     try (RolloutController first = controller("d1", plan, "ann")) {
       assertThrows(RolloutRefusedException.class, () -> controller("d1", plan, "bob"));
-      FutureTask<RolloutController.Outcome> outcome = run(first);
+      FutureTask<RolloutController.Outcome> outcome = start(first);
       while (executed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
@@ -226,7 +226,7 @@
     assertTrue(refusal.startsWith("another change is under way in "), refusal);
     try (RolloutController next = controller("d1", plan, "bob")) {
       next.check(false); // earlier controllers of this directory have ended
-      FutureTask<RolloutController.Outcome> outcome = run(next);
+      FutureTask<RolloutController.Outcome> outcome = start(next);
       while (!send("d1", "status").contains("\"steering\":\"steering\"")) {
         TimeUnit.MILLISECONDS.sleep(50);
       }
@@ -258,13 +258,13 @@
             .path("answer")
             .asText(),
         "a token of the previous incarnation");
-    long stamp = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
-    assertEquals("OBEYED", supervisor.call("/order", order + stamp + "}").path("answer").asText());
-    stamp = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
+    long token = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
+    assertEquals("OBEYED", supervisor.call("/order", order + token + "}").path("answer").asText());
+    token = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
     assertEquals(
         "TWO_TARGETS",
         supervisor
-            .call("/order", order.replace("two", "one") + stamp + "}")
+            .call("/order", order.replace("two", "one") + token + "}")
             .path("answer")
             .asText());
     assertEquals(400, supervisor.call("/claim", "nonsense").path("status").asInt());
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
@@ -46,68 +46,68 @@
 
   /** Each kind of line and each state of a rollout; the last line is a resumable state. */
   static List<JournalEntry> lines() throws IOException {
-    Map<String, String> none = Map.of();
-    Map<String, String> from = new LinkedHashMap<>();
-    from.put("b1", "one");
-    Map<String, Integer> tries = new LinkedHashMap<>();
-    tries.put("b1", 1);
-    Map<String, String> fromTwo = new LinkedHashMap<>(from);
-    fromTwo.put("b3", "zero");
-    Map<String, Integer> triesTwo = new LinkedHashMap<>(tries);
-    triesTwo.put("b3", 2);
-    Rollout.State changing = Rollout.State.PROGRESSING;
+    Map<String, String> noReleases = Map.of();
+    Map<String, String> previousReleases = new LinkedHashMap<>();
+    previousReleases.put("b1", "one");
+    Map<String, Integer> attempts = new LinkedHashMap<>();
+    attempts.put("b1", 1);
+    Map<String, String> previousOfTwo = new LinkedHashMap<>(previousReleases);
+    previousOfTwo.put("b3", "zero");
+    Map<String, Integer> attemptsOfTwo = new LinkedHashMap<>(attempts);
+    attemptsOfTwo.put("b3", 2);
+    Rollout.State progressing = Rollout.State.PROGRESSING;
     return List.of(
         line(
             1,
             "claim",
-            new Rollout.Snapshot(changing, changing, 0, none, Map.of(), ""),
+            new Rollout.Snapshot(progressing, progressing, 0, noReleases, Map.of(), ""),
             "",
             "",
             "began"),
         line(
             2,
             "stage",
-            new Rollout.Snapshot(changing, changing, 0, none, Map.of(), ""),
+            new Rollout.Snapshot(progressing, progressing, 0, noReleases, Map.of(), ""),
             "",
             "",
             ""),
         line(
             3,
             "order",
-            new Rollout.Snapshot(changing, changing, 0, from, tries, ""),
+            new Rollout.Snapshot(progressing, progressing, 0, previousReleases, attempts, ""),
             "b1",
             "two",
             "st"),
-        enter(4, new Rollout.Snapshot(Rollout.State.OBSERVING, changing, 0, from, tries, "")),
+        enter(4, new Rollout.Snapshot(Rollout.State.OBSERVING, progressing, 0, previousReleases, attempts, "")),
         enter(
             5,
             new Rollout.Snapshot(
-                Rollout.State.HELD, changing, 0, from, tries, "b1 does worse: 5 %")),
+                Rollout.State.HELD, progressing, 0, previousReleases, attempts, "b1 does worse: 5 %")),
         enter(
             6,
             new Rollout.Snapshot(
-                Rollout.State.ROLLING_BACK, changing, 0, from, Map.of(), "asked for")),
+                Rollout.State.ROLLING_BACK, progressing, 0, previousReleases, Map.of(), "asked for")),
         enter(
             7,
             new Rollout.Snapshot(
-                Rollout.State.ROLLED_BACK, changing, 0, from, Map.of(), "asked for")),
-        enter(8, new Rollout.Snapshot(Rollout.State.ABORTED, changing, 0, from, tries, "ended")),
-        enter(9, new Rollout.Snapshot(Rollout.State.COMPLETED, changing, 1, fromTwo, triesTwo, "")),
+                Rollout.State.ROLLED_BACK, progressing, 0, previousReleases, Map.of(), "asked for")),
+        enter(8, new Rollout.Snapshot(Rollout.State.ABORTED, progressing, 0, previousReleases, attempts, "ended")),
+        enter(9, new Rollout.Snapshot(Rollout.State.COMPLETED, progressing, 1, previousOfTwo, attemptsOfTwo, "")),
         enter(
             10,
             new Rollout.Snapshot(
-                Rollout.State.PAUSED, Rollout.State.OBSERVING, 1, fromTwo, triesTwo, "mañ")));
+                Rollout.State.PAUSED, Rollout.State.OBSERVING, 1, previousOfTwo, attemptsOfTwo, "mañ")));
   }
 
-  private static JournalEntry enter(long at, Rollout.Snapshot snapshot) throws IOException {
-    return line(at, "enter", snapshot, "", "", snapshot.reason());
+  private static JournalEntry enter(long millis, Rollout.Snapshot snapshot) throws IOException {
+    return line(millis, "enter", snapshot, "", "", snapshot.reason());
   }
 
   private static JournalEntry line(
-      long at, String what, Rollout.Snapshot snapshot, String box, String to, String why)
+      long millis, String event, Rollout.Snapshot snapshot, String host, String release, String reason)
       throws IOException {
     String plan = ControllerDirectory.sha256(Files.readString(Fixtures.path(PLAN)));
-    return new JournalEntry(1_765_000_000_000L + at, what, 3, "d1", plan, snapshot, box, to, why);
+    return new JournalEntry(1_765_000_000_000L + millis, event, 3, "d1", plan, snapshot, host, release, reason);
   }
 
   static void writeJournal(Path file) throws IOException {
--- a/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
@@ -40,7 +40,7 @@
 @Timeout(60)
 class StoredFormatTest {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final long STAMP = 7_000_000_001L;
+  private static final long TOKEN = 7_000_000_001L;
 
   @TempDir private Path folder;
 
@@ -208,19 +208,19 @@
     return request;
   }
 
-  private static SupervisorClient.Answer post(String at, JsonNode exchange) throws IOException {
-    SupervisorClient calls = new SupervisorClient();
+  private static SupervisorClient.Answer post(String address, JsonNode exchange) throws IOException {
+    SupervisorClient client = new SupervisorClient();
     JsonNode request = exchange.path("request");
     long epoch = request.path("epoch").asLong();
     String controller = request.path("driver").asText();
     return switch (exchange.path("path").asText()) {
-      case "/claim" -> calls.claim(at, epoch, controller);
+      case "/claim" -> client.claim(address, epoch, controller);
       case "/ask" ->
-          calls.heartbeat(
-              at, epoch, controller, request.path("stage").asInt(), request.path("verdict").asText());
+          client.heartbeat(
+              address, epoch, controller, request.path("stage").asInt(), request.path("verdict").asText());
       default ->
-          calls.order(
-              at,
+          client.order(
+              address,
               epoch,
               controller,
               request.path("stamp").asLong(),
@@ -238,9 +238,9 @@
     try (RecordedSupervisor supervisor = new RecordedSupervisor()) {
       for (JsonNode each : recorded) {
         supervisor.next = each;
-        SupervisorClient.Answer answer = post(supervisor.address(), each);
-        replies.add(answer.reply());
-        orderResults.add(answer.orderResult());
+        SupervisorClient.Answer received = post(supervisor.address(), each);
+        replies.add(received.reply());
+        orderResults.add(received.orderResult());
       }
       assertEquals(
           recorded.stream().map(StoredFormatTest::requestOf).toList(), List.copyOf(supervisor.requests));
@@ -250,16 +250,16 @@
     EpochFence.Grant toTwo = new EpochFence.Grant(1, "d1", "two", 1);
     assertEquals(
         List.of(
-            new EpochFence.Reply(EpochFence.Answer.GRANTED, STAMP, first),
+            new EpochFence.Reply(EpochFence.Answer.GRANTED, TOKEN, first),
             new EpochFence.Reply(EpochFence.Answer.FENCED, 0, first),
-            new EpochFence.Reply(EpochFence.Answer.RENEWED, STAMP, first),
+            new EpochFence.Reply(EpochFence.Answer.RENEWED, TOKEN, first),
             new EpochFence.Reply(EpochFence.Answer.FENCED, 0, first),
             new EpochFence.Reply(EpochFence.Answer.STALE, 0, first),
             new EpochFence.Reply(EpochFence.Answer.FENCED, 0, first),
             new EpochFence.Reply(EpochFence.Answer.ACCEPTED, 0, toTwo),
             new EpochFence.Reply(EpochFence.Answer.CONFLICTING_TARGET, 0, toTwo),
             new EpochFence.Reply(
-                EpochFence.Answer.GRANTED, STAMP, new EpochFence.Grant(2, "d2", "", 0)),
+                EpochFence.Answer.GRANTED, TOKEN, new EpochFence.Grant(2, "d2", "", 0)),
             new EpochFence.Reply(
                 EpochFence.Answer.ACCEPTED, 0, new EpochFence.Grant(2, "d2", "one", 1))),
         replies);
@@ -269,7 +269,7 @@
   @Test
   void gets_ofEveryKind_areSentAsRecorded() throws Exception {
     List<JsonNode> recorded = exchanges(true, "GET");
-    SupervisorClient calls = new SupervisorClient();
+    SupervisorClient client = new SupervisorClient();
 
     try (RecordedSupervisor supervisor = new RecordedSupervisor()) {
       for (JsonNode each : recorded) {
@@ -278,13 +278,13 @@
         String other = "127.0.0.1:7501";
         JsonNode answer;
         if (path.equals("/box")) {
-          answer = calls.hostStatus(supervisor.address());
+          answer = client.hostStatus(supervisor.address());
         } else if (path.startsWith("/release")) {
           answer =
-              calls.checkRelease(supervisor.address(), path.substring("/release?name=".length()));
+              client.checkRelease(supervisor.address(), path.substring("/release?name=".length()));
         } else {
           answer =
-              calls.indirectProbe(supervisor.address(), other, path.contains("front") ? other : "");
+              client.indirectProbe(supervisor.address(), other, path.contains("front") ? other : "");
         }
         assertEquals(each.path("answer"), answer);
       }
