--- a/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
+++ b/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
@@ -82,7 +82,7 @@
                   ? EpochFence.LEASE_SECONDS
                   : ControllerLease.EXPIRY_WAIT_SECONDS;
       for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
-        next.fences[supervisor] = new EpochFence(fences[supervisor], grant -> true, lease);
+        next.fences[supervisor] = new EpochFence(fences[supervisor], persisted -> true, lease);
       }
       next.first = new ControllerLease(first, SUPERVISORS, expiryWait);
       next.second =
@@ -141,57 +141,57 @@
   }
 
   private static ModelState initialState(Bug bug) {
-    ModelState state = new ModelState();
+    ModelState initial = new ModelState();
     ControllerLease holder = new ControllerLease("A", SUPERVISORS, 0);
     holder.claim();
     for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
-      state.fences[supervisor] = new EpochFence(EpochFence.Grant.NONE, 0, grant -> true);
-      holder.onReply("k" + supervisor, 1, state.fences[supervisor].claim(1, "A", -20), -20, -20);
+      initial.fences[supervisor] = new EpochFence(EpochFence.Grant.NONE, 0, persisted -> true);
+      holder.onReply("k" + supervisor, 1, initial.fences[supervisor].claim(1, "A", -20), -20, -20);
     }
     holder.tick(-1);
     for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
-      holder.onReply("k" + supervisor, 1, state.fences[supervisor].heartbeat(1, "A", 0), 0, 0);
+      holder.onReply("k" + supervisor, 1, initial.fences[supervisor].heartbeat(1, "A", 0), 0, 0);
     }
     assertTrue(holder.mayOrder(0));
-    state.first = holder;
-    state.second = new ControllerLease("B", SUPERVISORS, bug == Bug.SHARED_EPOCH ? 0 : 1);
-    state.second.claim();
-    return state.copy(bug);
+    initial.first = holder;
+    initial.second = new ControllerLease("B", SUPERVISORS, bug == Bug.SHARED_EPOCH ? 0 : 1);
+    initial.second.claim();
+    return initial.copy(bug);
   }
 
-  private static List<ModelState> successors(ModelState state, Bug bug) {
-    List<ModelState> successors = new ArrayList<>();
-    ModelState later = state.copy(bug);
+  private static List<ModelState> successors(ModelState current, Bug bug) {
+    List<ModelState> nextStates = new ArrayList<>();
+    ModelState later = current.copy(bug);
     later.tick++;
     later.first.tick(later.now());
     later.second.tick(later.now());
-    successors.add(later);
+    nextStates.add(later);
     for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
       String name = "k" + supervisor;
-      if (!state.restarted && state.fences[supervisor].grant().epoch() > 1) {
-        ModelState restarted = state.copy(bug);
+      if (!current.restarted && current.fences[supervisor].grant().epoch() > 1) {
+        ModelState restarted = current.copy(bug);
         restarted.restarted = true;
         restarted.fences[supervisor] =
             new EpochFence(
                 bug == Bug.GRANT_LOST_ON_RESTART
                     ? new EpochFence.Grant(1, "A", "", 0)
-                    : state.fences[supervisor].grant(),
+                    : current.fences[supervisor].grant(),
                 1000,
-                grant -> true);
-        successors.add(restarted);
+                persisted -> true);
+        nextStates.add(restarted);
       }
-      if (state.first.state() != ControllerLease.State.LOST) {
+      if (current.first.state() != ControllerLease.State.LOST) {
         // A new request replaces a reply that is still in transit, which models a lost reply.
-        ModelState sent = state.copy(bug);
+        ModelState sent = current.copy(bug);
         sent.replies[supervisor] =
             new PendingReply(
                 sent.fences[supervisor].heartbeat(
-                    1, controllerName(state, bug, supervisor), sent.now()),
+                    1, controllerName(current, bug, supervisor), sent.now()),
                 sent.now());
-        successors.add(sent);
+        nextStates.add(sent);
       }
-      if (state.replies[supervisor] != null) {
-        ModelState received = state.copy(bug);
+      if (current.replies[supervisor] != null) {
+        ModelState received = current.copy(bug);
         PendingReply reply = received.replies[supervisor];
         received.replies[supervisor] = null;
         received.first.onReply(
@@ -200,52 +200,52 @@
             reply.reply(),
             bug == Bug.ACKNOWLEDGED_AT_RECEIPT_TIME ? received.now() : reply.sentAt(),
             received.now());
-        successors.add(received);
+        nextStates.add(received);
       }
       boolean isOrderAllowed =
           bug == Bug.LEASE_NOT_CHECKED
-              ? state.first.state() == ControllerLease.State.HELD
-              : state.first.mayOrder(state.now());
-      if (state.order == null && isOrderAllowed && state.first.token(name) != 0) {
-        ModelState sent = state.copy(bug);
+              ? current.first.state() == ControllerLease.State.HELD
+              : current.first.mayOrder(current.now());
+      if (current.order == null && isOrderAllowed && current.first.token(name) != 0) {
+        ModelState sent = current.copy(bug);
         sent.order = new PendingOrder(supervisor, sent.first.token(name));
-        successors.add(sent);
+        nextStates.add(sent);
       }
-      if (state.second.state() != ControllerLease.State.LOST && !state.laterOrderAccepted) {
-        successors.add(pollBySecond(state, bug, supervisor));
+      if (current.second.state() != ControllerLease.State.LOST && !current.laterOrderAccepted) {
+        nextStates.add(pollBySecond(current, bug, supervisor));
       }
     }
-    if (state.order != null) {
-      ModelState accepted = state.copy(bug);
+    if (current.order != null) {
+      ModelState accepted = current.copy(bug);
       accepted.order = null;
-      int supervisor = state.order.supervisor();
+      int supervisor = current.order.supervisor();
       EpochFence.Answer answer =
           accepted
               .fences[supervisor]
-              .order(1, controllerName(state, bug, supervisor), state.order.token(), "x", accepted.now())
+              .order(1, controllerName(current, bug, supervisor), current.order.token(), "x", accepted.now())
               .answer();
       accepted.isViolated = answer == EpochFence.Answer.ACCEPTED && accepted.laterOrderAccepted;
-      successors.add(accepted);
+      nextStates.add(accepted);
     }
-    return successors;
+    return nextStates;
   }
 
   /**
    * The first controller's name; with {@link Bug#SHARED_EPOCH}, the name of the current holder, as
    * if only the epoch were checked.
    */
-  private static String controllerName(ModelState state, Bug bug, int supervisor) {
-    return bug == Bug.SHARED_EPOCH ? state.fences[supervisor].grant().controller() : "A";
+  private static String controllerName(ModelState current, Bug bug, int supervisor) {
+    return bug == Bug.SHARED_EPOCH ? current.fences[supervisor].grant().controller() : "A";
   }
 
   /** The second controller polls a supervisor and sends its order as soon as it may. */
-  private static ModelState pollBySecond(ModelState state, Bug bug, int supervisor) {
-    ModelState next = state.copy(bug);
+  private static ModelState pollBySecond(ModelState current, Bug bug, int supervisor) {
+    ModelState next = current.copy(bug);
     String name = "k" + supervisor;
     long epoch = next.second.epoch();
     if (bug == Bug.SHARED_EPOCH && next.second.needsClaim(name)) {
       next.fences[supervisor] =
-          new EpochFence(new EpochFence.Grant(epoch, "B", "", 0), 500, grant -> true);
+          new EpochFence(new EpochFence.Grant(epoch, "B", "", 0), 500, persisted -> true);
     }
     EpochFence.Reply reply =
         next.second.needsClaim(name)
--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -154,7 +154,7 @@
         folder.resolve(directory), script, name, new RolloutEventLog(DISCARDED, true));
   }
 
-  private static FutureTask<RolloutController.Outcome> start(RolloutController controller) {
+  private static FutureTask<RolloutController.Outcome> runInThread(RolloutController controller) {
     FutureTask<RolloutController.Outcome> outcome =
         new FutureTask<>((Callable<RolloutController.Outcome>) controller::run);
     new Thread(outcome).start();
@@ -170,7 +170,7 @@
   void check_anotherControllerAlive_isRefusedUntilTakeOverFencesIt() throws Exception {
     try (RolloutController first = controller("d1", planScript("two", 600), "ann")) {
       first.check(false);
-      FutureTask<RolloutController.Outcome> outcome = start(first);
+      FutureTask<RolloutController.Outcome> outcome = runInThread(first);
       while (executed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
@@ -180,7 +180,7 @@
             assertThrows(RolloutRefusedException.class, () -> second.check(false)).getMessage();
         assertTrue(refusal.contains("ann holds the lease in epoch 1"), refusal);
         second.check(true);
-        FutureTask<RolloutController.Outcome> nextOutcome = start(second);
+        FutureTask<RolloutController.Outcome> nextOutcome = runInThread(second);
         assertEquals(RolloutController.Outcome.FENCED, outcome.get(20, TimeUnit.SECONDS));
         assertTrue(send("d2", "status").contains("\"driver\":\"bob\""));
         assertEquals(RolloutController.Outcome.COMPLETED, nextOutcome.get(30, TimeUnit.SECONDS));
@@ -212,7 +212,7 @@
     PlanScript plan = planScript("two", 600);
     try (RolloutController first = controller("d1", plan, "ann")) {
       assertThrows(RolloutRefusedException.class, () -> controller("d1", plan, "bob"));
-      FutureTask<RolloutController.Outcome> outcome = start(first);
+      FutureTask<RolloutController.Outcome> outcome = runInThread(first);
       while (executed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
@@ -226,7 +226,7 @@
     assertTrue(refusal.startsWith("another change is under way in "), refusal);
     try (RolloutController next = controller("d1", plan, "bob")) {
       next.check(false); // earlier controllers of this directory have ended
-      FutureTask<RolloutController.Outcome> outcome = start(next);
+      FutureTask<RolloutController.Outcome> outcome = runInThread(next);
       while (!send("d1", "status").contains("\"steering\":\"steering\"")) {
         TimeUnit.MILLISECONDS.sleep(50);
       }
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
@@ -104,10 +104,10 @@
   }
 
   private static JournalEntry line(
-      long millis, String event, Rollout.Snapshot snapshot, String host, String release, String reason)
+      long millis, String event, Rollout.Snapshot snapshot, String host, String release, String entryReason)
       throws IOException {
     String plan = ControllerDirectory.sha256(Files.readString(Fixtures.path(PLAN)));
-    return new JournalEntry(1_765_000_000_000L + millis, event, 3, "d1", plan, snapshot, host, release, reason);
+    return new JournalEntry(1_765_000_000_000L + millis, event, 3, "d1", plan, snapshot, host, release, entryReason);
   }
 
   static void writeJournal(Path file) throws IOException {
--- a/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
@@ -208,19 +208,19 @@
     return request;
   }
 
-  private static SupervisorClient.Answer post(String address, JsonNode exchange) throws IOException {
+  private static SupervisorClient.Answer post(String supervisorAddress, JsonNode exchange) throws IOException {
     SupervisorClient client = new SupervisorClient();
     JsonNode request = exchange.path("request");
     long epoch = request.path("epoch").asLong();
     String controller = request.path("driver").asText();
     return switch (exchange.path("path").asText()) {
-      case "/claim" -> client.claim(address, epoch, controller);
+      case "/claim" -> client.claim(supervisorAddress, epoch, controller);
       case "/ask" ->
           client.heartbeat(
-              address, epoch, controller, request.path("stage").asInt(), request.path("verdict").asText());
+              supervisorAddress, epoch, controller, request.path("stage").asInt(), request.path("verdict").asText());
       default ->
           client.order(
-              address,
+              supervisorAddress,
               epoch,
               controller,
               request.path("stamp").asLong(),
