--- a/src/main/java/wharftrestle/rollout/controller/ControllerDirectory.java
+++ b/src/main/java/wharftrestle/rollout/controller/ControllerDirectory.java
@@ -88,7 +88,7 @@
           .formatHex(
               MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform has SHA-256", e);
+      throw new IllegalStateException("expected SHA-256 on every Java platform", e);
     }
   }
 
--- a/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
@@ -68,7 +68,7 @@
     try {
       return JSON.writeValueAsString(line);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("strings and numbers can be written: " + line, e);
+      throw new IllegalStateException("event cannot be written as JSON: " + line, e);
     }
   }
 }
