--- a/src/main/java/wharftrestle/rollout/CanaryMetric.java
+++ b/src/main/java/wharftrestle/rollout/CanaryMetric.java
@@ -1,9 +1,9 @@
 package wharftrestle.rollout;
 
 /**
- * The metrics by which hosts are compared. Each is a loss: higher is worse. The limit of a metric is
- * the loss at which a rollout must not continue. A third of the limit is always tolerated, so that a
- * release without any true difference is not stopped.
+ * The metrics by which hosts are compared. Each is a loss: higher is worse. The limit of a metric
+ * is the loss at which a rollout must not continue. A third of the limit is always tolerated, so
+ * that a release without any true difference is not stopped.
  */
 public enum CanaryMetric {
   /** Fraction of the requested priority weight that was not served, over all classes. */
--- a/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
+++ b/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
@@ -70,8 +70,8 @@
   }
 
   /**
-   * The variance of the normal mixture for which the bounds are tightest at {@code atValues} values,
-   * for the error probability {@code error}.
+   * The variance of the normal mixture for which the bounds are tightest at {@code atValues}
+   * values, for the error probability {@code error}.
    */
   private static double mixtureVariance(double error, double atValues) {
     double logError = -2 * Math.log(error);
--- a/src/main/java/wharftrestle/rollout/MetricSeries.java
+++ b/src/main/java/wharftrestle/rollout/MetricSeries.java
@@ -82,7 +82,9 @@
    * unknown too.
    */
   private double hostVariance(ConfidenceSequence baseline, List<HostSample> oldHosts) {
-    return hasEnoughWindows(baseline) ? baseline.variance() / baseline.count() : varianceAmong(oldHosts);
+    return hasEnoughWindows(baseline)
+        ? baseline.variance() / baseline.count()
+        : varianceAmong(oldHosts);
   }
 
   private double varianceAmong(List<HostSample> oldHosts) {
--- a/src/main/java/wharftrestle/rollout/OrderLedger.java
+++ b/src/main/java/wharftrestle/rollout/OrderLedger.java
@@ -12,7 +12,9 @@
  * seconds of a monotonic clock.
  */
 final class OrderLedger {
-  /** Seconds after an order for which a host counts as unavailable unless it reports on the order. */
+  /**
+   * Seconds after an order for which a host counts as unavailable unless it reports on the order.
+   */
   static final double ORDER_UNAVAILABLE_SECONDS = 10;
 
   /**
@@ -67,8 +69,8 @@
   }
 
   /**
-   * Resets the counts of an epoch. The send times stay, because orders of earlier epochs may still be
-   * executed.
+   * Resets the counts of an epoch. The send times stay, because orders of earlier epochs may still
+   * be executed.
    */
   void onEpochClaimed() {
     reportedFailures.clear();
@@ -94,8 +96,8 @@
 
   /**
    * Hosts that are changing, or that have an order on which they have not reported yet. A host that
-   * became unreachable after its order may still be changing. It is unavailable until it is reachable
-   * again or, if the plan continues without unreachable hosts, for {@link
+   * became unreachable after its order may still be changing. It is unavailable until it is
+   * reachable again or, if the plan continues without unreachable hosts, for {@link
    * #UNREACHABLE_UNAVAILABLE_SECONDS}.
    */
   Set<String> unavailable(FleetObservation observed, double now) {
--- a/src/main/java/wharftrestle/rollout/ReleaseFaults.java
+++ b/src/main/java/wharftrestle/rollout/ReleaseFaults.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Faults that fail a new release whatever its metrics are: daemon deaths, rollbacks that hosts start
- * on their own, and broken rules. Counted over all stages. Not thread-safe.
+ * Faults that fail a new release whatever its metrics are: daemon deaths, rollbacks that hosts
+ * start on their own, and broken rules. Counted over all stages. Not thread-safe.
  */
 final class ReleaseFaults {
   /** Number of deaths or rollbacks at one host that are attributed to the release. */
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Binomial test: the probability of at least this many of all deaths on the new release, given its
-   * fraction of the host time.
+   * Binomial test: the probability of at least this many of all deaths on the new release, given
+   * its fraction of the host time.
    */
   private boolean areNewDeathsSignificant() {
     int totalDeaths = newDeaths + oldDeaths;
--- a/src/main/java/wharftrestle/rollout/Rollout.java
+++ b/src/main/java/wharftrestle/rollout/Rollout.java
@@ -249,8 +249,8 @@
   }
 
   /**
-   * Resumes after a pause. A held rollout continues with the same stage, or with the next one if all
-   * hosts of this stage have changed. During a rollback, hosts that failed are tried again.
+   * Resumes after a pause. A held rollout continues with the same stage, or with the next one if
+   * all hosts of this stage have changed. During a rollback, hosts that failed are tried again.
    */
   public List<Action> resume(Map<String, ReportedState> reported, double now) {
     if (state == State.ROLLING_BACK) {
--- a/src/main/java/wharftrestle/rollout/RolloutPlan.java
+++ b/src/main/java/wharftrestle/rollout/RolloutPlan.java
@@ -104,9 +104,7 @@
     return (int) hosts.stream().filter(host -> host.zone().equals(zone)).count();
   }
 
-  /**
-   * True if a tenant of this host has no other owner. A rollout does not change such a host.
-   */
+  /** True if a tenant of this host has no other owner. A rollout does not change such a host. */
   public boolean isSoleOwner(Host host) {
     return unservedTenant(host, Set.of()).isPresent();
   }
--- a/src/main/java/wharftrestle/rollout/RolloutSchedule.java
+++ b/src/main/java/wharftrestle/rollout/RolloutSchedule.java
@@ -7,8 +7,8 @@
 
 /**
  * A preview for operators of the order in which a plan changes hosts if no host fails, and of the
- * parts of the plan that cannot be met. {@link Rollout} does not use it: it decides from the reported
- * states.
+ * parts of the plan that cannot be met. {@link Rollout} does not use it: it decides from the
+ * reported states.
  *
  * @param changes in order
  * @param unmet one line for each part of the plan that cannot be met
@@ -58,7 +58,8 @@
       int plannedTarget = plan.stages().get(stage).targetHosts(plan.hosts().size());
       int target = plan.reachableTarget(stage);
       if (plannedTarget > target) {
-        unmet.add("stage " + (stage + 1) + " reaches " + target + " of " + plannedTarget + " hosts");
+        unmet.add(
+            "stage " + (stage + 1) + " reaches " + target + " of " + plannedTarget + " hosts");
       }
       for (int round = 0; changed.size() < target; round++) {
         if (!addRound(stage, round, target)) {
--- a/src/main/java/wharftrestle/rollout/StageDecision.java
+++ b/src/main/java/wharftrestle/rollout/StageDecision.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Decides which hosts of a stage are ordered to change now, and why others cannot be. Created for one
- * decision of {@link Rollout}; has no side effects.
+ * Decides which hosts of a stage are ordered to change now, and why others cannot be. Created for
+ * one decision of {@link Rollout}; has no side effects.
  */
 final class StageDecision {
   /** Number of hosts without attempts left at which no further host is changed. */
--- a/src/main/java/wharftrestle/rollout/controller/HostView.java
+++ b/src/main/java/wharftrestle/rollout/controller/HostView.java
@@ -13,8 +13,8 @@
 
 /**
  * The last reported state of one host, from its supervisor's answers, for {@link Rollout} and the
- * canary analysis. Orders accepted in other epochs are ignored. Not thread-safe; used under the lock
- * of {@link RolloutExecution}.
+ * canary analysis. Orders accepted in other epochs are ignored. Not thread-safe; used under the
+ * lock of {@link RolloutExecution}.
  */
 final class HostView {
   private record WindowStart(JsonNode reported, double at) {}
--- a/src/main/java/wharftrestle/rollout/controller/OperatorCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/OperatorCommand.java
@@ -60,7 +60,9 @@
   }
 
   /** {@code fleet roll pause}. */
-  @Command(name = "pause", description = "send no further orders; changes in progress are completed")
+  @Command(
+      name = "pause",
+      description = "send no further orders; changes in progress are completed")
   static final class Pause extends OperatorCommand {}
 
   /** {@code fleet roll go}. */
--- a/src/main/java/wharftrestle/rollout/controller/PlanScript.java
+++ b/src/main/java/wharftrestle/rollout/controller/PlanScript.java
@@ -11,8 +11,8 @@
 import wharftrestle.settings.BadSettingsException;
 
 /**
- * The plan of a rollout, read from a script in the language of the settings. {@link PlanScriptReader}
- * defines the functions of the script. Immutable.
+ * The plan of a rollout, read from a script in the language of the settings. {@link
+ * PlanScriptReader} defines the functions of the script. Immutable.
  *
  * @param plan the plan that the script defines
  * @param clientAddresses address at which clients reach a host, by host name; absent for hosts
--- a/src/main/java/wharftrestle/rollout/controller/PlanScriptReader.java
+++ b/src/main/java/wharftrestle/rollout/controller/PlanScriptReader.java
@@ -16,8 +16,8 @@
 
 /**
  * Reads a plan's script, which calls {@code box(...)} for each host of the fleet and {@code
- * change(...)} once. Maps the published functions and parameters of the script to {@link RolloutPlan}
- * and checks the ranges of their values. Created for one script.
+ * change(...)} once. Maps the published functions and parameters of the script to {@link
+ * RolloutPlan} and checks the ranges of their values. Created for one script.
  */
 final class PlanScriptReader implements Scripts.Words {
   private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
@@ -288,7 +288,8 @@
     double warmUpSeconds = change.number("warm", 30, 0, 3600);
     double verdictTimeoutSeconds = change.number("patience", 1800, 0, DAY_SECONDS);
     String unreachablePolicy = change.text("when_cut", "hold", "hold|go", "\"hold\" or \"go\"");
-    String regressionPolicy = change.text("when_worse", "back", "back|hold", "\"back\" or \"hold\"");
+    String regressionPolicy =
+        change.text("when_worse", "back", "back|hold", "\"back\" or \"hold\"");
     return new RolloutPlan(
         targetRelease,
         List.copyOf(hosts.values()),
--- a/src/main/java/wharftrestle/rollout/controller/PreflightCheck.java
+++ b/src/main/java/wharftrestle/rollout/controller/PreflightCheck.java
@@ -35,8 +35,8 @@
   private String firstBuild = "";
 
   /**
-   * @param endedControllers names of controllers that have ended, even if a supervisor still reports
-   *     one as the holder
+   * @param endedControllers names of controllers that have ended, even if a supervisor still
+   *     reports one as the holder
    * @param isResuming true if the releases were checked when the rollout began
    * @param takesOver true to replace a controller that is alive
    */
--- a/src/main/java/wharftrestle/rollout/controller/RolloutController.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutController.java
@@ -10,10 +10,10 @@
 import wharftrestle.supervisor.CommandSocket;
 
 /**
- * Carries out one rollout. Opens the controller's directory and the socket for operators, and starts
- * the threads: one poller for each supervisor and one for indirect probes. {@link #run} decides in
- * the caller's thread, through {@link RolloutExecution}. When a controller ends, the fleet stays as it
- * is, and the next controller of the directory resumes from the journal.
+ * Carries out one rollout. Opens the controller's directory and the socket for operators, and
+ * starts the threads: one poller for each supervisor and one for indirect probes. {@link #run}
+ * decides in the caller's thread, through {@link RolloutExecution}. When a controller ends, the
+ * fleet stays as it is, and the next controller of the directory resumes from the journal.
  */
 public final class RolloutController implements Closeable {
   private static final long TICK_INTERVAL_MS = 100;
--- a/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutEventLog.java
@@ -11,8 +11,8 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * Writes a controller's events, one per line, as text for operators or as JSON objects with published
- * names. Each event has the epoch and the stage. Thread-safe.
+ * Writes a controller's events, one per line, as text for operators or as JSON objects with
+ * published names. Each event has the epoch and the stage. Thread-safe.
  */
 final class RolloutEventLog {
   private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/wharftrestle/rollout/controller/RolloutExecution.java
+++ b/src/main/java/wharftrestle/rollout/controller/RolloutExecution.java
@@ -17,19 +17,20 @@
 
 /**
  * The state of one rollout in its controller: the reported states of the hosts, the decisions of
- * {@link Rollout}, {@link ControllerLease} and {@link MembershipView}, and the pending orders. It makes
- * no calls to supervisors: {@link SupervisorPoller} passes in answers and sends the pending orders,
- * {@link IndirectProber} passes in the results of probes, {@link OperatorCommands} passes in commands,
- * and {@link RolloutController} calls {@link #tick}. Thread-safe: methods hold this object's lock, the only lock of a rollout. Every
- * order is written to the journal before it can be sent. Times are seconds of the monotonic clock.
+ * {@link Rollout}, {@link ControllerLease} and {@link MembershipView}, and the pending orders. It
+ * makes no calls to supervisors: {@link SupervisorPoller} passes in answers and sends the pending
+ * orders, {@link IndirectProber} passes in the results of probes, {@link OperatorCommands} passes
+ * in commands, and {@link RolloutController} calls {@link #tick}. Thread-safe: methods hold this
+ * object's lock, the only lock of a rollout. Every order is written to the journal before it can be
+ * sent. Times are seconds of the monotonic clock.
  */
 final class RolloutExecution {
   private static final double ORDER_TIMEOUT_SECONDS = 2;
   private static final int MAX_REASON_CHARACTERS = 400;
 
   /**
-   * Prefix of a supervisor's reason if the new release never took over. Such a rollback does not count
-   * against the release.
+   * Prefix of a supervisor's reason if the new release never took over. Such a rollback does not
+   * count against the release.
    */
   private static final String NOT_STARTED_PREFIX = "it cannot take over";
 
--- a/src/main/java/wharftrestle/rollout/controller/SupervisorClient.java
+++ b/src/main/java/wharftrestle/rollout/controller/SupervisorClient.java
@@ -16,8 +16,8 @@
 
 /**
  * Calls supervisors over HTTP and maps their messages to and from the published names. Calls are
- * not retried. Every call throws an {@link IOException} if the supervisor does not answer in time or
- * answers with an error. Thread-safe.
+ * not retried. Every call throws an {@link IOException} if the supervisor does not answer in time
+ * or answers with an error. Thread-safe.
  */
 final class SupervisorClient {
   private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/wharftrestle/rollout/controller/SupervisorPoller.java
+++ b/src/main/java/wharftrestle/rollout/controller/SupervisorPoller.java
@@ -8,9 +8,9 @@
 import wharftrestle.rollout.RolloutPlan;
 
 /**
- * Polls one supervisor in its own thread: claims the epoch or sends a heartbeat, passes the answer to
- * {@link RolloutExecution}, and sends the pending order if there is one. No lock is held during a
- * call.
+ * Polls one supervisor in its own thread: claims the epoch or sends a heartbeat, passes the answer
+ * to {@link RolloutExecution}, and sends the pending order if there is one. No lock is held during
+ * a call.
  */
 final class SupervisorPoller implements Runnable {
   /** Several polls fit in one lease. */
--- a/src/main/java/wharftrestle/rollout/package-info.java
+++ b/src/main/java/wharftrestle/rollout/package-info.java
@@ -6,9 +6,9 @@
  * instances with their own lock.
  *
  * <p>Start with {@link wharftrestle.rollout.RolloutPlan} and {@link wharftrestle.rollout.Rollout},
- * the state machine of a rollout. {@link wharftrestle.rollout.ControllerLease} (in a controller) and
- * {@link wharftrestle.rollout.EpochFence} (in a supervisor) ensure that only one controller at a time
- * sends orders. {@link wharftrestle.rollout.MembershipView} tracks reachability, and {@link
+ * the state machine of a rollout. {@link wharftrestle.rollout.ControllerLease} (in a controller)
+ * and {@link wharftrestle.rollout.EpochFence} (in a supervisor) ensure that only one controller at
+ * a time sends orders. {@link wharftrestle.rollout.MembershipView} tracks reachability, and {@link
  * wharftrestle.rollout.CanaryAnalysis} compares releases by {@link
  * wharftrestle.rollout.ConfidenceSequence}s.
  */
--- a/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
+++ b/src/test/java/wharftrestle/rollout/CanaryAnalysisTest.java
@@ -28,8 +28,8 @@
           0.05);
 
   /**
-   * Adds windows in which a random part of 200 requests of each host fails. The first {@code newHosts}
-   * hosts run the new release.
+   * Adds windows in which a random part of 200 requests of each host fails. The first {@code
+   * newHosts} hosts run the new release.
    */
   private void addWindows(
       int count,
@@ -144,8 +144,8 @@
   }
 
   /**
-   * The bounds are valid at every moment: sequences with a mean of zero leave them no more often than
-   * the error probability allows.
+   * The bounds are valid at every moment: sequences with a mean of zero leave them no more often
+   * than the error probability allows.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.6})
@@ -164,7 +164,8 @@
     }
     // The variance is estimated, from as few as eight values, so that correlated values exceed the
     // error probability of 0.025 by a factor.
-    assertTrue(sequencesOutside < (correlation == 0 ? 25 : 90), sequencesOutside + " of 1000 sequences");
+    assertTrue(
+        sequencesOutside < (correlation == 0 ? 25 : 90), sequencesOutside + " of 1000 sequences");
   }
 
   private double standardNormal() {
--- a/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
+++ b/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
@@ -15,11 +15,12 @@
 
 /**
  * Model checking of {@link ControllerLease} and {@link EpochFence} with two controllers and three
- * supervisors. The search covers arbitrary delay or loss of the first controller's replies and order,
- * pauses of that controller between any two steps, and the restart of a supervisor. No supervisor may
- * accept an order of the earlier epoch after an order of the later epoch was accepted anywhere.
- * Replies to the second controller arrive at once, because a delay would only postpone its order. The
- * search must also find each seeded bug; otherwise its result has no meaning.
+ * supervisors. The search covers arbitrary delay or loss of the first controller's replies and
+ * order, pauses of that controller between any two steps, and the restart of a supervisor. No
+ * supervisor may accept an order of the earlier epoch after an order of the later epoch was
+ * accepted anywhere. Replies to the second controller arrive at once, because a delay would only
+ * postpone its order. The search must also find each seeded bug; otherwise its result has no
+ * meaning.
  */
 @Timeout(60)
 class ControllerLeaseModelTest {
@@ -52,8 +53,8 @@
   private record PendingOrder(int supervisor, long token) {}
 
   /**
-   * One state of the model. Initially the first controller holds the lease and the second one claims
-   * it.
+   * One state of the model. Initially the first controller holds the lease and the second one
+   * claims it.
    */
   private static final class ModelState {
     private int tick;
@@ -222,7 +223,12 @@
       EpochFence.Answer answer =
           accepted
               .fences[supervisor]
-              .order(1, controllerName(current, bug, supervisor), current.order.token(), "x", accepted.now())
+              .order(
+                  1,
+                  controllerName(current, bug, supervisor),
+                  current.order.token(),
+                  "x",
+                  accepted.now())
               .answer();
       accepted.isViolated = answer == EpochFence.Answer.ACCEPTED && accepted.laterOrderAccepted;
       nextStates.add(accepted);
@@ -267,7 +273,8 @@
     frontier.add(initialState(bug));
     seen.add(frontier.peek().key());
     while (!frontier.isEmpty()) {
-      for (ModelState next : successors(bug == Bug.NONE ? frontier.poll() : frontier.pollLast(), bug)) {
+      for (ModelState next :
+          successors(bug == Bug.NONE ? frontier.poll() : frontier.pollLast(), bug)) {
         if (next.isViolated) {
           return -seen.size();
         }
--- a/src/test/java/wharftrestle/rollout/MembershipViewTest.java
+++ b/src/test/java/wharftrestle/rollout/MembershipViewTest.java
@@ -73,7 +73,10 @@
     members.onHeartbeat("a", "2", 12);
     assertEquals(Reachability.DUPLICATE, reachability("a"));
     sendHeartbeats("a", "2", 13, 40);
-    assertEquals(Reachability.REACHABLE, reachability("a"), "the other supervisor has been silent long enough");
+    assertEquals(
+        Reachability.REACHABLE,
+        reachability("a"),
+        "the other supervisor has been silent long enough");
   }
 
   @Test
--- a/src/test/java/wharftrestle/rollout/RolloutTest.java
+++ b/src/test/java/wharftrestle/rollout/RolloutTest.java
@@ -22,8 +22,7 @@
 class RolloutTest {
   private static final Verdict PASSES = new Verdict(Outcome.PASS, "no difference");
   private static final Verdict FAILS = new Verdict(Outcome.FAIL, "it loses");
-  private static final Verdict INCONCLUSIVE =
-      new Verdict(Outcome.INCONCLUSIVE, "too few windows");
+  private static final Verdict INCONCLUSIVE = new Verdict(Outcome.INCONCLUSIVE, "too few windows");
 
   /** The state of a supervisor and its daemon that a rollout can observe. */
   private static final class ReportedHost {
@@ -174,7 +173,9 @@
     SimulatedFleet fleet = new SimulatedFleet(plan(6, 1));
     fleet.passTime(200, INCONCLUSIVE);
     assertEquals(Rollout.State.HELD, fleet.rollout.state());
-    assertTrue(fleet.rollout.reason().startsWith("stage 1 could not be accepted in time: "), fleet.rollout.reason());
+    assertTrue(
+        fleet.rollout.reason().startsWith("stage 1 could not be accepted in time: "),
+        fleet.rollout.reason());
     assertEquals(1, running(fleet, "new"));
     fleet.carryOut(fleet.rollout.resume(fleet.reportedStates(), fleet.now));
     fleet.passTime(100, PASSES);
@@ -280,7 +281,9 @@
         case 3 -> fleet.losesOrders = !fleet.losesOrders;
         case 4 ->
             host.runningRelease =
-                fleet.rollout.state().isFinal() ? host.runningRelease : "old"; // restarted with the old release
+                fleet.rollout.state().isFinal()
+                    ? host.runningRelease
+                    : "old"; // restarted with the old release
         case 5 -> fleet.carryOut(fleet.rollout.pause(fleet.now));
         case 6 -> fleet.carryOut(fleet.rollout.resume(fleet.reportedStates(), fleet.now));
         case 7 -> {
--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -136,7 +136,8 @@
     StringBuilder hostLines = new StringBuilder();
     supervisors.forEach(
         each ->
-            hostLines.append("box(\"" + each.name + "\", keeper = \"127.0.0.1:" + each.port + "\")\n"));
+            hostLines.append(
+                "box(\"" + each.name + "\", keeper = \"127.0.0.1:" + each.port + "\")\n"));
     return PlanScript.parse(
         "p.star",
         hostLines
@@ -184,8 +185,7 @@
         assertEquals(RolloutController.Outcome.FENCED, outcome.get(20, TimeUnit.SECONDS));
         assertTrue(send("d2", "status").contains("\"driver\":\"bob\""));
         assertEquals(RolloutController.Outcome.COMPLETED, nextOutcome.get(30, TimeUnit.SECONDS));
-        assertEquals(
-            List.of("b1 two", "b2 two", "b3 two"), executed, "b1 is not ordered again");
+        assertEquals(List.of("b1 two", "b2 two", "b3 two"), executed, "b1 is not ordered again");
       }
     }
   }
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtureWriter.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtureWriter.java
@@ -7,8 +7,8 @@
 import wharftrestle.Fixtures;
 
 /**
- * Records the rollout controller's fixtures, as described in the README next to them. The class name
- * does not match the test pattern of a build, so it runs only with {@code
+ * Records the rollout controller's fixtures, as described in the README next to them. The class
+ * name does not match the test pattern of a build, so it runs only with {@code
  * -Dtest=RolloutFixtureWriter}. It does not overwrite recorded files.
  */
 class RolloutFixtureWriter {
@@ -26,7 +26,8 @@
 
   @Test
   void writeStatus() throws Exception {
-    Fixtures.writeJson(newFile(RolloutFixtures.STATUS), RolloutFixtures.statusWhileObserving(scratch));
+    Fixtures.writeJson(
+        newFile(RolloutFixtures.STATUS), RolloutFixtures.statusWhileObserving(scratch));
   }
 
   private static Path newFile(String name) {
--- a/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutFixtures.java
@@ -27,8 +27,8 @@
 
 /**
  * The objects of the rollout controller's fixtures, and methods that write them with the production
- * code. {@link RolloutFixtureWriter} records the fixtures; the tests write to a temporary folder and
- * compare.
+ * code. {@link RolloutFixtureWriter} records the fixtures; the tests write to a temporary folder
+ * and compare.
  */
 final class RolloutFixtures {
   static final String PLAN = "rollout/plan.star";
@@ -78,25 +78,54 @@
             "b1",
             "two",
             "st"),
-        enter(4, new Rollout.Snapshot(Rollout.State.OBSERVING, progressing, 0, previousReleases, attempts, "")),
+        enter(
+            4,
+            new Rollout.Snapshot(
+                Rollout.State.OBSERVING, progressing, 0, previousReleases, attempts, "")),
         enter(
             5,
             new Rollout.Snapshot(
-                Rollout.State.HELD, progressing, 0, previousReleases, attempts, "b1 does worse: 5 %")),
+                Rollout.State.HELD,
+                progressing,
+                0,
+                previousReleases,
+                attempts,
+                "b1 does worse: 5 %")),
         enter(
             6,
             new Rollout.Snapshot(
-                Rollout.State.ROLLING_BACK, progressing, 0, previousReleases, Map.of(), "asked for")),
+                Rollout.State.ROLLING_BACK,
+                progressing,
+                0,
+                previousReleases,
+                Map.of(),
+                "asked for")),
         enter(
             7,
             new Rollout.Snapshot(
-                Rollout.State.ROLLED_BACK, progressing, 0, previousReleases, Map.of(), "asked for")),
-        enter(8, new Rollout.Snapshot(Rollout.State.ABORTED, progressing, 0, previousReleases, attempts, "ended")),
-        enter(9, new Rollout.Snapshot(Rollout.State.COMPLETED, progressing, 1, previousOfTwo, attemptsOfTwo, "")),
+                Rollout.State.ROLLED_BACK,
+                progressing,
+                0,
+                previousReleases,
+                Map.of(),
+                "asked for")),
+        enter(
+            8,
+            new Rollout.Snapshot(
+                Rollout.State.ABORTED, progressing, 0, previousReleases, attempts, "ended")),
+        enter(
+            9,
+            new Rollout.Snapshot(
+                Rollout.State.COMPLETED, progressing, 1, previousOfTwo, attemptsOfTwo, "")),
         enter(
             10,
             new Rollout.Snapshot(
-                Rollout.State.PAUSED, Rollout.State.OBSERVING, 1, previousOfTwo, attemptsOfTwo, "mañ")));
+                Rollout.State.PAUSED,
+                Rollout.State.OBSERVING,
+                1,
+                previousOfTwo,
+                attemptsOfTwo,
+                "mañ")));
   }
 
   private static JournalEntry enter(long millis, Rollout.Snapshot snapshot) throws IOException {
@@ -104,10 +133,16 @@
   }
 
   private static JournalEntry line(
-      long millis, String event, Rollout.Snapshot snapshot, String host, String release, String entryReason)
+      long millis,
+      String event,
+      Rollout.Snapshot snapshot,
+      String host,
+      String release,
+      String entryReason)
       throws IOException {
     String plan = ControllerDirectory.sha256(Files.readString(Fixtures.path(PLAN)));
-    return new JournalEntry(1_765_000_000_000L + millis, event, 3, "d1", plan, snapshot, host, release, entryReason);
+    return new JournalEntry(
+        1_765_000_000_000L + millis, event, 3, "d1", plan, snapshot, host, release, entryReason);
   }
 
   static void writeJournal(Path file) throws IOException {
--- a/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/StoredFormatTest.java
@@ -208,7 +208,8 @@
     return request;
   }
 
-  private static SupervisorClient.Answer post(String supervisorAddress, JsonNode exchange) throws IOException {
+  private static SupervisorClient.Answer post(String supervisorAddress, JsonNode exchange)
+      throws IOException {
     SupervisorClient client = new SupervisorClient();
     JsonNode request = exchange.path("request");
     long epoch = request.path("epoch").asLong();
@@ -217,7 +218,11 @@
       case "/claim" -> client.claim(supervisorAddress, epoch, controller);
       case "/ask" ->
           client.heartbeat(
-              supervisorAddress, epoch, controller, request.path("stage").asInt(), request.path("verdict").asText());
+              supervisorAddress,
+              epoch,
+              controller,
+              request.path("stage").asInt(),
+              request.path("verdict").asText());
       default ->
           client.order(
               supervisorAddress,
@@ -243,7 +248,8 @@
         orderResults.add(received.orderResult());
       }
       assertEquals(
-          recorded.stream().map(StoredFormatTest::requestOf).toList(), List.copyOf(supervisor.requests));
+          recorded.stream().map(StoredFormatTest::requestOf).toList(),
+          List.copyOf(supervisor.requests));
     }
 
     EpochFence.Grant first = new EpochFence.Grant(1, "d1", "", 0);
@@ -284,12 +290,14 @@
               client.checkRelease(supervisor.address(), path.substring("/release?name=".length()));
         } else {
           answer =
-              client.indirectProbe(supervisor.address(), other, path.contains("front") ? other : "");
+              client.indirectProbe(
+                  supervisor.address(), other, path.contains("front") ? other : "");
         }
         assertEquals(each.path("answer"), answer);
       }
       assertEquals(
-          recorded.stream().map(StoredFormatTest::requestOf).toList(), List.copyOf(supervisor.requests));
+          recorded.stream().map(StoredFormatTest::requestOf).toList(),
+          List.copyOf(supervisor.requests));
     }
   }
 
