--- a/src/main/java/wharftrestle/supervisor/DaemonStatus.java
+++ b/src/main/java/wharftrestle/supervisor/DaemonStatus.java
@@ -1,5 +1,6 @@
 package wharftrestle.supervisor;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -33,16 +34,24 @@
     long badCalls,
     List<Answers> classes) {
 
-  /** Answers of a class since the daemon's start. */
+  /**
+   * Answers of a request class since the daemon's start. The annotations hold the names in messages
+   * to controllers.
+   *
+   * @param total answers of all kinds
+   * @param servedAfterObjective answers among the served ones that missed the latency objective
+   * @param weight priority weight of an answer within the latency objective
+   * @param weightAfterObjective priority weight of an answer after it
+   */
   public record Answers(
       String name,
-      long asked,
+      @JsonProperty("asked") long total,
       long served,
-      long late,
-      long refused,
+      @JsonProperty("late") long servedAfterObjective,
+      @JsonProperty("refused") long rejected,
       long failed,
-      double worth,
-      double lateWorth) {}
+      @JsonProperty("worth") double weight,
+      @JsonProperty("lateWorth") double weightAfterObjective) {}
 
   /** It says nothing. */
   static final DaemonStatus SILENT = new DaemonStatus(false, "", "", "", 0, 0, 0, List.of());
@@ -150,7 +159,7 @@
         ? null
         : new SupervisorStateMachine.Figures(
             classes.stream().mapToLong(Answers::served).sum(),
-            classes.stream().mapToLong(Answers::refused).sum(),
+            classes.stream().mapToLong(Answers::rejected).sum(),
             classes.stream().mapToLong(Answers::failed).sum());
   }
 }
--- a/src/main/java/wharftrestle/supervisor/HostSupervisor.java
+++ b/src/main/java/wharftrestle/supervisor/HostSupervisor.java
@@ -156,11 +156,11 @@
     for (SupervisorJournal.Entry each : found.end()) {
       say(
           "ended",
-          SupervisorStateMachine.Role.COMES,
+          SupervisorStateMachine.Role.CANDIDATE,
           each.release(),
           each.pid(),
-          each.began(),
-          each.door(),
+          each.startedAtMillis(),
+          each.adminPort(),
           "its change had no keeper any more");
       handle(each).ifPresent(ProcessHandle::destroyForcibly);
     }
@@ -168,11 +168,11 @@
     if (found.serves() != null) {
       SupervisorJournal.Entry serves = found.serves();
       running.put(
-          SupervisorStateMachine.Role.SERVES,
+          SupervisorStateMachine.Role.ACTIVE,
           new Running(
               serves.pid(),
-              serves.began(),
-              serves.door(),
+              serves.startedAtMillis(),
+              serves.adminPort(),
               serves.release(),
               handle(serves).orElseThrow()));
       carryOut(keeper.adopt(found.release(), found.good(), found.probation(), now()));
@@ -220,10 +220,10 @@
   private void findStarted() throws IOException {
     List<SupervisorJournal.Entry> steps = journal.entries();
     SupervisorJournal.Entry last = steps.isEmpty() ? null : steps.get(steps.size() - 1);
-    if (last == null || !last.what().equals("starting")) {
+    if (last == null || !last.event().equals("starting")) {
       return;
     }
-    String door = "EDGE_CONSOLE=127.0.0.1:" + last.door();
+    String door = "EDGE_CONSOLE=127.0.0.1:" + last.adminPort();
     for (ProcessHandle each : ProcessHandle.allProcesses().toList()) {
       if (environment(each).contains(door)) {
         journal.add(
@@ -232,10 +232,10 @@
                 "started",
                 last.role(),
                 last.release(),
-                last.good(),
+                last.fallbackRelease(),
                 each.pid(),
                 began(each),
-                last.door(),
+                last.adminPort(),
                 "found by its door"));
       }
     }
@@ -258,7 +258,7 @@
   private static Optional<ProcessHandle> handle(SupervisorJournal.Entry step) {
     return ProcessHandle.of(step.pid())
         .filter(ProcessHandle::isAlive)
-        .filter(handle -> began(handle) == step.began());
+        .filter(handle -> began(handle) == step.startedAtMillis());
   }
 
   private static long began(ProcessHandle handle) {
@@ -364,7 +364,7 @@
 
   private String status() throws IOException {
     Map<String, Object> all = new LinkedHashMap<>();
-    all.put("state", keeper.state().name().toLowerCase(Locale.ROOT));
+    all.put("state", keeper.state().publishedName().toLowerCase(Locale.ROOT));
     all.put("release", keeper.release());
     all.put("candidate", keeper.candidate());
     all.put("back_to", keeper.good());
@@ -372,7 +372,7 @@
     running.forEach(
         (role, each) ->
             all.put(
-                role.name().toLowerCase(Locale.ROOT),
+                role.publishedName().toLowerCase(Locale.ROOT),
                 Map.of(
                     "pid",
                     each.pid(),
@@ -407,14 +407,14 @@
           && keeper.state() != SupervisorStateMachine.State.PROBATION
           && look.ready()) {
         carryOut(keeper.ready(role, now()));
-      } else if (role == SupervisorStateMachine.Role.COMES && !look.refusal().isEmpty()) {
+      } else if (role == SupervisorStateMachine.Role.CANDIDATE && !look.refusal().isEmpty()) {
         carryOut(keeper.refused(role, look.refusal(), now()));
       }
     }
     ending.removeIf(each -> !each.handle().isAlive());
     DaemonStatus serves =
-        running.containsKey(SupervisorStateMachine.Role.SERVES)
-            ? looks.get(SupervisorStateMachine.Role.SERVES)
+        running.containsKey(SupervisorStateMachine.Role.ACTIVE)
+            ? looks.get(SupervisorStateMachine.Role.ACTIVE)
             : null;
     carryOut(keeper.tick(serves == null ? null : serves.figures(), now()));
     if (fleet != null) {
@@ -427,8 +427,8 @@
    * that is silent.
    */
   private void show() {
-    Running serves = running.get(SupervisorStateMachine.Role.SERVES);
-    DaemonStatus look = serves == null ? null : looks.get(SupervisorStateMachine.Role.SERVES);
+    Running serves = running.get(SupervisorStateMachine.Role.ACTIVE);
+    DaemonStatus look = serves == null ? null : looks.get(SupervisorStateMachine.Role.ACTIVE);
     boolean settled =
         keeper.state() == SupervisorStateMachine.State.SERVING
             || keeper.state() == SupervisorStateMachine.State.PROBATION;
@@ -437,7 +437,7 @@
             && !told.isEmpty()
             && !told.equals(keeper.release());
     Map<String, Object> all = new LinkedHashMap<>();
-    all.put("state", keeper.state().name().toLowerCase(Locale.ROOT));
+    all.put("state", keeper.state().publishedName().toLowerCase(Locale.ROOT));
     all.put("release", keeper.release());
     all.put("settled", settled && look != null && look.ready());
     all.put("acts", serves == null || look == null ? "" : acts(serves, look));
@@ -511,7 +511,7 @@
 
   /** The daemon that serves is told where the fleet stands, for its door and its MIB. */
   void tellStand(String query) {
-    Running serves = running.get(SupervisorStateMachine.Role.SERVES);
+    Running serves = running.get(SupervisorStateMachine.Role.ACTIVE);
     if (serves != null) {
       try {
         DaemonStatus.get(serves.door(), "POST", "/_fleet?" + query);
@@ -539,12 +539,12 @@
           }
         }
         case PROMOTE -> {
-          Running came = running.remove(SupervisorStateMachine.Role.COMES);
+          Running came = running.remove(SupervisorStateMachine.Role.CANDIDATE);
           if (came != null) {
-            running.put(SupervisorStateMachine.Role.SERVES, came);
+            running.put(SupervisorStateMachine.Role.ACTIVE, came);
             say(
                 "promoted",
-                SupervisorStateMachine.Role.SERVES,
+                SupervisorStateMachine.Role.ACTIVE,
                 came.release(),
                 came.pid(),
                 came.began(),
@@ -612,7 +612,7 @@
         new SupervisorJournal.Entry(
             SteadyWallClock.wallMillis(),
             what,
-            role.name(),
+            role.publishedName(),
             release,
             keeper.good(),
             pid,
--- a/src/main/java/wharftrestle/supervisor/SupervisorJournal.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorJournal.java
@@ -1,37 +1,40 @@
 package wharftrestle.supervisor;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** The keeper's journal: a step a line. */
+/** The supervisor's journal, with one entry for each step of a daemon's life. */
 final class SupervisorJournal extends JsonLineJournal<SupervisorJournal.Entry> {
 
   /**
-   * One step. A daemon is known by its process id and start: ids come again, starts do not.
+   * One step. The annotations hold the names on disk. A daemon is identified by process ID and
+   * start time together, since process IDs are reused.
    *
-   * @param at Unix ms, for people
-   * @param what "started", "serves", "promoted", "ended", "said"
-   * @param role of the daemon, as {@link SupervisorStateMachine.Role} has it
+   * @param writtenAtMillis Unix ms, for operators
+   * @param event "starting", "started", "promoted", "ended", "held" (passed its probation) or
+   *     "said" (a message for operators)
+   * @param role of the daemon, the published name of a {@link SupervisorStateMachine.Role}
    * @param release of the daemon
-   * @param good the release to go back to then
+   * @param fallbackRelease the release to return to at that time; empty for none
    * @param pid 0 for none
-   * @param began Unix ms at which the process began
-   * @param door the port of its operators' door
-   * @param why for people
+   * @param startedAtMillis Unix ms at which the process started
+   * @param adminPort port of the daemon's admin endpoint
+   * @param reason for operators
    */
   record Entry(
-      long at,
-      String what,
+      @JsonProperty("at") long writtenAtMillis,
+      @JsonProperty("what") String event,
       String role,
       String release,
-      String good,
+      @JsonProperty("good") String fallbackRelease,
       long pid,
-      long began,
-      int door,
-      String why) {}
+      @JsonProperty("began") long startedAtMillis,
+      @JsonProperty("door") int adminPort,
+      @JsonProperty("why") String reason) {}
 
   /**
-   * @throws IOException also where a line that is not the last cannot be read
+   * @throws IOException also if a complete line is malformed
    */
   SupervisorJournal(Path path) throws IOException {
     super(path, Entry.class);
--- a/src/main/java/wharftrestle/supervisor/SupervisorRecovery.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorRecovery.java
@@ -38,9 +38,9 @@
     boolean probation = false;
     List<SupervisorJournal.Entry> leave = new ArrayList<>();
     for (SupervisorJournal.Entry step : steps) {
-      switch (step.what()) {
+      switch (step.event()) {
         case "started" -> {
-          if (step.role().equals(SupervisorStateMachine.Role.COMES.name())) {
+          if (step.role().equals(SupervisorStateMachine.Role.CANDIDATE.publishedName())) {
             comes = step;
           } else {
             serves = step;
@@ -64,7 +64,7 @@
         case "held" -> probation = false;
         default -> {}
       }
-      good = step.good();
+      good = step.fallbackRelease();
     }
     boolean servesLives = serves != null && lives.test(serves);
     boolean comesLives = comes != null && lives.test(comes);
--- a/src/main/java/wharftrestle/supervisor/SupervisorStateMachine.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorStateMachine.java
@@ -17,40 +17,51 @@
  *
  * <pre>
  * state      means                                             goes to
- * DOWN       nothing runs                                      STARTING (run), PAUSED (it died)
- * STARTING   the only daemon was started                       SERVING (ready), PAUSED (died, not ready in time)
- * SERVING    one daemon serves                                 CHANGING (change, back), PAUSED (it died)
+ * DOWN       nothing runs                                      STARTING (run), BACKOFF (it died)
+ * STARTING   the only daemon was started                       SERVING (ready), BACKOFF (died, not ready in time)
+ * SERVING    one daemon serves                                 CHANGING (change, back), BACKOFF (it died)
  * CHANGING   a second one is to take over                      PROBATION (ready), SERVING (undone: died, refused, late),
- *                                                              PROBATION or PAUSED where the first one died meanwhile
- * PROBATION  the second one serves, the first one is gone or   SERVING (it held), RETURNING (worse), PAUSED (it died)
+ *                                                              PROBATION or BACKOFF where the first one died meanwhile
+ * PROBATION  the second one serves, the first one is gone or   SERVING (it held), ROLLING_BACK (worse), BACKOFF (it died)
  *            ends
- * RETURNING  the release before it is to take over again       SERVING (ready, or cannot), PAUSED (it died)
- * PAUSED     nothing runs, for a while                         STARTING
+ * ROLLING_BACK  the release before it is to take over again       SERVING (ready, or cannot), BACKOFF (it died)
+ * BACKOFF     nothing runs, for a while                         STARTING
  * </pre>
  */
 public final class SupervisorStateMachine {
 
   /** How far it is; the table says what each means. */
   public enum State {
-    DOWN,
-    STARTING,
-    SERVING,
-    CHANGING,
-    PROBATION,
-    RETURNING,
-    PAUSED
+    DOWN("DOWN"),
+    STARTING("STARTING"),
+    SERVING("SERVING"),
+    CHANGING("CHANGING"),
+    PROBATION("PROBATION"),
+    ROLLING_BACK("RETURNING"),
+    BACKOFF("PAUSED");
+
+    private final String publishedName;
+
+    State(String publishedName) {
+      this.publishedName = publishedName;
+    }
+
+    /** Its name in answers of the supervisor. */
+    public String publishedName() {
+      return publishedName;
+    }
   }
 
   private static final Map<State, Set<State>> NEXT = new EnumMap<>(State.class);
 
   static {
     NEXT.put(State.DOWN, EnumSet.of(State.STARTING, State.SERVING, State.PROBATION));
-    NEXT.put(State.STARTING, EnumSet.of(State.SERVING, State.PAUSED));
-    NEXT.put(State.SERVING, EnumSet.of(State.CHANGING, State.PAUSED));
-    NEXT.put(State.CHANGING, EnumSet.of(State.PROBATION, State.SERVING, State.PAUSED));
-    NEXT.put(State.PROBATION, EnumSet.of(State.SERVING, State.RETURNING, State.PAUSED));
-    NEXT.put(State.RETURNING, EnumSet.of(State.SERVING, State.PAUSED));
-    NEXT.put(State.PAUSED, EnumSet.of(State.STARTING));
+    NEXT.put(State.STARTING, EnumSet.of(State.SERVING, State.BACKOFF));
+    NEXT.put(State.SERVING, EnumSet.of(State.CHANGING, State.BACKOFF));
+    NEXT.put(State.CHANGING, EnumSet.of(State.PROBATION, State.SERVING, State.BACKOFF));
+    NEXT.put(State.PROBATION, EnumSet.of(State.SERVING, State.ROLLING_BACK, State.BACKOFF));
+    NEXT.put(State.ROLLING_BACK, EnumSet.of(State.SERVING, State.BACKOFF));
+    NEXT.put(State.BACKOFF, EnumSet.of(State.STARTING));
   }
 
   /**
@@ -88,8 +99,21 @@
 
   /** One of the two daemons a box may have. */
   public enum Role {
-    SERVES,
-    COMES
+    /** The daemon that serves, or that is to serve as the only one. */
+    ACTIVE("SERVES"),
+    /** The daemon that is to take over from the active one. */
+    CANDIDATE("COMES");
+
+    private final String publishedName;
+
+    Role(String publishedName) {
+      this.publishedName = publishedName;
+    }
+
+    /** Its name in the journal and in answers of the supervisor. */
+    public String publishedName() {
+      return publishedName;
+    }
   }
 
   /** What is to be done, with which release and daemon, and why; in this order. */
@@ -176,7 +200,7 @@
     release = first;
     good = before;
     enter(State.STARTING, now);
-    act(Act.Kind.START, Role.SERVES, first, "the keeper began");
+    act(Act.Kind.START, Role.ACTIVE, first, "the keeper began");
     return done();
   }
 
@@ -188,14 +212,14 @@
     release = serves;
     good = before;
     enter(inProbation && !before.isEmpty() ? State.PROBATION : State.SERVING, now);
-    act(Act.Kind.SAY, Role.SERVES, serves, "found running and adopted");
+    act(Act.Kind.SAY, Role.ACTIVE, serves, "found running and adopted");
     return done();
   }
 
   /** Why a change cannot begin now; empty where it can. */
   public String against(String to) {
     return state != State.SERVING
-        ? "a change can begin while one daemon serves; now it is " + state
+        ? "a change can begin while one daemon serves; now it is " + state.publishedName()
         : to.equals(release) ? to + " serves already" : "";
   }
 
@@ -212,7 +236,7 @@
     candidate = to;
     reason = "";
     enter(State.CHANGING, now);
-    act(Act.Kind.START, Role.COMES, to, "change from " + release);
+    act(Act.Kind.START, Role.CANDIDATE, to, "change from " + release);
     return done();
   }
 
@@ -234,13 +258,13 @@
 
   /** This daemon says that it serves. */
   public List<Act> ready(Role role, double now) {
-    if (state == State.STARTING && role == Role.SERVES) {
+    if (state == State.STARTING && role == Role.ACTIVE) {
       enter(State.SERVING, now);
       act(Act.Kind.SAY, role, release, "serves");
-    } else if (state == State.CHANGING && role == Role.COMES) {
+    } else if (state == State.CHANGING && role == Role.CANDIDATE) {
       String before = release;
-      act(Act.Kind.TERM, Role.SERVES, before, candidate + " serves");
-      act(Act.Kind.PROMOTE, Role.COMES, candidate, "");
+      act(Act.Kind.TERM, Role.ACTIVE, before, candidate + " serves");
+      act(Act.Kind.PROMOTE, Role.CANDIDATE, candidate, "");
       good = forGood ? "" : before;
       release = candidate;
       candidate = "";
@@ -248,9 +272,9 @@
       usual = last;
       atStart = null;
       enter(State.PROBATION, now);
-    } else if (state == State.RETURNING && role == Role.COMES) {
-      act(Act.Kind.TERM, Role.SERVES, release, "taken back: " + reason);
-      act(Act.Kind.PROMOTE, Role.COMES, candidate, "");
+    } else if (state == State.ROLLING_BACK && role == Role.CANDIDATE) {
+      act(Act.Kind.TERM, Role.ACTIVE, release, "taken back: " + reason);
+      act(Act.Kind.PROMOTE, Role.CANDIDATE, candidate, "");
       release = candidate;
       candidate = "";
       good = "";
@@ -261,9 +285,9 @@
 
   /** This daemon cannot take over, and says why. */
   public List<Act> refused(Role role, String why, double now) {
-    if (role == Role.COMES && state == State.CHANGING) {
+    if (role == Role.CANDIDATE && state == State.CHANGING) {
       undo("it cannot take over: " + why, now);
-    } else if (role == Role.COMES && state == State.RETURNING) {
+    } else if (role == Role.CANDIDATE && state == State.ROLLING_BACK) {
       stay("cannot go back: " + why, now);
     }
     return done();
@@ -271,13 +295,13 @@
 
   /** This daemon has ended by itself. */
   public List<Act> died(Role role, double now) {
-    if (role == Role.COMES) {
+    if (role == Role.CANDIDATE) {
       if (state == State.CHANGING) {
         reason = "it died before it served";
         candidate = "";
         enter(State.SERVING, now);
         act(Act.Kind.SAY, role, release, "change undone: " + reason);
-      } else if (state == State.RETURNING) {
+      } else if (state == State.ROLLING_BACK) {
         candidate = "";
         reason = "the release before died as it came back";
         enter(State.SERVING, now);
@@ -285,9 +309,9 @@
       }
       return done();
     }
-    if (state == State.CHANGING || state == State.RETURNING) {
+    if (state == State.CHANGING || state == State.ROLLING_BACK) {
       // The one that comes finds out by itself, and serves: it is the box's only daemon now.
-      act(Act.Kind.PROMOTE, Role.COMES, candidate, "the one that served has died");
+      act(Act.Kind.PROMOTE, Role.CANDIDATE, candidate, "the one that served has died");
       good = state == State.CHANGING && !forGood ? release : "";
       release = candidate;
       candidate = "";
@@ -295,7 +319,7 @@
       atStart = null;
       boolean change = state == State.CHANGING;
       enter(change ? State.PROBATION : State.SERVING, now);
-    } else if (state != State.PAUSED && state != State.DOWN) {
+    } else if (state != State.BACKOFF && state != State.DOWN) {
       boolean watched = state == State.PROBATION;
       pause(watched ? "it died in its probation" : "it died", watched, now);
     }
@@ -304,15 +328,15 @@
 
   /** A while has passed; the figures of the one that serves, or null where it did not say. */
   public List<Act> tick(Figures figures, double now) {
-    if (state == State.PAUSED && now >= since + pauseFor()) {
+    if (state == State.BACKOFF && now >= since + pauseFor()) {
       enter(State.STARTING, now);
-      act(Act.Kind.START, Role.SERVES, release, "after a pause");
+      act(Act.Kind.START, Role.ACTIVE, release, "after a pause");
     } else if (state == State.STARTING && now > since + limits.ready()) {
-      act(Act.Kind.KILL, Role.SERVES, release, "not ready in time");
+      act(Act.Kind.KILL, Role.ACTIVE, release, "not ready in time");
       pause("it was not ready in time", false, now);
     } else if (state == State.CHANGING && now > since + limits.ready()) {
       undo("it was not ready in time", now);
-    } else if (state == State.RETURNING && now > since + limits.ready()) {
+    } else if (state == State.ROLLING_BACK && now > since + limits.ready()) {
       stay("the release before was not ready in time", now);
     } else if (state == State.PROBATION) {
       watch(figures, now);
@@ -338,7 +362,7 @@
     if (now > since + limits.probation()) {
       reason = "";
       enter(State.SERVING, now);
-      act(Act.Kind.SAY, Role.SERVES, release, "held its probation");
+      act(Act.Kind.SAY, Role.ACTIVE, release, "held its probation");
     }
   }
 
@@ -371,41 +395,41 @@
    */
   private void undo(String why, double now) {
     reason = why;
-    act(Act.Kind.KILL, Role.COMES, candidate, why);
+    act(Act.Kind.KILL, Role.CANDIDATE, candidate, why);
     candidate = "";
     enter(State.SERVING, now);
-    act(Act.Kind.SAY, Role.SERVES, release, "change undone: " + why);
+    act(Act.Kind.SAY, Role.ACTIVE, release, "change undone: " + why);
   }
 
   private void takeBack(String why, double now) {
     reason = why;
     candidate = good;
-    enter(State.RETURNING, now);
-    act(Act.Kind.START, Role.COMES, good, "back from " + release + ": " + why);
+    enter(State.ROLLING_BACK, now);
+    act(Act.Kind.START, Role.CANDIDATE, good, "back from " + release + ": " + why);
   }
 
   /** There is no way back now: what serves goes on serving, and people are told. */
   private void stay(String why, double now) {
     reason = why;
-    act(Act.Kind.KILL, Role.COMES, candidate, why);
+    act(Act.Kind.KILL, Role.CANDIDATE, candidate, why);
     candidate = "";
     enter(State.SERVING, now);
-    act(Act.Kind.SAY, Role.SERVES, release, why);
+    act(Act.Kind.SAY, Role.ACTIVE, release, why);
   }
 
   private void pause(String why, boolean backAtOnce, double now) {
     reason = release + ": " + why;
     deaths++;
     if (!good.isEmpty() && !good.equals(release) && (backAtOnce || deaths >= limits.deaths())) {
-      act(Act.Kind.SAY, Role.SERVES, good, "goes back from " + release + ": " + why);
+      act(Act.Kind.SAY, Role.ACTIVE, good, "goes back from " + release + ": " + why);
       release = good;
       good = "";
       deaths = 1;
     }
-    enter(State.PAUSED, now);
+    enter(State.BACKOFF, now);
     act(
         Act.Kind.SAY,
-        Role.SERVES,
+        Role.ACTIVE,
         release,
         String.format(Locale.ROOT, "starts again after %.1f s: %s", pauseFor(), why));
   }
--- a/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
+++ b/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
@@ -70,7 +70,7 @@
     }
     try (SupervisorJournal steps = new SupervisorJournal(state.resolve("journal.jsonl"))) {
       steps.entries().stream()
-          .filter(step -> step.what().equals("started"))
+          .filter(step -> step.event().equals("started"))
           .forEach(step -> ProcessHandle.of(step.pid()).ifPresent(ProcessHandle::destroyForcibly));
     }
     floor.close();
--- a/src/test/java/wharftrestle/supervisor/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/supervisor/StoredFormatTest.java
@@ -74,6 +74,26 @@
         new SupervisorRecovery("two", "one", read.get(4), false, List.of(), List.of()), found);
   }
 
+  // ---- Published names ----
+
+  @Test
+  void states_publishedNames_areTheRecordedOnes() {
+    assertEquals(
+        List.of("DOWN", "STARTING", "SERVING", "CHANGING", "PROBATION", "RETURNING", "PAUSED"),
+        Stream.of(SupervisorStateMachine.State.values())
+            .map(SupervisorStateMachine.State::publishedName)
+            .toList());
+  }
+
+  @Test
+  void roles_publishedNames_areTheRecordedOnes() {
+    assertEquals(
+        List.of("SERVES", "COMES"),
+        Stream.of(SupervisorStateMachine.Role.values())
+            .map(SupervisorStateMachine.Role::publishedName)
+            .toList());
+  }
+
   // ---- The fence's file ----
 
   @Test
--- a/src/test/java/wharftrestle/supervisor/SupervisorFixtures.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorFixtures.java
@@ -42,8 +42,8 @@
 
   /** One change that is promoted, and one that is undone; each kind of entry is among them. */
   static List<SupervisorJournal.Entry> steps() {
-    String serves = SupervisorStateMachine.Role.SERVES.name();
-    String comes = SupervisorStateMachine.Role.COMES.name();
+    String serves = SupervisorStateMachine.Role.ACTIVE.publishedName();
+    String comes = SupervisorStateMachine.Role.CANDIDATE.publishedName();
     return List.of(
         new SupervisorJournal.Entry(
             1_765_000_000_001L, "starting", serves, "one", "", 0, 0, 7101, "the keeper began"),
--- a/src/test/java/wharftrestle/supervisor/SupervisorRun.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorRun.java
@@ -83,7 +83,7 @@
       keeper.close();
       for (SupervisorJournal.Entry step :
           JsonLineJournal.read(state.resolve("journal.jsonl"), SupervisorJournal.Entry.class)) {
-        if (step.what().equals("started")) {
+        if (step.event().equals("started")) {
           ProcessHandle.of(step.pid()).ifPresent(ProcessHandle::destroyForcibly);
         }
       }
--- a/src/test/java/wharftrestle/supervisor/SupervisorStateMachineTest.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorStateMachineTest.java
@@ -32,15 +32,15 @@
 
   private void serves(String release) {
     keeper.run(release, "", 0);
-    keeper.ready(Role.SERVES, 1);
+    keeper.ready(Role.ACTIVE, 1);
     keeper.tick(new Figures(1000, 0, 10), 2);
   }
 
   @Test
   void aChangeThatHoldsItsProbationStays() {
     serves("a");
-    assertEquals(List.of("START COMES b"), brief(keeper.change("b", 3)));
-    assertEquals(List.of("TERM SERVES a", "PROMOTE COMES b"), brief(keeper.ready(Role.COMES, 4)));
+    assertEquals(List.of("START CANDIDATE b"), brief(keeper.change("b", 3)));
+    assertEquals(List.of("TERM ACTIVE a", "PROMOTE CANDIDATE b"), brief(keeper.ready(Role.CANDIDATE, 4)));
     assertEquals(State.PROBATION, keeper.state());
     keeper.tick(new Figures(0, 0, 0), 5);
     keeper.tick(new Figures(500, 2, 5), 20);
@@ -48,19 +48,19 @@
     keeper.tick(new Figures(900, 2, 9), 35);
     assertEquals(State.SERVING, keeper.state());
     assertEquals("b", keeper.release());
-    assertEquals(List.of("START COMES a"), brief(keeper.back(40)), "asked back later");
+    assertEquals(List.of("START CANDIDATE a"), brief(keeper.back(40)), "asked back later");
   }
 
   @Test
   void whatDoesWorseInItsProbationIsTakenBackBesideIt() {
     serves("a");
     keeper.change("b", 3);
-    keeper.ready(Role.COMES, 4);
+    keeper.ready(Role.CANDIDATE, 4);
     keeper.tick(new Figures(0, 0, 0), 5);
     assertTrue(keeper.tick(new Figures(30, 0, 10), 6).isEmpty(), "too little was seen to say");
-    assertEquals(List.of("START COMES a"), brief(keeper.tick(new Figures(90, 0, 10), 7)));
+    assertEquals(List.of("START CANDIDATE a"), brief(keeper.tick(new Figures(90, 0, 10), 7)));
     assertTrue(keeper.reason().contains("10.0% failed, 1.0% before"), keeper.reason());
-    assertEquals(List.of("TERM SERVES b", "PROMOTE COMES a"), brief(keeper.ready(Role.COMES, 8)));
+    assertEquals(List.of("TERM ACTIVE b", "PROMOTE CANDIDATE a"), brief(keeper.ready(Role.CANDIDATE, 8)));
     assertEquals(State.SERVING, keeper.state());
     assertEquals("a", keeper.release());
   }
@@ -70,21 +70,21 @@
     serves("bad");
     keeper.change("a", true, 3);
     assertEquals(
-        List.of("PROMOTE COMES a"),
-        brief(keeper.died(Role.SERVES, 4)),
+        List.of("PROMOTE CANDIDATE a"),
+        brief(keeper.died(Role.ACTIVE, 4)),
         "the bad one dies as it is replaced");
     keeper.tick(new Figures(0, 0, 0), 5);
     assertEquals(
         List.of(), brief(keeper.tick(new Figures(90, 0, 60), 7)), "what failed is the dead one's");
-    keeper.died(Role.SERVES, 8);
-    assertEquals(List.of("START SERVES a"), brief(keeper.tick(null, 10)));
+    keeper.died(Role.ACTIVE, 8);
+    assertEquals(List.of("START ACTIVE a"), brief(keeper.tick(null, 10)));
   }
 
   @Test
   void whereTheOneBeforeDiedWithinTheChangeItsFiguresAreNothingToBeHeldAgainst() {
     serves("a");
     keeper.change("b", 3);
-    keeper.died(Role.SERVES, 4);
+    keeper.died(Role.ACTIVE, 4);
     keeper.tick(new Figures(0, 0, 0), 5);
     assertEquals(List.of(), brief(keeper.tick(new Figures(90, 0, 10), 7)));
     assertEquals("a", keeper.good(), "an operator may still go back");
@@ -95,13 +95,13 @@
     serves("a");
     keeper.change("b", 3);
     assertEquals(List.of(), brief(keeper.tick(null, 12)));
-    assertEquals(List.of("KILL COMES b"), brief(keeper.tick(null, 13.5)));
+    assertEquals(List.of("KILL CANDIDATE b"), brief(keeper.tick(null, 13.5)));
     assertEquals("a", keeper.release());
     keeper.change("b", 20);
-    assertEquals(List.of("KILL COMES b"), brief(keeper.refused(Role.COMES, "no ground", 21)));
+    assertEquals(List.of("KILL CANDIDATE b"), brief(keeper.refused(Role.CANDIDATE, "no ground", 21)));
     assertTrue(keeper.reason().contains("no ground"));
     keeper.change("b", 30);
-    assertEquals(List.of(), brief(keeper.died(Role.COMES, 31)));
+    assertEquals(List.of(), brief(keeper.died(Role.CANDIDATE, 31)));
     assertEquals(State.SERVING, keeper.state());
   }
 
@@ -109,7 +109,7 @@
   void whereTheFirstOneDiesWithinAChangeTheSecondOneIsTheBox() {
     serves("a");
     keeper.change("b", 3);
-    assertEquals(List.of("PROMOTE COMES b"), brief(keeper.died(Role.SERVES, 4)));
+    assertEquals(List.of("PROMOTE CANDIDATE b"), brief(keeper.died(Role.ACTIVE, 4)));
     assertEquals(State.PROBATION, keeper.state());
     assertEquals("a", keeper.good());
   }
@@ -118,35 +118,35 @@
   void aDaemonThatDiesAgainAndAgainWaitsLongerAndThenGivesWayToTheOneBefore() {
     serves("a");
     keeper.change("b", 3);
-    keeper.ready(Role.COMES, 4);
+    keeper.ready(Role.CANDIDATE, 4);
     keeper.tick(null, 40);
     assertEquals(State.SERVING, keeper.state());
     double now = 50;
     double[] pauses = {1, 2};
     for (double pause : pauses) {
-      keeper.died(Role.SERVES, now);
+      keeper.died(Role.ACTIVE, now);
       assertEquals(List.of(), brief(keeper.tick(null, now + pause - 0.1)));
-      assertEquals(List.of("START SERVES b"), brief(keeper.tick(null, now + pause + 0.1)));
+      assertEquals(List.of("START ACTIVE b"), brief(keeper.tick(null, now + pause + 0.1)));
       now += pause + 1;
     }
-    keeper.died(Role.SERVES, now);
-    assertEquals(List.of("START SERVES a"), brief(keeper.tick(null, now + 9)));
+    keeper.died(Role.ACTIVE, now);
+    assertEquals(List.of("START ACTIVE a"), brief(keeper.tick(null, now + 9)));
   }
 
   @Test
   void whatDiesInItsProbationGivesWayAtOnce() {
     serves("a");
     keeper.change("b", 3);
-    keeper.ready(Role.COMES, 4);
-    keeper.died(Role.SERVES, 6);
-    assertEquals(List.of("START SERVES a"), brief(keeper.tick(null, 7.1)));
+    keeper.ready(Role.CANDIDATE, 4);
+    keeper.died(Role.ACTIVE, 6);
+    assertEquals(List.of("START ACTIVE a"), brief(keeper.tick(null, 7.1)));
   }
 
   @Test
   void backWhileAChangeIsGoingOnEndsTheOneThatComes() {
     serves("a");
     keeper.change("b", 3);
-    assertEquals(List.of("KILL COMES b"), brief(keeper.back(4)));
+    assertEquals(List.of("KILL CANDIDATE b"), brief(keeper.back(4)));
     assertEquals("a", keeper.release());
     assertEquals(List.of(), brief(keeper.back(5)), "there is nothing to go back to");
   }
@@ -161,7 +161,7 @@
     apply(any.run("a", "", now), alive);
     for (int event : events) {
       now += 3;
-      Role role = event % 2 == 0 ? Role.SERVES : Role.COMES;
+      Role role = event % 2 == 0 ? Role.ACTIVE : Role.CANDIDATE;
       switch (event) {
         case 0, 1 -> {
           if (alive.contains(role)) {
@@ -180,8 +180,8 @@
         }
         case 5 -> apply(any.back(now), alive);
         case 6 -> {
-          if (alive.contains(Role.COMES)) {
-            apply(any.refused(Role.COMES, "no", now), alive);
+          if (alive.contains(Role.CANDIDATE)) {
+            apply(any.refused(Role.CANDIDATE, "no", now), alive);
           }
         }
         case 7 -> apply(any.tick(new Figures((long) now, 0, (long) now), now), alive);
@@ -191,15 +191,15 @@
     }
     for (int i = 0; i < 20 && any.state() != State.SERVING; i++) {
       now += 40;
-      if (alive.contains(Role.COMES)) {
-        apply(any.ready(Role.COMES, now), alive);
-      } else if (alive.contains(Role.SERVES)) {
-        apply(any.ready(Role.SERVES, now), alive);
+      if (alive.contains(Role.CANDIDATE)) {
+        apply(any.ready(Role.CANDIDATE, now), alive);
+      } else if (alive.contains(Role.ACTIVE)) {
+        apply(any.ready(Role.ACTIVE, now), alive);
       }
       apply(any.tick(null, now), alive);
     }
     assertEquals(State.SERVING, any.state());
-    assertEquals(List.of(Role.SERVES), alive);
+    assertEquals(List.of(Role.ACTIVE), alive);
   }
 
   private static void apply(List<Act> acts, List<Role> alive) {
@@ -211,8 +211,8 @@
         }
         case TERM, KILL -> assertTrue(alive.remove(act.role()), "nothing to end");
         case PROMOTE -> {
-          assertTrue(alive.remove(Role.COMES) && !alive.contains(Role.SERVES), "nothing came");
-          alive.add(Role.SERVES);
+          assertTrue(alive.remove(Role.CANDIDATE) && !alive.contains(Role.ACTIVE), "nothing came");
+          alive.add(Role.ACTIVE);
         }
         default -> {}
       }
