--- a/src/main/java/wharftrestle/supervisor/CommandSocket.java
+++ b/src/main/java/wharftrestle/supervisor/CommandSocket.java
@@ -17,32 +17,35 @@
 import org.tinylog.Logger;
 
 /**
- * A Unix socket that takes orders of people on this machine: a line each, and a line back. It owns
- * the socket's file.
+ * A Unix domain socket for operators of this machine. Each connection carries one command, a line,
+ * and its answer, another line. Each command is executed in a thread of its own. The socket's file
+ * is created and deleted here.
  */
 public final class CommandSocket implements Closeable {
-  private static final int LONGEST = 200;
+  private static final int MAX_COMMAND_CHARS = 200;
 
-  private final Path at;
+  private final Path path;
   private final ServerSocketChannel server;
-  private final UnaryOperator<String> obey;
+  private final UnaryOperator<String> executor;
 
   /**
-   * @param obey gives the answer to an order, in a thread of its own
+   * Begins to listen; a file that an earlier process left at this path is replaced.
+   *
+   * @param executor executes a command and returns its answer; called in several threads at once
    */
-  public CommandSocket(Path at, UnaryOperator<String> obey) throws IOException {
-    this.at = at;
-    this.obey = obey;
-    Files.deleteIfExists(at);
+  public CommandSocket(Path path, UnaryOperator<String> executor) throws IOException {
+    this.path = path;
+    this.executor = executor;
+    Files.deleteIfExists(path);
     server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-    server.bind(UnixDomainSocketAddress.of(at));
-    thread(
+    server.bind(UnixDomainSocketAddress.of(path));
+    startThread(
         "orders",
         () -> {
           try {
             for (; ; ) {
-              SocketChannel caller = server.accept();
-              thread("order", () -> serve(caller));
+              SocketChannel connection = server.accept();
+              startThread("order", () -> serve(connection));
             }
           } catch (IOException closed) {
             return;
@@ -50,34 +53,34 @@
         });
   }
 
-  private static void thread(String name, Runnable body) {
-    Thread thread = new Thread(body, name);
+  private static void startThread(String name, Runnable task) {
+    Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     thread.start();
   }
 
-  private void serve(SocketChannel caller) {
-    try (caller) {
+  private void serve(SocketChannel connection) {
+    try (connection) {
       String line =
           new BufferedReader(
-                  new InputStreamReader(Channels.newInputStream(caller), StandardCharsets.UTF_8))
+                  new InputStreamReader(Channels.newInputStream(connection), StandardCharsets.UTF_8))
               .readLine();
-      if (line != null && line.length() <= LONGEST) {
-        caller.write(ByteBuffer.wrap((obey.apply(line) + "\n").getBytes(StandardCharsets.UTF_8)));
+      if (line != null && line.length() <= MAX_COMMAND_CHARS) {
+        connection.write(ByteBuffer.wrap((executor.apply(line) + "\n").getBytes(StandardCharsets.UTF_8)));
       }
     } catch (IOException e) {
-      Logger.debug("order: {}", e.toString());
+      Logger.debug("command connection failed error={}", e.toString());
     }
   }
 
-  /** Sends one order to whoever listens there; the answer, or null where nobody does. */
-  public static String order(Path at, String text) {
-    try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(at))) {
-      channel.write(ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.UTF_8)));
+  /** Sends a command to the process that listens at this path; null if there is none. */
+  public static String order(Path path, String command) {
+    try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(path))) {
+      channel.write(ByteBuffer.wrap((command + "\n").getBytes(StandardCharsets.UTF_8)));
       return new BufferedReader(
               new InputStreamReader(Channels.newInputStream(channel), StandardCharsets.UTF_8))
           .readLine();
-    } catch (IOException none) {
+    } catch (IOException unreachable) {
       return null;
     }
   }
@@ -85,6 +88,6 @@
   @Override
   public void close() throws IOException {
     server.close();
-    Files.deleteIfExists(at);
+    Files.deleteIfExists(path);
   }
 }
--- a/src/main/java/wharftrestle/supervisor/ControllerEndpoint.java
+++ b/src/main/java/wharftrestle/supervisor/ControllerEndpoint.java
@@ -16,7 +16,7 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
-import java.nio.file.Path;
+import java.nio.journal.Path;
 import java.security.SecureRandom;
 import java.time.Duration;
 import java.util.LinkedHashMap;
@@ -32,18 +32,28 @@
 import wharftrestle.transport.Address;
 
 /**
- * Where drivers of the fleet call a keeper: JSON over HTTP, {@code POST /claim}, {@code /ask} and
- * {@code /order}, {@code GET /box} for anybody, {@code GET /look} to ask this keeper for another.
- * It owns the fence's file and the keeper's incarnation. It decides nothing: {@link EpochFence}
- * does. It must never wait for a daemon, or answer before what it grants is on disk.
+ * The HTTP endpoint of a supervisor for rollout controllers, with JSON bodies. {@link EpochFence}
+ * decides who may send orders; this class keeps the fence's file and the supervisor's incarnation.
+ *
+ * <pre>
+ * POST /claim    claims an epoch
+ * POST /ask      heartbeat of the controller that holds the epoch
+ * POST /order    orders this host to run a release
+ * GET /box       status of this host, for any caller
+ * GET /release   whether this host can change to a release, and back from it
+ * GET /look      indirect probe of another host
+ * </pre>
+ *
+ * <p>Requests are served by a small thread pool. None of them waits for the daemon of this host, and a grant is on
+ * disk before it is answered.
  */
 public final class ControllerEndpoint implements Closeable {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int LONGEST = 4096;
+  private static final int MAX_REQUEST_BYTES = 4096;
   private static final int THREADS = 4;
-  private static final int LOOK_MS = 700;
-  private static final long RARELY = 1_000_000_000L;
-  private static final byte[] STATUS =
+  private static final int PROBE_TIMEOUT_MS = 700;
+  private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
+  private static final byte[] HEALTH_CHECK =
       "*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n".getBytes(StandardCharsets.US_ASCII);
 
   private final HttpServer server;
@@ -58,62 +68,64 @@
   private final HttpClient client =
       HttpClient.newBuilder()
           .version(HttpClient.Version.HTTP_1_1)
-          .connectTimeout(Duration.ofMillis(LOOK_MS))
+          .connectTimeout(Duration.ofMillis(PROBE_TIMEOUT_MS))
           .build();
-  private final String name;
+  private final String hostName;
   private final String incarnation = Long.toHexString(new SecureRandom().nextLong());
-  private final JsonLineJournal<EpochFence.Grant> file;
+  private final JsonLineJournal<EpochFence.Grant> journal;
   private final EpochFence fence;
-  private final UnaryOperator<String> orders;
-  private final Supplier<Map<String, Object>> shown;
+  private final UnaryOperator<String> commandExecutor;
+  private final Supplier<Map<String, Object>> hostStatus;
   private final ReleaseDirectory releases;
-  private final BiPredicate<String, String> reads;
-  private final AtomicLong toldAt = new AtomicLong(System.nanoTime() - RARELY);
-  private String stand = "";
+  private final BiPredicate<String, String> acceptsSettings;
+  private final AtomicLong lastLoggedNanos = new AtomicLong(System.nanoTime() - LOG_INTERVAL_NANOS);
+  private String sentRolloutStatus = "";
 
   /**
-   * @param orders obeys an order in the keeper's own thread, and gives its answer
-   * @param shown how the box is, as of the keeper's last look
-   * @param reads true where the program of one release can read the settings of another
+   * Reads the fence's file and begins to listen.
+   *
+   * @param commandExecutor executes a command in the supervisor's main thread and returns its answer
+   * @param hostStatus status of the host, as of the supervisor's last poll
+   * @param acceptsSettings whether the program of the first release accepts the settings of the second
    */
   public ControllerEndpoint(
-      InetSocketAddress at,
-      String name,
-      Path state,
+      InetSocketAddress address,
+      String hostName,
+      Path stateDirectory,
       ReleaseDirectory releases,
-      UnaryOperator<String> orders,
-      Supplier<Map<String, Object>> shown,
-      BiPredicate<String, String> reads)
+      UnaryOperator<String> commandExecutor,
+      Supplier<Map<String, Object>> hostStatus,
+      BiPredicate<String, String> acceptsSettings)
       throws IOException {
     this.releases = releases;
-    this.reads = reads;
-    this.name = name;
-    this.orders = orders;
-    this.shown = shown;
-    file = new JsonLineJournal<>(state.resolve("fence.jsonl"), EpochFence.Grant.class);
-    EpochFence.Grant last = file.last();
-    // Stamps of an earlier start are never given again: they begin at a place drawn anew.
+    this.acceptsSettings = acceptsSettings;
+    this.hostName = hostName;
+    this.commandExecutor = commandExecutor;
+    this.hostStatus = hostStatus;
+    journal = new JsonLineJournal<>(stateDirectory.resolve("fence.jsonl"), EpochFence.Grant.class);
+    EpochFence.Grant last = journal.last();
+    // Lease tokens begin at a random number, so that none of an earlier incarnation is reissued.
     fence =
         new EpochFence(
             last == null ? EpochFence.Grant.NONE : last,
             new SecureRandom().nextLong() >>> 16 << 8,
-            this::write);
-    server = HttpServer.create(at, 16);
+            this::persist);
+    server = HttpServer.create(address, 16);
     server.setExecutor(threads);
-    server.createContext("/", this::serve);
+    server.createContext("/", this::handle);
     server.start();
-    Logger.info("{}: drivers of the fleet may call at {}", name, server.getAddress());
+    Logger.info("controller endpoint listening host={} address={}", hostName, server.getAddress());
   }
 
-  private boolean write(EpochFence.Grant kept) {
+  private boolean persist(EpochFence.Grant grant) {
     try {
-      file.add(kept);
+      journal.add(grant);
       return true;
-    } catch (IOException full) {
+    } catch (IOException e) {
       Logger.error(
-          "{}: nothing is granted or obeyed, as it cannot be written down: {}",
-          name,
-          full.getMessage());
+          "fence file could not be written; request rejected host={} error={}",
+          hostName,
+          e.getMessage());
       return false;
     }
   }
@@ -122,88 +134,88 @@
     return System.nanoTime() / 1e9;
   }
 
-  private void serve(HttpExchange call) throws IOException {
+  private void handle(HttpExchange exchange) throws IOException {
     int status = 200;
     Map<String, Object> answer;
-    try (call) {
+    try (exchange) {
       try {
-        answer = answer(call);
+        answer = route(exchange);
         status = answer == null ? 404 : 200;
       } catch (JsonProcessingException | IllegalArgumentException malformed) {
         answer = Map.of("why", "not understood: " + malformed.getMessage());
         status = 400;
-        tell(call, malformed);
+        logMalformed(exchange, malformed);
       }
       byte[] body = JSON.writeValueAsBytes(answer == null ? Map.of("why", "no such call") : answer);
-      call.getResponseHeaders().set("Content-Type", "application/json");
-      call.sendResponseHeaders(status, body.length);
-      call.getResponseBody().write(body);
+      exchange.getResponseHeaders().set("Content-Type", "application/json");
+      exchange.sendResponseHeaders(status, body.length);
+      exchange.getResponseBody().write(body);
     }
   }
 
-  /** Guards against a log that grows as fast as nonsense comes in: one line a second. */
-  private void tell(HttpExchange call, Exception malformed) {
+  /** Logs at most one malformed request a second, so that a flood of them doesn't fill the disk. */
+  private void logMalformed(HttpExchange exchange, Exception malformed) {
     long now = System.nanoTime();
-    long last = toldAt.get();
-    if (now - last > RARELY && toldAt.compareAndSet(last, now)) {
+    long last = lastLoggedNanos.get();
+    if (now - last > LOG_INTERVAL_NANOS && lastLoggedNanos.compareAndSet(last, now)) {
       Logger.warn(
-          "{}: a call of {} is not understood: {}",
-          name,
-          call.getRemoteAddress(),
+          "malformed request host={} peer={} error={}",
+          hostName,
+          exchange.getRemoteAddress(),
           malformed.getMessage());
     }
   }
 
-  private Map<String, Object> answer(HttpExchange call) throws IOException {
-    String path = call.getRequestURI().getPath();
-    if (call.getRequestMethod().equals("GET")) {
+  private Map<String, Object> route(HttpExchange exchange) throws IOException {
+    String path = exchange.getRequestURI().getPath();
+    if (exchange.getRequestMethod().equals("GET")) {
       return switch (path) {
-        case "/box" -> anybody();
-        case "/look" -> look(call.getRequestURI().getQuery());
-        case "/release" -> release(call.getRequestURI().getQuery());
+        case "/box" -> publicStatus();
+        case "/look" -> probe(exchange.getRequestURI().getQuery());
+        case "/release" -> checkRelease(exchange.getRequestURI().getQuery());
         default -> null;
       };
     }
     byte[] body;
-    try (InputStream in = call.getRequestBody()) {
-      body = in.readNBytes(LONGEST + 1);
+    try (InputStream in = exchange.getRequestBody()) {
+      body = in.readNBytes(MAX_REQUEST_BYTES + 1);
     }
-    if (body.length > LONGEST) {
-      throw new IllegalArgumentException("longer than " + LONGEST + " bytes");
+    if (body.length > MAX_REQUEST_BYTES) {
+      throw new IllegalArgumentException("longer than " + MAX_REQUEST_BYTES + " bytes");
     }
-    JsonNode asked = JSON.readTree(body);
-    if (!asked.path("epoch").canConvertToLong() || !asked.path("driver").isTextual()) {
+    JsonNode request = JSON.readTree(body);
+    if (!request.path("epoch").canConvertToLong() || !request.path("driver").isTextual()) {
       throw new IllegalArgumentException("needs epoch and driver");
     }
-    long epoch = asked.path("epoch").asLong();
-    String driver = asked.path("driver").asText();
+    long epoch = request.path("epoch").asLong();
+    String controller = request.path("driver").asText();
     switch (path) {
       case "/claim" -> {
-        return said(fenced(() -> fence.claim(epoch, driver, now())), "");
+        return replyFields(underFenceLock(() -> fence.claim(epoch, controller, now())), "");
       }
       case "/ask" -> {
-        EpochFence.Reply said = fenced(() -> fence.heartbeat(epoch, driver, now()));
-        if (said.answer() == EpochFence.Answer.RENEWED) {
-          stand(epoch, asked.path("stage").asInt(), asked.path("verdict").asText("none"));
+        EpochFence.Reply reply = underFenceLock(() -> fence.heartbeat(epoch, controller, now()));
+        if (reply.answer() == EpochFence.Answer.RENEWED) {
+          forwardRolloutStatus(epoch, request.path("stage").asInt(), request.path("verdict").asText("none"));
         }
-        return said(said, "");
+        return replyFields(reply, "");
       }
       case "/order" -> {
-        String to = asked.path("to").asText();
-        if (!to.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
+        String targetRelease = request.path("to").asText();
+        if (!targetRelease.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
           throw new IllegalArgumentException("needs the name of a release");
         }
-        EpochFence.Reply said =
-            fenced(() -> fence.order(epoch, driver, asked.path("stamp").asLong(), to, now()));
-        return said(
-            said,
-            said.answer() == EpochFence.Answer.ACCEPTED
-                ? orders.apply(
+        EpochFence.Reply reply =
+            underFenceLock(() -> fence.order(epoch, controller, request.path("stamp").asLong(), targetRelease, now()));
+        return replyFields(
+            reply,
+            reply.answer() == EpochFence.Answer.ACCEPTED
+                ? commandExecutor.apply(
                     "go "
-                        + said.grant().attempt()
+                        + reply.grant().attempt()
                         + " "
-                        + to
-                        + (asked.path("back").asBoolean() ? " back" : ""))
+                        + targetRelease
+                        + (request.path("back").asBoolean() ? " back" : ""))
                 : "");
       }
       default -> {
@@ -212,132 +224,132 @@
     }
   }
 
-  private EpochFence.Reply fenced(Supplier<EpochFence.Reply> asked) {
+  private EpochFence.Reply underFenceLock(Supplier<EpochFence.Reply> operation) {
     synchronized (fence) {
-      return asked.get();
+      return operation.get();
     }
   }
 
-  /** The box's daemon hears where the change stands, when that is another place than before. */
-  @SuppressWarnings("ReturnValueIgnored") // the order is obeyed; nobody asked for its answer
-  private void stand(long epoch, int stage, String verdict) {
+  /** Passes the state of the rollout on to the daemon if it has changed since the last heartbeat. */
+  @SuppressWarnings("ReturnValueIgnored") // no caller waits for the command's answer
+  private void forwardRolloutStatus(long epoch, int stage, String verdict) {
     String query = "epoch=" + epoch + "&stage=" + stage + "&verdict=" + verdict;
     synchronized (this) {
-      if (query.equals(stand)) {
+      if (query.equals(sentRolloutStatus)) {
         return;
       }
-      stand = query;
+      sentRolloutStatus = query;
     }
-    threads.execute(() -> orders.apply("stand " + query));
+    threads.execute(() -> commandExecutor.apply("stand " + query));
   }
 
-  private Map<String, Object> said(EpochFence.Reply said, String obeyed) {
-    Map<String, Object> all = new LinkedHashMap<>();
-    all.put("answer", said.answer().publishedName());
-    all.put("stamp", said.leaseToken());
-    all.put("epoch", said.grant().epoch());
-    all.put("driver", said.grant().controller());
-    all.put("target", said.grant().targetRelease());
-    all.put("orders", said.grant().attempt());
-    all.put("obeyed", obeyed);
-    return box(all);
+  private Map<String, Object> replyFields(EpochFence.Reply reply, String commandAnswer) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("answer", reply.answer().publishedName());
+    fields.put("stamp", reply.leaseToken());
+    fields.put("epoch", reply.grant().epoch());
+    fields.put("driver", reply.grant().controller());
+    fields.put("target", reply.grant().targetRelease());
+    fields.put("orders", reply.grant().attempt());
+    fields.put("obeyed", commandAnswer);
+    return withHostStatus(fields);
   }
 
-  private Map<String, Object> anybody() {
-    Map<String, Object> all = new LinkedHashMap<>();
+  private Map<String, Object> publicStatus() {
+    Map<String, Object> fields = new LinkedHashMap<>();
     synchronized (fence) {
-      all.put("epoch", fence.grant().epoch());
-      all.put("driver", fence.grant().controller());
-      all.put("target", fence.grant().targetRelease());
-      all.put("askedAgo", Math.min(1e9, fence.secondsSinceHeartbeat(now())));
+      fields.put("epoch", fence.grant().epoch());
+      fields.put("driver", fence.grant().controller());
+      fields.put("target", fence.grant().targetRelease());
+      fields.put("askedAgo", Math.min(1e9, fence.secondsSinceHeartbeat(now())));
     }
-    return box(all);
+    return withHostStatus(fields);
   }
 
-  private Map<String, Object> box(Map<String, Object> all) {
-    all.put("name", name);
-    all.put("incarnation", incarnation);
-    all.put("box", shown.get());
-    return all;
+  private Map<String, Object> withHostStatus(Map<String, Object> fields) {
+    fields.put("name", hostName);
+    fields.put("incarnation", incarnation);
+    fields.put("box", hostStatus.get());
+    return fields;
   }
 
-  /** Whether this box could go to a release, and back from it. */
-  private Map<String, Object> release(String query) {
+  /** Whether this host can change to a release, and back from it. */
+  private Map<String, Object> checkRelease(String query) {
     if (query == null || !query.startsWith("name=")) {
       throw new IllegalArgumentException("needs name=RELEASE");
     }
-    String wanted = query.substring(5);
-    Map<String, Object> all = new LinkedHashMap<>();
-    all.put("against", releases.against(wanted));
-    all.put("build", releases.build(wanted));
-    all.put("settings", releases.settings(wanted));
-    String now = String.valueOf(shown.get().getOrDefault("release", ""));
-    boolean knows =
-        releases.settings(wanted).isEmpty()
-            || now.isEmpty()
-            || now.equals(wanted)
-            || reads.test(now, wanted);
-    all.put("back", knows ? "" : "its settings are none that " + now + " can read");
-    return box(all);
+    String release = query.substring(5);
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("against", releases.obstacle(release));
+    fields.put("build", releases.programDigest(release));
+    fields.put("settings", releases.settingsDigest(release));
+    String activeRelease = String.valueOf(hostStatus.get().getOrDefault("release", ""));
+    boolean isReversible =
+        releases.settingsDigest(release).isEmpty()
+            || activeRelease.isEmpty()
+            || activeRelease.equals(release)
+            || acceptsSettings.test(activeRelease, release);
+    fields.put("back", isReversible ? "" : "its settings are none that " + activeRelease + " can read");
+    return withHostStatus(fields);
   }
 
-  // ---- Another box, as it is from here ----
+  // ---- Indirect probes ----
 
-  private Map<String, Object> look(String query) {
-    String keeper = "";
+  private Map<String, Object> probe(String query) {
+    String supervisor = "";
     String front = "";
     for (String part : query == null ? new String[0] : query.split("&")) {
-      keeper = part.startsWith("keeper=") ? part.substring(7) : keeper;
+      supervisor = part.startsWith("keeper=") ? part.substring(7) : supervisor;
       front = part.startsWith("front=") ? part.substring(6) : front;
     }
-    InetSocketAddress at = Address.of(keeper);
-    if (at == null) {
+    InetSocketAddress address = Address.of(supervisor);
+    if (address == null) {
       throw new IllegalArgumentException("needs keeper=HOST:PORT");
     }
-    boolean heard;
+    boolean isReachable;
     try {
-      heard =
+      isReachable =
           client
                   .send(
-                      HttpRequest.newBuilder(URI.create("http://" + keeper + "/box"))
-                          .timeout(Duration.ofMillis(LOOK_MS))
+                      HttpRequest.newBuilder(URI.create("http://" + supervisor + "/box"))
+                          .timeout(Duration.ofMillis(PROBE_TIMEOUT_MS))
                           .build(),
                       HttpResponse.BodyHandlers.discarding())
                   .statusCode()
               == 200;
-    } catch (IOException silent) {
-      heard = false;
+    } catch (IOException unreachable) {
+      isReachable = false;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      heard = false;
+      isReachable = false;
     }
-    InetSocketAddress callers = front.isEmpty() ? null : Address.of(front);
-    return Map.of("heard", heard, "callers", callers != null && serves(callers));
+    InetSocketAddress frontAddress = front.isEmpty() ? null : Address.of(front);
+    return Map.of("heard", isReachable, "callers", frontAddress != null && isHealthy(frontAddress));
   }
 
-  /** A health check as any front end makes it. */
-  private static boolean serves(InetSocketAddress front) {
+  /** Whether this address answers the health check of front ends as healthy. */
+  private static boolean isHealthy(InetSocketAddress front) {
     try (Socket socket = new Socket()) {
       socket.connect(
           new InetSocketAddress(
               InetAddress.getByAddress(front.getAddress().getAddress()), front.getPort()),
-          LOOK_MS);
-      socket.setSoTimeout(LOOK_MS);
-      socket.getOutputStream().write(STATUS);
-      byte[] said = new byte[64];
+          PROBE_TIMEOUT_MS);
+      socket.setSoTimeout(PROBE_TIMEOUT_MS);
+      socket.getOutputStream().write(HEALTH_CHECK);
+      byte[] response = new byte[64];
       int read = 0;
-      while (read < said.length) {
-        int more = socket.getInputStream().read(said, read, said.length - read);
-        if (more < 0) {
+      while (read < response.length) {
+        int count = socket.getInputStream().read(response, read, response.length - read);
+        if (count < 0) {
           return false;
         }
-        read += more;
-        if (new String(said, 0, read, StandardCharsets.US_ASCII).contains("healthy")) {
+        read += count;
+        if (new String(response, 0, read, StandardCharsets.US_ASCII).contains("healthy")) {
           return true;
         }
       }
       return false;
-    } catch (IOException silent) {
+    } catch (IOException unreachable) {
       return false;
     }
   }
@@ -346,6 +358,6 @@
   public void close() throws IOException {
     server.stop(0);
     threads.shutdownNow();
-    file.close();
+    journal.close();
   }
 }
--- a/src/main/java/wharftrestle/supervisor/DaemonStatus.java
+++ b/src/main/java/wharftrestle/supervisor/DaemonStatus.java
@@ -12,27 +12,27 @@
 import java.util.Map;
 
 /**
- * What a daemon shows at its door: one look. Builds that know no figures are asked in the words
- * they know.
+ * The status of a daemon as its admin endpoint reports it at one time. Older builds, which have no
+ * {@code /_figures}, are read from {@code /_ready}, {@code /_status} and {@code /_vars}.
  *
- * @param ready it takes clients
- * @param handover how far a hand-over is, and why it waits
- * @param build SHA-256 of its jar, as it says; empty where it does not
- * @param settings digest of its settings; empty where it does not say
- * @param up seconds since its start; 0 where it does not say
- * @param calls store calls that ended
- * @param badCalls of them badly
- * @param classes answers by class
+ * @param ready whether it serves clients
+ * @param handover progress of a handover, and why it waits
+ * @param buildDigest SHA-256 of its jar; empty if not reported
+ * @param settingsDigest digest of its settings; empty if not reported
+ * @param uptimeSeconds seconds since its start; 0 if not reported
+ * @param dependencyCalls completed dependency calls
+ * @param failedDependencyCalls the dependency calls among them that did not succeed
+ * @param requestClasses answers by request class
  */
 public record DaemonStatus(
     boolean ready,
     String handover,
-    String build,
-    String settings,
-    double up,
-    long calls,
-    long badCalls,
-    List<Answers> classes) {
+    String buildDigest,
+    String settingsDigest,
+    double uptimeSeconds,
+    long dependencyCalls,
+    long failedDependencyCalls,
+    List<ClassAnswers> requestClasses) {
 
   /**
    * Answers of a request class since the daemon's start. The annotations hold the names in messages
@@ -43,7 +43,7 @@
    * @param weight priority weight of an answer within the latency objective
    * @param weightAfterObjective priority weight of an answer after it
    */
-  public record Answers(
+  public record ClassAnswers(
       String name,
       @JsonProperty("asked") long total,
       long served,
@@ -53,113 +53,116 @@
       @JsonProperty("worth") double weight,
       @JsonProperty("lateWorth") double weightAfterObjective) {}
 
-  /** It says nothing. */
-  static final DaemonStatus SILENT = new DaemonStatus(false, "", "", "", 0, 0, 0, List.of());
+  /** The status of a daemon that doesn't answer. */
+  static final DaemonStatus UNREACHABLE = new DaemonStatus(false, "", "", "", 0, 0, 0, List.of());
 
-  private static final int DOOR_MS = 1000;
-  private static final String RESULTS = "daemon.results.";
+  private static final int REQUEST_TIMEOUT_MS = 1000;
+  private static final String RESULT_VARIABLES = "daemon.results.";
 
-  /** Looks at the door of this port on loopback; {@link #SILENT} where nobody answers. */
-  static DaemonStatus at(int door) {
+  /**
+   * Reads the status from the admin endpoint at this port of the loopback interface; {@link
+   * #UNREACHABLE} if there is no valid answer.
+   */
+  static DaemonStatus fetch(int adminPort) {
     try {
-      String said = get(door, "GET", "/_figures");
-      return said.startsWith("HTTP/1.1 404 ") ? former(door) : read(said);
-    } catch (IOException | RuntimeException silent) {
-      return SILENT;
+      String response = request(adminPort, "GET", "/_figures");
+      return response.startsWith("HTTP/1.1 404 ") ? fetchLegacy(adminPort) : parse(response);
+    } catch (IOException | RuntimeException unreachable) {
+      return UNREACHABLE;
     }
   }
 
-  /** One call at the door; the whole answer. */
-  static String get(int door, String method, String path) throws IOException {
-    try (Socket call = new Socket()) {
-      call.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), door), DOOR_MS);
-      call.setSoTimeout(DOOR_MS);
-      call.getOutputStream()
+  /** Sends a request to the admin endpoint; the response with its status line and headers. */
+  static String request(int adminPort, String method, String path) throws IOException {
+    try (Socket socket = new Socket()) {
+      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), adminPort), REQUEST_TIMEOUT_MS);
+      socket.setSoTimeout(REQUEST_TIMEOUT_MS);
+      socket.getOutputStream()
           .write(
               (method + " " + path + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
                   .getBytes(StandardCharsets.US_ASCII));
-      return new String(call.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
   }
 
-  static DaemonStatus read(String said) {
-    Map<String, String> once = new LinkedHashMap<>();
-    List<Answers> classes = new ArrayList<>();
-    for (String line : said.split("\r?\n")) {
+  static DaemonStatus parse(String response) {
+    Map<String, String> values = new LinkedHashMap<>();
+    List<ClassAnswers> requestClasses = new ArrayList<>();
+    for (String line : response.split("\r?\n")) {
       int blank = line.indexOf(' ');
       if (blank < 1 || line.startsWith("HTTP/")) {
         continue;
       }
       String value = line.substring(blank + 1);
       if (line.startsWith("class ")) {
-        String[] w = value.split(" ", 8);
-        classes.add(
-            new Answers(
-                w[7],
-                Long.parseLong(w[0]),
-                Long.parseLong(w[1]),
-                Long.parseLong(w[2]),
-                Long.parseLong(w[3]),
-                Long.parseLong(w[4]),
-                Double.parseDouble(w[5]),
-                Double.parseDouble(w[6])));
+        String[] fields = value.split(" ", 8);
+        requestClasses.add(
+            new ClassAnswers(
+                fields[7],
+                Long.parseLong(fields[0]),
+                Long.parseLong(fields[1]),
+                Long.parseLong(fields[2]),
+                Long.parseLong(fields[3]),
+                Long.parseLong(fields[4]),
+                Double.parseDouble(fields[5]),
+                Double.parseDouble(fields[6])));
       } else {
-        once.put(line.substring(0, blank), value);
+        values.put(line.substring(0, blank), value);
       }
     }
-    String[] calls = once.getOrDefault("calls", "0 0").split(" ");
+    String[] dependencyCalls = values.getOrDefault("calls", "0 0").split(" ");
     return new DaemonStatus(
-        "yes".equals(once.get("ready")),
-        once.getOrDefault("handover", ""),
-        once.getOrDefault("build", ""),
-        once.getOrDefault("settings", ""),
-        Double.parseDouble(once.getOrDefault("up", "0")),
-        Long.parseLong(calls[0]),
-        Long.parseLong(calls[1]),
-        classes);
+        "yes".equals(values.get("ready")),
+        values.getOrDefault("handover", ""),
+        values.getOrDefault("build", ""),
+        values.getOrDefault("settings", ""),
+        Double.parseDouble(values.getOrDefault("up", "0")),
+        Long.parseLong(dependencyCalls[0]),
+        Long.parseLong(dependencyCalls[1]),
+        requestClasses);
   }
 
-  /** A build from before the figures: three calls. */
-  private static DaemonStatus former(int door) throws IOException {
-    boolean ready = get(door, "GET", "/_ready").startsWith("HTTP/1.1 200 ");
+  /** The status of an older build, which takes three requests. */
+  private static DaemonStatus fetchLegacy(int adminPort) throws IOException {
+    boolean ready = request(adminPort, "GET", "/_ready").startsWith("HTTP/1.1 200 ");
     String handover = "";
-    for (String line : get(door, "GET", "/_status").split("\n")) {
+    for (String line : request(adminPort, "GET", "/_status").split("\n")) {
       if (line.startsWith("hand-over")) {
         handover = line.substring("hand-over".length()).trim();
       }
     }
     Map<String, long[]> results = new LinkedHashMap<>();
-    for (String line : get(door, "GET", "/_vars").split("\n")) {
+    for (String line : request(adminPort, "GET", "/_vars").split("\n")) {
       String[] parts = line.trim().split("[:|]");
       int dot = parts[0].lastIndexOf('.');
-      if (parts.length > 1 && parts[0].startsWith(RESULTS) && dot > RESULTS.length()) {
+      if (parts.length > 1 && parts[0].startsWith(RESULT_VARIABLES) && dot > RESULT_VARIABLES.length()) {
         long[] counts =
-            results.computeIfAbsent(parts[0].substring(RESULTS.length(), dot), key -> new long[3]);
-        int at = List.of("succeeded", "declined", "aborted").indexOf(parts[0].substring(dot + 1));
-        if (at >= 0) {
-          counts[at] = Long.parseLong(parts[1]);
+            results.computeIfAbsent(parts[0].substring(RESULT_VARIABLES.length(), dot), key -> new long[3]);
+        int index = List.of("succeeded", "declined", "aborted").indexOf(parts[0].substring(dot + 1));
+        if (index >= 0) {
+          counts[index] = Long.parseLong(parts[1]);
         }
       }
     }
-    List<Answers> classes = new ArrayList<>();
+    List<ClassAnswers> requestClasses = new ArrayList<>();
     results.forEach(
-        (name, c) -> classes.add(new Answers(name, c[0] + c[1] + c[2], c[0], 0, c[1], c[2], 1, 0)));
-    return new DaemonStatus(ready, handover, "", "", 0, 0, 0, classes);
+        (name, counts) -> requestClasses.add(new ClassAnswers(name, counts[0] + counts[1] + counts[2], counts[0], 0, counts[1], counts[2], 1, 0)));
+    return new DaemonStatus(ready, handover, "", "", 0, 0, 0, requestClasses);
   }
 
-  /** Why it cannot take over; empty where it can, or does not say. */
-  String refusal() {
-    int at = handover.indexOf("refused");
-    return at < 0 ? "" : handover.substring(at).trim();
+  /** Why the daemon cannot take over; empty if it can or has not reported it. */
+  String takeoverRejection() {
+    int index = handover.indexOf("refused");
+    return index < 0 ? "" : handover.substring(index).trim();
   }
 
-  /** What a keeper weighs; null where it did not say. */
-  SupervisorStateMachine.Figures figures() {
-    return classes.isEmpty()
+  /** Answers of all classes; null if none are reported. */
+  SupervisorStateMachine.AnswerCounts answerCounts() {
+    return requestClasses.isEmpty()
         ? null
-        : new SupervisorStateMachine.Figures(
-            classes.stream().mapToLong(Answers::served).sum(),
-            classes.stream().mapToLong(Answers::rejected).sum(),
-            classes.stream().mapToLong(Answers::failed).sum());
+        : new SupervisorStateMachine.AnswerCounts(
+            requestClasses.stream().mapToLong(ClassAnswers::served).sum(),
+            requestClasses.stream().mapToLong(ClassAnswers::rejected).sum(),
+            requestClasses.stream().mapToLong(ClassAnswers::failed).sum());
   }
 }
--- a/src/main/java/wharftrestle/supervisor/DirectoryLock.java
+++ b/src/main/java/wharftrestle/supervisor/DirectoryLock.java
@@ -8,7 +8,10 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** A locked file that says whose a folder is, as long as its process lives. */
+/**
+ * A file lock that marks a directory as in use by one process. The operating system releases it
+ * when the process ends.
+ */
 public final class DirectoryLock implements Closeable {
   private final FileChannel file;
 
@@ -16,7 +19,7 @@
     this.file = file;
   }
 
-  /** Locks this file; null where another process, or another part of this one, has it. */
+  /** Locks this file, which is created if absent; null if this or another process has locked it. */
   public static DirectoryLock take(Path path) throws IOException {
     FileChannel file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     FileLock lock;
--- a/src/main/java/wharftrestle/supervisor/HostSupervisor.java
+++ b/src/main/java/wharftrestle/supervisor/HostSupervisor.java
@@ -24,208 +24,214 @@
 import wharftrestle.transport.Address;
 
 /**
- * Carries out what {@link SupervisorStateMachine} decides: it starts, watches and ends the daemons
- * of one box, keeps the journal, and takes orders at a Unix socket in its folder. It owns that
- * folder while it runs. It must never do a thing before it stands in the journal, or end a daemon
- * with itself: a keeper that goes leaves its daemons, and the next one adopts them.
+ * Runs the daemons of one host: starts, polls and ends them as {@link SupervisorStateMachine}
+ * decides, writes the journal, and executes commands that arrive at a Unix socket or from a rollout
+ * controller. It holds the lock of its state directory while it runs.
+ *
+ * <p>The journal has each step before the step is taken, so that a supervisor that is killed can
+ * resume. Daemons outlive their supervisor: the next supervisor adopts them.
+ *
+ * <p>All decisions are made in the thread of {@link #run}; {@link #stop} may be called from any
+ * thread.
  */
 public final class HostSupervisor implements Closeable {
 
   /**
-   * Where things are.
+   * Paths, addresses and the command that starts a daemon.
    *
-   * @param state the keeper's own folder: journal, lock, socket, logs of daemons; also where
-   *     daemons meet
-   * @param releases all releases
-   * @param config the daemon's configuration
-   * @param java command and options before -jar
-   * @param name of the box within its fleet; empty for none
-   * @param fleet where a driver of the fleet may call; null for nowhere
+   * @param stateDirectory directory of the supervisor: journal, lock, socket and logs of daemons; also the
+   *     temporary directory in which the daemons of the host find each other
+   * @param releasesDirectory directory of all releases
+   * @param daemonConfig the daemon's configuration file
+   * @param javaCommand the JVM and its options before -jar
+   * @param hostName of the host within its fleet; empty for none
+   * @param controllerAddress address for rollout controllers; null for none
    */
-  public record Places(
-      Path state,
-      Path releases,
-      Path config,
-      List<String> java,
-      String name,
-      InetSocketAddress fleet) {
-    /** A box of no fleet. */
-    public Places(Path state, Path releases, Path config, List<String> java) {
-      this(state, releases, config, java, "", null);
+  public record Configuration(
+      Path stateDirectory,
+      Path releasesDirectory,
+      Path daemonConfig,
+      List<String> javaCommand,
+      String hostName,
+      InetSocketAddress controllerAddress) {
+    /** The configuration of a host without a fleet. */
+    public Configuration(Path stateDirectory, Path releasesDirectory, Path daemonConfig, List<String> javaCommand) {
+      this(stateDirectory, releasesDirectory, daemonConfig, javaCommand, "", null);
     }
   }
 
-  /** The folder is another keeper's. */
-  public static final class TakenException extends Exception {
+  /** Another supervisor has locked the state directory. */
+  public static final class DirectoryLockedException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    TakenException(String message) {
+    DirectoryLockedException(String message) {
       super(message);
     }
   }
 
-  private record Running(long pid, long began, int door, String release, ProcessHandle handle) {}
+  private record Daemon(long pid, long startedAtMillis, int adminPort, String release, ProcessHandle handle) {}
 
-  private record Order(String text, BlockingQueue<String> answer) {}
+  private record Command(String text, BlockingQueue<String> answer) {}
 
-  /** Milliseconds between two looks at the daemons. */
-  private static final long LOOK_MS = 100;
+  /** Milliseconds between two polls of the daemons. */
+  private static final long POLL_INTERVAL_MS = 100;
 
-  /** Seconds in which a release's program reads a settings file. */
-  private static final long CHECK_S = 20;
+  /** Seconds for which a release's program may take to check a settings file. */
+  private static final long SETTINGS_CHECK_TIMEOUT_S = 20;
 
-  private static final String GONE = "no the keeper goes";
-  private static final String SOCKET = "keeper.sock";
+  private static final String STOPPING = "no the supervisor is stopping";
+  private static final String SOCKET_FILE = "keeper.sock";
 
-  private final Places places;
+  private final Configuration configuration;
   private final ReleaseDirectory releases;
-  private final SupervisorStateMachine keeper;
+  private final SupervisorStateMachine stateMachine;
   private final DirectoryLock lock;
   private final SupervisorJournal journal;
-  private final Map<SupervisorStateMachine.Role, Running> running =
+  private final Map<SupervisorStateMachine.Role, Daemon> daemons =
       new EnumMap<>(SupervisorStateMachine.Role.class);
-  private final List<Running> ending = new ArrayList<>();
-  private final BlockingQueue<Order> orders = new LinkedBlockingQueue<>();
+  private final List<Daemon> terminatingDaemons = new ArrayList<>();
+  private final BlockingQueue<Command> commands = new LinkedBlockingQueue<>();
   private final PrintStream out;
-  private final Consumer<SupervisorJournal.Entry> before;
+  private final Consumer<SupervisorJournal.Entry> entryListener;
   private CommandSocket socket;
-  private ControllerEndpoint fleet; // null where no driver may call
-  private final Map<String, Integer> deaths = new LinkedHashMap<>(); // by release
-  private final Map<SupervisorStateMachine.Role, DaemonStatus> looks =
+  private ControllerEndpoint controllerEndpoint; // null for a host without a fleet
+  private final Map<String, Integer> exitsByRelease = new LinkedHashMap<>();
+  private final Map<SupervisorStateMachine.Role, DaemonStatus> statuses =
       new EnumMap<>(SupervisorStateMachine.Role.class);
-  private String told = ""; // the release that a driver told last
-  private int attempt; // how often, in its epoch
-  private String refusal = ""; // why that was not begun
-  private volatile Map<String, Object> shown = Map.of();
-  private int logs;
-  private volatile boolean over;
+  private String orderedRelease = ""; // the release of a controller's last order
+  private int orderAttempt; // number of that order in its epoch
+  private String orderRejection = ""; // why that order was not begun
+  private volatile Map<String, Object> hostStatus = Map.of();
+  private int daemonLogs;
+  private volatile boolean stopped;
 
   /**
-   * Takes the folder.
+   * Locks the state directory, which is created if absent, and opens the journal.
    *
-   * @throws TakenException where another keeper has it
+   * @throws DirectoryLockedException if another supervisor has locked it
    */
-  public HostSupervisor(Places places, SupervisorStateMachine.Limits limits, PrintStream out)
-      throws IOException, TakenException {
-    this(places, limits, out, step -> {});
+  public HostSupervisor(Configuration configuration, SupervisorStateMachine.Limits limits, PrintStream out)
+      throws IOException, DirectoryLockedException {
+    this(configuration, limits, out, entry -> {});
   }
 
-  /**
-   * The same with one who is told of each step before it is written, so that tests can end the
-   * keeper there.
-   */
+  /** For tests: the listener receives each entry before it is written, and may throw to end here. */
   HostSupervisor(
-      Places places,
+      Configuration configuration,
       SupervisorStateMachine.Limits limits,
       PrintStream out,
-      Consumer<SupervisorJournal.Entry> before)
-      throws IOException, TakenException {
-    this.places = places;
+      Consumer<SupervisorJournal.Entry> entryListener)
+      throws IOException, DirectoryLockedException {
+    this.configuration = configuration;
     this.out = out;
-    this.before = before;
-    releases = new ReleaseDirectory(places.releases());
-    keeper = new SupervisorStateMachine(limits);
-    Files.createDirectories(places.state());
-    lock = DirectoryLock.take(places.state().resolve("keeper.lock"));
+    this.entryListener = entryListener;
+    releases = new ReleaseDirectory(configuration.releasesDirectory());
+    stateMachine = new SupervisorStateMachine(limits);
+    Files.createDirectories(configuration.stateDirectory());
+    lock = DirectoryLock.take(configuration.stateDirectory().resolve("keeper.lock"));
     if (lock == null) {
-      throw new TakenException("another keeper has this box (" + places.state() + ")");
+      throw new DirectoryLockedException(
+          "another supervisor has locked the state directory (" + configuration.stateDirectory() + ")");
     }
-    journal = new SupervisorJournal(places.state().resolve("journal.jsonl"));
+    journal = new SupervisorJournal(configuration.stateDirectory().resolve("journal.jsonl"));
   }
 
   /**
-   * Keeps the box until {@link #stop}: adopts what runs, else starts this release, or the last one
-   * where it is null.
+   * Supervises the host until {@link #stop}: adopts the daemon that runs, else starts one.
+   *
+   * @param firstRelease release to start if none runs; null for the one that served last
    */
-  public void run(String first) throws IOException, InterruptedException {
-    socket = new CommandSocket(places.state().resolve(SOCKET), this::askLoop);
-    if (places.fleet() != null) {
-      fleet =
+  public void run(String firstRelease) throws IOException, InterruptedException {
+    socket = new CommandSocket(configuration.stateDirectory().resolve(SOCKET_FILE), this::submit);
+    if (configuration.controllerAddress() != null) {
+      controllerEndpoint =
           new ControllerEndpoint(
-              places.fleet(),
-              places.name(),
-              places.state(),
+              configuration.controllerAddress(),
+              configuration.hostName(),
+              configuration.stateDirectory(),
               releases,
-              this::askLoop,
-              () -> shown,
-              this::reads);
+              this::submit,
+              () -> hostStatus,
+              this::acceptsSettings);
     }
-    findStarted();
-    SupervisorRecovery found =
-        SupervisorRecovery.of(journal.entries(), step -> handle(step).isPresent());
-    for (SupervisorJournal.Entry each : found.end()) {
-      say(
+    recoverStartedDaemon();
+    SupervisorRecovery recovery =
+        SupervisorRecovery.of(journal.entries(), entry -> process(entry).isPresent());
+    for (SupervisorJournal.Entry entry : recovery.obsolete()) {
+      recordStep(
           "ended",
           SupervisorStateMachine.Role.CANDIDATE,
-          each.release(),
-          each.pid(),
-          each.startedAtMillis(),
-          each.adminPort(),
+          entry.release(),
+          entry.pid(),
+          entry.startedAtMillis(),
+          entry.adminPort(),
           "its change had no keeper any more");
-      handle(each).ifPresent(ProcessHandle::destroyForcibly);
+      process(entry).ifPresent(ProcessHandle::destroyForcibly);
     }
-    found.leave().forEach(each -> handle(each).ifPresent(ProcessHandle::destroy));
-    if (found.serves() != null) {
-      SupervisorJournal.Entry serves = found.serves();
-      running.put(
+    recovery.terminating().forEach(entry -> process(entry).ifPresent(ProcessHandle::destroy));
+    if (recovery.active() != null) {
+      SupervisorJournal.Entry active = recovery.active();
+      daemons.put(
           SupervisorStateMachine.Role.ACTIVE,
-          new Running(
-              serves.pid(),
-              serves.startedAtMillis(),
-              serves.adminPort(),
-              serves.release(),
-              handle(serves).orElseThrow()));
-      carryOut(keeper.adopt(found.release(), found.good(), found.probation(), now()));
+          new Daemon(
+              active.pid(),
+              active.startedAtMillis(),
+              active.adminPort(),
+              active.release(),
+              process(active).orElseThrow()));
+      carryOut(stateMachine.adopt(recovery.activeRelease(), recovery.fallbackRelease(), recovery.inProbation(), now()));
     } else {
-      String start = first != null ? first : found.release();
-      String against =
-          start.isEmpty() ? "no release is named, and none ran before" : releases.against(start);
-      if (!against.isEmpty() && !found.good().isEmpty()) {
-        start = found.good();
-        against = releases.against(start);
+      String startRelease = firstRelease != null ? firstRelease : recovery.activeRelease();
+      String obstacle =
+          startRelease.isEmpty()
+              ? "expected the name of a release, as the journal has none"
+              : releases.obstacle(startRelease);
+      if (!obstacle.isEmpty() && !recovery.fallbackRelease().isEmpty()) {
+        startRelease = recovery.fallbackRelease();
+        obstacle = releases.obstacle(startRelease);
       }
-      if (!against.isEmpty()) {
-        throw new IOException(against);
+      if (!obstacle.isEmpty()) {
+        throw new IOException(obstacle);
       }
-      carryOut(keeper.run(start, found.good(), now()));
+      carryOut(stateMachine.start(startRelease, recovery.fallbackRelease(), now()));
     }
-    Order order = null;
+    Command command = null;
     try {
-      while (!over) {
-        order = orders.poll(LOOK_MS, TimeUnit.MILLISECONDS);
-        if (order != null) {
-          order.answer().add(obey(order.text()));
+      while (!stopped) {
+        command = commands.poll(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        if (command != null) {
+          command.answer().add(execute(command.text()));
         }
-        look();
+        poll();
       }
     } finally {
-      // Guards against somebody who waits for ever for a keeper that has gone.
-      over = true;
-      if (order != null) {
-        order.answer().add(GONE);
+      // Whoever waits for an answer receives one: without it the caller would wait forever.
+      stopped = true;
+      if (command != null) {
+        command.answer().add(STOPPING);
       }
-      orders.forEach(each -> each.answer().add(GONE));
+      commands.forEach(waiting -> waiting.answer().add(STOPPING));
     }
   }
 
-  /** The keeper goes, and its daemons stay. */
+  /** Makes {@link #run} return; the daemons continue to run. */
   public void stop() {
-    over = true;
+    stopped = true;
   }
 
   /**
-   * A keeper that died just after it started a daemon left a step without its process: it is known
-   * by its door.
+   * A supervisor that was killed right after it started a daemon left a "starting" entry without a
+   * process ID. This finds the process by its admin port and journals it as started.
    */
-  private void findStarted() throws IOException {
-    List<SupervisorJournal.Entry> steps = journal.entries();
-    SupervisorJournal.Entry last = steps.isEmpty() ? null : steps.get(steps.size() - 1);
+  private void recoverStartedDaemon() throws IOException {
+    List<SupervisorJournal.Entry> entries = journal.entries();
+    SupervisorJournal.Entry last = entries.isEmpty() ? null : entries.get(entries.size() - 1);
     if (last == null || !last.event().equals("starting")) {
       return;
     }
-    String door = "EDGE_CONSOLE=127.0.0.1:" + last.adminPort();
-    for (ProcessHandle each : ProcessHandle.allProcesses().toList()) {
-      if (environment(each).contains(door)) {
+    String environmentVariable = "EDGE_CONSOLE=127.0.0.1:" + last.adminPort();
+    for (ProcessHandle process : ProcessHandle.allProcesses().toList()) {
+      if (environment(process).contains(environmentVariable)) {
         journal.add(
             new SupervisorJournal.Entry(
                 SteadyWallClock.wallMillis(),
@@ -233,20 +239,20 @@
                 last.role(),
                 last.release(),
                 last.fallbackRelease(),
-                each.pid(),
-                began(each),
+                process.pid(),
+                startMillis(process),
                 last.adminPort(),
                 "found by its door"));
       }
     }
   }
 
-  private static List<String> environment(ProcessHandle of) {
+  private static List<String> environment(ProcessHandle process) {
     try {
       return List.of(
-          Files.readString(Path.of("/proc/" + of.pid() + "/environ"), StandardCharsets.ISO_8859_1)
+          Files.readString(Path.of("/proc/" + process.pid() + "/environ"), StandardCharsets.ISO_8859_1)
               .split("\0"));
-    } catch (IOException gone) {
+    } catch (IOException exited) {
       return List.of();
     }
   }
@@ -255,252 +261,253 @@
     return System.nanoTime() / 1e9;
   }
 
-  private static Optional<ProcessHandle> handle(SupervisorJournal.Entry step) {
-    return ProcessHandle.of(step.pid())
+  private static Optional<ProcessHandle> process(SupervisorJournal.Entry entry) {
+    return ProcessHandle.of(entry.pid())
         .filter(ProcessHandle::isAlive)
-        .filter(handle -> began(handle) == step.startedAtMillis());
+        .filter(handle -> startMillis(handle) == entry.startedAtMillis());
   }
 
-  private static long began(ProcessHandle handle) {
+  private static long startMillis(ProcessHandle handle) {
     return handle.info().startInstant().map(at -> at.toEpochMilli()).orElse(0L);
   }
 
-  // ---- Orders ----
+  // ---- Commands ----
 
-  /** Has the keeper's own thread obey an order, and waits for its answer. */
-  private String askLoop(String text) {
-    Order order = new Order(text, new LinkedBlockingQueue<>());
-    orders.add(order);
-    if (over) {
-      order.answer().add(GONE);
+  /** Has the thread of {@link #run} execute a command, and waits for the answer. */
+  private String submit(String text) {
+    Command command = new Command(text, new LinkedBlockingQueue<>());
+    commands.add(command);
+    if (stopped) {
+      command.answer().add(STOPPING);
     }
     try {
-      return order.answer().take();
+      return command.answer().take();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return GONE;
+      return STOPPING;
     }
   }
 
-  /** Sends one order to the keeper of this folder; its answer, or null where none keeps it. */
-  public static String order(Path state, String text) {
-    return CommandSocket.order(state.resolve(SOCKET), text);
+  /** Sends a command to the supervisor of this directory; null if none answers. */
+  public static String sendCommand(Path stateDirectory, String text) {
+    return CommandSocket.order(stateDirectory.resolve(SOCKET_FILE), text);
   }
 
-  /** Answers begin with "ok" or "no". */
-  private String obey(String text) throws IOException {
-    String[] words = text.split(" ", 2);
-    switch (words[0]) {
+  /** Executes a command; the answer begins with "ok" or "no". */
+  private String execute(String text) throws IOException {
+    String[] parts = text.split(" ", 2);
+    switch (parts[0]) {
       case "status" -> {
         return status();
       }
       case "change" -> {
-        String to = words.length > 1 ? words[1] : "";
-        String against = keeper.against(to);
-        against = against.isEmpty() ? releases.against(to) : against;
-        if (!against.isEmpty()) {
-          return "no " + against;
+        String target = parts.length > 1 ? parts[1] : "";
+        String obstacle = stateMachine.obstacle(target);
+        obstacle = obstacle.isEmpty() ? releases.obstacle(target) : obstacle;
+        if (!obstacle.isEmpty()) {
+          return "no " + obstacle;
         }
-        carryOut(keeper.change(to, now()));
-        return "ok changing to " + to;
+        carryOut(stateMachine.change(target, now()));
+        return "ok changing to " + target;
       }
       case "back" -> {
-        String to = keeper.good();
-        String against = to.isEmpty() ? "" : releases.against(to);
-        if (!against.isEmpty()) {
-          return "no " + against;
+        String target = stateMachine.fallbackRelease();
+        String obstacle = target.isEmpty() ? "" : releases.obstacle(target);
+        if (!obstacle.isEmpty()) {
+          return "no " + obstacle;
         }
-        List<SupervisorStateMachine.Act> acts = keeper.back(now());
-        carryOut(acts);
-        return acts.isEmpty() ? "no there is nothing to go back to" : "ok going back";
+        List<SupervisorStateMachine.Action> actions = stateMachine.rollBack(now());
+        carryOut(actions);
+        return actions.isEmpty() ? "no there is nothing to go back to" : "ok going back";
       }
       case "stand" -> {
-        tellStand(words[1]);
+        sendRolloutStatus(parts[1]);
         return "ok";
       }
       case "go" -> {
-        String[] order = words[1].split(" ");
-        attempt = Integer.parseInt(order[0]);
-        told = order[1];
-        String answer = go(told, order.length > 2);
-        refusal = answer.startsWith("no ") ? answer.substring(3) : "";
-        show();
+        String[] parameters = parts[1].split(" ");
+        orderAttempt = Integer.parseInt(parameters[0]);
+        orderedRelease = parameters[1];
+        String answer = executeOrder(orderedRelease, parameters.length > 2);
+        orderRejection = answer.startsWith("no ") ? answer.substring(3) : "";
+        updateHostStatus();
         return answer;
       }
       default -> {
-        return "no such order: " + words[0];
+        return "no such order: " + parts[0];
       }
     }
   }
 
   /**
-   * A driver's word: this release is to serve, from wherever this box is; back from what was found
-   * bad, or not.
+   * Executes a controller's order: this release is to serve, in whatever state this host is.
+   *
+   * @param isRollback the active release was found bad: it doesn't become the fallback release
    */
-  private String go(String to, boolean back) throws IOException {
-    boolean coming = !keeper.candidate().isEmpty();
-    if (coming ? keeper.candidate().equals(to) : keeper.release().equals(to)) {
-      return "ok " + to + (coming ? " comes already" : " serves already");
+  private String executeOrder(String target, boolean isRollback) throws IOException {
+    boolean hasCandidate = !stateMachine.candidateRelease().isEmpty();
+    if (hasCandidate ? stateMachine.candidateRelease().equals(target) : stateMachine.activeRelease().equals(target)) {
+      return "ok " + target + (hasCandidate ? " comes already" : " serves already");
     }
-    String against = releases.against(to);
-    if (!against.isEmpty()) {
-      return "no " + against;
+    String obstacle = releases.obstacle(target);
+    if (!obstacle.isEmpty()) {
+      return "no " + obstacle;
     }
-    boolean undoes =
-        (keeper.state() == SupervisorStateMachine.State.CHANGING && keeper.release().equals(to))
-            || (keeper.state() == SupervisorStateMachine.State.PROBATION
-                && keeper.good().equals(to));
-    if (undoes) {
-      carryOut(keeper.back(now()));
-      return "ok going back to " + to;
+    boolean isUndo =
+        (stateMachine.state() == SupervisorStateMachine.State.CHANGING && stateMachine.activeRelease().equals(target))
+            || (stateMachine.state() == SupervisorStateMachine.State.PROBATION
+                && stateMachine.fallbackRelease().equals(target));
+    if (isUndo) {
+      carryOut(stateMachine.rollBack(now()));
+      return "ok going back to " + target;
     }
-    against = keeper.against(to);
-    if (!against.isEmpty()) {
-      return "no " + against;
+    obstacle = stateMachine.obstacle(target);
+    if (!obstacle.isEmpty()) {
+      return "no " + obstacle;
     }
-    carryOut(keeper.change(to, back, now()));
-    return "ok changing to " + to;
+    carryOut(stateMachine.change(target, isRollback, now()));
+    return "ok changing to " + target;
   }
 
   private String status() throws IOException {
-    Map<String, Object> all = new LinkedHashMap<>();
-    all.put("state", keeper.state().publishedName().toLowerCase(Locale.ROOT));
-    all.put("release", keeper.release());
-    all.put("candidate", keeper.candidate());
-    all.put("back_to", keeper.good());
-    all.put("reason", keeper.reason());
-    running.forEach(
-        (role, each) ->
-            all.put(
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("state", stateMachine.state().publishedName().toLowerCase(Locale.ROOT));
+    fields.put("release", stateMachine.activeRelease());
+    fields.put("candidate", stateMachine.candidateRelease());
+    fields.put("back_to", stateMachine.fallbackRelease());
+    fields.put("reason", stateMachine.lastProblem());
+    daemons.forEach(
+        (role, daemon) ->
+            fields.put(
                 role.publishedName().toLowerCase(Locale.ROOT),
                 Map.of(
                     "pid",
-                    each.pid(),
+                    daemon.pid(),
                     "release",
-                    each.release(),
+                    daemon.release(),
                     "door",
-                    each.door(),
+                    daemon.adminPort(),
                     "ready",
-                    DaemonStatus.at(each.door()).ready())));
-    return "ok " + new ObjectMapper().writeValueAsString(all);
+                    DaemonStatus.fetch(daemon.adminPort()).ready())));
+    return "ok " + new ObjectMapper().writeValueAsString(fields);
   }
 
   // ---- The daemons ----
 
-  private void look() throws IOException {
-    looks.clear();
-    for (SupervisorStateMachine.Role role : List.copyOf(running.keySet())) {
-      Running each = running.get(role);
-      if (each == null) {
-        continue; // it changed its role meanwhile
+  private void poll() throws IOException {
+    statuses.clear();
+    for (SupervisorStateMachine.Role role : List.copyOf(daemons.keySet())) {
+      Daemon daemon = daemons.get(role);
+      if (daemon == null) {
+        continue; // an earlier pass of this loop promoted or ended it
       }
-      if (!each.handle().isAlive()) {
-        running.remove(role);
-        deaths.merge(each.release(), 1, Integer::sum);
-        say("ended", role, each.release(), each.pid(), each.began(), each.door(), "by itself");
-        carryOut(keeper.died(role, now()));
+      if (!daemon.handle().isAlive()) {
+        daemons.remove(role);
+        exitsByRelease.merge(daemon.release(), 1, Integer::sum);
+        recordStep("ended", role, daemon.release(), daemon.pid(), daemon.startedAtMillis(), daemon.adminPort(), "by itself");
+        carryOut(stateMachine.onExit(role, now()));
         continue;
       }
-      DaemonStatus look = DaemonStatus.at(each.door());
-      looks.put(role, look);
-      if (keeper.state() != SupervisorStateMachine.State.SERVING
-          && keeper.state() != SupervisorStateMachine.State.PROBATION
-          && look.ready()) {
-        carryOut(keeper.ready(role, now()));
-      } else if (role == SupervisorStateMachine.Role.CANDIDATE && !look.refusal().isEmpty()) {
-        carryOut(keeper.refused(role, look.refusal(), now()));
+      DaemonStatus status = DaemonStatus.fetch(daemon.adminPort());
+      statuses.put(role, status);
+      if (stateMachine.state() != SupervisorStateMachine.State.SERVING
+          && stateMachine.state() != SupervisorStateMachine.State.PROBATION
+          && status.ready()) {
+        carryOut(stateMachine.onReady(role, now()));
+      } else if (role == SupervisorStateMachine.Role.CANDIDATE && !status.takeoverRejection().isEmpty()) {
+        carryOut(stateMachine.onTakeoverRejected(role, status.takeoverRejection(), now()));
       }
     }
-    ending.removeIf(each -> !each.handle().isAlive());
-    DaemonStatus serves =
-        running.containsKey(SupervisorStateMachine.Role.ACTIVE)
-            ? looks.get(SupervisorStateMachine.Role.ACTIVE)
+    terminatingDaemons.removeIf(daemon -> !daemon.handle().isAlive());
+    DaemonStatus active =
+        daemons.containsKey(SupervisorStateMachine.Role.ACTIVE)
+            ? statuses.get(SupervisorStateMachine.Role.ACTIVE)
             : null;
-    carryOut(keeper.tick(serves == null ? null : serves.figures(), now()));
-    if (fleet != null) {
-      show();
+    carryOut(stateMachine.tick(active == null ? null : active.answerCounts(), now()));
+    if (controllerEndpoint != null) {
+      updateHostStatus();
     }
   }
 
   /**
-   * What a driver of the fleet is shown: made here, so that no call of a driver waits for a daemon
-   * that is silent.
+   * Updates what controllers see of this host. It is prepared here, so that no request of a
+   * controller waits for a daemon that doesn't answer.
    */
-  private void show() {
-    Running serves = running.get(SupervisorStateMachine.Role.ACTIVE);
-    DaemonStatus look = serves == null ? null : looks.get(SupervisorStateMachine.Role.ACTIVE);
+  private void updateHostStatus() {
+    Daemon active = daemons.get(SupervisorStateMachine.Role.ACTIVE);
+    DaemonStatus status = active == null ? null : statuses.get(SupervisorStateMachine.Role.ACTIVE);
     boolean settled =
-        keeper.state() == SupervisorStateMachine.State.SERVING
-            || keeper.state() == SupervisorStateMachine.State.PROBATION;
-    boolean missed =
-        keeper.state() == SupervisorStateMachine.State.SERVING
-            && !told.isEmpty()
-            && !told.equals(keeper.release());
-    Map<String, Object> all = new LinkedHashMap<>();
-    all.put("state", keeper.state().publishedName().toLowerCase(Locale.ROOT));
-    all.put("release", keeper.release());
-    all.put("settled", settled && look != null && look.ready());
-    all.put("acts", serves == null || look == null ? "" : acts(serves, look));
-    all.put("told", told);
-    all.put("attempt", attempt);
-    all.put(
+        stateMachine.state() == SupervisorStateMachine.State.SERVING
+            || stateMachine.state() == SupervisorStateMachine.State.PROBATION;
+    boolean targetMissed =
+        stateMachine.state() == SupervisorStateMachine.State.SERVING
+            && !orderedRelease.isEmpty()
+            && !orderedRelease.equals(stateMachine.activeRelease());
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("state", stateMachine.state().publishedName().toLowerCase(Locale.ROOT));
+    fields.put("release", stateMachine.activeRelease());
+    fields.put("settled", settled && status != null && status.ready());
+    fields.put("acts", active == null || status == null ? "" : releaseOf(active, status));
+    fields.put("told", orderedRelease);
+    fields.put("attempt", orderAttempt);
+    fields.put(
         "failed",
-        !refusal.isEmpty()
-            ? refusal
-            : !missed ? "" : keeper.reason().isEmpty() ? "it did not go" : keeper.reason());
-    all.put("deaths", new LinkedHashMap<>(deaths));
-    all.put("good", keeper.good());
-    if (serves != null && look != null) {
-      all.put("pid", serves.pid());
-      all.put("up", look.up());
-      all.put("calls", look.calls());
-      all.put("badCalls", look.badCalls());
-      all.put("classes", look.classes());
+        !orderRejection.isEmpty()
+            ? orderRejection
+            : !targetMissed ? "" : stateMachine.lastProblem().isEmpty() ? "it did not go" : stateMachine.lastProblem());
+    fields.put("deaths", new LinkedHashMap<>(exitsByRelease));
+    fields.put("good", stateMachine.fallbackRelease());
+    if (active != null && status != null) {
+      fields.put("pid", active.pid());
+      fields.put("up", status.uptimeSeconds());
+      fields.put("calls", status.dependencyCalls());
+      fields.put("badCalls", status.failedDependencyCalls());
+      fields.put("classes", status.requestClasses());
       try {
-        all.put("cpu", ProcessInfo.cpuSeconds(serves.pid()));
-        all.put("ownMb", ProcessInfo.memoryKb(serves.pid(), "RssAnon") / 1024.0);
-      } catch (IOException gone) {
-        Logger.debug("{} has just ended", serves.pid());
+        fields.put("cpu", ProcessInfo.cpuSeconds(active.pid()));
+        fields.put("ownMb", ProcessInfo.memoryKb(active.pid(), "RssAnon") / 1024.0);
+      } catch (IOException exited) {
+        Logger.debug("daemon exited before its usage was read pid={}", active.pid());
       }
     }
-    shown = all;
+    hostStatus = fields;
   }
 
   /**
-   * The release that a daemon is, by the digest that it says of itself: where that is not the one
-   * it was started from, the one that has it; empty where none has.
+   * The release that a daemon runs, by the build digest that it reports: the one it was started
+   * from, or else any release with that digest; empty if there is none or no digest is reported.
    */
-  private String acts(Running serves, DaemonStatus look) {
-    if (look.build().isEmpty() || look.build().equals(releases.build(serves.release()))) {
-      return look.build().isEmpty() ? "" : serves.release();
+  private String releaseOf(Daemon daemon, DaemonStatus status) {
+    if (status.buildDigest().isEmpty() || status.buildDigest().equals(releases.programDigest(daemon.release()))) {
+      return status.buildDigest().isEmpty() ? "" : daemon.release();
     }
     try {
       return releases.names().stream()
-          .filter(name -> releases.build(name).equals(look.build()))
+          .filter(name -> releases.programDigest(name).equals(status.buildDigest()))
           .findFirst()
           .orElse("");
-    } catch (IOException unread) {
+    } catch (IOException unreadable) {
       return "";
     }
   }
 
-  /** Asks the program of one release whether it can read the settings of another. */
-  private boolean reads(String program, String settings) {
-    List<String> command = new ArrayList<>(places.java());
+  /** Whether the program of one release accepts the settings of another. */
+  private boolean acceptsSettings(String programRelease, String settingsRelease) {
+    List<String> command = new ArrayList<>(configuration.javaCommand());
     command.addAll(
         List.of(
             "-jar",
-            releases.of(program).resolve(ReleaseDirectory.JAR).toString(),
+            releases.path(programRelease).resolve(ReleaseDirectory.JAR).toString(),
             "settings",
             "check",
-            releases.of(settings).resolve(ReleaseDirectory.SETTINGS).toString()));
+            releases.path(settingsRelease).resolve(ReleaseDirectory.SETTINGS).toString()));
     try {
       Process check =
           new ProcessBuilder(command)
               .redirectErrorStream(true)
               .redirectOutput(ProcessBuilder.Redirect.DISCARD)
               .start();
-      return check.waitFor(CHECK_S, TimeUnit.SECONDS) && check.exitValue() == 0;
+      return check.waitFor(SETTINGS_CHECK_TIMEOUT_S, TimeUnit.SECONDS) && check.exitValue() == 0;
     } catch (IOException e) {
       return false;
     } catch (InterruptedException e) {
@@ -509,136 +516,136 @@
     }
   }
 
-  /** The daemon that serves is told where the fleet stands, for its door and its MIB. */
-  void tellStand(String query) {
-    Running serves = running.get(SupervisorStateMachine.Role.ACTIVE);
-    if (serves != null) {
+  /** Sends the state of the rollout to the active daemon, for its admin endpoint and its MIB. */
+  void sendRolloutStatus(String query) {
+    Daemon active = daemons.get(SupervisorStateMachine.Role.ACTIVE);
+    if (active != null) {
       try {
-        DaemonStatus.get(serves.door(), "POST", "/_fleet?" + query);
-      } catch (IOException silent) {
-        Logger.debug("the daemon at {} does not answer", serves.door());
+        DaemonStatus.request(active.adminPort(), "POST", "/_fleet?" + query);
+      } catch (IOException unreachable) {
+        Logger.debug("daemon did not accept the rollout status port={}", active.adminPort());
       }
     }
   }
 
-  private void carryOut(List<SupervisorStateMachine.Act> acts) throws IOException {
-    for (SupervisorStateMachine.Act act : acts) {
-      Running of = running.get(act.role());
-      switch (act.kind()) {
-        case START -> start(act);
+  private void carryOut(List<SupervisorStateMachine.Action> actions) throws IOException {
+    for (SupervisorStateMachine.Action action : actions) {
+      Daemon daemon = daemons.get(action.role());
+      switch (action.kind()) {
+        case START -> startDaemon(action);
         case TERM, KILL -> {
-          if (of != null) {
-            say("ended", act.role(), of.release(), of.pid(), of.began(), of.door(), act.why());
-            running.remove(act.role());
-            ending.add(of);
-            if (act.kind() == SupervisorStateMachine.Act.Kind.TERM) {
-              of.handle().destroy();
+          if (daemon != null) {
+            recordStep("ended", action.role(), daemon.release(), daemon.pid(), daemon.startedAtMillis(), daemon.adminPort(), action.reason());
+            daemons.remove(action.role());
+            terminatingDaemons.add(daemon);
+            if (action.kind() == SupervisorStateMachine.Action.Kind.TERM) {
+              daemon.handle().destroy();
             } else {
-              of.handle().destroyForcibly();
+              daemon.handle().destroyForcibly();
             }
           }
         }
         case PROMOTE -> {
-          Running came = running.remove(SupervisorStateMachine.Role.CANDIDATE);
-          if (came != null) {
-            running.put(SupervisorStateMachine.Role.ACTIVE, came);
-            say(
+          Daemon candidate = daemons.remove(SupervisorStateMachine.Role.CANDIDATE);
+          if (candidate != null) {
+            daemons.put(SupervisorStateMachine.Role.ACTIVE, candidate);
+            recordStep(
                 "promoted",
                 SupervisorStateMachine.Role.ACTIVE,
-                came.release(),
-                came.pid(),
-                came.began(),
-                came.door(),
-                act.why());
+                candidate.release(),
+                candidate.pid(),
+                candidate.startedAtMillis(),
+                candidate.adminPort(),
+                action.reason());
           }
         }
-        case SAY ->
-            say(
-                act.why().startsWith("held") ? "held" : "said",
-                act.role(),
-                act.release(),
+        case RECORD ->
+            recordStep(
+                action.reason().startsWith("held") ? "held" : "said",
+                action.role(),
+                action.release(),
                 0,
                 0,
                 0,
-                act.why());
-        default -> throw new IllegalStateException("nothing does " + act);
+                action.reason());
+        default -> throw new IllegalStateException("unknown kind of action: " + action);
       }
     }
   }
 
-  private void start(SupervisorStateMachine.Act act) throws IOException {
-    String against = releases.against(act.release());
-    if (!against.isEmpty()) {
-      say("said", act.role(), act.release(), 0, 0, 0, against);
-      carryOut(keeper.died(act.role(), now()));
+  private void startDaemon(SupervisorStateMachine.Action action) throws IOException {
+    String obstacle = releases.obstacle(action.release());
+    if (!obstacle.isEmpty()) {
+      recordStep("said", action.role(), action.release(), 0, 0, 0, obstacle);
+      carryOut(stateMachine.onExit(action.role(), now()));
       return;
     }
-    Path release = releases.of(act.release());
-    List<String> command = new ArrayList<>(places.java());
+    Path release = releases.path(action.release());
+    List<String> command = new ArrayList<>(configuration.javaCommand());
     command.addAll(List.of("-jar", release.resolve(ReleaseDirectory.JAR).toString(), "serve"));
     Path settings = release.resolve(ReleaseDirectory.SETTINGS);
     if (Files.exists(settings)) {
       command.addAll(List.of("--appliance", settings.toString()));
     }
-    int door = Address.freePort();
+    int adminPort = Address.freePort();
     Path log =
-        places.state().resolve("daemon-" + SteadyWallClock.wallMillis() + "-" + ++logs + ".log");
+        configuration.stateDirectory().resolve("daemon-" + SteadyWallClock.wallMillis() + "-" + ++daemonLogs + ".log");
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectInput(ProcessBuilder.Redirect.from(Path.of("/dev/null").toFile()))
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
-    builder.environment().put("EDGE_CONFIG", places.config().toString());
-    builder.environment().put("EDGE_CONSOLE", "127.0.0.1:" + door);
-    builder.environment().put("TMPDIR", places.state().toString());
-    // A keeper that dies between the two would leave a daemon that no journal names: the step
-    // stands there before.
-    say("starting", act.role(), act.release(), 0, 0, door, act.why());
+    builder.environment().put("EDGE_CONFIG", configuration.daemonConfig().toString());
+    builder.environment().put("EDGE_CONSOLE", "127.0.0.1:" + adminPort);
+    builder.environment().put("TMPDIR", configuration.stateDirectory().toString());
+    // Journaled before the start: a supervisor killed in between would leave a daemon that no entry
+    // names.
+    recordStep("starting", action.role(), action.release(), 0, 0, adminPort, action.reason());
     ProcessHandle handle = builder.start().toHandle();
-    running.put(act.role(), new Running(handle.pid(), began(handle), door, act.release(), handle));
-    say("started", act.role(), act.release(), handle.pid(), began(handle), door, act.why());
+    daemons.put(action.role(), new Daemon(handle.pid(), startMillis(handle), adminPort, action.release(), handle));
+    recordStep("started", action.role(), action.release(), handle.pid(), startMillis(handle), adminPort, action.reason());
   }
 
-  private void say(
-      String what,
+  private void recordStep(
+      String event,
       SupervisorStateMachine.Role role,
       String release,
       long pid,
-      long began,
-      int door,
-      String why)
+      long startedAtMillis,
+      int adminPort,
+      String reason)
       throws IOException {
     SupervisorJournal.Entry entry =
         new SupervisorJournal.Entry(
             SteadyWallClock.wallMillis(),
-            what,
+            event,
             role.publishedName(),
             release,
-            keeper.good(),
+            stateMachine.fallbackRelease(),
             pid,
-            began,
-            door,
-            why);
-    before.accept(entry);
+            startedAtMillis,
+            adminPort,
+            reason);
+    entryListener.accept(entry);
     try {
       journal.add(entry);
-    } catch (IOException full) {
-      // Guards against a full disk ending the keeper within a change: what serves goes on, and
-      // people are told.
-      Logger.error("the keeper's journal cannot be written ({}): {}", full.getMessage(), entry);
+    } catch (IOException e) {
+      // A full disk must not end the supervisor during a change: the daemon continues to serve, and
+      // the log has the entry.
+      Logger.error("journal entry could not be written error={} entry={}", e.getMessage(), entry);
     }
     out.println(
-        what
+        event
             + " "
             + release
             + (pid == 0 ? "" : " (" + pid + ")")
-            + (why.isEmpty() ? "" : ": " + why));
+            + (reason.isEmpty() ? "" : ": " + reason));
   }
 
   @Override
   public void close() throws IOException {
-    if (fleet != null) {
-      fleet.close();
+    if (controllerEndpoint != null) {
+      controllerEndpoint.close();
     }
     if (socket != null) {
       socket.close();
--- a/src/main/java/wharftrestle/supervisor/JsonLineJournal.java
+++ b/src/main/java/wharftrestle/supervisor/JsonLineJournal.java
@@ -14,11 +14,11 @@
 import java.util.List;
 
 /**
- * A journal on disk: a JSON object a line, each synced before what it says is done. A last line
- * that is not whole, as a kill or a full disk leaves it, counts for nothing and is cut off. It must
- * never be written over.
+ * An append-only journal on disk with one JSON object on each line. Each entry is synced before
+ * {@link #add} returns, so a caller can act on it. An incomplete last line, as a kill or a full
+ * disk leaves it, is dropped. Thread-safe.
  *
- * @param <E> a line, a record that Jackson reads and writes
+ * @param <E> an entry, a record that Jackson reads and writes
  */
 public class JsonLineJournal<E> implements Closeable {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -27,64 +27,65 @@
   private final List<E> entries = new ArrayList<>();
 
   /**
-   * @throws IOException also where a line that is not the last cannot be read: then nothing of it
-   *     is believed
+   * Opens the journal, which is created if absent.
+   *
+   * @throws IOException also if a complete line is malformed: then no entry of the file is trusted
    */
   public JsonLineJournal(Path path, Class<E> type) throws IOException {
-    boolean fresh = !Files.exists(path);
-    long whole = fresh ? 0 : read(path, type, entries);
+    boolean isNew = !Files.exists(path);
+    long completeBytes = isNew ? 0 : read(path, type, entries);
     file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-    file.truncate(whole);
-    file.position(whole);
-    if (fresh) {
-      syncFolder(path);
+    file.truncate(completeBytes);
+    file.position(completeBytes);
+    if (isNew) {
+      syncDirectory(path);
     }
   }
 
-  /** Reads the whole lines of a journal that may be somebody else's, and leaves it as it is. */
+  /** Reads the complete lines of a journal that another process may have open. */
   public static <E> List<E> read(Path path, Class<E> type) throws IOException {
     List<E> all = new ArrayList<>();
     read(path, type, all);
     return all;
   }
 
-  /** Reads the whole lines; the bytes that they take. */
+  /** Reads the complete lines; returns their length in bytes. */
   private static <E> long read(Path path, Class<E> type, List<E> into) throws IOException {
     byte[] bytes = Files.readAllBytes(path);
-    int from = 0;
+    int lineStart = 0;
     for (int i = 0; i < bytes.length; i++) {
       if (bytes[i] == '\n') {
         try {
-          into.add(JSON.readValue(bytes, from, i - from, type));
+          into.add(JSON.readValue(bytes, lineStart, i - lineStart, type));
         } catch (JsonProcessingException e) {
-          throw new IOException(path + ", line " + (into.size() + 1) + ": cannot be read");
+          throw new IOException(path + ", line " + (into.size() + 1) + ": malformed journal entry");
         }
-        from = i + 1;
+        lineStart = i + 1;
       }
     }
-    return from;
+    return lineStart;
   }
 
-  /** A file that is new is there after a loss of power only once its folder is on disk. */
-  private static void syncFolder(Path path) throws IOException {
-    try (FileChannel folder = FileChannel.open(path.toAbsolutePath().getParent())) {
-      folder.force(true);
+  /** Without this a new file may be missing from its directory after a loss of power. */
+  private static void syncDirectory(Path path) throws IOException {
+    try (FileChannel directory = FileChannel.open(path.toAbsolutePath().getParent())) {
+      directory.force(true);
     }
   }
 
-  /** All lines, the oldest first. */
+  /** All entries, the oldest first. */
   public synchronized List<E> entries() {
     return List.copyOf(entries);
   }
 
-  /** The newest line; null for none. */
+  /** The newest entry; null if there is none. */
   public synchronized E last() {
     return entries.isEmpty() ? null : entries.get(entries.size() - 1);
   }
 
-  /** Writes a line, which is on disk when this returns. */
+  /** Appends an entry, which is on disk when this returns. */
   public synchronized void add(E entry) throws IOException {
-    long at = file.position();
+    long start = file.position();
     ByteBuffer line =
         ByteBuffer.wrap((JSON.writeValueAsString(entry) + "\n").getBytes(StandardCharsets.UTF_8));
     try {
@@ -92,10 +93,11 @@
         file.write(line);
       }
       file.force(false);
-    } catch (IOException full) {
-      file.truncate(at); // guards against half a line within the journal, once there is room again
-      file.position(at);
-      throw full;
+    } catch (IOException e) {
+      // Half a line would make the journal malformed as soon as a later entry follows it.
+      file.truncate(start);
+      file.position(start);
+      throw e;
     }
     entries.add(entry);
   }
--- a/src/main/java/wharftrestle/supervisor/ProcessInfo.java
+++ b/src/main/java/wharftrestle/supervisor/ProcessInfo.java
@@ -4,13 +4,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the kernel says of a process. */
+/** Resource usage of a process, as Linux reports it in /proc. */
 public final class ProcessInfo {
   private ProcessInfo() {}
 
   /**
-   * Seconds of all cores that a process has used, by itself and in the system; in hundredths, as
-   * Linux counts them.
+   * CPU seconds that a process has used on all cores, in user and in kernel mode. Linux counts them
+   * in hundredths.
    */
   public static double cpuSeconds(long pid) throws IOException {
     String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
@@ -19,11 +19,14 @@
   }
 
   /**
-   * Memory of a process, kB: VmHWM is the most that was resident, RssAnon what can only be its own.
+   * Memory of a process in kB.
+   *
+   * @param field a field of /proc/PID/status, as VmHWM (peak resident set) or RssAnon (resident
+   *     anonymous memory, which is not shared)
    */
-  public static long memoryKb(long pid, String name) throws IOException {
+  public static long memoryKb(long pid, String field) throws IOException {
     return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
-        .filter(line -> line.startsWith(name + ":"))
+        .filter(line -> line.startsWith(field + ":"))
         .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
         .findFirst()
         .orElse(0);
--- a/src/main/java/wharftrestle/supervisor/ReleaseDirectory.java
+++ b/src/main/java/wharftrestle/supervisor/ReleaseDirectory.java
@@ -11,72 +11,72 @@
 import wharftrestle.version.BuildInfo;
 
 /**
- * The folder of releases: a folder each, with the jar, what else it is run with, and the digests of
- * all of it. It must never call a release whole whose digests are missing or differ: half a copy
- * has no list, as that is written last.
+ * The directory of releases. Each release is a subdirectory with the program's jar, optionally its
+ * settings, and a list of digests. A release is usable only if its files match the list; the list
+ * is written last, so that a copy that was interrupted has none.
  */
 public final class ReleaseDirectory {
-  /** The list of digests, as sha256sum writes it. */
-  static final String SUMS = "SHA256SUMS";
+  /** The list of digests, in the format of sha256sum. */
+  static final String DIGEST_LIST = "SHA256SUMS";
 
   /** The program. */
   public static final String JAR = "wharftrestle.jar";
 
-  /** The operators' settings of a release, where it has its own. */
+  /** The operators' settings of a release; optional. */
   public static final String SETTINGS = "appliance.star";
 
-  private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
+  private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
 
-  private final Path folder;
+  private final Path directory;
 
-  public ReleaseDirectory(Path folder) {
-    this.folder = folder;
+  public ReleaseDirectory(Path directory) {
+    this.directory = directory;
   }
 
-  /** Where a release lies. */
-  public Path of(String name) {
-    return folder.resolve(name);
+  /** The directory of a release. */
+  public Path path(String name) {
+    return directory.resolve(name);
   }
 
-  /** The names of all releases, whole or not, in order. */
+  /** The names of all releases, complete or not, sorted. */
   public List<String> names() throws IOException {
-    try (Stream<Path> all = Files.list(folder)) {
-      return all.filter(Files::isDirectory)
-          .map(each -> each.getFileName().toString())
-          .filter(name -> name.matches(NAME))
+    try (Stream<Path> paths = Files.list(directory)) {
+      return paths.filter(Files::isDirectory)
+          .map(entry -> entry.getFileName().toString())
+          .filter(name -> name.matches(NAME_PATTERN))
           .sorted()
           .toList();
     }
   }
 
-  /** Why a release cannot be started; empty where it can. Reads every byte of it. */
-  public String against(String name) {
-    if (!name.matches(NAME)) {
+  /** Why a release cannot be started; empty if it can. Reads all of its files. */
+  public String obstacle(String name) {
+    if (!name.matches(NAME_PATTERN)) {
       return "'" + name + "' is no name of a release";
     }
-    Path release = of(name);
+    Path release = path(name);
     if (!Files.isDirectory(release)) {
-      return "there is no release '" + name + "' in " + folder;
+      return "there is no release '" + name + "' in " + directory;
     }
     try {
-      Path list = release.resolve(SUMS);
+      Path list = release.resolve(DIGEST_LIST);
       if (!Files.exists(list)) {
-        return "release '" + name + "' is not whole: it has no " + SUMS;
+        return "release '" + name + "' is not whole: it has no " + DIGEST_LIST;
       }
-      Map<String, String> sums = read(list);
-      if (!sums.containsKey(JAR)) {
+      Map<String, String> digests = readDigests(list);
+      if (!digests.containsKey(JAR)) {
         return "release '" + name + "' lists no " + JAR;
       }
-      for (Map.Entry<String, String> each : sums.entrySet()) {
-        Path file = release.resolve(each.getKey());
+      for (Map.Entry<String, String> entry : digests.entrySet()) {
+        Path file = release.resolve(entry.getKey());
         if (!Files.isRegularFile(file)) {
-          return "release '" + name + "' is not whole: " + each.getKey() + " is missing";
+          return "release '" + name + "' is not whole: " + entry.getKey() + " is missing";
         }
-        if (!BuildInfo.digest(file).equals(each.getValue())) {
+        if (!BuildInfo.digest(file).equals(entry.getValue())) {
           return "release '"
               + name
               + "' is not what was packed: the digest of "
-              + each.getKey()
+              + entry.getKey()
               + " is another";
         }
       }
@@ -87,62 +87,63 @@
   }
 
   /**
-   * SHA-256 of a release's program as its list has it; empty where it has none. Reads the list
-   * alone.
+   * SHA-256 of a release's program according to its list; empty if the list has none. The program
+   * itself is not read.
    */
-  public String build(String name) {
-    return listed(name).getOrDefault(JAR, "");
+  public String programDigest(String name) {
+    return listedDigests(name).getOrDefault(JAR, "");
   }
 
-  /** SHA-256 of a release's own settings as its list has it; empty where it has none. */
-  public String settings(String name) {
-    return listed(name).getOrDefault(SETTINGS, "");
+  /** SHA-256 of a release's settings according to its list; empty if the list has none. */
+  public String settingsDigest(String name) {
+    return listedDigests(name).getOrDefault(SETTINGS, "");
   }
 
-  private Map<String, String> listed(String name) {
+  private Map<String, String> listedDigests(String name) {
     try {
-      return name.matches(NAME) ? read(of(name).resolve(SUMS)) : Map.of();
-    } catch (IOException none) {
+      return name.matches(NAME_PATTERN) ? readDigests(path(name).resolve(DIGEST_LIST)) : Map.of();
+    } catch (IOException unreadable) {
       return Map.of();
     }
   }
 
-  private static Map<String, String> read(Path list) throws IOException {
-    Map<String, String> sums = new LinkedHashMap<>();
+  private static Map<String, String> readDigests(Path list) throws IOException {
+    Map<String, String> digests = new LinkedHashMap<>();
     for (String line : Files.readAllLines(list)) {
       if (!line.matches("[0-9a-f]{64} [ *][^/\\\\]{1,255}")) {
-        throw new IOException("no line of digests: '" + line + "'");
+        throw new IOException("expected a line of digest and file name, found '" + line + "'");
       }
-      sums.put(line.substring(66), line.substring(0, 64));
+      digests.put(line.substring(66), line.substring(0, 64));
     }
-    return sums;
+    return digests;
   }
 
   /**
-   * Makes a release of a jar, and settings where they are not null: in a folder beside, which gets
-   * its name last.
+   * Creates a release. It is assembled in a temporary directory, which is renamed last: so it
+   * appears completely or not at all.
    *
-   * @throws IOException also where there is a release of that name
+   * @param settings null for a release without settings
+   * @throws IOException also if the name is malformed or in use
    */
   public void pack(Path jar, Path settings, String name) throws IOException {
-    if (!name.matches(NAME) || Files.exists(of(name))) {
-      throw new IOException("'" + name + "' is there already, or no name of a release");
+    if (!name.matches(NAME_PATTERN) || Files.exists(path(name))) {
+      throw new IOException("'" + name + "' already exists or is not a valid release name");
     }
-    Files.createDirectories(folder);
-    Path made = Files.createTempDirectory(folder, ".pack-");
-    Files.copy(jar, made.resolve(JAR), StandardCopyOption.REPLACE_EXISTING);
+    Files.createDirectories(directory);
+    Path staging = Files.createTempDirectory(directory, ".pack-");
+    Files.copy(jar, staging.resolve(JAR), StandardCopyOption.REPLACE_EXISTING);
     Files.writeString(
-        made.resolve(JAR + ".sha256"), BuildInfo.digest(made.resolve(JAR)) + "  " + JAR + "\n");
+        staging.resolve(JAR + ".sha256"), BuildInfo.digest(staging.resolve(JAR)) + "  " + JAR + "\n");
     if (settings != null) {
-      Files.copy(settings, made.resolve(SETTINGS));
+      Files.copy(settings, staging.resolve(SETTINGS));
     }
-    StringBuilder sums = new StringBuilder();
-    try (Stream<Path> all = Files.list(made)) {
-      for (Path file : (Iterable<Path>) all.sorted()::iterator) {
-        sums.append(BuildInfo.digest(file)).append("  ").append(file.getFileName()).append('\n');
+    StringBuilder digests = new StringBuilder();
+    try (Stream<Path> paths = Files.list(staging)) {
+      for (Path file : (Iterable<Path>) paths.sorted()::iterator) {
+        digests.append(BuildInfo.digest(file)).append("  ").append(file.getFileName()).append('\n');
       }
     }
-    Files.writeString(made.resolve(SUMS), sums);
-    Files.move(made, of(name), StandardCopyOption.ATOMIC_MOVE);
+    Files.writeString(staging.resolve(DIGEST_LIST), digests);
+    Files.move(staging, path(name), StandardCopyOption.ATOMIC_MOVE);
   }
 }
--- a/src/main/java/wharftrestle/supervisor/SupervisorCommand.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorCommand.java
@@ -14,19 +14,19 @@
 import wharftrestle.settings.Settings;
 
 /**
- * The command line of a box's keeper; an order that is not obeyed is one plain line and exit code
- * 1.
+ * The command line of the supervisor of a host. A command that is rejected prints one line to
+ * standard error and exits with code 1.
  */
 @Command(
     name = "box",
-    description = "keep one box: start its daemon, change it, take it back",
+    description = "supervise one host: start its daemon, change its release, roll it back",
     subcommands = {
       SupervisorCommand.Run.class,
       SupervisorCommand.Change.class,
       SupervisorCommand.Back.class,
       SupervisorCommand.Status.class,
       SupervisorCommand.Pack.class,
-      SupervisorCommand.Releasing.class
+      SupervisorCommand.Releases.class
     })
 public final class SupervisorCommand implements Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -37,80 +37,80 @@
         spec.commandLine(), "name a command: box run, change, back, status, pack or releases");
   }
 
-  /** Keeps a box until it is told to go; its daemons stay. */
+  /** Supervises a host until the process is stopped; the daemons continue to run. */
   @Command(
       name = "run",
       description =
-          "keep this box, in the foreground; on TERM the keeper goes and its daemon stays")
+          "supervise this host in the foreground; TERM ends the supervisor and not its daemon")
   static final class Run implements Callable<Integer> {
     @Option(
         names = "--releases",
         paramLabel = "DIR",
         required = true,
-        description = "the folder of releases")
-    private Path releases;
+        description = "the directory of releases")
+    private Path releasesDirectory;
 
     @Option(
         names = "--dir",
         paramLabel = "DIR",
         required = true,
-        description = "the keeper's own folder")
-    private Path state;
+        description = "the supervisor's state directory")
+    private Path stateDirectory;
 
     @Option(
         names = "--settings",
         paramLabel = "FILE",
-        description = "a script with box(...), for the limits")
-    private Path settings;
+        description = "a settings script with box(...), which sets the limits")
+    private Path settingsFile;
 
     @Option(
         names = "--java",
         paramLabel = "OPTIONS",
         description = "the JVM and its options, before -jar",
         defaultValue = "java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xmx40m -Xss192k")
-    private String java;
+    private String javaOptions;
 
     @Option(
         names = "--fleet",
         paramLabel = "HOST:PORT",
-        description = "where a driver of the fleet may call; default: nowhere")
-    private String fleet;
+        description = "address to listen on for rollout controllers; default: none")
+    private String controllerAddress;
 
     @Option(
         names = "--name",
         paramLabel = "BOX",
-        description = "the box's name within the fleet",
+        description = "the host's name within the fleet",
         defaultValue = "")
     private String name;
 
     @Parameters(
         paramLabel = "RELEASE",
         arity = "0..1",
-        description = "to start where nothing runs; default: the last")
-    private String first;
+        description = "release to start if no daemon runs; default: the one that served last")
+    private String startRelease;
 
     @Override
-    @SuppressWarnings("ClosingStandardOutputStreams") // a keeper closes what is its own
+    @SuppressWarnings("ClosingStandardOutputStreams") // the supervisor doesn't close System.out
     public Integer call() throws Exception {
       String config = System.getenv("EDGE_CONFIG");
       if (config == null || config.isBlank()) {
         throw new DaemonConfig.BadConfigException("EDGE_CONFIG names no configuration file");
       }
-      Settings set = settings == null ? Settings.none() : Settings.read(settings);
-      List<String> command = new ArrayList<>(Arrays.asList(java.trim().split(" +")));
-      HostSupervisor.Places places =
-          new HostSupervisor.Places(
-              state.toAbsolutePath(),
-              releases.toAbsolutePath(),
+      Settings settings = settingsFile == null ? Settings.none() : Settings.read(settingsFile);
+      List<String> javaCommand = new ArrayList<>(Arrays.asList(javaOptions.trim().split(" +")));
+      HostSupervisor.Configuration configuration =
+          new HostSupervisor.Configuration(
+              stateDirectory.toAbsolutePath(),
+              releasesDirectory.toAbsolutePath(),
               Path.of(config).toAbsolutePath(),
-              command,
+              javaCommand,
               name,
-              fleet == null ? null : DaemonConfig.address("--fleet", fleet));
-      try (HostSupervisor keeper = new HostSupervisor(places, limits(set), System.out)) {
-        Runtime.getRuntime().addShutdownHook(new Thread(keeper::stop));
-        keeper.run(first);
+              controllerAddress == null ? null : DaemonConfig.address("--fleet", controllerAddress));
+      try (HostSupervisor supervisor = new HostSupervisor(configuration, limits(settings), System.out)) {
+        Runtime.getRuntime().addShutdownHook(new Thread(supervisor::stop));
+        supervisor.run(startRelease);
         return 0;
-      } catch (HostSupervisor.TakenException e) {
+      } catch (HostSupervisor.DirectoryLockedException e) {
         throw new DaemonConfig.BadConfigException(e.getMessage());
       } catch (IOException e) {
         System.err.println("wharftrestle: " + e.getMessage());
@@ -119,97 +119,97 @@
     }
   }
 
-  /** The limits that a script sets, or the schema does. */
-  public static SupervisorStateMachine.Limits limits(Settings set) {
+  /** The limits from a settings script, or their defaults in the schema. */
+  public static SupervisorStateMachine.Limits limits(Settings settings) {
     return new SupervisorStateMachine.Limits(
-        number(set, "ready_s"),
-        number(set, "probation_s"),
-        number(set, "worse_failed"),
-        number(set, "worse_refused"),
-        (long) set.value("box", "least_answers"),
-        number(set, "pause_s"),
-        number(set, "most_pause_s"),
-        (int) (long) set.value("box", "deaths"));
+        number(settings, "ready_s"),
+        number(settings, "probation_s"),
+        number(settings, "worse_failed"),
+        number(settings, "worse_refused"),
+        (long) settings.value("box", "least_answers"),
+        number(settings, "pause_s"),
+        number(settings, "most_pause_s"),
+        (int) (long) settings.value("box", "deaths"));
   }
 
-  private static double number(Settings set, String field) {
-    return (double) set.value("box", field);
+  private static double number(Settings settings, String field) {
+    return (double) settings.value("box", field);
   }
 
-  /** What sends one order to the keeper. */
-  abstract static class Ordered implements Callable<Integer> {
+  /** A command that is sent to the running supervisor. */
+  abstract static class SupervisorRequest implements Callable<Integer> {
     @Option(
         names = "--dir",
         paramLabel = "DIR",
         required = true,
-        description = "the keeper's own folder")
-    private Path state;
+        description = "the supervisor's state directory")
+    private Path stateDirectory;
 
-    abstract String order();
+    abstract String commandText();
 
     @Override
     public Integer call() {
-      String answer = HostSupervisor.order(state, order());
+      String answer = HostSupervisor.sendCommand(stateDirectory, commandText());
       if (answer == null) {
-        System.err.println("wharftrestle: no keeper answers in " + state);
+        System.err.println("wharftrestle: no supervisor is running in " + stateDirectory);
         return 1;
       }
-      boolean obeyed = answer.startsWith("ok ");
-      (obeyed ? System.out : System.err)
-          .println((obeyed ? "" : "wharftrestle: ") + answer.substring(3));
-      return obeyed ? 0 : 1;
+      boolean isAccepted = answer.startsWith("ok ");
+      (isAccepted ? System.out : System.err)
+          .println((isAccepted ? "" : "wharftrestle: ") + answer.substring(3));
+      return isAccepted ? 0 : 1;
     }
   }
 
-  /** Changes the box. */
+  /** Changes the host to another release. */
   @Command(
       name = "change",
-      description = "change to another release; it is taken back by itself where it does worse")
-  static final class Change extends Ordered {
+      description = "change to another release; a regression is rolled back automatically")
+  static final class Change extends SupervisorRequest {
     @Parameters(paramLabel = "RELEASE")
-    private String to;
+    private String release;
 
     @Override
-    String order() {
-      return "change " + to;
+    String commandText() {
+      return "change " + release;
     }
   }
 
-  /** Changes it back. */
-  @Command(name = "back", description = "take back the change that is going on, or the last one")
-  static final class Back extends Ordered {
+  /** Rolls a change back. */
+  @Command(name = "back", description = "roll back the change that is under way, or the last one")
+  static final class Back extends SupervisorRequest {
     @Override
-    String order() {
+    String commandText() {
       return "back";
     }
   }
 
-  /** Shows it. */
-  @Command(name = "status", description = "what runs, as one JSON object")
-  static final class Status extends Ordered {
+  /** Shows the status of the host. */
+  @Command(name = "status", description = "the status of this host as one JSON object")
+  static final class Status extends SupervisorRequest {
     @Override
-    String order() {
+    String commandText() {
       return "status";
     }
   }
 
-  /** Makes a release. */
+  /** Creates a release. */
   @Command(
       name = "pack",
-      description = "make a release of a jar: whole, with its digests, or not at all")
+      description = "create a release from a jar, with the digests of its files")
   static final class Pack implements Callable<Integer> {
     @Option(
         names = "--releases",
         paramLabel = "DIR",
         required = true,
-        description = "the folder of releases")
-    private Path releases;
+        description = "the directory of releases")
+    private Path releasesDirectory;
 
     @Option(
         names = "--appliance",
         paramLabel = "FILE",
         description = "the operators' settings of this release")
-    private Path settings;
+    private Path settingsFile;
 
     @Parameters(paramLabel = "JAR", index = "0")
     private Path jar;
@@ -219,11 +219,11 @@
 
     @Override
     public Integer call() throws Exception {
-      if (settings != null) {
-        Settings.read(settings);
+      if (settingsFile != null) {
+        Settings.read(settingsFile);
       }
       try {
-        new ReleaseDirectory(releases).pack(jar, settings, name);
+        new ReleaseDirectory(releasesDirectory).pack(jar, settingsFile, name);
         return 0;
       } catch (IOException e) {
         System.err.println("wharftrestle: " + e.getMessage());
@@ -233,21 +233,23 @@
   }
 
   /** Lists releases. */
-  @Command(name = "releases", description = "a line a release: whole, or why it cannot be started")
-  static final class Releasing implements Callable<Integer> {
+  @Command(
+      name = "releases",
+      description = "list the releases, each as \"whole\" or with the reason why it cannot be started")
+  static final class Releases implements Callable<Integer> {
     @Option(
         names = "--releases",
         paramLabel = "DIR",
         required = true,
-        description = "the folder of releases")
-    private Path releases;
+        description = "the directory of releases")
+    private Path releasesDirectory;
 
     @Override
     public Integer call() throws IOException {
-      ReleaseDirectory all = new ReleaseDirectory(releases);
-      for (String name : all.names()) {
-        String against = all.against(name);
-        System.out.println(name + "  " + (against.isEmpty() ? "whole" : against));
+      ReleaseDirectory directory = new ReleaseDirectory(releasesDirectory);
+      for (String name : directory.names()) {
+        String obstacle = directory.obstacle(name);
+        System.out.println(name + "  " + (obstacle.isEmpty() ? "whole" : obstacle));
       }
       return 0;
     }
--- a/src/main/java/wharftrestle/supervisor/SupervisorRecovery.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorRecovery.java
@@ -5,78 +5,80 @@
 import java.util.function.Predicate;
 
 /**
- * What a keeper finds as it begins: its journal, and which of the daemons named there live. It
- * decides which of them serves, and which is to be ended. Pure: whether a process lives is asked of
- * the caller.
+ * What a supervisor resumes with, as its journal and the running processes show. It decides which
+ * daemon is active and which ones are to be ended, without I/O: the caller supplies the test
+ * whether a process runs.
  *
- * @param release that serves, or served last
- * @param good to go back to; empty for none
- * @param serves the daemon that serves; null where none lives
- * @param probation it had not held its probation yet
- * @param end daemons that live and are to be ended: they came for a change that nobody watches any
- *     more
- * @param leave daemons that live and were to leave: the keeper may have died before it said so to
- *     them
+ * @param activeRelease that serves, or served last
+ * @param fallbackRelease the fallback release; empty for none
+ * @param active the active daemon; null if none runs
+ * @param inProbation whether the active daemon is still in its probation
+ * @param obsolete running daemons to kill: candidates of a change that the former supervisor didn't
+ *     complete
+ * @param terminating running daemons to terminate: the journal has their end, but the former supervisor
+ *     may have been killed before it signalled them
  */
 record SupervisorRecovery(
-    String release,
-    String good,
-    SupervisorJournal.Entry serves,
-    boolean probation,
-    List<SupervisorJournal.Entry> end,
-    List<SupervisorJournal.Entry> leave) {
+    String activeRelease,
+    String fallbackRelease,
+    SupervisorJournal.Entry active,
+    boolean inProbation,
+    List<SupervisorJournal.Entry> obsolete,
+    List<SupervisorJournal.Entry> terminating) {
 
   /**
-   * @param lives true where the process of a "started" step lives
+   * Replays the journal.
+   *
+   * @param isRunning whether the process of an entry runs
    */
   static SupervisorRecovery of(
-      List<SupervisorJournal.Entry> steps, Predicate<SupervisorJournal.Entry> lives) {
-    String release = "";
-    String good = "";
-    SupervisorJournal.Entry serves = null;
-    SupervisorJournal.Entry comes = null;
-    boolean probation = false;
-    List<SupervisorJournal.Entry> leave = new ArrayList<>();
-    for (SupervisorJournal.Entry step : steps) {
-      switch (step.event()) {
+      List<SupervisorJournal.Entry> entries, Predicate<SupervisorJournal.Entry> isRunning) {
+    String activeRelease = "";
+    String fallbackRelease = "";
+    SupervisorJournal.Entry active = null;
+    SupervisorJournal.Entry candidate = null;
+    boolean inProbation = false;
+    List<SupervisorJournal.Entry> terminating = new ArrayList<>();
+    for (SupervisorJournal.Entry entry : entries) {
+      switch (entry.event()) {
         case "started" -> {
-          if (step.role().equals(SupervisorStateMachine.Role.CANDIDATE.publishedName())) {
-            comes = step;
+          if (entry.role().equals(SupervisorStateMachine.Role.CANDIDATE.publishedName())) {
+            candidate = entry;
           } else {
-            serves = step;
-            release = step.release();
-            probation = false;
+            active = entry;
+            activeRelease = entry.release();
+            inProbation = false;
           }
         }
         case "promoted" -> {
-          release = step.release();
-          serves = comes != null && comes.pid() == step.pid() ? comes : serves;
-          comes = null;
-          probation = true;
+          activeRelease = entry.release();
+          active = candidate != null && candidate.pid() == entry.pid() ? candidate : active;
+          candidate = null;
+          inProbation = true;
         }
         case "ended" -> {
-          if (lives.test(step)) {
-            leave.add(step);
+          if (isRunning.test(entry)) {
+            terminating.add(entry);
           }
-          comes = comes != null && comes.pid() == step.pid() ? null : comes;
-          serves = serves != null && serves.pid() == step.pid() ? null : serves;
+          candidate = candidate != null && candidate.pid() == entry.pid() ? null : candidate;
+          active = active != null && active.pid() == entry.pid() ? null : active;
         }
-        case "held" -> probation = false;
+        case "held" -> inProbation = false;
         default -> {}
       }
-      good = step.fallbackRelease();
+      fallbackRelease = entry.fallbackRelease();
     }
-    boolean servesLives = serves != null && lives.test(serves);
-    boolean comesLives = comes != null && lives.test(comes);
-    List<SupervisorJournal.Entry> end = new ArrayList<>();
-    if (!servesLives && comesLives) {
-      // The one that served is gone, so this one has found out and serves.
-      return new SupervisorRecovery(comes.release(), release, comes, true, end, leave);
+    boolean activeIsRunning = active != null && isRunning.test(active);
+    boolean candidateIsRunning = candidate != null && isRunning.test(candidate);
+    List<SupervisorJournal.Entry> obsolete = new ArrayList<>();
+    if (!activeIsRunning && candidateIsRunning) {
+      // The active daemon has ended, so the candidate has detected that and serves.
+      return new SupervisorRecovery(candidate.release(), activeRelease, candidate, true, obsolete, terminating);
     }
-    if (comesLives) {
-      end.add(comes);
+    if (candidateIsRunning) {
+      obsolete.add(candidate);
     }
     return new SupervisorRecovery(
-        release, good, servesLives ? serves : null, servesLives && probation, end, leave);
+        activeRelease, fallbackRelease, activeIsRunning ? active : null, activeIsRunning && inProbation, obsolete, terminating);
   }
 }
--- a/src/main/java/wharftrestle/supervisor/SupervisorStateMachine.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorStateMachine.java
@@ -9,28 +9,32 @@
 import java.util.Set;
 
 /**
- * What the keeper of a box does next. It owns which release is to run, which one was good last, and
- * how often a daemon has died. Time is passed in, in seconds on a clock that never goes back. What
- * is to be done comes back as {@link Act}s; each is written to the journal before it is done. It
- * must never have more than two daemons, end the only one that serves while a change is going on,
- * or start one that dies again and again without a pause that grows.
+ * Decides what the supervisor of a host does next, without I/O: it tracks which release is active,
+ * which one to fall back to, and how often in a row a daemon has exited. Each event returns the
+ * {@link Action}s to carry out; the caller writes each of them to its journal before carrying it out.
+ * Times are in seconds of a monotonic clock. Not thread-safe: used by the supervisor's main thread.
+ *
+ * <p>At most two daemons run at a time, the only serving daemon is not ended during a change, and a
+ * daemon that keeps exiting is restarted with an exponential backoff.
  *
  * <pre>
- * state      means                                             goes to
- * DOWN       nothing runs                                      STARTING (run), BACKOFF (it died)
- * STARTING   the only daemon was started                       SERVING (ready), BACKOFF (died, not ready in time)
- * SERVING    one daemon serves                                 CHANGING (change, back), BACKOFF (it died)
- * CHANGING   a second one is to take over                      PROBATION (ready), SERVING (undone: died, refused, late),
- *                                                              PROBATION or BACKOFF where the first one died meanwhile
- * PROBATION  the second one serves, the first one is gone or   SERVING (it held), ROLLING_BACK (worse), BACKOFF (it died)
- *            ends
- * ROLLING_BACK  the release before it is to take over again       SERVING (ready, or cannot), BACKOFF (it died)
- * BACKOFF     nothing runs, for a while                         STARTING
+ * state         means                              next states
+ * DOWN          no daemon runs                     STARTING (start), SERVING, PROBATION (adopt)
+ * STARTING      the only daemon has been started   SERVING (ready), BACKOFF (exited, not in time)
+ * SERVING       one daemon serves                  CHANGING (change, rollback by an operator),
+ *                                                  BACKOFF (exited)
+ * CHANGING      a candidate is starting beside     PROBATION (ready, or the active daemon exited),
+ *               the active daemon                  SERVING (aborted: exited, rejected, late)
+ * PROBATION     the candidate has become active,   SERVING (no regression), BACKOFF (exited),
+ *               the former daemon is ending        ROLLING_BACK (regression, or an operator)
+ * ROLLING_BACK  the former release is starting     SERVING (ready, failed, or the active daemon
+ *               beside the active daemon           exited)
+ * BACKOFF       no daemon runs                     STARTING (after a delay)
  * </pre>
  */
 public final class SupervisorStateMachine {
 
-  /** How far it is; the table says what each means. */
+  /** The table of {@link SupervisorStateMachine} describes the states. */
   public enum State {
     DOWN("DOWN"),
     STARTING("STARTING"),
@@ -52,52 +56,52 @@
     }
   }
 
-  private static final Map<State, Set<State>> NEXT = new EnumMap<>(State.class);
+  private static final Map<State, Set<State>> TRANSITIONS = new EnumMap<>(State.class);
 
   static {
-    NEXT.put(State.DOWN, EnumSet.of(State.STARTING, State.SERVING, State.PROBATION));
-    NEXT.put(State.STARTING, EnumSet.of(State.SERVING, State.BACKOFF));
-    NEXT.put(State.SERVING, EnumSet.of(State.CHANGING, State.BACKOFF));
-    NEXT.put(State.CHANGING, EnumSet.of(State.PROBATION, State.SERVING, State.BACKOFF));
-    NEXT.put(State.PROBATION, EnumSet.of(State.SERVING, State.ROLLING_BACK, State.BACKOFF));
-    NEXT.put(State.ROLLING_BACK, EnumSet.of(State.SERVING, State.BACKOFF));
-    NEXT.put(State.BACKOFF, EnumSet.of(State.STARTING));
+    TRANSITIONS.put(State.DOWN, EnumSet.of(State.STARTING, State.SERVING, State.PROBATION));
+    TRANSITIONS.put(State.STARTING, EnumSet.of(State.SERVING, State.BACKOFF));
+    TRANSITIONS.put(State.SERVING, EnumSet.of(State.CHANGING, State.BACKOFF));
+    TRANSITIONS.put(State.CHANGING, EnumSet.of(State.PROBATION, State.SERVING, State.BACKOFF));
+    TRANSITIONS.put(State.PROBATION, EnumSet.of(State.SERVING, State.ROLLING_BACK, State.BACKOFF));
+    TRANSITIONS.put(State.ROLLING_BACK, EnumSet.of(State.SERVING, State.BACKOFF));
+    TRANSITIONS.put(State.BACKOFF, EnumSet.of(State.STARTING));
   }
 
   /**
    * The operators' limits.
    *
-   * @param ready seconds in which a daemon has to serve
-   * @param probation seconds for which a new release is watched
-   * @param failed part of answers by which failures may grow, 0 to 1
-   * @param refused part of answers by which refusals may grow, 0 to 1
-   * @param least answers in the probation below which its figures say nothing
-   * @param pause seconds of the first pause after a death
-   * @param mostPause seconds of the longest
-   * @param deaths deaths in a row after which the release before it is started
+   * @param readyTimeoutSeconds seconds after its start within which a daemon has to serve
+   * @param probationSeconds seconds for which a new release is compared with the former one
+   * @param maxFailedIncrease largest tolerated increase of the failed share of answers, 0 to 1
+   * @param maxRejectedIncrease largest tolerated increase of the rejected share of answers, 0 to 1
+   * @param minAnswers answers during probation below which no regression is detected
+   * @param initialBackoffSeconds backoff after the first exit
+   * @param maxBackoffSeconds longest backoff
+   * @param exitsBeforeRollback exits in a row after which the fallback release is started
    */
   public record Limits(
-      double ready,
-      double probation,
-      double failed,
-      double refused,
-      long least,
-      double pause,
-      double mostPause,
-      int deaths) {}
-
-  /** Answers of a daemon since its start. */
-  public record Figures(long served, long refused, long failed) {
-    long all() {
-      return served + refused + failed;
+      double readyTimeoutSeconds,
+      double probationSeconds,
+      double maxFailedIncrease,
+      double maxRejectedIncrease,
+      long minAnswers,
+      double initialBackoffSeconds,
+      double maxBackoffSeconds,
+      int exitsBeforeRollback) {}
+
+  /** Numbers of answers of a daemon since its start. */
+  public record AnswerCounts(long served, long rejected, long failed) {
+    long total() {
+      return served + rejected + failed;
     }
 
-    Figures since(Figures before) {
-      return new Figures(served - before.served, refused - before.refused, failed - before.failed);
+    AnswerCounts since(AnswerCounts earlier) {
+      return new AnswerCounts(served - earlier.served, rejected - earlier.rejected, failed - earlier.failed);
     }
   }
 
-  /** One of the two daemons a box may have. */
+  /** One of the two daemons that a host may have. */
   public enum Role {
     /** The daemon that serves, or that is to serve as the only one. */
     ACTIVE("SERVES"),
@@ -116,36 +120,42 @@
     }
   }
 
-  /** What is to be done, with which release and daemon, and why; in this order. */
-  public record Act(Kind kind, Role role, String release, String why) {
-    /** The kinds of acts. */
+  /**
+   * A step that the caller has to carry out; the steps of one event in the order of the list.
+   *
+   * @param role of the daemon that the step concerns
+   * @param release that the step concerns
+   * @param reason for the journal and operators
+   */
+  public record Action(Kind kind, Role role, String release, String reason) {
+    /** The kinds of actions. */
     public enum Kind {
       /** Start a daemon of this release in this role. */
       START,
-      /** Give it the notice to leave. */
+      /** Send the daemon a TERM signal: it shuts down gracefully. */
       TERM,
-      /** End it at once: it owns nothing. */
+      /** Kill the daemon at once: it owns no keys, or only until it ends. */
       KILL,
-      /** The one that came serves from now on. */
+      /** The candidate is the active daemon from now on. */
       PROMOTE,
-      /** Only for the journal and people. */
-      SAY
+      /** Only write the reason to the journal and to operators. */
+      RECORD
     }
   }
 
   private final Limits limits;
   private State state = State.DOWN;
-  private String release = ""; // that is to serve
-  private String good = ""; // that served last and held
-  private String candidate = ""; // that comes
-  private boolean forGood; // what comes is not taken back to what serves now
-  private String reason = ""; // of the last thing that went wrong
-  private double since; // of this state
-  private int deaths; // in a row, of the release that is to serve
-  private Figures usual; // of the release before, over its last stretch
-  private Figures atStart; // of the new one when its probation began
-  private Figures last;
-  private final List<Act> acts = new ArrayList<>();
+  private String activeRelease = "";
+  private String fallbackRelease = ""; // the last release that passed its probation
+  private String candidateRelease = "";
+  private boolean changeIsRollback; // the active release is bad: there is no way back to it
+  private String lastProblem = "";
+  private double stateEnteredAt;
+  private int exitsInARow; // of the active release
+  private AnswerCounts baseline; // of the former release, up to the change
+  private AnswerCounts probationStart; // of the new release when its probation began
+  private AnswerCounts latestCounts;
+  private final List<Action> actions = new ArrayList<>();
 
   public SupervisorStateMachine(Limits limits) {
     this.limits = limits;
@@ -155,287 +165,294 @@
     return state;
   }
 
-  /** The release that is to serve. */
-  public String release() {
-    return release;
+  /** The release that serves, or that is to be started. */
+  public String activeRelease() {
+    return activeRelease;
   }
 
-  /** The release to go back to; empty for none. */
-  public String good() {
-    return good;
+  /** The release to return to; empty if there is none. */
+  public String fallbackRelease() {
+    return fallbackRelease;
   }
 
-  /** The release that is to take over; empty for none. */
-  public String candidate() {
-    return candidate;
+  /** The release that is to take over; empty if there is none. */
+  public String candidateRelease() {
+    return candidateRelease;
   }
 
-  /** Why the last change was undone, or the last daemon started again; empty for nothing. */
-  public String reason() {
-    return reason;
+  /** Why the last change was undone or the daemon was restarted; empty if neither happened. */
+  public String lastProblem() {
+    return lastProblem;
   }
 
-  private List<Act> done() {
-    List<Act> all = List.copyOf(acts);
-    acts.clear();
+  private List<Action> drainActions() {
+    List<Action> all = List.copyOf(actions);
+    actions.clear();
     return all;
   }
 
   private void enter(State next, double now) {
-    if (!NEXT.get(state).contains(next)) {
-      throw new IllegalStateException("no way from " + state + " to " + next);
+    if (!TRANSITIONS.get(state).contains(next)) {
+      throw new IllegalStateException("illegal transition from " + state + " to " + next);
     }
     state = next;
-    since = now;
+    stateEnteredAt = now;
   }
 
-  private void act(Act.Kind kind, Role role, String which, String why) {
-    acts.add(new Act(kind, role, which, why));
+  private void addAction(Action.Kind kind, Role role, String releaseName, String reason) {
+    actions.add(new Action(kind, role, releaseName, reason));
   }
 
-  // ---- What operators ask for ----
+  // ---- Start of the supervisor, commands of operators ----
 
-  /** The keeper begins with nothing running. */
-  public List<Act> run(String first, String before, double now) {
-    release = first;
-    good = before;
+  /** The supervisor starts and no daemon runs. */
+  public List<Action> start(String startRelease, String fallback, double now) {
+    activeRelease = startRelease;
+    fallbackRelease = fallback;
     enter(State.STARTING, now);
-    act(Act.Kind.START, Role.ACTIVE, first, "the keeper began");
-    return done();
+    addAction(Action.Kind.START, Role.ACTIVE, startRelease, "the keeper began");
+    return drainActions();
   }
 
   /**
-   * The keeper begins and finds a daemon that serves; one that came beside it was ended, or is in
-   * its probation.
+   * The supervisor starts and finds a daemon that serves. If a candidate ran beside it, it has been
+   * ended, or it is the daemon that serves and is still in its probation.
    */
-  public List<Act> adopt(String serves, String before, boolean inProbation, double now) {
-    release = serves;
-    good = before;
-    enter(inProbation && !before.isEmpty() ? State.PROBATION : State.SERVING, now);
-    act(Act.Kind.SAY, Role.ACTIVE, serves, "found running and adopted");
-    return done();
+  public List<Action> adopt(String running, String fallback, boolean inProbation, double now) {
+    activeRelease = running;
+    fallbackRelease = fallback;
+    enter(inProbation && !fallback.isEmpty() ? State.PROBATION : State.SERVING, now);
+    addAction(Action.Kind.RECORD, Role.ACTIVE, running, "found running and adopted");
+    return drainActions();
   }
 
-  /** Why a change cannot begin now; empty where it can. */
-  public String against(String to) {
+  /** Why a change to this release cannot begin now; empty if it can. */
+  public String obstacle(String target) {
     return state != State.SERVING
         ? "a change can begin while one daemon serves; now it is " + state.publishedName()
-        : to.equals(release) ? to + " serves already" : "";
+        : target.equals(activeRelease) ? target + " serves already" : "";
   }
 
-  /** Changes to another release; only where nothing is {@link #against} it. */
-  public List<Act> change(String to, double now) {
-    return change(to, false, now);
+  /** Changes to another release; only if there is no {@link #obstacle obstacle}. */
+  public List<Action> change(String target, double now) {
+    return change(target, false, now);
   }
 
   /**
-   * The same; {@code back} where what serves now is what was found bad: there is no way back to it.
+   * Changes to another release.
+   *
+   * @param isRollback the active release was found bad: it doesn't become the fallback release
    */
-  public List<Act> change(String to, boolean back, double now) {
-    forGood = back;
-    candidate = to;
-    reason = "";
+  public List<Action> change(String target, boolean isRollback, double now) {
+    changeIsRollback = isRollback;
+    candidateRelease = target;
+    lastProblem = "";
     enter(State.CHANGING, now);
-    act(Act.Kind.START, Role.CANDIDATE, to, "change from " + release);
-    return done();
+    addAction(Action.Kind.START, Role.CANDIDATE, target, "change from " + activeRelease);
+    return drainActions();
   }
 
   /**
-   * Takes back what is going on, or the last change. Empty where there is nothing to go back to.
+   * Undoes the change that is under way, or else the last one. The result is empty if there is
+   * nothing to undo.
    */
-  public List<Act> back(double now) {
+  public List<Action> rollBack(double now) {
     if (state == State.CHANGING) {
-      undo("asked for", now);
+      abortChange("asked for", now);
     } else if (state == State.PROBATION) {
-      takeBack("asked for", now);
-    } else if (state == State.SERVING && !good.isEmpty() && !good.equals(release)) {
-      return change(good, now);
+      startRollback("asked for", now);
+    } else if (state == State.SERVING && !fallbackRelease.isEmpty() && !fallbackRelease.equals(activeRelease)) {
+      return change(fallbackRelease, now);
     }
-    return done();
+    return drainActions();
   }
 
-  // ---- What becomes of the daemons ----
+  // ---- Events of the daemons ----
 
-  /** This daemon says that it serves. */
-  public List<Act> ready(Role role, double now) {
+  /** This daemon reports that it serves. */
+  public List<Action> onReady(Role role, double now) {
     if (state == State.STARTING && role == Role.ACTIVE) {
       enter(State.SERVING, now);
-      act(Act.Kind.SAY, role, release, "serves");
+      addAction(Action.Kind.RECORD, role, activeRelease, "serves");
     } else if (state == State.CHANGING && role == Role.CANDIDATE) {
-      String before = release;
-      act(Act.Kind.TERM, Role.ACTIVE, before, candidate + " serves");
-      act(Act.Kind.PROMOTE, Role.CANDIDATE, candidate, "");
-      good = forGood ? "" : before;
-      release = candidate;
-      candidate = "";
-      deaths = 0;
-      usual = last;
-      atStart = null;
+      String formerRelease = activeRelease;
+      addAction(Action.Kind.TERM, Role.ACTIVE, formerRelease, candidateRelease + " serves");
+      addAction(Action.Kind.PROMOTE, Role.CANDIDATE, candidateRelease, "");
+      fallbackRelease = changeIsRollback ? "" : formerRelease;
+      activeRelease = candidateRelease;
+      candidateRelease = "";
+      exitsInARow = 0;
+      baseline = latestCounts;
+      probationStart = null;
       enter(State.PROBATION, now);
     } else if (state == State.ROLLING_BACK && role == Role.CANDIDATE) {
-      act(Act.Kind.TERM, Role.ACTIVE, release, "taken back: " + reason);
-      act(Act.Kind.PROMOTE, Role.CANDIDATE, candidate, "");
-      release = candidate;
-      candidate = "";
-      good = "";
+      addAction(Action.Kind.TERM, Role.ACTIVE, activeRelease, "taken back: " + lastProblem);
+      addAction(Action.Kind.PROMOTE, Role.CANDIDATE, candidateRelease, "");
+      activeRelease = candidateRelease;
+      candidateRelease = "";
+      fallbackRelease = "";
       enter(State.SERVING, now);
     }
-    return done();
+    return drainActions();
   }
 
-  /** This daemon cannot take over, and says why. */
-  public List<Act> refused(Role role, String why, double now) {
+  /** This daemon reports why it cannot take over. */
+  public List<Action> onTakeoverRejected(Role role, String reason, double now) {
     if (role == Role.CANDIDATE && state == State.CHANGING) {
-      undo("it cannot take over: " + why, now);
+      abortChange("it cannot take over: " + reason, now);
     } else if (role == Role.CANDIDATE && state == State.ROLLING_BACK) {
-      stay("cannot go back: " + why, now);
+      abortRollback("cannot go back: " + reason, now);
     }
-    return done();
+    return drainActions();
   }
 
-  /** This daemon has ended by itself. */
-  public List<Act> died(Role role, double now) {
+  /** This daemon has exited without being asked to. */
+  public List<Action> onExit(Role role, double now) {
     if (role == Role.CANDIDATE) {
       if (state == State.CHANGING) {
-        reason = "it died before it served";
-        candidate = "";
+        lastProblem = "it died before it served";
+        candidateRelease = "";
         enter(State.SERVING, now);
-        act(Act.Kind.SAY, role, release, "change undone: " + reason);
+        addAction(Action.Kind.RECORD, role, activeRelease, "change undone: " + lastProblem);
       } else if (state == State.ROLLING_BACK) {
-        candidate = "";
-        reason = "the release before died as it came back";
+        candidateRelease = "";
+        lastProblem = "the release before died as it came back";
         enter(State.SERVING, now);
-        act(Act.Kind.SAY, role, release, reason);
+        addAction(Action.Kind.RECORD, role, activeRelease, lastProblem);
       }
-      return done();
+      return drainActions();
     }
     if (state == State.CHANGING || state == State.ROLLING_BACK) {
-      // The one that comes finds out by itself, and serves: it is the box's only daemon now.
-      act(Act.Kind.PROMOTE, Role.CANDIDATE, candidate, "the one that served has died");
-      good = state == State.CHANGING && !forGood ? release : "";
-      release = candidate;
-      candidate = "";
-      usual = null;
-      atStart = null;
-      boolean change = state == State.CHANGING;
-      enter(change ? State.PROBATION : State.SERVING, now);
+      // The candidate detects the exit by itself and serves: it is the host's only daemon now.
+      addAction(Action.Kind.PROMOTE, Role.CANDIDATE, candidateRelease, "the one that served has died");
+      fallbackRelease = state == State.CHANGING && !changeIsRollback ? activeRelease : "";
+      activeRelease = candidateRelease;
+      candidateRelease = "";
+      baseline = null;
+      probationStart = null;
+      boolean changing = state == State.CHANGING;
+      enter(changing ? State.PROBATION : State.SERVING, now);
     } else if (state != State.BACKOFF && state != State.DOWN) {
-      boolean watched = state == State.PROBATION;
-      pause(watched ? "it died in its probation" : "it died", watched, now);
+      boolean inProbation = state == State.PROBATION;
+      scheduleRestart(inProbation ? "it died in its probation" : "it died", inProbation, now);
     }
-    return done();
+    return drainActions();
   }
 
-  /** A while has passed; the figures of the one that serves, or null where it did not say. */
-  public List<Act> tick(Figures figures, double now) {
-    if (state == State.BACKOFF && now >= since + pauseFor()) {
+  /**
+   * Some time has passed.
+   *
+   * @param counts answers of the active daemon; null if it has not reported any
+   */
+  public List<Action> tick(AnswerCounts counts, double now) {
+    if (state == State.BACKOFF && now >= stateEnteredAt + backoffSeconds()) {
       enter(State.STARTING, now);
-      act(Act.Kind.START, Role.ACTIVE, release, "after a pause");
-    } else if (state == State.STARTING && now > since + limits.ready()) {
-      act(Act.Kind.KILL, Role.ACTIVE, release, "not ready in time");
-      pause("it was not ready in time", false, now);
-    } else if (state == State.CHANGING && now > since + limits.ready()) {
-      undo("it was not ready in time", now);
-    } else if (state == State.ROLLING_BACK && now > since + limits.ready()) {
-      stay("the release before was not ready in time", now);
+      addAction(Action.Kind.START, Role.ACTIVE, activeRelease, "after a pause");
+    } else if (state == State.STARTING && now > stateEnteredAt + limits.readyTimeoutSeconds()) {
+      addAction(Action.Kind.KILL, Role.ACTIVE, activeRelease, "not ready in time");
+      scheduleRestart("it was not ready in time", false, now);
+    } else if (state == State.CHANGING && now > stateEnteredAt + limits.readyTimeoutSeconds()) {
+      abortChange("it was not ready in time", now);
+    } else if (state == State.ROLLING_BACK && now > stateEnteredAt + limits.readyTimeoutSeconds()) {
+      abortRollback("the release before was not ready in time", now);
     } else if (state == State.PROBATION) {
-      watch(figures, now);
-    } else if (state == State.SERVING && figures != null) {
-      if (deaths > 0 && now > since + limits.probation()) {
-        deaths = 0;
+      checkProbation(counts, now);
+    } else if (state == State.SERVING && counts != null) {
+      if (exitsInARow > 0 && now > stateEnteredAt + limits.probationSeconds()) {
+        exitsInARow = 0;
       }
-      last = figures;
+      latestCounts = counts;
     }
-    return done();
+    return drainActions();
   }
 
-  private void watch(Figures figures, double now) {
-    if (figures != null) {
-      atStart = atStart == null || figures.all() < atStart.all() ? figures : atStart;
-      String worse = worse(figures.since(atStart));
-      last = figures;
-      if (worse != null && !good.isEmpty()) {
-        takeBack(worse, now);
+  private void checkProbation(AnswerCounts counts, double now) {
+    if (counts != null) {
+      probationStart = probationStart == null || counts.total() < probationStart.total() ? counts : probationStart;
+      String regression = findRegression(counts.since(probationStart));
+      latestCounts = counts;
+      if (regression != null && !fallbackRelease.isEmpty()) {
+        startRollback(regression, now);
         return;
       }
     }
-    if (now > since + limits.probation()) {
-      reason = "";
+    if (now > stateEnteredAt + limits.probationSeconds()) {
+      lastProblem = "";
       enter(State.SERVING, now);
-      act(Act.Kind.SAY, Role.ACTIVE, release, "held its probation");
+      addAction(Action.Kind.RECORD, Role.ACTIVE, activeRelease, "held its probation");
     }
   }
 
   /**
-   * What is worse than with the release before it; null where nothing is, or too little was seen to
-   * say.
+   * Which share of answers has become worse than with the former release; null if none has, or if
+   * there are too few answers to compare.
    */
-  private String worse(Figures now) {
-    if (now.all() < limits.least() || usual == null) {
-      return null; // also where the one before died within the change
+  private String findRegression(AnswerCounts current) {
+    if (current.total() < limits.minAnswers() || baseline == null) {
+      return null; // there is no baseline if the former daemon exited during the change
     }
-    double failed = (double) now.failed() / now.all();
-    double refused = (double) now.refused() / now.all();
-    double failedBefore = usual.all() == 0 ? 0 : (double) usual.failed() / usual.all();
-    double refusedBefore = usual.all() == 0 ? 0 : (double) usual.refused() / usual.all();
-    if (failed > failedBefore + limits.failed()) {
+    double failedShare = (double) current.failed() / current.total();
+    double rejectedShare = (double) current.rejected() / current.total();
+    double failedShareBefore = baseline.total() == 0 ? 0 : (double) baseline.failed() / baseline.total();
+    double rejectedShareBefore = baseline.total() == 0 ? 0 : (double) baseline.rejected() / baseline.total();
+    if (failedShare > failedShareBefore + limits.maxFailedIncrease()) {
       return String.format(
-          Locale.ROOT, "%.1f%% failed, %.1f%% before", 100 * failed, 100 * failedBefore);
+          Locale.ROOT, "%.1f%% failed, %.1f%% before", 100 * failedShare, 100 * failedShareBefore);
     }
-    if (refused > refusedBefore + limits.refused()) {
+    if (rejectedShare > rejectedShareBefore + limits.maxRejectedIncrease()) {
       return String.format(
-          Locale.ROOT, "%.1f%% were refused, %.1f%% before", 100 * refused, 100 * refusedBefore);
+          Locale.ROOT, "%.1f%% were refused, %.1f%% before", 100 * rejectedShare, 100 * rejectedShareBefore);
     }
     return null;
   }
 
   /**
-   * The change is not made: the one that comes owns nothing, or gives what it was given back with
-   * its end.
+   * Aborts a change by killing the candidate: it owns no keys yet, or its end returns those that it
+   * has received.
    */
-  private void undo(String why, double now) {
-    reason = why;
-    act(Act.Kind.KILL, Role.CANDIDATE, candidate, why);
-    candidate = "";
+  private void abortChange(String reason, double now) {
+    lastProblem = reason;
+    addAction(Action.Kind.KILL, Role.CANDIDATE, candidateRelease, reason);
+    candidateRelease = "";
     enter(State.SERVING, now);
-    act(Act.Kind.SAY, Role.ACTIVE, release, "change undone: " + why);
+    addAction(Action.Kind.RECORD, Role.ACTIVE, activeRelease, "change undone: " + reason);
   }
 
-  private void takeBack(String why, double now) {
-    reason = why;
-    candidate = good;
+  private void startRollback(String reason, double now) {
+    lastProblem = reason;
+    candidateRelease = fallbackRelease;
     enter(State.ROLLING_BACK, now);
-    act(Act.Kind.START, Role.CANDIDATE, good, "back from " + release + ": " + why);
+    addAction(Action.Kind.START, Role.CANDIDATE, fallbackRelease, "back from " + activeRelease + ": " + reason);
   }
 
-  /** There is no way back now: what serves goes on serving, and people are told. */
-  private void stay(String why, double now) {
-    reason = why;
-    act(Act.Kind.KILL, Role.CANDIDATE, candidate, why);
-    candidate = "";
+  /** Aborts a rollback that failed: the active daemon continues to serve. */
+  private void abortRollback(String reason, double now) {
+    lastProblem = reason;
+    addAction(Action.Kind.KILL, Role.CANDIDATE, candidateRelease, reason);
+    candidateRelease = "";
     enter(State.SERVING, now);
-    act(Act.Kind.SAY, Role.ACTIVE, release, why);
+    addAction(Action.Kind.RECORD, Role.ACTIVE, activeRelease, reason);
   }
 
-  private void pause(String why, boolean backAtOnce, double now) {
-    reason = release + ": " + why;
-    deaths++;
-    if (!good.isEmpty() && !good.equals(release) && (backAtOnce || deaths >= limits.deaths())) {
-      act(Act.Kind.SAY, Role.ACTIVE, good, "goes back from " + release + ": " + why);
-      release = good;
-      good = "";
-      deaths = 1;
+  private void scheduleRestart(String reason, boolean rollBackAtOnce, double now) {
+    lastProblem = activeRelease + ": " + reason;
+    exitsInARow++;
+    if (!fallbackRelease.isEmpty() && !fallbackRelease.equals(activeRelease) && (rollBackAtOnce || exitsInARow >= limits.exitsBeforeRollback())) {
+      addAction(Action.Kind.RECORD, Role.ACTIVE, fallbackRelease, "goes back from " + activeRelease + ": " + reason);
+      activeRelease = fallbackRelease;
+      fallbackRelease = "";
+      exitsInARow = 1;
     }
     enter(State.BACKOFF, now);
-    act(
-        Act.Kind.SAY,
+    addAction(
+        Action.Kind.RECORD,
         Role.ACTIVE,
-        release,
-        String.format(Locale.ROOT, "starts again after %.1f s: %s", pauseFor(), why));
+        activeRelease,
+        String.format(Locale.ROOT, "starts again after %.1f s: %s", backoffSeconds(), reason));
   }
 
-  /** Seconds of the pause now: they double with each death in a row, up to the longest. */
-  double pauseFor() {
-    return Math.min(limits.mostPause(), limits.pause() * Math.pow(2, Math.max(0, deaths - 1)));
+  /** Seconds of the current backoff: doubled by each further exit in a row, up to the maximum. */
+  double backoffSeconds() {
+    return Math.min(limits.maxBackoffSeconds(), limits.initialBackoffSeconds() * Math.pow(2, Math.max(0, exitsInARow - 1)));
   }
 }
--- a/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
+++ b/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
@@ -36,8 +36,8 @@
 import wharftrestle.testbed.TestClient;
 
 /**
- * Stories of a keeper with real daemons: it changes them, takes back what dies, and is killed
- * itself.
+ * A supervisor with real daemons: changes and rollbacks of releases, daemons that crash, and a
+ * supervisor that is killed and resumes.
  */
 @Timeout(90)
 class HostSupervisorTest {
@@ -45,38 +45,38 @@
       new SupervisorStateMachine.Limits(15, 1.5, 0.02, 0.05, 20, 0.1, 1, 3);
 
   @TempDir private Path folder;
-  private HostTestbed floor;
+  private HostTestbed testbed;
   private Path releases;
-  private Path state;
-  private HostSupervisor keeper;
-  private Thread runs;
+  private Path stateDirectory;
+  private HostSupervisor supervisor;
+  private Thread thread;
 
   @BeforeEach
-  void floor() throws Exception {
-    floor = new HostTestbed(folder, "", 7, HostTestbed.Play.of(192));
+  void startTestbed() throws Exception {
+    testbed = new HostTestbed(folder, "", 7, HostTestbed.Play.of(192));
     releases = folder.resolve("releases");
-    state = folder.resolve("keeper");
+    stateDirectory = folder.resolve("keeper");
     for (String name : List.of("one", "two")) {
       new ReleaseDirectory(releases).pack(jar("wharftrestle.Main"), null, name);
     }
   }
 
   @AfterEach
-  void end() throws Exception {
-    stop();
-    if (!Files.exists(state)) {
-      floor.close();
+  void stopAll() throws Exception {
+    stopSupervisor();
+    if (!Files.exists(stateDirectory)) {
+      testbed.close();
       return;
     }
-    try (SupervisorJournal steps = new SupervisorJournal(state.resolve("journal.jsonl"))) {
-      steps.entries().stream()
-          .filter(step -> step.event().equals("started"))
-          .forEach(step -> ProcessHandle.of(step.pid()).ifPresent(ProcessHandle::destroyForcibly));
+    try (SupervisorJournal journal = new SupervisorJournal(stateDirectory.resolve("journal.jsonl"))) {
+      journal.entries().stream()
+          .filter(entry -> entry.event().equals("started"))
+          .forEach(entry -> ProcessHandle.of(entry.pid()).ifPresent(ProcessHandle::destroyForcibly));
     }
-    floor.close();
+    testbed.close();
   }
 
-  /** A jar of the classes that this test runs with: nothing is in it but where they lie. */
+  /** A jar without classes: its manifest refers to the class path of this test. */
   private Path jar(String main) throws IOException {
     Path jar = folder.resolve(main + ".jar");
     Manifest manifest = new Manifest();
@@ -97,9 +97,9 @@
     return jar;
   }
 
-  private HostSupervisor.Places places() {
-    return new HostSupervisor.Places(
-        state,
+  private HostSupervisor.Configuration configuration() {
+    return new HostSupervisor.Configuration(
+        stateDirectory,
         releases,
         folder.resolve("config.json"),
         List.of(
@@ -110,211 +110,214 @@
             "-Xss192k"));
   }
 
-  private void keep(String first) throws Exception {
-    keep(first, step -> {});
+  private void startSupervisor(String firstRelease) throws Exception {
+    startSupervisor(firstRelease, entry -> {});
   }
 
-  private void keep(String first, Consumer<SupervisorJournal.Entry> before) throws Exception {
-    keeper =
+  private void startSupervisor(String firstRelease, Consumer<SupervisorJournal.Entry> entryListener) throws Exception {
+    supervisor =
         new HostSupervisor(
-            places(), LIMITS, new PrintStream(OutputStream.nullOutputStream()), before);
-    HostSupervisor mine = keeper;
-    runs =
+            configuration(), LIMITS, new PrintStream(OutputStream.nullOutputStream()), entryListener);
+    HostSupervisor started = supervisor;
+    thread =
         new Thread(
             () -> {
               try {
-                mine.run(first);
+                started.run(firstRelease);
               } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
               } catch (Killed killed) {
                 return;
               }
             });
-    runs.start();
+    thread.start();
   }
 
-  /** Ends a keeper at a step of its journal. */
+  /** Ends a supervisor before it writes an entry of its journal. */
   private static final class Killed extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
 
-  /** As by a kill: what it was doing is left as it is. */
-  private void stop() throws Exception {
-    if (keeper != null) {
-      keeper.stop();
-      runs.join();
-      keeper.close();
-      keeper = null;
+  /** Ends the supervisor as a kill does: what it was doing remains incomplete. */
+  private void stopSupervisor() throws Exception {
+    if (supervisor != null) {
+      supervisor.stop();
+      thread.join();
+      supervisor.close();
+      supervisor = null;
     }
   }
 
-  private String order(String text) {
-    return HostSupervisor.order(state, text);
+  private String sendCommand(String text) {
+    return HostSupervisor.sendCommand(stateDirectory, text);
   }
 
   private JsonNode status() throws IOException {
-    String answer = order("status");
-    // A keeper that goes says so, and one that is gone says nothing: neither has a status.
-    return answer == null || answer.equals("no the keeper goes")
+    String answer = sendCommand("status");
+    // A supervisor that is stopping, or has stopped, has no status.
+    return answer == null || answer.equals("no the supervisor is stopping")
         ? new ObjectMapper().createObjectNode()
         : new ObjectMapper().readTree(answer.substring(3));
   }
 
-  private JsonNode await(String wanted, String release) throws IOException {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(40);
+  private JsonNode await(String state, String release) throws IOException {
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(40);
     for (; ; ) {
       JsonNode now = status();
-      if (now.path("state").asText().equals(wanted)
+      if (now.path("state").asText().equals(state)
           && now.path("release").asText().equals(release)) {
         return now;
       }
-      assertTrue(System.nanoTime() < until, wanted + " " + release + " was wanted, it is " + now);
+      assertTrue(
+          System.nanoTime() < deadline, "expected " + state + " " + release + ", found " + now);
       LockSupport.parkNanos(20_000_000);
     }
   }
 
-  private String ask(String key) throws IOException {
-    try (TestClient desk = new TestClient(floor.address())) {
-      return desk.ask("save", System.nanoTime(), key, "note of " + key).body();
+  private String request(String key) throws IOException {
+    try (TestClient client = new TestClient(testbed.address())) {
+      return client.ask("save", System.nanoTime(), key, "note of " + key).body();
     }
   }
 
   @Test
-  void aBoxIsChangedAndTakenBackAndKnowsItsKeysThroughout() throws Exception {
-    keep("one");
+  void changeAndRollback_keepTheKeys() throws Exception {
+    startSupervisor("one");
     await("serving", "one");
-    String result = ask("k");
-    assertTrue(order("change two").startsWith("ok "));
+    String result = request("k");
+    assertTrue(sendCommand("change two").startsWith("ok "));
     await("serving", "two");
-    assertEquals(result, ask("k"), "its keys came along");
-    assertTrue(order("back").startsWith("ok "));
+    assertEquals(result, request("k"), "the new daemon has received the keys");
+    assertTrue(sendCommand("back").startsWith("ok "));
     JsonNode back = await("serving", "one");
-    assertEquals(result, ask("k"));
+    assertEquals(result, request("k"));
     assertEquals("one", back.path("serves").path("release").asText());
-    assertEquals(0, floor.doubleRuns());
+    assertEquals(0, testbed.doubleRuns());
   }
 
   @Test
-  void whatCrashesIsTakenBackByItselfAndTheBoxServesOn() throws Exception {
+  void change_toACrashingRelease_isUndone() throws Exception {
     new ReleaseDirectory(releases).pack(jar("wharftrestle.prove.Crashes"), null, "bad");
-    keep("one");
+    startSupervisor("one");
     await("serving", "one");
-    String result = ask("k");
-    assertTrue(order("change bad").startsWith("ok "));
+    String result = request("k");
+    assertTrue(sendCommand("change bad").startsWith("ok "));
     JsonNode now = await("serving", "one");
     while (now.path("reason").asText().isEmpty()) {
       now = await("serving", "one");
     }
     assertEquals("it died before it served", now.path("reason").asText());
-    assertEquals(result, ask("k"));
+    assertEquals(result, request("k"));
   }
 
   @Test
-  void aReleaseThatIsNotWholeNeverStarts() throws Exception {
-    keep("one");
+  void change_toAnIncompleteOrAlteredRelease_isRejected() throws Exception {
+    startSupervisor("one");
     await("serving", "one");
-    Path half = Files.createDirectories(releases.resolve("half"));
+    Path incomplete = Files.createDirectories(releases.resolve("half"));
     Files.copy(
-        releases.resolve("two").resolve(ReleaseDirectory.JAR), half.resolve(ReleaseDirectory.JAR));
+        releases.resolve("two").resolve(ReleaseDirectory.JAR), incomplete.resolve(ReleaseDirectory.JAR));
     assertTrue(
-        order("change half").startsWith("no release 'half' is not whole"), order("change half"));
+        sendCommand("change half").startsWith("no release 'half' is not whole"), sendCommand("change half"));
     Files.writeString(
         releases.resolve("two").resolve(ReleaseDirectory.JAR), "x", StandardOpenOption.APPEND);
-    assertTrue(order("change two").contains("the digest of wharftrestle.jar is another"));
-    assertTrue(order("change none").startsWith("no there is no release 'none'"));
-    assertTrue(order("change one").startsWith("no one serves already"));
+    assertTrue(sendCommand("change two").contains("the digest of wharftrestle.jar is another"));
+    assertTrue(sendCommand("change none").startsWith("no there is no release 'none'"));
+    assertTrue(sendCommand("change one").startsWith("no one serves already"));
     await("serving", "one");
   }
 
   @Test
-  void aKeeperThatEndsLeavesItsDaemonAndTheNextOneAdoptsIt() throws Exception {
-    keep("one");
+  void restart_whileServing_adoptsTheDaemon() throws Exception {
+    startSupervisor("one");
     long pid = await("serving", "one").path("serves").path("pid").asLong();
-    HostSupervisor.TakenException taken =
+    HostSupervisor.DirectoryLockedException exception =
         assertThrows(
-            HostSupervisor.TakenException.class,
-            () -> new HostSupervisor(places(), LIMITS, System.out));
-    assertTrue(taken.getMessage().startsWith("another keeper has this box"));
-    stop();
-    assertTrue(ProcessHandle.of(pid).isPresent(), "its daemon serves on");
-    String result = ask("k");
-    keep(null);
+            HostSupervisor.DirectoryLockedException.class,
+            () -> new HostSupervisor(configuration(), LIMITS, System.out));
+    assertTrue(exception.getMessage().startsWith("another supervisor has locked the state directory"));
+    stopSupervisor();
+    assertTrue(ProcessHandle.of(pid).isPresent(), "the daemon outlives its supervisor");
+    String result = request("k");
+    startSupervisor(null);
     assertEquals(pid, await("serving", "one").path("serves").path("pid").asLong());
-    assertTrue(order("change two").startsWith("ok "));
+    assertTrue(sendCommand("change two").startsWith("ok "));
     await("serving", "two");
-    assertEquals(result, ask("k"));
+    assertEquals(result, request("k"));
   }
 
   @Test
-  void aKeeperThatEndsWithinAChangeIsFollowedByOneThatEndsOrUndoesIt() throws Exception {
-    keep("one");
+  void restart_duringAChangeOrItsProbation_undoesTheChangeOrContinuesTheProbation() throws Exception {
+    startSupervisor("one");
     await("serving", "one");
-    assertTrue(order("change two").startsWith("ok "));
-    stop();
-    keep(null);
+    assertTrue(sendCommand("change two").startsWith("ok "));
+    stopSupervisor();
+    startSupervisor(null);
     JsonNode now = await("serving", "one");
-    assertFalse(now.has("comes"), "who came for a change that nobody watches is ended");
-    assertTrue(order("change two").startsWith("ok "));
+    assertFalse(now.has("comes"), "the candidate of the incomplete change has been ended");
+    assertTrue(sendCommand("change two").startsWith("ok "));
     await("probation", "two");
-    stop();
-    keep(null);
+    stopSupervisor();
+    startSupervisor(null);
     assertEquals(
-        "one", await("probation", "two").path("back_to").asText(), "its probation goes on");
+        "one", await("probation", "two").path("back_to").asText(), "the probation continues");
     await("serving", "two");
   }
 
   /**
-   * The steps of a start, a change and the way back: starting, started, serves; starting, started,
-   * ended, promoted, held; starting, started, ended, promoted, held.
+   * Journal entries of a start, a change and a rollback, of which each is the last one in turn:
+   * starting, started, said; starting, started, ended, promoted, held; starting, started, ended,
+   * promoted, held.
    */
   @ParameterizedTest
   @ValueSource(ints = {2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})
-  void aKeeperThatEndsAtAnyStepIsFollowedByOneThatEndsOrUndoesTheChange(int step) throws Exception {
-    AtomicInteger steps = new AtomicInteger();
-    keep(
+  void restart_afterAKillAtAnyJournalEntry_servesWithOneDaemon(int entry) throws Exception {
+    AtomicInteger written = new AtomicInteger();
+    startSupervisor(
         "one",
         each -> {
-          if (steps.incrementAndGet() == step) {
+          if (written.incrementAndGet() == entry) {
             throw new Killed();
           }
         });
-    while (runs.isAlive()) {
-      if (steps.get() == 3 && status().path("state").asText().equals("serving")) {
-        order("change two");
+    while (thread.isAlive()) {
+      if (written.get() == 3 && status().path("state").asText().equals("serving")) {
+        sendCommand("change two");
       }
-      if (steps.get() == 8 && status().path("state").asText().equals("serving")) {
-        order("back");
+      if (written.get() == 8 && status().path("state").asText().equals("serving")) {
+        sendCommand("back");
       }
       LockSupport.parkNanos(10_000_000);
     }
-    stop();
-    keep("one");
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(40);
+    stopSupervisor();
+    startSupervisor("one");
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(40);
     JsonNode now = status();
     while (!now.path("state").asText().equals("serving")
         || now.has("comes")
         || !now.path("serves").path("ready").asBoolean()
-        || alive() != 1) {
+        || runningDaemons() != 1) {
       assertTrue(
-          System.nanoTime() < until, "after step " + step + " it is " + now + " with " + alive());
+          System.nanoTime() < deadline,
+          "killed at entry " + entry + ": found " + now + " and daemons: " + runningDaemons());
       LockSupport.parkNanos(20_000_000);
       now = status();
     }
     assertTrue(now.path("release").asText().matches("one|two"));
-    String result = ask("k");
-    assertEquals(result, ask("k"));
+    String result = request("k");
+    assertEquals(result, request("k"));
   }
 
-  /** Daemons of this box that live, by what their environment says. */
-  private long alive() {
+  /** Number of running daemons of this host, found by their environment. */
+  private long runningDaemons() {
     return ProcessHandle.allProcesses()
         .filter(
-            each -> {
+            process -> {
               try {
                 return Files.readString(
-                        Path.of("/proc/" + each.pid() + "/environ"), StandardCharsets.ISO_8859_1)
-                    .contains("TMPDIR=" + state);
-              } catch (IOException gone) {
+                        Path.of("/proc/" + process.pid() + "/environ"), StandardCharsets.ISO_8859_1)
+                    .contains("TMPDIR=" + stateDirectory);
+              } catch (IOException exited) {
                 return false;
               }
             })
@@ -322,26 +325,26 @@
   }
 
   @Test
-  void aDaemonThatDiesIsStartedAgainAfterAPause() throws Exception {
-    keep("one");
+  void daemonExit_restartsTheDaemonAfterABackoff() throws Exception {
+    startSupervisor("one");
     long pid = await("serving", "one").path("serves").path("pid").asLong();
     ProcessHandle.of(pid).orElseThrow().destroyForcibly();
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
     while (status().path("serves").path("pid").asLong(pid) == pid
         || !status().path("state").asText().equals("serving")) {
-      assertTrue(System.nanoTime() < until, "it was not started again");
+      assertTrue(System.nanoTime() < deadline, "the daemon was not restarted");
       LockSupport.parkNanos(20_000_000);
     }
     assertTrue(status().path("reason").asText().contains("it died"));
   }
 
   @Test
-  void aJournalThatMayNotGrowAnyMoreKeepsItsWholeStepsAlone() throws Exception {
+  void journal_onAFullDisk_keepsOnlyCompleteEntries() throws Exception {
     Path file = folder.resolve("full.jsonl");
     String classes =
         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
-    // A limit of the file's size stands in for a disk that is full within a step.
-    Process writes =
+    // A limit of the file's size simulates a disk that becomes full within an entry.
+    Process writer =
         new ProcessBuilder(
                 "sh",
                 "-c",
@@ -355,41 +358,41 @@
                 "wharftrestle.supervisor.FullDiskSupervisor",
                 file.toString())
             .start();
-    int written =
+    int writtenEntries =
         Integer.parseInt(
-            new String(writes.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim());
+            new String(writer.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim());
     assertTrue(
-        writes.waitFor(20, TimeUnit.SECONDS) && written > 10,
-        "the file was never full: " + written);
-    try (SupervisorJournal steps = new SupervisorJournal(file)) {
-      assertEquals(written, steps.entries().size());
-      steps.add(
+        writer.waitFor(20, TimeUnit.SECONDS) && writtenEntries > 10,
+        "expected a full file after more than 10 entries, written: " + writtenEntries);
+    try (SupervisorJournal journal = new SupervisorJournal(file)) {
+      assertEquals(writtenEntries, journal.entries().size());
+      journal.add(
           new SupervisorJournal.Entry(
-              1, "said", "SERVES", "one", "", 0, 0, 0, "there is room again"));
+              1, "said", "SERVES", "one", "", 0, 0, 0, "space is free again"));
     }
     assertEquals(
-        written + 1,
+        writtenEntries + 1,
         JsonLineJournal.read(file, SupervisorJournal.Entry.class).size(),
-        "no half step lies between");
+        "an incomplete entry remains in the journal");
   }
 
   @Test
-  void theJournalIsCutAtItsLastWholeLineAndNeverBelievedInPart() throws Exception {
+  void journal_cutAnywhere_keepsCompleteEntriesAndRejectsAMalformedLine() throws Exception {
     Path file = folder.resolve("steps.jsonl");
-    SupervisorJournal.Entry step =
+    SupervisorJournal.Entry entry =
         new SupervisorJournal.Entry(1, "started", "SERVES", "one", "", 42, 7, 9, "why");
-    try (SupervisorJournal steps = new SupervisorJournal(file)) {
-      steps.add(step);
-      steps.add(step);
+    try (SupervisorJournal journal = new SupervisorJournal(file)) {
+      journal.add(entry);
+      journal.add(entry);
     }
-    byte[] whole = Files.readAllBytes(file);
-    for (int length = 0; length <= whole.length; length++) {
-      Files.write(file, Arrays.copyOf(whole, length));
-      try (SupervisorJournal steps = new SupervisorJournal(file)) {
-        assertEquals(length * 2 / whole.length, steps.entries().size(), "cut at " + length);
+    byte[] complete = Files.readAllBytes(file);
+    for (int length = 0; length <= complete.length; length++) {
+      Files.write(file, Arrays.copyOf(complete, length));
+      try (SupervisorJournal journal = new SupervisorJournal(file)) {
+        assertEquals(length * 2 / complete.length, journal.entries().size(), "cut at " + length);
       }
     }
-    Files.writeString(file, "garbage\n" + new String(whole, StandardCharsets.UTF_8));
+    Files.writeString(file, "garbage\n" + new String(complete, StandardCharsets.UTF_8));
     assertThrows(IOException.class, () -> new SupervisorJournal(file));
   }
 }
--- a/src/test/java/wharftrestle/supervisor/StandInProcess.java
+++ b/src/test/java/wharftrestle/supervisor/StandInProcess.java
@@ -20,7 +20,7 @@
 final class StandInProcess {
   private StandInProcess() {}
 
-  /** Serves until it is ended; the arguments are those of the real process: -jar JAR serve. */
+  /** Serves until it is killed; the arguments are those of the real process: -jar JAR serve. */
   public static void main(String[] arguments) throws IOException {
     Path jar = Path.of(arguments[1]);
     if (jar.getParent().endsWith("two")) {
--- a/src/test/java/wharftrestle/supervisor/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/supervisor/StoredFormatTest.java
@@ -49,11 +49,11 @@
         JsonLineJournal.read(
             Fixtures.path(SupervisorFixtures.JOURNAL), SupervisorJournal.Entry.class);
 
-    assertEquals(SupervisorFixtures.steps(), read);
+    assertEquals(SupervisorFixtures.entries(), read);
   }
 
   @Test
-  void journal_writtenAnew_hasTheRecordedBytes() throws Exception {
+  void journal_writtenAgain_hasTheRecordedBytes() throws Exception {
     Path written = folder.resolve("journal.jsonl");
 
     SupervisorFixtures.writeJournal(written);
@@ -63,15 +63,15 @@
   }
 
   @Test
-  void journal_recorded_tellsWhichProcessServes() throws Exception {
+  void journal_recorded_identifiesTheActiveProcess() throws Exception {
     List<SupervisorJournal.Entry> read =
         JsonLineJournal.read(
             Fixtures.path(SupervisorFixtures.JOURNAL), SupervisorJournal.Entry.class);
 
-    SupervisorRecovery found = SupervisorRecovery.of(read, step -> step.pid() == 4_202);
+    SupervisorRecovery recovery = SupervisorRecovery.of(read, entry -> entry.pid() == 4_202);
 
     assertEquals(
-        new SupervisorRecovery("two", "one", read.get(4), false, List.of(), List.of()), found);
+        new SupervisorRecovery("two", "one", read.get(4), false, List.of(), List.of()), recovery);
   }
 
   // ---- Published names ----
@@ -115,8 +115,8 @@
     Files.copy(Fixtures.path(SupervisorFixtures.FENCE), folder.resolve("fence.jsonl"));
     int port = Address.freePort();
 
-    JsonNode shown;
-    try (ControllerEndpoint door =
+    JsonNode status;
+    try (ControllerEndpoint endpoint =
         new ControllerEndpoint(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
             "b1",
@@ -125,7 +125,7 @@
             order -> "ok",
             Map::of,
             (program, settings) -> true)) {
-      shown =
+      status =
           JSON.readTree(
               HttpClient.newHttpClient()
                   .send(
@@ -135,15 +135,15 @@
                   .body());
     }
 
-    assertEquals(2, shown.path("epoch").asLong());
-    assertEquals("d2", shown.path("driver").asText());
-    assertEquals("one", shown.path("target").asText());
+    assertEquals(2, status.path("epoch").asLong());
+    assertEquals("d2", status.path("driver").asText());
+    assertEquals("one", status.path("target").asText());
   }
 
-  // ---- The folder of releases ----
+  // ---- The directory of releases ----
 
   @Test
-  void releases_packedAnew_haveTheRecordedFiles() throws Exception {
+  void releases_packedAgain_haveTheRecordedFiles() throws Exception {
     Path packed = folder.resolve("releases");
 
     SupervisorFixtures.packReleases(packed, folder);
@@ -156,7 +156,7 @@
     ReleaseDirectory releases = new ReleaseDirectory(Fixtures.path(SupervisorFixtures.RELEASES));
 
     assertEquals(List.of("one", "two"), releases.names());
-    assertEquals(List.of("", ""), List.of(releases.against("one"), releases.against("two")));
+    assertEquals(List.of("", ""), List.of(releases.obstacle("one"), releases.obstacle("two")));
     assertEquals(
         List.of(
             "11819b0b1e2dd01992250d58cd8bcd32bc085e84bbf157ce7171e106a214c343",
@@ -164,20 +164,20 @@
             "aaedba01273424494dcdf73362312d849d0131a3670f13f0ec46de74096410cf",
             "bc543ec4ec0096b69551c66db4c173950cd632944019bcb26425e3d3c39bde37"),
         List.of(
-            releases.build("one"),
-            releases.settings("one"),
-            releases.build("two"),
-            releases.settings("two")));
+            releases.programDigest("one"),
+            releases.settingsDigest("one"),
+            releases.programDigest("two"),
+            releases.settingsDigest("two")));
   }
 
   private static Map<String, String> files(Path folder) throws IOException {
-    Map<String, String> all = new TreeMap<>();
+    Map<String, String> contents = new TreeMap<>();
     try (Stream<Path> paths = Files.walk(folder)) {
       for (Path file : (Iterable<Path>) paths.filter(Files::isRegularFile)::iterator) {
-        all.put(folder.relativize(file).toString(), Files.readString(file));
+        contents.put(folder.relativize(file).toString(), Files.readString(file));
       }
     }
-    return all;
+    return contents;
   }
 
   // ---- Messages between controller and supervisor ----
@@ -195,7 +195,7 @@
   }
 
   @Test
-  void calls_thatAreObeyed_reachTheSupervisorInTheSameWords() throws Exception {
+  void calls_thatAreAccepted_reachTheSupervisorInTheSameWords() throws Exception {
     SupervisorFixtures.Exchange exchange =
         SupervisorFixtures.exchange(folder, Fixtures.path(SupervisorFixtures.RELEASES));
 
@@ -205,14 +205,14 @@
   }
 
   @Test
-  void look_atAHostWhoseFrontIsHealthy_asksAsAnyCallerAndSaysSo() throws Exception {
+  void look_atAHostWhoseFrontIsHealthy_sendsTheHealthCheckAndReportsBoth() throws Exception {
     int port = Address.freePort();
     byte[] probe = "*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n".getBytes(StandardCharsets.US_ASCII);
-    AtomicReference<byte[]> asked = new AtomicReference<>();
+    AtomicReference<byte[]> received = new AtomicReference<>();
 
     JsonNode answer;
     try (ServerSocket front = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        ControllerEndpoint door =
+        ControllerEndpoint endpoint =
             new ControllerEndpoint(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 "b1",
@@ -221,20 +221,20 @@
                 order -> "ok",
                 Map::of,
                 (program, settings) -> true)) {
-      Thread answers =
+      Thread responder =
           new Thread(
               () -> {
                 try (Socket caller = front.accept()) {
-                  asked.set(caller.getInputStream().readNBytes(probe.length));
+                  received.set(caller.getInputStream().readNBytes(probe.length));
                   caller
                       .getOutputStream()
                       .write("$7\r\nhealthy\r\n".getBytes(StandardCharsets.US_ASCII));
                 } catch (IOException closed) {
-                  asked.set(new byte[0]);
+                  received.set(new byte[0]);
                 }
               },
               "front");
-      answers.start();
+      responder.start();
       String query = "/look?keeper=127.0.0.1:" + port + "&front=127.0.0.1:" + front.getLocalPort();
       answer =
           JSON.readTree(
@@ -247,7 +247,7 @@
     }
 
     assertEquals(JSON.readTree("{\"heard\":true,\"callers\":true}"), answer);
-    assertArrayEquals(probe, asked.get());
+    assertArrayEquals(probe, received.get());
   }
 
   // ---- A whole run ----
@@ -259,12 +259,13 @@
     assertEquals(Fixtures.jsonLines(Fixtures.path(SupervisorRun.JOURNAL)), run.journal());
     assertEquals(Fixtures.json(SupervisorRun.ORDERS), JSON.readTree(run.orders().toString()));
     assertEquals(Fixtures.json(SupervisorRun.HOST), JSON.readTree(run.host().toString()));
-    assertTrue(run.requests().contains(SupervisorRun.STAND), "the process hears of the rollout");
+    assertTrue(
+        run.requests().contains(SupervisorRun.STAND), "the process receives the rollout status");
     assertTrue(run.requests().contains("GET /_figures HTTP/1.1"), run.requests().toString());
   }
 
   @Test
-  void exchanges_recorded_showEveryFieldThatASupervisorShowsOfItsHost() throws Exception {
+  void exchanges_recorded_haveEveryFieldOfTheHostStatus() throws Exception {
     JsonNode inRun = Fixtures.json(SupervisorRun.HOST).path("box");
     JsonNode inExchange =
         Fixtures.json(SupervisorFixtures.EXCHANGES).path(0).path("answer").path("box");
--- a/src/test/java/wharftrestle/supervisor/SupervisorFixtures.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorFixtures.java
@@ -41,16 +41,16 @@
   // ---- The journal ----
 
   /** One change that is promoted, and one that is undone; each kind of entry is among them. */
-  static List<SupervisorJournal.Entry> steps() {
-    String serves = SupervisorStateMachine.Role.ACTIVE.publishedName();
-    String comes = SupervisorStateMachine.Role.CANDIDATE.publishedName();
+  static List<SupervisorJournal.Entry> entries() {
+    String active = SupervisorStateMachine.Role.ACTIVE.publishedName();
+    String candidate = SupervisorStateMachine.Role.CANDIDATE.publishedName();
     return List.of(
         new SupervisorJournal.Entry(
-            1_765_000_000_001L, "starting", serves, "one", "", 0, 0, 7101, "the keeper began"),
+            1_765_000_000_001L, "starting", active, "one", "", 0, 0, 7101, "the keeper began"),
         new SupervisorJournal.Entry(
             1_765_000_000_002L,
             "started",
-            serves,
+            active,
             "one",
             "",
             4_201,
@@ -58,13 +58,13 @@
             7101,
             "the keeper began"),
         new SupervisorJournal.Entry(
-            1_765_000_001_000L, "said", serves, "one", "", 0, 0, 0, "serves"),
+            1_765_000_001_000L, "said", active, "one", "", 0, 0, 0, "serves"),
         new SupervisorJournal.Entry(
-            1_765_000_002_000L, "starting", comes, "two", "", 0, 0, 7102, "change from one"),
+            1_765_000_002_000L, "starting", candidate, "two", "", 0, 0, 7102, "change from one"),
         new SupervisorJournal.Entry(
             1_765_000_002_005L,
             "started",
-            comes,
+            candidate,
             "two",
             "",
             4_202,
@@ -74,7 +74,7 @@
         new SupervisorJournal.Entry(
             1_765_000_003_000L,
             "ended",
-            serves,
+            active,
             "one",
             "one",
             4_201,
@@ -84,7 +84,7 @@
         new SupervisorJournal.Entry(
             1_765_000_003_001L,
             "promoted",
-            serves,
+            active,
             "two",
             "one",
             4_202,
@@ -92,13 +92,13 @@
             7102,
             ""),
         new SupervisorJournal.Entry(
-            1_765_000_063_000L, "held", serves, "two", "one", 0, 0, 0, "held its probation"),
+            1_765_000_063_000L, "held", active, "two", "one", 0, 0, 0, "held its probation"),
         new SupervisorJournal.Entry(
-            1_765_000_070_000L, "starting", comes, "drei-ü", "one", 0, 0, 7103, "change from two"),
+            1_765_000_070_000L, "starting", candidate, "drei-ü", "one", 0, 0, 7103, "change from two"),
         new SupervisorJournal.Entry(
             1_765_000_070_009L,
             "started",
-            comes,
+            candidate,
             "drei-ü",
             "one",
             4_203,
@@ -108,7 +108,7 @@
         new SupervisorJournal.Entry(
             1_765_000_071_000L,
             "ended",
-            comes,
+            candidate,
             "drei-ü",
             "one",
             4_203,
@@ -118,7 +118,7 @@
         new SupervisorJournal.Entry(
             1_765_000_071_001L,
             "said",
-            comes,
+            candidate,
             "two",
             "one",
             0,
@@ -130,13 +130,13 @@
   static void writeJournal(Path file) throws IOException {
     Files.createDirectories(file.getParent());
     try (SupervisorJournal journal = new SupervisorJournal(file)) {
-      for (SupervisorJournal.Entry step : steps()) {
-        journal.add(step);
+      for (SupervisorJournal.Entry entry : entries()) {
+        journal.add(entry);
       }
     }
   }
 
-  // ---- The folder of releases ----
+  // ---- The directory of releases ----
 
   /** Release one without settings, release two with its own. */
   static void packReleases(Path folder, Path scratch) throws IOException {
@@ -150,8 +150,8 @@
 
   // ---- Messages between controller and supervisor ----
 
-  /** What a supervisor shows of its host, with every field that it may have. */
-  static Map<String, Object> shown() {
+  /** A status of a host with every field that it may have. */
+  static Map<String, Object> hostStatus() {
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("state", "serving");
     all.put("release", "one");
@@ -167,7 +167,7 @@
     all.put("calls", 12L);
     all.put("badCalls", 3L);
     all.put(
-        "classes", List.of(new DaemonStatus.Answers("batch work", 100, 80, 7, 15, 5, 61.5, 4.25)));
+        "classes", List.of(new DaemonStatus.ClassAnswers("batch work", 100, 80, 7, 15, 5, 61.5, 4.25)));
     all.put("cpu", 1.75);
     all.put("ownMb", 22.5);
     return all;
@@ -178,15 +178,15 @@
    *
    * @param messages each with method, path, request, status and answer; values that differ from run
    *     to run are replaced by fixed ones of the same type
-   * @param orders what the supervisor was told to do, in any order
+   * @param orders commands that the supervisor received, in any order
    */
   record Exchange(JsonNode messages, List<String> orders) {}
 
-  /** Plays calls with every kind of answer against a real endpoint, which keeps its file here. */
+  /** Sends requests with every kind of answer to a real endpoint with this state directory. */
   static Exchange exchange(Path state, Path releases) throws Exception {
     BlockingQueue<String> orders = new LinkedBlockingQueue<>();
     int port = Address.freePort();
-    try (ControllerEndpoint door =
+    try (ControllerEndpoint endpoint =
         new ControllerEndpoint(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
             "b1",
@@ -196,7 +196,7 @@
               orders.add(order);
               return "ok obeyed";
             },
-            SupervisorFixtures::shown,
+            SupervisorFixtures::hostStatus,
             (program, settings) -> false)) {
       Calls calls = new Calls(port);
       calls.post("/claim", "{'epoch':1,'driver':'d1'}");
--- a/src/test/java/wharftrestle/supervisor/SupervisorRun.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorRun.java
@@ -24,13 +24,13 @@
 
 /**
  * One run of a supervisor with stand-in processes: an order of a controller that fails, a change by
- * an operator that holds, and the way back. Values that differ from run to run are replaced by
- * fixed ones of the same type.
+ * an operator that passes its probation, and its rollback. Values that differ from run to run are
+ * replaced by fixed ones of the same type.
  *
  * @param journal its entries
- * @param orders orders at its socket with their answers
- * @param host what it shows to anybody after the change that failed
- * @param requests first lines of the requests that the processes had
+ * @param orders commands at its socket with their answers
+ * @param host its answer to {@code GET /box} after the change that failed
+ * @param requests first lines of the requests that the processes received
  */
 record SupervisorRun(
     List<JsonNode> journal, JsonNode orders, JsonNode host, List<String> requests) {
@@ -45,15 +45,15 @@
       new SupervisorStateMachine.Limits(15, 0.5, 0.02, 0.05, 20, 0.1, 1, 3);
 
   static SupervisorRun of(Path folder) throws Exception {
-    Path state = folder.resolve("state");
+    Path stateDirectory = folder.resolve("state");
     int port = Address.freePort();
     for (String name : List.of("one", "two", "three")) {
       new ReleaseDirectory(folder.resolve("releases"))
           .pack(Files.writeString(folder.resolve("any.jar"), "program " + name), null, name);
     }
-    HostSupervisor.Places places =
-        new HostSupervisor.Places(
-            state,
+    HostSupervisor.Configuration configuration =
+        new HostSupervisor.Configuration(
+            stateDirectory,
             folder.resolve("releases"),
             folder.resolve("config.json"),
             List.of(
@@ -65,69 +65,69 @@
                 StandInProcess.class.getName()),
             "b1",
             new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-    HostSupervisor keeper =
-        new HostSupervisor(places, LIMITS, new PrintStream(OutputStream.nullOutputStream()));
-    FutureTask<Void> runs =
+    HostSupervisor supervisor =
+        new HostSupervisor(configuration, LIMITS, new PrintStream(OutputStream.nullOutputStream()));
+    FutureTask<Void> task =
         new FutureTask<>(
             (Callable<Void>)
                 () -> {
-                  keeper.run("one");
+                  supervisor.run("one");
                   return null;
                 });
-    new Thread(runs, "supervisor").start();
+    new Thread(task, "supervisor").start();
     try {
-      return play(state, port);
+      return play(stateDirectory, port);
     } finally {
-      keeper.stop();
-      runs.get(30, TimeUnit.SECONDS);
-      keeper.close();
-      for (SupervisorJournal.Entry step :
-          JsonLineJournal.read(state.resolve("journal.jsonl"), SupervisorJournal.Entry.class)) {
-        if (step.event().equals("started")) {
-          ProcessHandle.of(step.pid()).ifPresent(ProcessHandle::destroyForcibly);
+      supervisor.stop();
+      task.get(30, TimeUnit.SECONDS);
+      supervisor.close();
+      for (SupervisorJournal.Entry entry :
+          JsonLineJournal.read(stateDirectory.resolve("journal.jsonl"), SupervisorJournal.Entry.class)) {
+        if (entry.event().equals("started")) {
+          ProcessHandle.of(entry.pid()).ifPresent(ProcessHandle::destroyForcibly);
         }
       }
     }
   }
 
-  private static SupervisorRun play(Path state, int port) throws Exception {
+  private static SupervisorRun play(Path stateDirectory, int port) throws Exception {
     ArrayNode orders = JSON.createArrayNode();
-    await(state, "serving", "one", "");
-    order(state, "status", orders);
+    await(stateDirectory, "serving", "one", "");
+    order(stateDirectory, "status", orders);
     call(port, "/claim", "{\"epoch\":1,\"driver\":\"d1\"}");
-    String asks = "{\"epoch\":1,\"driver\":\"d1\",\"stage\":2,\"verdict\":\"same\"}";
-    long stamp = call(port, "/ask", asks).path("stamp").asLong();
-    String goes = "{\"epoch\":1,\"driver\":\"d1\",\"to\":\"two\",\"stamp\":" + stamp + "}";
+    String heartbeat = "{\"epoch\":1,\"driver\":\"d1\",\"stage\":2,\"verdict\":\"same\"}";
+    long stamp = call(port, "/ask", heartbeat).path("stamp").asLong();
+    String changeOrder = "{\"epoch\":1,\"driver\":\"d1\",\"to\":\"two\",\"stamp\":" + stamp + "}";
     orders
         .addObject()
         .put("order", "go 1 two")
-        .put("answer", call(port, "/order", goes).path("obeyed").asText());
-    await(state, "serving", "one", "it died before it served");
+        .put("answer", call(port, "/order", changeOrder).path("obeyed").asText());
+    await(stateDirectory, "serving", "one", "it died before it served");
     ObjectNode host = call(port, "/box", null);
-    for (long until = System.nanoTime() + 10_000_000_000L;
-        !host.path("box").path("settled").asBoolean() && System.nanoTime() < until; ) {
+    for (long deadline = System.nanoTime() + 10_000_000_000L;
+        !host.path("box").path("settled").asBoolean() && System.nanoTime() < deadline; ) {
       TimeUnit.MILLISECONDS.sleep(20);
       host = call(port, "/box", null);
     }
     for (String text : List.of("status", "change none", "change one", "back", "fly")) {
-      order(state, text, orders);
+      order(stateDirectory, text, orders);
     }
-    order(state, "change three", orders);
-    await(state, "serving", "three", "");
-    order(state, "back", orders);
-    await(state, "serving", "one", "");
-    List<JsonNode> journal = Fixtures.jsonLines(state.resolve("journal.jsonl"));
+    order(stateDirectory, "change three", orders);
+    await(stateDirectory, "serving", "three", "");
+    order(stateDirectory, "back", orders);
+    await(stateDirectory, "serving", "one", "");
+    List<JsonNode> journal = Fixtures.jsonLines(stateDirectory.resolve("journal.jsonl"));
     for (JsonNode line : journal) {
-      fix((ObjectNode) line, "at", "pid", "began", "door");
+      replaceNumbers((ObjectNode) line, "at", "pid", "began", "door");
     }
-    fix(host, "askedAgo");
+    replaceNumbers(host, "askedAgo");
     host.put("incarnation", "1f2e3d4c");
-    fix((ObjectNode) host.path("box"), "pid", "cpu", "ownMb");
-    return new SupervisorRun(journal, orders, host, Files.readAllLines(state.resolve("requests")));
+    replaceNumbers((ObjectNode) host.path("box"), "pid", "cpu", "ownMb");
+    return new SupervisorRun(journal, orders, host, Files.readAllLines(stateDirectory.resolve("requests")));
   }
 
   /** Replaces numbers that are not 0 by a fixed one. */
-  private static void fix(ObjectNode of, String... fields) {
+  private static void replaceNumbers(ObjectNode of, String... fields) {
     for (String field : fields) {
       JsonNode value = of.path(field);
       if (value.isIntegralNumber() && value.asLong() != 0) {
@@ -138,32 +138,32 @@
     }
   }
 
-  private static void order(Path state, String text, ArrayNode into) throws IOException {
-    String answer = HostSupervisor.order(state, text);
-    ObjectNode one = into.addObject().put("order", text);
+  private static void order(Path stateDirectory, String text, ArrayNode into) throws IOException {
+    String answer = HostSupervisor.sendCommand(stateDirectory, text);
+    ObjectNode recorded = into.addObject().put("order", text);
     if (answer.startsWith("ok {")) {
       JsonNode status = JSON.readTree(answer.substring(3));
-      fix((ObjectNode) status.path("serves"), "pid", "door");
-      one.set("status", status);
+      replaceNumbers((ObjectNode) status.path("serves"), "pid", "door");
+      recorded.set("status", status);
     } else {
-      one.put("answer", answer.replace(state.getParent().toString(), "FOLDER"));
+      recorded.put("answer", answer.replace(stateDirectory.getParent().toString(), "FOLDER"));
     }
   }
 
-  private static void await(Path state, String wanted, String release, String reason)
+  private static void await(Path stateDirectory, String state, String release, String reason)
       throws Exception {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-    for (String answer = ""; ; answer = HostSupervisor.order(state, "status")) {
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+    for (String answer = ""; ; answer = HostSupervisor.sendCommand(stateDirectory, "status")) {
       if (answer != null && answer.startsWith("ok ")) {
         JsonNode now = JSON.readTree(answer.substring(3));
-        if (now.path("state").asText().equals(wanted)
+        if (now.path("state").asText().equals(state)
             && now.path("release").asText().equals(release)
             && now.path("reason").asText().equals(reason)) {
           return;
         }
       }
-      if (System.nanoTime() > until) {
-        throw new AssertionError(wanted + " " + release + " was expected, it is " + answer);
+      if (System.nanoTime() > deadline) {
+        throw new AssertionError("expected " + state + " " + release + ", found " + answer);
       }
       TimeUnit.MILLISECONDS.sleep(20);
     }
