--- a/src/main/java/wharftrestle/supervisor/CommandSocket.java
+++ b/src/main/java/wharftrestle/supervisor/CommandSocket.java
@@ -63,10 +63,12 @@
     try (connection) {
       String line =
           new BufferedReader(
-                  new InputStreamReader(Channels.newInputStream(connection), StandardCharsets.UTF_8))
+                  new InputStreamReader(
+                      Channels.newInputStream(connection), StandardCharsets.UTF_8))
               .readLine();
       if (line != null && line.length() <= MAX_COMMAND_CHARS) {
-        connection.write(ByteBuffer.wrap((executor.apply(line) + "\n").getBytes(StandardCharsets.UTF_8)));
+        connection.write(
+            ByteBuffer.wrap((executor.apply(line) + "\n").getBytes(StandardCharsets.UTF_8)));
       }
     } catch (IOException e) {
       Logger.debug("command connection failed error={}", e.toString());
--- a/src/main/java/wharftrestle/supervisor/ControllerEndpoint.java
+++ b/src/main/java/wharftrestle/supervisor/ControllerEndpoint.java
@@ -16,7 +16,7 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
-import java.nio.journal.Path;
+import java.nio.file.Path;
 import java.security.SecureRandom;
 import java.time.Duration;
 import java.util.LinkedHashMap;
@@ -44,8 +44,8 @@
  * GET /look      indirect probe of another host
  * </pre>
  *
- * <p>Requests are served by a small thread pool. None of them waits for the daemon of this host, and a grant is on
- * disk before it is answered.
+ * <p>Requests are served by a small thread pool. None of them waits for the daemon of this host,
+ * and a grant is on disk before it is answered.
  */
 public final class ControllerEndpoint implements Closeable {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -84,9 +84,11 @@
   /**
    * Reads the fence's file and begins to listen.
    *
-   * @param commandExecutor executes a command in the supervisor's main thread and returns its answer
+   * @param commandExecutor executes a command in the supervisor's main thread and returns its
+   *     answer
    * @param hostStatus status of the host, as of the supervisor's last poll
-   * @param acceptsSettings whether the program of the first release accepts the settings of the second
+   * @param acceptsSettings whether the program of the first release accepts the settings of the
+   *     second
    */
   public ControllerEndpoint(
       InetSocketAddress address,
@@ -196,7 +198,8 @@
       case "/ask" -> {
         EpochFence.Reply reply = underFenceLock(() -> fence.heartbeat(epoch, controller, now()));
         if (reply.answer() == EpochFence.Answer.RENEWED) {
-          forwardRolloutStatus(epoch, request.path("stage").asInt(), request.path("verdict").asText("none"));
+          forwardRolloutStatus(
+              epoch, request.path("stage").asInt(), request.path("verdict").asText("none"));
         }
         return replyFields(reply, "");
       }
@@ -206,7 +209,10 @@
           throw new IllegalArgumentException("needs the name of a release");
         }
         EpochFence.Reply reply =
-            underFenceLock(() -> fence.order(epoch, controller, request.path("stamp").asLong(), targetRelease, now()));
+            underFenceLock(
+                () ->
+                    fence.order(
+                        epoch, controller, request.path("stamp").asLong(), targetRelease, now()));
         return replyFields(
             reply,
             reply.answer() == EpochFence.Answer.ACCEPTED
@@ -230,7 +236,9 @@
     }
   }
 
-  /** Passes the state of the rollout on to the daemon if it has changed since the last heartbeat. */
+  /**
+   * Passes the state of the rollout on to the daemon if it has changed since the last heartbeat.
+   */
   @SuppressWarnings("ReturnValueIgnored") // no caller waits for the command's answer
   private void forwardRolloutStatus(long epoch, int stage, String verdict) {
     String query = "epoch=" + epoch + "&stage=" + stage + "&verdict=" + verdict;
@@ -289,7 +297,8 @@
             || activeRelease.isEmpty()
             || activeRelease.equals(release)
             || acceptsSettings.test(activeRelease, release);
-    fields.put("back", isReversible ? "" : "its settings are none that " + activeRelease + " can read");
+    fields.put(
+        "back", isReversible ? "" : "its settings are none that " + activeRelease + " can read");
     return withHostStatus(fields);
   }
 
--- a/src/main/java/wharftrestle/supervisor/DaemonStatus.java
+++ b/src/main/java/wharftrestle/supervisor/DaemonStatus.java
@@ -75,9 +75,11 @@
   /** Sends a request to the admin endpoint; the response with its status line and headers. */
   static String request(int adminPort, String method, String path) throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), adminPort), REQUEST_TIMEOUT_MS);
+      socket.connect(
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), adminPort), REQUEST_TIMEOUT_MS);
       socket.setSoTimeout(REQUEST_TIMEOUT_MS);
-      socket.getOutputStream()
+      socket
+          .getOutputStream()
           .write(
               (method + " " + path + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
                   .getBytes(StandardCharsets.US_ASCII));
@@ -135,10 +137,14 @@
     for (String line : request(adminPort, "GET", "/_vars").split("\n")) {
       String[] parts = line.trim().split("[:|]");
       int dot = parts[0].lastIndexOf('.');
-      if (parts.length > 1 && parts[0].startsWith(RESULT_VARIABLES) && dot > RESULT_VARIABLES.length()) {
+      if (parts.length > 1
+          && parts[0].startsWith(RESULT_VARIABLES)
+          && dot > RESULT_VARIABLES.length()) {
         long[] counts =
-            results.computeIfAbsent(parts[0].substring(RESULT_VARIABLES.length(), dot), key -> new long[3]);
-        int index = List.of("succeeded", "declined", "aborted").indexOf(parts[0].substring(dot + 1));
+            results.computeIfAbsent(
+                parts[0].substring(RESULT_VARIABLES.length(), dot), key -> new long[3]);
+        int index =
+            List.of("succeeded", "declined", "aborted").indexOf(parts[0].substring(dot + 1));
         if (index >= 0) {
           counts[index] = Long.parseLong(parts[1]);
         }
@@ -146,7 +152,17 @@
     }
     List<ClassAnswers> requestClasses = new ArrayList<>();
     results.forEach(
-        (name, counts) -> requestClasses.add(new ClassAnswers(name, counts[0] + counts[1] + counts[2], counts[0], 0, counts[1], counts[2], 1, 0)));
+        (name, counts) ->
+            requestClasses.add(
+                new ClassAnswers(
+                    name,
+                    counts[0] + counts[1] + counts[2],
+                    counts[0],
+                    0,
+                    counts[1],
+                    counts[2],
+                    1,
+                    0)));
     return new DaemonStatus(ready, handover, "", "", 0, 0, 0, requestClasses);
   }
 
--- a/src/main/java/wharftrestle/supervisor/HostSupervisor.java
+++ b/src/main/java/wharftrestle/supervisor/HostSupervisor.java
@@ -39,8 +39,8 @@
   /**
    * Paths, addresses and the command that starts a daemon.
    *
-   * @param stateDirectory directory of the supervisor: journal, lock, socket and logs of daemons; also the
-   *     temporary directory in which the daemons of the host find each other
+   * @param stateDirectory directory of the supervisor: journal, lock, socket and logs of daemons;
+   *     also the temporary directory in which the daemons of the host find each other
    * @param releasesDirectory directory of all releases
    * @param daemonConfig the daemon's configuration file
    * @param javaCommand the JVM and its options before -jar
@@ -55,7 +55,8 @@
       String hostName,
       InetSocketAddress controllerAddress) {
     /** The configuration of a host without a fleet. */
-    public Configuration(Path stateDirectory, Path releasesDirectory, Path daemonConfig, List<String> javaCommand) {
+    public Configuration(
+        Path stateDirectory, Path releasesDirectory, Path daemonConfig, List<String> javaCommand) {
       this(stateDirectory, releasesDirectory, daemonConfig, javaCommand, "", null);
     }
   }
@@ -69,7 +70,8 @@
     }
   }
 
-  private record Daemon(long pid, long startedAtMillis, int adminPort, String release, ProcessHandle handle) {}
+  private record Daemon(
+      long pid, long startedAtMillis, int adminPort, String release, ProcessHandle handle) {}
 
   private record Command(String text, BlockingQueue<String> answer) {}
 
@@ -110,12 +112,15 @@
    *
    * @throws DirectoryLockedException if another supervisor has locked it
    */
-  public HostSupervisor(Configuration configuration, SupervisorStateMachine.Limits limits, PrintStream out)
+  public HostSupervisor(
+      Configuration configuration, SupervisorStateMachine.Limits limits, PrintStream out)
       throws IOException, DirectoryLockedException {
     this(configuration, limits, out, entry -> {});
   }
 
-  /** For tests: the listener receives each entry before it is written, and may throw to end here. */
+  /**
+   * For tests: the listener receives each entry before it is written, and may throw to end here.
+   */
   HostSupervisor(
       Configuration configuration,
       SupervisorStateMachine.Limits limits,
@@ -131,7 +136,9 @@
     lock = DirectoryLock.take(configuration.stateDirectory().resolve("keeper.lock"));
     if (lock == null) {
       throw new DirectoryLockedException(
-          "another supervisor has locked the state directory (" + configuration.stateDirectory() + ")");
+          "another supervisor has locked the state directory ("
+              + configuration.stateDirectory()
+              + ")");
     }
     journal = new SupervisorJournal(configuration.stateDirectory().resolve("journal.jsonl"));
   }
@@ -179,7 +186,9 @@
               active.adminPort(),
               active.release(),
               process(active).orElseThrow()));
-      carryOut(stateMachine.adopt(recovery.activeRelease(), recovery.fallbackRelease(), recovery.inProbation(), now()));
+      carryOut(
+          stateMachine.adopt(
+              recovery.activeRelease(), recovery.fallbackRelease(), recovery.inProbation(), now()));
     } else {
       String startRelease = firstRelease != null ? firstRelease : recovery.activeRelease();
       String obstacle =
@@ -250,7 +259,8 @@
   private static List<String> environment(ProcessHandle process) {
     try {
       return List.of(
-          Files.readString(Path.of("/proc/" + process.pid() + "/environ"), StandardCharsets.ISO_8859_1)
+          Files.readString(
+                  Path.of("/proc/" + process.pid() + "/environ"), StandardCharsets.ISO_8859_1)
               .split("\0"));
     } catch (IOException exited) {
       return List.of();
@@ -346,7 +356,9 @@
    */
   private String executeOrder(String target, boolean isRollback) throws IOException {
     boolean hasCandidate = !stateMachine.candidateRelease().isEmpty();
-    if (hasCandidate ? stateMachine.candidateRelease().equals(target) : stateMachine.activeRelease().equals(target)) {
+    if (hasCandidate
+        ? stateMachine.candidateRelease().equals(target)
+        : stateMachine.activeRelease().equals(target)) {
       return "ok " + target + (hasCandidate ? " comes already" : " serves already");
     }
     String obstacle = releases.obstacle(target);
@@ -354,7 +366,8 @@
       return "no " + obstacle;
     }
     boolean isUndo =
-        (stateMachine.state() == SupervisorStateMachine.State.CHANGING && stateMachine.activeRelease().equals(target))
+        (stateMachine.state() == SupervisorStateMachine.State.CHANGING
+                && stateMachine.activeRelease().equals(target))
             || (stateMachine.state() == SupervisorStateMachine.State.PROBATION
                 && stateMachine.fallbackRelease().equals(target));
     if (isUndo) {
@@ -404,7 +417,14 @@
       if (!daemon.handle().isAlive()) {
         daemons.remove(role);
         exitsByRelease.merge(daemon.release(), 1, Integer::sum);
-        recordStep("ended", role, daemon.release(), daemon.pid(), daemon.startedAtMillis(), daemon.adminPort(), "by itself");
+        recordStep(
+            "ended",
+            role,
+            daemon.release(),
+            daemon.pid(),
+            daemon.startedAtMillis(),
+            daemon.adminPort(),
+            "by itself");
         carryOut(stateMachine.onExit(role, now()));
         continue;
       }
@@ -414,7 +434,8 @@
           && stateMachine.state() != SupervisorStateMachine.State.PROBATION
           && status.ready()) {
         carryOut(stateMachine.onReady(role, now()));
-      } else if (role == SupervisorStateMachine.Role.CANDIDATE && !status.takeoverRejection().isEmpty()) {
+      } else if (role == SupervisorStateMachine.Role.CANDIDATE
+          && !status.takeoverRejection().isEmpty()) {
         carryOut(stateMachine.onTakeoverRejected(role, status.takeoverRejection(), now()));
       }
     }
@@ -454,7 +475,11 @@
         "failed",
         !orderRejection.isEmpty()
             ? orderRejection
-            : !targetMissed ? "" : stateMachine.lastProblem().isEmpty() ? "it did not go" : stateMachine.lastProblem());
+            : !targetMissed
+                ? ""
+                : stateMachine.lastProblem().isEmpty()
+                    ? "it did not go"
+                    : stateMachine.lastProblem());
     fields.put("deaths", new LinkedHashMap<>(exitsByRelease));
     fields.put("good", stateMachine.fallbackRelease());
     if (active != null && status != null) {
@@ -478,7 +503,8 @@
    * from, or else any release with that digest; empty if there is none or no digest is reported.
    */
   private String releaseOf(Daemon daemon, DaemonStatus status) {
-    if (status.buildDigest().isEmpty() || status.buildDigest().equals(releases.programDigest(daemon.release()))) {
+    if (status.buildDigest().isEmpty()
+        || status.buildDigest().equals(releases.programDigest(daemon.release()))) {
       return status.buildDigest().isEmpty() ? "" : daemon.release();
     }
     try {
@@ -535,7 +561,14 @@
         case START -> startDaemon(action);
         case TERM, KILL -> {
           if (daemon != null) {
-            recordStep("ended", action.role(), daemon.release(), daemon.pid(), daemon.startedAtMillis(), daemon.adminPort(), action.reason());
+            recordStep(
+                "ended",
+                action.role(),
+                daemon.release(),
+                daemon.pid(),
+                daemon.startedAtMillis(),
+                daemon.adminPort(),
+                action.reason());
             daemons.remove(action.role());
             terminatingDaemons.add(daemon);
             if (action.kind() == SupervisorStateMachine.Action.Kind.TERM) {
@@ -589,7 +622,9 @@
     }
     int adminPort = Address.freePort();
     Path log =
-        configuration.stateDirectory().resolve("daemon-" + SteadyWallClock.wallMillis() + "-" + ++daemonLogs + ".log");
+        configuration
+            .stateDirectory()
+            .resolve("daemon-" + SteadyWallClock.wallMillis() + "-" + ++daemonLogs + ".log");
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
@@ -602,8 +637,17 @@
     // names.
     recordStep("starting", action.role(), action.release(), 0, 0, adminPort, action.reason());
     ProcessHandle handle = builder.start().toHandle();
-    daemons.put(action.role(), new Daemon(handle.pid(), startMillis(handle), adminPort, action.release(), handle));
-    recordStep("started", action.role(), action.release(), handle.pid(), startMillis(handle), adminPort, action.reason());
+    daemons.put(
+        action.role(),
+        new Daemon(handle.pid(), startMillis(handle), adminPort, action.release(), handle));
+    recordStep(
+        "started",
+        action.role(),
+        action.release(),
+        handle.pid(),
+        startMillis(handle),
+        adminPort,
+        action.reason());
   }
 
   private void recordStep(
--- a/src/main/java/wharftrestle/supervisor/ReleaseDirectory.java
+++ b/src/main/java/wharftrestle/supervisor/ReleaseDirectory.java
@@ -41,7 +41,8 @@
   /** The names of all releases, complete or not, sorted. */
   public List<String> names() throws IOException {
     try (Stream<Path> paths = Files.list(directory)) {
-      return paths.filter(Files::isDirectory)
+      return paths
+          .filter(Files::isDirectory)
           .map(entry -> entry.getFileName().toString())
           .filter(name -> name.matches(NAME_PATTERN))
           .sorted()
@@ -133,7 +134,8 @@
     Path staging = Files.createTempDirectory(directory, ".pack-");
     Files.copy(jar, staging.resolve(JAR), StandardCopyOption.REPLACE_EXISTING);
     Files.writeString(
-        staging.resolve(JAR + ".sha256"), BuildInfo.digest(staging.resolve(JAR)) + "  " + JAR + "\n");
+        staging.resolve(JAR + ".sha256"),
+        BuildInfo.digest(staging.resolve(JAR)) + "  " + JAR + "\n");
     if (settings != null) {
       Files.copy(settings, staging.resolve(SETTINGS));
     }
--- a/src/main/java/wharftrestle/supervisor/SupervisorCommand.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorCommand.java
@@ -105,8 +105,11 @@
               Path.of(config).toAbsolutePath(),
               javaCommand,
               name,
-              controllerAddress == null ? null : DaemonConfig.address("--fleet", controllerAddress));
-      try (HostSupervisor supervisor = new HostSupervisor(configuration, limits(settings), System.out)) {
+              controllerAddress == null
+                  ? null
+                  : DaemonConfig.address("--fleet", controllerAddress));
+      try (HostSupervisor supervisor =
+          new HostSupervisor(configuration, limits(settings), System.out)) {
         Runtime.getRuntime().addShutdownHook(new Thread(supervisor::stop));
         supervisor.run(startRelease);
         return 0;
@@ -235,7 +238,8 @@
   /** Lists releases. */
   @Command(
       name = "releases",
-      description = "list the releases, each as \"whole\" or with the reason why it cannot be started")
+      description =
+          "list the releases, each as \"whole\" or with the reason why it cannot be started")
   static final class Releases implements Callable<Integer> {
     @Option(
         names = "--releases",
--- a/src/main/java/wharftrestle/supervisor/SupervisorRecovery.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorRecovery.java
@@ -15,8 +15,8 @@
  * @param inProbation whether the active daemon is still in its probation
  * @param obsolete running daemons to kill: candidates of a change that the former supervisor didn't
  *     complete
- * @param terminating running daemons to terminate: the journal has their end, but the former supervisor
- *     may have been killed before it signalled them
+ * @param terminating running daemons to terminate: the journal has their end, but the former
+ *     supervisor may have been killed before it signalled them
  */
 record SupervisorRecovery(
     String activeRelease,
@@ -73,12 +73,18 @@
     List<SupervisorJournal.Entry> obsolete = new ArrayList<>();
     if (!activeIsRunning && candidateIsRunning) {
       // The active daemon has ended, so the candidate has detected that and serves.
-      return new SupervisorRecovery(candidate.release(), activeRelease, candidate, true, obsolete, terminating);
+      return new SupervisorRecovery(
+          candidate.release(), activeRelease, candidate, true, obsolete, terminating);
     }
     if (candidateIsRunning) {
       obsolete.add(candidate);
     }
     return new SupervisorRecovery(
-        activeRelease, fallbackRelease, activeIsRunning ? active : null, activeIsRunning && inProbation, obsolete, terminating);
+        activeRelease,
+        fallbackRelease,
+        activeIsRunning ? active : null,
+        activeIsRunning && inProbation,
+        obsolete,
+        terminating);
   }
 }
--- a/src/main/java/wharftrestle/supervisor/SupervisorStateMachine.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorStateMachine.java
@@ -11,8 +11,9 @@
 /**
  * Decides what the supervisor of a host does next, without I/O: it tracks which release is active,
  * which one to fall back to, and how often in a row a daemon has exited. Each event returns the
- * {@link Action}s to carry out; the caller writes each of them to its journal before carrying it out.
- * Times are in seconds of a monotonic clock. Not thread-safe: used by the supervisor's main thread.
+ * {@link Action}s to carry out; the caller writes each of them to its journal before carrying it
+ * out. Times are in seconds of a monotonic clock. Not thread-safe: used by the supervisor's main
+ * thread.
  *
  * <p>At most two daemons run at a time, the only serving daemon is not ended during a change, and a
  * daemon that keeps exiting is restarted with an exponential backoff.
@@ -97,7 +98,8 @@
     }
 
     AnswerCounts since(AnswerCounts earlier) {
-      return new AnswerCounts(served - earlier.served, rejected - earlier.rejected, failed - earlier.failed);
+      return new AnswerCounts(
+          served - earlier.served, rejected - earlier.rejected, failed - earlier.failed);
     }
   }
 
@@ -261,7 +263,9 @@
       abortChange("asked for", now);
     } else if (state == State.PROBATION) {
       startRollback("asked for", now);
-    } else if (state == State.SERVING && !fallbackRelease.isEmpty() && !fallbackRelease.equals(activeRelease)) {
+    } else if (state == State.SERVING
+        && !fallbackRelease.isEmpty()
+        && !fallbackRelease.equals(activeRelease)) {
       return change(fallbackRelease, now);
     }
     return drainActions();
@@ -324,7 +328,8 @@
     }
     if (state == State.CHANGING || state == State.ROLLING_BACK) {
       // The candidate detects the exit by itself and serves: it is the host's only daemon now.
-      addAction(Action.Kind.PROMOTE, Role.CANDIDATE, candidateRelease, "the one that served has died");
+      addAction(
+          Action.Kind.PROMOTE, Role.CANDIDATE, candidateRelease, "the one that served has died");
       fallbackRelease = state == State.CHANGING && !changeIsRollback ? activeRelease : "";
       activeRelease = candidateRelease;
       candidateRelease = "";
@@ -368,7 +373,10 @@
 
   private void checkProbation(AnswerCounts counts, double now) {
     if (counts != null) {
-      probationStart = probationStart == null || counts.total() < probationStart.total() ? counts : probationStart;
+      probationStart =
+          probationStart == null || counts.total() < probationStart.total()
+              ? counts
+              : probationStart;
       String regression = findRegression(counts.since(probationStart));
       latestCounts = counts;
       if (regression != null && !fallbackRelease.isEmpty()) {
@@ -393,15 +401,20 @@
     }
     double failedShare = (double) current.failed() / current.total();
     double rejectedShare = (double) current.rejected() / current.total();
-    double failedShareBefore = baseline.total() == 0 ? 0 : (double) baseline.failed() / baseline.total();
-    double rejectedShareBefore = baseline.total() == 0 ? 0 : (double) baseline.rejected() / baseline.total();
+    double failedShareBefore =
+        baseline.total() == 0 ? 0 : (double) baseline.failed() / baseline.total();
+    double rejectedShareBefore =
+        baseline.total() == 0 ? 0 : (double) baseline.rejected() / baseline.total();
     if (failedShare > failedShareBefore + limits.maxFailedIncrease()) {
       return String.format(
           Locale.ROOT, "%.1f%% failed, %.1f%% before", 100 * failedShare, 100 * failedShareBefore);
     }
     if (rejectedShare > rejectedShareBefore + limits.maxRejectedIncrease()) {
       return String.format(
-          Locale.ROOT, "%.1f%% were refused, %.1f%% before", 100 * rejectedShare, 100 * rejectedShareBefore);
+          Locale.ROOT,
+          "%.1f%% were refused, %.1f%% before",
+          100 * rejectedShare,
+          100 * rejectedShareBefore);
     }
     return null;
   }
@@ -422,7 +435,11 @@
     lastProblem = reason;
     candidateRelease = fallbackRelease;
     enter(State.ROLLING_BACK, now);
-    addAction(Action.Kind.START, Role.CANDIDATE, fallbackRelease, "back from " + activeRelease + ": " + reason);
+    addAction(
+        Action.Kind.START,
+        Role.CANDIDATE,
+        fallbackRelease,
+        "back from " + activeRelease + ": " + reason);
   }
 
   /** Aborts a rollback that failed: the active daemon continues to serve. */
@@ -437,8 +454,14 @@
   private void scheduleRestart(String reason, boolean rollBackAtOnce, double now) {
     lastProblem = activeRelease + ": " + reason;
     exitsInARow++;
-    if (!fallbackRelease.isEmpty() && !fallbackRelease.equals(activeRelease) && (rollBackAtOnce || exitsInARow >= limits.exitsBeforeRollback())) {
-      addAction(Action.Kind.RECORD, Role.ACTIVE, fallbackRelease, "goes back from " + activeRelease + ": " + reason);
+    if (!fallbackRelease.isEmpty()
+        && !fallbackRelease.equals(activeRelease)
+        && (rollBackAtOnce || exitsInARow >= limits.exitsBeforeRollback())) {
+      addAction(
+          Action.Kind.RECORD,
+          Role.ACTIVE,
+          fallbackRelease,
+          "goes back from " + activeRelease + ": " + reason);
       activeRelease = fallbackRelease;
       fallbackRelease = "";
       exitsInARow = 1;
@@ -453,6 +476,8 @@
 
   /** Seconds of the current backoff: doubled by each further exit in a row, up to the maximum. */
   double backoffSeconds() {
-    return Math.min(limits.maxBackoffSeconds(), limits.initialBackoffSeconds() * Math.pow(2, Math.max(0, exitsInARow - 1)));
+    return Math.min(
+        limits.maxBackoffSeconds(),
+        limits.initialBackoffSeconds() * Math.pow(2, Math.max(0, exitsInARow - 1)));
   }
 }
--- a/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
+++ b/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
@@ -68,10 +68,12 @@
       testbed.close();
       return;
     }
-    try (SupervisorJournal journal = new SupervisorJournal(stateDirectory.resolve("journal.jsonl"))) {
+    try (SupervisorJournal journal =
+        new SupervisorJournal(stateDirectory.resolve("journal.jsonl"))) {
       journal.entries().stream()
           .filter(entry -> entry.event().equals("started"))
-          .forEach(entry -> ProcessHandle.of(entry.pid()).ifPresent(ProcessHandle::destroyForcibly));
+          .forEach(
+              entry -> ProcessHandle.of(entry.pid()).ifPresent(ProcessHandle::destroyForcibly));
     }
     testbed.close();
   }
@@ -114,10 +116,14 @@
     startSupervisor(firstRelease, entry -> {});
   }
 
-  private void startSupervisor(String firstRelease, Consumer<SupervisorJournal.Entry> entryListener) throws Exception {
+  private void startSupervisor(String firstRelease, Consumer<SupervisorJournal.Entry> entryListener)
+      throws Exception {
     supervisor =
         new HostSupervisor(
-            configuration(), LIMITS, new PrintStream(OutputStream.nullOutputStream()), entryListener);
+            configuration(),
+            LIMITS,
+            new PrintStream(OutputStream.nullOutputStream()),
+            entryListener);
     HostSupervisor started = supervisor;
     thread =
         new Thread(
@@ -216,9 +222,11 @@
     await("serving", "one");
     Path incomplete = Files.createDirectories(releases.resolve("half"));
     Files.copy(
-        releases.resolve("two").resolve(ReleaseDirectory.JAR), incomplete.resolve(ReleaseDirectory.JAR));
+        releases.resolve("two").resolve(ReleaseDirectory.JAR),
+        incomplete.resolve(ReleaseDirectory.JAR));
     assertTrue(
-        sendCommand("change half").startsWith("no release 'half' is not whole"), sendCommand("change half"));
+        sendCommand("change half").startsWith("no release 'half' is not whole"),
+        sendCommand("change half"));
     Files.writeString(
         releases.resolve("two").resolve(ReleaseDirectory.JAR), "x", StandardOpenOption.APPEND);
     assertTrue(sendCommand("change two").contains("the digest of wharftrestle.jar is another"));
@@ -235,7 +243,8 @@
         assertThrows(
             HostSupervisor.DirectoryLockedException.class,
             () -> new HostSupervisor(configuration(), LIMITS, System.out));
-    assertTrue(exception.getMessage().startsWith("another supervisor has locked the state directory"));
+    assertTrue(
+        exception.getMessage().startsWith("another supervisor has locked the state directory"));
     stopSupervisor();
     assertTrue(ProcessHandle.of(pid).isPresent(), "the daemon outlives its supervisor");
     String result = request("k");
@@ -247,7 +256,8 @@
   }
 
   @Test
-  void restart_duringAChangeOrItsProbation_undoesTheChangeOrContinuesTheProbation() throws Exception {
+  void restart_duringAChangeOrItsProbation_undoesTheChangeOrContinuesTheProbation()
+      throws Exception {
     startSupervisor("one");
     await("serving", "one");
     assertTrue(sendCommand("change two").startsWith("ok "));
--- a/src/test/java/wharftrestle/supervisor/SupervisorFixtures.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorFixtures.java
@@ -94,7 +94,15 @@
         new SupervisorJournal.Entry(
             1_765_000_063_000L, "held", active, "two", "one", 0, 0, 0, "held its probation"),
         new SupervisorJournal.Entry(
-            1_765_000_070_000L, "starting", candidate, "drei-ü", "one", 0, 0, 7103, "change from two"),
+            1_765_000_070_000L,
+            "starting",
+            candidate,
+            "drei-ü",
+            "one",
+            0,
+            0,
+            7103,
+            "change from two"),
         new SupervisorJournal.Entry(
             1_765_000_070_009L,
             "started",
@@ -167,7 +175,8 @@
     all.put("calls", 12L);
     all.put("badCalls", 3L);
     all.put(
-        "classes", List.of(new DaemonStatus.ClassAnswers("batch work", 100, 80, 7, 15, 5, 61.5, 4.25)));
+        "classes",
+        List.of(new DaemonStatus.ClassAnswers("batch work", 100, 80, 7, 15, 5, 61.5, 4.25)));
     all.put("cpu", 1.75);
     all.put("ownMb", 22.5);
     return all;
--- a/src/test/java/wharftrestle/supervisor/SupervisorRun.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorRun.java
@@ -82,7 +82,8 @@
       task.get(30, TimeUnit.SECONDS);
       supervisor.close();
       for (SupervisorJournal.Entry entry :
-          JsonLineJournal.read(stateDirectory.resolve("journal.jsonl"), SupervisorJournal.Entry.class)) {
+          JsonLineJournal.read(
+              stateDirectory.resolve("journal.jsonl"), SupervisorJournal.Entry.class)) {
         if (entry.event().equals("started")) {
           ProcessHandle.of(entry.pid()).ifPresent(ProcessHandle::destroyForcibly);
         }
@@ -123,7 +124,8 @@
     replaceNumbers(host, "askedAgo");
     host.put("incarnation", "1f2e3d4c");
     replaceNumbers((ObjectNode) host.path("box"), "pid", "cpu", "ownMb");
-    return new SupervisorRun(journal, orders, host, Files.readAllLines(stateDirectory.resolve("requests")));
+    return new SupervisorRun(
+        journal, orders, host, Files.readAllLines(stateDirectory.resolve("requests")));
   }
 
   /** Replaces numbers that are not 0 by a fixed one. */
--- a/src/test/java/wharftrestle/supervisor/SupervisorStateMachineTest.java
+++ b/src/test/java/wharftrestle/supervisor/SupervisorStateMachineTest.java
@@ -40,7 +40,9 @@
   void change_withoutRegression_isKept() {
     serveWith("a");
     assertEquals(List.of("START CANDIDATE b"), withoutRecords(stateMachine.change("b", 3)));
-    assertEquals(List.of("TERM ACTIVE a", "PROMOTE CANDIDATE b"), withoutRecords(stateMachine.onReady(Role.CANDIDATE, 4)));
+    assertEquals(
+        List.of("TERM ACTIVE a", "PROMOTE CANDIDATE b"),
+        withoutRecords(stateMachine.onReady(Role.CANDIDATE, 4)));
     assertEquals(State.PROBATION, stateMachine.state());
     stateMachine.tick(new AnswerCounts(0, 0, 0), 5);
     stateMachine.tick(new AnswerCounts(500, 2, 5), 20);
@@ -48,7 +50,10 @@
     stateMachine.tick(new AnswerCounts(900, 2, 9), 35);
     assertEquals(State.SERVING, stateMachine.state());
     assertEquals("b", stateMachine.activeRelease());
-    assertEquals(List.of("START CANDIDATE a"), withoutRecords(stateMachine.rollBack(40)), "a later rollback");
+    assertEquals(
+        List.of("START CANDIDATE a"),
+        withoutRecords(stateMachine.rollBack(40)),
+        "a later rollback");
   }
 
   @Test
@@ -57,10 +62,17 @@
     stateMachine.change("b", 3);
     stateMachine.onReady(Role.CANDIDATE, 4);
     stateMachine.tick(new AnswerCounts(0, 0, 0), 5);
-    assertTrue(stateMachine.tick(new AnswerCounts(30, 0, 10), 6).isEmpty(), "too few answers to compare");
-    assertEquals(List.of("START CANDIDATE a"), withoutRecords(stateMachine.tick(new AnswerCounts(90, 0, 10), 7)));
-    assertTrue(stateMachine.lastProblem().contains("10.0% failed, 1.0% before"), stateMachine.lastProblem());
-    assertEquals(List.of("TERM ACTIVE b", "PROMOTE CANDIDATE a"), withoutRecords(stateMachine.onReady(Role.CANDIDATE, 8)));
+    assertTrue(
+        stateMachine.tick(new AnswerCounts(30, 0, 10), 6).isEmpty(), "too few answers to compare");
+    assertEquals(
+        List.of("START CANDIDATE a"),
+        withoutRecords(stateMachine.tick(new AnswerCounts(90, 0, 10), 7)));
+    assertTrue(
+        stateMachine.lastProblem().contains("10.0% failed, 1.0% before"),
+        stateMachine.lastProblem());
+    assertEquals(
+        List.of("TERM ACTIVE b", "PROMOTE CANDIDATE a"),
+        withoutRecords(stateMachine.onReady(Role.CANDIDATE, 8)));
     assertEquals(State.SERVING, stateMachine.state());
     assertEquals("a", stateMachine.activeRelease());
   }
@@ -100,7 +112,9 @@
     assertEquals(List.of("KILL CANDIDATE b"), withoutRecords(stateMachine.tick(null, 13.5)));
     assertEquals("a", stateMachine.activeRelease());
     stateMachine.change("b", 20);
-    assertEquals(List.of("KILL CANDIDATE b"), withoutRecords(stateMachine.onTakeoverRejected(Role.CANDIDATE, "no ground", 21)));
+    assertEquals(
+        List.of("KILL CANDIDATE b"),
+        withoutRecords(stateMachine.onTakeoverRejected(Role.CANDIDATE, "no ground", 21)));
     assertTrue(stateMachine.lastProblem().contains("no ground"));
     stateMachine.change("b", 30);
     assertEquals(List.of(), withoutRecords(stateMachine.onExit(Role.CANDIDATE, 31)));
@@ -111,7 +125,8 @@
   void activeExitDuringChange_promotesTheCandidate() {
     serveWith("a");
     stateMachine.change("b", 3);
-    assertEquals(List.of("PROMOTE CANDIDATE b"), withoutRecords(stateMachine.onExit(Role.ACTIVE, 4)));
+    assertEquals(
+        List.of("PROMOTE CANDIDATE b"), withoutRecords(stateMachine.onExit(Role.ACTIVE, 4)));
     assertEquals(State.PROBATION, stateMachine.state());
     assertEquals("a", stateMachine.fallbackRelease());
   }
@@ -128,7 +143,8 @@
     for (double backoff : backoffs) {
       stateMachine.onExit(Role.ACTIVE, now);
       assertEquals(List.of(), withoutRecords(stateMachine.tick(null, now + backoff - 0.1)));
-      assertEquals(List.of("START ACTIVE b"), withoutRecords(stateMachine.tick(null, now + backoff + 0.1)));
+      assertEquals(
+          List.of("START ACTIVE b"), withoutRecords(stateMachine.tick(null, now + backoff + 0.1)));
       now += backoff + 1;
     }
     stateMachine.onExit(Role.ACTIVE, now);
@@ -150,7 +166,8 @@
     stateMachine.change("b", 3);
     assertEquals(List.of("KILL CANDIDATE b"), withoutRecords(stateMachine.rollBack(4)));
     assertEquals("a", stateMachine.activeRelease());
-    assertEquals(List.of(), withoutRecords(stateMachine.rollBack(5)), "there is nothing to go back to");
+    assertEquals(
+        List.of(), withoutRecords(stateMachine.rollBack(5)), "there is nothing to go back to");
   }
 
   /**
@@ -217,7 +234,8 @@
         case TERM, KILL -> assertTrue(running.remove(action.role()), "no daemon to end");
         case PROMOTE -> {
           assertTrue(
-              running.remove(Role.CANDIDATE) && !running.contains(Role.ACTIVE), "no candidate to promote");
+              running.remove(Role.CANDIDATE) && !running.contains(Role.ACTIVE),
+              "no candidate to promote");
           running.add(Role.ACTIVE);
         }
         default -> {}
