--- a/src/main/java/wharftrestle/supervisor/HostSupervisor.java
+++ b/src/main/java/wharftrestle/supervisor/HostSupervisor.java
@@ -119,7 +119,10 @@
   }
 
   /**
-   * For tests: the listener receives each entry before it is written, and may throw to end here.
+   * For tests.
+   *
+   * @param entryListener receives each entry before it is written; an exception that it throws ends
+   *     {@link #run} there
    */
   HostSupervisor(
       Configuration configuration,
--- a/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
+++ b/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
@@ -275,9 +275,9 @@
   }
 
   /**
-   * Journal entries of a start, a change and a rollback, of which each is the last one in turn:
-   * starting, started, said; starting, started, ended, promoted, held; starting, started, ended,
-   * promoted, held.
+   * The supervisor is killed right before it writes the entry of this number. The entries are those
+   * of a start (starting, started, said), a change (starting, started, ended, promoted, held) and a
+   * rollback (starting, started, ended, promoted, held).
    */
   @ParameterizedTest
   @ValueSource(ints = {2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})
