--- a/src/main/java/wharftrestle/request/Acceptance.java
+++ b/src/main/java/wharftrestle/request/Acceptance.java
@@ -1,15 +1,15 @@
 package wharftrestle.request;
 
-/** What became of a request that was handed to {@link RequestCoordinator#accept}. */
+/** The outcome of {@link RequestCoordinator#accept} for one request. */
 public sealed interface Acceptance {
 
   /**
-   * The request is in flight and its listener will be notified; names it for {@link
-   * RequestCoordinator#callerDisconnected}.
+   * The request is in flight and its listener will be notified. Passed to {@link
+   * RequestCoordinator#callerDisconnected} to identify the request.
    */
   sealed interface InFlight extends Acceptance permits InFlightRequest {}
 
-  /** The listener was notified within the call. */
+  /** The listener was notified before {@link RequestCoordinator#accept} returned. */
   enum Answered implements Acceptance {
     ANSWERED
   }
--- a/src/main/java/wharftrestle/request/AdmissionActions.java
+++ b/src/main/java/wharftrestle/request/AdmissionActions.java
@@ -7,9 +7,9 @@
 import wharftrestle.idempotency.KeyEntry;
 
 /**
- * Adapts what the admission module decides to steps of the request concerned, which that request's
- * own thread carries out. Called by the module within its events, so guarded by the coordinator's
- * lock; actions about requests that are over mean nothing.
+ * Turns the decisions of the admission module into steps of the request concerned, which that
+ * request's thread carries out. The module calls these methods while it handles an event, so the
+ * coordinator's lock is held. Actions for requests that have left the in-flight table are ignored.
  */
 final class AdmissionActions implements Admission.Actions {
   private final EventClock clock;
@@ -39,7 +39,7 @@
     executions = parts.executions;
   }
 
-  /** Seconds an idle connection may stay; 0 for as long as its peer likes; without the lock. */
+  /** Seconds after which an idle connection is closed; 0 for never. Needs no lock. */
   double idleTimeoutSeconds() {
     return idleTimeoutSeconds;
   }
@@ -61,7 +61,7 @@
             : InFlightRequest.Step.DISPATCH);
   }
 
-  /** True where this request executes for its key. */
+  /** Starts the execution of the request's key; false if the request may not execute. */
   private boolean startKey(InFlightRequest request) {
     IncomingRequest incoming = request.incoming;
     IdempotencyTable<InFlightRequest> keys = keyed.table();
@@ -81,7 +81,7 @@
             clock.now(),
             request);
     if (!request.holdsKey()) {
-      // Whatever the module knows of the key: it must not execute twice.
+      // A key must not execute twice, even if the module does not know that it executed before.
       Logger.warn("second execution of a key prevented reference={}", incoming.reference());
       keyed.attach(request);
       return false;
@@ -89,7 +89,7 @@
     return true;
   }
 
-  // It came as a duplicate of a request that never executed, so nothing was reserved on arrival.
+  // The request arrived as a duplicate of one that never executed, so no memory was reserved then.
   private void rejectForMemory(InFlightRequest request) {
     request.isDispatched = true;
     request.isNeverSent = true;
@@ -105,7 +105,7 @@
   public void reject(long id, boolean fleetOverloaded, double retryAfterSeconds) {
     InFlightRequest request = inFlight.withId(id);
     if (request != null) {
-      // A rejection promises that the key has not executed: after an execution it is a failure.
+      // A rejection guarantees that the key has not executed; after an execution, answer a failure.
       boolean hasExecuted = request.entry != null && request.entry.mayHaveRun();
       callers.answer(
           request,
@@ -201,6 +201,6 @@
 
   @Override
   public void log(String line) {
-    Logger.info("module: {}", line);
+    Logger.info("admission module message={}", line);
   }
 }
--- a/src/main/java/wharftrestle/request/AdmissionDriver.java
+++ b/src/main/java/wharftrestle/request/AdmissionDriver.java
@@ -5,13 +5,13 @@
 import wharftrestle.admission.Admission;
 
 /**
- * Drives the admission module: holds it from the start of the worker pool on, ends the instants in
- * which it decides, and runs what its decisions bring about once they are complete. Guarded by the
- * coordinator's lock.
+ * Feeds events to the admission module, which exists from the start of the worker pool. Ends each
+ * batch of events, upon which the module decides, and then runs the follow-ups that its decisions
+ * queued. Guarded by the coordinator's lock.
  */
 final class AdmissionDriver {
 
-  /** Requests in flight beyond which the events of a short span make one instant. */
+  /** Number of requests in flight above which events of the same millisecond share a batch. */
   private static final int BATCH_FROM_IN_FLIGHT = 32;
 
   private static final double BATCH_SECONDS = 0.001;
@@ -24,7 +24,7 @@
   private double batchCompletedAtSeconds = Double.NEGATIVE_INFINITY;
   private boolean isBatchOpen;
 
-  /** The condition is signalled whenever the timer thread has a batch to end. */
+  /** Signals the condition whenever the timer thread has a batch to end. */
   AdmissionDriver(EventClock clock, InFlightTable inFlight, Condition timerWork) {
     this.clock = clock;
     this.inFlight = inFlight;
@@ -40,17 +40,17 @@
     completeBatch(clock.now());
   }
 
-  /** The module, for events of an instant that the caller then settles; null before the start. */
+  /** The module, to which the caller passes events before it ends the batch; null before start. */
   Admission.Events events() {
     return module;
   }
 
-  /** Has this run at the end of the instant, outside the module's own decisions. */
+  /** Queues a task to run at the end of the batch, after the module has returned. */
   void runAfterInstant(Runnable followUp) {
     followUps.add(followUp);
   }
 
-  /** The caller of a request is gone, or was answered without the module. */
+  /** Notifies the module that a caller disconnected, or was answered without the module. */
   void callerDisconnected(InFlightRequest request) {
     if (inFlight.contains(request)) {
       double now = clock.now();
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Part of the memory and of the dependency's capacity that this process may use from now on. */
+  /** Sets the fraction of the host's memory and dependency capacity that this process may use. */
   void setShare(double share) {
     if (module != null) {
       double now = clock.now();
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Ends the instant, and the instants that follow from what the module decided in it. */
+  /** Ends the batch, then runs the queued follow-ups and ends a batch after each of them. */
   void completeBatch(double now) {
     isBatchOpen = false;
     batchCompletedAtSeconds = now;
@@ -80,8 +80,9 @@
   }
 
   /**
-   * Ends the instant after an event of the worker pool or the store. With much in flight the events
-   * of a short span share one instant, as the module looks at all requests in each.
+   * Ends the batch at once or shortly after an event of the worker pool or the store. With many
+   * requests in flight, the events of a millisecond share one batch, as the module examines all
+   * requests at the end of each batch.
    */
   void completeBatchSoon(double now) {
     if (inFlight.size() <= BATCH_FROM_IN_FLIGHT || now >= batchCompletedAtSeconds + BATCH_SECONDS) {
@@ -104,7 +105,7 @@
     }
   }
 
-  /** When the open batch of events is to be settled; infinity where there is none. */
+  /** When the open batch of events is due to end; infinity if none is open. */
   double batchEndsAtSeconds() {
     return isBatchOpen ? batchCompletedAtSeconds + BATCH_SECONDS : Double.POSITIVE_INFINITY;
   }
--- a/src/main/java/wharftrestle/request/AdmissionFactory.java
+++ b/src/main/java/wharftrestle/request/AdmissionFactory.java
@@ -3,7 +3,7 @@
 import wharftrestle.admission.Admission;
 import wharftrestle.admission.AdmissionSettings;
 
-/** Makes the admission module once the worker pool has started. */
+/** Creates the admission module once the worker pool has started. */
 @FunctionalInterface
 public interface AdmissionFactory {
   /**
--- a/src/main/java/wharftrestle/request/AdmissionTimers.java
+++ b/src/main/java/wharftrestle/request/AdmissionTimers.java
@@ -6,18 +6,18 @@
 import org.tinylog.Logger;
 
 /**
- * The timers of the admission module, and the gauges of the worker pool that go with them. One
- * thread runs {@link #run}; it holds the coordinator's lock, which guards all fields, but while it
- * waits.
+ * Runs the timers of the admission module and passes it fresh gauges of the worker pool with each
+ * of them. One thread runs {@link #run} and holds the coordinator's lock, which guards all fields,
+ * except while it waits.
  */
 final class AdmissionTimers {
 
-  /** Seconds a timer waits for the gauges that it asked for. */
+  /** How long a timer waits for the gauges that it requested from the worker pool. */
   private static final double GAUGE_WAIT_SECONDS = 0.015;
 
   private static final double IDLE_WAIT_SECONDS = 1;
 
-  /** Seconds after which a timer that ended by a fault fires again. */
+  /** Delay before a timer whose handling threw an exception fires again. */
   private static final double RETRY_SECONDS = 0.1;
 
   private static final double[] NO_GAUGES = {};
@@ -35,7 +35,7 @@
   private double[] gauges = NO_GAUGES;
   private long gaugeReports;
 
-  /** The condition is of the lock, and is signalled whenever there is something to do earlier. */
+  /** The condition belongs to the lock and is signalled when earlier work becomes due. */
   AdmissionTimers(
       ReentrantLock lock, Condition timerWork, EventClock clock, AdmissionDriver admission) {
     this.lock = lock;
@@ -51,13 +51,13 @@
     PlatformThreads.restartingThread("timer", this::run).start();
   }
 
-  /** Called under the lock, by the module. */
+  /** Schedules a timer of the module. Called under the lock. */
   void schedule(long label, double delaySeconds) {
     timers.add(new Timer(clock.now() + delaySeconds, label));
     timerWork.signal();
   }
 
-  /** Called under the lock. */
+  /** Stores the gauges and wakes a timer that waits for them. Called under the lock. */
   void gaugesReceived(double[] values) {
     gauges = values;
     gaugeReports++;
@@ -81,7 +81,7 @@
         }
       }
     } catch (InterruptedException e) {
-      throw new IllegalStateException("nobody interrupts the timer", e);
+      throw new IllegalStateException("timer thread was interrupted, which nothing in the daemon does", e);
     } finally {
       lock.unlock();
     }
@@ -110,12 +110,13 @@
 
   // Without a timer no queued request would ever be answered.
   private void retry(double now, long label, Throwable fault) {
-    Logger.error(fault, "admission timer failed retrySeconds={}", RETRY_SECONDS);
+    Logger.error(fault, "admission timer failed, will fire again retrySeconds={}", RETRY_SECONDS);
     timers.add(new Timer(now + RETRY_SECONDS, label));
   }
 
   /**
-   * Gauges read now; none where the worker pool does not send them in time, as old ones mislead.
+   * Requests gauges and waits for them; empty if the worker pool does not send them in time, as
+   * outdated gauges would mislead the module.
    */
   private double[] freshGauges() throws InterruptedException {
     long reportsBefore = gaugeReports;
--- a/src/main/java/wharftrestle/request/Answer.java
+++ b/src/main/java/wharftrestle/request/Answer.java
@@ -3,9 +3,9 @@
 /**
  * The one final answer of a request.
  *
- * @param result empty unless the request was served
- * @param retryAfterSeconds 0 for no advice
- * @param fleetOverloaded the other hosts would reject it too
+ * @param result the result of the execution; empty unless the request was served
+ * @param retryAfterSeconds value for Retry-After; 0 for none
+ * @param fleetOverloaded true if the other hosts would reject the request too
  */
 public record Answer(Kind kind, byte[] result, double retryAfterSeconds, boolean fleetOverloaded) {
 
--- a/src/main/java/wharftrestle/request/AnswerListener.java
+++ b/src/main/java/wharftrestle/request/AnswerListener.java
@@ -1,8 +1,8 @@
 package wharftrestle.request;
 
-/** Waits for the answer of a request; notified once, on a thread of the request, without a lock. */
+/** Receives the answer of a request, once, on the request's thread and without a lock held. */
 @FunctionalInterface
 public interface AnswerListener {
-  /** Called once. */
+  /** Called once per request. */
   void onAnswer(Answer answer);
 }
--- a/src/main/java/wharftrestle/request/CallerNotifier.java
+++ b/src/main/java/wharftrestle/request/CallerNotifier.java
@@ -6,12 +6,12 @@
 import wharftrestle.metrics.Counters.Result;
 
 /**
- * Fixes the one answer of each request, counts it once, and has the request's own thread notify its
- * caller. Guarded by the coordinator's lock.
+ * Sets the one answer of each request, counts it once, and queues the step by which the request's
+ * thread notifies the caller. Guarded by the coordinator's lock.
  */
 final class CallerNotifier {
 
-  /** Seconds an execution may outlast its answer before its thread stops waiting for its end. */
+  /** How long after the answer the request's thread still waits for the execution to end. */
   private static final double ORPHAN_SECONDS = 60;
 
   private final AdmissionSettings settings;
@@ -24,7 +24,7 @@
     this.clock = clock;
   }
 
-  /** Does nothing where the request has its answer or its caller is gone. */
+  /** Answers a request; no effect if it was answered before or its caller disconnected. */
   void answer(InFlightRequest request, Answer answer) {
     if (request.isAnswered) {
       return;
@@ -34,7 +34,7 @@
     request.enqueue(new InFlightRequest.SendAnswer(answer));
   }
 
-  /** The caller does not wait any more; false where the request was answered before. */
+  /** Records that the caller disconnected; false if the request was answered before. */
   boolean callerDisconnected(InFlightRequest request) {
     if (request.isAnswered) {
       return false;
@@ -45,7 +45,7 @@
   }
 
   /**
-   * Counts a failure of a request that a fault has ended; true where its listener has yet to be
+   * Counts a request whose thread threw an exception as failed; true if its listener has yet to be
    * notified.
    */
   boolean abort(InFlightRequest request) {
@@ -58,7 +58,7 @@
         || !wasAnswered;
   }
 
-  // Here and nowhere else, so that each answer counts once whatever it is caused by.
+  // The only place that counts answers, so that each counts once, whatever caused it.
   private void count(IncomingRequest incoming, Answer.Kind kind) {
     counters.answered(
         incoming.classIndex(),
--- a/src/main/java/wharftrestle/request/DependencyCall.java
+++ b/src/main/java/wharftrestle/request/DependencyCall.java
@@ -1,7 +1,7 @@
 package wharftrestle.request;
 
-/** A dependency call on its way. */
+/** A dependency call that is in progress. */
 public interface DependencyCall {
-  /** Its listener is not notified any more. */
+  /** Cancels the call; its listener is not notified. */
   void cancel();
 }
--- a/src/main/java/wharftrestle/request/DependencyCallListener.java
+++ b/src/main/java/wharftrestle/request/DependencyCallListener.java
@@ -2,9 +2,9 @@
 
 import wharftrestle.admission.Admission.Outcome;
 
-/** Is notified how a dependency call ended, on a thread of the client. */
+/** Receives the outcome of a dependency call, on a thread of the client. */
 @FunctionalInterface
 public interface DependencyCallListener {
-  /** The response is null unless the call succeeded. */
+  /** Called once per call that is not cancelled; the response is null unless it succeeded. */
   void onCompleted(Outcome outcome, byte[] response);
 }
--- a/src/main/java/wharftrestle/request/DependencyCalls.java
+++ b/src/main/java/wharftrestle/request/DependencyCalls.java
@@ -8,9 +8,9 @@
 import wharftrestle.metrics.Counters.Count;
 
 /**
- * Makes and cancels the dependency calls of executions, on the threads of their requests, and takes
- * their responses on those of the client. Its methods take the coordinator's lock themselves and
- * never hold it while they use the client.
+ * Sends and cancels the dependency calls of executions on the threads of their requests, and
+ * processes their responses on the threads of the client. Each method acquires the coordinator's
+ * lock itself and releases it before it uses the client.
  */
 final class DependencyCalls {
   private static final double MILLIS_PER_SECOND = 1000;
@@ -39,7 +39,7 @@
     client = dependency;
   }
 
-  /** Sends the call that the execution is blocked on, unless it has ended meanwhile. */
+  /** Sends the call that the execution is blocked on, unless the execution has ended meanwhile. */
   void begin(InFlightRequest request, double callBySeconds) {
     counters.add(Count.DEPENDENCY_CALLS);
     byte[] body;
--- a/src/main/java/wharftrestle/request/DependencyClient.java
+++ b/src/main/java/wharftrestle/request/DependencyClient.java
@@ -1,11 +1,11 @@
 package wharftrestle.request;
 
-/** Carries out the dependency calls of executions. */
+/** Sends the dependency calls of executions. */
 public interface DependencyClient {
   /**
    * Sends a call on another thread and returns at once; the listener is notified once unless the
-   * call is cancelled. A call that is not idempotent never uses a connection that may have ended
-   * meanwhile.
+   * call is cancelled. A call that is not idempotent is never sent on a connection that the store
+   * may have closed meanwhile.
    */
   DependencyCall call(
       String reference,
--- a/src/main/java/wharftrestle/request/EventClock.java
+++ b/src/main/java/wharftrestle/request/EventClock.java
@@ -1,8 +1,8 @@
 package wharftrestle.request;
 
 /**
- * Seconds on a monotonic clock that never goes back from one admission event to the next. Guarded
- * by the coordinator's lock.
+ * A clock in seconds for admission events, which never decreases from one event to the next.
+ * Guarded by the coordinator's lock.
  */
 final class EventClock {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -14,7 +14,7 @@
     return latestSeconds;
   }
 
-  /** Nanoseconds for which to wait until so many seconds have passed, never too few. */
+  /** Converts a wait to nanoseconds, rounded up so that it never ends early. */
   static long waitNanos(double seconds) {
     return (long) (seconds * NANOS_PER_SECOND) + 1;
   }
--- a/src/main/java/wharftrestle/request/Executions.java
+++ b/src/main/java/wharftrestle/request/Executions.java
@@ -6,7 +6,7 @@
 import wharftrestle.metrics.Counters.Count;
 
 /**
- * What the worker pool reports of executions, and what their ends mean for the request, its key and
+ * Handles the worker pool's reports on executions: completes the request and its key, and notifies
  * the admission module. Guarded by the coordinator's lock.
  */
 final class Executions {
@@ -35,7 +35,7 @@
     this.recorder = recorder;
   }
 
-  /** The result is null unless the execution succeeded; unknown references mean nothing. */
+  /** An execution has ended; the result is null unless it succeeded. Ignores unknown references. */
   void completed(String reference, Outcome outcome, double elapsedSeconds, byte[] result) {
     InFlightRequest request = inFlight.executing(reference);
     if (request != null) {
@@ -43,7 +43,7 @@
     }
   }
 
-  /** An execution is blocked on a dependency call, announced in this notice. */
+  /** An execution is blocked on the dependency call announced in the message of this number. */
   void blocked(String reference, long announcementNumber, byte[] callBody) {
     InFlightRequest request = inFlight.executing(reference);
     if (request == null) {
@@ -57,7 +57,7 @@
     admission.completeBatchSoon(now);
   }
 
-  /** The worker pool has restarted: what executed there is over, and may have had its effect. */
+  /** The worker pool has restarted: its executions are broken and may have had their effect. */
   void workerPoolRestarted() {
     for (InFlightRequest request : List.copyOf(inFlight.all())) {
       if (request.isExecuting() && !recorder.isWritingIntent(request)) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** An execution that was decided is over, or was never begun and so is void. */
+  /** Completes an execution that was decided on; its outcome is VOID if it never began. */
   void complete(InFlightRequest request, Outcome outcome, double elapsedSeconds, byte[] result) {
     if (!recorder.isWritingIntent(request) && !request.isNeverSent) {
       counters.add(
@@ -91,7 +91,7 @@
     }
   }
 
-  /** True where the answer waits until the result is on disk. */
+  /** Completes the key of a request; true if the answer must wait until the result is on disk. */
   private boolean completeKey(InFlightRequest request, Outcome outcome, byte[] result) {
     if (!request.holdsKey()) {
       return false;
--- a/src/main/java/wharftrestle/request/HealthListener.java
+++ b/src/main/java/wharftrestle/request/HealthListener.java
@@ -1,8 +1,8 @@
 package wharftrestle.request;
 
-/** Is notified of the health that checks and load reports show; under the coordinator's lock. */
+/** Receives the health shown by health checks and load reports, under the coordinator's lock. */
 @FunctionalInterface
 public interface HealthListener {
-  /** Called at each decision on health, changed or not. */
+  /** Called at each decision on health, whether or not it changed. */
   void onHealthChanged(boolean isHealthy);
 }
--- a/src/main/java/wharftrestle/request/HostHealth.java
+++ b/src/main/java/wharftrestle/request/HostHealth.java
@@ -1,8 +1,8 @@
 package wharftrestle.request;
 
 /**
- * What health checks and load reports show of this host. Written under the coordinator's lock or by
- * its own setters, read by any thread.
+ * The health of this host as health checks and load reports show it. Set under the coordinator's
+ * lock, except {@link #setRelinquished}; read by any thread.
  */
 final class HostHealth {
   private HealthListener listener = isHealthy -> {};
@@ -14,9 +14,9 @@
     listener = reporter;
   }
 
-  /** The health as the admission module judges it, with the operator's drain over it. */
+  /** False while an operator drains the host, otherwise the admission module's decision. */
   boolean isHealthy() {
-    // A process that hands its clients over ends as intended: its own end is no fault of the host.
+    // A process that has relinquished its clients shuts down as intended; the host is not unhealthy.
     return (isModuleHealthy || isRelinquished) && !isDraining;
   }
 
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -5,12 +5,12 @@
 import wharftrestle.idempotency.KeyEntry;
 
 /**
- * One request in flight, and the steps that its own thread has yet to carry out. All but the final
- * fields is guarded by the coordinator's lock.
+ * One request in flight, and the steps that its thread has yet to carry out. All fields that are
+ * not final are guarded by the coordinator's lock.
  */
 final class InFlightRequest implements Acceptance.InFlight {
 
-  /** What a step does. */
+  /** The kinds of step. */
   enum StepKind {
     WRITE_INTENT,
     DISPATCH,
@@ -23,7 +23,7 @@
     ANSWER
   }
 
-  /** One thing to carry out without the lock; its kind says which record it is. */
+  /** An action that the request's thread carries out without the lock. */
   sealed interface Step {
     Step WRITE_INTENT = new PlainStep(StepKind.WRITE_INTENT);
     Step DISPATCH = new PlainStep(StepKind.DISPATCH);
@@ -34,10 +34,10 @@
     StepKind kind();
   }
 
-  /** A step that its kind says all of. */
+  /** A step without parameters. */
   private record PlainStep(StepKind kind) implements Step {}
 
-  /** Hands the response of a dependency call to the execution. */
+  /** Sends the response of a dependency call to the execution. */
   record DeliverResponse(byte[] response) implements Step {
     @Override
     public StepKind kind() {
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Makes the call at which the execution is blocked.
+   * Sends the dependency call on which the execution is blocked.
    *
-   * @param callBySeconds the call may not last longer
+   * @param callBySeconds when the call times out, on the coordinator's clock
    */
   record CallDependency(double callBySeconds) implements Step {
     @Override
@@ -58,9 +58,9 @@
   }
 
   /**
-   * Lets the execution go on without its call.
+   * Continues the execution without its dependency call.
    *
-   * @param announcementNumber of the notice that announced the call
+   * @param announcementNumber number of the worker pool's message that announced the call
    */
   record SkipCall(long announcementNumber) implements Step {
     @Override
@@ -80,60 +80,60 @@
   final long id;
   final IncomingRequest incoming;
 
-  /** Null without one; with its class and tenant, so that no other's result is ever theirs. */
+  /** Class, tenant and idempotency key, so that tenants never share a result; null for no key. */
   final String key;
 
   final AnswerListener listener;
   final Condition changed;
   final ArrayDeque<Step> steps = new ArrayDeque<>();
 
-  /** When its answer, and once answered its completion, is forced. */
+  /** When the answer is forced, and once the request is answered, its completion. */
   double backstopSeconds;
 
-  /** Its answer is fixed, or its caller is gone. */
+  /** The answer is set, or the caller has disconnected. */
   boolean isAnswered;
 
-  /** The admission module, or a check before it, has decided on it. */
+  /** The checks before the admission module have run: they answered the request or submitted it. */
   boolean hasArrived;
 
   boolean isDispatched;
   boolean isCompleted;
 
-  /** Its execution was decided and then rejected: the worker pool never hears of it. */
+  /** The execution was decided on and then rejected: the worker pool is never sent it. */
   boolean isNeverSent;
 
-  /** Waits for the execution of another request with its key. */
+  /** The request waits for the execution of another request with the same key. */
   boolean isAttached;
 
-  /** Start of its execution or attachment. */
+  /** When the execution or the attachment began. */
   double startedAtSeconds;
 
-  /** The worker pool's number of the notice of the call that it is blocked on. */
+  /** Number of the worker pool's message that announced the dependency call. */
   long callAnnouncement;
 
   byte[] callBody;
   DependencyCall call;
 
-  /** Counts calls and their ends, so that a late end of an earlier call is known as such. */
+  /** Incremented as a call starts or ends, so that a late response to an earlier call is ignored. */
   int callNumber;
 
   double callStartedAtSeconds;
 
-  /** Its last call failed otherwise than by time. */
+  /** The last dependency call failed for another reason than a timeout. */
   boolean hasFailedCall;
 
   KeyEntry<InFlightRequest> entry;
 
-  /** The process that owns all keys lets this one decide on its key. */
+  /** The peer process, which owns all keys, has granted this key to this process. */
   boolean isKeyGranted;
 
-  /** On its way to the disk; null for none. */
+  /** The intent record that is being written to disk; null for none. */
   PendingIntent pendingIntent;
 
-  /** Its execution is not begun where its intent is not on disk by then. */
+  /** If the intent is not on disk by then, the execution is rejected. */
   double intentBySeconds;
 
-  /** Memory is reserved to know its key to the end. */
+  /** Memory is reserved for the key until it expires. */
   boolean hasReservation;
 
   InFlightRequest(long id, IncomingRequest incoming, AnswerListener listener, Condition changed) {
@@ -151,7 +151,7 @@
     this.changed = changed;
   }
 
-  /** The index of a key's class, which leads its text. */
+  /** Parses the class index, with which the text of a key begins. */
   static int classIndexOf(String key) {
     return Integer.parseInt(key.substring(0, key.indexOf('/')));
   }
@@ -164,12 +164,12 @@
     return isDispatched && !isCompleted;
   }
 
-  /** Nothing of it is left but the steps that are queued. */
+  /** True once the request is answered and not executing, so that only queued steps remain. */
   boolean isFinished() {
     return isAnswered && !isExecuting();
   }
 
-  /** True where it is the one whose execution its key knows. */
+  /** True if this request is the current attempt of its key's entry. */
   boolean holdsKey() {
     return entry != null && entry.attempt() == this;
   }
--- a/src/main/java/wharftrestle/request/InFlightTable.java
+++ b/src/main/java/wharftrestle/request/InFlightTable.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.locks.Condition;
 
 /**
- * The requests that the admission module may know: by their id and by their reference at the worker
- * pool. Guarded by the coordinator's lock, but for {@link #setMaxInFlight}.
+ * The requests that have been registered for the admission module, by id and by their reference at
+ * the worker pool. Guarded by the coordinator's lock, except {@link #setMaxInFlight}.
  */
 final class InFlightTable {
   private final Map<Long, InFlightRequest> byId = new HashMap<>();
@@ -15,7 +15,7 @@
   private final Condition emptied;
   private volatile int maxInFlight;
 
-  /** The condition is signalled whenever the last request leaves. */
+  /** Signals the condition whenever the table becomes empty. */
   InFlightTable(Condition emptied, int maxInFlight) {
     this.emptied = emptied;
     this.maxInFlight = maxInFlight;
@@ -41,17 +41,17 @@
     return byId.containsKey(request.id);
   }
 
-  /** Null where no such request is in flight. */
+  /** Finds a request by its id; null if it is not in flight. */
   InFlightRequest withId(long id) {
     return byId.get(id);
   }
 
-  /** Null where no request of this reference is in flight. */
+  /** Finds a request by its reference; null if it is not in flight. */
   InFlightRequest withReference(String reference) {
     return byReference.get(reference);
   }
 
-  /** The request whose execution is under way under this reference; null for none. */
+  /** Finds a request that is executing by its reference; null if there is none. */
   InFlightRequest executing(String reference) {
     InFlightRequest request = byReference.get(reference);
     return request == null || !request.isExecuting() ? null : request;
@@ -62,7 +62,7 @@
     byReference.put(request.incoming.reference(), request);
   }
 
-  /** Also takes requests that were never added. */
+  /** Removes a request; no effect if it was never added. */
   void remove(InFlightRequest request) {
     byId.remove(request.id);
     byReference.remove(request.incoming.reference(), request);
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Waits until nothing is in flight, at most so long; false where something still is. */
+  /** Waits until the table is empty; false if it is not after this many seconds. */
   boolean awaitEmpty(double seconds) throws InterruptedException {
     long remainingNanos = EventClock.waitNanos(seconds);
     while (!byId.isEmpty() && remainingNanos > 0) {
--- a/src/main/java/wharftrestle/request/IncomingRequest.java
+++ b/src/main/java/wharftrestle/request/IncomingRequest.java
@@ -5,17 +5,17 @@
 /**
  * One attempt of a client's request as a frontend read it.
  *
- * @param reference names this attempt at the worker pool and the store
- * @param isRetry its sender marked it as a retry or a hedged request
- * @param memoryKb memory while it is in flight
+ * @param reference identifies this attempt to the worker pool and the store
+ * @param isRetry the sender marked it as a retry or a hedged request
+ * @param memoryKb memory that it needs while it is in flight, kB
  * @param callerId number of the load balancer that sent it
- * @param rank 0 to under 1, by weight of its class and then by user
- * @param expectedWorkSeconds work on one core, rough; 0 where not known
- * @param idempotencyKey null where there is none
- * @param subject what it is about; null where not known
- * @param receivedAtMillis when it reached the host, on the {@link SteadyWallClock}'s even scale
+ * @param rank in [0, 1), ordered by the weight of its class and then by user
+ * @param expectedWorkSeconds estimated work on one core; 0 if not known
+ * @param idempotencyKey null if there is none
+ * @param subject what it is about; null if not known
+ * @param receivedAtMillis when it reached the host, ms on the {@link SteadyWallClock}
  */
-@SuppressWarnings("checkstyle:RecordComponentNumber") // one object a request, not two
+@SuppressWarnings("checkstyle:RecordComponentNumber") // one allocation per request instead of two
 public record IncomingRequest(
     String reference,
     boolean isRetry,
@@ -32,7 +32,7 @@
 
   private static final double MILLIS_PER_SECOND = 1000;
 
-  /** Seconds since it reached the host, on clocks that may differ: never less than 0. */
+  /** Seconds since it reached the host; not below 0, even if the timestamp is of another clock. */
   double queueingDelaySeconds() {
     return Math.max(0, (SteadyWallClock.steadyWallMillis() - receivedAtMillis) / MILLIS_PER_SECOND);
   }
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -11,15 +11,16 @@
 import wharftrestle.metrics.Counters.Count;
 
 /**
- * Requests with an idempotency key: their place in the {@link IdempotencyTable}, the memory that is
- * reserved for them, and how duplicates end as the execution that they are attached to. Guarded by
- * the coordinator's lock, but for {@link #indexBytes}.
+ * Handles requests with an idempotency key: maintains their entries in the {@link
+ * IdempotencyTable}, reserves memory for them, and completes duplicates with the outcome of the
+ * execution that they are attached to. Guarded by the coordinator's lock, except {@link
+ * #indexBytes}.
  */
 final class KeyedRequests {
 
   private static final double EXPIRY_INTERVAL_SECONDS = 1;
 
-  /** The least Retry-After where there is no memory for a further key. */
+  /** The minimum Retry-After of a rejection for lack of memory for another key. */
   private static final double MIN_RETRY_AFTER_SECONDS = 0.05;
 
   private final IdempotencyTable<InFlightRequest> keys;
@@ -50,7 +51,7 @@
     keys = new IdempotencyTable<>(this::executionCompleted, memory);
   }
 
-  /** Before the first request; these three refer to each other. */
+  /** Called before the first request. A setter, as the three objects refer to each other. */
   void connect(KeyOwnershipTransfer<InFlightRequest> transfer, ResultRecorder results) {
     ownership = transfer;
     recorder = results;
@@ -60,12 +61,12 @@
     return keys;
   }
 
-  /** Bytes of memory of the index of completed keys, as of the last expiry; without the lock. */
+  /** Memory of the index of completed keys in bytes, as of the last expiry. Needs no lock. */
   long indexBytes() {
     return indexBytes;
   }
 
-  /** Takes over what an earlier process of this host has left on disk. */
+  /** Restores the keys that an earlier process of this host recorded on disk. */
   void restore(ResultStore.RecoveredKeys recovered) {
     boolean isComplete = true;
     double latestExpiry = recovered.unknownKeysFailUntilSeconds();
@@ -81,19 +82,19 @@
     }
     double now = clock.now();
     if (!isComplete || recovered.unknownKeysFailUntilSeconds() > now) {
-      // A key that is on disk and not known here must not execute again: unknown keys fail.
+      // A key that is on disk but missing here must not execute again, so all unknown keys fail.
       Logger.warn(
-          "keys on disk may be missing in memory, unknown keys fail seconds={}",
+          "recovered keys may be incomplete, unknown keys fail for seconds={}",
           Math.round(latestExpiry - now));
       keys.failUnknownKeysUntil(latestExpiry);
     }
   }
 
-  /** True where memory is reserved to know the key of this request to its end. */
+  /** Reserves memory for the key of this request until it expires; false if there is none. */
   boolean reserveMemory(InFlightRequest request) {
     request.hasReservation = request.hasReservation || keys.tryReserveMemory();
     if (!request.hasReservation) {
-      keys.expire(clock.now()); // keys that are over by now need not wait for the next expiry
+      keys.expire(clock.now()); // frees keys that have expired since the last periodic expiry
       request.hasReservation = keys.tryReserveMemory();
     }
     return request.hasReservation;
@@ -106,7 +107,7 @@
     }
   }
 
-  /** Rejects a request for want of memory, until there is some as far as is known now. */
+  /** A rejection for lack of key memory, to retry when enough keys are expected to have expired. */
   Answer rejectedForMemory(double now, double maxRetryAfterSeconds) {
     counters.add(Count.GUARD_REJECTIONS);
     counters.add(Count.KEY_MEMORY_FULL);
@@ -114,7 +115,7 @@
     return Answer.rejected(Math.min(maxRetryAfterSeconds, retryAfter), false);
   }
 
-  /** Removes expired keys and updates the gauges; does nothing more than once a second. */
+  /** Removes expired keys and updates the gauges, at most once a second. */
   void expire(double now) {
     if (now < expiredAtSeconds + EXPIRY_INTERVAL_SECONDS) {
       return;
@@ -128,8 +129,8 @@
   }
 
   /**
-   * The execution of a key has ended; the result is null unless it succeeded. True where the answer
-   * waits for the disk.
+   * The execution of a key has ended; the result is null unless it succeeded. True if the answer
+   * must wait until the result is on disk.
    */
   boolean complete(KeyEntry<InFlightRequest> entry, byte[] result) {
     ownership.sendCompletion(entry, result);
@@ -143,7 +144,7 @@
     return entry.state() == KeyState.SAVING;
   }
 
-  /** The execution of a key was never begun, so that a retry may execute. */
+  /** The execution of a key never began: removes the key, so that a retry may execute. */
   void neverExecuted(KeyEntry<InFlightRequest> entry) {
     if (entry.state() == KeyState.RUNNING) {
       recorder.neverExecuted(entry);
@@ -151,7 +152,7 @@
     keys.abandon(entry);
   }
 
-  /** Has a duplicate wait for the execution that its key is in. */
+  /** Attaches a duplicate to the execution of its key, or completes it if that has ended. */
   void attach(InFlightRequest request) {
     KeyEntry<InFlightRequest> entry = request.entry;
     request.isAttached = true;
@@ -161,7 +162,7 @@
     }
   }
 
-  /** Reserves a place in the table for a request that the module keeps for later. */
+  /** Adds an entry for a request that the module queues, so that duplicates attach to it. */
   void hold(InFlightRequest request) {
     KeyEntry<InFlightRequest> entry =
         keys.enqueue(
@@ -177,7 +178,7 @@
     }
   }
 
-  /** This request does not wait for its key any more. */
+  /** Detaches a request from the execution of its key. */
   void leave(InFlightRequest request) {
     if (request.entry != null) {
       keys.detach(request.entry, request);
@@ -185,8 +186,8 @@
   }
 
   /**
-   * Ends a request as the execution that it is attached to did, with its result byte for byte. A
-   * result on disk is read by the request's own thread, never under the lock.
+   * Completes a request with the outcome of the execution that it is attached to, with the result
+   * byte for byte. A result on disk is read by the request's thread, never under the lock.
    */
   void completeAttached(InFlightRequest request, KeyEntry<InFlightRequest> entry) {
     byte[] result = entry == null ? null : keys.result(entry);
@@ -198,7 +199,7 @@
     completeWith(request, result);
   }
 
-  /** The result is null where the execution failed, or its result cannot be read. */
+  /** Completes a request; the result is null if the execution failed or it cannot be read. */
   void completeWith(InFlightRequest request, byte[] result) {
     if (request.isAnswered) {
       return;
--- a/src/main/java/wharftrestle/request/PeerClaims.java
+++ b/src/main/java/wharftrestle/request/PeerClaims.java
@@ -10,10 +10,10 @@
 import wharftrestle.idempotency.KeyEntry;
 
 /**
- * What the requests of this process need of the peer process that owns their keys: a claim before
- * they are taken in, an announcement before they execute, a release at their end. Owns the requests
- * that wait for the peer. Guarded by the coordinator's lock, which {@link #claim} gives up while it
- * waits and no method holds while it writes.
+ * Coordinates the keys of this process's requests with the peer process that owns all keys: claims
+ * a key before its request is accepted, announces its execution, and releases it at the end. Keeps
+ * the requests that wait for the peer's reply. Guarded by the coordinator's lock, which {@link
+ * #claim} releases while it waits, and which no method holds while it waits for a write.
  */
 final class PeerClaims implements KeyOwnershipTransfer.Host<InFlightRequest> {
   private final ReentrantLock lock;
@@ -33,7 +33,7 @@
     ownership = new KeyOwnershipTransfer<>(keyed.table(), this);
   }
 
-  /** Before the first request; both refer to each other. */
+  /** Called before the first request. A setter, as the two objects refer to each other. */
   void connect(ResultRecorder results) {
     recorder = results;
   }
@@ -42,12 +42,12 @@
     return ownership;
   }
 
-  /** True where this process decides on all keys. */
+  /** True if this process owns all keys. */
   boolean ownsKeys() {
     return ownership.isOwner();
   }
 
-  /** True where the peer must be asked before the request is taken in; takes the lock. */
+  /** True if the key must be claimed from the peer before the request is accepted. Locks. */
   boolean mustClaim(InFlightRequest request) {
     lock.lock();
     try {
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Asks the peer for the key of a request, and waits until it answers, is lost, or the answer is
-   * due. Takes the lock, and gives it up while it waits.
+   * Claims the key of a request from the peer, and waits until the peer replies or is lost, or the
+   * request's answer is due. Acquires the lock, and releases it while it waits.
    */
   void claim(InFlightRequest request) {
     lock.lock();
@@ -76,7 +76,7 @@
       }
       waiting.remove(request);
     } catch (InterruptedException e) {
-      throw new IllegalStateException("nobody interrupts a request", e);
+      throw new IllegalStateException("request thread was interrupted, which nothing in the daemon does", e);
     } finally {
       lock.unlock();
     }
@@ -89,14 +89,14 @@
         && !ownership.isKnown(request.key, request.incoming.receivedAtMillis());
   }
 
-  /** True where the peer owns the key and has not let this process decide on it. */
+  /** True if the peer owns all keys and has not granted this one. */
   boolean isClaimUnanswered(InFlightRequest request) {
     return ownership.peer() != null && !ownership.isOwner() && !request.isKeyGranted;
   }
 
   /**
-   * Has the peer know of an execution before it begins, so that none is repeated should this
-   * process end early. Takes the lock, and waits for the write without it.
+   * Announces an execution to the peer before it begins, so that the peer does not repeat it should
+   * this process end early. Acquires the lock, and releases it before it waits for the write.
    */
   void announceExecution(InFlightRequest request) {
     PeerProcess peer;
@@ -113,7 +113,7 @@
     }
   }
 
-  /** A request has left the table; the key is released where no other request has it. */
+  /** Releases the key of a request that has left the table, unless another request has it. */
   void releaseKeyOf(InFlightRequest request, Iterable<InFlightRequest> inFlight) {
     if (ownership.peer() == null || request.key == null) {
       return;
@@ -125,12 +125,12 @@
     ownership.sendRelease(request.key, isKeyInUse);
   }
 
-  /** Every request that waits for the peer looks again. */
+  /** Wakes every request that waits for the peer, to check its state again. */
   void wakeAll() {
     waiting.forEach(request -> request.changed.signal());
   }
 
-  // ---- What the ownership of keys needs of the requests ----
+  // ---- KeyOwnershipTransfer.Host ----
 
   @Override
   public void wakeWaiters(String key, boolean isGranted) {
