--- a/src/main/java/wharftrestle/idempotency/ActiveKeys.java
+++ b/src/main/java/wharftrestle/idempotency/ActiveKeys.java
@@ -9,11 +9,11 @@
 import wharftrestle.idempotency.KeyState.Step;
 
 /**
- * The entries of keys that wait, run or wait for the disk, each with its row on a timing wheel.
- * Owns which entry stands for a key and when it is forgotten; {@link IdempotencyTable} decides.
- * Guarded by the lock of the table's caller.
+ * The entries of keys that are queued, execute or wait for the disk, by key and by their row on a
+ * timing wheel, which removes them when they expire. Used by {@link IdempotencyTable} only. Guarded
+ * by the lock of the table's caller.
  *
- * @param <T> an attempt, as the table's caller knows it
+ * @param <T> the caller's type of an attempt
  */
 final class ActiveKeys<T> {
   private static final double TICK_SECONDS = 0.25;
@@ -31,22 +31,22 @@
     return entriesByKey.size();
   }
 
-  /** Entries that the peer process has in hand. */
+  /** Number of keys that the peer process has in flight. */
   int peerOwnedCount() {
     return peerOwnedCount;
   }
 
-  /** The entry of this key; null for none. */
+  /** The entry of this key; null if there is none. */
   KeyEntry<T> get(String key) {
     return entriesByKey.get(key);
   }
 
-  /** All entries; a view that changes with this. */
+  /** All entries, as a live view. */
   Collection<KeyEntry<T>> all() {
     return entriesByKey.values();
   }
 
-  /** True where this very entry stands for its key. */
+  /** True if this object is the current entry of its key. */
   boolean contains(KeyEntry<T> entry) {
     return entriesByKey.get(entry.key()) == entry;
   }
@@ -64,21 +64,21 @@
     return entry;
   }
 
-  /** Sets until when attempts of the key are covered, and when it is forgotten. */
+  /** Sets until when attempts of the key are duplicates, and when it expires. */
   void setWindow(KeyEntry<T> entry, long coveredUntilMillis, double expiresAtSeconds) {
     entry.setCoveredUntilMillis(coveredUntilMillis);
     entry.setExpiresAtSeconds(expiresAtSeconds);
     wheel.schedule(entry.wheelRow(), expiresAtSeconds);
   }
 
-  /** Takes the entry through a step of {@link KeyState}. */
+  /** Applies a step of {@link KeyState} to the entry. */
   void transition(KeyEntry<T> entry, Step step) {
     int before = countedAsPeerOwned(entry);
     entry.transition(step);
     peerOwnedCount += countedAsPeerOwned(entry) - before;
   }
 
-  /** Forgets an entry; nothing where it stands for its key no more. */
+  /** Removes an entry; no effect if it is not the current entry of its key. */
   void remove(KeyEntry<T> entry) {
     int peerOwned = countedAsPeerOwned(entry);
     if (entriesByKey.remove(entry.key(), entry)) {
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Forgets the entries whose time is over. */
+  /** Removes the expired entries. */
   void expire(double nowSeconds) {
     wheel.advance(
         nowSeconds,
--- a/src/main/java/wharftrestle/idempotency/BlockStore.java
+++ b/src/main/java/wharftrestle/idempotency/BlockStore.java
@@ -4,59 +4,59 @@
 import java.util.Arrays;
 
 /**
- * Results in memory, each a chain of blocks of 64 bytes in large arrays that are never given back,
- * like the slabs of memcached. Bounded in blocks; it knows neither keys nor time. To put, get and
- * free cost O(blocks of the result), which are {@link #blocksFor}: half a block more than its bytes
- * on the mean. Not thread-safe.
+ * Stores results in memory, each as a chain of blocks of 64 bytes in large arrays that are never
+ * released, like the slabs of memcached. The number of blocks is bounded. Put, get and free take
+ * O(n) time for a result of n = {@link #blocksFor} blocks, which on average are half a block larger
+ * than the result. Keys and expiry are left to the caller. Not thread-safe.
  */
 public final class BlockStore {
   /** Bytes of a block. */
   static final int BLOCK_BYTES = 64;
 
-  /** Bytes that one block costs with its link. */
+  /** Memory of one block with its link to the next, in bytes. */
   static final int BYTES_PER_BLOCK = BLOCK_BYTES + Integer.BYTES;
 
-  /** Stands for no block. */
+  /** Block number that stands for no block. */
   static final int NO_BLOCK = -1;
 
-  /** Blocks of one array, 64 kB: small beside the least heap, large beside the largest result. */
+  /** Blocks of one array, 64 kB: small against the smallest heap, large against any result. */
   private static final int BLOCKS_PER_CHUNK = 1024;
 
-  /** Bytes at the begin of a chain that hold the length of the result. */
+  /** Bytes at the start of a chain that contain the length of the result. */
   private static final int LENGTH_BYTES = Integer.BYTES;
 
   private final int capacity;
   private byte[][] chunks = new byte[0][];
   private int[] nextBlock = new int[0];
-  private int createdBlocks; // blocks that were used at least once
-  private int firstFree = NO_BLOCK; // the first of those that are free again
+  private int createdBlocks; // blocks that have been used at least once
+  private int firstFree = NO_BLOCK; // head of the list of freed blocks
   private int usedBlocks;
 
   /**
-   * An empty store.
+   * Creates an empty store.
    *
-   * @param capacity blocks at once
+   * @param capacity maximum number of blocks
    */
   public BlockStore(int capacity) {
     this.capacity = capacity;
   }
 
-  /** Blocks that a result of so many bytes takes. */
+  /** Number of blocks for a result of so many bytes. */
   public static int blocksFor(int bytes) {
     return (LENGTH_BYTES + bytes + BLOCK_BYTES - 1) / BLOCK_BYTES;
   }
 
-  /** Blocks in use. */
+  /** Number of blocks in use. */
   public int usedBlocks() {
     return usedBlocks;
   }
 
-  /** Blocks at most. */
+  /** Maximum number of blocks. */
   public int capacity() {
     return capacity;
   }
 
-  /** Bytes of its arrays. */
+  /** Memory of the arrays in bytes. */
   public long bytes() {
     long bytes = (long) nextBlock.length * Integer.BYTES;
     for (byte[] chunk : chunks) {
@@ -66,8 +66,9 @@
   }
 
   /**
-   * Keeps a copy of a result; its first block, or {@link #NO_BLOCK} where there is no room, and
-   * then nothing is kept.
+   * Stores a copy of a result.
+   *
+   * @return its first block, or {@link #NO_BLOCK} if it does not fit, in which case nothing is stored
    */
   public int put(byte[] result) {
     int blocks = blocksFor(result.length);
@@ -97,7 +98,7 @@
     return first;
   }
 
-  /** The result whose chain begins there. */
+  /** The result whose chain begins at this block. */
   public byte[] get(int first) {
     byte[] result = new byte[length(first)];
     int at = first;
@@ -118,12 +119,12 @@
     return result;
   }
 
-  /** Blocks of the chain that begins there. */
+  /** Number of blocks of the chain that begins at this block. */
   public int blockCount(int first) {
     return blocksFor(length(first));
   }
 
-  /** Gives the blocks of the chain that begins there back. */
+  /** Frees the chain that begins at this block. */
   public void free(int first) {
     int last = first;
     int count = 1;
@@ -151,7 +152,7 @@
       int blocks =
           Math.min(
               BLOCKS_PER_CHUNK,
-              capacity - createdBlocks); // the last array is as large as the bound leaves
+              capacity - createdBlocks); // the last array may be smaller, up to the capacity
       chunks[chunks.length - 1] = new byte[blocks * BLOCK_BYTES];
       if (createdBlocks + blocks > nextBlock.length) {
         nextBlock =
--- a/src/main/java/wharftrestle/idempotency/CompactIndex.java
+++ b/src/main/java/wharftrestle/idempotency/CompactIndex.java
@@ -6,16 +6,17 @@
 
 /**
  * A hash index of settled keys in flat arrays: the location of each result, until when attempts are
- * covered, the body's checksum, and the expiry. Open addressing with linear probing over row
- * numbers, deletion by shifting back; a row keeps its number for life, by which its {@link
- * TimingWheel} knows it. Keys are known by digest. It does not grow past its capacity: {@link #put}
- * then returns false. All operations cost O(1) on the mean. Not thread-safe.
+ * duplicates, the body's checksum, and the expiry. Keys are identified by their digests. Uses open
+ * addressing with linear probing over row numbers and backward-shift deletion; the row number of a
+ * key does not change, as it identifies the key on the {@link TimingWheel}. The index does not grow
+ * past its capacity: {@link #put} then returns false. All operations take O(1) time on average. Not
+ * thread-safe.
  */
 public final class CompactIndex {
-  /** The location of a key without a result: its outcome is unknown. */
+  /** The location of a key without a result, as its outcome is unknown. */
   public static final long NO_RESULT = -1;
 
-  /** Tick and slots of the wheel: one turn is longer than usual windows. */
+  /** Tick of the wheel; one turn of {@link #WHEEL_SLOTS} ticks is longer than usual windows. */
   private static final double TICK_SECONDS = 0.25;
 
   private static final int WHEEL_SLOTS = 512;
@@ -29,29 +30,29 @@
   private long[] locations = new long[0];
   private long[] coveredUntilMillis = new long[0];
   private long[] checksums = new long[0];
-  private int[] rowBySlot = new int[0]; // of rows, a power of two, at most half full
+  private int[] rowBySlot = new int[0]; // rows by hash; the length is a power of two, at most half full
   private int[] freeRows = new int[0];
   private int freeRowCount;
   private int rowCount;
   private final LocationReleaseListener releases;
 
-  /** Called with the location of each key that is forgotten or replaced. */
+  /** Receives the location of each key that is removed or replaced. */
   interface LocationReleaseListener {
     void released(long location);
   }
 
-  /** Visits keys by expiry; false where no further one is wanted. */
+  /** Visits keys in order of expiry; returns false to stop. */
   interface ExpiryVisitor {
     boolean visit(double expiresAtSeconds, long location);
   }
 
-  /** What is known of one settled key. */
+  /** The data of one settled key. */
   public record IndexedKey(int row, long location, long coveredUntilMillis, long checksum) {}
 
   /**
-   * An empty index.
+   * Creates an empty index.
    *
-   * @param capacity keys at once
+   * @param capacity maximum number of keys
    */
   public CompactIndex(int capacity) {
     this(capacity, place -> {});
@@ -62,12 +63,12 @@
     this.releases = releases;
   }
 
-  /** Keys known now. */
+  /** Number of keys. */
   public int size() {
     return rowCount - freeRowCount;
   }
 
-  /** What is known of this key; null for nothing. */
+  /** The data of this key; null if it is not in the index. */
   public IndexedKey find(KeyDigest key) {
     int slot = slotOf(key);
     int row = slot < 0 ? EMPTY : rowBySlot[slot];
@@ -77,13 +78,13 @@
   }
 
   /**
-   * Adds a key, or replaces what is known of it.
+   * Adds a key, or replaces its data.
    *
-   * @param location of its result, or {@link #NO_RESULT}
-   * @param lastCoveredMillis no attempt with a timestamp up to here may run, Unix ms
-   * @param checksum of the body
-   * @param expiresAtSeconds on the caller's clock
-   * @return false where the index is full
+   * @param location location of its result, or {@link #NO_RESULT}
+   * @param lastCoveredMillis attempts with a timestamp up to here may not execute, Unix ms
+   * @param checksum checksum of the body
+   * @param expiresAtSeconds when the key expires, on the caller's clock
+   * @return false if the index is full
    */
   public boolean put(
       KeyDigest key,
@@ -111,7 +112,7 @@
     return true;
   }
 
-  /** Forgets a key; false where it is not known. */
+  /** Removes a key; false if it is not in the index. */
   public boolean remove(KeyDigest key) {
     int slot = slotOf(key);
     if (slot < 0 || rowBySlot[slot] == EMPTY) {
@@ -122,18 +123,18 @@
     return true;
   }
 
-  /** Forgets the keys whose time is over; how many. */
+  /** Removes the expired keys and returns their number. */
   public int expire(double now) {
     return wheel.advance(
         now, row -> removeSlot(slotOf(new KeyDigest(digestHighs[row], digestLows[row]))));
   }
 
-  /** Visits keys in the order of expiry, up to one turn of the wheel ahead. */
+  /** Visits the keys that expire within one turn of the wheel, in order of expiry. */
   void forEachByExpiry(ExpiryVisitor visitor) {
     wheel.forEachUpcoming((row, at) -> visitor.visit(at, locations[row]));
   }
 
-  /** When the key of this row is forgotten, to a tick, in seconds on the caller's clock. */
+  /** When the key of this row expires, rounded up to a tick, in seconds on the caller's clock. */
   double expiresAtSeconds(int row) {
     return wheel.dueSeconds(row);
   }
@@ -149,12 +150,12 @@
     return all;
   }
 
-  /** Bytes of its arrays. */
+  /** Memory of the arrays in bytes. */
   public long bytes() {
     return 40L * digestHighs.length + 4L * (rowBySlot.length + freeRows.length) + wheel.bytes();
   }
 
-  /** The slot of this key, or where it would be; -1 where there is no table yet. */
+  /** The slot of this key, or the free one for it; -1 if the hash table is not allocated yet. */
   private int slotOf(KeyDigest key) {
     if (rowBySlot.length == 0) {
       return -1;
@@ -173,7 +174,7 @@
   }
 
   /**
-   * Empties a slot and moves back what stands behind it out of place, so that no search ends early.
+   * Empties a slot and shifts displaced rows behind it back, so that probing does not stop early.
    */
   private void removeSlot(int slot) {
     if (freeRowCount == freeRows.length) {
--- a/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
+++ b/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
@@ -5,29 +5,29 @@
 import wharftrestle.idempotency.KeyState.Step;
 
 /**
- * Decides on idempotency keys: whether an attempt may wait, may run, attaches to another or fails,
- * and what is known of the attempt that ran. {@link KeyState} has the transitions, {@link
- * ActiveKeys} the entries of keys in hand, {@link SettledKeys} those whose outcome is final, and
- * {@link KeyMemoryBudget} says whether one more key fits.
+ * Decides whether an attempt of a keyed request is queued, executes, attaches to another attempt or
+ * fails, and stores the outcome of the attempt that executed. {@link KeyState} defines the
+ * transitions, {@link ActiveKeys} has the entries of keys in flight, {@link SettledKeys} the keys
+ * whose outcome is final, and {@link KeyMemoryBudget} decides whether another key fits.
  *
- * <p>No key runs twice in its window, and none is forgotten before its window is over. The table
- * answers no request itself. Time is passed in: {@code now} in seconds on a clock that never goes
- * back, timestamps in Unix ms. Not thread-safe: the lock of its caller guards it.
+ * <p>No key executes twice within its window, and none is removed before its window ends. Requests
+ * are answered by the caller. Time is passed in: {@code now} in seconds on a clock that never
+ * decreases, timestamps in Unix ms. Not thread-safe: guarded by the caller's lock.
  *
- * @param <T> an attempt, as the caller knows it
+ * @param <T> the caller's type of an attempt
  */
 public final class IdempotencyTable<T> {
-  /** Added to a key's window: clocks round, and an attempt may be stamped early. */
+  /** Added to a key's window, as clocks are rounded and an attempt's timestamp may be early. */
   public static final double WINDOW_SLACK_SECONDS = 0.5;
 
-  /** How long a key is known past its window: an attempt may be read after a process pause. */
+  /** How long a key is kept past its window, as an attempt may be read after a process pause. */
   public static final double LINGER_SECONDS = 10;
 
   private static final double MILLIS_PER_SECOND = 1000;
 
-  /** Called once for each attached attempt, as its key's entry is final or absent. */
+  /** Called once for each attached attempt, when its key's entry becomes final or absent. */
   public interface CompletionListener<T> {
-    /** The waiter ends as the entry did. */
+    /** Completes the waiting attempt with the outcome of the entry. */
     void completed(T waiter, KeyEntry<T> entry);
   }
 
@@ -39,56 +39,56 @@
   private double unknownKeysFailUntil = Double.NEGATIVE_INFINITY;
   private boolean failsUnknownKeys;
 
-  /** A table without keys, whose results stay in memory. */
+  /** Creates an empty table that keeps results in memory. */
   public IdempotencyTable(CompletionListener<T> completions, KeyMemoryBudget budget) {
     this.completions = completions;
     this.budget = budget;
     settled = new SettledKeys(budget);
   }
 
-  /** From now on results are kept on disk, and at most so many settled keys are known. */
+  /** From now on results are kept on disk, and the number of settled keys has this limit. */
   public void enablePersistence(int maxSettledKeys) {
     settled.reset(maxSettledKeys);
     persistent = true;
   }
 
-  /** True where results are kept on disk. */
+  /** True if results are kept on disk. */
   public boolean isPersistent() {
     return persistent;
   }
 
   // ---- Size and memory ----
 
-  /** Keys known now. */
+  /** Number of keys. */
   public int size() {
     return active.size() + settled.size();
   }
 
-  /** Bytes of what is known of settled keys, without their results. */
+  /** Memory of the index of settled keys, without their results, in bytes. */
   public long indexBytes() {
     return settled.indexBytes();
   }
 
-  /** Bytes of all that is known of settled keys in memory. */
+  /** Memory of settled keys and their results, in bytes. */
   public long memoryBytes() {
     return settled.memoryBytes();
   }
 
-  /** Bytes of results in memory, whole blocks. */
+  /** Memory of results in bytes, counted in full blocks. */
   public long resultBytes() {
     return settled.resultBytes();
   }
 
   /**
-   * Reserves the memory that a key of this process may need until it is forgotten; false where
-   * there is none. {@link #releaseMemory} follows once the attempt is over.
+   * Reserves the memory that a key of this process may need until it expires; false if there is not
+   * enough. The caller calls {@link #releaseMemory} once the attempt has ended.
    */
   public boolean tryReserveMemory() {
     return persistent
         || budget.tryReserve(keysNotReserved(), settled.usedBlocks(), active.peerOwnedCount());
   }
 
-  /** Gives a reservation back. */
+  /** Releases a reservation. */
   public void releaseMemory() {
     if (!persistent) {
       budget.release();
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Seconds from now until expiring keys leave memory for one more reservation; infinite where that
-   * is not known.
+   * Seconds from now until enough keys have expired for one more reservation; infinite if that is
+   * not known.
    */
   public double secondsUntilCapacity(double now) {
     int excessKeys = budget.excessKeys(keysNotReserved());
@@ -115,8 +115,8 @@
   // ---- Lookup ----
 
   /**
-   * What is known of this key; null for nothing. A settled key comes as a view of its own each
-   * time.
+   * The entry of this key; null if there is none. For a settled key, each call creates a new
+   * read-only entry.
    */
   public KeyEntry<T> find(String key) {
     KeyEntry<T> known = lookup(key);
@@ -128,7 +128,7 @@
     return entry != null ? entry : settled.view(key);
   }
 
-  /** An entry by which attempts of a key fail that may have run before the log was damaged. */
+  /** An entry that fails all attempts of a key, whose record may be lost with a damaged log. */
   private static <T> KeyEntry<T> possiblyLost(String key) {
     KeyEntry<T> entry = new KeyEntry<>(key, RequestBody.ANY, KeyEntry.NO_ROW);
     entry.transition(Step.RECOVER_INTENT);
@@ -137,8 +137,8 @@
   }
 
   /**
-   * The entry that an attempt with this timestamp duplicates; null where it duplicates nothing. A
-   * key whose window this timestamp lies past is forgotten.
+   * The entry that an attempt with this timestamp duplicates; null if it is no duplicate. Removes a
+   * key whose window ends before this timestamp.
    */
   public KeyEntry<T> findDuplicate(String key, long timestampMillis) {
     KeyEntry<T> known = find(key);
@@ -149,12 +149,12 @@
     return null;
   }
 
-  /** The result of a key where it is in memory; null where there is none, or it lies on disk. */
+  /** The result of a key if it is in memory; null if there is none or it is on disk. */
   public byte[] result(KeyEntry<T> entry) {
     return entry.unsettledResult() != null ? entry.unsettledResult() : settled.result(entry);
   }
 
-  /** True where this very entry is what is known of its key, and the key is not settled. */
+  /** True if this object is the current entry of its key and the key is not settled. */
   public boolean isCurrent(KeyEntry<T> entry) {
     return entry != null && active.contains(entry);
   }
@@ -169,11 +169,11 @@
     return active.all().stream().filter(entry -> entry.state() == KeyState.SAVING).toList();
   }
 
-  // ---- The life of a key in this process ----
+  // ---- Transitions of a key in this process ----
 
   /**
-   * An attempt waits and takes its key, so that duplicates attach to it. Null where an attempt of
-   * that window ran: that one stays what duplicates attach to.
+   * Registers a queued attempt for its key, so that duplicates attach to it. Null if an attempt has
+   * executed within that window: duplicates still attach to that one.
    */
   public KeyEntry<T> enqueue(String key, byte[] body, long timestampMillis, T attempt) {
     KeyEntry<T> known = find(key);
@@ -187,9 +187,10 @@
   }
 
   /**
-   * An execution was decided. Where results are persistent its intent must be on disk before the
-   * dispatch: {@link #intentRecorded} or {@link #abandon} follow. Where an attempt of this window
-   * ran already, its entry comes back: this attempt may not run, and attaches to that one.
+   * Starts the execution of a key. If results are persistent, its intent must be on disk before the
+   * dispatch, and the caller then calls {@link #intentRecorded} or {@link #abandon}. If an attempt
+   * has executed within this window, returns its entry: the given attempt may not execute, and is to
+   * be attached to that entry.
    */
   public KeyEntry<T> start(
       String key, byte[] body, long timestampMillis, double windowSeconds, double now, T attempt) {
@@ -218,8 +219,8 @@
   }
 
   /**
-   * No execution was begun: a further attempt of the key may have one. Waiters end, as nothing ran
-   * for them. Nothing where the key is known to have ended meanwhile.
+   * The execution did not begin: removes the key, so that a further attempt may execute, and
+   * completes its waiters as absent. No effect if the key's outcome became known meanwhile.
    */
   public void abandon(KeyEntry<T> entry) {
     if (entry.state().allows(Step.VOID)) {
@@ -228,10 +229,10 @@
   }
 
   /**
-   * An execution is over.
+   * An execution has ended.
    *
    * @param result null unless it succeeded
-   * @return true where that is not final before the result is on disk
+   * @return true if the outcome is not final until the result is on disk
    */
   public boolean complete(KeyEntry<T> entry, byte[] result) {
     KeyState state = entry.state();
@@ -252,8 +253,8 @@
   }
 
   /**
-   * The result is on disk, or with {@link CompactIndex#NO_RESULT} could not be written: then it
-   * stays in memory, where duplicates still get it.
+   * The result is on disk, or with {@link CompactIndex#NO_RESULT} its write has failed. The result
+   * then stays in memory, from which duplicates still receive it.
    */
   public void resultSaved(KeyEntry<T> entry, long location) {
     if (entry.state() == KeyState.SAVING) {
@@ -261,14 +262,14 @@
     }
   }
 
-  /** An attempt that waited and never ran is over. */
+  /** A queued attempt has ended without execution. */
   public void release(KeyEntry<T> entry, T attempt) {
     if (entry.attempt() == attempt && entry.state() == KeyState.QUEUED) {
       freeKey(entry, Step.RELEASE);
     }
   }
 
-  /** This attempt ends as the entry does; false where the entry is final already. */
+  /** Attaches an attempt, which completes with the entry; false if the entry is final already. */
   public boolean attach(KeyEntry<T> entry, T waiter) {
     if (entry.isFinal() || entry.state() == KeyState.ABSENT) {
       return false;
@@ -277,12 +278,12 @@
     return true;
   }
 
-  /** An attached attempt is over before the entry is. */
+  /** An attached attempt has ended before the entry became final. */
   public void detach(KeyEntry<T> entry, T waiter) {
     entry.removeWaiter(waiter);
   }
 
-  /** Forgets the keys whose time is over. */
+  /** Removes the expired keys. */
   public void expire(double now) {
     failsUnknownKeys &= now < unknownKeysFailUntil;
     active.expire(now);
@@ -292,11 +293,11 @@
   // ---- The peer process ----
 
   /**
-   * The peer process has this key in hand, or had it.
+   * The peer process has this key in flight, or completed it.
    *
-   * @param coveredUntilMillis Unix ms
-   * @param expiresAtSeconds on the caller's clock
-   * @return null where this process knows better
+   * @param coveredUntilMillis attempts with a timestamp up to here may not execute, Unix ms
+   * @param expiresAtSeconds when the key expires, on the caller's clock
+   * @return the new entry, or null if the existing one takes precedence
    */
   public KeyEntry<T> learnFromPeer(
       String key, RequestBody body, long coveredUntilMillis, double expiresAtSeconds) {
@@ -314,8 +315,8 @@
   }
 
   /**
-   * The peer process knows this settled key. A result that does not fit is dropped, and its key
-   * stays; false where even the key does not fit.
+   * Adds a settled key of the peer process. A result that does not fit is dropped and its key is
+   * kept; false if the key does not fit either.
    */
   public boolean learnSettledFromPeer(SettledEntry key) {
     return settled.add(key);
@@ -326,24 +327,24 @@
     return settled.digests();
   }
 
-  /** What is known of a settled key; null where it is known no more. */
+  /** The data of a settled key; null if it has been removed. */
   public SettledEntry findSettled(KeyDigest digest) {
     return settled.export(digest);
   }
 
-  /** True where the peer process has the key in hand. */
+  /** True if the peer process has the key in flight. */
   public boolean isOwnedByPeer(KeyEntry<T> entry) {
     return entry != null && entry.state() == KeyState.OWNED_BY_PEER;
   }
 
-  /** The peer process had the key in hand and never ran it, or may not. */
+  /** The peer process never executed a key that it had in flight, or may not execute it. */
   public void releasedByPeer(KeyEntry<T> entry) {
     if (isOwnedByPeer(entry)) {
       freeKey(entry, Step.RELEASE);
     }
   }
 
-  /** The peer process is lost: the outcome of what it had in hand is unknown. */
+  /** The peer process is lost: the outcome of its keys in flight is unknown. */
   public void peerLost() {
     for (KeyEntry<T> entry : List.copyOf(active.all())) {
       if (isOwnedByPeer(entry)) {
@@ -355,11 +356,11 @@
   // ---- Recovery ----
 
   /**
-   * What an earlier process left on disk, or the peer process handed over. What this process knows
-   * already stays.
+   * Adds a key that an earlier process recorded on disk, or that the peer process handed over. An
+   * existing active entry takes precedence.
    *
-   * @param location of the result, or {@link CompactIndex#NO_RESULT} where the outcome is unknown
-   * @return false where it does not fit
+   * @param location of the result, or {@link CompactIndex#NO_RESULT} if the outcome is unknown
+   * @return false if it does not fit
    */
   public boolean recover(
       String key, long location, long coveredUntilMillis, long checksum, double expiresAtSeconds) {
@@ -367,15 +368,15 @@
         || settled.recover(key, location, coveredUntilMillis, checksum, expiresAtSeconds);
   }
 
-  /** Until then attempts of unknown keys fail and do not run, as their keys may have been lost. */
+  /** Fails attempts of unknown keys until then, as their keys may have been lost. */
   public void failUnknownKeysUntil(double seconds) {
     unknownKeysFailUntil = Math.max(unknownKeysFailUntil, seconds);
     failsUnknownKeys = true;
   }
 
-  // ---- Steps that several of these share ----
+  // ---- Shared helpers ----
 
-  /** A fresh entry in place of whatever is known of its key. */
+  /** Replaces any entry of the key by a new one. */
   private KeyEntry<T> replace(String key, RequestBody body) {
     KeyEntry<T> old = active.get(key);
     if (old != null) {
@@ -411,12 +412,12 @@
   }
 
   /**
-   * Moves a final entry to the settled keys. Where their index is full, which only keys of the peer
-   * process can bring about, the entry stays without its attempt: no key is forgotten.
+   * Moves a final entry to the settled keys. If their index is full, which only keys of the peer
+   * process can cause, the entry stays active without its attempt, so that no key is lost.
    */
   private void settle(KeyEntry<T> entry, long locationOnDisk) {
     if (!active.contains(entry)) {
-      return; // Its window is over, or another entry took its place.
+      return; // The entry has expired or was replaced.
     }
     if (settled.add(entry, locationOnDisk)) {
       active.remove(entry);
--- a/src/main/java/wharftrestle/idempotency/KeyDigest.java
+++ b/src/main/java/wharftrestle/idempotency/KeyDigest.java
@@ -6,8 +6,8 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Stands for a key where its text is not kept: 128 bits of its SHA-256 (FIPS 180-4). Callers choose
- * keys, so a weaker hash would let them make two keys collide.
+ * Identifies a key whose text is not kept: 128 bits of its SHA-256 (FIPS 180-4). Clients choose the
+ * keys, so with a weaker hash they could construct two keys that collide.
  *
  * @param high first 64 bits
  * @param low second 64 bits
@@ -20,7 +20,7 @@
     return new KeyDigest(bytes.getLong(), bytes.getLong());
   }
 
-  /** The 64 bits that stand for a body. */
+  /** The checksum of a body: the first 64 bits of its SHA-256. */
   public static long checksum(byte[] body) {
     return ByteBuffer.wrap(sha256(body)).getLong();
   }
@@ -29,7 +29,7 @@
     try {
       return MessageDigest.getInstance("SHA-256").digest(bytes);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java has SHA-256", e);
+      throw new IllegalStateException("SHA-256 is not available, which every Java platform must provide", e);
     }
   }
 }
--- a/src/main/java/wharftrestle/idempotency/KeyEntry.java
+++ b/src/main/java/wharftrestle/idempotency/KeyEntry.java
@@ -5,13 +5,13 @@
 import wharftrestle.idempotency.KeyState.Step;
 
 /**
- * One idempotency key and what is known of it. Callers keep it as a handle and read it; only {@link
+ * The state of one idempotency key. Callers keep it as a handle and read it; only {@link
  * IdempotencyTable} changes it, under the lock of the table's caller.
  *
- * @param <T> an attempt, as the table's caller knows it
+ * @param <T> the caller's type of an attempt
  */
 public final class KeyEntry<T> {
-  /** The wheel row of an entry that no table keeps: a view of a settled key. */
+  /** The wheel row of an entry that is not in a table, but a read-only copy of a settled key. */
   static final int NO_ROW = -1;
 
   private final String key;
@@ -31,63 +31,63 @@
     this.wheelRow = wheelRow;
   }
 
-  /** The key's text, with its class and tenant. */
+  /** The text of the key, with its class and tenant. */
   public String key() {
     return key;
   }
 
-  /** The body that came with the key, or its checksum once the key is settled. */
+  /** The body of the first attempt, or its checksum once the key is settled. */
   public RequestBody body() {
     return body;
   }
 
-  /** Where the key stands now. */
+  /** The current state of the key. */
   public KeyState state() {
     return state;
   }
 
   /**
-   * The attempt of this process that waits, runs or ran; null where the peer process has it, or the
-   * key is settled.
+   * The attempt of this process that is queued, executes or has executed; null if the peer process
+   * has it, or the key is settled.
    */
   public T attempt() {
     return attempt;
   }
 
-  /** True where the result lies on disk, and only there. */
+  /** True if the result is on disk only. */
   public boolean isOnDisk() {
     return state == KeyState.SUCCEEDED && location >= 0;
   }
 
   /**
-   * Where the result lies: 0 or more on disk, {@link CompactIndex#NO_RESULT} nowhere, below that in
-   * memory.
+   * The location of the result: 0 or more on disk, {@link CompactIndex#NO_RESULT} for no result,
+   * below that in memory.
    */
   public long location() {
     return location;
   }
 
-  /** No attempt with a timestamp up to here may run, where one ran; Unix ms. */
+  /** Once an attempt has executed, none with a timestamp up to here may execute; Unix ms. */
   public long coveredUntilMillis() {
     return coveredUntilMillis;
   }
 
-  /** When the key is forgotten, in seconds on the caller's clock. */
+  /** When the key expires, in seconds on the caller's clock. */
   public double expiresAtSeconds() {
     return expiresAtSeconds;
   }
 
-  /** True where an attempt is known to have run, or may have. */
+  /** True if an attempt has executed or may have executed. */
   public boolean mayHaveRun() {
     return state.mayHaveRun();
   }
 
-  /** True where the outcome is known, or known to be unknown. */
+  /** True if the outcome will not change: a success, or unknown. */
   public boolean isFinal() {
     return state.isFinal();
   }
 
-  /** True where an attempt with this timestamp lies in the key's idempotency window. */
+  /** True if an attempt with this timestamp is within the key's idempotency window. */
   public boolean covers(long timestampMillis) {
     return !state.mayHaveRun() || timestampMillis <= coveredUntilMillis;
   }
@@ -104,7 +104,7 @@
     this.attempt = attempt;
   }
 
-  /** The result while it is not settled yet; null where there is none, or it lies elsewhere. */
+  /** The result until the key is settled; null if there is none or it is stored already. */
   byte[] unsettledResult() {
     return result;
   }
@@ -125,7 +125,7 @@
     this.expiresAtSeconds = expiresAtSeconds;
   }
 
-  /** From now on only the body's checksum is kept. */
+  /** Replaces the body by its checksum. */
   void dropBody() {
     body = new RequestBody(null, body.checksum());
   }
@@ -143,7 +143,7 @@
     }
   }
 
-  /** All waiters; none is left. */
+  /** Removes and returns all waiters. */
   List<T> drainWaiters() {
     List<T> all = waiters;
     waiters = List.of();
--- a/src/main/java/wharftrestle/idempotency/KeyMemoryBudget.java
+++ b/src/main/java/wharftrestle/idempotency/KeyMemoryBudget.java
@@ -1,32 +1,32 @@
 package wharftrestle.idempotency;
 
 /**
- * The memory for idempotency keys, split between keys and their results, and the reservations of
- * requests in flight: whether one more keyed request fits. Holds figures alone; the table says what
- * is in use. Not thread-safe: the lock of the table's caller guards it.
+ * The memory budget for idempotency keys, split between keys and their results. Counts the
+ * reservations of requests in flight and decides whether one more keyed request fits; the table
+ * passes in what is in use. Not thread-safe: guarded by the lock of the table's caller.
  */
 public final class KeyMemoryBudget {
   /** Bytes of the largest result that the protocol allows. */
   public static final int MAX_RESULT_BYTES = 4096;
 
-  /** What the admission package holds of a key that ran until its window is over. */
+  /** Memory of the admission package for an executed key until its window ends. */
   static final int ADMISSION_BYTES_PER_KEY = 222;
 
-  /** A row of the index with its arrays at their largest: fields, table, free list and wheel. */
+  /** One row of the index at the largest size of its arrays: fields, slots, free list, wheel. */
   private static final int INDEX_BYTES_PER_KEY = 40 + 16 + 6 + 24;
 
   static final int BYTES_PER_KEY = INDEX_BYTES_PER_KEY + ADMISSION_BYTES_PER_KEY;
 
-  /** Bytes that do not grow: the slots of the wheels, the first rows. */
+  /** Memory that does not depend on the number of keys: the slots of the wheels, initial rows. */
   static final int FIXED_BYTES = 8192;
 
-  /** Of the heap: about half of its old generation. */
+  /** Fraction of the heap for this budget: about half of the old generation. */
   private static final double HEAP_FRACTION = 0.3;
 
-  /** Of the bound, for keys; results have the rest. */
+  /** Fraction of this budget for keys; the remainder is for results. */
   private static final double KEYS_FRACTION = 0.25;
 
-  /** Keys, and blocks, at most. */
+  /** Upper limit for both the number of keys and the number of blocks. */
   private static final int MAX_COUNT = Integer.MAX_VALUE / 8;
 
   private static final int BLOCKS_PER_RESERVATION = BlockStore.blocksFor(MAX_RESULT_BYTES);
@@ -42,7 +42,7 @@
     this.maxBlocks = maxBlocks;
   }
 
-  /** A budget for keys and results that take so many bytes at most. */
+  /** A budget of so many bytes for keys and results. */
   public static KeyMemoryBudget of(long bytes) {
     double grows = Math.max(0, bytes - FIXED_BYTES);
     int keys = (int) Math.min(MAX_COUNT, grows * KEYS_FRACTION / BYTES_PER_KEY);
@@ -51,52 +51,53 @@
     return new KeyMemoryBudget(bytes, Math.max(1, keys), Math.max(BLOCKS_PER_RESERVATION, blocks));
   }
 
-  /** The budget that keys have in a heap of so many bytes. */
+  /** The budget for a heap of so many bytes. */
   public static KeyMemoryBudget ofHeap(long heapBytes) {
     return of((long) (heapBytes * HEAP_FRACTION));
   }
 
-  /** A bound that is never met, for proofs that the bound is needed. */
+  /** A budget without limit, for checks that prove that the limit is needed. */
   public static KeyMemoryBudget unbounded() {
     return new KeyMemoryBudget(Long.MAX_VALUE, MAX_COUNT, MAX_COUNT);
   }
 
-  /** The bound, in bytes. */
+  /** The size of the budget in bytes. */
   public long bytes() {
     return bytes;
   }
 
-  /** Keys known at once at most. */
+  /** Maximum number of keys. */
   public int maxKeys() {
     return maxKeys;
   }
 
-  /** Keys known at once at most where results lie on disk: keys have all of the bound. */
+  /** Maximum number of keys if results are on disk, when keys use all of the budget. */
   public int maxKeysWithResultsOnDisk() {
     return (int) Math.min(MAX_COUNT, Math.max(1, (bytes - FIXED_BYTES) / BYTES_PER_KEY));
   }
 
-  /** Blocks of results at once at most. */
+  /** Maximum number of blocks of results. */
   public int maxBlocks() {
     return maxBlocks;
   }
 
-  /** Bytes of results at once at most, whole blocks. */
+  /** Maximum memory of results in bytes, counted in full blocks. */
   public long maxResultBytes() {
     return (long) maxBlocks * BlockStore.BYTES_PER_BLOCK;
   }
 
-  /** Requests in flight that have a reservation. */
+  /** Number of requests in flight that have a reservation. */
   public int reservations() {
     return reservations;
   }
 
   /**
-   * Reserves memory for a key and the largest result; false where they do not fit.
+   * Reserves memory for a key and the largest result; false if they do not fit.
    *
-   * @param keys settled ones, and those that the peer process has in hand
-   * @param usedBlocks of results
-   * @param peerOwnedKeys keys that the peer process has in hand: each may bring a result
+   * @param keys number of settled keys and of keys that the peer process has in flight
+   * @param usedBlocks blocks of results in use
+   * @param peerOwnedKeys number of keys that the peer process has in flight, each of which may add a
+   *     result
    */
   public boolean tryReserve(int keys, int usedBlocks, int peerOwnedKeys) {
     if (excessKeys(keys) > 0 || excessBlocks(usedBlocks, peerOwnedKeys) > 0) {
@@ -106,17 +107,17 @@
     return true;
   }
 
-  /** Keys that must expire before one more reservation fits; 0 or less where none must. */
+  /** Number of keys that must expire before one more reservation fits; 0 or less if none. */
   int excessKeys(int keys) {
     return keys + reservations + 1 - maxKeys;
   }
 
-  /** Blocks that must be freed before one more reservation fits; 0 or less where none must. */
+  /** Number of blocks that must be freed before one more reservation fits; 0 or less if none. */
   long excessBlocks(int usedBlocks, int peerOwnedKeys) {
     return usedBlocks + (reservations + peerOwnedKeys + 1L) * BLOCKS_PER_RESERVATION - maxBlocks;
   }
 
-  /** A reservation is over: what came of it is counted as in use by now, or nothing did. */
+  /** Ends a reservation; memory that was used for it is counted as in use by now. */
   public void release() {
     if (reservations == 0) {
       throw new IllegalStateException("expected a reservation to release, found none");
--- a/src/main/java/wharftrestle/idempotency/KeyState.java
+++ b/src/main/java/wharftrestle/idempotency/KeyState.java
@@ -4,47 +4,48 @@
 import java.util.Map;
 
 /**
- * The states of one idempotency key in one process, and the only transitions between them; any
- * other throws.
+ * The states of one idempotency key in one process and all permitted transitions between them; any
+ * other transition throws.
  *
  * <pre>
  * state            meaning                              step             next
- * ABSENT           nothing is known: an attempt may     ENQUEUE          QUEUED
- *                  be queued                            START            RUNNING
+ * ABSENT           no attempt: one may be queued or     ENQUEUE          QUEUED
+ *                  executed                             START            RUNNING
  *                                                       RECORD_INTENT    RECORDING
  *                                                       LEARN_FROM_PEER  OWNED_BY_PEER
  *                                                       RECOVER_RESULT   SUCCEEDED
  *                                                       RECOVER_INTENT   OUTCOME_UNKNOWN
- * QUEUED           an attempt waits here, none ran      ENQUEUE          QUEUED (a later attempt)
+ * QUEUED           an attempt waits, none has executed  ENQUEUE          QUEUED (a later attempt)
  *                                                       START            RUNNING
  *                                                       RECORD_INTENT    RECORDING
  *                                                       RELEASE          ABSENT
- * RECORDING        an execution was decided, its        INTENT_RECORDED  RUNNING
- *                  intent is being written              VOID             ABSENT (withdrawn)
- *                                                       SUCCEED, FAIL    OUTCOME_UNKNOWN (no begin
- *                                                                        was seen: cannot happen)
+ * RECORDING        the intent of a planned execution    INTENT_RECORDED  RUNNING
+ *                  is being written                     VOID             ABSENT (withdrawn)
+ *                                                       SUCCEED, FAIL    OUTCOME_UNKNOWN (ended
+ *                                                                        before its begin was
+ *                                                                        seen: cannot happen)
  * RUNNING          an execution was dispatched          SUCCEED          SUCCEEDED
  *                                                       SAVE_RESULT      SAVING
  *                                                       FAIL             OUTCOME_UNKNOWN
  *                                                       VOID             ABSENT (the worker pool
- *                                                                        began none)
+ *                                                                        did not begin it)
  * SAVING           it succeeded, its result is being    RESULT_SAVED     SUCCEEDED
  *                  written                              FAIL             OUTCOME_UNKNOWN
- * OWNED_BY_PEER    the peer process has it in hand      LEARN_FROM_PEER  OWNED_BY_PEER
+ * OWNED_BY_PEER    the peer process has it in flight    LEARN_FROM_PEER  OWNED_BY_PEER
  *                                                       SUCCEED          SUCCEEDED
  *                                                       SAVE_RESULT      SAVING
- *                                                       FAIL             OUTCOME_UNKNOWN (or where
- *                                                                        that process died)
+ *                                                       FAIL             OUTCOME_UNKNOWN (or that
+ *                                                                        process was lost)
  *                                                       RELEASE          ABSENT
  *                                                       VOID             ABSENT (its intent could
  *                                                                        not be recorded)
- * SUCCEEDED        duplicates get the result until the  EXPIRE           ABSENT
- *                  window is over
- * OUTCOME_UNKNOWN  it ran and has no result to give:    EXPIRE           ABSENT
- *                  attempts fail and do not run
+ * SUCCEEDED        duplicates receive the result until  EXPIRE           ABSENT
+ *                  the window ends
+ * OUTCOME_UNKNOWN  it may have executed and has no      EXPIRE           ABSENT
+ *                  result: attempts fail
  * </pre>
  *
- * <p>EXPIRE is in every state that has a window, as an execution may outlive it.
+ * <p>Every state with a window permits EXPIRE, as an execution may last longer than its window.
  */
 public enum KeyState {
   ABSENT,
@@ -56,7 +57,7 @@
   SUCCEEDED,
   OUTCOME_UNKNOWN;
 
-  /** What can happen to a key. */
+  /** The events that change the state of a key. */
   public enum Step {
     ENQUEUE,
     START,
@@ -117,7 +118,7 @@
     from(OUTCOME_UNKNOWN).on(Step.EXPIRE, ABSENT);
   }
 
-  /** The steps out of one state. */
+  /** The transitions from one state. */
   private record Transitions(Map<Step, KeyState> nextByStep) {
     Transitions on(Step step, KeyState next) {
       nextByStep.put(step, next);
@@ -134,27 +135,27 @@
   /**
    * The state after this step.
    *
-   * @throws IllegalStateException where the table has no such step
+   * @throws IllegalStateException if this state does not permit the step
    */
   public KeyState after(Step step) {
     KeyState next = TABLE.get(this).nextByStep().get(step);
     if (next == null) {
-      throw new IllegalStateException("a key in state " + this + " cannot " + step);
+      throw new IllegalStateException("expected a step that a key in state " + this + " permits, found " + step);
     }
     return next;
   }
 
-  /** True where the table has this step. */
+  /** True if this state permits the step. */
   public boolean allows(Step step) {
     return TABLE.get(this).nextByStep().containsKey(step);
   }
 
-  /** True where an attempt is known to have run, or may have: no other may. */
+  /** True if an attempt has executed or may have executed, so that no other may. */
   public boolean mayHaveRun() {
     return this != ABSENT && this != QUEUED;
   }
 
-  /** True where the outcome is known here, or known to be unknown. */
+  /** True if the outcome will not change: a success, or unknown. */
   public boolean isFinal() {
     return this == SUCCEEDED || this == OUTCOME_UNKNOWN;
   }
--- a/src/main/java/wharftrestle/idempotency/RequestBody.java
+++ b/src/main/java/wharftrestle/idempotency/RequestBody.java
@@ -3,23 +3,23 @@
 import java.util.Arrays;
 
 /**
- * The body that came with an idempotency key, by which a reuse of the key for other work is told
- * apart: its bytes, or its checksum where they are not kept any more.
+ * The body of the first attempt of an idempotency key, which detects a reuse of the key for another
+ * request: its bytes, or only its checksum once the bytes have been dropped.
  *
- * @param bytes null where only the checksum is kept
- * @param storedChecksum {@link KeyDigest#checksum} of the body where bytes is null, else unused
+ * @param bytes null if only the checksum is kept
+ * @param storedChecksum {@link KeyDigest#checksum} of the body if bytes is null, else unused
  */
 public record RequestBody(byte[] bytes, long storedChecksum) {
-  /** Of a key that may have been lost with a damaged log: it matches every body. */
+  /** The body of a key that may have been lost with a damaged log: it matches every body. */
   static final RequestBody ANY = new RequestBody(null, 0);
 
-  /** A body with all its bytes. */
+  /** A body that keeps its bytes. */
   public static RequestBody of(byte[] bytes) {
     return new RequestBody(bytes, 0);
   }
 
-  /** True where an attempt with these bytes asks for the same work. */
-  @SuppressWarnings("ReferenceEquality") // another one with a checksum of 0 is not ANY
+  /** True if an attempt with these bytes is the same request. */
+  @SuppressWarnings("ReferenceEquality") // another body with a checksum of 0 is not ANY
   public boolean matches(byte[] other) {
     return this == ANY
         || (bytes != null
@@ -27,7 +27,7 @@
             : storedChecksum == KeyDigest.checksum(other));
   }
 
-  /** The 64 bits that stand for the body. */
+  /** The {@link KeyDigest#checksum} of the body. */
   public long checksum() {
     return bytes != null ? KeyDigest.checksum(bytes) : storedChecksum;
   }
--- a/src/main/java/wharftrestle/idempotency/SettledEntry.java
+++ b/src/main/java/wharftrestle/idempotency/SettledEntry.java
@@ -1,14 +1,14 @@
 package wharftrestle.idempotency;
 
 /**
- * One settled key as it goes to the peer process.
+ * One settled key in the form in which it is sent to the peer process.
  *
  * @param high first half of the key's {@link KeyDigest}
  * @param low second half
- * @param coveredUntilMillis no attempt with a timestamp up to here may run, Unix ms
- * @param checksum of the body
- * @param expiresAtSeconds on the caller's clock
- * @param result null where there is none to give, or it lies on disk
+ * @param coveredUntilMillis attempts with a timestamp up to here may not execute, Unix ms
+ * @param checksum checksum of the body
+ * @param expiresAtSeconds when the key expires, on the caller's clock
+ * @param result null if there is none or it is on disk
  */
 public record SettledEntry(
     long high,
--- a/src/main/java/wharftrestle/idempotency/SettledKeys.java
+++ b/src/main/java/wharftrestle/idempotency/SettledKeys.java
@@ -4,17 +4,17 @@
 import wharftrestle.idempotency.KeyState.Step;
 
 /**
- * Keys whose outcome is final, as small as they go: a row of the {@link CompactIndex} by digest,
- * and the result in the {@link BlockStore} or on disk. Owns the mapping of a location to a block,
- * and gives blocks back as their keys go. Guarded by the lock of the table's caller.
+ * Keys whose outcome is final, in compact form: a row of the {@link CompactIndex} by digest, and the
+ * result in the {@link BlockStore} or on disk. Maps locations to blocks, and frees the blocks of
+ * keys that are removed. Guarded by the lock of the table's caller.
  *
- * <p>A location of 0 or more lies on disk, {@link CompactIndex#NO_RESULT} stands for none, and each
- * number below that for the first block of a result in memory.
+ * <p>A location of 0 or more is on disk, {@link CompactIndex#NO_RESULT} means no result, and each
+ * number below that means the first block of a result in memory.
  */
 final class SettledKeys {
   private final BlockStore results;
   private CompactIndex index;
-  // The same key is looked up several times in a row, and its digest costs a SHA-256.
+  // Caches the last digest: the same key is looked up several times in a row, each with a SHA-256.
   private String lastDigestedKey;
   private KeyDigest lastDigest;
 
@@ -27,7 +27,7 @@
     return new CompactIndex(maxKeys, this::freeResult);
   }
 
-  /** Begins again without keys, with a capacity of so many. */
+  /** Removes all keys and sets the maximum number of keys. */
   void reset(int maxKeys) {
     index = newIndex(maxKeys);
   }
@@ -36,27 +36,27 @@
     return index.size();
   }
 
-  /** Bytes of the index. */
+  /** Memory of the index in bytes. */
   long indexBytes() {
     return index.bytes();
   }
 
-  /** Bytes of the index and of the blocks. */
+  /** Memory of the index and of the blocks in bytes. */
   long memoryBytes() {
     return index.bytes() + results.bytes();
   }
 
-  /** Bytes of results in memory, whole blocks. */
+  /** Memory of results in bytes, counted in full blocks. */
   long resultBytes() {
     return (long) results.usedBlocks() * BlockStore.BYTES_PER_BLOCK;
   }
 
-  /** Blocks of results in use. */
+  /** Number of blocks of results in use. */
   int usedBlocks() {
     return results.usedBlocks();
   }
 
-  /** A view of what is known of this key, made anew each time; null for nothing. */
+  /** A new read-only entry with the data of this key; null if it is not settled. */
   <T> KeyEntry<T> view(String key) {
     CompactIndex.IndexedKey known = lookup(key);
     if (known == null) {
@@ -75,12 +75,12 @@
     return index.size() == 0 ? null : index.find(digest(key));
   }
 
-  /** The result of an entry where it is in memory; null where it is not. */
+  /** The result of an entry if it is in memory, else null. */
   byte[] result(KeyEntry<?> entry) {
     if (!isInMemory(entry.location())) {
       return null;
     }
-    // The entry may be older than what is at its location by now.
+    // The entry may be outdated, and its location may have another key's result by now.
     CompactIndex.IndexedKey known = index.find(digest(entry.key()));
     return known != null
             && known.location() == entry.location()
@@ -90,10 +90,10 @@
   }
 
   /**
-   * Keeps an entry that is final, with its result in memory unless that lies on disk. A result that
-   * does not fit, which none with a reservation is, is dropped, and its key stays.
+   * Adds a final entry, with its result in memory unless that is on disk. A result that does not fit
+   * is dropped and its key is kept; a result with a reservation always fits.
    *
-   * @return false where the index is full: then the entry keeps its result
+   * @return false if the index is full, in which case the entry keeps its result
    */
   boolean add(KeyEntry<?> entry, long onDisk) {
     long location =
@@ -116,7 +116,7 @@
     return added;
   }
 
-  /** Keeps a key that the peer process settled; false where the index is full. */
+  /** Adds a settled key of the peer process; false if the index is full. */
   boolean add(SettledEntry key) {
     long location = key.result() == null ? CompactIndex.NO_RESULT : store(key.result());
     boolean added =
@@ -132,7 +132,7 @@
     return added;
   }
 
-  /** Keeps a recovered key, unless its result is in memory already; false where it does not fit. */
+  /** Adds a recovered key, unless its result is in memory already; false if it does not fit. */
   boolean recover(
       String key, long location, long coveredUntilMillis, long checksum, double expiresAtSeconds) {
     CompactIndex.IndexedKey known = lookup(key);
@@ -146,7 +146,7 @@
     }
   }
 
-  /** Forgets the keys whose time is over. */
+  /** Removes the expired keys. */
   void expire(double nowSeconds) {
     index.expire(nowSeconds);
   }
@@ -156,7 +156,7 @@
     return index.digests();
   }
 
-  /** What is known of a key, for the peer process; null for nothing. */
+  /** The data of a key for the peer process; null if it is not settled. */
   SettledEntry export(KeyDigest digest) {
     CompactIndex.IndexedKey known = index.find(digest);
     return known == null
@@ -171,8 +171,8 @@
   }
 
   /**
-   * When the keys that expire by then leave so many keys and blocks, in seconds on the caller's
-   * clock; infinite where that is not known.
+   * When so many keys and blocks will have been freed by expiry, in seconds on the caller's clock;
+   * infinite if that is not known.
    */
   double freedAtSeconds(int keys, long blocks) {
     FreedCapacity freed = new FreedCapacity(keys, blocks);
@@ -180,7 +180,7 @@
     return freed.isEnough() ? freed.lastExpirySeconds : Double.POSITIVE_INFINITY;
   }
 
-  /** Counts what goes with each key that expires. */
+  /** Subtracts the capacity that each expiring key frees from the capacity that is missing. */
   private final class FreedCapacity implements CompactIndex.ExpiryVisitor {
     private int missingKeys;
     private long missingBlocks;
--- a/src/main/java/wharftrestle/idempotency/TimingWheel.java
+++ b/src/main/java/wharftrestle/idempotency/TimingWheel.java
@@ -4,10 +4,10 @@
 import java.util.function.IntConsumer;
 
 /**
- * A hashed timing wheel (Varghese and Lauck, 1987, scheme 6) over small numbers, in int arrays and
- * without objects. A number is due at most one tick late and never early; what is due beyond one
- * turn stays in its slot until its turn comes. To schedule and to cancel cost O(1), to advance
- * O(slots passed + due). Not thread-safe.
+ * A hashed timing wheel (Varghese and Lauck, 1987, scheme 6) for small non-negative numbers, in int
+ * arrays without an object per number. A number fires at most one tick late and never early; one
+ * that is due after more than one turn stays in its slot until then. Schedule and cancel take O(1)
+ * time, advance takes O(slots passed + numbers visited). Not thread-safe.
  */
 public final class TimingWheel {
   private static final int NONE = -1;
@@ -16,37 +16,37 @@
   private final int[] heads;
   private int[] next = new int[0];
   private int[] previous =
-      new int[0]; // or NONE - 1 - slot at the head of a slot, FREE where not scheduled
+      new int[0]; // NONE - 1 - slot for the head of a slot; NOT_SCHEDULED if absent
   private long[] dueTicks = new long[0]; // in ticks
-  private long nowTicks = Long.MIN_VALUE; // ticks up to which all that was due was visited
+  private long nowTicks = Long.MIN_VALUE; // all numbers due up to this tick have fired
   private int size;
 
   private static final int NOT_SCHEDULED = Integer.MIN_VALUE;
 
   /**
-   * An empty wheel.
+   * Creates an empty wheel.
    *
    * @param tickSeconds width of one slot
-   * @param slots a power of two; one turn is best longer than the usual time until a number is due
+   * @param slots a power of two; best such that most numbers are due within one turn
    */
   public TimingWheel(double tickSeconds, int slots) {
     if (!(tickSeconds > 0) || Integer.bitCount(slots) != 1) {
-      throw new IllegalArgumentException("expected a tick above 0 and a power of two of slots");
+      throw new IllegalArgumentException("expected a tick above 0 and a power of two of slots, found " + tickSeconds + " and " + slots);
     }
     this.tickSeconds = tickSeconds;
     heads = new int[slots];
     Arrays.fill(heads, NONE);
   }
 
-  /** Numbers scheduled. */
+  /** Count of the scheduled numbers. */
   public int size() {
     return size;
   }
 
   /**
-   * Schedules a number; one that is scheduled already is moved.
+   * Schedules a number; reschedules it if it is scheduled already.
    *
-   * @param number 0 or more; the arrays grow to it
+   * @param number 0 or more; the arrays grow to this size
    * @param atSeconds when it is due, on the clock of {@link #advance}
    */
   public void schedule(int number, double atSeconds) {
@@ -65,7 +65,7 @@
     size++;
   }
 
-  /** Takes a number off the wheel; nothing where it is not scheduled. */
+  /** Cancels a number; no effect if it is not scheduled. */
   public void cancel(int number) {
     if (number >= previous.length || previous[number] == NOT_SCHEDULED) {
       return;
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Calls the action with each number that is due by now, once, in no order; the action may
-   * schedule and cancel.
+   * Calls the action once with each number that is due by this time, in no particular order, and
+   * returns how many there were. The action may schedule and cancel numbers.
    */
   public int advance(double seconds, IntConsumer action) {
     long to = (long) Math.floor(seconds / tickSeconds);
@@ -94,7 +94,7 @@
       nowTicks = Math.min(to, earliest()) - 1;
     }
     int count = 0;
-    long from = Math.max(nowTicks + 1, to - heads.length + 1); // a whole turn passes each slot once
+    long from = Math.max(nowTicks + 1, to - heads.length + 1); // one turn passes each slot once
     nowTicks = Math.max(nowTicks, to);
     for (long at = from; at <= to; at++) {
       int slot = (int) (at & heads.length - 1);
@@ -103,7 +103,7 @@
           cancel(number);
           action.accept(number);
           count++;
-          number = heads[slot]; // whoever was told may have changed the list
+          number = heads[slot]; // the action may have changed the list
         } else {
           number = next[number];
         }
@@ -112,14 +112,14 @@
     return count;
   }
 
-  /** Visits a number with when it is due, in seconds; false where no further one is wanted. */
+  /** Visits a number and when it is due, in seconds; returns false to stop. */
   interface UpcomingVisitor {
     boolean visit(int number, double dueSeconds);
   }
 
   /**
-   * Visits what is due within one turn, tick by tick; nothing may be scheduled or cancelled
-   * meanwhile.
+   * Visits the numbers that are due within one turn, in order of ticks; the visitor must not
+   * schedule or cancel numbers.
    */
   void forEachUpcoming(UpcomingVisitor visitor) {
     long from = nowTicks == Long.MIN_VALUE ? earliest() : nowTicks + 1;
@@ -159,7 +159,7 @@
     Arrays.fill(previous, old, to, NOT_SCHEDULED);
   }
 
-  /** Bytes of its arrays. */
+  /** Memory of the arrays in bytes. */
   public long bytes() {
     return 4L * heads.length + 16L * next.length;
   }
--- a/src/main/java/wharftrestle/request/PeerClaims.java
+++ b/src/main/java/wharftrestle/request/PeerClaims.java
@@ -47,7 +47,7 @@
     return ownership.isOwner();
   }
 
-  /** True if the key must be claimed from the peer before the request is accepted. Locks. */
+  /** True if the key must be claimed from the peer before the request is accepted. Acquires the lock. */
   boolean mustClaim(InFlightRequest request) {
     lock.lock();
     try {
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -14,13 +14,13 @@
 import wharftrestle.idempotency.KeyMemoryBudget;
 
 /**
- * Takes the steps of a handover and the messages of the peer process, each under the coordinator's
- * lock, to {@link KeyOwnershipTransfer}, which decides what they mean. Called by the link between
- * both processes and by the handover; never holds the lock while it waits for the peer.
+ * Passes the steps of a handover and the messages of the peer process, each under the coordinator's
+ * lock, to {@link KeyOwnershipTransfer}, which implements the protocol. Called by the peer link and
+ * by the handover, on any thread. Releases the lock before it waits for the peer.
  */
 public final class PeerCoordinator {
 
-  /** Part of the host's memory and dependency capacity that each of two processes has. */
+  /** Fraction of the host's memory and dependency capacity for each of two processes. */
   private static final double SHARE_OF_TWO = 0.5;
 
   private final ReentrantLock lock;
@@ -49,14 +49,14 @@
     ownership = claims.ownership();
   }
 
-  /** Before the first request; both refer to each other. */
+  /** Called before the first request. A setter, as the two objects refer to each other. */
   void connect(ResultRecorder results) {
     recorder = results;
   }
 
   // ---- Steps of a handover ----
 
-  /** The keys known now, and how many there can be. */
+  /** Keys and bytes of results in use, and the maximum of each. */
   public Capabilities.KeyCapacity keyCapacity() {
     lock.lock();
     try {
@@ -68,10 +68,10 @@
   }
 
   /**
-   * Sends all settled keys to the peer, and from now on each that settles; this process still owns
-   * them. Waits for the peer, so the lock is held for one key at a time.
+   * Sends all completed keys to the peer, and from now on each key that completes; this process
+   * still owns them. Waits for the peer, so the lock is held for one key at a time.
    *
-   * @return how many were sent, or -1 where the peer did not take them
+   * @return how many were sent, or -1 if the peer did not read them in time
    */
   public int sendCompletedKeys(PeerProcess to) {
     List<KeyDigest> all;
@@ -84,7 +84,7 @@
     return send(to, all);
   }
 
-  /** The same for a peer of format 1, which owns all keys by now. */
+  /** Sends all completed keys to a peer of format 1, which owns all keys already. */
   public int sendCompletedKeysAfterHandover(PeerProcess to) {
     List<KeyDigest> all;
     lock.lock();
@@ -116,7 +116,7 @@
     return sent;
   }
 
-  /** Keys that completeBatch from now on are not sent any more. */
+  /** From now on, keys that complete are not sent to the peer. */
   public void stopSendingSettledKeys() {
     lock.lock();
     try {
@@ -126,7 +126,7 @@
     }
   }
 
-  /** True where a key that settled during {@link #sendCompletedKeys} could not be sent. */
+  /** True if a key that completed since {@link #sendCompletedKeys} could not be sent. */
   public boolean hasUnsentKeys() {
     lock.lock();
     try {
@@ -137,10 +137,10 @@
   }
 
   /**
-   * Makes the peer the owner of all keys in one step. Keys in flight here stay here, and their ends
-   * are sent.
+   * Makes the peer the owner of all keys in one step. Executions in flight continue in this process,
+   * which sends their outcomes to the peer.
    *
-   * @return how many are in flight here
+   * @return how many keys are in flight here
    */
   public int transferKeys(PeerProcess to) {
     lock.lock();
@@ -154,9 +154,9 @@
   }
 
   /**
-   * From now on there is a peer, whose keys follow and which this process takes over from.
+   * Attaches the predecessor, from which this process takes over, and which sends its keys next.
    *
-   * @param stretchSeconds by which the peer's idempotency windows are shorter
+   * @param stretchSeconds by how much the predecessor's idempotency windows are shorter
    */
   public void joinPeer(PeerProcess from, double stretchSeconds) {
     lock.lock();
@@ -168,7 +168,7 @@
     }
   }
 
-  /** This process took over and cannot serve: it has executed nothing and returns all keys. */
+  /** Returns all keys to the peer, as this process took over, cannot serve and executed nothing. */
   public void returnKeys() {
     lock.lock();
     try {
@@ -179,7 +179,7 @@
     }
   }
 
-  /** The peer is lost: its executions have an unknown end, so their keys fail from now on. */
+  /** The peer is lost: the outcome of its executions is unknown, so their keys fail. */
   public void peerLost() {
     lock.lock();
     try {
@@ -192,7 +192,7 @@
     }
   }
 
-  /** Unknown keys fail for this long, as some that have executed may be missing here. */
+  /** Fails unknown keys for this long, as keys that have executed may be missing here. */
   public void failUnknownKeysFor(double seconds) {
     lock.lock();
     try {
@@ -204,7 +204,7 @@
 
   // ---- Messages of the peer ----
 
-  /** A key of the peer is settled. */
+  /** The peer sent a completed key. */
   public void keySettled(CompletedKey completedKey) {
     boolean isFirstLost = false;
     lock.lock();
@@ -220,12 +220,12 @@
     }
     if (isFirstLost) {
       Logger.warn(
-          "no memory for all keys of the peer process, unknown keys fail seconds={}",
+          "no memory for a key of the peer process, unknown keys fail for seconds={}",
           Math.round(completedKey.remainingSeconds()));
     }
   }
 
-  /** The peer holds or executes a key, or has settled it. */
+  /** The peer queues or executes a key, or has completed it. */
   public void keyUpdated(KeyUpdate update) {
     lock.lock();
     try {
@@ -247,7 +247,7 @@
     }
   }
 
-  /** A key of the peer never executed, and is not held any more. */
+  /** The peer released a key that it never executed. */
   public void keyReleased(String key) {
     lock.lock();
     try {
@@ -258,7 +258,7 @@
     }
   }
 
-  /** The peer asks to execute a key that this process owns. */
+  /** The peer claims a key that this process owns, in order to execute it. */
   public void keyClaimed(String key, long receivedAtMillis, byte[] body) {
     KeyOwnershipTransfer.StoredReply<InFlightRequest> reply;
     lock.lock();
@@ -268,7 +268,7 @@
       lock.unlock();
     }
     if (reply != null) {
-      // The result of a settled key may have to be read from disk: not under the lock.
+      // The result of a completed key may have to be read from disk, which must not happen under the lock.
       reply.send(
           reply.entry().isOnDisk()
               ? recorder.read(key, reply.entry().location())
@@ -276,7 +276,7 @@
     }
   }
 
-  /** The peer is about to execute a key that this process records. */
+  /** The peer is about to execute a key, whose intent this process records. */
   public void intentRequested(String key) {
     lock.lock();
     try {
@@ -286,7 +286,7 @@
     }
   }
 
-  /** The peer has written an intent for this process, or cannot. */
+  /** The peer has written an intent for this process, or failed to. */
   public void intentWritten(String key, boolean isWritten) {
     lock.lock();
     try {
@@ -300,7 +300,7 @@
     }
   }
 
-  /** The peer has written a result for this process, or cannot. */
+  /** The peer has written a result for this process, or failed to. */
   public void resultSaved(String key) {
     lock.lock();
     try {
@@ -313,7 +313,7 @@
     }
   }
 
-  /** The peer lets this process execute a key. */
+  /** The peer granted a key to this process, which may execute it. */
   public void keyGranted(String key) {
     lock.lock();
     try {
--- a/src/main/java/wharftrestle/request/PendingIntent.java
+++ b/src/main/java/wharftrestle/request/PendingIntent.java
@@ -1,4 +1,4 @@
 package wharftrestle.request;
 
-/** An intent record on its way to the disk, as its {@link ResultStore} knows it. */
+/** Handle of an intent record that its {@link ResultStore} is writing to disk. */
 public interface PendingIntent {}
--- a/src/main/java/wharftrestle/request/RequestArrival.java
+++ b/src/main/java/wharftrestle/request/RequestArrival.java
@@ -7,12 +7,13 @@
 import wharftrestle.metrics.Counters.Count;
 
 /**
- * Decides what a request meets before the admission module: guards against overfull tables and a
- * worker pool that has not started, then the rules of its key. Guarded by the coordinator's lock.
+ * Checks a request before the admission module does: rejects it if the in-flight table is full or
+ * the worker pool has not started, then applies the rules of its idempotency key. Guarded by the
+ * coordinator's lock.
  */
 final class RequestArrival {
 
-  /** Tells the module of a duplicate whose execution is not of a request in flight here. */
+  /** Value for the module if the execution belongs to no request that is in flight here. */
   private static final long DUPLICATE_OF_NO_REQUEST = -1;
 
   private final Counters counters;
@@ -39,7 +40,7 @@
     recorder = parts.recorder;
   }
 
-  /** Submits the request to the module, or answers it. */
+  /** Submits the request to the admission module, or answers it. */
   void arrive(InFlightRequest request) {
     request.hasArrived = true;
     if (request.isAnswered) {
@@ -49,16 +50,16 @@
     boolean mayHaveExecuted =
         (known != null && known.mayHaveRun()) || (request.key != null && !claims.ownsKeys());
     if (inFlight.isFull()) {
-      // Each request in flight has a thread: a flood of them must not use up the memory.
+      // Each request in flight has a thread, so their number must be bounded to bound the memory.
       rejectByGuard(request, mayHaveExecuted);
     } else if (!admission.isStarted() && isAnsweredBy(known, request)) {
-      // A result from before the restart needs no worker pool to be given again.
+      // The result was recorded before a restart, and is returned without the worker pool.
       request.backstopSeconds = deadlines.backstopSeconds(request.incoming, clock.now());
       keyed.completeAttached(request, known);
     } else if (!admission.isStarted()) {
       rejectByGuard(request, mayHaveExecuted);
     } else if (inFlight.withReference(request.incoming.reference()) != null) {
-      // Its execution could not be told from the one in flight.
+      // The worker pool could not distinguish its execution from the one in flight.
       rejectByGuard(request, true);
     } else {
       register(request);
@@ -72,7 +73,7 @@
         && known.body().matches(request.incoming.body());
   }
 
-  /** A rejection promises that nothing has executed: where that is not known, it is a failure. */
+  /** Rejects a request, or fails it if it may have executed, which a rejection rules out. */
   private void rejectByGuard(InFlightRequest request, boolean mayHaveExecuted) {
     counters.add(Count.GUARD_REJECTIONS);
     callers.answer(
@@ -96,7 +97,7 @@
       return isNewKeyAccepted(request, now);
     }
     if (!prior.body().matches(request.incoming.body())) {
-      // The same key with another body is no duplicate: its result would answer what nobody asked.
+      // The same key with another body is a conflict: the stored result belongs to another request.
       counters.add(Count.INVALID);
       callers.answer(request, Answer.conflict());
       return false;
@@ -107,7 +108,7 @@
 
   private boolean isNewKeyAccepted(InFlightRequest request, double now) {
     if (claims.isClaimUnanswered(request)) {
-      // The process that owns the key may have executed it: neither execute nor reject it here.
+      // The peer owns the key and may have executed it, so it can be neither executed nor rejected.
       callers.answer(request, Answer.deadlineExceeded());
       return false;
     }
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -10,10 +10,10 @@
 import wharftrestle.metrics.ResultMetric;
 
 /**
- * The entry to the requests in flight for frontends, worker pool, daemon and peer process. Every
+ * The interface of the request package for frontends, worker pool, daemon and peer process. Every
  * event enters here or at {@link PeerCoordinator}, one at a time under the one lock that guards all
- * decisions, and with a clock that never goes back. What the admission module decides becomes a
- * step of the request concerned, which that request's own thread carries out ({@link
+ * decisions, and with a clock that never decreases. Each decision of the admission module becomes a
+ * step of the request concerned, which that request's thread carries out ({@link
  * RequestLifecycle}). No socket or file is read or written under the lock. All methods may be
  * called by any thread.
  */
@@ -25,10 +25,11 @@
   private final CountDownLatch workerPoolStarted = new CountDownLatch(1);
 
   /**
-   * Each request in flight has a thread, so their number is bounded.
+   * Creates a coordinator that is not started.
    *
    * @param seed of the admission module's random numbers
-   * @param keyMemory for what is known of idempotency keys
+   * @param maxInFlight bound on the requests in flight, as each has a thread
+   * @param keyMemory budget for idempotency keys and their results
    */
   public RequestCoordinator(
       AdmissionSettings settings,
@@ -45,7 +46,7 @@
 
   // ---- Start ----
 
-  /** Connects what executes requests and what is notified of health, and starts the timer. */
+  /** Connects the worker pool, the dependency client and the listener; starts the timer thread. */
   public void start(
       WorkerPool workerPool, DependencyClient dependencyClient, HealthListener healthListener) {
     parts.lifecycle.start(workerPool);
@@ -55,8 +56,8 @@
   }
 
   /**
-   * From now on no keyed execution begins before its intent is recorded, and none is answered
-   * before its result is.
+   * Enables recording: from now on no keyed execution begins before its intent is on disk, and none
+   * is answered before its result is.
    */
   public void useResultStore(ResultStore store) {
     lock.lock();
@@ -67,7 +68,7 @@
     }
   }
 
-  /** Takes over the keys that an earlier process of this host has left on disk. */
+  /** Restores the keys that an earlier process of this host recorded on disk. */
   public void restore(ResultStore.RecoveredKeys recovered) {
     lock.lock();
     try {
@@ -89,19 +90,19 @@
 
   // ---- Requests ----
 
-  /** Takes a request in; its life goes on on a thread of its own, unless it is answered at once. */
+  /** Accepts a request, which is processed on a separate thread unless it is answered at once. */
   public Acceptance accept(IncomingRequest incoming, AnswerListener listener) {
     return parts.lifecycle.begin(incoming, listener);
   }
 
-  /** The caller of a request waits no longer; without effect once it was answered. */
+  /** The caller of a request has disconnected; no effect once the request is answered. */
   public void callerDisconnected(Acceptance accepted) {
     if (accepted instanceof InFlightRequest request) {
       parts.lifecycle.callerDisconnected(request);
     }
   }
 
-  /** So many requests are in flight at most from now on. */
+  /** Sets the maximum number of requests in flight from now on. */
   public void setMaxInFlight(int requests) {
     parts.inFlight.setMaxInFlight(requests);
   }
@@ -109,8 +110,9 @@
   // ---- Events of the worker pool ----
 
   /**
-   * The worker pool has started, cold or not, so many seconds ago. Makes the admission module the
-   * first time, but not in a process that is shutting down: that module would not know of it.
+   * The worker pool has started, cold or not, so many seconds ago. Creates the admission module the
+   * first time, but not in a process that is shutting down, as the new module would not have
+   * received the shutdown event.
    */
   public void workerPoolStarted(boolean isCold, double secondsAgo) {
     lock.lock();
@@ -126,7 +128,7 @@
     }
   }
 
-  /** The worker pool has restarted: what executed there is over, and may have had its effect. */
+  /** The worker pool has restarted: its executions are broken and may have had their effect. */
   public void workerPoolRestarted() {
     lock.lock();
     try {
@@ -146,7 +148,7 @@
     }
   }
 
-  /** An execution is over; the result is null unless it succeeded. */
+  /** An execution has ended; the result is null unless it succeeded. */
   public void executionCompleted(
       String reference, Outcome outcome, double elapsedSeconds, byte[] result) {
     lock.lock();
@@ -157,7 +159,7 @@
     }
   }
 
-  /** An execution is blocked on a dependency call, announced in this notice. */
+  /** An execution is blocked on the dependency call announced in the message of this number. */
   public void executionBlocked(String reference, long announcementNumber, byte[] callBody) {
     lock.lock();
     try {
@@ -169,39 +171,39 @@
 
   // ---- State ----
 
-  /** Of the admission module; fixed for the life of the process. */
+  /** Settings of the admission module; they do not change while the process runs. */
   public AdmissionSettings settings() {
     return parts.settings;
   }
 
-  /** The handover to the peer process, and its messages. */
+  /** Handles the handover and the messages of the peer process. */
   public PeerCoordinator peer() {
     return parts.peer;
   }
 
-  /** The metrics of recorded results; empty where none are recorded. */
+  /** Metrics of the recorded results; empty if results are not recorded. */
   public Map<ResultMetric, Long> resultMetrics() {
     return parts.recorder.metrics(parts.keyed.indexBytes());
   }
 
-  /** What health checks and load reports show. */
+  /** The health of this host as health checks and load reports show it. */
   public boolean isHealthy() {
     return parts.health.isHealthy();
   }
 
-  /** The peer process takes the clients of this host: the end of this one is no fault. */
+  /** Sets whether the peer process has this host's clients, so that shutting down is no fault. */
   public void setRelinquished(boolean isRelinquished) {
     parts.health.setRelinquished(isRelinquished);
   }
 
-  /** True while callers are sent to other hosts. */
+  /** True while an operator drains the host. */
   public boolean isDraining() {
     return parts.health.isDraining();
   }
 
   /**
-   * Sends callers to other hosts, or takes them again. The admission module is not told: whatever
-   * still arrives is served as usual.
+   * Starts or ends draining: reports the host as unhealthy, so that callers use other hosts. The
+   * admission module is not notified, and requests that still arrive are served as usual.
    */
   public void setDraining(boolean isDraining) {
     lock.lock();
@@ -212,14 +214,14 @@
     }
   }
 
-  /** Seconds an idle connection may stay; 0 for as long as its peer likes. */
+  /** Seconds after which an idle connection is closed; 0 for never. */
   public double idleTimeoutSeconds() {
     return parts.actions.idleTimeoutSeconds();
   }
 
   // ---- Shutdown ----
 
-  /** All requests in flight are answered within this many seconds. */
+  /** Begins the shutdown: all requests in flight are answered within this many seconds. */
   public void beginShutdown(double graceSeconds) {
     lock.lock();
     try {
@@ -242,7 +244,7 @@
     }
   }
 
-  /** Waits until nothing is in flight, at most so long; false where something still is. */
+  /** Waits until no request is in flight; false if one still is after this many seconds. */
   public boolean awaitDrained(double seconds) throws InterruptedException {
     lock.lock();
     try {
--- a/src/main/java/wharftrestle/request/RequestDeadlines.java
+++ b/src/main/java/wharftrestle/request/RequestDeadlines.java
@@ -4,12 +4,12 @@
 import wharftrestle.admission.AdmissionSettings;
 
 /**
- * When an answer is due at the latest, whatever the admission module does, and how long a key may
- * come again. Guarded by the coordinator's lock.
+ * Computes when the answer of a request is forced, whatever the admission module does, and the
+ * idempotency window of a class. Guarded by the coordinator's lock.
  */
 final class RequestDeadlines {
 
-  /** Seconds past the deadline at which an answer is forced; within what the callers allow. */
+  /** How long after the deadline an answer is forced; callers allow for longer. */
   private static final double BACKSTOP_SECONDS = 0.02;
 
   private final AdmissionSettings settings;
@@ -25,7 +25,7 @@
         now - incoming.queueingDelaySeconds() + deadline + BACKSTOP_SECONDS, shutdownAtSeconds);
   }
 
-  /** All answers are out by this time. */
+  /** Limits the backstops of later requests to this time. */
   void shutDownAt(double seconds) {
     shutdownAtSeconds = seconds;
   }
@@ -34,12 +34,12 @@
     return shutdownAtSeconds < Double.POSITIVE_INFINITY;
   }
 
-  /** Shortens the backstop of a request to the end of this process. */
+  /** Limits the backstop of a request in flight to the end of the shutdown. */
   void limitToShutdown(InFlightRequest request) {
     request.backstopSeconds = Math.min(request.backstopSeconds, shutdownAtSeconds);
   }
 
-  /** Seconds; for a class that only the peer process knows, the longest of all. */
+  /** The window in seconds; the longest of all for a class that only the peer process has. */
   double idempotencyWindowSeconds(int classIndex) {
     return classIndex < settings.classes().size()
         ? settings.classes().get(classIndex).idempotencyWindowSeconds()
--- a/src/main/java/wharftrestle/request/RequestLifecycle.java
+++ b/src/main/java/wharftrestle/request/RequestLifecycle.java
@@ -12,12 +12,12 @@
 import wharftrestle.metrics.Counters.Count;
 
 /**
- * The life of each request, on a thread of its own: {@link #run} reads from its arrival to its last
- * step. Steps are decided under the coordinator's lock and carried out without it.
+ * Processes each request on its own thread: {@link #run} covers a request from its arrival to its
+ * last step. Steps are decided under the coordinator's lock and carried out without it.
  */
 final class RequestLifecycle {
 
-  /** Threads beyond the requests in flight, for those that have just ended. */
+  /** Threads beyond the maximum of requests in flight, for requests that have just ended. */
   private static final int EXTRA_THREADS = 32;
 
   private static final int CORE_THREADS = 8;
@@ -68,12 +68,12 @@
     workerPool = workers;
   }
 
-  /** Begins the life of a request, on the thread that read it. */
+  /** Accepts a request, on the thread that read it. */
   Acceptance begin(IncomingRequest incoming, AnswerListener listener) {
     counters.requestReceived();
     InFlightRequest request = create(incoming, listener);
     if (!claims.mustClaim(request)) {
-      arrive(request); // most of what is rejected needs no thread of its own
+      arrive(request); // most rejected requests need no separate thread
     }
     if (isFinishedOnArrival(request)) {
       runGuarded(request);
@@ -82,7 +82,7 @@
     try {
       threads.execute(() -> runGuarded(request));
     } catch (RejectedExecutionException | OutOfMemoryError noThread) {
-      failWithoutThread(request); // it is owed its answer all the same
+      failWithoutThread(request); // it must be answered nevertheless
       runGuarded(request);
       return Acceptance.Answered.ANSWERED;
     }
@@ -116,7 +116,7 @@
     }
   }
 
-  /** The caller of a request waits no longer. */
+  /** The caller of a request has disconnected. */
   void callerDisconnected(InFlightRequest request) {
     lock.lock();
     try {
@@ -129,7 +129,7 @@
     }
   }
 
-  /** One request from its arrival to its last step. */
+  /** Processes one request from its arrival to its last step. */
   private void run(InFlightRequest request) {
     IncomingRequest incoming = request.incoming;
     String reference = incoming.reference();
@@ -161,19 +161,19 @@
     }
   }
 
-  /** A fault in the life of one request must not take its answer with it. */
+  /** Runs a request, and answers it with a failure if that throws an exception. */
   private void runGuarded(InFlightRequest request) {
     try {
       run(request);
     } catch (RuntimeException | Error fault) {
-      Logger.error(fault, "request failed by a fault reference={}", request.incoming.reference());
+      Logger.error(fault, "request failed by an uncaught exception reference={}", request.incoming.reference());
       if (abort(request)) {
         request.listener.onAnswer(Answer.failed());
       }
     }
   }
 
-  /** True where its listener has yet to be notified. */
+  /** Ends a request after an exception; true if its listener has yet to be notified. */
   private boolean abort(InFlightRequest request) {
     lock.lock();
     try {
@@ -203,7 +203,7 @@
     }
   }
 
-  /** Waits for the request's next step; null once it is answered and nothing of it executes. */
+  /** Waits for the request's next step; null once it is answered and does not execute. */
   private InFlightRequest.Step nextStep(InFlightRequest request) {
     lock.lock();
     try {
@@ -221,14 +221,14 @@
         }
       }
     } catch (InterruptedException e) {
-      throw new IllegalStateException("nobody interrupts a request", e);
+      throw new IllegalStateException("request thread was interrupted, which nothing in the daemon does", e);
     } finally {
       lock.unlock();
     }
   }
 
-  /** Waits for a change up to the request's next time limit; past its backstop enforces that. */
-  @SuppressWarnings("WaitNotInLoop") // nextStep, the one caller, loops and reads the state again
+  /** Waits for a change until the request's next time limit; enforces the backstop once past it. */
+  @SuppressWarnings("WaitNotInLoop") // nextStep, the only caller, loops and reads the state again
   private void awaitChange(InFlightRequest request) throws InterruptedException {
     double now = clock.now();
     double untilBackstop = request.backstopSeconds - now;
@@ -239,10 +239,10 @@
               : untilBackstop;
       request.changed.awaitNanos(EventClock.waitNanos(wait));
     } else if (request.isAnswered) {
-      Logger.warn("execution given up reference={}", request.incoming.reference());
+      Logger.warn("execution did not end in time after its answer, no longer tracked reference={}", request.incoming.reference());
       executions.complete(request, Outcome.BROKEN, now - request.startedAtSeconds, null);
     } else {
-      // Whatever holds up the module or its timer: no answer comes after its deadline.
+      // Answers in time even if the module or its timer is delayed.
       counters.add(Count.DEADLINE_BACKSTOPS);
       callers.answer(request, Answer.deadlineExceeded());
       admission.callerDisconnected(request);
--- a/src/main/java/wharftrestle/request/RequestParts.java
+++ b/src/main/java/wharftrestle/request/RequestParts.java
@@ -7,8 +7,8 @@
 import wharftrestle.metrics.Counters;
 
 /**
- * Makes the parts of the coordinator and connects them. All share its one lock, which guards every
- * decision; nothing is read or written outside the process while it is held.
+ * Creates and connects the parts of the coordinator. All share its one lock, which guards every
+ * decision and is not held during I/O.
  */
 final class RequestParts {
   final ReentrantLock lock = new ReentrantLock();
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -16,14 +16,14 @@
 import wharftrestle.metrics.ResultMetric;
 
 /**
- * Has intents and results of keyed executions written, and acts on what became of them: no
- * execution begins before its intent is on disk, and no result goes out before it is. Does nothing
- * where there is no {@link ResultStore}. Guarded by the coordinator's lock, but for what says
- * otherwise; the store notifies on its own thread, which takes the lock here.
+ * Records intents and results of keyed executions in the {@link ResultStore}: an execution begins
+ * once its intent is on disk, and is answered once its result is, or cannot be written. Does
+ * nothing without a store. Guarded by the coordinator's lock unless a method states otherwise; the
+ * store notifies on its own thread, which acquires the lock here.
  */
 final class ResultRecorder {
 
-  /** An intent that the peer writes takes the way to it and back as well. */
+  /** Factor on the timeout of an intent that the peer writes, for the round trip to the peer. */
   private static final double PEER_TIMEOUT_FACTOR = 2;
 
   private final ReentrantLock lock;
@@ -54,38 +54,38 @@
     this.memory = memory;
   }
 
-  /** Before the first request; both refer to each other. */
+  /** Called before the first request. A setter, as the two objects refer to each other. */
   void connect(Executions ends) {
     executions = ends;
   }
 
-  /** From now on intents and results of keyed executions are recorded there. */
+  /** Enables the recording of intents and results of keyed executions in this store. */
   void useStore(ResultStore results) {
     store = results;
     maxKeysOnDisk = Math.min(results.maxKeys(), memory.maxKeysWithResultsOnDisk());
     if (maxKeysOnDisk < results.maxKeys()) {
       Logger.warn(
-          "memory limits the recorded keys max={} configured={}", maxKeysOnDisk, results.maxKeys());
+          "memory limits the number of recorded keys max={} configured={}", maxKeysOnDisk, results.maxKeys());
     }
     keys.enablePersistence(maxKeysOnDisk);
   }
 
-  /** True where results are recorded; also without the lock. */
+  /** True if results are recorded. Needs no lock. */
   boolean isEnabled() {
     return store != null;
   }
 
-  /** True where this process writes: the one that owns all keys does. */
+  /** True if this process writes the records, as it owns all keys. */
   private boolean isWriter() {
     return store != null && ownership.isOwner();
   }
 
-  /** Keys known at most. */
+  /** The maximum number of keys. */
   int maxKeys() {
     return store == null ? memory.maxKeys() : maxKeysOnDisk;
   }
 
-  /** Empty where results are not recorded; also without the lock. */
+  /** Metrics of the recorded results; empty if results are not recorded. Needs no lock. */
   Map<ResultMetric, Long> metrics(long indexBytes) {
     ResultStore results = store;
     if (results == null) {
@@ -96,7 +96,7 @@
     return metrics;
   }
 
-  /** Why a new key cannot be recorded now; null where it can, or need not. */
+  /** Why a new key cannot be recorded now; null if it can, or need not be. */
   ResultStore.RejectionReason rejectionReason() {
     if (!isWriter()) {
       return null;
@@ -106,7 +106,7 @@
         : store.rejectionReason();
   }
 
-  /** Rejects a request whose key cannot be recorded, and counts that. */
+  /** A rejection for a key that cannot be recorded, which the store counts. */
   Answer rejected(ResultStore.RejectionReason reason) {
     return Answer.rejected(Math.min(maxRetryAfterSeconds, store.retryAfterSeconds(reason)), false);
   }
@@ -122,19 +122,19 @@
 
   // ---- Intents ----
 
-  /** True from the decision to execute until the intent is on disk, or cannot be. */
+  /** True from the decision to execute until the intent is on disk, or its write has failed. */
   boolean isWritingIntent(InFlightRequest request) {
     return request.holdsKey() && request.entry.state() == KeyState.RECORDING;
   }
 
-  /** Has the intent of an execution written; its end is the next step of the request. */
+  /** Starts writing the intent of an execution; the request continues once it is written. */
   void writeIntent(InFlightRequest request) {
     if (!isWritingIntent(request)) {
       return;
     }
     PeerProcess peer = ownership.peer();
     if (!ownership.isOwner() && peer != null) {
-      // The peer writes, and tells by PeerCoordinator.intentWritten.
+      // The peer writes it and reports the outcome to PeerCoordinator.intentWritten.
       request.intentBySeconds = clock.now() + PEER_TIMEOUT_FACTOR * store.intentTimeoutSeconds();
       peer.sendIntentRequest(
           request.key, request.incoming.receivedAtMillis(), request.incoming.body());
@@ -158,7 +158,7 @@
     }
   }
 
-  /** An intent is on disk, or cannot be. */
+  /** An intent is on disk, or its write has failed. */
   void intentWriteCompleted(InFlightRequest request, boolean isWritten) {
     if (!isWritingIntent(request)) {
       return; // withdrawn meanwhile
@@ -166,14 +166,14 @@
     if (!isWritten) {
       rejectUnbegun(request, ResultStore.RejectionReason.DISK_FAILED);
     } else if (request.isAnswered) {
-      withdraw(request); // nobody waits any more, and a retry may execute
+      withdraw(request); // no caller waits any more, and a retry may execute
     } else {
       keys.intentRecorded(request.entry);
       request.enqueue(InFlightRequest.Step.DISPATCH);
     }
   }
 
-  /** Rejects an execution whose intent is not on disk in time; false where there is none. */
+  /** Rejects an execution whose intent is not on disk in time; false if none is overdue. */
   boolean expireIntent(InFlightRequest request) {
     if (!isWritingIntent(request) || clock.now() < request.intentBySeconds) {
       return false;
@@ -182,7 +182,7 @@
     return true;
   }
 
-  /** An execution that was decided is not begun, and its key is free again. */
+  /** Cancels an execution that has not begun, and frees its key. */
   void withdraw(InFlightRequest request) {
     withdrawIntent(request);
     endUnbegun(request);
@@ -209,14 +209,14 @@
     executions.complete(request, Outcome.VOID, 0, null);
   }
 
-  /** The execution of this key was never begun. */
+  /** The execution of this key never began: discards its intent. */
   void neverExecuted(KeyEntry<InFlightRequest> entry) {
     if (isWriter()) {
       store.discardIntent(recordOf(entry));
     }
   }
 
-  /** The peer is about to execute a key that it has in flight: its intent is written here. */
+  /** Writes the intent of a key that the peer is about to execute. */
   void writeIntentForPeer(String key) {
     PeerProcess peer = ownership.peer();
     if (peer == null) {
@@ -236,7 +236,7 @@
 
   // ---- Results ----
 
-  /** The execution of a key has ended, and the key knows it; the result is null for none. */
+  /** Records the end of a key's execution, after its entry; the result is null for none. */
   void recordResult(KeyEntry<InFlightRequest> entry, byte[] result) {
     if (isWriter()) {
       writeResult(entry, result);
@@ -256,7 +256,7 @@
     }
   }
 
-  /** Writes what the peer was to write before it was lost. */
+  /** Writes the results that the peer was to write before it was lost. */
   void writeUnsavedResults() {
     if (store != null) {
       keys.entriesBeingSaved().forEach(entry -> writeResult(entry, keys.result(entry)));
@@ -264,8 +264,8 @@
   }
 
   /**
-   * A result is on disk, or with a position below 0 cannot be. Its intent is there, so the key does
-   * not execute again, and its request is answered in either case.
+   * A result is on disk, or with a position below 0 its write has failed. The request is answered in
+   * either case: the intent is on disk, so the key does not execute again.
    */
   void resultWriteCompleted(KeyEntry<InFlightRequest> entry, long position) {
     if (entry.state() != KeyState.SAVING) {
@@ -276,7 +276,7 @@
     if (entry.attempt() != null) {
       callers.answer(entry.attempt(), Answer.served(keys.result(entry)));
       if (peer != null && !ownership.isOwner()) {
-        // It was on its way to the disk when the keys were handed over.
+        // The result was still being written when the keys were handed over.
         peer.sendCompletion(entry.key(), keys.result(entry));
       }
     } else if (peer != null) {
@@ -286,7 +286,7 @@
     admission.completeBatchSoonIfStarted();
   }
 
-  /** The result at this position, null where it cannot be read; never under the lock. */
+  /** Reads the result at this position, without the lock; null if it cannot be read. */
   byte[] read(String key, long position) {
     try {
       return store.readResult(key, position);
--- a/src/main/java/wharftrestle/request/ResultStore.java
+++ b/src/main/java/wharftrestle/request/ResultStore.java
@@ -6,19 +6,19 @@
 import wharftrestle.metrics.ResultMetric;
 
 /**
- * Records intents and results of keyed executions on disk, as the coordinator needs it. Only {@link
- * #readResult} waits for the disk: all else may be called under the coordinator's lock. Whether a
- * key may execute is decided elsewhere.
+ * Records intents and results of keyed executions on disk. Only {@link #readResult} waits for the
+ * disk; all other methods may be called under the coordinator's lock. Whether a key may execute is
+ * decided by {@link wharftrestle.idempotency.IdempotencyTable}, not by the store.
  */
 public interface ResultStore {
 
-  /** Why a key cannot be recorded now, and so may not execute. */
+  /** Why a key cannot be recorded now and therefore may not execute. */
   enum RejectionReason {
-    STORE_FULL(ResultMetric.REJECTED_STORE_FULL, "the store of results is full"),
-    KEYS_FULL(ResultMetric.REJECTED_KEYS_FULL, "as many keys are known as may be"),
-    DISK_BUSY(ResultMetric.REJECTED_DISK_BUSY, "too much waits for the disk"),
-    DISK_STALLED(ResultMetric.REJECTED_DISK_STALLED, "the disk is silent"),
-    DISK_FAILED(ResultMetric.REJECTED_DISK_FAILED, "the disk fails");
+    STORE_FULL(ResultMetric.REJECTED_STORE_FULL, "the result store is full"),
+    KEYS_FULL(ResultMetric.REJECTED_KEYS_FULL, "the maximum number of keys is reached"),
+    DISK_BUSY(ResultMetric.REJECTED_DISK_BUSY, "too many bytes are waiting to be written to disk"),
+    DISK_STALLED(ResultMetric.REJECTED_DISK_STALLED, "the disk does not respond"),
+    DISK_FAILED(ResultMetric.REJECTED_DISK_FAILED, "the disk reports errors");
 
     private final ResultMetric metric;
     private final String description;
@@ -28,31 +28,31 @@
       this.description = description;
     }
 
-    /** The count of these rejections. */
+    /** The metric that counts these rejections. */
     public ResultMetric metric() {
       return metric;
     }
 
-    /** The reason in words. */
+    /** A readable description of the reason. */
     public String description() {
       return description;
     }
   }
 
   /**
-   * One key as it is recorded.
+   * The record of one key.
    *
-   * @param lastAttemptAtMillis no attempt received up to here may execute, Unix ms
-   * @param retentionSeconds idempotency window with its slack
+   * @param lastAttemptAtMillis attempts received up to then are duplicates, Unix ms
+   * @param retentionSeconds idempotency window plus its slack
    * @param bodyChecksum of {@link wharftrestle.idempotency.KeyDigest}
    */
   record KeyRecord(
       String key, long lastAttemptAtMillis, double retentionSeconds, long bodyChecksum) {}
 
   /**
-   * What an earlier process left of one key.
+   * A key that an earlier process recorded.
    *
-   * @param position of its result, or -1 where its end is unknown
+   * @param position of its result, or -1 if its outcome is unknown
    * @param expiresAtSeconds on the clock of System.nanoTime
    */
   record RecoveredKey(
@@ -63,46 +63,46 @@
       long bodyChecksum) {}
 
   /**
-   * All that an earlier process left.
+   * All keys that an earlier process recorded.
    *
-   * @param unknownKeysFailUntilSeconds until then unknown keys fail, as some may be lost; in the
-   *     past where none are
+   * @param unknownKeysFailUntilSeconds until then unknown keys fail, as records may be lost; in the
+   *     past if none are
    */
   record RecoveredKeys(List<RecoveredKey> keys, double unknownKeysFailUntilSeconds) {}
 
-  /** Is notified once of the position of a record, on a thread of the store or within the call. */
+  /** Receives the position of a record, once, on a thread of the store or within the call. */
   interface WriteListener {
-    /** Negative where the record could not be written. */
+    /** Called once the record is on disk, or with a negative position if its write failed. */
     void onWritten(long position);
   }
 
-  /** Seconds for which an execution waits for its intent to be on disk. */
+  /** How long an execution waits for its intent to be on disk, in seconds. */
   double intentTimeoutSeconds();
 
-  /** Keys known at most. */
+  /** The maximum number of keys. */
   int maxKeys();
 
-  /** Why no key can be recorded now; null where one can. */
+  /** Why no key can be recorded now; null if one can. */
   RejectionReason rejectionReason();
 
-  /** Counts a rejection; the Retry-After for it. */
+  /** Counts a rejection and returns its Retry-After in seconds. */
   double retryAfterSeconds(RejectionReason why);
 
-  /** Has an intent written; null, and the listener not notified, where it cannot be. */
+  /** Starts writing an intent; null, without notifying the listener, if that is not possible. */
   PendingIntent writeIntent(KeyRecord keyed, WriteListener listener);
 
-  /** The execution of this intent is not begun, whatever became of the record. */
+  /** The execution of this intent does not begin, whether or not the record is written. */
   void withdrawIntent(PendingIntent intent, KeyRecord keyed);
 
-  /** The execution of a recorded intent was never begun. */
+  /** The execution of a recorded intent never began. */
   void discardIntent(KeyRecord keyed);
 
-  /** The execution of a recorded intent has ended; the result is null unless it succeeded. */
+  /** Writes the end of a recorded execution; the result is null unless it succeeded. */
   void writeResult(KeyRecord keyed, byte[] result, WriteListener listener);
 
-  /** The result at this position; never under a lock. */
+  /** Reads the result at this position; waits for the disk, so never called under a lock. */
   byte[] readResult(String key, long position) throws IOException;
 
-  /** All metrics but the size of the index, which the coordinator adds. */
+  /** All metrics except the size of the index, which the coordinator adds. */
   Map<ResultMetric, Long> metrics();
 }
--- a/src/main/java/wharftrestle/time/SteadyWallClock.java
+++ b/src/main/java/wharftrestle/time/SteadyWallClock.java
@@ -7,16 +7,16 @@
 import java.nio.file.Path;
 
 /**
- * The machine's wall clock, which may step, and a steady wall clock beside it that never does: Unix
- * ms as they were when this process began, advanced from there by the monotonic clock. A request's
+ * The machine's wall clock, which may step, and a steady wall clock, which never does: the Unix time
+ * in ms at the start of this process, advanced from there by the monotonic clock. A request's
  * timestamp is mapped to the steady clock by its age as it is read, so that a step of the wall
- * clock moves neither a key's window nor a deadline. The successor of a handover goes on with its
- * predecessor's clock by {@link #adoptOffset}. Safe for all threads.
+ * clock shifts neither a key's window nor a deadline. The successor of a handover continues its
+ * predecessor's steady clock by {@link #adoptOffset}. Thread-safe.
  */
 public final class SteadyWallClock {
   /**
    * System property that names a file of eight bytes: ms by which this process's wall clock is
-   * skewed. Only the testbed sets it.
+   * skewed. Only the test environment sets it.
    */
   public static final String SKEW_FILE_PROPERTY = "wharftrestle.clock";
 
@@ -33,7 +33,7 @@
     try (FileChannel channel = FileChannel.open(Path.of(file))) {
       return channel.map(FileChannel.MapMode.READ_ONLY, 0, Long.BYTES).asLongBuffer();
     } catch (IOException e) {
-      throw new UncheckedIOException("cannot read the skewed clock " + file, e);
+      throw new UncheckedIOException("cannot read the clock skew file " + file, e);
     }
   }
 
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Maps a timestamp of the wall clock to the steady clock; one that lies ahead of now becomes now.
+   * Maps a timestamp of the wall clock to the steady clock; a timestamp in the future becomes now.
    *
    * @param timestampMillis Unix ms
    */
@@ -60,12 +60,12 @@
     return steadyWallMillis() - Math.max(0, wallMillis() - timestampMillis);
   }
 
-  /** Steady wall clock less monotonic clock, ms; the same for all processes of a handover. */
+  /** Steady wall clock minus monotonic clock, ms; the same for all processes of a handover. */
   public static long offsetMillis() {
     return offsetMillis;
   }
 
-  /** Goes on with the predecessor's steady clock; nothing may have been stamped here yet. */
+  /** Continues the predecessor's steady clock. Called before this process maps any timestamp. */
   public static void adoptOffset(long predecessorOffsetMillis) {
     offsetMillis = predecessorOffsetMillis;
   }
--- a/src/main/java/wharftrestle/time/package-info.java
+++ b/src/main/java/wharftrestle/time/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Time of day. Owns the one place where the program reads the wall clock, and the steady wall clock
- * on which timestamps of requests are compared: idempotency windows and deadlines must not move
- * when the machine's clock steps. No threads; {@link wharftrestle.time.SteadyWallClock} may be read
- * by any.
+ * Time of day: the only code that reads the wall clock, and the steady wall clock on which
+ * timestamps of requests are compared, so that idempotency windows and deadlines do not shift when
+ * the machine's clock steps. {@link wharftrestle.time.SteadyWallClock} is thread-safe; the package
+ * starts no threads.
  */
 package wharftrestle.time;
