--- a/src/main/java/wharftrestle/idempotency/ActiveKeys.java
+++ b/src/main/java/wharftrestle/idempotency/ActiveKeys.java
@@ -18,12 +18,12 @@
 final class ActiveKeys<T> {
   private static final double TICK_SECONDS = 0.25;
   private static final int WHEEL_SLOTS = 512;
-  private static final int FIRST_FREE_ROWS = 16;
+  private static final int INITIAL_FREE_ROWS = 16;
 
   private final Map<String, KeyEntry<T>> entriesByKey = new HashMap<>();
   private final List<KeyEntry<T>> entriesByRow = new ArrayList<>();
   private final TimingWheel wheel = new TimingWheel(TICK_SECONDS, WHEEL_SLOTS);
-  private int[] freeRows = new int[FIRST_FREE_ROWS];
+  private int[] freeRows = new int[INITIAL_FREE_ROWS];
   private int freeRowCount;
   private int peerOwnedCount;
 
@@ -73,14 +73,14 @@
 
   /** Applies a step of {@link KeyState} to the entry. */
   void transition(KeyEntry<T> entry, Step step) {
-    int before = countedAsPeerOwned(entry);
+    int countBefore = peerOwnedCountOf(entry);
     entry.transition(step);
-    peerOwnedCount += countedAsPeerOwned(entry) - before;
+    peerOwnedCount += peerOwnedCountOf(entry) - countBefore;
   }
 
   /** Removes an entry; no effect if it is not the current entry of its key. */
   void remove(KeyEntry<T> entry) {
-    int peerOwned = countedAsPeerOwned(entry);
+    int peerOwned = peerOwnedCountOf(entry);
     if (entriesByKey.remove(entry.key(), entry)) {
       peerOwnedCount -= peerOwned;
       wheel.cancel(entry.wheelRow());
@@ -94,7 +94,7 @@
         nowSeconds,
         row -> {
           KeyEntry<T> entry = entriesByRow.get(row);
-          int peerOwned = countedAsPeerOwned(entry);
+          int peerOwned = peerOwnedCountOf(entry);
           if (entriesByKey.remove(entry.key(), entry)) {
             peerOwnedCount -= peerOwned;
           }
@@ -102,7 +102,7 @@
         });
   }
 
-  private int countedAsPeerOwned(KeyEntry<T> entry) {
+  private int peerOwnedCountOf(KeyEntry<T> entry) {
     return entry.state() == KeyState.OWNED_BY_PEER && contains(entry) ? 1 : 0;
   }
 
--- a/src/main/java/wharftrestle/idempotency/BlockStore.java
+++ b/src/main/java/wharftrestle/idempotency/BlockStore.java
@@ -76,45 +76,45 @@
       return NO_BLOCK;
     }
     int first = allocate();
-    int at = first;
-    ByteBuffer.wrap(chunk(at)).putInt(offset(at), result.length);
-    int blockRest = BLOCK_BYTES - LENGTH_BYTES;
-    int to = offset(at) + LENGTH_BYTES;
+    int block = first;
+    ByteBuffer.wrap(chunk(block)).putInt(offset(block), result.length);
+    int remainingInBlock = BLOCK_BYTES - LENGTH_BYTES;
+    int to = offset(block) + LENGTH_BYTES;
     for (int from = 0; from < result.length; ) {
-      if (blockRest == 0) {
-        int more = allocate();
-        nextBlock[at] = more;
-        at = more;
-        blockRest = BLOCK_BYTES;
-        to = offset(at);
+      if (remainingInBlock == 0) {
+        int added = allocate();
+        nextBlock[block] = added;
+        block = added;
+        remainingInBlock = BLOCK_BYTES;
+        to = offset(block);
       }
-      int part = Math.min(blockRest, result.length - from);
-      System.arraycopy(result, from, chunk(at), to, part);
-      from += part;
-      to += part;
-      blockRest -= part;
+      int copyLength = Math.min(remainingInBlock, result.length - from);
+      System.arraycopy(result, from, chunk(block), to, copyLength);
+      from += copyLength;
+      to += copyLength;
+      remainingInBlock -= copyLength;
     }
-    nextBlock[at] = NO_BLOCK;
+    nextBlock[block] = NO_BLOCK;
     return first;
   }
 
   /** The result whose chain begins at this block. */
   public byte[] get(int first) {
     byte[] result = new byte[length(first)];
-    int at = first;
-    int from = offset(at) + LENGTH_BYTES;
-    int blockRest = BLOCK_BYTES - LENGTH_BYTES;
-    for (int done = 0; done < result.length; ) {
-      if (blockRest == 0) {
-        at = nextBlock[at];
-        from = offset(at);
-        blockRest = BLOCK_BYTES;
+    int block = first;
+    int from = offset(block) + LENGTH_BYTES;
+    int remainingInBlock = BLOCK_BYTES - LENGTH_BYTES;
+    for (int copied = 0; copied < result.length; ) {
+      if (remainingInBlock == 0) {
+        block = nextBlock[block];
+        from = offset(block);
+        remainingInBlock = BLOCK_BYTES;
       }
-      int part = Math.min(blockRest, result.length - done);
-      System.arraycopy(chunk(at), from, result, done, part);
-      done += part;
-      from += part;
-      blockRest -= part;
+      int copyLength = Math.min(remainingInBlock, result.length - copied);
+      System.arraycopy(chunk(block), from, result, copied, copyLength);
+      copied += copyLength;
+      from += copyLength;
+      remainingInBlock -= copyLength;
     }
     return result;
   }
--- a/src/main/java/wharftrestle/idempotency/CompactIndex.java
+++ b/src/main/java/wharftrestle/idempotency/CompactIndex.java
@@ -20,7 +20,7 @@
   private static final double TICK_SECONDS = 0.25;
 
   private static final int WHEEL_SLOTS = 512;
-  private static final int FIRST_ROWS = 64;
+  private static final int INITIAL_ROWS = 64;
   private static final int EMPTY = -1;
 
   private final int capacity;
@@ -34,11 +34,11 @@
   private int[] freeRows = new int[0];
   private int freeRowCount;
   private int rowCount;
-  private final LocationReleaseListener releases;
+  private final LocationReleaseListener releaseListener;
 
   /** Receives the location of each key that is removed or replaced. */
   interface LocationReleaseListener {
-    void released(long location);
+    void onReleased(long location);
   }
 
   /** Visits keys in order of expiry; returns false to stop. */
@@ -55,12 +55,12 @@
    * @param capacity maximum number of keys
    */
   public CompactIndex(int capacity) {
-    this(capacity, place -> {});
+    this(capacity, location -> {});
   }
 
-  CompactIndex(int capacity, LocationReleaseListener releases) {
+  CompactIndex(int capacity, LocationReleaseListener releaseListener) {
     this.capacity = capacity;
-    this.releases = releases;
+    this.releaseListener = releaseListener;
   }
 
   /** Number of keys. */
@@ -70,7 +70,7 @@
 
   /** The data of this key; null if it is not in the index. */
   public IndexedKey find(KeyDigest key) {
-    int slot = slotOf(key);
+    int slot = findSlot(key);
     int row = slot < 0 ? EMPTY : rowBySlot[slot];
     return row == EMPTY
         ? null
@@ -92,7 +92,7 @@
       long lastCoveredMillis,
       long checksum,
       double expiresAtSeconds) {
-    int slot = slotOf(key);
+    int slot = findSlot(key);
     int row = slot < 0 ? EMPTY : rowBySlot[slot];
     if (row == EMPTY) {
       if (size() >= capacity) {
@@ -101,9 +101,9 @@
       row = freeRowCount > 0 ? freeRows[--freeRowCount] : newRow();
       digestHighs[row] = key.high();
       digestLows[row] = key.low();
-      rowBySlot[slotOf(key)] = row;
+      rowBySlot[findSlot(key)] = row;
     } else {
-      releases.released(locations[row]);
+      releaseListener.onReleased(locations[row]);
     }
     locations[row] = location;
     coveredUntilMillis[row] = lastCoveredMillis;
@@ -114,7 +114,7 @@
 
   /** Removes a key; false if it is not in the index. */
   public boolean remove(KeyDigest key) {
-    int slot = slotOf(key);
+    int slot = findSlot(key);
     if (slot < 0 || rowBySlot[slot] == EMPTY) {
       return false;
     }
@@ -126,7 +126,7 @@
   /** Removes the expired keys and returns their number. */
   public int expire(double now) {
     return wheel.advance(
-        now, row -> removeSlot(slotOf(new KeyDigest(digestHighs[row], digestLows[row]))));
+        now, row -> removeSlot(findSlot(new KeyDigest(digestHighs[row], digestLows[row]))));
   }
 
   /** Visits the keys that expire within one turn of the wheel, in order of expiry. */
@@ -156,7 +156,7 @@
   }
 
   /** The slot of this key, or the free one for it; -1 if the hash table is not allocated yet. */
-  private int slotOf(KeyDigest key) {
+  private int findSlot(KeyDigest key) {
     if (rowBySlot.length == 0) {
       return -1;
     }
@@ -181,14 +181,14 @@
       freeRows = Arrays.copyOf(freeRows, Math.max(16, freeRowCount + (freeRowCount >> 1)));
     }
     freeRows[freeRowCount++] = rowBySlot[slot];
-    releases.released(locations[rowBySlot[slot]]);
+    releaseListener.onReleased(locations[rowBySlot[slot]]);
     int hole = slot;
     for (int at = slot + 1 & rowBySlot.length - 1;
         rowBySlot[at] != EMPTY;
         at = at + 1 & rowBySlot.length - 1) {
       int home = homeSlot(digestLows[rowBySlot[at]]);
-      boolean between = hole <= at ? hole < home && home <= at : hole < home || home <= at;
-      if (!between) {
+      boolean isHomeAfterHole = hole <= at ? hole < home && home <= at : hole < home || home <= at;
+      if (!isHomeAfterHole) {
         rowBySlot[hole] = rowBySlot[at];
         hole = at;
       }
@@ -198,23 +198,23 @@
 
   private int newRow() {
     if (rowCount == digestHighs.length) {
-      int to = (int) Math.min(capacity, Math.max(FIRST_ROWS, rowCount + (long) (rowCount >> 1)));
-      digestHighs = Arrays.copyOf(digestHighs, to);
-      digestLows = Arrays.copyOf(digestLows, to);
-      locations = Arrays.copyOf(locations, to);
-      coveredUntilMillis = Arrays.copyOf(coveredUntilMillis, to);
-      checksums = Arrays.copyOf(checksums, to);
+      int newLength = (int) Math.min(capacity, Math.max(INITIAL_ROWS, rowCount + (long) (rowCount >> 1)));
+      digestHighs = Arrays.copyOf(digestHighs, newLength);
+      digestLows = Arrays.copyOf(digestLows, newLength);
+      locations = Arrays.copyOf(locations, newLength);
+      coveredUntilMillis = Arrays.copyOf(coveredUntilMillis, newLength);
+      checksums = Arrays.copyOf(checksums, newLength);
     }
     if (2L * (rowCount + 1) > rowBySlot.length) {
-      rowBySlot = new int[Math.max(2 * FIRST_ROWS, 2 * rowBySlot.length)];
+      rowBySlot = new int[Math.max(2 * INITIAL_ROWS, 2 * rowBySlot.length)];
       Arrays.fill(rowBySlot, EMPTY);
-      boolean[] idle = new boolean[rowCount];
+      boolean[] isFree = new boolean[rowCount];
       for (int i = 0; i < freeRowCount; i++) {
-        idle[freeRows[i]] = true;
+        isFree[freeRows[i]] = true;
       }
       for (int row = 0; row < rowCount; row++) {
-        if (!idle[row]) {
-          rowBySlot[slotOf(new KeyDigest(digestHighs[row], digestLows[row]))] = row;
+        if (!isFree[row]) {
+          rowBySlot[findSlot(new KeyDigest(digestHighs[row], digestLows[row]))] = row;
         }
       }
     }
--- a/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
+++ b/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
@@ -31,24 +31,24 @@
     void completed(T waiter, KeyEntry<T> entry);
   }
 
-  private final CompletionListener<T> completions;
+  private final CompletionListener<T> completionListener;
   private final KeyMemoryBudget budget;
-  private final ActiveKeys<T> active = new ActiveKeys<>();
-  private final SettledKeys settled;
+  private final ActiveKeys<T> activeKeys = new ActiveKeys<>();
+  private final SettledKeys settledKeys;
   private boolean persistent;
-  private double unknownKeysFailUntil = Double.NEGATIVE_INFINITY;
+  private double unknownKeysFailUntilSeconds = Double.NEGATIVE_INFINITY;
   private boolean failsUnknownKeys;
 
   /** Creates an empty table that keeps results in memory. */
-  public IdempotencyTable(CompletionListener<T> completions, KeyMemoryBudget budget) {
-    this.completions = completions;
+  public IdempotencyTable(CompletionListener<T> completionListener, KeyMemoryBudget budget) {
+    this.completionListener = completionListener;
     this.budget = budget;
-    settled = new SettledKeys(budget);
+    settledKeys = new SettledKeys(budget);
   }
 
   /** From now on results are kept on disk, and the number of settled keys has this limit. */
   public void enablePersistence(int maxSettledKeys) {
-    settled.reset(maxSettledKeys);
+    settledKeys.reset(maxSettledKeys);
     persistent = true;
   }
 
@@ -61,22 +61,22 @@
 
   /** Number of keys. */
   public int size() {
-    return active.size() + settled.size();
+    return activeKeys.size() + settledKeys.size();
   }
 
   /** Memory of the index of settled keys, without their results, in bytes. */
   public long indexBytes() {
-    return settled.indexBytes();
+    return settledKeys.indexBytes();
   }
 
   /** Memory of settled keys and their results, in bytes. */
   public long memoryBytes() {
-    return settled.memoryBytes();
+    return settledKeys.memoryBytes();
   }
 
   /** Memory of results in bytes, counted in full blocks. */
   public long resultBytes() {
-    return settled.resultBytes();
+    return settledKeys.resultBytes();
   }
 
   /**
@@ -85,7 +85,7 @@
    */
   public boolean tryReserveMemory() {
     return persistent
-        || budget.tryReserve(keysNotReserved(), settled.usedBlocks(), active.peerOwnedCount());
+        || budget.tryReserve(unreservedKeyCount(), settledKeys.usedBlocks(), activeKeys.peerOwnedCount());
   }
 
   /** Releases a reservation. */
@@ -100,16 +100,16 @@
    * not known.
    */
   public double secondsUntilCapacity(double now) {
-    int excessKeys = budget.excessKeys(keysNotReserved());
-    long excessBlocks = budget.excessBlocks(settled.usedBlocks(), active.peerOwnedCount());
+    int excessKeys = budget.excessKeys(unreservedKeyCount());
+    long excessBlocks = budget.excessBlocks(settledKeys.usedBlocks(), activeKeys.peerOwnedCount());
     if (excessKeys <= 0 && excessBlocks <= 0) {
       return 0;
     }
-    return Math.max(0, settled.freedAtSeconds(excessKeys, excessBlocks) - now);
+    return Math.max(0, settledKeys.freedAtSeconds(excessKeys, excessBlocks) - now);
   }
 
-  private int keysNotReserved() {
-    return settled.size() + active.peerOwnedCount();
+  private int unreservedKeyCount() {
+    return settledKeys.size() + activeKeys.peerOwnedCount();
   }
 
   // ---- Lookup ----
@@ -119,17 +119,17 @@
    * read-only entry.
    */
   public KeyEntry<T> find(String key) {
-    KeyEntry<T> known = lookup(key);
-    return known == null && failsUnknownKeys ? possiblyLost(key) : known;
+    KeyEntry<T> existing = lookup(key);
+    return existing == null && failsUnknownKeys ? newPossiblyLostEntry(key) : existing;
   }
 
   private KeyEntry<T> lookup(String key) {
-    KeyEntry<T> entry = active.get(key);
-    return entry != null ? entry : settled.view(key);
+    KeyEntry<T> entry = activeKeys.get(key);
+    return entry != null ? entry : settledKeys.view(key);
   }
 
   /** An entry that fails all attempts of a key, whose record may be lost with a damaged log. */
-  private static <T> KeyEntry<T> possiblyLost(String key) {
+  private static <T> KeyEntry<T> newPossiblyLostEntry(String key) {
     KeyEntry<T> entry = new KeyEntry<>(key, RequestBody.ANY, KeyEntry.NO_ROW);
     entry.transition(Step.RECOVER_INTENT);
     entry.setCoveredUntilMillis(Long.MAX_VALUE);
@@ -141,32 +141,32 @@
    * key whose window ends before this timestamp.
    */
   public KeyEntry<T> findDuplicate(String key, long timestampMillis) {
-    KeyEntry<T> known = find(key);
-    if (known == null || known.covers(timestampMillis)) {
-      return known;
+    KeyEntry<T> existing = find(key);
+    if (existing == null || existing.covers(timestampMillis)) {
+      return existing;
     }
-    forget(known);
+    removeEntry(existing);
     return null;
   }
 
   /** The result of a key if it is in memory; null if there is none or it is on disk. */
   public byte[] result(KeyEntry<T> entry) {
-    return entry.unsettledResult() != null ? entry.unsettledResult() : settled.result(entry);
+    return entry.unsettledResult() != null ? entry.unsettledResult() : settledKeys.result(entry);
   }
 
   /** True if this object is the current entry of its key and the key is not settled. */
   public boolean isCurrent(KeyEntry<T> entry) {
-    return entry != null && active.contains(entry);
+    return entry != null && activeKeys.contains(entry);
   }
 
   /** Visits all entries that are not settled. */
   public void forEachActive(Consumer<KeyEntry<T>> action) {
-    active.all().forEach(action);
+    activeKeys.all().forEach(action);
   }
 
   /** Entries whose result is being written to disk. */
   public List<KeyEntry<T>> entriesBeingSaved() {
-    return active.all().stream().filter(entry -> entry.state() == KeyState.SAVING).toList();
+    return activeKeys.all().stream().filter(entry -> entry.state() == KeyState.SAVING).toList();
   }
 
   // ---- Transitions of a key in this process ----
@@ -176,12 +176,12 @@
    * executed within that window: duplicates still attach to that one.
    */
   public KeyEntry<T> enqueue(String key, byte[] body, long timestampMillis, T attempt) {
-    KeyEntry<T> known = find(key);
-    if (known != null && known.mayHaveRun() && known.covers(timestampMillis)) {
+    KeyEntry<T> existing = find(key);
+    if (existing != null && existing.mayHaveRun() && existing.covers(timestampMillis)) {
       return null;
     }
     KeyEntry<T> entry = replace(key, RequestBody.of(body));
-    active.transition(entry, Step.ENQUEUE);
+    activeKeys.transition(entry, Step.ENQUEUE);
     entry.setAttempt(attempt);
     return entry;
   }
@@ -199,14 +199,14 @@
       if (entry.covers(timestampMillis)) {
         return entry;
       }
-      forget(entry);
+      removeEntry(entry);
       entry = null;
     }
     entry = entry != null ? entry : replace(key, RequestBody.of(body));
-    active.transition(entry, persistent ? Step.RECORD_INTENT : Step.START);
+    activeKeys.transition(entry, persistent ? Step.RECORD_INTENT : Step.START);
     entry.setAttempt(attempt);
     double window = windowSeconds + WINDOW_SLACK_SECONDS;
-    active.setWindow(
+    activeKeys.setWindow(
         entry,
         timestampMillis + Math.round(window * MILLIS_PER_SECOND),
         now + windowSeconds + WINDOW_SLACK_SECONDS + LINGER_SECONDS);
@@ -215,7 +215,7 @@
 
   /** The intent of an execution is on disk. */
   public void intentRecorded(KeyEntry<T> entry) {
-    active.transition(entry, Step.INTENT_RECORDED);
+    activeKeys.transition(entry, Step.INTENT_RECORDED);
   }
 
   /**
@@ -224,7 +224,7 @@
    */
   public void abandon(KeyEntry<T> entry) {
     if (entry.state().allows(Step.VOID)) {
-      freeKey(entry, Step.VOID);
+      releaseKey(entry, Step.VOID);
     }
   }
 
@@ -245,7 +245,7 @@
     }
     entry.setUnsettledResult(result);
     if (persistent && state.allows(Step.SAVE_RESULT)) {
-      active.transition(entry, Step.SAVE_RESULT);
+      activeKeys.transition(entry, Step.SAVE_RESULT);
       return true;
     }
     finish(entry, Step.SUCCEED, CompactIndex.NO_RESULT);
@@ -265,7 +265,7 @@
   /** A queued attempt has ended without execution. */
   public void release(KeyEntry<T> entry, T attempt) {
     if (entry.attempt() == attempt && entry.state() == KeyState.QUEUED) {
-      freeKey(entry, Step.RELEASE);
+      releaseKey(entry, Step.RELEASE);
     }
   }
 
@@ -285,9 +285,9 @@
 
   /** Removes the expired keys. */
   public void expire(double now) {
-    failsUnknownKeys &= now < unknownKeysFailUntil;
-    active.expire(now);
-    settled.expire(now);
+    failsUnknownKeys &= now < unknownKeysFailUntilSeconds;
+    activeKeys.expire(now);
+    settledKeys.expire(now);
   }
 
   // ---- The peer process ----
@@ -301,16 +301,16 @@
    */
   public KeyEntry<T> learnFromPeer(
       String key, RequestBody body, long coveredUntilMillis, double expiresAtSeconds) {
-    KeyEntry<T> known = lookup(key);
-    if (known != null && !(known.isFinal() && known.coveredUntilMillis() < coveredUntilMillis)) {
+    KeyEntry<T> existing = lookup(key);
+    if (existing != null && !(existing.isFinal() && existing.coveredUntilMillis() < coveredUntilMillis)) {
       return null;
     }
-    if (known != null) {
-      forget(known);
+    if (existing != null) {
+      removeEntry(existing);
     }
     KeyEntry<T> entry = replace(key, body);
-    active.transition(entry, Step.LEARN_FROM_PEER);
-    active.setWindow(entry, coveredUntilMillis, expiresAtSeconds);
+    activeKeys.transition(entry, Step.LEARN_FROM_PEER);
+    activeKeys.setWindow(entry, coveredUntilMillis, expiresAtSeconds);
     return entry;
   }
 
@@ -319,17 +319,17 @@
    * kept; false if the key does not fit either.
    */
   public boolean learnSettledFromPeer(SettledEntry key) {
-    return settled.add(key);
+    return settledKeys.add(key);
   }
 
   /** The digests of all settled keys. */
   public List<KeyDigest> settledDigests() {
-    return settled.digests();
+    return settledKeys.digests();
   }
 
   /** The data of a settled key; null if it has been removed. */
   public SettledEntry findSettled(KeyDigest digest) {
-    return settled.export(digest);
+    return settledKeys.export(digest);
   }
 
   /** True if the peer process has the key in flight. */
@@ -340,13 +340,13 @@
   /** The peer process never executed a key that it had in flight, or may not execute it. */
   public void releasedByPeer(KeyEntry<T> entry) {
     if (isOwnedByPeer(entry)) {
-      freeKey(entry, Step.RELEASE);
+      releaseKey(entry, Step.RELEASE);
     }
   }
 
   /** The peer process is lost: the outcome of its keys in flight is unknown. */
   public void peerLost() {
-    for (KeyEntry<T> entry : List.copyOf(active.all())) {
+    for (KeyEntry<T> entry : List.copyOf(activeKeys.all())) {
       if (isOwnedByPeer(entry)) {
         complete(entry, null);
       }
@@ -364,13 +364,13 @@
    */
   public boolean recover(
       String key, long location, long coveredUntilMillis, long checksum, double expiresAtSeconds) {
-    return active.get(key) != null
-        || settled.recover(key, location, coveredUntilMillis, checksum, expiresAtSeconds);
+    return activeKeys.get(key) != null
+        || settledKeys.recover(key, location, coveredUntilMillis, checksum, expiresAtSeconds);
   }
 
   /** Fails attempts of unknown keys until then, as their keys may have been lost. */
   public void failUnknownKeysUntil(double seconds) {
-    unknownKeysFailUntil = Math.max(unknownKeysFailUntil, seconds);
+    unknownKeysFailUntilSeconds = Math.max(unknownKeysFailUntilSeconds, seconds);
     failsUnknownKeys = true;
   }
 
@@ -378,37 +378,37 @@
 
   /** Replaces any entry of the key by a new one. */
   private KeyEntry<T> replace(String key, RequestBody body) {
-    KeyEntry<T> old = active.get(key);
-    if (old != null) {
-      active.remove(old);
+    KeyEntry<T> replaced = activeKeys.get(key);
+    if (replaced != null) {
+      activeKeys.remove(replaced);
     } else {
-      settled.remove(key);
+      settledKeys.remove(key);
     }
-    return active.add(key, body);
+    return activeKeys.add(key, body);
   }
 
-  private void forget(KeyEntry<T> entry) {
+  private void removeEntry(KeyEntry<T> entry) {
     if (entry.wheelRow() == KeyEntry.NO_ROW) {
-      settled.remove(entry.key());
+      settledKeys.remove(entry.key());
     } else {
-      active.remove(entry);
+      activeKeys.remove(entry);
     }
   }
 
-  private void freeKey(KeyEntry<T> entry, Step step) {
-    active.transition(entry, step);
-    active.remove(entry);
+  private void releaseKey(KeyEntry<T> entry, Step step) {
+    activeKeys.transition(entry, step);
+    activeKeys.remove(entry);
     completeWaiters(entry);
   }
 
   private void finish(KeyEntry<T> entry, Step step, long locationOnDisk) {
-    active.transition(entry, step);
+    activeKeys.transition(entry, step);
     completeWaiters(entry);
     settle(entry, locationOnDisk);
   }
 
   private void completeWaiters(KeyEntry<T> entry) {
-    entry.drainWaiters().forEach(waiter -> completions.completed(waiter, entry));
+    entry.drainWaiters().forEach(waiter -> completionListener.completed(waiter, entry));
   }
 
   /**
@@ -416,11 +416,11 @@
    * process can cause, the entry stays active without its attempt, so that no key is lost.
    */
   private void settle(KeyEntry<T> entry, long locationOnDisk) {
-    if (!active.contains(entry)) {
+    if (!activeKeys.contains(entry)) {
       return; // The entry has expired or was replaced.
     }
-    if (settled.add(entry, locationOnDisk)) {
-      active.remove(entry);
+    if (settledKeys.add(entry, locationOnDisk)) {
+      activeKeys.remove(entry);
     } else {
       entry.setAttempt(null);
     }
--- a/src/main/java/wharftrestle/idempotency/KeyEntry.java
+++ b/src/main/java/wharftrestle/idempotency/KeyEntry.java
@@ -97,7 +97,7 @@
   }
 
   void transition(Step step) {
-    state = state.after(step);
+    state = state.stateAfter(step);
   }
 
   void setAttempt(T attempt) {
--- a/src/main/java/wharftrestle/idempotency/KeyMemoryBudget.java
+++ b/src/main/java/wharftrestle/idempotency/KeyMemoryBudget.java
@@ -44,10 +44,10 @@
 
   /** A budget of so many bytes for keys and results. */
   public static KeyMemoryBudget of(long bytes) {
-    double grows = Math.max(0, bytes - FIXED_BYTES);
-    int keys = (int) Math.min(MAX_COUNT, grows * KEYS_FRACTION / BYTES_PER_KEY);
+    double variableBytes = Math.max(0, bytes - FIXED_BYTES);
+    int keys = (int) Math.min(MAX_COUNT, variableBytes * KEYS_FRACTION / BYTES_PER_KEY);
     int blocks =
-        (int) Math.min(MAX_COUNT, grows * (1 - KEYS_FRACTION) / BlockStore.BYTES_PER_BLOCK);
+        (int) Math.min(MAX_COUNT, variableBytes * (1 - KEYS_FRACTION) / BlockStore.BYTES_PER_BLOCK);
     return new KeyMemoryBudget(bytes, Math.max(1, keys), Math.max(BLOCKS_PER_RESERVATION, blocks));
   }
 
--- a/src/main/java/wharftrestle/idempotency/KeyState.java
+++ b/src/main/java/wharftrestle/idempotency/KeyState.java
@@ -137,7 +137,7 @@
    *
    * @throws IllegalStateException if this state does not permit the step
    */
-  public KeyState after(Step step) {
+  public KeyState stateAfter(Step step) {
     KeyState next = TABLE.get(this).nextByStep().get(step);
     if (next == null) {
       throw new IllegalStateException("expected a step that a key in state " + this + " permits, found " + step);
--- a/src/main/java/wharftrestle/idempotency/RequestBody.java
+++ b/src/main/java/wharftrestle/idempotency/RequestBody.java
@@ -20,11 +20,11 @@
 
   /** True if an attempt with these bytes is the same request. */
   @SuppressWarnings("ReferenceEquality") // another body with a checksum of 0 is not ANY
-  public boolean matches(byte[] other) {
+  public boolean matches(byte[] attemptBody) {
     return this == ANY
         || (bytes != null
-            ? Arrays.equals(bytes, other)
-            : storedChecksum == KeyDigest.checksum(other));
+            ? Arrays.equals(bytes, attemptBody)
+            : storedChecksum == KeyDigest.checksum(attemptBody));
   }
 
   /** The {@link KeyDigest#checksum} of the body. */
--- a/src/main/java/wharftrestle/idempotency/SettledKeys.java
+++ b/src/main/java/wharftrestle/idempotency/SettledKeys.java
@@ -58,16 +58,16 @@
 
   /** A new read-only entry with the data of this key; null if it is not settled. */
   <T> KeyEntry<T> view(String key) {
-    CompactIndex.IndexedKey known = lookup(key);
-    if (known == null) {
+    CompactIndex.IndexedKey indexed = lookup(key);
+    if (indexed == null) {
       return null;
     }
     KeyEntry<T> view =
-        new KeyEntry<>(key, new RequestBody(null, known.checksum()), KeyEntry.NO_ROW);
-    boolean hasResult = known.location() != CompactIndex.NO_RESULT;
+        new KeyEntry<>(key, new RequestBody(null, indexed.checksum()), KeyEntry.NO_ROW);
+    boolean hasResult = indexed.location() != CompactIndex.NO_RESULT;
     view.transition(hasResult ? Step.RECOVER_RESULT : Step.RECOVER_INTENT);
-    view.setLocation(known.location());
-    view.setCoveredUntilMillis(known.coveredUntilMillis());
+    view.setLocation(indexed.location());
+    view.setCoveredUntilMillis(indexed.coveredUntilMillis());
     return view;
   }
 
@@ -81,10 +81,10 @@
       return null;
     }
     // The entry may be outdated, and its location may have another key's result by now.
-    CompactIndex.IndexedKey known = index.find(digest(entry.key()));
-    return known != null
-            && known.location() == entry.location()
-            && known.coveredUntilMillis() == entry.coveredUntilMillis()
+    CompactIndex.IndexedKey indexed = index.find(digest(entry.key()));
+    return indexed != null
+            && indexed.location() == entry.location()
+            && indexed.coveredUntilMillis() == entry.coveredUntilMillis()
         ? results.get(blockOf(entry.location()))
         : null;
   }
@@ -95,10 +95,10 @@
    *
    * @return false if the index is full, in which case the entry keeps its result
    */
-  boolean add(KeyEntry<?> entry, long onDisk) {
+  boolean add(KeyEntry<?> entry, long locationOnDisk) {
     long location =
-        onDisk != CompactIndex.NO_RESULT || entry.state() != KeyState.SUCCEEDED
-            ? onDisk
+        locationOnDisk != CompactIndex.NO_RESULT || entry.state() != KeyState.SUCCEEDED
+            ? locationOnDisk
             : store(entry.unsettledResult());
     entry.dropBody();
     boolean added =
@@ -135,8 +135,8 @@
   /** Adds a recovered key, unless its result is in memory already; false if it does not fit. */
   boolean recover(
       String key, long location, long coveredUntilMillis, long checksum, double expiresAtSeconds) {
-    CompactIndex.IndexedKey known = lookup(key);
-    return (known != null && isInMemory(known.location()))
+    CompactIndex.IndexedKey indexed = lookup(key);
+    return (indexed != null && isInMemory(indexed.location()))
         || index.put(digest(key), location, coveredUntilMillis, checksum, expiresAtSeconds);
   }
 
@@ -158,16 +158,16 @@
 
   /** The data of a key for the peer process; null if it is not settled. */
   SettledEntry export(KeyDigest digest) {
-    CompactIndex.IndexedKey known = index.find(digest);
-    return known == null
+    CompactIndex.IndexedKey indexed = index.find(digest);
+    return indexed == null
         ? null
         : new SettledEntry(
             digest.high(),
             digest.low(),
-            known.coveredUntilMillis(),
-            known.checksum(),
-            index.expiresAtSeconds(known.row()),
-            isInMemory(known.location()) ? results.get(blockOf(known.location())) : null);
+            indexed.coveredUntilMillis(),
+            indexed.checksum(),
+            index.expiresAtSeconds(indexed.row()),
+            isInMemory(indexed.location()) ? results.get(blockOf(indexed.location())) : null);
   }
 
   /**
--- a/src/main/java/wharftrestle/idempotency/TimingWheel.java
+++ b/src/main/java/wharftrestle/idempotency/TimingWheel.java
@@ -50,7 +50,7 @@
    * @param atSeconds when it is due, on the clock of {@link #advance}
    */
   public void schedule(int number, double atSeconds) {
-    grow(number);
+    ensureCapacity(number);
     cancel(number);
     long ticks = (long) Math.ceil(atSeconds / tickSeconds);
     dueTicks[number] = nowTicks == Long.MIN_VALUE ? ticks : Math.max(ticks, nowTicks + 1);
@@ -70,15 +70,15 @@
     if (number >= previous.length || previous[number] == NOT_SCHEDULED) {
       return;
     }
-    int after = next[number];
-    int before = previous[number];
-    if (before >= 0) {
-      next[before] = after;
+    int following = next[number];
+    int preceding = previous[number];
+    if (preceding >= 0) {
+      next[preceding] = following;
     } else {
-      heads[NONE - 1 - before] = after;
+      heads[NONE - 1 - preceding] = following;
     }
-    if (after != NONE) {
-      previous[after] = before;
+    if (following != NONE) {
+      previous[following] = preceding;
     }
     previous[number] = NOT_SCHEDULED;
     size--;
@@ -89,17 +89,17 @@
    * returns how many there were. The action may schedule and cancel numbers.
    */
   public int advance(double seconds, IntConsumer action) {
-    long to = (long) Math.floor(seconds / tickSeconds);
+    long currentTick = (long) Math.floor(seconds / tickSeconds);
     if (nowTicks == Long.MIN_VALUE) {
-      nowTicks = Math.min(to, earliest()) - 1;
+      nowTicks = Math.min(currentTick, earliestDueTick()) - 1;
     }
     int count = 0;
-    long from = Math.max(nowTicks + 1, to - heads.length + 1); // one turn passes each slot once
-    nowTicks = Math.max(nowTicks, to);
-    for (long at = from; at <= to; at++) {
-      int slot = (int) (at & heads.length - 1);
+    long firstTick = Math.max(nowTicks + 1, currentTick - heads.length + 1); // one turn passes each slot once
+    nowTicks = Math.max(nowTicks, currentTick);
+    for (long tick = firstTick; tick <= currentTick; tick++) {
+      int slot = (int) (tick & heads.length - 1);
       for (int number = heads[slot]; number != NONE; ) {
-        if (dueTicks[number] <= to) {
+        if (dueTicks[number] <= currentTick) {
           cancel(number);
           action.accept(number);
           count++;
@@ -122,12 +122,12 @@
    * schedule or cancel numbers.
    */
   void forEachUpcoming(UpcomingVisitor visitor) {
-    long from = nowTicks == Long.MIN_VALUE ? earliest() : nowTicks + 1;
-    for (long at = from; size > 0 && at < from + heads.length; at++) {
-      for (int number = heads[(int) (at & heads.length - 1)];
+    long firstTick = nowTicks == Long.MIN_VALUE ? earliestDueTick() : nowTicks + 1;
+    for (long tick = firstTick; size > 0 && tick < firstTick + heads.length; tick++) {
+      for (int number = heads[(int) (tick & heads.length - 1)];
           number != NONE;
           number = next[number]) {
-        if (dueTicks[number] == at && !visitor.visit(number, at * tickSeconds)) {
+        if (dueTicks[number] == tick && !visitor.visit(number, tick * tickSeconds)) {
           return;
         }
       }
@@ -139,7 +139,7 @@
     return dueTicks[number] * tickSeconds;
   }
 
-  private long earliest() {
+  private long earliestDueTick() {
     long first = Long.MAX_VALUE;
     for (int number = 0; number < previous.length; number++) {
       first = previous[number] == NOT_SCHEDULED ? first : Math.min(first, dueTicks[number]);
@@ -147,16 +147,16 @@
     return first;
   }
 
-  private void grow(int number) {
+  private void ensureCapacity(int number) {
     if (number < next.length) {
       return;
     }
-    int old = next.length;
-    int to = Math.max(16, Math.max(number + 1, old + (old >> 1)));
-    next = Arrays.copyOf(next, to);
-    previous = Arrays.copyOf(previous, to);
-    dueTicks = Arrays.copyOf(dueTicks, to);
-    Arrays.fill(previous, old, to, NOT_SCHEDULED);
+    int oldLength = next.length;
+    int newLength = Math.max(16, Math.max(number + 1, oldLength + (oldLength >> 1)));
+    next = Arrays.copyOf(next, newLength);
+    previous = Arrays.copyOf(previous, newLength);
+    dueTicks = Arrays.copyOf(dueTicks, newLength);
+    Arrays.fill(previous, oldLength, newLength, NOT_SCHEDULED);
   }
 
   /** Memory of the arrays in bytes. */
--- a/src/main/java/wharftrestle/request/AdmissionActions.java
+++ b/src/main/java/wharftrestle/request/AdmissionActions.java
@@ -20,7 +20,7 @@
   private final HostHealth health;
   private final RequestDeadlines deadlines;
   private final double maxRetryAfterSeconds;
-  private final KeyedRequests keyed;
+  private final KeyedRequests keyedRequests;
   private final ResultRecorder recorder;
   private final Executions executions;
   private volatile double idleTimeoutSeconds;
@@ -34,7 +34,7 @@
     health = parts.health;
     deadlines = parts.deadlines;
     maxRetryAfterSeconds = parts.settings.retries().maxRetryAfterSeconds();
-    keyed = parts.keyed;
+    keyedRequests = parts.keyedRequests;
     recorder = parts.recorder;
     executions = parts.executions;
   }
@@ -46,7 +46,7 @@
 
   @Override
   public void dispatch(long id) {
-    InFlightRequest request = inFlight.withId(id);
+    InFlightRequest request = inFlight.findById(id);
     if (request == null || request.isDispatched) {
       return;
     }
@@ -64,11 +64,11 @@
   /** Starts the execution of the request's key; false if the request may not execute. */
   private boolean startKey(InFlightRequest request) {
     IncomingRequest incoming = request.incoming;
-    IdempotencyTable<InFlightRequest> keys = keyed.table();
-    KeyEntry<InFlightRequest> known = keys.find(request.key);
+    IdempotencyTable<InFlightRequest> keys = keyedRequests.table();
+    KeyEntry<InFlightRequest> existing = keys.find(request.key);
     boolean hasExecuted =
-        known != null && known.mayHaveRun() && known.covers(incoming.receivedAtMillis());
-    if (!hasExecuted && !keyed.reserveMemory(request)) {
+        existing != null && existing.mayHaveRun() && existing.covers(incoming.receivedAtMillis());
+    if (!hasExecuted && !keyedRequests.reserveMemory(request)) {
       rejectForMemory(request);
       return false;
     }
@@ -80,10 +80,10 @@
             deadlines.idempotencyWindowSeconds(incoming.classIndex()),
             clock.now(),
             request);
-    if (!request.holdsKey()) {
+    if (!request.isCurrentAttempt()) {
       // A key must not execute twice, even if the module does not know that it executed before.
       Logger.warn("second execution of a key prevented reference={}", incoming.reference());
-      keyed.attach(request);
+      keyedRequests.attach(request);
       return false;
     }
     return true;
@@ -92,18 +92,18 @@
   // The request arrived as a duplicate of one that never executed, so no memory was reserved then.
   private void rejectForMemory(InFlightRequest request) {
     request.isDispatched = true;
-    request.isNeverSent = true;
-    admission.runAfterInstant(
+    request.isRejectedBeforeSend = true;
+    admission.runAfterBatch(
         () -> {
-          callers.answer(request, keyed.rejectedForMemory(clock.now(), maxRetryAfterSeconds));
-          keyed.release(request);
+          callers.answer(request, keyedRequests.newMemoryRejection(clock.now(), maxRetryAfterSeconds));
+          keyedRequests.releaseKey(request);
           executions.complete(request, Outcome.VOID, 0, null);
         });
   }
 
   @Override
   public void reject(long id, boolean fleetOverloaded, double retryAfterSeconds) {
-    InFlightRequest request = inFlight.withId(id);
+    InFlightRequest request = inFlight.findById(id);
     if (request != null) {
       // A rejection guarantees that the key has not executed; after an execution, answer a failure.
       boolean hasExecuted = request.entry != null && request.entry.mayHaveRun();
@@ -115,23 +115,23 @@
 
   @Override
   public void fail(long id) {
-    InFlightRequest request = inFlight.withId(id);
+    InFlightRequest request = inFlight.findById(id);
     if (request != null) {
       callers.answer(request, request.hasFailedCall ? Answer.failed() : Answer.deadlineExceeded());
       if (request.isAttached) {
-        keyed.leave(request);
+        keyedRequests.detach(request);
       }
     }
   }
 
   @Override
   public void preempt(long id) {
-    InFlightRequest request = inFlight.withId(id);
+    InFlightRequest request = inFlight.findById(id);
     if (request == null) {
       return;
     }
     if (recorder.isWritingIntent(request)) {
-      admission.runAfterInstant(() -> withdraw(request));
+      admission.runAfterBatch(() -> withdraw(request));
     } else if (request.isExecuting()) {
       request.enqueue(InFlightRequest.Step.SUSPEND);
     }
@@ -144,49 +144,49 @@
   }
 
   @Override
-  public void callDependency(long id, double callBySeconds) {
-    InFlightRequest request = inFlight.withId(id);
+  public void callDependency(long id, double callDeadlineSeconds) {
+    InFlightRequest request = inFlight.findById(id);
     if (request != null && !request.isCompleted) {
       request.callStartedAtSeconds = clock.now();
-      request.enqueue(new InFlightRequest.CallDependency(callBySeconds));
+      request.enqueue(new InFlightRequest.CallDependency(callDeadlineSeconds));
     }
   }
 
   @Override
   public void skipCall(long id) {
-    InFlightRequest request = inFlight.withId(id);
+    InFlightRequest request = inFlight.findById(id);
     if (request != null && !request.isCompleted) {
-      request.enqueue(new InFlightRequest.SkipCall(request.callAnnouncement));
+      request.enqueue(new InFlightRequest.SkipCall(request.callAnnouncementNumber));
     }
   }
 
   @Override
   public void retainKey(long id, double seconds) {
-    InFlightRequest request = inFlight.withId(id);
+    InFlightRequest request = inFlight.findById(id);
     if (request != null && request.key != null) {
-      keyed.hold(request);
+      keyedRequests.enqueueKey(request);
     }
   }
 
   @Override
   public void releaseKey(long id) {
-    InFlightRequest request = inFlight.withId(id);
+    InFlightRequest request = inFlight.findById(id);
     if (request != null) {
-      keyed.release(request);
+      keyedRequests.releaseKey(request);
     }
   }
 
   @Override
   public void attach(long id) {
-    InFlightRequest request = inFlight.withId(id);
+    InFlightRequest request = inFlight.findById(id);
     if (request != null) {
-      keyed.attach(request);
+      keyedRequests.attach(request);
     }
   }
 
   @Override
   public void reportHealth(boolean isHealthy, boolean fromStore) {
-    health.moduleDecided(isHealthy);
+    health.setModuleHealthy(isHealthy);
   }
 
   @Override
--- a/src/main/java/wharftrestle/request/AdmissionDriver.java
+++ b/src/main/java/wharftrestle/request/AdmissionDriver.java
@@ -35,8 +35,8 @@
     return module != null;
   }
 
-  void start(Admission.Events created) {
-    module = created;
+  void start(Admission.Events createdModule) {
+    module = createdModule;
     completeBatch(clock.now());
   }
 
@@ -46,7 +46,7 @@
   }
 
   /** Queues a task to run at the end of the batch, after the module has returned. */
-  void runAfterInstant(Runnable followUp) {
+  void runAfterBatch(Runnable followUp) {
     followUps.add(followUp);
   }
 
--- a/src/main/java/wharftrestle/request/AdmissionTimers.java
+++ b/src/main/java/wharftrestle/request/AdmissionTimers.java
@@ -68,16 +68,16 @@
     lock.lock();
     try {
       for (; ; ) {
-        Timer first = timers.peek();
+        Timer nextTimer = timers.peek();
         double now = clock.now();
-        double batchIn = admission.batchEndsAtSeconds() - now;
-        double timerIn = first == null ? IDLE_WAIT_SECONDS : first.dueAtSeconds() - now;
-        if (Math.min(batchIn, timerIn) > 0) {
-          timerWork.awaitNanos(EventClock.waitNanos(Math.min(batchIn, timerIn)));
-        } else if (batchIn < timerIn) {
+        double secondsToBatchEnd = admission.batchEndsAtSeconds() - now;
+        double secondsToTimer = nextTimer == null ? IDLE_WAIT_SECONDS : nextTimer.dueAtSeconds() - now;
+        if (Math.min(secondsToBatchEnd, secondsToTimer) > 0) {
+          timerWork.awaitNanos(EventClock.waitNanos(Math.min(secondsToBatchEnd, secondsToTimer)));
+        } else if (secondsToBatchEnd < secondsToTimer) {
           endBatch();
         } else {
-          fire(first);
+          fire(nextTimer);
         }
       }
     } catch (InterruptedException e) {
@@ -92,24 +92,24 @@
     try {
       admission.completeBatch(now);
     } catch (RuntimeException | Error fault) {
-      retry(now, 0, fault);
+      scheduleRetry(now, 0, fault);
     }
   }
 
   private void fire(Timer timer) throws InterruptedException {
-    double[] fresh = freshGauges();
+    double[] freshGauges = awaitFreshGauges();
     double now = clock.now();
     try {
       timers.remove(timer);
-      admission.events().timerFired(now, timer.label(), fresh);
+      admission.events().timerFired(now, timer.label(), freshGauges);
       admission.completeBatch(now);
     } catch (RuntimeException | Error fault) {
-      retry(now, timer.label(), fault);
+      scheduleRetry(now, timer.label(), fault);
     }
   }
 
   // Without a timer no queued request would ever be answered.
-  private void retry(double now, long label, Throwable fault) {
+  private void scheduleRetry(double now, long label, Throwable fault) {
     Logger.error(fault, "admission timer failed, will fire again retrySeconds={}", RETRY_SECONDS);
     timers.add(new Timer(now + RETRY_SECONDS, label));
   }
@@ -118,7 +118,7 @@
    * Requests gauges and waits for them; empty if the worker pool does not send them in time, as
    * outdated gauges would mislead the module.
    */
-  private double[] freshGauges() throws InterruptedException {
+  private double[] awaitFreshGauges() throws InterruptedException {
     long reportsBefore = gaugeReports;
     if (!workerPool.pollGauges()) {
       return NO_GAUGES;
--- a/src/main/java/wharftrestle/request/CallerNotifier.java
+++ b/src/main/java/wharftrestle/request/CallerNotifier.java
@@ -12,7 +12,7 @@
 final class CallerNotifier {
 
   /** How long after the answer the request's thread still waits for the execution to end. */
-  private static final double ORPHAN_SECONDS = 60;
+  private static final double ORPHANED_EXECUTION_SECONDS = 60;
 
   private final AdmissionSettings settings;
   private final Counters counters;
@@ -67,18 +67,18 @@
           case REJECTED -> Result.REJECTED;
           case FAILED, DEADLINE_EXCEEDED, CONFLICT -> Result.FAILED;
         });
-    Admission.RequestClass type = settings.classes().get(incoming.classIndex());
-    double objective =
-        type.latencyObjectiveSeconds()
-            + type.latencyObjectiveStretch() * incoming.expectedWorkSeconds();
-    if (kind == Answer.Kind.SERVED && incoming.queueingDelaySeconds() > objective) {
+    Admission.RequestClass requestClass = settings.classes().get(incoming.classIndex());
+    double objectiveSeconds =
+        requestClass.latencyObjectiveSeconds()
+            + requestClass.latencyObjectiveStretch() * incoming.expectedWorkSeconds();
+    if (kind == Answer.Kind.SERVED && incoming.queueingDelaySeconds() > objectiveSeconds) {
       counters.servedAfterObjective(incoming.classIndex());
     }
   }
 
   private void markAnswered(InFlightRequest request) {
     request.isAnswered = true;
-    request.backstopSeconds = clock.now() + ORPHAN_SECONDS;
+    request.backstopAtSeconds = clock.now() + ORPHANED_EXECUTION_SECONDS;
     request.changed.signal();
   }
 }
--- a/src/main/java/wharftrestle/request/DependencyCalls.java
+++ b/src/main/java/wharftrestle/request/DependencyCalls.java
@@ -35,12 +35,12 @@
     this.admission = admission;
   }
 
-  void start(DependencyClient dependency) {
-    client = dependency;
+  void start(DependencyClient dependencyClient) {
+    client = dependencyClient;
   }
 
   /** Sends the call that the execution is blocked on, unless the execution has ended meanwhile. */
-  void begin(InFlightRequest request, double callBySeconds) {
+  void send(InFlightRequest request, double callDeadlineSeconds) {
     counters.add(Count.DEPENDENCY_CALLS);
     byte[] body;
     int number;
@@ -52,18 +52,18 @@
       }
       body = request.callBody;
       number = ++request.callNumber;
-      timeoutMillis = Math.max(1, Math.round((callBySeconds - clock.now()) * MILLIS_PER_SECOND));
+      timeoutMillis = Math.max(1, Math.round((callDeadlineSeconds - clock.now()) * MILLIS_PER_SECOND));
     } finally {
       lock.unlock();
     }
-    Admission.RequestClass type = settings.classes().get(request.incoming.classIndex());
+    Admission.RequestClass requestClass = settings.classes().get(request.incoming.classIndex());
     DependencyCall call =
         client.call(
             request.incoming.reference(),
             body,
             timeoutMillis,
-            type.idempotency() == Admission.Idempotency.IDEMPOTENT,
-            (outcome, response) -> completed(request, number, outcome, response));
+            requestClass.idempotency() == Admission.Idempotency.IDEMPOTENT,
+            (outcome, response) -> onCallCompleted(request, number, outcome, response));
     lock.lock();
     try {
       if (request.callNumber == number) {
@@ -89,7 +89,7 @@
     }
   }
 
-  private void completed(InFlightRequest request, int number, Outcome outcome, byte[] response) {
+  private void onCallCompleted(InFlightRequest request, int number, Outcome outcome, byte[] response) {
     counters.add(
         outcome == Outcome.SUCCESS
             ? Count.DEPENDENCY_CALLS_SUCCEEDED
--- a/src/main/java/wharftrestle/request/Executions.java
+++ b/src/main/java/wharftrestle/request/Executions.java
@@ -15,7 +15,7 @@
   private final InFlightTable inFlight;
   private final AdmissionDriver admission;
   private final CallerNotifier callers;
-  private final KeyedRequests keyed;
+  private final KeyedRequests keyedRequests;
   private final ResultRecorder recorder;
 
   Executions(
@@ -24,32 +24,32 @@
       InFlightTable inFlight,
       AdmissionDriver admission,
       CallerNotifier callers,
-      KeyedRequests keyed,
+      KeyedRequests keyedRequests,
       ResultRecorder recorder) {
     this.counters = counters;
     this.clock = clock;
     this.inFlight = inFlight;
     this.admission = admission;
     this.callers = callers;
-    this.keyed = keyed;
+    this.keyedRequests = keyedRequests;
     this.recorder = recorder;
   }
 
   /** An execution has ended; the result is null unless it succeeded. Ignores unknown references. */
-  void completed(String reference, Outcome outcome, double elapsedSeconds, byte[] result) {
-    InFlightRequest request = inFlight.executing(reference);
+  void onCompleted(String reference, Outcome outcome, double elapsedSeconds, byte[] result) {
+    InFlightRequest request = inFlight.findExecuting(reference);
     if (request != null) {
       complete(request, outcome, elapsedSeconds, result);
     }
   }
 
   /** An execution is blocked on the dependency call announced in the message of this number. */
-  void blocked(String reference, long announcementNumber, byte[] callBody) {
-    InFlightRequest request = inFlight.executing(reference);
+  void onBlocked(String reference, long announcementNumber, byte[] callBody) {
+    InFlightRequest request = inFlight.findExecuting(reference);
     if (request == null) {
       return;
     }
-    request.callAnnouncement = announcementNumber;
+    request.callAnnouncementNumber = announcementNumber;
     request.hasFailedCall = false;
     request.callBody = callBody;
     double now = clock.now();
@@ -69,7 +69,7 @@
 
   /** Completes an execution that was decided on; its outcome is VOID if it never began. */
   void complete(InFlightRequest request, Outcome outcome, double elapsedSeconds, byte[] result) {
-    if (!recorder.isWritingIntent(request) && !request.isNeverSent) {
+    if (!recorder.isWritingIntent(request) && !request.isRejectedBeforeSend) {
       counters.add(
           outcome == Outcome.SUCCESS ? Count.EXECUTIONS_SUCCEEDED : Count.EXECUTIONS_UNSUCCESSFUL);
     }
@@ -93,13 +93,13 @@
 
   /** Completes the key of a request; true if the answer must wait until the result is on disk. */
   private boolean completeKey(InFlightRequest request, Outcome outcome, byte[] result) {
-    if (!request.holdsKey()) {
+    if (!request.isCurrentAttempt()) {
       return false;
     }
     if (outcome == Outcome.VOID) {
-      keyed.neverExecuted(request.entry);
+      keyedRequests.abandonKey(request.entry);
       return false;
     }
-    return keyed.complete(request.entry, outcome == Outcome.SUCCESS ? result : null);
+    return keyedRequests.complete(request.entry, outcome == Outcome.SUCCESS ? result : null);
   }
 }
--- a/src/main/java/wharftrestle/request/HostHealth.java
+++ b/src/main/java/wharftrestle/request/HostHealth.java
@@ -10,8 +10,8 @@
   private volatile boolean isDraining;
   private volatile boolean isRelinquished;
 
-  void start(HealthListener reporter) {
-    listener = reporter;
+  void start(HealthListener healthListener) {
+    listener = healthListener;
   }
 
   /** False while an operator drains the host, otherwise the admission module's decision. */
@@ -33,7 +33,7 @@
     isRelinquished = relinquished;
   }
 
-  void moduleDecided(boolean healthy) {
+  void setModuleHealthy(boolean healthy) {
     isModuleHealthy = healthy;
     listener.onHealthChanged(isHealthy());
   }
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -48,9 +48,9 @@
   /**
    * Sends the dependency call on which the execution is blocked.
    *
-   * @param callBySeconds when the call times out, on the coordinator's clock
+   * @param callDeadlineSeconds when the call times out, on the coordinator's clock
    */
-  record CallDependency(double callBySeconds) implements Step {
+  record CallDependency(double callDeadlineSeconds) implements Step {
     @Override
     public StepKind kind() {
       return StepKind.CALL_DEPENDENCY;
@@ -88,19 +88,19 @@
   final ArrayDeque<Step> steps = new ArrayDeque<>();
 
   /** When the answer is forced, and once the request is answered, its completion. */
-  double backstopSeconds;
+  double backstopAtSeconds;
 
   /** The answer is set, or the caller has disconnected. */
   boolean isAnswered;
 
   /** The checks before the admission module have run: they answered the request or submitted it. */
-  boolean hasArrived;
+  boolean isArrivalProcessed;
 
   boolean isDispatched;
   boolean isCompleted;
 
   /** The execution was decided on and then rejected: the worker pool is never sent it. */
-  boolean isNeverSent;
+  boolean isRejectedBeforeSend;
 
   /** The request waits for the execution of another request with the same key. */
   boolean isAttached;
@@ -109,7 +109,7 @@
   double startedAtSeconds;
 
   /** Number of the worker pool's message that announced the dependency call. */
-  long callAnnouncement;
+  long callAnnouncementNumber;
 
   byte[] callBody;
   DependencyCall call;
@@ -131,7 +131,7 @@
   PendingIntent pendingIntent;
 
   /** If the intent is not on disk by then, the execution is rejected. */
-  double intentBySeconds;
+  double intentDeadlineSeconds;
 
   /** Memory is reserved for the key until it expires. */
   boolean hasReservation;
@@ -170,7 +170,7 @@
   }
 
   /** True if this request is the current attempt of its key's entry. */
-  boolean holdsKey() {
+  boolean isCurrentAttempt() {
     return entry != null && entry.attempt() == this;
   }
 
--- a/src/main/java/wharftrestle/request/InFlightTable.java
+++ b/src/main/java/wharftrestle/request/InFlightTable.java
@@ -42,17 +42,17 @@
   }
 
   /** Finds a request by its id; null if it is not in flight. */
-  InFlightRequest withId(long id) {
+  InFlightRequest findById(long id) {
     return byId.get(id);
   }
 
   /** Finds a request by its reference; null if it is not in flight. */
-  InFlightRequest withReference(String reference) {
+  InFlightRequest findByReference(String reference) {
     return byReference.get(reference);
   }
 
   /** Finds a request that is executing by its reference; null if there is none. */
-  InFlightRequest executing(String reference) {
+  InFlightRequest findExecuting(String reference) {
     InFlightRequest request = byReference.get(reference);
     return request == null || !request.isExecuting() ? null : request;
   }
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -32,7 +32,7 @@
   private final CallerNotifier callers;
   private KeyOwnershipTransfer<InFlightRequest> ownership;
   private ResultRecorder recorder;
-  private double expiredAtSeconds;
+  private double lastExpiryAtSeconds;
   private volatile long indexBytes;
 
   KeyedRequests(
@@ -52,9 +52,9 @@
   }
 
   /** Called before the first request. A setter, as the three objects refer to each other. */
-  void connect(KeyOwnershipTransfer<InFlightRequest> transfer, ResultRecorder results) {
+  void connect(KeyOwnershipTransfer<InFlightRequest> transfer, ResultRecorder resultRecorder) {
     ownership = transfer;
-    recorder = results;
+    recorder = resultRecorder;
   }
 
   IdempotencyTable<InFlightRequest> table() {
@@ -69,7 +69,7 @@
   /** Restores the keys that an earlier process of this host recorded on disk. */
   void restore(ResultStore.RecoveredKeys recovered) {
     boolean isComplete = true;
-    double latestExpiry = recovered.unknownKeysFailUntilSeconds();
+    double latestExpirySeconds = recovered.unknownKeysFailUntilSeconds();
     for (ResultStore.RecoveredKey key : recovered.keys()) {
       isComplete &=
           keys.recover(
@@ -78,15 +78,15 @@
               key.lastAttemptAtMillis(),
               key.bodyChecksum(),
               key.expiresAtSeconds());
-      latestExpiry = Math.max(latestExpiry, key.expiresAtSeconds());
+      latestExpirySeconds = Math.max(latestExpirySeconds, key.expiresAtSeconds());
     }
     double now = clock.now();
     if (!isComplete || recovered.unknownKeysFailUntilSeconds() > now) {
       // A key that is on disk but missing here must not execute again, so all unknown keys fail.
       Logger.warn(
           "recovered keys may be incomplete, unknown keys fail for seconds={}",
-          Math.round(latestExpiry - now));
-      keys.failUnknownKeysUntil(latestExpiry);
+          Math.round(latestExpirySeconds - now));
+      keys.failUnknownKeysUntil(latestExpirySeconds);
     }
   }
 
@@ -108,7 +108,7 @@
   }
 
   /** A rejection for lack of key memory, to retry when enough keys are expected to have expired. */
-  Answer rejectedForMemory(double now, double maxRetryAfterSeconds) {
+  Answer newMemoryRejection(double now, double maxRetryAfterSeconds) {
     counters.add(Count.GUARD_REJECTIONS);
     counters.add(Count.KEY_MEMORY_FULL);
     double retryAfter = Math.max(MIN_RETRY_AFTER_SECONDS, keys.secondsUntilCapacity(now));
@@ -117,10 +117,10 @@
 
   /** Removes expired keys and updates the gauges, at most once a second. */
   void expire(double now) {
-    if (now < expiredAtSeconds + EXPIRY_INTERVAL_SECONDS) {
+    if (now < lastExpiryAtSeconds + EXPIRY_INTERVAL_SECONDS) {
       return;
     }
-    expiredAtSeconds = now;
+    lastExpiryAtSeconds = now;
     keys.expire(now);
     indexBytes = keys.indexBytes();
     counters.updateKeyUsage(
@@ -145,9 +145,9 @@
   }
 
   /** The execution of a key never began: removes the key, so that a retry may execute. */
-  void neverExecuted(KeyEntry<InFlightRequest> entry) {
+  void abandonKey(KeyEntry<InFlightRequest> entry) {
     if (entry.state() == KeyState.RUNNING) {
-      recorder.neverExecuted(entry);
+      recorder.discardIntent(entry);
     }
     keys.abandon(entry);
   }
@@ -163,7 +163,7 @@
   }
 
   /** Adds an entry for a request that the module queues, so that duplicates attach to it. */
-  void hold(InFlightRequest request) {
+  void enqueueKey(InFlightRequest request) {
     KeyEntry<InFlightRequest> entry =
         keys.enqueue(
             request.key, request.incoming.body(), request.incoming.receivedAtMillis(), request);
@@ -172,14 +172,14 @@
     }
   }
 
-  void release(InFlightRequest request) {
+  void releaseKey(InFlightRequest request) {
     if (request.entry != null) {
       keys.release(request.entry, request);
     }
   }
 
   /** Detaches a request from the execution of its key. */
-  void leave(InFlightRequest request) {
+  void detach(InFlightRequest request) {
     if (request.entry != null) {
       keys.detach(request.entry, request);
     }
@@ -196,11 +196,11 @@
       request.enqueue(InFlightRequest.Step.REPLAY_RESULT);
       return;
     }
-    completeWith(request, result);
+    completeWithResult(request, result);
   }
 
   /** Completes a request; the result is null if the execution failed or it cannot be read. */
-  void completeWith(InFlightRequest request, byte[] result) {
+  void completeWithResult(InFlightRequest request, byte[] result) {
     if (request.isAnswered) {
       return;
     }
@@ -216,6 +216,6 @@
   }
 
   private void executionCompleted(InFlightRequest attached, KeyEntry<InFlightRequest> entry) {
-    admission.runAfterInstant(() -> completeAttached(attached, entry));
+    admission.runAfterBatch(() -> completeAttached(attached, entry));
   }
 }
--- a/src/main/java/wharftrestle/request/PeerClaims.java
+++ b/src/main/java/wharftrestle/request/PeerClaims.java
@@ -19,23 +19,23 @@
   private final ReentrantLock lock;
   private final EventClock clock;
   private final RequestDeadlines deadlines;
-  private final KeyedRequests keyed;
+  private final KeyedRequests keyedRequests;
   private final KeyOwnershipTransfer<InFlightRequest> ownership;
-  private final Set<InFlightRequest> waiting = new HashSet<>();
+  private final Set<InFlightRequest> waitingRequests = new HashSet<>();
   private ResultRecorder recorder;
 
   PeerClaims(
-      ReentrantLock lock, EventClock clock, RequestDeadlines deadlines, KeyedRequests keyed) {
+      ReentrantLock lock, EventClock clock, RequestDeadlines deadlines, KeyedRequests keyedRequests) {
     this.lock = lock;
     this.clock = clock;
     this.deadlines = deadlines;
-    this.keyed = keyed;
-    ownership = new KeyOwnershipTransfer<>(keyed.table(), this);
+    this.keyedRequests = keyedRequests;
+    ownership = new KeyOwnershipTransfer<>(keyedRequests.table(), this);
   }
 
   /** Called before the first request. A setter, as the two objects refer to each other. */
-  void connect(ResultRecorder results) {
-    recorder = results;
+  void connect(ResultRecorder resultRecorder) {
+    recorder = resultRecorder;
   }
 
   KeyOwnershipTransfer<InFlightRequest> ownership() {
@@ -68,13 +68,13 @@
         return;
       }
       IncomingRequest incoming = request.incoming;
-      waiting.add(request);
+      waitingRequests.add(request);
       ownership.peer().sendClaim(request.key, incoming.receivedAtMillis(), incoming.body());
-      double dueAt = deadlines.backstopSeconds(incoming, clock.now());
-      while (isAwaitingPeer(request) && clock.now() < dueAt) {
-        request.changed.awaitNanos(EventClock.waitNanos(dueAt - clock.now()));
+      double dueAtSeconds = deadlines.backstopAtSeconds(incoming, clock.now());
+      while (isAwaitingPeer(request) && clock.now() < dueAtSeconds) {
+        request.changed.awaitNanos(EventClock.waitNanos(dueAtSeconds - clock.now()));
       }
-      waiting.remove(request);
+      waitingRequests.remove(request);
     } catch (InterruptedException e) {
       throw new IllegalStateException("request thread was interrupted, which nothing in the daemon does", e);
     } finally {
@@ -118,23 +118,23 @@
     if (ownership.peer() == null || request.key == null) {
       return;
     }
-    boolean isKeyInUse = waiting.stream().anyMatch(request::hasSameKey);
-    for (InFlightRequest other : inFlight) {
-      isKeyInUse |= other.key != null && request.hasSameKey(other);
+    boolean isKeyInUse = waitingRequests.stream().anyMatch(request::hasSameKey);
+    for (InFlightRequest remaining : inFlight) {
+      isKeyInUse |= remaining.key != null && request.hasSameKey(remaining);
     }
     ownership.sendRelease(request.key, isKeyInUse);
   }
 
   /** Wakes every request that waits for the peer, to check its state again. */
-  void wakeAll() {
-    waiting.forEach(request -> request.changed.signal());
+  void wakeAllWaiters() {
+    waitingRequests.forEach(request -> request.changed.signal());
   }
 
   // ---- KeyOwnershipTransfer.Host ----
 
   @Override
   public void wakeWaiters(String key, boolean isGranted) {
-    for (InFlightRequest request : waiting) {
+    for (InFlightRequest request : waitingRequests) {
       if (key.equals(request.key)) {
         request.isKeyGranted |= isGranted;
         request.changed.signal();
@@ -143,8 +143,8 @@
   }
 
   @Override
-  public long arrivalUnixMillis(InFlightRequest holder) {
-    return holder.incoming.receivedAtMillis();
+  public long arrivalUnixMillis(InFlightRequest attempt) {
+    return attempt.incoming.receivedAtMillis();
   }
 
   @Override
@@ -155,11 +155,11 @@
 
   @Override
   public void onPeerCompletion(KeyEntry<InFlightRequest> entry, byte[] result) {
-    keyed.complete(entry, result);
+    keyedRequests.complete(entry, result);
   }
 
   @Override
   public void onPeerRelease(KeyEntry<InFlightRequest> entry) {
-    recorder.neverExecuted(entry);
+    recorder.discardIntent(entry);
   }
 }
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -37,7 +37,7 @@
       ReentrantLock lock,
       EventClock clock,
       AdmissionDriver admission,
-      KeyedRequests keyed,
+      KeyedRequests keyedRequests,
       PeerClaims claims,
       KeyMemoryBudget memory) {
     this.lock = lock;
@@ -45,13 +45,13 @@
     this.admission = admission;
     this.claims = claims;
     this.memory = memory;
-    keys = keyed.table();
+    keys = keyedRequests.table();
     ownership = claims.ownership();
   }
 
   /** Called before the first request. A setter, as the two objects refer to each other. */
-  void connect(ResultRecorder results) {
-    recorder = results;
+  void connect(ResultRecorder resultRecorder) {
+    recorder = resultRecorder;
   }
 
   // ---- Steps of a handover ----
@@ -73,30 +73,30 @@
    *
    * @return how many were sent, or -1 if the peer did not read them in time
    */
-  public int sendCompletedKeys(PeerProcess to) {
-    List<KeyDigest> all;
+  public int sendCompletedKeys(PeerProcess receiver) {
+    List<KeyDigest> digests;
     lock.lock();
     try {
-      all = ownership.startSendingKeys(to);
+      digests = ownership.startSendingKeys(receiver);
     } finally {
       lock.unlock();
     }
-    return send(to, all);
+    return send(receiver, digests);
   }
 
   /** Sends all completed keys to a peer of format 1, which owns all keys already. */
-  public int sendCompletedKeysAfterHandover(PeerProcess to) {
-    List<KeyDigest> all;
+  public int sendCompletedKeysAfterHandover(PeerProcess receiver) {
+    List<KeyDigest> digests;
     lock.lock();
     try {
-      all = keys.settledDigests();
+      digests = keys.settledDigests();
     } finally {
       lock.unlock();
     }
-    return send(to, all);
+    return send(receiver, digests);
   }
 
-  private int send(PeerProcess to, List<KeyDigest> keysToSend) {
+  private int send(PeerProcess receiver, List<KeyDigest> keysToSend) {
     int sent = 0;
     for (KeyDigest key : keysToSend) {
       CompletedKey completedKey;
@@ -107,7 +107,7 @@
         lock.unlock();
       }
       if (completedKey != null) {
-        if (!to.sendCompletedKey(completedKey)) {
+        if (!receiver.sendCompletedKey(completedKey)) {
           return -1;
         }
         sent++;
@@ -142,12 +142,12 @@
    *
    * @return how many keys are in flight here
    */
-  public int transferKeys(PeerProcess to) {
+  public int transferKeys(PeerProcess receiver) {
     lock.lock();
     try {
-      int handed = ownership.transferTo(to, clock.now());
+      int inFlightCount = ownership.transferTo(receiver, clock.now());
       admission.setShare(SHARE_OF_TWO);
-      return handed;
+      return inFlightCount;
     } finally {
       lock.unlock();
     }
@@ -158,10 +158,10 @@
    *
    * @param stretchSeconds by how much the predecessor's idempotency windows are shorter
    */
-  public void joinPeer(PeerProcess from, double stretchSeconds) {
+  public void joinPeer(PeerProcess predecessor, double stretchSeconds) {
     lock.lock();
     try {
-      ownership.attach(from, stretchSeconds);
+      ownership.attach(predecessor, stretchSeconds);
       admission.setShare(SHARE_OF_TWO);
     } finally {
       lock.unlock();
@@ -173,7 +173,7 @@
     lock.lock();
     try {
       ownership.returnOwnership();
-      claims.wakeAll();
+      claims.wakeAllWaiters();
     } finally {
       lock.unlock();
     }
@@ -185,7 +185,7 @@
     try {
       ownership.onPeerLost();
       recorder.writeUnsavedResults();
-      claims.wakeAll();
+      claims.wakeAllWaiters();
       admission.setShare(1);
     } finally {
       lock.unlock();
@@ -206,19 +206,19 @@
 
   /** The peer sent a completed key. */
   public void keySettled(CompletedKey completedKey) {
-    boolean isFirstLost = false;
+    boolean isFirstMissingKey = false;
     lock.lock();
     try {
       double now = clock.now();
       if (!ownership.onKeyReceived(completedKey, now)) {
-        isFirstLost = now > keysMissingUntilSeconds;
+        isFirstMissingKey = now > keysMissingUntilSeconds;
         keysMissingUntilSeconds =
             Math.max(keysMissingUntilSeconds, now + completedKey.remainingSeconds());
       }
     } finally {
       lock.unlock();
     }
-    if (isFirstLost) {
+    if (isFirstMissingKey) {
       Logger.warn(
           "no memory for a key of the peer process, unknown keys fail for seconds={}",
           Math.round(completedKey.remainingSeconds()));
--- a/src/main/java/wharftrestle/request/RequestArrival.java
+++ b/src/main/java/wharftrestle/request/RequestArrival.java
@@ -23,7 +23,7 @@
   private final CallerNotifier callers;
   private final RequestDeadlines deadlines;
   private final double maxRetryAfterSeconds;
-  private final KeyedRequests keyed;
+  private final KeyedRequests keyedRequests;
   private final PeerClaims claims;
   private final ResultRecorder recorder;
 
@@ -35,30 +35,30 @@
     callers = parts.callers;
     deadlines = parts.deadlines;
     maxRetryAfterSeconds = parts.settings.retries().maxRetryAfterSeconds();
-    keyed = parts.keyed;
+    keyedRequests = parts.keyedRequests;
     claims = parts.claims;
     recorder = parts.recorder;
   }
 
   /** Submits the request to the admission module, or answers it. */
-  void arrive(InFlightRequest request) {
-    request.hasArrived = true;
+  void submitOrAnswer(InFlightRequest request) {
+    request.isArrivalProcessed = true;
     if (request.isAnswered) {
       return;
     }
-    KeyEntry<InFlightRequest> known = request.key == null ? null : keyed.table().find(request.key);
+    KeyEntry<InFlightRequest> existing = request.key == null ? null : keyedRequests.table().find(request.key);
     boolean mayHaveExecuted =
-        (known != null && known.mayHaveRun()) || (request.key != null && !claims.ownsKeys());
+        (existing != null && existing.mayHaveRun()) || (request.key != null && !claims.ownsKeys());
     if (inFlight.isFull()) {
       // Each request in flight has a thread, so their number must be bounded to bound the memory.
       rejectByGuard(request, mayHaveExecuted);
-    } else if (!admission.isStarted() && isAnsweredBy(known, request)) {
+    } else if (!admission.isStarted() && hasResultFor(existing, request)) {
       // The result was recorded before a restart, and is returned without the worker pool.
-      request.backstopSeconds = deadlines.backstopSeconds(request.incoming, clock.now());
-      keyed.completeAttached(request, known);
+      request.backstopAtSeconds = deadlines.backstopAtSeconds(request.incoming, clock.now());
+      keyedRequests.completeAttached(request, existing);
     } else if (!admission.isStarted()) {
       rejectByGuard(request, mayHaveExecuted);
-    } else if (inFlight.withReference(request.incoming.reference()) != null) {
+    } else if (inFlight.findByReference(request.incoming.reference()) != null) {
       // The worker pool could not distinguish its execution from the one in flight.
       rejectByGuard(request, true);
     } else {
@@ -66,11 +66,11 @@
     }
   }
 
-  private static boolean isAnsweredBy(KeyEntry<InFlightRequest> known, InFlightRequest request) {
-    return known != null
-        && known.state() == KeyState.SUCCEEDED
-        && known.covers(request.incoming.receivedAtMillis())
-        && known.body().matches(request.incoming.body());
+  private static boolean hasResultFor(KeyEntry<InFlightRequest> existing, InFlightRequest request) {
+    return existing != null
+        && existing.state() == KeyState.SUCCEEDED
+        && existing.covers(request.incoming.receivedAtMillis())
+        && existing.body().matches(request.incoming.body());
   }
 
   /** Rejects a request, or fails it if it may have executed, which a rejection rules out. */
@@ -82,27 +82,27 @@
 
   private void register(InFlightRequest request) {
     double now = clock.now();
-    request.backstopSeconds = deadlines.backstopSeconds(request.incoming, now);
+    request.backstopAtSeconds = deadlines.backstopAtSeconds(request.incoming, now);
     inFlight.add(request);
-    keyed.expire(now);
+    keyedRequests.expire(now);
     if (request.key == null || isKeyAccepted(request, now)) {
       submit(request, now);
     }
   }
 
   private boolean isKeyAccepted(InFlightRequest request, double now) {
-    KeyEntry<InFlightRequest> prior =
-        keyed.table().findDuplicate(request.key, request.incoming.receivedAtMillis());
-    if (prior == null) {
+    KeyEntry<InFlightRequest> original =
+        keyedRequests.table().findDuplicate(request.key, request.incoming.receivedAtMillis());
+    if (original == null) {
       return isNewKeyAccepted(request, now);
     }
-    if (!prior.body().matches(request.incoming.body())) {
+    if (!original.body().matches(request.incoming.body())) {
       // The same key with another body is a conflict: the stored result belongs to another request.
       counters.add(Count.INVALID);
       callers.answer(request, Answer.conflict());
       return false;
     }
-    request.entry = prior;
+    request.entry = original;
     return true;
   }
 
@@ -115,11 +115,11 @@
     ResultStore.RejectionReason reason = recorder.rejectionReason();
     if (reason != null) {
       counters.add(Count.GUARD_REJECTIONS);
-      callers.answer(request, recorder.rejected(reason));
+      callers.answer(request, recorder.newRejection(reason));
       return false;
     }
-    if (!keyed.reserveMemory(request)) {
-      callers.answer(request, keyed.rejectedForMemory(now, maxRetryAfterSeconds));
+    if (!keyedRequests.reserveMemory(request)) {
+      callers.answer(request, keyedRequests.newMemoryRejection(now, maxRetryAfterSeconds));
       return false;
     }
     return true;
@@ -141,17 +141,17 @@
                 incoming.callerId(),
                 incoming.expectedWorkSeconds(),
                 incoming.subject(),
-                duplicateOf(request),
+                duplicateIdOf(request),
                 0,
                 incoming.rank()));
     admission.completeBatch(now);
   }
 
-  private static long duplicateOf(InFlightRequest request) {
+  private static long duplicateIdOf(InFlightRequest request) {
     if (request.entry == null) {
       return 0;
     }
-    InFlightRequest holder = request.entry.attempt();
-    return holder == null ? DUPLICATE_OF_NO_REQUEST : holder.id;
+    InFlightRequest attempt = request.entry.attempt();
+    return attempt == null ? DUPLICATE_OF_NO_REQUEST : attempt.id;
   }
 }
--- a/src/main/java/wharftrestle/request/RequestCoordinator.java
+++ b/src/main/java/wharftrestle/request/RequestCoordinator.java
@@ -72,7 +72,7 @@
   public void restore(ResultStore.RecoveredKeys recovered) {
     lock.lock();
     try {
-      parts.keyed.restore(recovered);
+      parts.keyedRequests.restore(recovered);
     } finally {
       lock.unlock();
     }
@@ -92,7 +92,7 @@
 
   /** Accepts a request, which is processed on a separate thread unless it is answered at once. */
   public Acceptance accept(IncomingRequest incoming, AnswerListener listener) {
-    return parts.lifecycle.begin(incoming, listener);
+    return parts.lifecycle.accept(incoming, listener);
   }
 
   /** The caller of a request has disconnected; no effect once the request is answered. */
@@ -153,7 +153,7 @@
       String reference, Outcome outcome, double elapsedSeconds, byte[] result) {
     lock.lock();
     try {
-      parts.executions.completed(reference, outcome, elapsedSeconds, result);
+      parts.executions.onCompleted(reference, outcome, elapsedSeconds, result);
     } finally {
       lock.unlock();
     }
@@ -163,7 +163,7 @@
   public void executionBlocked(String reference, long announcementNumber, byte[] callBody) {
     lock.lock();
     try {
-      parts.executions.blocked(reference, announcementNumber, callBody);
+      parts.executions.onBlocked(reference, announcementNumber, callBody);
     } finally {
       lock.unlock();
     }
@@ -183,7 +183,7 @@
 
   /** Metrics of the recorded results; empty if results are not recorded. */
   public Map<ResultMetric, Long> resultMetrics() {
-    return parts.recorder.metrics(parts.keyed.indexBytes());
+    return parts.recorder.metrics(parts.keyedRequests.indexBytes());
   }
 
   /** The health of this host as health checks and load reports show it. */
@@ -234,7 +234,7 @@
         }
       }
       if (!parts.admission.isStarted()) {
-        parts.health.moduleDecided(false);
+        parts.health.setModuleHealthy(false);
         return;
       }
       parts.admission.events().draining(now, graceSeconds);
--- a/src/main/java/wharftrestle/request/RequestDeadlines.java
+++ b/src/main/java/wharftrestle/request/RequestDeadlines.java
@@ -10,7 +10,7 @@
 final class RequestDeadlines {
 
   /** How long after the deadline an answer is forced; callers allow for longer. */
-  private static final double BACKSTOP_SECONDS = 0.02;
+  private static final double BACKSTOP_DELAY_SECONDS = 0.02;
 
   private final AdmissionSettings settings;
   private double shutdownAtSeconds = Double.POSITIVE_INFINITY;
@@ -19,10 +19,10 @@
     this.settings = settings;
   }
 
-  double backstopSeconds(IncomingRequest incoming, double now) {
+  double backstopAtSeconds(IncomingRequest incoming, double now) {
     double deadline = settings.classes().get(incoming.classIndex()).deadlineSeconds();
     return Math.min(
-        now - incoming.queueingDelaySeconds() + deadline + BACKSTOP_SECONDS, shutdownAtSeconds);
+        now - incoming.queueingDelaySeconds() + deadline + BACKSTOP_DELAY_SECONDS, shutdownAtSeconds);
   }
 
   /** Limits the backstops of later requests to this time. */
@@ -36,7 +36,7 @@
 
   /** Limits the backstop of a request in flight to the end of the shutdown. */
   void limitToShutdown(InFlightRequest request) {
-    request.backstopSeconds = Math.min(request.backstopSeconds, shutdownAtSeconds);
+    request.backstopAtSeconds = Math.min(request.backstopAtSeconds, shutdownAtSeconds);
   }
 
   /** The window in seconds; the longest of all for a class that only the peer process has. */
--- a/src/main/java/wharftrestle/request/RequestLifecycle.java
+++ b/src/main/java/wharftrestle/request/RequestLifecycle.java
@@ -30,7 +30,7 @@
   private final InFlightTable inFlight;
   private final AdmissionDriver admission;
   private final CallerNotifier callers;
-  private final KeyedRequests keyed;
+  private final KeyedRequests keyedRequests;
   private final PeerClaims claims;
   private final ResultRecorder recorder;
   private final Executions executions;
@@ -48,7 +48,7 @@
     inFlight = parts.inFlight;
     admission = parts.admission;
     callers = parts.callers;
-    keyed = parts.keyed;
+    keyedRequests = parts.keyedRequests;
     claims = parts.claims;
     recorder = parts.recorder;
     executions = parts.executions;
@@ -69,21 +69,21 @@
   }
 
   /** Accepts a request, on the thread that read it. */
-  Acceptance begin(IncomingRequest incoming, AnswerListener listener) {
+  Acceptance accept(IncomingRequest incoming, AnswerListener listener) {
     counters.requestReceived();
     InFlightRequest request = create(incoming, listener);
     if (!claims.mustClaim(request)) {
       arrive(request); // most rejected requests need no separate thread
     }
     if (isFinishedOnArrival(request)) {
-      runGuarded(request);
+      runOrFail(request);
       return Acceptance.Answered.ANSWERED;
     }
     try {
-      threads.execute(() -> runGuarded(request));
-    } catch (RejectedExecutionException | OutOfMemoryError noThread) {
+      threads.execute(() -> runOrFail(request));
+    } catch (RejectedExecutionException | OutOfMemoryError noThreadAvailable) {
       failWithoutThread(request); // it must be answered nevertheless
-      runGuarded(request);
+      runOrFail(request);
       return Acceptance.Answered.ANSWERED;
     }
     return request;
@@ -101,7 +101,7 @@
   private void arrive(InFlightRequest request) {
     lock.lock();
     try {
-      arrival.arrive(request);
+      arrival.submitOrAnswer(request);
     } finally {
       lock.unlock();
     }
@@ -110,7 +110,7 @@
   private boolean isFinishedOnArrival(InFlightRequest request) {
     lock.lock();
     try {
-      return request.hasArrived && request.isFinished();
+      return request.isArrivalProcessed && request.isFinished();
     } finally {
       lock.unlock();
     }
@@ -121,7 +121,7 @@
     lock.lock();
     try {
       if (callers.callerDisconnected(request)) {
-        keyed.leave(request);
+        keyedRequests.detach(request);
         admission.callerDisconnected(request);
       }
     } finally {
@@ -133,7 +133,7 @@
   private void run(InFlightRequest request) {
     IncomingRequest incoming = request.incoming;
     String reference = incoming.reference();
-    if (!request.hasArrived) {
+    if (!request.isArrivalProcessed) {
       claims.claim(request);
       arrive(request);
     }
@@ -147,7 +147,7 @@
               reference, settings.classes().get(incoming.classIndex()).name(), incoming.body());
         }
         case CALL_DEPENDENCY ->
-            dependencyCalls.begin(request, ((InFlightRequest.CallDependency) step).callBySeconds());
+            dependencyCalls.send(request, ((InFlightRequest.CallDependency) step).callDeadlineSeconds());
         case DELIVER_RESPONSE ->
             workerPool.deliverResponse(
                 reference, ((InFlightRequest.DeliverResponse) step).response());
@@ -162,7 +162,7 @@
   }
 
   /** Runs a request, and answers it with a failure if that throws an exception. */
-  private void runGuarded(InFlightRequest request) {
+  private void runOrFail(InFlightRequest request) {
     try {
       run(request);
     } catch (RuntimeException | Error fault) {
@@ -177,9 +177,9 @@
   private boolean abort(InFlightRequest request) {
     lock.lock();
     try {
-      boolean isOwedAnswer = callers.abort(request);
-      forget(request);
-      return isOwedAnswer;
+      boolean needsAnswer = callers.abort(request);
+      removeRequest(request);
+      return needsAnswer;
     } finally {
       lock.unlock();
     }
@@ -189,7 +189,7 @@
     lock.lock();
     try {
       counters.add(Count.GUARD_REJECTIONS);
-      request.hasArrived = true;
+      request.isArrivalProcessed = true;
       callers.answer(request, Answer.failed());
       if (request.isDispatched) {
         // Nothing was sent to the worker pool yet, so the execution is void.
@@ -213,7 +213,7 @@
           return step;
         }
         if (request.isFinished()) {
-          forget(request);
+          removeRequest(request);
           return null;
         }
         if (!recorder.expireIntent(request)) {
@@ -231,11 +231,11 @@
   @SuppressWarnings("WaitNotInLoop") // nextStep, the only caller, loops and reads the state again
   private void awaitChange(InFlightRequest request) throws InterruptedException {
     double now = clock.now();
-    double untilBackstop = request.backstopSeconds - now;
+    double untilBackstop = request.backstopAtSeconds - now;
     if (untilBackstop > 0) {
       double wait =
           recorder.isWritingIntent(request)
-              ? Math.min(untilBackstop, request.intentBySeconds - now)
+              ? Math.min(untilBackstop, request.intentDeadlineSeconds - now)
               : untilBackstop;
       request.changed.awaitNanos(EventClock.waitNanos(wait));
     } else if (request.isAnswered) {
@@ -262,15 +262,15 @@
     byte[] result = recorder.read(request.key, request.entry.location());
     lock.lock();
     try {
-      keyed.completeWith(request, result);
+      keyedRequests.completeWithResult(request, result);
       admission.completeBatchIfStarted();
     } finally {
       lock.unlock();
     }
   }
 
-  private void forget(InFlightRequest request) {
-    keyed.releaseMemory(request);
+  private void removeRequest(InFlightRequest request) {
+    keyedRequests.releaseMemory(request);
     inFlight.remove(request);
     claims.releaseKeyOf(request, inFlight.all());
   }
--- a/src/main/java/wharftrestle/request/RequestParts.java
+++ b/src/main/java/wharftrestle/request/RequestParts.java
@@ -21,7 +21,7 @@
   final CallerNotifier callers;
   final AdmissionDriver admission;
   final AdmissionTimers timers;
-  final KeyedRequests keyed;
+  final KeyedRequests keyedRequests;
   final PeerClaims claims;
   final PeerCoordinator peer;
   final ResultRecorder recorder;
@@ -40,13 +40,13 @@
     Condition timerWork = lock.newCondition();
     admission = new AdmissionDriver(clock, inFlight, timerWork);
     timers = new AdmissionTimers(lock, timerWork, clock, admission);
-    keyed = new KeyedRequests(keyMemory, counters, clock, inFlight, admission, callers);
-    claims = new PeerClaims(lock, clock, deadlines, keyed);
-    peer = new PeerCoordinator(lock, clock, admission, keyed, claims, keyMemory);
+    keyedRequests = new KeyedRequests(keyMemory, counters, clock, inFlight, admission, callers);
+    claims = new PeerClaims(lock, clock, deadlines, keyedRequests);
+    peer = new PeerCoordinator(lock, clock, admission, keyedRequests, claims, keyMemory);
     recorder = new ResultRecorder(this, claims.ownership(), keyMemory);
-    executions = new Executions(counters, clock, inFlight, admission, callers, keyed, recorder);
+    executions = new Executions(counters, clock, inFlight, admission, callers, keyedRequests, recorder);
     dependencyCalls = new DependencyCalls(lock, settings, counters, clock, admission);
-    keyed.connect(claims.ownership(), recorder);
+    keyedRequests.connect(claims.ownership(), recorder);
     claims.connect(recorder);
     peer.connect(recorder);
     recorder.connect(executions);
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -49,23 +49,23 @@
     maxRetryAfterSeconds = parts.settings.retries().maxRetryAfterSeconds();
     callers = parts.callers;
     admission = parts.admission;
-    keys = parts.keyed.table();
+    keys = parts.keyedRequests.table();
     this.ownership = ownership;
     this.memory = memory;
   }
 
   /** Called before the first request. A setter, as the two objects refer to each other. */
-  void connect(Executions ends) {
-    executions = ends;
+  void connect(Executions executionHandler) {
+    executions = executionHandler;
   }
 
   /** Enables the recording of intents and results of keyed executions in this store. */
-  void useStore(ResultStore results) {
-    store = results;
-    maxKeysOnDisk = Math.min(results.maxKeys(), memory.maxKeysWithResultsOnDisk());
-    if (maxKeysOnDisk < results.maxKeys()) {
+  void useStore(ResultStore resultStore) {
+    store = resultStore;
+    maxKeysOnDisk = Math.min(resultStore.maxKeys(), memory.maxKeysWithResultsOnDisk());
+    if (maxKeysOnDisk < resultStore.maxKeys()) {
       Logger.warn(
-          "memory limits the number of recorded keys max={} configured={}", maxKeysOnDisk, results.maxKeys());
+          "memory limits the number of recorded keys max={} configured={}", maxKeysOnDisk, resultStore.maxKeys());
     }
     keys.enablePersistence(maxKeysOnDisk);
   }
@@ -87,11 +87,11 @@
 
   /** Metrics of the recorded results; empty if results are not recorded. Needs no lock. */
   Map<ResultMetric, Long> metrics(long indexBytes) {
-    ResultStore results = store;
-    if (results == null) {
+    ResultStore resultStore = store;
+    if (resultStore == null) {
       return Map.of();
     }
-    Map<ResultMetric, Long> metrics = results.metrics();
+    Map<ResultMetric, Long> metrics = resultStore.metrics();
     metrics.put(ResultMetric.INDEX_BYTES, indexBytes);
     return metrics;
   }
@@ -107,7 +107,7 @@
   }
 
   /** A rejection for a key that cannot be recorded, which the store counts. */
-  Answer rejected(ResultStore.RejectionReason reason) {
+  Answer newRejection(ResultStore.RejectionReason reason) {
     return Answer.rejected(Math.min(maxRetryAfterSeconds, store.retryAfterSeconds(reason)), false);
   }
 
@@ -124,7 +124,7 @@
 
   /** True from the decision to execute until the intent is on disk, or its write has failed. */
   boolean isWritingIntent(InFlightRequest request) {
-    return request.holdsKey() && request.entry.state() == KeyState.RECORDING;
+    return request.isCurrentAttempt() && request.entry.state() == KeyState.RECORDING;
   }
 
   /** Starts writing the intent of an execution; the request continues once it is written. */
@@ -135,17 +135,17 @@
     PeerProcess peer = ownership.peer();
     if (!ownership.isOwner() && peer != null) {
       // The peer writes it and reports the outcome to PeerCoordinator.intentWritten.
-      request.intentBySeconds = clock.now() + PEER_TIMEOUT_FACTOR * store.intentTimeoutSeconds();
+      request.intentDeadlineSeconds = clock.now() + PEER_TIMEOUT_FACTOR * store.intentTimeoutSeconds();
       peer.sendIntentRequest(
           request.key, request.incoming.receivedAtMillis(), request.incoming.body());
       return;
     }
-    request.intentBySeconds = clock.now() + store.intentTimeoutSeconds();
+    request.intentDeadlineSeconds = clock.now() + store.intentTimeoutSeconds();
     request.pendingIntent =
         store.writeIntent(recordOf(request.entry), position -> intentWritten(request, position));
     if (request.pendingIntent == null) {
       ResultStore.RejectionReason reason = store.rejectionReason();
-      rejectUnbegun(request, reason == null ? ResultStore.RejectionReason.STORE_FULL : reason);
+      rejectBeforeStart(request, reason == null ? ResultStore.RejectionReason.STORE_FULL : reason);
     }
   }
 
@@ -164,7 +164,7 @@
       return; // withdrawn meanwhile
     }
     if (!isWritten) {
-      rejectUnbegun(request, ResultStore.RejectionReason.DISK_FAILED);
+      rejectBeforeStart(request, ResultStore.RejectionReason.DISK_FAILED);
     } else if (request.isAnswered) {
       withdraw(request); // no caller waits any more, and a retry may execute
     } else {
@@ -175,24 +175,24 @@
 
   /** Rejects an execution whose intent is not on disk in time; false if none is overdue. */
   boolean expireIntent(InFlightRequest request) {
-    if (!isWritingIntent(request) || clock.now() < request.intentBySeconds) {
+    if (!isWritingIntent(request) || clock.now() < request.intentDeadlineSeconds) {
       return false;
     }
-    rejectUnbegun(request, ResultStore.RejectionReason.DISK_STALLED);
+    rejectBeforeStart(request, ResultStore.RejectionReason.DISK_STALLED);
     return true;
   }
 
   /** Cancels an execution that has not begun, and frees its key. */
   void withdraw(InFlightRequest request) {
     withdrawIntent(request);
-    endUnbegun(request);
+    voidExecution(request);
   }
 
-  private void rejectUnbegun(InFlightRequest request, ResultStore.RejectionReason reason) {
+  private void rejectBeforeStart(InFlightRequest request, ResultStore.RejectionReason reason) {
     withdrawIntent(request);
     counters.add(Count.GUARD_REJECTIONS);
-    callers.answer(request, rejected(reason));
-    endUnbegun(request);
+    callers.answer(request, newRejection(reason));
+    voidExecution(request);
   }
 
   private void withdrawIntent(InFlightRequest request) {
@@ -201,7 +201,7 @@
     }
   }
 
-  private void endUnbegun(InFlightRequest request) {
+  private void voidExecution(InFlightRequest request) {
     request.steps.removeIf(
         step ->
             step.kind() == InFlightRequest.StepKind.WRITE_INTENT
@@ -210,7 +210,7 @@
   }
 
   /** The execution of this key never began: discards its intent. */
-  void neverExecuted(KeyEntry<InFlightRequest> entry) {
+  void discardIntent(KeyEntry<InFlightRequest> entry) {
     if (isWriter()) {
       store.discardIntent(recordOf(entry));
     }
--- a/src/main/java/wharftrestle/request/ResultStore.java
+++ b/src/main/java/wharftrestle/request/ResultStore.java
@@ -86,19 +86,19 @@
   RejectionReason rejectionReason();
 
   /** Counts a rejection and returns its Retry-After in seconds. */
-  double retryAfterSeconds(RejectionReason why);
+  double retryAfterSeconds(RejectionReason reason);
 
   /** Starts writing an intent; null, without notifying the listener, if that is not possible. */
-  PendingIntent writeIntent(KeyRecord keyed, WriteListener listener);
+  PendingIntent writeIntent(KeyRecord keyRecord, WriteListener listener);
 
   /** The execution of this intent does not begin, whether or not the record is written. */
-  void withdrawIntent(PendingIntent intent, KeyRecord keyed);
+  void withdrawIntent(PendingIntent intent, KeyRecord keyRecord);
 
   /** The execution of a recorded intent never began. */
-  void discardIntent(KeyRecord keyed);
+  void discardIntent(KeyRecord keyRecord);
 
   /** Writes the end of a recorded execution; the result is null unless it succeeded. */
-  void writeResult(KeyRecord keyed, byte[] result, WriteListener listener);
+  void writeResult(KeyRecord keyRecord, byte[] result, WriteListener listener);
 
   /** Reads the result at this position; waits for the disk, so never called under a lock. */
   byte[] readResult(String key, long position) throws IOException;
--- a/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
+++ b/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
@@ -36,9 +36,9 @@
 
   @Example
   void aStepThatIsNotInTheTableThrows() {
-    assertThrows(IllegalStateException.class, () -> KeyState.SUCCEEDED.after(Step.START));
-    assertThrows(IllegalStateException.class, () -> KeyState.OUTCOME_UNKNOWN.after(Step.START));
-    assertThrows(IllegalStateException.class, () -> KeyState.RUNNING.after(Step.RELEASE));
+    assertThrows(IllegalStateException.class, () -> KeyState.SUCCEEDED.stateAfter(Step.START));
+    assertThrows(IllegalStateException.class, () -> KeyState.OUTCOME_UNKNOWN.stateAfter(Step.START));
+    assertThrows(IllegalStateException.class, () -> KeyState.RUNNING.stateAfter(Step.RELEASE));
     for (KeyState state : KeyState.values()) {
       boolean mayRun = state.allows(Step.START) || state.allows(Step.RECORD_INTENT);
       assertEquals(!state.mayHaveRun(), mayRun, state + ": what ran may not run, what did not may");
