--- a/src/main/java/wharftrestle/idempotency/CompactIndex.java
+++ b/src/main/java/wharftrestle/idempotency/CompactIndex.java
@@ -131,7 +131,7 @@
 
   /** Visits the keys that expire within one turn of the wheel, in order of expiry. */
   void forEachByExpiry(ExpiryVisitor visitor) {
-    wheel.forEachUpcoming((row, at) -> visitor.visit(at, locations[row]));
+    wheel.forEachUpcoming((row, probedSlot) -> visitor.visit(probedSlot, locations[row]));
   }
 
   /** When the key of this row expires, rounded up to a tick, in seconds on the caller's clock. */
@@ -183,14 +183,14 @@
     freeRows[freeRowCount++] = rowBySlot[slot];
     releaseListener.onReleased(locations[rowBySlot[slot]]);
     int hole = slot;
-    for (int at = slot + 1 & rowBySlot.length - 1;
-        rowBySlot[at] != EMPTY;
-        at = at + 1 & rowBySlot.length - 1) {
-      int home = homeSlot(digestLows[rowBySlot[at]]);
-      boolean isHomeAfterHole = hole <= at ? hole < home && home <= at : hole < home || home <= at;
+    for (int probedSlot = slot + 1 & rowBySlot.length - 1;
+        rowBySlot[probedSlot] != EMPTY;
+        probedSlot = probedSlot + 1 & rowBySlot.length - 1) {
+      int home = homeSlot(digestLows[rowBySlot[probedSlot]]);
+      boolean isHomeAfterHole = hole <= probedSlot ? hole < home && home <= probedSlot : hole < home || home <= probedSlot;
       if (!isHomeAfterHole) {
-        rowBySlot[hole] = rowBySlot[at];
-        hole = at;
+        rowBySlot[hole] = rowBySlot[probedSlot];
+        hole = probedSlot;
       }
     }
     rowBySlot[hole] = EMPTY;
--- a/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
+++ b/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
@@ -28,7 +28,7 @@
   /** Called once for each attached attempt, when its key's entry becomes final or absent. */
   public interface CompletionListener<T> {
     /** Completes the waiting attempt with the outcome of the entry. */
-    void completed(T waiter, KeyEntry<T> entry);
+    void onCompleted(T waiter, KeyEntry<T> entry);
   }
 
   private final CompletionListener<T> completionListener;
@@ -408,7 +408,7 @@
   }
 
   private void completeWaiters(KeyEntry<T> entry) {
-    entry.drainWaiters().forEach(waiter -> completionListener.completed(waiter, entry));
+    entry.drainWaiters().forEach(waiter -> completionListener.onCompleted(waiter, entry));
   }
 
   /**
--- a/src/main/java/wharftrestle/idempotency/KeyState.java
+++ b/src/main/java/wharftrestle/idempotency/KeyState.java
@@ -10,21 +10,21 @@
  * <pre>
  * state            meaning                              step             next
  * ABSENT           no attempt: one may be queued or     ENQUEUE          QUEUED
- *                  executed                             START            RUNNING
+ *                  executed                             START            EXECUTING
  *                                                       RECORD_INTENT    RECORDING
  *                                                       LEARN_FROM_PEER  OWNED_BY_PEER
  *                                                       RECOVER_RESULT   SUCCEEDED
  *                                                       RECOVER_INTENT   OUTCOME_UNKNOWN
  * QUEUED           an attempt waits, none has executed  ENQUEUE          QUEUED (a later attempt)
- *                                                       START            RUNNING
+ *                                                       START            EXECUTING
  *                                                       RECORD_INTENT    RECORDING
  *                                                       RELEASE          ABSENT
- * RECORDING        the intent of a planned execution    INTENT_RECORDED  RUNNING
+ * RECORDING        the intent of a planned execution    INTENT_RECORDED  EXECUTING
  *                  is being written                     VOID             ABSENT (withdrawn)
  *                                                       SUCCEED, FAIL    OUTCOME_UNKNOWN (ended
  *                                                                        before its begin was
  *                                                                        seen: cannot happen)
- * RUNNING          an execution was dispatched          SUCCEED          SUCCEEDED
+ * EXECUTING        an execution was dispatched          SUCCEED          SUCCEEDED
  *                                                       SAVE_RESULT      SAVING
  *                                                       FAIL             OUTCOME_UNKNOWN
  *                                                       VOID             ABSENT (the worker pool
@@ -51,7 +51,7 @@
   ABSENT,
   QUEUED,
   RECORDING,
-  RUNNING,
+  EXECUTING,
   SAVING,
   OWNED_BY_PEER,
   SUCCEEDED,
@@ -80,23 +80,23 @@
   static {
     from(ABSENT)
         .on(Step.ENQUEUE, QUEUED)
-        .on(Step.START, RUNNING)
+        .on(Step.START, EXECUTING)
         .on(Step.RECORD_INTENT, RECORDING)
         .on(Step.LEARN_FROM_PEER, OWNED_BY_PEER)
         .on(Step.RECOVER_RESULT, SUCCEEDED)
         .on(Step.RECOVER_INTENT, OUTCOME_UNKNOWN);
     from(QUEUED)
         .on(Step.ENQUEUE, QUEUED)
-        .on(Step.START, RUNNING)
+        .on(Step.START, EXECUTING)
         .on(Step.RECORD_INTENT, RECORDING)
         .on(Step.RELEASE, ABSENT);
     from(RECORDING)
-        .on(Step.INTENT_RECORDED, RUNNING)
+        .on(Step.INTENT_RECORDED, EXECUTING)
         .on(Step.VOID, ABSENT)
         .on(Step.SUCCEED, OUTCOME_UNKNOWN)
         .on(Step.FAIL, OUTCOME_UNKNOWN)
         .on(Step.EXPIRE, ABSENT);
-    from(RUNNING)
+    from(EXECUTING)
         .on(Step.SUCCEED, SUCCEEDED)
         .on(Step.SAVE_RESULT, SAVING)
         .on(Step.FAIL, OUTCOME_UNKNOWN)
--- a/src/main/java/wharftrestle/idempotency/SettledKeys.java
+++ b/src/main/java/wharftrestle/idempotency/SettledKeys.java
@@ -58,16 +58,16 @@
 
   /** A new read-only entry with the data of this key; null if it is not settled. */
   <T> KeyEntry<T> view(String key) {
-    CompactIndex.IndexedKey indexed = lookup(key);
-    if (indexed == null) {
+    CompactIndex.IndexedKey indexedKey = lookup(key);
+    if (indexedKey == null) {
       return null;
     }
     KeyEntry<T> view =
-        new KeyEntry<>(key, new RequestBody(null, indexed.checksum()), KeyEntry.NO_ROW);
-    boolean hasResult = indexed.location() != CompactIndex.NO_RESULT;
+        new KeyEntry<>(key, new RequestBody(null, indexedKey.checksum()), KeyEntry.NO_ROW);
+    boolean hasResult = indexedKey.location() != CompactIndex.NO_RESULT;
     view.transition(hasResult ? Step.RECOVER_RESULT : Step.RECOVER_INTENT);
-    view.setLocation(indexed.location());
-    view.setCoveredUntilMillis(indexed.coveredUntilMillis());
+    view.setLocation(indexedKey.location());
+    view.setCoveredUntilMillis(indexedKey.coveredUntilMillis());
     return view;
   }
 
@@ -81,10 +81,10 @@
       return null;
     }
     // The entry may be outdated, and its location may have another key's result by now.
-    CompactIndex.IndexedKey indexed = index.find(digest(entry.key()));
-    return indexed != null
-            && indexed.location() == entry.location()
-            && indexed.coveredUntilMillis() == entry.coveredUntilMillis()
+    CompactIndex.IndexedKey indexedKey = index.find(digest(entry.key()));
+    return indexedKey != null
+            && indexedKey.location() == entry.location()
+            && indexedKey.coveredUntilMillis() == entry.coveredUntilMillis()
         ? results.get(blockOf(entry.location()))
         : null;
   }
@@ -135,8 +135,8 @@
   /** Adds a recovered key, unless its result is in memory already; false if it does not fit. */
   boolean recover(
       String key, long location, long coveredUntilMillis, long checksum, double expiresAtSeconds) {
-    CompactIndex.IndexedKey indexed = lookup(key);
-    return (indexed != null && isInMemory(indexed.location()))
+    CompactIndex.IndexedKey indexedKey = lookup(key);
+    return (indexedKey != null && isInMemory(indexedKey.location()))
         || index.put(digest(key), location, coveredUntilMillis, checksum, expiresAtSeconds);
   }
 
@@ -158,16 +158,16 @@
 
   /** The data of a key for the peer process; null if it is not settled. */
   SettledEntry export(KeyDigest digest) {
-    CompactIndex.IndexedKey indexed = index.find(digest);
-    return indexed == null
+    CompactIndex.IndexedKey indexedKey = index.find(digest);
+    return indexedKey == null
         ? null
         : new SettledEntry(
             digest.high(),
             digest.low(),
-            indexed.coveredUntilMillis(),
-            indexed.checksum(),
-            index.expiresAtSeconds(indexed.row()),
-            isInMemory(indexed.location()) ? results.get(blockOf(indexed.location())) : null);
+            indexedKey.coveredUntilMillis(),
+            indexedKey.checksum(),
+            index.expiresAtSeconds(indexedKey.row()),
+            isInMemory(indexedKey.location()) ? results.get(blockOf(indexedKey.location())) : null);
   }
 
   /**
--- a/src/main/java/wharftrestle/idempotency/TimingWheel.java
+++ b/src/main/java/wharftrestle/idempotency/TimingWheel.java
@@ -94,7 +94,8 @@
       nowTicks = Math.min(currentTick, earliestDueTick()) - 1;
     }
     int count = 0;
-    long firstTick = Math.max(nowTicks + 1, currentTick - heads.length + 1); // one turn passes each slot once
+    // One turn passes each slot once.
+    long firstTick = Math.max(nowTicks + 1, currentTick - heads.length + 1);
     nowTicks = Math.max(nowTicks, currentTick);
     for (long tick = firstTick; tick <= currentTick; tick++) {
       int slot = (int) (tick & heads.length - 1);
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -135,7 +135,7 @@
   boolean complete(KeyEntry<InFlightRequest> entry, byte[] result) {
     ownership.sendCompletion(entry, result);
     boolean wasExecuting =
-        entry.state() == KeyState.RUNNING || entry.state() == KeyState.OWNED_BY_PEER;
+        entry.state() == KeyState.EXECUTING || entry.state() == KeyState.OWNED_BY_PEER;
     keys.complete(entry, result);
     if (wasExecuting) {
       recorder.recordResult(entry, result);
@@ -146,7 +146,7 @@
 
   /** The execution of a key never began: removes the key, so that a retry may execute. */
   void abandonKey(KeyEntry<InFlightRequest> entry) {
-    if (entry.state() == KeyState.RUNNING) {
+    if (entry.state() == KeyState.EXECUTING) {
       recorder.discardIntent(entry);
     }
     keys.abandon(entry);
--- a/src/test/java/wharftrestle/CoreTest.java
+++ b/src/test/java/wharftrestle/CoreTest.java
@@ -19,22 +19,25 @@
 import wharftrestle.request.IncomingRequest;
 import wharftrestle.request.RequestCoordinator;
 
-/** Stories of the core alone, with a module that starts what has a rank and refuses the rest. */
+/**
+ * Tests the request coordinator without sockets, with an admission module that dispatches requests
+ * with a rank above 0 and rejects all others.
+ */
 class CoreTest {
-  private final AtomicInteger instants = new AtomicInteger();
+  private final AtomicInteger batches = new AtomicInteger();
 
-  private RequestCoordinator core(int most) {
-    return core(most, KeyMemoryBudget.of(1 << 20));
+  private RequestCoordinator coordinator(int maxInFlight) {
+    return coordinator(maxInFlight, KeyMemoryBudget.of(1 << 20));
   }
 
-  private RequestCoordinator core(int most, KeyMemoryBudget room) {
+  private RequestCoordinator coordinator(int maxInFlight, KeyMemoryBudget keyMemory) {
     Counters counters = new Counters(List.of("read", "save", "keyed", "unsafe", "long"));
-    RequestCoordinator core =
+    RequestCoordinator coordinator =
         new RequestCoordinator(
             Sites.site().build(),
             7,
-            most,
-            room,
+            maxInFlight,
+            keyMemory,
             (now, seed, settings, actions) ->
                 new Admission.Events() {
                   @Override
@@ -48,7 +51,7 @@
 
                   @Override
                   public void batchCompleted(double now) {
-                    instants.incrementAndGet();
+                    batches.incrementAndGet();
                   }
 
                   @Override
@@ -70,12 +73,12 @@
                   public void timerFired(double now, long label, double[] gauges) {}
                 },
             counters);
-    core.start(new SilentPool(), null, good -> {});
-    core.workerPoolStarted(false, 0);
-    return core;
+    coordinator.start(new SilentPool(), null, isHealthy -> {});
+    coordinator.workerPoolStarted(false, 0);
+    return coordinator;
   }
 
-  private static IncomingRequest arrival(int number, double rank) {
+  private static IncomingRequest unkeyedRequest(int number, double rank) {
     return new IncomingRequest(
         String.format("%016x", number),
         false,
@@ -92,31 +95,31 @@
   }
 
   @Test
-  void whatIsRefusedAtOnceNeedsNoThreadOfItsOwn() {
-    RequestCoordinator core = core(64);
-    Thread[] answered = new Thread[1];
+  void requestRejectedOnArrival_isAnsweredOnTheCallingThread() {
+    RequestCoordinator coordinator = coordinator(64);
+    Thread[] answeringThread = new Thread[1];
     assertEquals(
         Acceptance.Answered.ANSWERED,
-        core.accept(arrival(1, 0), answer -> answered[0] = Thread.currentThread()));
-    assertEquals(Thread.currentThread(), answered[0]);
+        coordinator.accept(unkeyedRequest(1, 0), answer -> answeringThread[0] = Thread.currentThread()));
+    assertEquals(Thread.currentThread(), answeringThread[0]);
   }
 
   @Test
-  void withMuchInHandTheWordsOfAMomentAreOneInstant() throws InterruptedException {
-    RequestCoordinator core = core(400);
+  void withManyInFlight_completionsOfAShortTimeShareABatch() throws InterruptedException {
+    RequestCoordinator coordinator = coordinator(400);
     CountDownLatch answers = new CountDownLatch(300);
     for (int i = 1; i <= 300; i++) {
-      core.accept(arrival(i, 0.5), answer -> answers.countDown());
+      coordinator.accept(unkeyedRequest(i, 0.5), answer -> answers.countDown());
     }
-    instants.set(0);
+    batches.set(0);
     for (int i = 1; i <= 300; i++) {
-      core.executionCompleted(String.format("%016x", i), Outcome.SUCCESS, 0.01, new byte[0]);
+      coordinator.executionCompleted(String.format("%016x", i), Outcome.SUCCESS, 0.01, new byte[0]);
     }
-    assertTrue(instants.get() < 290, instants + " looks at all in hand for 300 words");
-    assertTrue(answers.await(10, TimeUnit.SECONDS), "and none is forgotten");
+    assertTrue(batches.get() < 290, batches + " batches for 300 completions");
+    assertTrue(answers.await(10, TimeUnit.SECONDS), "all requests are answered");
   }
 
-  private static IncomingRequest keyed(int number, String key) {
+  private static IncomingRequest keyedRequest(int number, String key) {
     return new IncomingRequest(
         String.format("%016x", number),
         false,
@@ -133,43 +136,43 @@
   }
 
   @Test
-  void aKeyedRequestHasItsRoomBeforeItRunsAndComesInWhenThereIsSome() throws InterruptedException {
-    RequestCoordinator core = core(64, KeyMemoryBudget.of(100 << 10)); // 15 of the largest results
+  void keyedRequest_reservesMemoryBeforeItExecutes_andIsAcceptedOnceMemoryIsFree() throws InterruptedException {
+    RequestCoordinator coordinator = coordinator(64, KeyMemoryBudget.of(100 << 10)); // fits 15 of the largest results
     List<Answer> answers = Collections.synchronizedList(new ArrayList<>());
     for (int i = 1; i <= 30; i++) {
-      core.accept(keyed(i, "k" + i), answers::add);
+      coordinator.accept(keyedRequest(i, "k" + i), answers::add);
     }
     assertEquals(
         15,
         answers.size(),
-        "those without room are answered at once, on the thread that read them");
+        "requests without memory are rejected at once, on the calling thread");
     for (Answer answer : answers) {
       assertEquals(Answer.Kind.REJECTED, answer.kind());
-      assertTrue(answer.retryAfterSeconds() > 0, "with a time");
+      assertTrue(answer.retryAfterSeconds() > 0, "a rejection has a Retry-After");
     }
     for (int i = 1; i <= 15; i++) {
-      core.executionCompleted(String.format("%016x", i), Outcome.SUCCESS, 0.01, new byte[] {9});
+      coordinator.executionCompleted(String.format("%016x", i), Outcome.SUCCESS, 0.01, new byte[] {9});
     }
     while (answers.size() < 30) {
       Thread.onSpinWait();
     }
-    assertTrue(core.awaitDrained(10), "each promise is over with its request");
-    core.accept(keyed(100, "k1"), answers::add);
+    assertTrue(coordinator.awaitDrained(10), "all requests end, which releases their reservations");
+    coordinator.accept(keyedRequest(100, "k1"), answers::add);
     while (answers.size() < 31) {
       Thread.onSpinWait();
     }
-    assertEquals(Answer.Kind.SERVED, answers.get(30).kind(), "a repeat needs no room");
+    assertEquals(Answer.Kind.SERVED, answers.get(30).kind(), "a duplicate needs no reservation");
     for (int i = 16; i <= 30; i++) {
-      core.accept(keyed(200 + i, "k" + i), answers::add);
+      coordinator.accept(keyedRequest(200 + i, "k" + i), answers::add);
     }
     for (int i = 16; i <= 30; i++) {
-      core.executionCompleted(
+      coordinator.executionCompleted(
           String.format("%016x", 200 + i), Outcome.SUCCESS, 0.01, new byte[] {9});
     }
-    assertTrue(core.awaitDrained(10));
+    assertTrue(coordinator.awaitDrained(10));
     assertEquals(
         30,
-        answers.stream().filter(each -> each.kind() == Answer.Kind.SERVED).count() - 1,
-        "what was refused came again and ran");
+        answers.stream().filter(answer -> answer.kind() == Answer.Kind.SERVED).count() - 1,
+        "the rejected requests execute when they are retried");
   }
 }
--- a/src/test/java/wharftrestle/FullTableTest.java
+++ b/src/test/java/wharftrestle/FullTableTest.java
@@ -17,80 +17,80 @@
 import wharftrestle.metrics.Counters.Count;
 import wharftrestle.testbed.RespPeer.Reply;
 
-/** Stories of a box whose room for what it knows of keys is full. */
+/** Tests a host whose memory budget for idempotency keys is used up. */
 class FullTableTest {
-  private static final DaemonConfig.Appliance NONE =
+  private static final DaemonConfig.Appliance NO_APPLIANCE =
       new DaemonConfig.Appliance(null, null, null, "x", 24);
-  private static final String LARGE = "r".repeat(KeyMemoryBudget.MAX_RESULT_BYTES);
+  private static final String LARGEST_RESULT = "r".repeat(KeyMemoryBudget.MAX_RESULT_BYTES);
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
-  private Loopback box(Loopback elder, long bytes) throws Exception {
+  private Loopback startHost(Loopback predecessor, long bytes) throws Exception {
     return new Loopback(
-        Sites.site(), NONE, 1024, folder.resolve("n1.sock"), elder, KeyMemoryBudget.of(bytes));
+        Sites.site(), NO_APPLIANCE, 1024, directory.resolve("n1.sock"), predecessor, KeyMemoryBudget.of(bytes));
   }
 
-  private static void ask(Caller caller, int tag, String key) throws IOException {
-    caller.ask(tag, tag, System.currentTimeMillis(), "keyed", key, "body of " + key);
+  private static void sendKeyed(Caller client, int number, String key) throws IOException {
+    client.ask(number, number, System.currentTimeMillis(), "keyed", key, "body of " + key);
   }
 
-  /** The dispatch of the request that was asked last; null where its reply came without one. */
-  private static Command awaitDispatchOrReply(Loopback box, Caller caller) throws Exception {
+  /** Waits for the dispatch of the last request; null if its reply arrives without a dispatch. */
+  private static Command awaitDispatchOrReply(Loopback host, Caller client) throws Exception {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
     while (System.nanoTime() < deadline) {
-      Command dispatch = box.commands.poll(5, TimeUnit.MILLISECONDS);
-      if (dispatch != null || caller.socket.getInputStream().available() > 0) {
+      Command dispatch = host.commands.poll(5, TimeUnit.MILLISECONDS);
+      if (dispatch != null || client.socket.getInputStream().available() > 0) {
         return dispatch;
       }
     }
     throw new AssertionError("neither a dispatch nor a reply");
   }
 
-  /** Asks new keys, one by one and with the largest results, until one is refused; how many ran. */
-  private static int fill(Loopback box, Caller caller) throws Exception {
+  /** Sends new keys one by one, with the largest results, until one is rejected; returns their count. */
+  private static int fill(Loopback host, Caller client) throws Exception {
     for (int key = 1; ; key++) {
-      ask(caller, key, "k" + key);
-      Command run = awaitDispatchOrReply(box, caller);
-      if (run == null) {
-        Reply refused = caller.reply();
-        assertEquals("later", refused.word());
+      sendKeyed(client, key, "k" + key);
+      Command dispatch = awaitDispatchOrReply(host, client);
+      if (dispatch == null) {
+        Reply rejection = client.reply();
+        assertEquals("later", rejection.word());
         assertTrue(
-            refused.fields().matches(".*later=[1-9][0-9]*.*"),
-            "with a time to come back: " + refused);
+            rejection.fields().matches(".*later=[1-9][0-9]*.*"),
+            "expected a Retry-After: " + rejection);
         return key - 1;
       }
-      box.finish(run.ref(), "good", 1, LARGE.substring(4) + String.format("%04d", key));
-      assertEquals("done", caller.reply().word());
-      assertTrue(key < 1000, "nothing bounds the table");
+      host.finish(dispatch.ref(), "good", 1, LARGEST_RESULT.substring(4) + String.format("%04d", key));
+      assertEquals("done", client.reply().word());
+      assertTrue(key < 1000, "the table has no bound");
     }
   }
 
   @Test
-  void aNewKeyIsRefusedAtOnceAndAllElseGoesOn() throws Exception {
-    try (Loopback box = box(null, 300 << 10);
-        Caller caller = box.new Caller()) {
-      int ran = fill(box, caller);
-      assertTrue(ran >= 20 && ran < 75, ran + " results of 4 kB in 300 kB");
-      assertEquals(1, box.life.counters().get(Count.KEY_MEMORY_FULL));
-      for (int key = 1; key <= ran; key++) {
-        ask(caller, 1000 + key, "k" + key);
+  void newKeyIsRejectedAtOnce_andAllOtherRequestsAreServed() throws Exception {
+    try (Loopback host = startHost(null, 300 << 10);
+        Caller client = host.new Caller()) {
+      int executed = fill(host, client);
+      assertTrue(executed >= 20 && executed < 75, executed + " results of 4 kB within 300 kB");
+      assertEquals(1, host.life.counters().get(Count.KEY_MEMORY_FULL));
+      for (int key = 1; key <= executed; key++) {
+        sendKeyed(client, 1000 + key, "k" + key);
         assertTrue(
-            caller.reply().body().endsWith(String.format("%04d", key)),
-            "each repeat has its result");
+            client.reply().body().endsWith(String.format("%04d", key)),
+            "each duplicate receives its result");
       }
-      caller.ask(2000, 2000, System.currentTimeMillis(), "keyed", "k1", "another body");
-      assertEquals("error", caller.reply().word(), "its body is not kept, but still told apart");
-      caller.ask(2001, "read", null, "x");
-      box.finish(box.command().ref(), "good", 1, "fine");
-      assertEquals("fine", caller.reply().body(), "unkeyed work goes on");
-      for (int i = 0; i < 5; i++) { // they come again, together
-        ask(caller, 3000 + i, "new " + i);
+      client.ask(2000, 2000, System.currentTimeMillis(), "keyed", "k1", "another body");
+      assertEquals("error", client.reply().word(), "another body is detected by its checksum");
+      client.ask(2001, "read", null, "x");
+      host.finish(host.command().ref(), "good", 1, "fine");
+      assertEquals("fine", client.reply().body(), "unkeyed requests are still served");
+      for (int i = 0; i < 5; i++) { // rejected clients retry at the same time
+        sendKeyed(client, 3000 + i, "new " + i);
       }
       for (int i = 0; i < 5; i++) {
-        assertEquals("later", caller.reply().word());
+        assertEquals("later", client.reply().word());
       }
-      assertNull(box.commands.poll(), "and nothing of them ran");
-      String status = box.get("/_status");
+      assertNull(host.commands.poll(), "none of them executed");
+      String status = host.get("/_status");
       assertTrue(
           status.matches(
               "(?s).*kept +[0-9]+ of [0-9]+ keys, [0-9]+ of 300 kB, 6 refused for want of room.*"),
@@ -99,46 +99,46 @@
   }
 
   @Test
-  void aFullTableGoesAlongInAnUpgrade() throws Exception {
-    Files.writeString(folder.resolve("n1.sock"), "stale");
-    try (Loopback old = box(null, 300 << 10);
-        Caller before = old.new Caller()) {
-      int ran = fill(old, before);
-      try (Loopback next = box(old, 300 << 10)) {
-        next.awaitTaking();
-        try (Caller after = next.new Caller()) {
-          for (int key = 1; key <= ran; key++) {
-            ask(after, key, "k" + key);
-            assertTrue(after.reply().body().endsWith(String.format("%04d", key)), "k" + key);
+  void fullTable_isTransferredInAHandover() throws Exception {
+    Files.writeString(directory.resolve("n1.sock"), "stale");
+    try (Loopback predecessor = startHost(null, 300 << 10);
+        Caller predecessorClient = predecessor.new Caller()) {
+      int executed = fill(predecessor, predecessorClient);
+      try (Loopback successor = startHost(predecessor, 300 << 10)) {
+        successor.awaitTaking();
+        try (Caller successorClient = successor.new Caller()) {
+          for (int key = 1; key <= executed; key++) {
+            sendKeyed(successorClient, key, "k" + key);
+            assertTrue(successorClient.reply().body().endsWith(String.format("%04d", key)), "k" + key);
           }
-          ask(after, 500, "new");
-          assertEquals("later", after.reply().word(), "no room here either");
-          after.ask(501, 501, System.currentTimeMillis(), "keyed", "k2", "another body");
-          assertEquals("error", after.reply().word(), "what was asked came along");
-          assertNull(next.commands.poll(), "nothing ran again");
+          sendKeyed(successorClient, 500, "new");
+          assertEquals("later", successorClient.reply().word(), "the successor has no memory either");
+          successorClient.ask(501, 501, System.currentTimeMillis(), "keyed", "k2", "another body");
+          assertEquals("error", successorClient.reply().word(), "the checksum of the body was transferred");
+          assertNull(successor.commands.poll(), "no key executed again");
         }
       }
     }
   }
 
   @Test
-  void aProcessWithLessMemoryForgetsResultsButNoKey() throws Exception {
-    Files.writeString(folder.resolve("n1.sock"), "stale");
-    try (Loopback old = box(null, 300 << 10);
-        Caller before = old.new Caller()) {
-      int ran = fill(old, before);
-      try (Loopback next = box(old, 120 << 10)) {
-        next.awaitTaking();
-        try (Caller after = next.new Caller()) {
+  void successorWithLessMemory_dropsResultsButNoKeys() throws Exception {
+    Files.writeString(directory.resolve("n1.sock"), "stale");
+    try (Loopback predecessor = startHost(null, 300 << 10);
+        Caller predecessorClient = predecessor.new Caller()) {
+      int executed = fill(predecessor, predecessorClient);
+      try (Loopback successor = startHost(predecessor, 120 << 10)) {
+        successor.awaitTaking();
+        try (Caller successorClient = successor.new Caller()) {
           int served = 0;
-          for (int key = 1; key <= ran; key++) {
-            ask(after, key, "k" + key);
-            Reply reply = after.reply();
+          for (int key = 1; key <= executed; key++) {
+            sendKeyed(successorClient, key, "k" + key);
+            Reply reply = successorClient.reply();
             served += reply.word().equals("done") ? 1 : 0;
-            assertTrue(!reply.word().equals("later"), "never refused after its run: " + reply);
+            assertTrue(!reply.word().equals("later"), "rejected after its execution: " + reply);
           }
-          assertTrue(served > 5 && served < ran, served + " of " + ran + " results came along");
-          assertNull(next.commands.poll(), "nothing ran again");
+          assertTrue(served > 5 && served < executed, served + " of " + executed + " results were transferred");
+          assertNull(successor.commands.poll(), "no key executed again");
         }
       }
     }
--- a/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
+++ b/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
@@ -22,67 +22,67 @@
 import wharftrestle.idempotency.KeyState.Step;
 
 /**
- * The state machine of keys against a model of what may run, and the steps that the table must not
- * have.
+ * Tests the idempotency table: the transitions that must not exist, completion and persistence of
+ * single keys, and random operations against a model of which attempts may execute.
  */
 class IdempotencyTableTest {
-  private static final double WINDOW = 20;
+  private static final double WINDOW_SECONDS = 20;
   private static final byte[] BODY = {1};
 
-  private final List<String> ended = new ArrayList<>();
+  private final List<String> completedAttempts = new ArrayList<>();
   private final IdempotencyTable<String> keys =
       new IdempotencyTable<>(
-          (rider, entry) -> ended.add(rider + " " + entry.state()), KeyMemoryBudget.of(1 << 20));
+          (attached, entry) -> completedAttempts.add(attached + " " + entry.state()), KeyMemoryBudget.of(1 << 20));
 
   @Example
-  void aStepThatIsNotInTheTableThrows() {
+  void stepThatTheStateDoesNotPermit_throws() {
     assertThrows(IllegalStateException.class, () -> KeyState.SUCCEEDED.stateAfter(Step.START));
     assertThrows(IllegalStateException.class, () -> KeyState.OUTCOME_UNKNOWN.stateAfter(Step.START));
-    assertThrows(IllegalStateException.class, () -> KeyState.RUNNING.stateAfter(Step.RELEASE));
+    assertThrows(IllegalStateException.class, () -> KeyState.EXECUTING.stateAfter(Step.RELEASE));
     for (KeyState state : KeyState.values()) {
-      boolean mayRun = state.allows(Step.START) || state.allows(Step.RECORD_INTENT);
-      assertEquals(!state.mayHaveRun(), mayRun, state + ": what ran may not run, what did not may");
+      boolean mayStart = state.allows(Step.START) || state.allows(Step.RECORD_INTENT);
+      assertEquals(!state.mayHaveRun(), mayStart, state + ": another attempt may execute exactly if none may have executed");
     }
   }
 
   @Example
-  void waitersEndAsTheExecutionDoes() {
+  void attachedAttempts_completeWithTheExecution() {
     keys.enqueue("k", BODY, 1000, "first");
-    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW_SECONDS, 1, "first");
     assertTrue(keys.attach(keys.findDuplicate("k", 1500), "second"));
     assertFalse(keys.complete(entry, new byte[] {9}));
-    assertEquals(List.of("second SUCCEEDED"), ended);
+    assertEquals(List.of("second SUCCEEDED"), completedAttempts);
     assertFalse(
-        keys.attach(keys.findDuplicate("k", 1600), "third"), "it is over: answered at once");
+        keys.attach(keys.findDuplicate("k", 1600), "third"), "already completed: cannot be attached to");
     assertArrayEquals(new byte[] {9}, keys.result(keys.findDuplicate("k", 1600)));
   }
 
   @Example
-  void withPersistence_noResultIsGivenBeforeItIsOnDisk() {
+  void withPersistence_resultIsReturnedOnlyOnceItIsOnDisk() {
     keys.enablePersistence(10);
-    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW_SECONDS, 1, "first");
     assertEquals(KeyState.RECORDING, entry.state());
     keys.attach(entry, "second");
     keys.intentRecorded(entry);
-    assertTrue(keys.complete(entry, new byte[] {9}), "not final yet");
-    assertEquals(List.of(), ended);
+    assertTrue(keys.complete(entry, new byte[] {9}), "not final before the result is on disk");
+    assertEquals(List.of(), completedAttempts);
     keys.resultSaved(entry, 77);
-    assertEquals(List.of("second SUCCEEDED"), ended);
-    KeyEntry<String> later = keys.findDuplicate("k", 2000);
-    assertEquals(77, later.location());
-    assertNull(keys.result(later), "its bytes lie on disk");
-    assertTrue(later.body().matches(BODY));
-    assertFalse(later.body().matches(new byte[] {2}));
+    assertEquals(List.of("second SUCCEEDED"), completedAttempts);
+    KeyEntry<String> duplicate = keys.findDuplicate("k", 2000);
+    assertEquals(77, duplicate.location());
+    assertNull(keys.result(duplicate), "the result is on disk");
+    assertTrue(duplicate.body().matches(BODY));
+    assertFalse(duplicate.body().matches(new byte[] {2}));
     assertSame(
-        later.state(),
-        keys.start("k", BODY, 2000, WINDOW, 2, "third").state(),
-        "and it does not run");
+        duplicate.state(),
+        keys.start("k", BODY, 2000, WINDOW_SECONDS, 2, "third").state(),
+        "the second attempt does not execute");
   }
 
   @Example
-  void aResultThatCannotBeWrittenIsGivenFromMemory() {
+  void resultThatCannotBeWritten_isReturnedFromMemory() {
     keys.enablePersistence(10);
-    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW_SECONDS, 1, "first");
     keys.intentRecorded(entry);
     keys.complete(entry, new byte[] {9});
     keys.resultSaved(entry, CompactIndex.NO_RESULT);
@@ -90,118 +90,120 @@
   }
 
   @Example
-  void anExecutionWithoutARecordedIntentLeavesItsKeyFree() {
+  void abandonedExecution_leavesItsKeyAbsent() {
     keys.enablePersistence(10);
-    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW, 1, "first");
+    KeyEntry<String> entry = keys.start("k", BODY, 1000, WINDOW_SECONDS, 1, "first");
     keys.attach(entry, "second");
     keys.abandon(entry);
-    assertEquals(List.of("second ABSENT"), ended);
+    assertEquals(List.of("second ABSENT"), completedAttempts);
     assertNull(keys.findDuplicate("k", 1001));
-    keys.resultSaved(entry, 3); // a word from the disk that comes too late
+    keys.resultSaved(entry, 3); // the write completes after the key was abandoned
     assertNull(keys.findDuplicate("k", 1001));
   }
 
   @Example
-  void aRecoveredKeyNeverRunsInItsWindow() {
+  void recoveredKey_doesNotExecuteWithinItsWindow() {
     keys.enablePersistence(10);
     assertTrue(keys.recover("known", 5, 30_000, KeyDigest.checksum(BODY), 50));
     assertTrue(keys.recover("open", CompactIndex.NO_RESULT, 30_000, KeyDigest.checksum(BODY), 50));
     assertEquals(KeyState.SUCCEEDED, keys.findDuplicate("known", 29_999).state());
     assertEquals(KeyState.OUTCOME_UNKNOWN, keys.findDuplicate("open", 29_999).state());
-    assertFalse(keys.attach(keys.findDuplicate("open", 29_999), "x"), "over: it fails at once");
-    assertNull(keys.findDuplicate("open", 30_001), "its window is over");
+    assertFalse(keys.attach(keys.findDuplicate("open", 29_999), "x"), "final already: cannot be attached to");
+    assertNull(keys.findDuplicate("open", 30_001), "its window has ended");
     keys.expire(51);
     assertEquals(0, keys.size());
   }
 
-  /** What happens to one of four keys; the stamp lies so many ms after the clock's time. */
-  record Act(String what, int key, int late) {}
+  /** An operation on one of four keys; the timestamp is this many ms after the clock's time. */
+  record Operation(String name, int key, int offsetMillis) {}
 
   @Provide
-  Arbitrary<List<Act>> acts() {
+  Arbitrary<List<Operation>> operations() {
     return Combinators.combine(
             Arbitraries.of(
-                "hold",
+                "enqueue",
                 "start",
                 "start",
-                "recorded",
-                "void",
-                "good",
-                "good",
-                "bad",
-                "saved",
-                "unsaved",
+                "intentRecorded",
+                "abandon",
+                "succeed",
+                "succeed",
+                "fail",
+                "resultSaved",
+                "resultNotSaved",
                 "release",
-                "hear",
-                "freed",
-                "gone",
-                "time",
-                "time"),
+                "learnFromPeer",
+                "releasedByPeer",
+                "peerLost",
+                "advanceTime",
+                "advanceTime"),
             Arbitraries.integers().between(0, 3),
             Arbitraries.integers().between(-3000, 200))
-        .as(Act::new)
+        .as(Operation::new)
         .list()
         .ofMaxSize(120);
   }
 
   @Property(tries = 1500, seed = "29421")
-  void noKeyRunsTwiceInItsWindow(@ForAll("acts") List<Act> acts, @ForAll boolean recorded) {
+  void noKeyExecutesTwiceWithinItsWindow(@ForAll("operations") List<Operation> operations, @ForAll boolean isPersistent) {
     IdempotencyTable<String> keys =
-        new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(1 << 20));
-    if (recorded) {
-      keys.enablePersistence(3); // fewer than keys: one always stays in memory
+        new IdempotencyTable<>((attached, entry) -> {}, KeyMemoryBudget.of(1 << 20));
+    if (isPersistent) {
+      keys.enablePersistence(3); // fewer than the four keys, so that one always stays in memory
     }
-    Map<String, Long> coveredTo = new HashMap<>(); // the model: no try stamped up to here may run
-    Map<String, KeyEntry<String>> running = new HashMap<>();
-    Map<String, byte[]> results = new HashMap<>();
+    // The model: no attempt with a timestamp up to here may execute.
+    Map<String, Long> coveredUntilMillis = new HashMap<>();
+    Map<String, KeyEntry<String>> executingEntries = new HashMap<>();
+    Map<String, byte[]> expectedResults = new HashMap<>();
     double now = 100;
-    int holder = 0;
-    for (Act act : acts) {
-      String key = "k" + act.key();
-      long door = Math.round(now * 1000) + act.late();
-      KeyEntry<String> mine = running.get(key);
-      switch (act.what()) {
-        case "hold" -> {
-          KeyEntry<String> entry = keys.enqueue(key, BODY, door, "h" + ++holder);
-          Long covered = coveredTo.get(key);
-          assertTrue(entry == null || covered == null || door > covered, "held within its window");
+    int attemptNumber = 0;
+    for (Operation operation : operations) {
+      String key = "k" + operation.key();
+      long timestampMillis = Math.round(now * 1000) + operation.offsetMillis();
+      KeyEntry<String> executingEntry = executingEntries.get(key);
+      switch (operation.name()) {
+        case "enqueue" -> {
+          KeyEntry<String> entry = keys.enqueue(key, BODY, timestampMillis, "h" + ++attemptNumber);
+          Long coveredUntil = coveredUntilMillis.get(key);
+          assertTrue(entry == null || coveredUntil == null || timestampMillis > coveredUntil, "queued within the window of an execution");
           if (entry != null) {
-            coveredTo.remove(key); // a stamp past the window ends it, though the clock lags behind
+            // A timestamp past the window ends the window, even if the clock lags behind.
+            coveredUntilMillis.remove(key);
           }
         }
         case "start" -> {
-          KeyEntry<String> entry = keys.start(key, BODY, door, WINDOW, now, "s" + ++holder);
-          if (("s" + holder).equals(entry.attempt())) {
+          KeyEntry<String> entry = keys.start(key, BODY, timestampMillis, WINDOW_SECONDS, now, "s" + ++attemptNumber);
+          if (("s" + attemptNumber).equals(entry.attempt())) {
             assertTrue(
-                door > coveredTo.getOrDefault(key, Long.MIN_VALUE), "a second run of " + key);
-            coveredTo.put(key, door + Math.round(WINDOW * 1000));
-            running.put(key, entry);
-            results.remove(key);
+                timestampMillis > coveredUntilMillis.getOrDefault(key, Long.MIN_VALUE), "second execution within the window of " + key);
+            coveredUntilMillis.put(key, timestampMillis + Math.round(WINDOW_SECONDS * 1000));
+            executingEntries.put(key, entry);
+            expectedResults.remove(key);
           }
         }
-        case "recorded" -> {
-          if (mine != null && mine.state() == KeyState.RECORDING) {
-            keys.intentRecorded(mine);
+        case "intentRecorded" -> {
+          if (executingEntry != null && executingEntry.state() == KeyState.RECORDING) {
+            keys.intentRecorded(executingEntry);
           }
         }
-        case "void" -> {
-          if (mine != null && mine.state().allows(Step.VOID) && keys.isCurrent(mine)) {
-            keys.abandon(mine);
-            coveredTo.remove(key);
-            running.remove(key);
+        case "abandon" -> {
+          if (executingEntry != null && executingEntry.state().allows(Step.VOID) && keys.isCurrent(executingEntry)) {
+            keys.abandon(executingEntry);
+            coveredUntilMillis.remove(key);
+            executingEntries.remove(key);
           }
         }
-        case "good", "bad" -> {
-          if (mine != null && mine.state() == KeyState.RUNNING) {
-            byte[] result = act.what().equals("good") ? new byte[] {(byte) holder} : null;
-            boolean waits = keys.complete(mine, result);
-            assertEquals(recorded && result != null, waits);
-            results.put(key, result);
+        case "succeed", "fail" -> {
+          if (executingEntry != null && executingEntry.state() == KeyState.EXECUTING) {
+            byte[] result = operation.name().equals("succeed") ? new byte[] {(byte) attemptNumber} : null;
+            boolean isSaving = keys.complete(executingEntry, result);
+            assertEquals(isPersistent && result != null, isSaving);
+            expectedResults.put(key, result);
           }
         }
-        case "saved", "unsaved" -> {
-          if (mine != null && mine.state() == KeyState.SAVING) {
-            keys.resultSaved(mine, act.what().equals("saved") ? 8 : CompactIndex.NO_RESULT);
+        case "resultSaved", "resultNotSaved" -> {
+          if (executingEntry != null && executingEntry.state() == KeyState.SAVING) {
+            keys.resultSaved(executingEntry, operation.name().equals("resultSaved") ? 8 : CompactIndex.NO_RESULT);
           }
         }
         case "release" -> {
@@ -210,34 +212,34 @@
             keys.release(entry, entry.attempt());
           }
         }
-        case "hear" -> {
-          KeyEntry<String> heard =
-              keys.learnFromPeer(key, RequestBody.of(BODY), door + 20_000, now + 31);
-          if (heard != null) {
-            coveredTo.put(key, door + 20_000);
-            running.remove(key);
-            results.remove(key);
+        case "learnFromPeer" -> {
+          KeyEntry<String> learned =
+              keys.learnFromPeer(key, RequestBody.of(BODY), timestampMillis + 20_000, now + 31);
+          if (learned != null) {
+            coveredUntilMillis.put(key, timestampMillis + 20_000);
+            executingEntries.remove(key);
+            expectedResults.remove(key);
           }
         }
-        case "freed" -> {
+        case "releasedByPeer" -> {
           KeyEntry<String> entry = keys.find(key);
           if (keys.isOwnedByPeer(entry)) {
             keys.releasedByPeer(entry);
-            coveredTo.remove(key);
+            coveredUntilMillis.remove(key);
           }
         }
-        case "gone" -> keys.peerLost();
+        case "peerLost" -> keys.peerLost();
         default -> {
-          now += 1 + act.key() * 2;
+          now += 1 + operation.key() * 2;
           keys.expire(now);
         }
       }
-      KeyEntry<String> known = keys.find(key);
-      Long covered = coveredTo.get(key);
-      if (covered != null && Math.round(now * 1000) <= covered) {
-        assertTrue(known != null && known.mayHaveRun(), "forgotten within its window: " + key);
-        if (known.state() == KeyState.SUCCEEDED && known.location() == CompactIndex.NO_RESULT) {
-          assertArrayEquals(results.get(key), keys.result(known));
+      KeyEntry<String> existing = keys.find(key);
+      Long coveredUntil = coveredUntilMillis.get(key);
+      if (coveredUntil != null && Math.round(now * 1000) <= coveredUntil) {
+        assertTrue(existing != null && existing.mayHaveRun(), "removed within its window: " + key);
+        if (existing.state() == KeyState.SUCCEEDED && existing.location() == CompactIndex.NO_RESULT) {
+          assertArrayEquals(expectedResults.get(key), keys.result(existing));
         }
       }
     }
--- a/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
@@ -21,27 +21,27 @@
 import net.jqwik.api.Tuple;
 
 /**
- * What is known of keys in memory stays within its bound, and nothing that is owed to a key is
- * given up for it.
+ * Tests that idempotency keys and their results stay within the memory budget, and that no key and
+ * no reserved result is dropped within its window to achieve that.
  */
 class KeyMemoryBudgetTest {
-  private static final double WINDOW = 23.547;
+  private static final double WINDOW_SECONDS = 23.547;
   private static final byte[] BODY = new byte[2048];
 
-  // ---- Blocks against plain arrays ----
+  // ---- BlockStore compared with plain arrays ----
 
   @Property(tries = 400, seed = "29421")
   void blocksReturnTheBytesThatWerePut(@ForAll("sizes") List<Integer> sizes) {
     BlockStore blocks = new BlockStore(1500);
     ArrayDeque<Integer> at = new ArrayDeque<>();
-    ArrayDeque<byte[]> plain = new ArrayDeque<>();
+    ArrayDeque<byte[]> storedResults = new ArrayDeque<>();
     int inUse = 0;
     for (int size : sizes) {
       byte[] result = new byte[Math.abs(size)];
       Arrays.fill(result, (byte) size);
       if (size < 0 && !at.isEmpty()) {
-        inUse -= BlockStore.blocksFor(plain.peekFirst().length);
-        assertArrayEquals(plain.pollFirst(), blocks.get(at.peekFirst()), "what was put first");
+        inUse -= BlockStore.blocksFor(storedResults.peekFirst().length);
+        assertArrayEquals(storedResults.pollFirst(), blocks.get(at.peekFirst()), "the oldest stored result");
         blocks.free(at.pollFirst());
       }
       int first = blocks.put(result);
@@ -50,14 +50,14 @@
       if (first != BlockStore.NO_BLOCK) {
         inUse += BlockStore.blocksFor(result.length);
         at.addLast(first);
-        plain.addLast(result);
+        storedResults.addLast(result);
         assertEquals(BlockStore.blocksFor(result.length), blocks.blockCount(first));
       }
       assertEquals(inUse, blocks.usedBlocks());
       assertTrue(blocks.bytes() <= 1500L * BlockStore.BYTES_PER_BLOCK, blocks.bytes() + " bytes");
     }
     while (!at.isEmpty()) {
-      assertArrayEquals(plain.pollFirst(), blocks.get(at.pollFirst()));
+      assertArrayEquals(storedResults.pollFirst(), blocks.get(at.pollFirst()));
     }
   }
 
@@ -72,7 +72,7 @@
   }
 
   @Example
-  void aResultThatDoesNotFitLeavesNothingBehind() {
+  void resultThatDoesNotFit_storesNothing() {
     BlockStore blocks = new BlockStore(3);
     assertEquals(BlockStore.NO_BLOCK, blocks.put(new byte[200]));
     assertEquals(0, blocks.usedBlocks());
@@ -83,16 +83,16 @@
     assertEquals(3, blocks.blockCount(blocks.put(new byte[150])));
   }
 
-  // ---- The table within its room ----
+  // ---- IdempotencyTable within its budget ----
 
   /**
-   * What happens: 0 a new key is read, 1 one in hand ends well, 2 ends badly, 3 never runs, 4 time
-   * passes.
+   * An operation by its kind: 0 starts a new key, 1 completes the oldest key in flight with a
+   * result, 2 fails it, 3 abandons it, 4 advances the time.
    */
-  record Act(int kind, int number, int size) {}
+  record Operation(int kind, int number, int size) {}
 
   @Provide
-  Arbitrary<List<Act>> acts() {
+  Arbitrary<List<Operation>> operations() {
     return Combinators.combine(
             Arbitraries.frequency(
                 Tuple.of(10, 0), Tuple.of(7, 1), Tuple.of(1, 2), Tuple.of(1, 3), Tuple.of(2, 4)),
@@ -101,141 +101,142 @@
                 Arbitraries.integers().between(0, 120),
                 Arbitraries.integers().between(0, 4096),
                 Arbitraries.of(0, 4096)))
-        .as(Act::new)
+        .as(Operation::new)
         .list()
         .ofMinSize(50)
         .ofMaxSize(400);
   }
 
-  private record Owed(byte[] result, double until) {}
+  private record Expected(byte[] result, double untilSeconds) {}
 
   @Property(tries = 300, seed = "29421")
-  void memoryStaysWithinTheBudgetAndNoKeyIsForgottenInItsWindow(
-      @ForAll("acts") List<Act> acts, @ForAll boolean clockSteps) {
-    KeyMemoryBudget room = KeyMemoryBudget.of(96 << 10);
-    IdempotencyTable<String> keys = new IdempotencyTable<>((rider, entry) -> {}, room);
-    Map<String, Owed> owed = new HashMap<>();
-    ArrayDeque<KeyEntry<String>> inHand = new ArrayDeque<>();
+  void memoryStaysWithinTheBudget_andNoKeyIsRemovedWithinItsWindow(
+      @ForAll("operations") List<Operation> operations, @ForAll boolean clockSteps) {
+    KeyMemoryBudget budget = KeyMemoryBudget.of(96 << 10);
+    IdempotencyTable<String> keys = new IdempotencyTable<>((attached, entry) -> {}, budget);
+    Map<String, Expected> expectedByKey = new HashMap<>();
+    ArrayDeque<KeyEntry<String>> inFlight = new ArrayDeque<>();
     double now = 500;
-    long unix = 1_000_000; // ms that the wall clock is ahead of the steady one
+    long unixOffsetMillis = 1_000_000; // offset of the wall clock from the steady clock, ms
     int number = 0;
-    for (Act act : acts) {
-      switch (act.kind()) {
+    for (Operation operation : operations) {
+      switch (operation.kind()) {
         case 0 -> {
           if (keys.tryReserveMemory()) {
             String key = "1/0/" + ++number;
-            inHand.add(
-                keys.start(key, BODY, unix + Math.round(now * 1000), WINDOW, now, "try " + number));
-            owed.put(key, new Owed(null, now + WINDOW));
+            inFlight.add(
+                keys.start(key, BODY, unixOffsetMillis + Math.round(now * 1000), WINDOW_SECONDS, now, "attempt " + number));
+            expectedByKey.put(key, new Expected(null, now + WINDOW_SECONDS));
           }
         }
         case 1, 2 -> {
-          KeyEntry<String> ends = inHand.poll();
-          if (ends != null) {
-            byte[] result = act.kind() == 2 ? null : new byte[act.size()];
+          KeyEntry<String> entry = inFlight.poll();
+          if (entry != null) {
+            byte[] result = operation.kind() == 2 ? null : new byte[operation.size()];
             if (result != null) {
-              Arrays.fill(result, (byte) act.number());
+              Arrays.fill(result, (byte) operation.number());
             }
-            Owed was = owed.get(ends.key()); // null where its run outlived its window
-            if (was != null && now < was.until()) {
-              owed.put(ends.key(), new Owed(result, was.until()));
+            // Null if the execution lasted longer than the window.
+            Expected expected = expectedByKey.get(entry.key());
+            if (expected != null && now < expected.untilSeconds()) {
+              expectedByKey.put(entry.key(), new Expected(result, expected.untilSeconds()));
             }
-            keys.complete(ends, result);
+            keys.complete(entry, result);
             keys.releaseMemory();
           }
         }
         case 3 -> {
-          KeyEntry<String> ends = inHand.poll();
-          if (ends != null) {
-            keys.abandon(ends);
+          KeyEntry<String> entry = inFlight.poll();
+          if (entry != null) {
+            keys.abandon(entry);
             keys.releaseMemory();
-            owed.remove(ends.key());
+            expectedByKey.remove(entry.key());
           }
         }
         default -> {
-          now += act.number() / 4.0;
-          unix += clockSteps ? (act.size() - 2048) * 20L : 0;
+          now += operation.number() / 4.0;
+          unixOffsetMillis += clockSteps ? (operation.size() - 2048) * 20L : 0;
           keys.expire(now);
         }
       }
       assertTrue(
           keys.memoryBytes() + (long) KeyMemoryBudget.ADMISSION_BYTES_PER_KEY * keys.size()
-              <= room.bytes() + 400L * inHand.size(),
-          keys.memoryBytes() + " bytes of " + room.bytes());
+              <= budget.bytes() + 400L * inFlight.size(),
+          keys.memoryBytes() + " bytes of " + budget.bytes());
       double at = now;
-      owed.values().removeIf(each -> each.until() <= at);
-      owed.forEach(
+      expectedByKey.values().removeIf(each -> each.untilSeconds() <= at);
+      expectedByKey.forEach(
           (key, each) -> {
-            KeyEntry<String> known = keys.find(key);
-            assertTrue(known != null && known.mayHaveRun(), "forgotten within its window: " + key);
-            if (known.isFinal()) {
-              assertArrayEquals(each.result(), keys.result(known), "its result");
+            KeyEntry<String> existing = keys.find(key);
+            assertTrue(existing != null && existing.mayHaveRun(), "removed within its window: " + key);
+            if (existing.isFinal()) {
+              assertArrayEquals(each.result(), keys.result(existing), "result of " + key);
             }
           });
     }
   }
 
   @Property(tries = 200, seed = "29421")
-  void capacityIsBackAtTheStatedTimeAndNotBefore(@ForAll("acts") List<Act> acts) {
+  void capacityIsAvailableAtTheReturnedTime_andNotBefore(@ForAll("operations") List<Operation> operations) {
     IdempotencyTable<String> keys =
-        new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(64 << 10));
+        new IdempotencyTable<>((attached, entry) -> {}, KeyMemoryBudget.of(64 << 10));
     double now = 500;
     int number = 0;
-    for (Act act : acts) {
-      now += act.kind() == 4 ? act.number() / 10.0 : 0;
+    for (Operation operation : operations) {
+      now += operation.kind() == 4 ? operation.number() / 10.0 : 0;
       keys.expire(now);
       if (keys.tryReserveMemory()) {
         KeyEntry<String> entry =
-            keys.start("1/0/" + ++number, BODY, Math.round(now * 1000), WINDOW, now, "t");
-        keys.complete(entry, act.kind() == 2 ? null : new byte[act.size()]);
+            keys.start("1/0/" + ++number, BODY, Math.round(now * 1000), WINDOW_SECONDS, now, "t");
+        keys.complete(entry, operation.kind() == 2 ? null : new byte[operation.size()]);
         keys.releaseMemory();
         continue;
       }
-      double in = keys.secondsUntilCapacity(now);
+      double waitSeconds = keys.secondsUntilCapacity(now);
       assertTrue(
-          in > 0
-              && in
-                  <= WINDOW
+          waitSeconds > 0
+              && waitSeconds
+                  <= WINDOW_SECONDS
                       + IdempotencyTable.WINDOW_SLACK_SECONDS
                       + IdempotencyTable.LINGER_SECONDS
                       + 0.5,
-          "come again in " + in);
-      if (in > 0.5) {
-        keys.expire(now + in - 0.5);
-        assertFalse(keys.tryReserveMemory(), "there was room before the time that was told");
+          "seconds until capacity: " + waitSeconds);
+      if (waitSeconds > 0.5) {
+        keys.expire(now + waitSeconds - 0.5);
+        assertFalse(keys.tryReserveMemory(), "capacity was available before the returned time");
       }
-      now += in + 0.25;
+      now += waitSeconds + 0.25;
       keys.expire(now);
-      assertTrue(keys.tryReserveMemory(), "no room at the time that was told");
-      // All who were told the same time come together: what does not fit is refused again, and
-      // nothing breaks.
-      int more = 0;
+      assertTrue(keys.tryReserveMemory(), "no capacity at the returned time");
+      // Clients that received the same Retry-After return together: those that do not fit are
+      // rejected again.
+      int reservations = 0;
       while (keys.tryReserveMemory()) {
-        more++;
+        reservations++;
       }
-      assertTrue(more < 30, more + " came in at once");
-      for (; more >= 0; more--) {
+      assertTrue(reservations < 30, reservations + " reservations at once");
+      for (; reservations >= 0; reservations--) {
         keys.releaseMemory();
       }
     }
   }
 
   @Example
-  void aKeyOfThePeerHasItsMemoryAndAFullStoreKeepsTheKeyWithoutItsResult() {
+  void keysOfThePeerAreCountedInTheBudget_andAFullStoreDropsResultsButNoKeys() {
     IdempotencyTable<String> keys =
-        new IdempotencyTable<>((rider, entry) -> {}, KeyMemoryBudget.of(64 << 10));
-    int promised = 0;
+        new IdempotencyTable<>((attached, entry) -> {}, KeyMemoryBudget.of(64 << 10));
+    int reservable = 0;
     while (keys.tryReserveMemory()) {
-      promised++;
+      reservable++;
     }
-    for (int i = 0; i < promised; i++) {
+    for (int i = 0; i < reservable; i++) {
       keys.releaseMemory();
     }
-    for (int i = 0; i < promised; i++) {
+    for (int i = 0; i < reservable; i++) {
       keys.learnFromPeer("1/0/" + i, RequestBody.of(BODY), 50_000, 60);
     }
-    assertFalse(keys.tryReserveMemory(), "the other process may end each with the largest result");
-    for (int i = 0; i < promised; i++) {
+    assertFalse(keys.tryReserveMemory(), "the peer may complete each key with the largest result");
+    for (int i = 0; i < reservable; i++) {
       keys.complete(keys.find("1/0/" + i), new byte[KeyMemoryBudget.MAX_RESULT_BYTES]);
       assertEquals(KeyMemoryBudget.MAX_RESULT_BYTES, keys.result(keys.find("1/0/" + i)).length);
     }
@@ -243,8 +244,8 @@
       keys.learnSettledFromPeer(new SettledEntry(7, i, 50_000, 3, 60, new byte[4096]));
     }
     SettledEntry last = keys.findSettled(new KeyDigest(7, 19));
-    assertNull(last.result(), "no room for it");
-    assertEquals(50_000, last.coveredUntilMillis(), "but its key is known");
+    assertNull(last.result(), "the result does not fit");
+    assertEquals(50_000, last.coveredUntilMillis(), "its key is kept");
     keys.expire(61);
     assertTrue(keys.tryReserveMemory());
   }
--- a/src/test/java/wharftrestle/idempotency/KeyStructuresTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyStructuresTest.java
@@ -18,14 +18,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The wheel and the index against the plain structures that they stand for. */
+/** Compares the timing wheel and the index with hash maps under random operations. */
 class KeyStructuresTest {
 
-  /** What is done to both: 0 puts or schedules, 1 removes or cancels, 2 lets time pass. */
-  record Act(int kind, int number, double seconds) {}
+  /** An operation by its kind: 0 puts or schedules, 1 removes or cancels, 2 advances the time. */
+  record Operation(int kind, int number, double seconds) {}
 
   @Provide
-  Arbitrary<List<Act>> acts() {
+  Arbitrary<List<Operation>> operations() {
     return Combinators.combine(
             Arbitraries.frequency(
                 net.jqwik.api.Tuple.of(5, 0),
@@ -33,90 +33,91 @@
                 net.jqwik.api.Tuple.of(3, 2)),
             Arbitraries.integers().between(0, 40),
             Arbitraries.doubles().between(0, 60).ofScale(3))
-        .as(Act::new)
+        .as(Operation::new)
         .list()
         .ofMaxSize(200);
   }
 
   @Property(tries = 600, seed = "29421")
-  void theWheelFiresEachOnceNeverEarlyAndAtMostATickLate(@ForAll("acts") List<Act> acts) {
-    TimingWheel wheel = new TimingWheel(0.25, 16); // 4 s a turn, so that much lies turns ahead
-    Map<Integer, Double> plain = new HashMap<>();
+  void wheelFiresEachNumberOnce_neverEarly_atMostOneTickLate(@ForAll("operations") List<Operation> operations) {
+    // 4 s per turn, so that many numbers are due several turns ahead.
+    TimingWheel wheel = new TimingWheel(0.25, 16);
+    Map<Integer, Double> model = new HashMap<>();
     double now = 1000;
-    for (Act act : acts) {
-      switch (act.kind()) {
+    for (Operation operation : operations) {
+      switch (operation.kind()) {
         case 0 -> {
-          wheel.schedule(act.number(), now + act.seconds());
-          plain.put(act.number(), now + act.seconds());
+          wheel.schedule(operation.number(), now + operation.seconds());
+          model.put(operation.number(), now + operation.seconds());
         }
         case 1 -> {
-          wheel.cancel(act.number());
-          plain.remove(act.number());
+          wheel.cancel(operation.number());
+          model.remove(operation.number());
         }
         default -> {
-          now += act.seconds() / 6;
+          now += operation.seconds() / 6;
           double at = now;
           wheel.advance(
               now,
               number -> {
-                Double due = plain.remove(number);
-                assertTrue(due != null, "told twice, or never asked for");
-                assertTrue(due <= at, "early");
+                Double dueSeconds = model.remove(number);
+                assertTrue(dueSeconds != null, "fired twice or without being scheduled");
+                assertTrue(dueSeconds <= at, "fired early");
               });
-          plain.forEach((number, due) -> assertTrue(due + 0.5 > at, "late: " + (at - due)));
+          model.forEach((number, dueSeconds) -> assertTrue(dueSeconds + 0.5 > at, "fired late by more than a tick: " + (at - dueSeconds)));
         }
       }
-      assertEquals(plain.size(), wheel.size());
+      assertEquals(model.size(), wheel.size());
     }
   }
 
   @Property(tries = 600, seed = "29421")
-  void theIndexHoldsWhatAMapHolds(@ForAll("acts") List<Act> acts) {
+  void indexMatchesAHashMap(@ForAll("operations") List<Operation> operations) {
     CompactIndex index = new CompactIndex(30);
-    Map<Integer, Long> plain = new HashMap<>();
-    Map<Integer, Double> due = new HashMap<>();
+    Map<Integer, Long> model = new HashMap<>();
+    Map<Integer, Double> dueSeconds = new HashMap<>();
     double now = 5;
-    long place = 0;
-    for (Act act : acts) {
-      // Keys that share their home slot, so that every chain and every wrap is met.
-      KeyDigest key = new KeyDigest(act.number(), 64L * 3 - act.number() % 3);
-      switch (act.kind()) {
+    long location = 0;
+    for (Operation operation : operations) {
+      // Keys share three adjacent home slots, so that they collide and form chains.
+      KeyDigest key = new KeyDigest(operation.number(), 64L * 3 - operation.number() % 3);
+      switch (operation.kind()) {
         case 0 -> {
-          boolean room = plain.containsKey(act.number()) || plain.size() < 30;
-          assertEquals(room, index.put(key, ++place, place * 2, place * 3, now + act.seconds()));
-          if (room) {
-            plain.put(act.number(), place);
-            due.put(act.number(), now + act.seconds());
+          boolean fits = model.containsKey(operation.number()) || model.size() < 30;
+          assertEquals(fits, index.put(key, ++location, location * 2, location * 3, now + operation.seconds()));
+          if (fits) {
+            model.put(operation.number(), location);
+            dueSeconds.put(operation.number(), now + operation.seconds());
           }
         }
         case 1 -> {
-          assertEquals(plain.remove(act.number()) != null, index.remove(key));
-          due.remove(act.number());
+          assertEquals(model.remove(operation.number()) != null, index.remove(key));
+          dueSeconds.remove(operation.number());
         }
         default -> {
-          now += act.seconds() / 6;
+          now += operation.seconds() / 6;
           index.expire(now);
-          Set<Integer> all = new HashSet<>(plain.keySet());
-          for (int number : all) {
+          Set<Integer> numbers = new HashSet<>(model.keySet());
+          for (int number : numbers) {
             CompactIndex.IndexedKey found = index.find(new KeyDigest(number, 64L * 3 - number % 3));
             if (found == null) {
-              assertTrue(due.remove(number) <= now, "forgotten early");
-              plain.remove(number);
+              assertTrue(dueSeconds.remove(number) <= now, "removed early");
+              model.remove(number);
             } else {
-              assertTrue(due.get(number) + 0.5 > now, "kept too long");
-              assertEquals(plain.get(number), found.location());
-              assertEquals(plain.get(number) * 2, found.coveredUntilMillis());
-              assertEquals(plain.get(number) * 3, found.checksum());
+              assertTrue(dueSeconds.get(number) + 0.5 > now, "not removed in time");
+              assertEquals(model.get(number), found.location());
+              assertEquals(model.get(number) * 2, found.coveredUntilMillis());
+              assertEquals(model.get(number) * 3, found.checksum());
             }
           }
         }
       }
-      assertEquals(plain.size(), index.size());
+      assertEquals(model.size(), index.size());
     }
   }
 
   @Example
-  void theIndexGrowsToItsCapacityAndIsSmall() {
+  void indexGrowsToItsCapacity_withAtMost100BytesPerKey() {
     CompactIndex index = new CompactIndex(100_000);
     for (int i = 0; i < 100_000; i++) {
       assertTrue(index.put(KeyDigest.of("2/0/" + i), i, i, i, 30 + i % 7));
