--- a/src/main/java/wharftrestle/idempotency/BlockStore.java
+++ b/src/main/java/wharftrestle/idempotency/BlockStore.java
@@ -16,7 +16,7 @@
   /** Memory of one block with its link to the next, in bytes. */
   static final int BYTES_PER_BLOCK = BLOCK_BYTES + Integer.BYTES;
 
-  /** Block number that stands for no block. */
+  /** Block number that means no block. */
   static final int NO_BLOCK = -1;
 
   /** Blocks of one array, 64 kB: small against the smallest heap, large against any result. */
--- a/src/main/java/wharftrestle/idempotency/CompactIndex.java
+++ b/src/main/java/wharftrestle/idempotency/CompactIndex.java
@@ -30,7 +30,8 @@
   private long[] locations = new long[0];
   private long[] coveredUntilMillis = new long[0];
   private long[] checksums = new long[0];
-  private int[] rowBySlot = new int[0]; // rows by hash; the length is a power of two, at most half full
+  // Rows by hash; the length is a power of two, at most half of the slots are used.
+  private int[] rowBySlot = new int[0];
   private int[] freeRows = new int[0];
   private int freeRowCount;
   private int rowCount;
--- a/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
+++ b/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
@@ -357,7 +357,7 @@
 
   /**
    * Adds a key that an earlier process recorded on disk, or that the peer process handed over. An
-   * existing active entry takes precedence.
+   * active entry, or a settled one with its result in memory, takes precedence.
    *
    * @param location of the result, or {@link CompactIndex#NO_RESULT} if the outcome is unknown
    * @return false if it does not fit
--- a/src/main/java/wharftrestle/idempotency/RequestBody.java
+++ b/src/main/java/wharftrestle/idempotency/RequestBody.java
@@ -27,7 +27,7 @@
             : storedChecksum == KeyDigest.checksum(attemptBody));
   }
 
-  /** The {@link KeyDigest#checksum} of the body. */
+  /** The {@link KeyDigest#checksum} of the body, 64 bits. */
   public long checksum() {
     return bytes != null ? KeyDigest.checksum(bytes) : storedChecksum;
   }
--- a/src/main/java/wharftrestle/idempotency/TimingWheel.java
+++ b/src/main/java/wharftrestle/idempotency/TimingWheel.java
@@ -15,8 +15,8 @@
   private final double tickSeconds;
   private final int[] heads;
   private int[] next = new int[0];
-  private int[] previous =
-      new int[0]; // NONE - 1 - slot for the head of a slot; NOT_SCHEDULED if absent
+  // The previous number, NONE - 1 - slot for the head of a slot, or NOT_SCHEDULED.
+  private int[] previous = new int[0];
   private long[] dueTicks = new long[0]; // in ticks
   private long nowTicks = Long.MIN_VALUE; // all numbers due up to this tick have fired
   private int size;
@@ -46,7 +46,7 @@
   /**
    * Schedules a number; reschedules it if it is scheduled already.
    *
-   * @param number 0 or more; the arrays grow to this size
+   * @param number 0 or more; the arrays grow to include it
    * @param atSeconds when it is due, on the clock of {@link #advance}
    */
   public void schedule(int number, double atSeconds) {
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -99,7 +99,7 @@
   boolean isDispatched;
   boolean isCompleted;
 
-  /** The execution was decided on and then rejected: the worker pool is never sent it. */
+  /** The execution was decided on and then rejected, and is never sent to the worker pool. */
   boolean isRejectedBeforeSend;
 
   /** The request waits for the execution of another request with the same key. */
@@ -119,7 +119,7 @@
 
   double callStartedAtSeconds;
 
-  /** The last dependency call failed for another reason than a timeout. */
+  /** The last dependency call failed for a reason other than a timeout. */
   boolean hasFailedCall;
 
   KeyEntry<InFlightRequest> entry;
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -107,7 +107,10 @@
     }
   }
 
-  /** A rejection for lack of key memory, to retry when enough keys are expected to have expired. */
+  /**
+   * Counts and returns a rejection for lack of key memory, whose Retry-After is the time until enough
+   * keys have expired, as far as that is known.
+   */
   Answer newMemoryRejection(double now, double maxRetryAfterSeconds) {
     counters.add(Count.GUARD_REJECTIONS);
     counters.add(Count.KEY_MEMORY_FULL);
--- a/src/main/java/wharftrestle/request/PeerClaims.java
+++ b/src/main/java/wharftrestle/request/PeerClaims.java
@@ -10,10 +10,11 @@
 import wharftrestle.idempotency.KeyEntry;
 
 /**
- * Coordinates the keys of this process's requests with the peer process that owns all keys: claims
- * a key before its request is accepted, announces its execution, and releases it at the end. Keeps
- * the requests that wait for the peer's reply. Guarded by the coordinator's lock, which {@link
- * #claim} releases while it waits, and which no method holds while it waits for a write.
+ * Coordinates the keys of this process's requests with the peer process during a handover: claims a
+ * key from a peer that owns all keys before the request is accepted, announces executions to the
+ * peer, and releases keys. Keeps the requests that wait for the peer's reply. Guarded by the
+ * coordinator's lock, which {@link #claim} releases while it waits, and which no method holds while
+ * it waits for a write.
  */
 final class PeerClaims implements KeyOwnershipTransfer.Host<InFlightRequest> {
   private final ReentrantLock lock;
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -268,7 +268,7 @@
       lock.unlock();
     }
     if (reply != null) {
-      // The result of a completed key may have to be read from disk, which must not happen under the lock.
+      // The result may have to be read from disk, which must not happen under the lock.
       reply.send(
           reply.entry().isOnDisk()
               ? recorder.read(key, reply.entry().location())
--- a/src/main/java/wharftrestle/request/RequestLifecycle.java
+++ b/src/main/java/wharftrestle/request/RequestLifecycle.java
@@ -73,7 +73,7 @@
     counters.requestReceived();
     InFlightRequest request = create(incoming, listener);
     if (!claims.mustClaim(request)) {
-      arrive(request); // most rejected requests need no separate thread
+      processArrival(request); // most rejected requests need no separate thread
     }
     if (isFinishedOnArrival(request)) {
       runOrFail(request);
@@ -98,7 +98,7 @@
     }
   }
 
-  private void arrive(InFlightRequest request) {
+  private void processArrival(InFlightRequest request) {
     lock.lock();
     try {
       arrival.submitOrAnswer(request);
@@ -135,7 +135,7 @@
     String reference = incoming.reference();
     if (!request.isArrivalProcessed) {
       claims.claim(request);
-      arrive(request);
+      processArrival(request);
     }
     for (InFlightRequest.Step step = nextStep(request); step != null; step = nextStep(request)) {
       switch (step.kind()) {
@@ -239,7 +239,7 @@
               : untilBackstop;
       request.changed.awaitNanos(EventClock.waitNanos(wait));
     } else if (request.isAnswered) {
-      Logger.warn("execution did not end in time after its answer, no longer tracked reference={}", request.incoming.reference());
+      Logger.warn("execution did not end after its request was answered, assumed broken reference={}", request.incoming.reference());
       executions.complete(request, Outcome.BROKEN, now - request.startedAtSeconds, null);
     } else {
       // Answers in time even if the module or its timer is delayed.
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -37,7 +37,7 @@
   private final KeyOwnershipTransfer<InFlightRequest> ownership;
   private final KeyMemoryBudget memory;
   private Executions executions;
-  private volatile ResultStore store; // null where results are not recorded
+  private volatile ResultStore store; // null if results are not recorded
   private int maxKeysOnDisk;
 
   ResultRecorder(
--- a/src/test/java/wharftrestle/CoreTest.java
+++ b/src/test/java/wharftrestle/CoreTest.java
@@ -137,7 +137,8 @@
 
   @Test
   void keyedRequest_reservesMemoryBeforeItExecutes_andIsAcceptedOnceMemoryIsFree() throws InterruptedException {
-    RequestCoordinator coordinator = coordinator(64, KeyMemoryBudget.of(100 << 10)); // fits 15 of the largest results
+    // The memory fits 15 of the largest results.
+    RequestCoordinator coordinator = coordinator(64, KeyMemoryBudget.of(100 << 10));
     List<Answer> answers = Collections.synchronizedList(new ArrayList<>());
     for (int i = 1; i <= 30; i++) {
       coordinator.accept(keyedRequest(i, "k" + i), answers::add);
