--- a/src/main/java/wharftrestle/idempotency/BlockStore.java
+++ b/src/main/java/wharftrestle/idempotency/BlockStore.java
@@ -68,7 +68,8 @@
   /**
    * Stores a copy of a result.
    *
-   * @return its first block, or {@link #NO_BLOCK} if it does not fit, in which case nothing is stored
+   * @return its first block, or {@link #NO_BLOCK} if it does not fit, in which case nothing is
+   *     stored
    */
   public int put(byte[] result) {
     int blocks = blocksFor(result.length);
--- a/src/main/java/wharftrestle/idempotency/CompactIndex.java
+++ b/src/main/java/wharftrestle/idempotency/CompactIndex.java
@@ -188,7 +188,10 @@
         rowBySlot[probedSlot] != EMPTY;
         probedSlot = probedSlot + 1 & rowBySlot.length - 1) {
       int home = homeSlot(digestLows[rowBySlot[probedSlot]]);
-      boolean isHomeAfterHole = hole <= probedSlot ? hole < home && home <= probedSlot : hole < home || home <= probedSlot;
+      boolean isHomeAfterHole =
+          hole <= probedSlot
+              ? hole < home && home <= probedSlot
+              : hole < home || home <= probedSlot;
       if (!isHomeAfterHole) {
         rowBySlot[hole] = rowBySlot[probedSlot];
         hole = probedSlot;
@@ -199,7 +202,8 @@
 
   private int newRow() {
     if (rowCount == digestHighs.length) {
-      int newLength = (int) Math.min(capacity, Math.max(INITIAL_ROWS, rowCount + (long) (rowCount >> 1)));
+      int newLength =
+          (int) Math.min(capacity, Math.max(INITIAL_ROWS, rowCount + (long) (rowCount >> 1)));
       digestHighs = Arrays.copyOf(digestHighs, newLength);
       digestLows = Arrays.copyOf(digestLows, newLength);
       locations = Arrays.copyOf(locations, newLength);
--- a/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
+++ b/src/main/java/wharftrestle/idempotency/IdempotencyTable.java
@@ -85,7 +85,8 @@
    */
   public boolean tryReserveMemory() {
     return persistent
-        || budget.tryReserve(unreservedKeyCount(), settledKeys.usedBlocks(), activeKeys.peerOwnedCount());
+        || budget.tryReserve(
+            unreservedKeyCount(), settledKeys.usedBlocks(), activeKeys.peerOwnedCount());
   }
 
   /** Releases a reservation. */
@@ -189,8 +190,8 @@
   /**
    * Starts the execution of a key. If results are persistent, its intent must be on disk before the
    * dispatch, and the caller then calls {@link #intentRecorded} or {@link #abandon}. If an attempt
-   * has executed within this window, returns its entry: the given attempt may not execute, and is to
-   * be attached to that entry.
+   * has executed within this window, returns its entry: the given attempt may not execute, and is
+   * to be attached to that entry.
    */
   public KeyEntry<T> start(
       String key, byte[] body, long timestampMillis, double windowSeconds, double now, T attempt) {
@@ -302,7 +303,8 @@
   public KeyEntry<T> learnFromPeer(
       String key, RequestBody body, long coveredUntilMillis, double expiresAtSeconds) {
     KeyEntry<T> existing = lookup(key);
-    if (existing != null && !(existing.isFinal() && existing.coveredUntilMillis() < coveredUntilMillis)) {
+    if (existing != null
+        && !(existing.isFinal() && existing.coveredUntilMillis() < coveredUntilMillis)) {
       return null;
     }
     if (existing != null) {
--- a/src/main/java/wharftrestle/idempotency/KeyDigest.java
+++ b/src/main/java/wharftrestle/idempotency/KeyDigest.java
@@ -29,7 +29,8 @@
     try {
       return MessageDigest.getInstance("SHA-256").digest(bytes);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("SHA-256 is not available, which every Java platform must provide", e);
+      throw new IllegalStateException(
+          "SHA-256 is not available, which every Java platform must provide", e);
     }
   }
 }
--- a/src/main/java/wharftrestle/idempotency/KeyMemoryBudget.java
+++ b/src/main/java/wharftrestle/idempotency/KeyMemoryBudget.java
@@ -96,8 +96,8 @@
    *
    * @param keys number of settled keys and of keys that the peer process has in flight
    * @param usedBlocks blocks of results in use
-   * @param peerOwnedKeys number of keys that the peer process has in flight, each of which may add a
-   *     result
+   * @param peerOwnedKeys number of keys that the peer process has in flight, each of which may add
+   *     a result
    */
   public boolean tryReserve(int keys, int usedBlocks, int peerOwnedKeys) {
     if (excessKeys(keys) > 0 || excessBlocks(usedBlocks, peerOwnedKeys) > 0) {
--- a/src/main/java/wharftrestle/idempotency/KeyState.java
+++ b/src/main/java/wharftrestle/idempotency/KeyState.java
@@ -140,7 +140,8 @@
   public KeyState stateAfter(Step step) {
     KeyState next = TABLE.get(this).nextByStep().get(step);
     if (next == null) {
-      throw new IllegalStateException("expected a step that a key in state " + this + " permits, found " + step);
+      throw new IllegalStateException(
+          "expected a step that a key in state " + this + " permits, found " + step);
     }
     return next;
   }
--- a/src/main/java/wharftrestle/idempotency/SettledKeys.java
+++ b/src/main/java/wharftrestle/idempotency/SettledKeys.java
@@ -4,9 +4,9 @@
 import wharftrestle.idempotency.KeyState.Step;
 
 /**
- * Keys whose outcome is final, in compact form: a row of the {@link CompactIndex} by digest, and the
- * result in the {@link BlockStore} or on disk. Maps locations to blocks, and frees the blocks of
- * keys that are removed. Guarded by the lock of the table's caller.
+ * Keys whose outcome is final, in compact form: a row of the {@link CompactIndex} by digest, and
+ * the result in the {@link BlockStore} or on disk. Maps locations to blocks, and frees the blocks
+ * of keys that are removed. Guarded by the lock of the table's caller.
  *
  * <p>A location of 0 or more is on disk, {@link CompactIndex#NO_RESULT} means no result, and each
  * number below that means the first block of a result in memory.
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Adds a final entry, with its result in memory unless that is on disk. A result that does not fit
-   * is dropped and its key is kept; a result with a reservation always fits.
+   * Adds a final entry, with its result in memory unless that is on disk. A result that does not
+   * fit is dropped and its key is kept; a result with a reservation always fits.
    *
    * @return false if the index is full, in which case the entry keeps its result
    */
--- a/src/main/java/wharftrestle/idempotency/TimingWheel.java
+++ b/src/main/java/wharftrestle/idempotency/TimingWheel.java
@@ -31,7 +31,11 @@
    */
   public TimingWheel(double tickSeconds, int slots) {
     if (!(tickSeconds > 0) || Integer.bitCount(slots) != 1) {
-      throw new IllegalArgumentException("expected a tick above 0 and a power of two of slots, found " + tickSeconds + " and " + slots);
+      throw new IllegalArgumentException(
+          "expected a tick above 0 and a power of two of slots, found "
+              + tickSeconds
+              + " and "
+              + slots);
     }
     this.tickSeconds = tickSeconds;
     heads = new int[slots];
--- a/src/main/java/wharftrestle/idempotency/package-info.java
+++ b/src/main/java/wharftrestle/idempotency/package-info.java
@@ -8,7 +8,7 @@
  * wharftrestle.idempotency.TimingWheel} are its data structures, {@link
  * wharftrestle.idempotency.KeyMemoryBudget} limits their memory.
  *
- * <p>The package uses no sockets, files, threads or clocks: time is passed in, and the caller's lock
- * guards all state.
+ * <p>The package uses no sockets, files, threads or clocks: time is passed in, and the caller's
+ * lock guards all state.
  */
 package wharftrestle.idempotency;
--- a/src/main/java/wharftrestle/request/AdmissionActions.java
+++ b/src/main/java/wharftrestle/request/AdmissionActions.java
@@ -95,7 +95,8 @@
     request.isRejectedBeforeSend = true;
     admission.runAfterBatch(
         () -> {
-          callers.answer(request, keyedRequests.newMemoryRejection(clock.now(), maxRetryAfterSeconds));
+          callers.answer(
+              request, keyedRequests.newMemoryRejection(clock.now(), maxRetryAfterSeconds));
           keyedRequests.releaseKey(request);
           executions.complete(request, Outcome.VOID, 0, null);
         });
--- a/src/main/java/wharftrestle/request/AdmissionTimers.java
+++ b/src/main/java/wharftrestle/request/AdmissionTimers.java
@@ -71,7 +71,8 @@
         Timer nextTimer = timers.peek();
         double now = clock.now();
         double secondsToBatchEnd = admission.batchEndsAtSeconds() - now;
-        double secondsToTimer = nextTimer == null ? IDLE_WAIT_SECONDS : nextTimer.dueAtSeconds() - now;
+        double secondsToTimer =
+            nextTimer == null ? IDLE_WAIT_SECONDS : nextTimer.dueAtSeconds() - now;
         if (Math.min(secondsToBatchEnd, secondsToTimer) > 0) {
           timerWork.awaitNanos(EventClock.waitNanos(Math.min(secondsToBatchEnd, secondsToTimer)));
         } else if (secondsToBatchEnd < secondsToTimer) {
@@ -81,7 +82,8 @@
         }
       }
     } catch (InterruptedException e) {
-      throw new IllegalStateException("timer thread was interrupted, which nothing in the daemon does", e);
+      throw new IllegalStateException(
+          "timer thread was interrupted, which nothing in the daemon does", e);
     } finally {
       lock.unlock();
     }
--- a/src/main/java/wharftrestle/request/DependencyCalls.java
+++ b/src/main/java/wharftrestle/request/DependencyCalls.java
@@ -52,7 +52,8 @@
       }
       body = request.callBody;
       number = ++request.callNumber;
-      timeoutMillis = Math.max(1, Math.round((callDeadlineSeconds - clock.now()) * MILLIS_PER_SECOND));
+      timeoutMillis =
+          Math.max(1, Math.round((callDeadlineSeconds - clock.now()) * MILLIS_PER_SECOND));
     } finally {
       lock.unlock();
     }
@@ -89,7 +90,8 @@
     }
   }
 
-  private void onCallCompleted(InFlightRequest request, int number, Outcome outcome, byte[] response) {
+  private void onCallCompleted(
+      InFlightRequest request, int number, Outcome outcome, byte[] response) {
     counters.add(
         outcome == Outcome.SUCCESS
             ? Count.DEPENDENCY_CALLS_SUCCEEDED
--- a/src/main/java/wharftrestle/request/HostHealth.java
+++ b/src/main/java/wharftrestle/request/HostHealth.java
@@ -16,7 +16,7 @@
 
   /** False while an operator drains the host, otherwise the admission module's decision. */
   boolean isHealthy() {
-    // A process that has relinquished its clients shuts down as intended; the host is not unhealthy.
+    // A process that has relinquished its clients ends as intended, so the host is healthy.
     return (isModuleHealthy || isRelinquished) && !isDraining;
   }
 
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -114,7 +114,9 @@
   byte[] callBody;
   DependencyCall call;
 
-  /** Incremented as a call starts or ends, so that a late response to an earlier call is ignored. */
+  /**
+   * Incremented as a call starts or ends, so that a late response to an earlier call is ignored.
+   */
   int callNumber;
 
   double callStartedAtSeconds;
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -108,8 +108,8 @@
   }
 
   /**
-   * Counts and returns a rejection for lack of key memory, whose Retry-After is the time until enough
-   * keys have expired, as far as that is known.
+   * Counts and returns a rejection for lack of key memory, whose Retry-After is the time until
+   * enough keys have expired, as far as that is known.
    */
   Answer newMemoryRejection(double now, double maxRetryAfterSeconds) {
     counters.add(Count.GUARD_REJECTIONS);
--- a/src/main/java/wharftrestle/request/PeerClaims.java
+++ b/src/main/java/wharftrestle/request/PeerClaims.java
@@ -26,7 +26,10 @@
   private ResultRecorder recorder;
 
   PeerClaims(
-      ReentrantLock lock, EventClock clock, RequestDeadlines deadlines, KeyedRequests keyedRequests) {
+      ReentrantLock lock,
+      EventClock clock,
+      RequestDeadlines deadlines,
+      KeyedRequests keyedRequests) {
     this.lock = lock;
     this.clock = clock;
     this.deadlines = deadlines;
@@ -48,7 +51,10 @@
     return ownership.isOwner();
   }
 
-  /** True if the key must be claimed from the peer before the request is accepted. Acquires the lock. */
+  /**
+   * True if the key must be claimed from the peer before the request is accepted. Acquires the
+   * lock.
+   */
   boolean mustClaim(InFlightRequest request) {
     lock.lock();
     try {
@@ -77,7 +83,8 @@
       }
       waitingRequests.remove(request);
     } catch (InterruptedException e) {
-      throw new IllegalStateException("request thread was interrupted, which nothing in the daemon does", e);
+      throw new IllegalStateException(
+          "request thread was interrupted, which nothing in the daemon does", e);
     } finally {
       lock.unlock();
     }
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -137,8 +137,8 @@
   }
 
   /**
-   * Makes the peer the owner of all keys in one step. Executions in flight continue in this process,
-   * which sends their outcomes to the peer.
+   * Makes the peer the owner of all keys in one step. Executions in flight continue in this
+   * process, which sends their outcomes to the peer.
    *
    * @return how many keys are in flight here
    */
--- a/src/main/java/wharftrestle/request/PlatformThreads.java
+++ b/src/main/java/wharftrestle/request/PlatformThreads.java
@@ -20,7 +20,8 @@
     Thread thread = new Thread(null, body, name, STACK_BYTES);
     thread.setDaemon(true);
     thread.setUncaughtExceptionHandler(
-        (failed, fault) -> Logger.error(fault, "thread ended by an uncaught exception thread={}", name));
+        (failed, fault) ->
+            Logger.error(fault, "thread ended by an uncaught exception thread={}", name));
     return thread;
   }
 
--- a/src/main/java/wharftrestle/request/RequestArrival.java
+++ b/src/main/java/wharftrestle/request/RequestArrival.java
@@ -46,7 +46,8 @@
     if (request.isAnswered) {
       return;
     }
-    KeyEntry<InFlightRequest> existing = request.key == null ? null : keyedRequests.table().find(request.key);
+    KeyEntry<InFlightRequest> existing =
+        request.key == null ? null : keyedRequests.table().find(request.key);
     boolean mayHaveExecuted =
         (existing != null && existing.mayHaveRun()) || (request.key != null && !claims.ownsKeys());
     if (inFlight.isFull()) {
--- a/src/main/java/wharftrestle/request/RequestDeadlines.java
+++ b/src/main/java/wharftrestle/request/RequestDeadlines.java
@@ -22,7 +22,8 @@
   double backstopAtSeconds(IncomingRequest incoming, double now) {
     double deadline = settings.classes().get(incoming.classIndex()).deadlineSeconds();
     return Math.min(
-        now - incoming.queueingDelaySeconds() + deadline + BACKSTOP_DELAY_SECONDS, shutdownAtSeconds);
+        now - incoming.queueingDelaySeconds() + deadline + BACKSTOP_DELAY_SECONDS,
+        shutdownAtSeconds);
   }
 
   /** Limits the backstops of later requests to this time. */
--- a/src/main/java/wharftrestle/request/RequestLifecycle.java
+++ b/src/main/java/wharftrestle/request/RequestLifecycle.java
@@ -147,7 +147,8 @@
               reference, settings.classes().get(incoming.classIndex()).name(), incoming.body());
         }
         case CALL_DEPENDENCY ->
-            dependencyCalls.send(request, ((InFlightRequest.CallDependency) step).callDeadlineSeconds());
+            dependencyCalls.send(
+                request, ((InFlightRequest.CallDependency) step).callDeadlineSeconds());
         case DELIVER_RESPONSE ->
             workerPool.deliverResponse(
                 reference, ((InFlightRequest.DeliverResponse) step).response());
@@ -166,7 +167,10 @@
     try {
       run(request);
     } catch (RuntimeException | Error fault) {
-      Logger.error(fault, "request failed by an uncaught exception reference={}", request.incoming.reference());
+      Logger.error(
+          fault,
+          "request failed by an uncaught exception reference={}",
+          request.incoming.reference());
       if (abort(request)) {
         request.listener.onAnswer(Answer.failed());
       }
@@ -221,7 +225,8 @@
         }
       }
     } catch (InterruptedException e) {
-      throw new IllegalStateException("request thread was interrupted, which nothing in the daemon does", e);
+      throw new IllegalStateException(
+          "request thread was interrupted, which nothing in the daemon does", e);
     } finally {
       lock.unlock();
     }
@@ -239,7 +244,9 @@
               : untilBackstop;
       request.changed.awaitNanos(EventClock.waitNanos(wait));
     } else if (request.isAnswered) {
-      Logger.warn("execution did not end after its request was answered, assumed broken reference={}", request.incoming.reference());
+      Logger.warn(
+          "execution did not end after its request was answered, assumed broken reference={}",
+          request.incoming.reference());
       executions.complete(request, Outcome.BROKEN, now - request.startedAtSeconds, null);
     } else {
       // Answers in time even if the module or its timer is delayed.
--- a/src/main/java/wharftrestle/request/RequestParts.java
+++ b/src/main/java/wharftrestle/request/RequestParts.java
@@ -44,7 +44,8 @@
     claims = new PeerClaims(lock, clock, deadlines, keyedRequests);
     peer = new PeerCoordinator(lock, clock, admission, keyedRequests, claims, keyMemory);
     recorder = new ResultRecorder(this, claims.ownership(), keyMemory);
-    executions = new Executions(counters, clock, inFlight, admission, callers, keyedRequests, recorder);
+    executions =
+        new Executions(counters, clock, inFlight, admission, callers, keyedRequests, recorder);
     dependencyCalls = new DependencyCalls(lock, settings, counters, clock, admission);
     keyedRequests.connect(claims.ownership(), recorder);
     claims.connect(recorder);
--- a/src/main/java/wharftrestle/request/ResultRecorder.java
+++ b/src/main/java/wharftrestle/request/ResultRecorder.java
@@ -65,7 +65,9 @@
     maxKeysOnDisk = Math.min(resultStore.maxKeys(), memory.maxKeysWithResultsOnDisk());
     if (maxKeysOnDisk < resultStore.maxKeys()) {
       Logger.warn(
-          "memory limits the number of recorded keys max={} configured={}", maxKeysOnDisk, resultStore.maxKeys());
+          "memory limits the number of recorded keys max={} configured={}",
+          maxKeysOnDisk,
+          resultStore.maxKeys());
     }
     keys.enablePersistence(maxKeysOnDisk);
   }
@@ -135,7 +137,8 @@
     PeerProcess peer = ownership.peer();
     if (!ownership.isOwner() && peer != null) {
       // The peer writes it and reports the outcome to PeerCoordinator.intentWritten.
-      request.intentDeadlineSeconds = clock.now() + PEER_TIMEOUT_FACTOR * store.intentTimeoutSeconds();
+      request.intentDeadlineSeconds =
+          clock.now() + PEER_TIMEOUT_FACTOR * store.intentTimeoutSeconds();
       peer.sendIntentRequest(
           request.key, request.incoming.receivedAtMillis(), request.incoming.body());
       return;
@@ -264,8 +267,8 @@
   }
 
   /**
-   * A result is on disk, or with a position below 0 its write has failed. The request is answered in
-   * either case: the intent is on disk, so the key does not execute again.
+   * A result is on disk, or with a position below 0 its write has failed. The request is answered
+   * in either case: the intent is on disk, so the key does not execute again.
    */
   void resultWriteCompleted(KeyEntry<InFlightRequest> entry, long position) {
     if (entry.state() != KeyState.SAVING) {
--- a/src/main/java/wharftrestle/request/package-info.java
+++ b/src/main/java/wharftrestle/request/package-info.java
@@ -3,8 +3,8 @@
  * dependency calls, and the code that carries out the decisions of {@link wharftrestle.admission}.
  *
  * <p>Threads: one for each request in flight, one for the timers, and the threads that call {@link
- * wharftrestle.request.RequestCoordinator} and {@link wharftrestle.request.PeerCoordinator}.
- * One lock, created in {@code RequestParts}, guards every decision and all state but the final fields;
+ * wharftrestle.request.RequestCoordinator} and {@link wharftrestle.request.PeerCoordinator}. One
+ * lock, created in {@code RequestParts}, guards every decision and all state but the final fields;
  * sockets and files are used without it.
  *
  * <p>Start reading at {@code RequestLifecycle.run}, which processes one request, then {@code
--- a/src/main/java/wharftrestle/time/SteadyWallClock.java
+++ b/src/main/java/wharftrestle/time/SteadyWallClock.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 
 /**
- * The machine's wall clock, which may step, and a steady wall clock, which never does: the Unix time
- * in ms at the start of this process, advanced from there by the monotonic clock. A request's
+ * The machine's wall clock, which may step, and a steady wall clock, which never does: the Unix
+ * time in ms at the start of this process, advanced from there by the monotonic clock. A request's
  * timestamp is mapped to the steady clock by its age as it is read, so that a step of the wall
  * clock shifts neither a key's window nor a deadline. The successor of a handover continues its
  * predecessor's steady clock by {@link #adoptOffset}. Thread-safe.
--- a/src/test/java/wharftrestle/CoreTest.java
+++ b/src/test/java/wharftrestle/CoreTest.java
@@ -100,7 +100,8 @@
     Thread[] answeringThread = new Thread[1];
     assertEquals(
         Acceptance.Answered.ANSWERED,
-        coordinator.accept(unkeyedRequest(1, 0), answer -> answeringThread[0] = Thread.currentThread()));
+        coordinator.accept(
+            unkeyedRequest(1, 0), answer -> answeringThread[0] = Thread.currentThread()));
     assertEquals(Thread.currentThread(), answeringThread[0]);
   }
 
@@ -136,7 +137,8 @@
   }
 
   @Test
-  void keyedRequest_reservesMemoryBeforeItExecutes_andIsAcceptedOnceMemoryIsFree() throws InterruptedException {
+  void keyedRequest_reservesMemoryBeforeItExecutes_andIsAcceptedOnceMemoryIsFree()
+      throws InterruptedException {
     // The memory fits 15 of the largest results.
     RequestCoordinator coordinator = coordinator(64, KeyMemoryBudget.of(100 << 10));
     List<Answer> answers = Collections.synchronizedList(new ArrayList<>());
@@ -144,15 +146,14 @@
       coordinator.accept(keyedRequest(i, "k" + i), answers::add);
     }
     assertEquals(
-        15,
-        answers.size(),
-        "requests without memory are rejected at once, on the calling thread");
+        15, answers.size(), "requests without memory are rejected at once, on the calling thread");
     for (Answer answer : answers) {
       assertEquals(Answer.Kind.REJECTED, answer.kind());
       assertTrue(answer.retryAfterSeconds() > 0, "a rejection has a Retry-After");
     }
     for (int i = 1; i <= 15; i++) {
-      coordinator.executionCompleted(String.format("%016x", i), Outcome.SUCCESS, 0.01, new byte[] {9});
+      coordinator.executionCompleted(
+          String.format("%016x", i), Outcome.SUCCESS, 0.01, new byte[] {9});
     }
     while (answers.size() < 30) {
       Thread.onSpinWait();
--- a/src/test/java/wharftrestle/FullTableTest.java
+++ b/src/test/java/wharftrestle/FullTableTest.java
@@ -27,7 +27,12 @@
 
   private Loopback startHost(Loopback predecessor, long bytes) throws Exception {
     return new Loopback(
-        Sites.site(), NO_APPLIANCE, 1024, directory.resolve("n1.sock"), predecessor, KeyMemoryBudget.of(bytes));
+        Sites.site(),
+        NO_APPLIANCE,
+        1024,
+        directory.resolve("n1.sock"),
+        predecessor,
+        KeyMemoryBudget.of(bytes));
   }
 
   private static void sendKeyed(Caller client, int number, String key) throws IOException {
@@ -46,7 +51,7 @@
     throw new AssertionError("neither a dispatch nor a reply");
   }
 
-  /** Sends new keys one by one, with the largest results, until one is rejected; returns their count. */
+  /** Sends new keys with the largest results until one is rejected; returns how many executed. */
   private static int fill(Loopback host, Caller client) throws Exception {
     for (int key = 1; ; key++) {
       sendKeyed(client, key, "k" + key);
@@ -59,7 +64,8 @@
             "expected a Retry-After: " + rejection);
         return key - 1;
       }
-      host.finish(dispatch.ref(), "good", 1, LARGEST_RESULT.substring(4) + String.format("%04d", key));
+      host.finish(
+          dispatch.ref(), "good", 1, LARGEST_RESULT.substring(4) + String.format("%04d", key));
       assertEquals("done", client.reply().word());
       assertTrue(key < 1000, "the table has no bound");
     }
@@ -109,12 +115,15 @@
         try (Caller successorClient = successor.new Caller()) {
           for (int key = 1; key <= executed; key++) {
             sendKeyed(successorClient, key, "k" + key);
-            assertTrue(successorClient.reply().body().endsWith(String.format("%04d", key)), "k" + key);
+            assertTrue(
+                successorClient.reply().body().endsWith(String.format("%04d", key)), "k" + key);
           }
           sendKeyed(successorClient, 500, "new");
-          assertEquals("later", successorClient.reply().word(), "the successor has no memory either");
+          assertEquals(
+              "later", successorClient.reply().word(), "the successor has no memory either");
           successorClient.ask(501, 501, System.currentTimeMillis(), "keyed", "k2", "another body");
-          assertEquals("error", successorClient.reply().word(), "the checksum of the body was transferred");
+          assertEquals(
+              "error", successorClient.reply().word(), "the checksum of the body was transferred");
           assertNull(successor.commands.poll(), "no key executed again");
         }
       }
@@ -137,7 +146,9 @@
             served += reply.word().equals("done") ? 1 : 0;
             assertTrue(!reply.word().equals("later"), "rejected after its execution: " + reply);
           }
-          assertTrue(served > 5 && served < executed, served + " of " + executed + " results were transferred");
+          assertTrue(
+              served > 5 && served < executed,
+              served + " of " + executed + " results were transferred");
           assertNull(successor.commands.poll(), "no key executed again");
         }
       }
--- a/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
+++ b/src/test/java/wharftrestle/idempotency/IdempotencyTableTest.java
@@ -32,16 +32,21 @@
   private final List<String> completedAttempts = new ArrayList<>();
   private final IdempotencyTable<String> keys =
       new IdempotencyTable<>(
-          (attached, entry) -> completedAttempts.add(attached + " " + entry.state()), KeyMemoryBudget.of(1 << 20));
+          (attached, entry) -> completedAttempts.add(attached + " " + entry.state()),
+          KeyMemoryBudget.of(1 << 20));
 
   @Example
   void stepThatTheStateDoesNotPermit_throws() {
     assertThrows(IllegalStateException.class, () -> KeyState.SUCCEEDED.stateAfter(Step.START));
-    assertThrows(IllegalStateException.class, () -> KeyState.OUTCOME_UNKNOWN.stateAfter(Step.START));
+    assertThrows(
+        IllegalStateException.class, () -> KeyState.OUTCOME_UNKNOWN.stateAfter(Step.START));
     assertThrows(IllegalStateException.class, () -> KeyState.EXECUTING.stateAfter(Step.RELEASE));
     for (KeyState state : KeyState.values()) {
       boolean mayStart = state.allows(Step.START) || state.allows(Step.RECORD_INTENT);
-      assertEquals(!state.mayHaveRun(), mayStart, state + ": another attempt may execute exactly if none may have executed");
+      assertEquals(
+          !state.mayHaveRun(),
+          mayStart,
+          state + ": another attempt may execute exactly if none may have executed");
     }
   }
 
@@ -53,7 +58,8 @@
     assertFalse(keys.complete(entry, new byte[] {9}));
     assertEquals(List.of("second SUCCEEDED"), completedAttempts);
     assertFalse(
-        keys.attach(keys.findDuplicate("k", 1600), "third"), "already completed: cannot be attached to");
+        keys.attach(keys.findDuplicate("k", 1600), "third"),
+        "already completed: cannot be attached to");
     assertArrayEquals(new byte[] {9}, keys.result(keys.findDuplicate("k", 1600)));
   }
 
@@ -108,7 +114,9 @@
     assertTrue(keys.recover("open", CompactIndex.NO_RESULT, 30_000, KeyDigest.checksum(BODY), 50));
     assertEquals(KeyState.SUCCEEDED, keys.findDuplicate("known", 29_999).state());
     assertEquals(KeyState.OUTCOME_UNKNOWN, keys.findDuplicate("open", 29_999).state());
-    assertFalse(keys.attach(keys.findDuplicate("open", 29_999), "x"), "final already: cannot be attached to");
+    assertFalse(
+        keys.attach(keys.findDuplicate("open", 29_999), "x"),
+        "final already: cannot be attached to");
     assertNull(keys.findDuplicate("open", 30_001), "its window has ended");
     keys.expire(51);
     assertEquals(0, keys.size());
@@ -145,7 +153,8 @@
   }
 
   @Property(tries = 1500, seed = "29421")
-  void noKeyExecutesTwiceWithinItsWindow(@ForAll("operations") List<Operation> operations, @ForAll boolean isPersistent) {
+  void noKeyExecutesTwiceWithinItsWindow(
+      @ForAll("operations") List<Operation> operations, @ForAll boolean isPersistent) {
     IdempotencyTable<String> keys =
         new IdempotencyTable<>((attached, entry) -> {}, KeyMemoryBudget.of(1 << 20));
     if (isPersistent) {
@@ -165,17 +174,21 @@
         case "enqueue" -> {
           KeyEntry<String> entry = keys.enqueue(key, BODY, timestampMillis, "h" + ++attemptNumber);
           Long coveredUntil = coveredUntilMillis.get(key);
-          assertTrue(entry == null || coveredUntil == null || timestampMillis > coveredUntil, "queued within the window of an execution");
+          assertTrue(
+              entry == null || coveredUntil == null || timestampMillis > coveredUntil,
+              "queued within the window of an execution");
           if (entry != null) {
             // A timestamp past the window ends the window, even if the clock lags behind.
             coveredUntilMillis.remove(key);
           }
         }
         case "start" -> {
-          KeyEntry<String> entry = keys.start(key, BODY, timestampMillis, WINDOW_SECONDS, now, "s" + ++attemptNumber);
+          KeyEntry<String> entry =
+              keys.start(key, BODY, timestampMillis, WINDOW_SECONDS, now, "s" + ++attemptNumber);
           if (("s" + attemptNumber).equals(entry.attempt())) {
             assertTrue(
-                timestampMillis > coveredUntilMillis.getOrDefault(key, Long.MIN_VALUE), "second execution within the window of " + key);
+                timestampMillis > coveredUntilMillis.getOrDefault(key, Long.MIN_VALUE),
+                "second execution within the window of " + key);
             coveredUntilMillis.put(key, timestampMillis + Math.round(WINDOW_SECONDS * 1000));
             executingEntries.put(key, entry);
             expectedResults.remove(key);
@@ -187,7 +200,9 @@
           }
         }
         case "abandon" -> {
-          if (executingEntry != null && executingEntry.state().allows(Step.VOID) && keys.isCurrent(executingEntry)) {
+          if (executingEntry != null
+              && executingEntry.state().allows(Step.VOID)
+              && keys.isCurrent(executingEntry)) {
             keys.abandon(executingEntry);
             coveredUntilMillis.remove(key);
             executingEntries.remove(key);
@@ -195,7 +210,8 @@
         }
         case "succeed", "fail" -> {
           if (executingEntry != null && executingEntry.state() == KeyState.EXECUTING) {
-            byte[] result = operation.name().equals("succeed") ? new byte[] {(byte) attemptNumber} : null;
+            byte[] result =
+                operation.name().equals("succeed") ? new byte[] {(byte) attemptNumber} : null;
             boolean isSaving = keys.complete(executingEntry, result);
             assertEquals(isPersistent && result != null, isSaving);
             expectedResults.put(key, result);
@@ -203,7 +219,9 @@
         }
         case "resultSaved", "resultNotSaved" -> {
           if (executingEntry != null && executingEntry.state() == KeyState.SAVING) {
-            keys.resultSaved(executingEntry, operation.name().equals("resultSaved") ? 8 : CompactIndex.NO_RESULT);
+            keys.resultSaved(
+                executingEntry,
+                operation.name().equals("resultSaved") ? 8 : CompactIndex.NO_RESULT);
           }
         }
         case "release" -> {
@@ -238,7 +256,8 @@
       Long coveredUntil = coveredUntilMillis.get(key);
       if (coveredUntil != null && Math.round(now * 1000) <= coveredUntil) {
         assertTrue(existing != null && existing.mayHaveRun(), "removed within its window: " + key);
-        if (existing.state() == KeyState.SUCCEEDED && existing.location() == CompactIndex.NO_RESULT) {
+        if (existing.state() == KeyState.SUCCEEDED
+            && existing.location() == CompactIndex.NO_RESULT) {
           assertArrayEquals(expectedResults.get(key), keys.result(existing));
         }
       }
--- a/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyMemoryBudgetTest.java
@@ -41,7 +41,8 @@
       Arrays.fill(result, (byte) size);
       if (size < 0 && !at.isEmpty()) {
         inUse -= BlockStore.blocksFor(storedResults.peekFirst().length);
-        assertArrayEquals(storedResults.pollFirst(), blocks.get(at.peekFirst()), "the oldest stored result");
+        assertArrayEquals(
+            storedResults.pollFirst(), blocks.get(at.peekFirst()), "the oldest stored result");
         blocks.free(at.pollFirst());
       }
       int first = blocks.put(result);
@@ -125,7 +126,13 @@
           if (keys.tryReserveMemory()) {
             String key = "1/0/" + ++number;
             inFlight.add(
-                keys.start(key, BODY, unixOffsetMillis + Math.round(now * 1000), WINDOW_SECONDS, now, "attempt " + number));
+                keys.start(
+                    key,
+                    BODY,
+                    unixOffsetMillis + Math.round(now * 1000),
+                    WINDOW_SECONDS,
+                    now,
+                    "attempt " + number));
             expectedByKey.put(key, new Expected(null, now + WINDOW_SECONDS));
           }
         }
@@ -168,7 +175,8 @@
       expectedByKey.forEach(
           (key, each) -> {
             KeyEntry<String> existing = keys.find(key);
-            assertTrue(existing != null && existing.mayHaveRun(), "removed within its window: " + key);
+            assertTrue(
+                existing != null && existing.mayHaveRun(), "removed within its window: " + key);
             if (existing.isFinal()) {
               assertArrayEquals(each.result(), keys.result(existing), "result of " + key);
             }
@@ -177,7 +185,8 @@
   }
 
   @Property(tries = 200, seed = "29421")
-  void capacityIsAvailableAtTheReturnedTime_andNotBefore(@ForAll("operations") List<Operation> operations) {
+  void capacityIsAvailableAtTheReturnedTime_andNotBefore(
+      @ForAll("operations") List<Operation> operations) {
     IdempotencyTable<String> keys =
         new IdempotencyTable<>((attached, entry) -> {}, KeyMemoryBudget.of(64 << 10));
     double now = 500;
--- a/src/test/java/wharftrestle/idempotency/KeyStructuresTest.java
+++ b/src/test/java/wharftrestle/idempotency/KeyStructuresTest.java
@@ -39,7 +39,8 @@
   }
 
   @Property(tries = 600, seed = "29421")
-  void wheelFiresEachNumberOnce_neverEarly_atMostOneTickLate(@ForAll("operations") List<Operation> operations) {
+  void wheelFiresEachNumberOnce_neverEarly_atMostOneTickLate(
+      @ForAll("operations") List<Operation> operations) {
     // 4 s per turn, so that many numbers are due several turns ahead.
     TimingWheel wheel = new TimingWheel(0.25, 16);
     Map<Integer, Double> model = new HashMap<>();
@@ -64,7 +65,11 @@
                 assertTrue(dueSeconds != null, "fired twice or without being scheduled");
                 assertTrue(dueSeconds <= at, "fired early");
               });
-          model.forEach((number, dueSeconds) -> assertTrue(dueSeconds + 0.5 > at, "fired late by more than a tick: " + (at - dueSeconds)));
+          model.forEach(
+              (number, dueSeconds) ->
+                  assertTrue(
+                      dueSeconds + 0.5 > at,
+                      "fired late by more than a tick: " + (at - dueSeconds)));
         }
       }
       assertEquals(model.size(), wheel.size());
@@ -84,7 +89,9 @@
       switch (operation.kind()) {
         case 0 -> {
           boolean fits = model.containsKey(operation.number()) || model.size() < 30;
-          assertEquals(fits, index.put(key, ++location, location * 2, location * 3, now + operation.seconds()));
+          assertEquals(
+              fits,
+              index.put(key, ++location, location * 2, location * 3, now + operation.seconds()));
           if (fits) {
             model.put(operation.number(), location);
             dueSeconds.put(operation.number(), now + operation.seconds());
