--- a/src/main/java/wharftrestle/handover/Capabilities.java
+++ b/src/main/java/wharftrestle/handover/Capabilities.java
@@ -4,18 +4,18 @@
 import wharftrestle.version.VersionRange;
 
 /**
- * What a process states of itself before a handover begins. Immutable; {@link CapabilitiesCodec}
+ * The properties that a process declares to its peer before a handover begins. Immutable; {@link CapabilitiesCodec}
  * reads and writes its text form.
  *
  * @param build operator-facing name of the build
- * @param handoverVersions formats of the handover that it speaks
+ * @param handoverVersions formats of the handover that it supports
  * @param logVersions formats of the write-ahead log that it reads; it writes the newest
- * @param storageDirectory directory of its stored results; empty where it stores none
+ * @param storageDirectory directory of its stored results; empty if it stores none
  * @param requestClasses in the order of the settings, as keys hold the index of their class
  * @param tenants names, in the order of the settings, as keys hold the index of their tenant
- * @param keyCapacity keys that it knows, and can know
+ * @param keyCapacity number of keys that it knows, and that it has memory for
  * @param clockBaseUnixMillis wall time at which its {@link wharftrestle.time.SteadyWallClock}
- *     begins; 0 where it does not say, as earlier builds do not
+ *     begins; 0 if not declared, as by earlier builds
  */
 public record Capabilities(
     String build,
@@ -35,7 +35,7 @@
   public record RequestClass(String name, boolean isKeyed, long windowMillis) {}
 
   /**
-   * Keys and the results that they hold in memory.
+   * The number of keys, and the size of their results in memory.
    *
    * @param keys known now
    * @param maxKeys that memory has space for
@@ -44,8 +44,8 @@
    */
   public record KeyCapacity(long keys, long maxKeys, long resultBytes, long maxResultBytes) {}
 
-  /** The same capabilities with what a running process knows of its keys and its clock. */
-  public Capabilities with(KeyCapacity capacity, long clockBase) {
+  /** Returns a copy with the key capacity and the clock base of a running process. */
+  public Capabilities withRuntimeState(KeyCapacity capacity, long clockBase) {
     return new Capabilities(
         build,
         handoverVersions,
@@ -71,7 +71,7 @@
     return CapabilitiesCodec.decode(text);
   }
 
-  /** The text of a peer process does not state its capabilities. */
+  /** Thrown if the text of a peer process cannot be decoded. */
   public static final class MalformedCapabilitiesException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wharftrestle/handover/CapabilitiesCodec.java
+++ b/src/main/java/wharftrestle/handover/CapabilitiesCodec.java
@@ -11,7 +11,8 @@
 
 /**
  * The text form of {@link Capabilities}: lines of {@code name value}. Lines with an unknown name
- * are skipped, so that later builds may state more. The form is fixed, as two builds exchange it.
+ * are skipped, so that later builds can add lines. The format is fixed, as different builds exchange
+ * it.
  */
 final class CapabilitiesCodec {
   private static final String BUILD = "build";
@@ -29,7 +30,7 @@
   private static final int MAX_LINES = 2000;
   private static final int MAX_LINE_CHARS = 4000;
 
-  /** Characters of a malformed line that an error shows. */
+  /** Characters of a malformed line that an error message quotes. */
   private static final int MAX_QUOTED_CHARS = 40;
 
   private CapabilitiesCodec() {}
@@ -49,7 +50,7 @@
     return text.toString();
   }
 
-  /** Line ends and the escape character itself become %XX, so that a value stays one line. */
+  /** Escapes line ends and the escape character as %XX, so that a value stays on one line. */
   private static void appendLine(StringBuilder text, String name, String value) {
     text.append(name)
         .append(' ')
@@ -82,7 +83,7 @@
   static Capabilities decode(String text) throws MalformedCapabilitiesException {
     String[] lines = text.split("\n");
     if (lines.length > MAX_LINES) {
-      throw new MalformedCapabilitiesException("more than " + MAX_LINES + " lines of terms");
+      throw new MalformedCapabilitiesException("capabilities: expected at most " + MAX_LINES + " lines, found " + lines.length);
     }
     Map<String, String> singleValues = new HashMap<>();
     List<RequestClass> requestClasses = new ArrayList<>();
@@ -103,7 +104,9 @@
     int blank = line.indexOf(' ');
     if (blank < 1 || line.length() > MAX_LINE_CHARS) {
       throw new MalformedCapabilitiesException(
-          "no line of terms: '"
+          "capabilities: expected a line 'name value' of at most "
+              + MAX_LINE_CHARS
+              + " characters, found '"
               + (line.length() > MAX_QUOTED_CHARS ? line.substring(0, MAX_QUOTED_CHARS) : line)
               + "'");
     }
@@ -124,7 +127,7 @@
           decodeKeyCapacity(required(singleValues, KEY_CAPACITY)),
           Long.parseLong(singleValues.getOrDefault(CLOCK_BASE, "0")));
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-      throw new MalformedCapabilitiesException("terms cannot be read: " + e.getMessage(), e);
+      throw new MalformedCapabilitiesException("capabilities: malformed value: " + e.getMessage(), e);
     }
   }
 
@@ -132,7 +135,7 @@
       throws MalformedCapabilitiesException {
     String value = singleValues.get(name);
     if (value == null) {
-      throw new MalformedCapabilitiesException("terms say no " + name);
+      throw new MalformedCapabilitiesException("capabilities: missing line '" + name + "'");
     }
     return value;
   }
@@ -152,7 +155,7 @@
     if (fields.length < 3
         || !fields[0].matches(KEYED + "|" + NOT_KEYED)
         || !fields[1].matches("[0-9]{1,12}")) {
-      throw new MalformedCapabilitiesException("terms name a class that cannot be read");
+      throw new MalformedCapabilitiesException("capabilities: expected '" + REQUEST_CLASS + " " + KEYED + "|" + NOT_KEYED + " windowMillis name'");
     }
     return new RequestClass(fields[2], fields[0].equals(KEYED), Long.parseLong(fields[1]));
   }
--- a/src/main/java/wharftrestle/handover/CompatibilityCheck.java
+++ b/src/main/java/wharftrestle/handover/CompatibilityCheck.java
@@ -8,31 +8,34 @@
 
 /**
  * Decides from the capabilities of two processes whether one can take over from the other. Both
- * processes ask it, so that a later build can know of a reason that an earlier one does not.
- * Whatever a takeover would lose is a reason here. Stateless.
+ * processes run the check, so that a later build can detect an incompatibility that an earlier one
+ * does not. Any loss that a takeover would cause makes the two incompatible. Stateless.
  */
 public interface CompatibilityCheck {
 
   /**
-   * Why the one cannot take over from the other, in one line; empty where it can.
+   * Returns in one line why the successor cannot take over from the predecessor; empty if it can.
    *
    * @param predecessor the process that serves
    * @param successor the process that would take over
    */
   Optional<String> incompatibility(Capabilities predecessor, Capabilities successor);
 
-  /** The check of every shipped build. */
+  /** The check of all released builds. */
   CompatibilityCheck DEFAULT = CompatibilityCheck::firstIncompatibility;
 
-  /** One further key for so many known ones may come to be known during the handover. */
+  /**
+   * Number of known keys for each additional key that is allowed for, as keys become known during
+   * the handover.
+   */
   int KEYS_PER_ADDITIONAL_KEY = 10;
 
-  /** The oldest handover format that compares capabilities. */
+  /** Oldest handover format that compares capabilities. */
   int OLDEST_COMPARING_VERSION = 2;
 
   /**
-   * Seconds by which keys that a successor receives stay known for longer: the longest difference
-   * by which one of its idempotency windows exceeds the predecessor's.
+   * Seconds by which the successor extends the time for which received keys stay known: the largest
+   * amount by which one of its idempotency windows exceeds the predecessor's.
    */
   static double windowExtensionSeconds(Capabilities predecessor, Capabilities successor) {
     long longestMillis = 0;
@@ -59,49 +62,45 @@
         .or(() -> insufficientKeyCapacity(predecessor.keyCapacity(), successor.keyCapacity()));
   }
 
-  private static Optional<String> incompatibleHandover(VersionRange here, VersionRange there) {
-    return here.newestCommon(there) >= OLDEST_COMPARING_VERSION
+  private static Optional<String> incompatibleHandover(VersionRange predecessor, VersionRange successor) {
+    return predecessor.newestCommon(successor) >= OLDEST_COMPARING_VERSION
         ? Optional.empty()
         : Optional.of(
-            "the hand-over's words have no version in common: "
-                + here
-                + " here, "
-                + there
-                + " there");
+            "no common handover format: predecessor " + predecessor + ", successor " + successor);
   }
 
   private static Optional<String> incompatibleStorage(
       Capabilities predecessor, Capabilities successor) {
-    String here = predecessor.storageDirectory();
-    String there = successor.storageDirectory();
-    if (here.isEmpty()) {
+    String predecessorDirectory = predecessor.storageDirectory();
+    String successorDirectory = successor.storageDirectory();
+    if (predecessorDirectory.isEmpty()) {
       return Optional.empty();
     }
-    if (there.isEmpty()) {
-      return Optional.of("results are kept in " + here + " here, and nowhere there");
+    if (successorDirectory.isEmpty()) {
+      return Optional.of("the predecessor stores results in " + predecessorDirectory + ", the successor stores none");
     }
-    if (!here.equals(there)) {
-      return Optional.of("results are kept in " + here + " here, and in " + there + " there");
+    if (!predecessorDirectory.equals(successorDirectory)) {
+      return Optional.of("the predecessor stores results in " + predecessorDirectory + ", the successor in " + successorDirectory);
     }
     return incompatibleLog(predecessor.logVersions(), successor.logVersions());
   }
 
-  private static Optional<String> incompatibleLog(VersionRange here, VersionRange there) {
-    if (!there.contains(here.newest())) {
+  private static Optional<String> incompatibleLog(VersionRange predecessor, VersionRange successor) {
+    if (!successor.contains(predecessor.newest())) {
       return Optional.of(
-          "files of kept results are of version "
-              + here.newest()
-              + ", which is not read there ("
-              + there
+          "the predecessor writes log format "
+              + predecessor.newest()
+              + ", which the successor does not read ("
+              + successor
               + ")");
     }
-    if (!here.contains(there.newest())) {
+    if (!predecessor.contains(successor.newest())) {
       return Optional.of(
-          "files of kept results would be of version "
-              + there.newest()
-              + " from then on, which is not read here ("
-              + here
-              + "): there would be no way back");
+          "the successor writes log format "
+              + successor.newest()
+              + ", which the predecessor does not read ("
+              + predecessor
+              + "): a rollback would not be possible");
     }
     return Optional.empty();
   }
@@ -109,61 +108,61 @@
   private static Optional<String> incompatibleClasses(
       Capabilities predecessor, Capabilities successor) {
     for (int i = 0; i < commonClasses(predecessor, successor); i++) {
-      RequestClass here = predecessor.requestClasses().get(i);
-      RequestClass there = successor.requestClasses().get(i);
-      if (!here.name().equals(there.name())) {
+      RequestClass predecessorClass = predecessor.requestClasses().get(i);
+      RequestClass successorClass = successor.requestClasses().get(i);
+      if (!predecessorClass.name().equals(successorClass.name())) {
         return Optional.of(
             "class "
                 + (i + 1)
                 + " is '"
-                + here.name()
+                + predecessorClass.name()
                 + "' here and '"
-                + there.name()
+                + successorClass.name()
                 + "' there: keys are known by their class's place");
       }
-      if (here.isKeyed() != there.isKeyed()) {
+      if (predecessorClass.isKeyed() != successorClass.isKeyed()) {
         return Optional.of(
             "class '"
-                + here.name()
-                + "' has keys "
-                + (here.isKeyed() ? "here" : "there")
-                + " only");
+                + predecessorClass.name()
+                + "' has idempotency keys only in the "
+                + (predecessorClass.isKeyed() ? "predecessor" : "successor"));
       }
     }
     return Optional.empty();
   }
 
-  private static Optional<String> incompatibleTenants(List<String> here, List<String> there) {
-    for (int i = 0; i < Math.min(here.size(), there.size()); i++) {
-      if (!here.get(i).equals(there.get(i))) {
+  private static Optional<String> incompatibleTenants(List<String> predecessor, List<String> successor) {
+    for (int i = 0; i < Math.min(predecessor.size(), successor.size()); i++) {
+      if (!predecessor.get(i).equals(successor.get(i))) {
         return Optional.of(
             "tenant "
                 + (i + 1)
                 + " is '"
-                + here.get(i)
-                + "' here and '"
-                + there.get(i)
-                + "' there: keys are known by their tenant's place");
+                + predecessor.get(i)
+                + "' in the predecessor and '"
+                + successor.get(i)
+                + "' in the successor: keys hold the index of their tenant");
       }
     }
-    // With tenants on one side alone, a request of no tenant here would be the first tenant's
-    // there.
-    return here.isEmpty() == there.isEmpty()
+    // If only one process has tenants, a request without a tenant in the one would belong to the
+    // first tenant in the other.
+    return predecessor.isEmpty() == successor.isEmpty()
         ? Optional.empty()
-        : Optional.of("only one of both has tenants");
+        : Optional.of("only one of the two processes has tenants");
   }
 
   /**
-   * Keys must fit. Results need not: one that finds no space is dropped, its key stays known, and
-   * duplicates of it fail. A successor with as much space can take whatever the predecessor knows.
+   * The successor must have space for all keys, but not for all results: a result without space is
+   * dropped, its key stays known, and duplicates of it fail. A successor with the same capacity as
+   * the predecessor has space for all of its keys.
    */
-  private static Optional<String> insufficientKeyCapacity(KeyCapacity here, KeyCapacity there) {
-    return there.maxKeys() < here.maxKeys()
-            && here.keys() + here.keys() / KEYS_PER_ADDITIONAL_KEY > there.maxKeys()
+  private static Optional<String> insufficientKeyCapacity(KeyCapacity predecessor, KeyCapacity successor) {
+    return successor.maxKeys() < predecessor.maxKeys()
+            && predecessor.keys() + predecessor.keys() / KEYS_PER_ADDITIONAL_KEY > successor.maxKeys()
         ? Optional.of(
-            here.keys()
+            predecessor.keys()
                 + " keys are known here, and there is room for "
-                + there.maxKeys()
+                + successor.maxKeys()
                 + " there")
         : Optional.empty();
   }
--- a/src/main/java/wharftrestle/handover/HandoverStateMachine.java
+++ b/src/main/java/wharftrestle/handover/HandoverStateMachine.java
@@ -5,57 +5,57 @@
 import java.util.Map;
 
 /**
- * The handover protocol of one process of a host, as a state machine without I/O: an event goes in,
- * the actions to carry out come back in their order. A process passes through it twice, first as
- * the successor of the process that serves, later as the predecessor of the next one.
+ * The handover protocol of one process of a host, as a state machine without I/O. It maps an event
+ * to the actions that the caller carries out, in order. A process runs through it twice: first as the
+ * successor of the process that serves, later as the predecessor of the next one.
  *
  * <p>At most one of the processes of a host {@linkplain State#ownsKeys owns its keys}; between the
- * sending and the receipt of {@code OWNERSHIP} neither does. A link ends only with the process at
- * its other end, so {@link Event#PEER_LOST} means that this process is gone.
+ * sending and the receipt of {@code OWNERSHIP} none does. A link ends only with the process at its
+ * other end, so {@link Event#PEER_LOST} means that the peer process has ended.
  *
- * <p>An event without a row in the current state is {@linkplain Transition#isIgnored ignored}. Not
- * thread-safe: the caller's lock guards it.
+ * <p>An event that the transition table does not list for the current state is {@linkplain
+ * Transition#isIgnored ignored}. Not thread-safe: the caller's lock guards it.
  */
 public final class HandoverStateMachine {
 
-  /** How far the handover has come, as seen by this process. */
+  /** The progress of the handover, as seen by this process. */
   public enum State {
     // The successor.
-    /** A process serves; the worker pool of this one is not connected yet. */
+    /** Another process serves; this one is not connected to its worker pool yet. */
     AWAITING_WORKER_POOL("seeking"),
-    /** Asked to take over; waits for what the predecessor can do. */
+    /** Sent a takeover request; waits for the predecessor's capabilities. */
     TAKEOVER_REQUESTED("asking"),
-    /** Sent what this process can do; waits for the predecessor's decision. */
+    /** Sent its own capabilities; waits for the predecessor's decision. */
     CAPABILITIES_SENT("asked"),
-    /** Receives completed keys, owns nothing. */
+    /** Receives completed keys; owns no key. */
     RECEIVING_KEYS("taking"),
-    /** Has all completed keys, owns nothing. */
+    /** Has received all completed keys; owns no key. */
     KEYS_RECEIVED("holding"),
-    /** Asks again after a while. */
+    /** Waits before it repeats the takeover request. */
     IN_BACKOFF("pausing"),
     /** Owns all keys; opens the stored results. */
     OPENING_STORAGE("opening"),
     /** Owns all keys and listens; the predecessor may listen as well. */
     LISTENING_ALONGSIDE("taken"),
-    /** Serves; the predecessor answers what it has in flight. */
+    /** Serves; the predecessor completes its requests in flight. */
     PREDECESSOR_DRAINING("sharing"),
     /** Cannot take over; waits until the predecessor has ended. */
     AWAITING_PREDECESSOR_EXIT("refused"),
-    /** The peer is gone: looks whether a further one serves. */
+    /** The peer has ended; checks whether another process serves. */
     DISCOVERING_PEER("looking"),
 
     // The process that serves, later the predecessor.
     /** Owns all keys and listens; no handover is under way. */
     ACTIVE("alone"),
-    /** Asked for what the successor can do. */
+    /** Sent its own capabilities; waits for those of the successor. */
     CHECKING_COMPATIBILITY("weighing"),
-    /** Sends completed keys, and serves on. */
+    /** Sends completed keys and continues to serve. */
     SENDING_KEYS("dealing"),
     /** Sent all completed keys; waits for the acknowledgement. */
     KEYS_SENT("offered"),
-    /** Gave all keys away; listens until the successor does. */
+    /** Transferred the ownership of all keys; listens until the successor does. */
     OWNERSHIP_TRANSFERRED("given"),
-    /** Takes no more clients; answers what is in flight. */
+    /** Accepts no more clients; completes its requests in flight. */
     RELINQUISHED("ceded");
 
     private final String publishedName;
@@ -69,7 +69,7 @@
       return publishedName;
     }
 
-    /** True where this process decides on every key of the host. */
+    /** True if this process owns all keys of the host and decides on each of them. */
     public boolean ownsKeys() {
       return switch (this) {
         case OPENING_STORAGE,
@@ -84,18 +84,21 @@
       };
     }
 
-    /** True where a takeover request of a further process is served now. */
+    /** True if a takeover request of another process is handled in this state. */
     public boolean acceptsTakeover() {
       return this == ACTIVE;
     }
 
-    /** True where the peer's silence ends the handover after a while, at no loss. */
+    /**
+     * True if a peer that stays silent for too long cancels the handover. No ownership has moved in
+     * these states, so nothing is lost.
+     */
     public boolean hasDeadline() {
       return this == CHECKING_COMPATIBILITY || this == SENDING_KEYS || this == KEYS_SENT;
     }
   }
 
-  /** A message of the peer, or a local event. */
+  /** A message from the peer, or a local event. */
   public enum Event {
     /** The worker pool of this process is connected. */
     WORKER_POOL_READY,
@@ -107,9 +110,9 @@
     /** All completed keys have been sent. */
     KEYS_COMPLETE,
     OWNERSHIP_RECEIVED,
-    /** The ownership, from a predecessor of handover format 1. */
+    /** The ownership was received from a predecessor of handover format 1. */
     LEGACY_OWNERSHIP_RECEIVED,
-    /** The predecessor gave up on this handover; another request may succeed. */
+    /** The predecessor cancelled this handover; a later request may succeed. */
     RETRY_LATER,
     /** The predecessor can never hand over to this process. */
     TAKEOVER_REJECTED,
@@ -121,50 +124,50 @@
     PEER_DISCOVERED,
     NO_PEER_DISCOVERED,
     TAKEOVER_REQUEST,
-    /** A request of a process of handover format 1. */
+    /** A takeover request of a process of handover format 1. */
     LEGACY_TAKEOVER_REQUEST,
-    /** A request of a process of handover format 0, which cannot receive completed keys. */
+    /** A takeover request of handover format 0, which cannot receive completed keys. */
     UNSUPPORTED_TAKEOVER_REQUEST,
     SUCCESSOR_COMPATIBLE,
     SUCCESSOR_INCOMPATIBLE,
     /** The successor found that it cannot take over. */
     SUCCESSOR_WITHDREW,
     ALL_KEYS_SENT,
-    /** The successor was silent for too long, or does not read. */
+    /** The successor was silent for too long, or does not read its messages. */
     DEADLINE_EXCEEDED,
     KEYS_ACKNOWLEDGED,
     /** The successor acknowledged, but too many keys completed meanwhile to send them all. */
     SUCCESSOR_LAGGING,
     SUCCESSOR_LISTENING,
-    /** The successor cannot go on; it has run nothing. */
+    /** The successor cannot continue and has executed no request. */
     OWNERSHIP_RETURNED,
     PEER_LOST
   }
 
-  /** What the caller carries out. */
+  /** An operation that the caller carries out. */
   public enum Action {
     SEND_TAKEOVER_REQUEST,
     SEND_PREDECESSOR_CAPABILITIES,
     SEND_SUCCESSOR_CAPABILITIES,
-    /** Tells the predecessor that this process cannot take over, with the reason. */
+    /** Notifies the predecessor that this process cannot take over, with the reason. */
     SEND_WITHDRAWAL,
     SEND_ACCEPTANCE,
     SEND_REJECTION,
     SEND_RETRY_LATER,
     /**
-     * Sends all completed keys, and each key that completes from now on; {@link
+     * Sends all completed keys, and then each key that completes; {@link
      * Event#ALL_KEYS_SENT} or {@link Event#DEADLINE_EXCEEDED} follows.
      */
     SEND_COMPLETED_KEYS,
     STOP_SENDING_KEYS,
     SEND_KEYS_COMPLETE,
     SEND_KEYS_ACKNOWLEDGED,
-    /** Sends all open keys, and gives up all keys, in one step. */
+    /** Sends all open keys and gives up the ownership of all keys, in one step. */
     TRANSFER_OWNERSHIP,
     SEND_OWNERSHIP,
-    /** The same in the messages of format 1, with the completed keys after it. */
+    /** Transfers the ownership in messages of format 1; the completed keys are sent after it. */
     TRANSFER_OWNERSHIP_LEGACY,
-    /** Keeps a link unanswered until it ends. */
+    /** Leaves a takeover request unanswered; its link stays open until the requester ends. */
     PARK_LINK,
     /**
      * Opens the stored results; {@link Event#STORAGE_OPENED} or {@link Event#STORAGE_UNAVAILABLE}
@@ -172,28 +175,28 @@
      */
     OPEN_STORAGE,
     RETURN_OWNERSHIP,
-    /** Takes clients beside the predecessor. */
+    /** Accepts clients while the predecessor still does. */
     LISTEN_ALONGSIDE,
     SEND_LISTENING,
-    /** Takes no more clients, and answers what is in flight. */
+    /** Stops accepting clients, and completes the requests in flight. */
     RELINQUISH,
     SEND_RELINQUISHED,
-    /** The successor is gone or returned the ownership: owns all keys again. */
+    /** Takes all keys back, as the successor has ended or has returned the ownership. */
     RECLAIM_OWNERSHIP,
-    /** The predecessor is gone: how its executions ended is unknown. */
+    /** Fails the keys of the predecessor's executions: it has ended, so their outcome is unknown. */
     RESOLVE_PEER_LOSS,
-    /** Takes clients alone. */
+    /** Accepts clients as the only process of the host. */
     LISTEN_ALONE,
     /** Reports that this process serves. */
     START_SERVING,
     /**
-     * Looks whether another process serves; {@link Event#PEER_DISCOVERED} or {@link
+     * Checks whether another process serves; {@link Event#PEER_DISCOVERED} or {@link
      * Event#NO_PEER_DISCOVERED} follows.
      */
     DISCOVER_PEER,
     /** Waits; {@link Event#BACKOFF_ELAPSED} or {@link Event#RETRIES_EXHAUSTED} follows. */
     START_BACKOFF,
-    /** Reports that this process waits for the end of the other, with the reason. */
+    /** Reports why this process cannot take over and waits until the predecessor has ended. */
     REPORT_REFUSAL
   }
 
@@ -201,7 +204,7 @@
    * The effect of one event.
    *
    * @param actions to carry out, in this order
-   * @param isIgnored true where the event has no row in this state; nothing has changed then
+   * @param isIgnored true if the table does not list the event for this state; nothing has changed then
    */
   public record Transition(State from, State to, List<Action> actions, boolean isIgnored) {}
 
@@ -223,24 +226,24 @@
   }
 
   private static void addTakeoverRequestRows() {
-    on(
+    addRow(
         State.AWAITING_WORKER_POOL,
         Event.WORKER_POOL_READY,
         State.TAKEOVER_REQUESTED,
         Action.SEND_TAKEOVER_REQUEST);
-    on(
+    addRow(
         State.TAKEOVER_REQUESTED,
         Event.PREDECESSOR_COMPATIBLE,
         State.CAPABILITIES_SENT,
         Action.SEND_SUCCESSOR_CAPABILITIES);
-    on(
+    addRow(
         State.TAKEOVER_REQUESTED,
         Event.PREDECESSOR_INCOMPATIBLE,
         State.AWAITING_PREDECESSOR_EXIT,
         Action.SEND_WITHDRAWAL,
         Action.REPORT_REFUSAL);
     for (State waiting : List.of(State.TAKEOVER_REQUESTED, State.CAPABILITIES_SENT)) {
-      on(waiting, Event.TAKEOVER_REJECTED, State.AWAITING_PREDECESSOR_EXIT, Action.REPORT_REFUSAL);
+      addRow(waiting, Event.TAKEOVER_REJECTED, State.AWAITING_PREDECESSOR_EXIT, Action.REPORT_REFUSAL);
     }
   }
 
@@ -251,14 +254,14 @@
             State.CAPABILITIES_SENT,
             State.RECEIVING_KEYS,
             State.KEYS_RECEIVED)) {
-      on(waiting, Event.RETRY_LATER, State.IN_BACKOFF, Action.START_BACKOFF);
+      addRow(waiting, Event.RETRY_LATER, State.IN_BACKOFF, Action.START_BACKOFF);
     }
-    on(
+    addRow(
         State.IN_BACKOFF,
         Event.BACKOFF_ELAPSED,
         State.TAKEOVER_REQUESTED,
         Action.SEND_TAKEOVER_REQUEST);
-    on(
+    addRow(
         State.IN_BACKOFF,
         Event.RETRIES_EXHAUSTED,
         State.AWAITING_PREDECESSOR_EXIT,
@@ -266,14 +269,14 @@
   }
 
   private static void addKeyReceiptRows() {
-    on(State.CAPABILITIES_SENT, Event.TAKEOVER_ACCEPTED, State.RECEIVING_KEYS);
-    on(
+    addRow(State.CAPABILITIES_SENT, Event.TAKEOVER_ACCEPTED, State.RECEIVING_KEYS);
+    addRow(
         State.RECEIVING_KEYS,
         Event.KEYS_COMPLETE,
         State.KEYS_RECEIVED,
         Action.SEND_KEYS_ACKNOWLEDGED);
-    on(State.KEYS_RECEIVED, Event.OWNERSHIP_RECEIVED, State.OPENING_STORAGE, Action.OPEN_STORAGE);
-    on(
+    addRow(State.KEYS_RECEIVED, Event.OWNERSHIP_RECEIVED, State.OPENING_STORAGE, Action.OPEN_STORAGE);
+    addRow(
         State.TAKEOVER_REQUESTED,
         Event.LEGACY_OWNERSHIP_RECEIVED,
         State.OPENING_STORAGE,
@@ -281,19 +284,19 @@
   }
 
   private static void addOwnershipReceiptRows() {
-    on(
+    addRow(
         State.OPENING_STORAGE,
         Event.STORAGE_OPENED,
         State.LISTENING_ALONGSIDE,
         Action.LISTEN_ALONGSIDE,
         Action.SEND_LISTENING);
-    on(
+    addRow(
         State.OPENING_STORAGE,
         Event.STORAGE_UNAVAILABLE,
         State.AWAITING_PREDECESSOR_EXIT,
         Action.RETURN_OWNERSHIP,
         Action.REPORT_REFUSAL);
-    on(
+    addRow(
         State.LISTENING_ALONGSIDE,
         Event.PREDECESSOR_RELINQUISHED,
         State.PREDECESSOR_DRAINING,
@@ -301,7 +304,7 @@
   }
 
   private static void addPredecessorLossRows() {
-    for (State ownsNothing :
+    for (State nonOwner :
         List.of(
             State.AWAITING_WORKER_POOL,
             State.TAKEOVER_REQUESTED,
@@ -310,28 +313,28 @@
             State.KEYS_RECEIVED,
             State.IN_BACKOFF,
             State.AWAITING_PREDECESSOR_EXIT)) {
-      on(ownsNothing, Event.PEER_LOST, State.DISCOVERING_PEER, Action.DISCOVER_PEER);
+      addRow(nonOwner, Event.PEER_LOST, State.DISCOVERING_PEER, Action.DISCOVER_PEER);
     }
-    on(
+    addRow(
         State.OPENING_STORAGE,
         Event.PEER_LOST,
         State.ACTIVE,
         Action.RESOLVE_PEER_LOSS,
         Action.LISTEN_ALONE,
         Action.START_SERVING);
-    on(
+    addRow(
         State.LISTENING_ALONGSIDE,
         Event.PEER_LOST,
         State.ACTIVE,
         Action.RESOLVE_PEER_LOSS,
         Action.START_SERVING);
-    on(State.PREDECESSOR_DRAINING, Event.PEER_LOST, State.ACTIVE, Action.RESOLVE_PEER_LOSS);
-    on(
+    addRow(State.PREDECESSOR_DRAINING, Event.PEER_LOST, State.ACTIVE, Action.RESOLVE_PEER_LOSS);
+    addRow(
         State.DISCOVERING_PEER,
         Event.PEER_DISCOVERED,
         State.TAKEOVER_REQUESTED,
         Action.SEND_TAKEOVER_REQUEST);
-    on(
+    addRow(
         State.DISCOVERING_PEER,
         Event.NO_PEER_DISCOVERED,
         State.ACTIVE,
@@ -341,73 +344,73 @@
   }
 
   private static void addCompatibilityCheckRows() {
-    on(
+    addRow(
         State.ACTIVE,
         Event.TAKEOVER_REQUEST,
         State.CHECKING_COMPATIBILITY,
         Action.SEND_PREDECESSOR_CAPABILITIES);
-    on(
+    addRow(
         State.ACTIVE,
         Event.LEGACY_TAKEOVER_REQUEST,
         State.OWNERSHIP_TRANSFERRED,
         Action.TRANSFER_OWNERSHIP_LEGACY);
-    on(State.ACTIVE, Event.UNSUPPORTED_TAKEOVER_REQUEST, State.ACTIVE, Action.PARK_LINK);
-    on(
+    addRow(State.ACTIVE, Event.UNSUPPORTED_TAKEOVER_REQUEST, State.ACTIVE, Action.PARK_LINK);
+    addRow(
         State.CHECKING_COMPATIBILITY,
         Event.SUCCESSOR_COMPATIBLE,
         State.SENDING_KEYS,
         Action.SEND_ACCEPTANCE,
         Action.SEND_COMPLETED_KEYS);
-    on(
+    addRow(
         State.CHECKING_COMPATIBILITY,
         Event.SUCCESSOR_INCOMPATIBLE,
         State.ACTIVE,
         Action.SEND_REJECTION);
-    on(State.CHECKING_COMPATIBILITY, Event.SUCCESSOR_WITHDREW, State.ACTIVE);
-    on(
+    addRow(State.CHECKING_COMPATIBILITY, Event.SUCCESSOR_WITHDREW, State.ACTIVE);
+    addRow(
         State.CHECKING_COMPATIBILITY,
         Event.DEADLINE_EXCEEDED,
         State.ACTIVE,
         Action.SEND_RETRY_LATER);
-    on(State.CHECKING_COMPATIBILITY, Event.PEER_LOST, State.ACTIVE);
+    addRow(State.CHECKING_COMPATIBILITY, Event.PEER_LOST, State.ACTIVE);
   }
 
   private static void addKeySendingRows() {
-    on(State.SENDING_KEYS, Event.ALL_KEYS_SENT, State.KEYS_SENT, Action.SEND_KEYS_COMPLETE);
-    on(
+    addRow(State.SENDING_KEYS, Event.ALL_KEYS_SENT, State.KEYS_SENT, Action.SEND_KEYS_COMPLETE);
+    addRow(
         State.KEYS_SENT,
         Event.KEYS_ACKNOWLEDGED,
         State.OWNERSHIP_TRANSFERRED,
         Action.TRANSFER_OWNERSHIP,
         Action.SEND_OWNERSHIP);
-    on(
+    addRow(
         State.KEYS_SENT,
         Event.SUCCESSOR_LAGGING,
         State.ACTIVE,
         Action.STOP_SENDING_KEYS,
         Action.SEND_RETRY_LATER);
     for (State sending : List.of(State.SENDING_KEYS, State.KEYS_SENT)) {
-      on(
+      addRow(
           sending,
           Event.DEADLINE_EXCEEDED,
           State.ACTIVE,
           Action.STOP_SENDING_KEYS,
           Action.SEND_RETRY_LATER);
-      on(sending, Event.PEER_LOST, State.ACTIVE, Action.STOP_SENDING_KEYS);
+      addRow(sending, Event.PEER_LOST, State.ACTIVE, Action.STOP_SENDING_KEYS);
     }
   }
 
   private static void addRelinquishRows() {
-    on(
+    addRow(
         State.OWNERSHIP_TRANSFERRED,
         Event.SUCCESSOR_LISTENING,
         State.RELINQUISHED,
         Action.RELINQUISH,
         Action.SEND_RELINQUISHED);
-    for (Event end : List.of(Event.OWNERSHIP_RETURNED, Event.PEER_LOST)) {
-      on(State.OWNERSHIP_TRANSFERRED, end, State.ACTIVE, Action.RECLAIM_OWNERSHIP);
+    for (Event peerEnd : List.of(Event.OWNERSHIP_RETURNED, Event.PEER_LOST)) {
+      addRow(State.OWNERSHIP_TRANSFERRED, peerEnd, State.ACTIVE, Action.RECLAIM_OWNERSHIP);
     }
-    on(
+    addRow(
         State.RELINQUISHED,
         Event.PEER_LOST,
         State.ACTIVE,
@@ -416,26 +419,26 @@
         Action.START_SERVING);
   }
 
-  private static void on(State state, Event event, State next, Action... actions) {
+  private static void addRow(State state, Event event, State next, Action... actions) {
     Row previous =
         TABLE
             .computeIfAbsent(state, key -> new EnumMap<>(Event.class))
             .put(event, new Row(next, List.of(actions)));
     if (previous != null) {
-      throw new IllegalStateException("two rows for " + event + " in " + state);
+      throw new IllegalStateException("duplicate transition: state=" + state + " event=" + event);
     }
   }
 
   private State state;
 
   /**
-   * @param peerServes true where another process of this host serves already
+   * @param peerServes true if another process of this host serves already
    */
   public HandoverStateMachine(boolean peerServes) {
     this(peerServes ? State.AWAITING_WORKER_POOL : State.ACTIVE);
   }
 
-  /** Starts in any state, for a model checker. */
+  /** Starts in the given state, as a model checker needs. */
   public HandoverStateMachine(State state) {
     this.state = state;
   }
@@ -445,12 +448,12 @@
     return state;
   }
 
-  /** True where this event has a row in the current state. */
+  /** True if the transition table lists this event for the current state. */
   public boolean accepts(Event event) {
     return TABLE.get(state).containsKey(event);
   }
 
-  /** Applies one event and returns what it changed. */
+  /** Applies one event and returns the transition that it caused. */
   public Transition apply(Event event) {
     State from = state;
     Row row = TABLE.get(from).get(event);
--- a/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
+++ b/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
@@ -11,32 +11,33 @@
 import wharftrestle.idempotency.SettledEntry;
 
 /**
- * Decides on each idempotency key while two processes serve one host: one process owns all keys,
- * the other answers what it has in flight and claims a key before it executes more of it. No key is
- * executed here that the peer may execute.
+ * Decides on the execution of each idempotency key while two processes serve one host. One process
+ * owns all keys; the other completes its requests in flight, and claims a key from the owner before
+ * it executes another request of it. No key is executed here while the peer may execute it.
  *
  * <pre>
  * owner  peer   this process
- * yes    none   serves alone; after {@link #startSendingKeys} it also sends what completes to a process
- *               that asked to take over
- * yes    there  took over: answers claims, announces each execution before it begins
- * no     there  gave its keys away: claims a key before a request of it is taken, reports each end
- * no     none   never: {@link #onPeerLost} makes it the owner
+ * yes    none   serves alone; after {@link #startSendingKeys} it also sends each key that
+ *               completes to the process that asked to take over
+ * yes    set    took over: answers claims, and announces each execution before it begins
+ * no     set    transferred its keys: claims a key before it accepts a request of it, and
+ *               reports each completion
+ * no     none   impossible: {@link #onPeerLost} makes this process the owner
  * </pre>
  *
- * <p>Not thread-safe: its caller's lock guards it. Times are passed in, in seconds on the caller's
+ * <p>Not thread-safe: the caller's lock guards it. Times are passed in, in seconds on the caller's
  * clock.
  *
- * @param <T> a request, as the caller holds it
+ * @param <T> the caller's type of a request
  */
 public final class KeyOwnershipTransfer<T> {
 
-  /** The caller's requests. */
+  /** Access to the caller's requests. */
   public interface Host<T> {
     /** When this request arrived at the host, Unix milliseconds. */
-    long arrivalUnixMillis(T holder);
+    long arrivalUnixMillis(T request);
 
-    /** Idempotency window of this key's class, with the slack of the table. */
+    /** Idempotency window of this key's class, including the slack of the table. */
     double windowSeconds(String key);
 
     /** An execution of the peer has ended; the result is null unless it succeeded. */
@@ -45,13 +46,13 @@
     /** The peer held this key and never executed it. */
     void onPeerRelease(KeyEntry<T> entry);
 
-    /** Lets requests that wait for the owner's answer about this key look at it again. */
+    /** Wakes requests that wait for the owner's answer to a claim of this key. */
     void wakeWaiters(String key, boolean isGranted);
   }
 
   /**
-   * The answer to a claim of a completed key. Where its result is on disk it is read first, without
-   * the caller's lock.
+   * The answer to a claim of a completed key. A result that is on disk is read before the answer is
+   * sent, without the caller's lock.
    */
   public record StoredReply<T>(
       PeerProcess claimant,
@@ -61,10 +62,10 @@
       double windowSeconds,
       byte[] body) {
 
-    /** Sends what is known of the key; the result is null where there is none. */
+    /** Sends the completed key to the claimant; the result is null if there is none. */
     public void send(byte[] result) {
-      // A duplicate with another body must be told apart by the claimant too: it gets one that
-      // differs.
+      // The claimant must also detect a duplicate whose body differs from the first one, which is no
+      // longer held: it is sent a body that differs from its own.
       byte[] firstBody = entry.body().matches(body) ? body : Arrays.copyOf(body, body.length + 1);
       claimant.sendKey(
           new KeyUpdate(
@@ -83,14 +84,14 @@
   /** The process that took over from this one, or that this one took over from; null for none. */
   private PeerProcess peer;
 
-  /** The process that asked to take over and gets each key that completes; null for none. */
+  /** The process that asked to take over and is sent each key that completes; null for none. */
   private PeerProcess completedKeyReceiver;
 
   private boolean isLagging;
   private boolean isOwner = true;
   private double windowExtensionSeconds;
 
-  /** A process that serves alone and owns these keys. */
+  /** Starts as the owner of these keys, without a peer. */
   public KeyOwnershipTransfer(IdempotencyTable<T> keys, Host<T> host) {
     this.keys = keys;
     this.host = host;
@@ -101,33 +102,33 @@
     return peer;
   }
 
-  /** True where this process decides on every key. */
+  /** True if this process owns all keys. */
   public boolean isOwner() {
     return isOwner;
   }
 
-  // ---- Giving all keys away ----
+  // ---- Transfer of all keys to the successor ----
 
-  /** Sends each key that completes from now on, and returns those that are completed already. */
+  /** Starts to send each key that completes; returns the keys that are completed already. */
   public List<KeyDigest> startSendingKeys(PeerProcess receiver) {
     completedKeyReceiver = receiver;
     isLagging = false;
     return keys.settledDigests();
   }
 
-  /** The takeover was given up: nothing more is sent. */
+  /** Stops sending keys, as the takeover was cancelled. */
   public void stopSendingKeys() {
     completedKeyReceiver = null;
   }
 
-  /** True where not all that completed meanwhile could be sent. */
+  /** True if a key that completed since {@link #startSendingKeys} could not be sent. */
   public boolean isLagging() {
     return isLagging;
   }
 
   /**
-   * One completed key as it is sent; null where it is no longer known, or its result is on a disk
-   * that both processes read.
+   * The message for one completed key; null if the key is no longer known, or if its result is on a
+   * disk that both processes read.
    */
   public CompletedKey completedKey(KeyDigest digest, boolean hasDisk, double now) {
     SettledEntry completed = keys.findSettled(digest);
@@ -154,10 +155,10 @@
   }
 
   /**
-   * Gives all keys away in one step, and sends those that are open. Requests and executions in
-   * flight stay here.
+   * Transfers the ownership of all keys in one step, and sends those that are open. Requests and
+   * executions in flight stay with this process.
    *
-   * @return how many open keys were sent
+   * @return the number of open keys that were sent
    */
   public int transferTo(PeerProcess successor, double now) {
     completedKeyReceiver = null;
@@ -174,7 +175,8 @@
 
   private void sendOpenKey(PeerProcess successor, KeyEntry<T> entry, double now) {
     if (entry.isFinal() && entry.body().bytes() == null) {
-      // Finished, and open only as the index of completed keys is full: its body is gone.
+      // Completed, and still active only because the index of completed keys is full: its body is no
+      // longer held.
       successor.forwardCompletedKey(
           new CompletedKey(
               KeyDigest.of(entry.key()),
@@ -183,26 +185,30 @@
               entry.body().checksum(),
               keys.result(entry)));
     } else {
-      successor.sendKey(update(entry, now));
+      successor.sendKey(toUpdate(entry, now));
     }
   }
 
-  // ---- Taking all keys over ----
+  // ---- Receipt of all keys from the predecessor ----
 
-  /** Takes over from this process; keys that it sends stay known for so many seconds more. */
+  /**
+   * Sets the process to take over from.
+   *
+   * @param extensionSeconds added to the time for which the keys that it sends stay known
+   */
   public void attach(PeerProcess predecessor, double extensionSeconds) {
     peer = predecessor;
     windowExtensionSeconds = extensionSeconds;
   }
 
-  /** Returns the ownership: this process has executed nothing. */
+  /** Returns the ownership to the predecessor; this process has executed nothing. */
   public void returnOwnership() {
     peer = null;
   }
 
   /**
-   * The peer is gone, or returned the ownership. How its executions in flight ended is unknown:
-   * their keys fail, and are not executed again in their window.
+   * The peer has ended, or has returned the ownership. The outcome of its executions in flight is
+   * unknown: their keys fail, and are not executed again within their window.
    */
   public void onPeerLost() {
     peer = null;
@@ -212,16 +218,16 @@
     keys.peerLost();
   }
 
-  // ---- Messages of the peer ----
+  // ---- Messages from the peer ----
 
   /**
-   * A completed key of the peer. Where memory has no space for it, no unknown key is executed until
-   * its window is over, as it may be this one.
+   * Records a completed key of the peer. If memory has no space for it, no unknown key is executed
+   * until the window of this one has ended, as an unknown key may be this one.
    *
-   * @return false where there was no space
+   * @return false if there was no space
    */
   public boolean onKeyReceived(CompletedKey completed, double now) {
-    // No request comes here yet that would expire keys whose window is over.
+    // Requests expire keys whose window has ended, but this process receives no request yet.
     keys.expire(now);
     double until = now + completed.remainingSeconds() + windowExtensionSeconds;
     boolean isKnown =
@@ -229,7 +235,7 @@
             new SettledEntry(
                 completed.digest().high(),
                 completed.digest().low(),
-                extended(completed.coveredUntilUnixMillis()),
+                extendCoverage(completed.coveredUntilUnixMillis()),
                 completed.bodyChecksum(),
                 until,
                 completed.result()));
@@ -239,12 +245,12 @@
     return isKnown;
   }
 
-  /** A key of the peer whose execution is in flight, or has finished. */
+  /** Records a key of the peer whose execution is in flight, or has ended. */
   public void onKeyReceived(KeyUpdate update, double now) {
     keys.learnFromPeer(
         update.key(),
         RequestBody.of(update.body()),
-        extended(update.coveredUntilUnixMillis()),
+        extendCoverage(update.coveredUntilUnixMillis()),
         now + update.remainingSeconds() + windowExtensionSeconds);
     KeyEntry<T> entry = keys.find(update.key());
     if (update.isCompleted() && keys.isOwnedByPeer(entry)) {
@@ -253,11 +259,11 @@
     host.wakeWaiters(update.key(), false);
   }
 
-  private long extended(long coveredUntilUnixMillis) {
+  private long extendCoverage(long coveredUntilUnixMillis) {
     return coveredUntilUnixMillis + Math.round(windowExtensionSeconds * 1000);
   }
 
-  /** An execution of the peer has ended; the result is null unless it succeeded. */
+  /** Records the end of an execution of the peer; the result is null unless it succeeded. */
   public void onPeerCompletion(String key, byte[] result) {
     KeyEntry<T> entry = keys.find(key);
     if (keys.isOwnedByPeer(entry)) {
@@ -265,7 +271,7 @@
     }
   }
 
-  /** The peer never executed this key and no longer holds it. */
+  /** Releases a key that the peer never executed and no longer holds. */
   public void onPeerRelease(String key) {
     KeyEntry<T> entry = keys.find(key);
     if (keys.isOwnedByPeer(entry)) {
@@ -275,9 +281,10 @@
   }
 
   /**
-   * The peer claims a key: it is granted to the peer, or what is known of it is sent.
+   * Answers a claim of the peer: grants it the key, or sends what is known of the key.
    *
-   * @return the answer where a disk may hold the result; null where the claim is answered
+   * @return the answer to send once the result has been read, if the result may be on disk; null if
+   *     the claim has been answered
    */
   public StoredReply<T> onClaim(String key, long arrivalUnixMillis, byte[] body, double now) {
     KeyEntry<T> entry = keys.findDuplicate(key, arrivalUnixMillis);
@@ -297,7 +304,7 @@
       return null;
     }
     if (entry.body().bytes() != null) {
-      peer.sendKey(update(entry, now));
+      peer.sendKey(toUpdate(entry, now));
       return null;
     }
     return new StoredReply<>(peer, key, entry, keys.result(entry), windowSeconds, body);
@@ -305,20 +312,20 @@
 
   // ---- Requests of this process ----
 
-  /** True where a request of this key may not be taken before the owner was asked. */
+  /** True if the owner must be asked before a request of this key is accepted. */
   public boolean mustClaim(String key, long arrivalUnixMillis) {
     return peer != null && !isOwner && key != null && !isKnown(key, arrivalUnixMillis);
   }
 
-  /** True where a request that arrived then is a duplicate of what is known here. */
+  /** True if a request that arrived at this time is a duplicate of a key that is known here. */
   public boolean isKnown(String key, long arrivalUnixMillis) {
     KeyEntry<T> entry = keys.find(key);
     return entry != null && entry.covers(arrivalUnixMillis);
   }
 
-  /** What the peer has to know before an execution of this key begins; null for nothing. */
+  /** The update to send to the peer before an execution of this key begins; null for none. */
   public KeyUpdate announcementBeforeExecution(KeyEntry<T> entry, double now) {
-    return peer == null || !isOwner || entry == null ? null : update(entry, now);
+    return peer == null || !isOwner || entry == null ? null : toUpdate(entry, now);
   }
 
   /** Reports to the peer that an execution of this process has ended. */
@@ -328,14 +335,14 @@
     }
   }
 
-  /** Reports to the peer that no request of this key is in flight, unless one still is. */
+  /** Reports to the peer that this key is released, if it is neither in flight nor known here. */
   public void sendRelease(String key, boolean isInFlight) {
     if (peer != null && key != null && !isInFlight && keys.find(key) == null) {
       peer.sendRelease(key);
     }
   }
 
-  private KeyUpdate update(KeyEntry<T> entry, double now) {
+  private KeyUpdate toUpdate(KeyEntry<T> entry, double now) {
     if (entry.mayHaveRun()) {
       return new KeyUpdate(
           entry.key(),
--- a/src/main/java/wharftrestle/handover/PeerProcess.java
+++ b/src/main/java/wharftrestle/handover/PeerProcess.java
@@ -5,18 +5,18 @@
 /**
  * The other process of this host, as the receiver of messages about keys. Messages arrive in the
  * order in which they were sent. Only {@link #sendCompletedKey} and {@link #sendKeyAndAwaitWrite}
- * may wait; all others return at once and may be called under the lock of the requests.
+ * may block; all others return at once and may be called under the lock of the requests.
  */
 public interface PeerProcess {
 
   /**
-   * What one process knows of a key, sent to the other while both serve.
+   * The state of a key, sent to the other process while both serve.
    *
    * @param isCompleted false while its execution is in flight
    * @param coveredUntilUnixMillis requests that arrived until then are duplicates
    * @param remainingSeconds until the key is forgotten
    * @param body of the first request, against which duplicates are compared
-   * @param result null where there is none
+   * @param result null if there is none
    */
   record KeyUpdate(
       String key,
@@ -27,12 +27,12 @@
       byte[] result) {}
 
   /**
-   * A key whose execution has finished, by its digest, as its text is no longer held.
+   * A key whose execution has ended, identified by its digest, as its text is no longer held.
    *
    * @param coveredUntilUnixMillis requests that arrived until then are duplicates
    * @param remainingSeconds until the key is forgotten
    * @param bodyChecksum of the first request's body
-   * @param result null where there is none
+   * @param result null if there is none
    */
   record CompletedKey(
       KeyDigest digest,
@@ -42,13 +42,13 @@
       byte[] result) {}
 
   /**
-   * Sends a completed key and waits until few such messages are unwritten; false where the peer
-   * does not read in time.
+   * Sends a completed key, and blocks until only a few such messages are unwritten; false if the
+   * peer does not read in time.
    */
   boolean sendCompletedKey(CompletedKey completed);
 
   /**
-   * Sends a key that has just completed, without waiting; false where too many messages are
+   * Sends a key that has just completed, without blocking; false if too many messages are
    * unwritten.
    */
   boolean forwardCompletedKey(CompletedKey completed);
@@ -59,10 +59,10 @@
   /** Answers a claim: the peer may execute this key. */
   void sendGrant(String key);
 
-  /** Sends what is known of a key. */
+  /** Sends the state of a key. */
   void sendKey(KeyUpdate update);
 
-  /** Sends what is known of a key, and waits until it is written or the peer is gone. */
+  /** Sends the state of a key, and blocks until it is written or the peer has ended. */
   void sendKeyAndAwaitWrite(KeyUpdate update);
 
   /** Reports the end of an execution; the result is null unless it succeeded. */
--- a/src/main/java/wharftrestle/handover/package-info.java
+++ b/src/main/java/wharftrestle/handover/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The handover between two processes of one host, as decisions without I/O, threads or clocks: what
- * a process states of itself ({@link wharftrestle.handover.Capabilities}), whether two of them can
- * hand over ({@link wharftrestle.handover.CompatibilityCheck}), the protocol of both sides ({@link
- * wharftrestle.handover.HandoverStateMachine}), and who decides on each key meanwhile ({@link
- * wharftrestle.handover.KeyOwnershipTransfer}).
+ * The handover between two processes of one host, as decisions without I/O, threads or clocks: the
+ * properties that a process declares ({@link wharftrestle.handover.Capabilities}), whether one
+ * process can take over from another ({@link wharftrestle.handover.CompatibilityCheck}), the
+ * protocol of both sides ({@link wharftrestle.handover.HandoverStateMachine}), and which process
+ * decides on each key during the handover ({@link wharftrestle.handover.KeyOwnershipTransfer}).
  *
  * <p>The state machine is driven by {@code daemon.HandoverCoordinator} under its own lock, the key
  * ownership by {@code request.PeerCoordinator} under the lock of the requests. Messages are carried
--- a/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
+++ b/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
@@ -44,12 +44,12 @@
     return capabilities(new VersionRange(1, 2), "", List.of(classes), List.of(), CAPACITY);
   }
 
-  private static Capabilities storing(String folder, VersionRange log) {
+  private static Capabilities storing(String directory, VersionRange logVersions) {
     return new Capabilities(
         "a build",
         new VersionRange(1, 2),
-        log,
-        folder,
+        logVersions,
+        directory,
         List.of(READ, SAVE),
         List.of(),
         CAPACITY,
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void classAddedOrRemovedAtTheEnd_isCompatible_movedOneIsNot() {
+  void classAddedOrRemovedAtTheEnd_isCompatible_movedClassIsNot() {
     Capabilities extended =
         withClasses(READ, SAVE, new Capabilities.RequestClass("new", true, 5000));
     assertNull(incompatibility(withClasses(READ, SAVE), extended));
@@ -70,14 +70,14 @@
         "class 1 is 'read' here and 'save' there: keys are known by their class's place",
         incompatibility(withClasses(READ, SAVE), withClasses(SAVE, READ)));
     assertEquals(
-        "class 'save' has keys here only",
+        "class 'save' has idempotency keys only in the predecessor",
         incompatibility(
             withClasses(READ, SAVE),
             withClasses(READ, new Capabilities.RequestClass("save", false, 0))));
   }
 
   @Test
-  void tenantAddedAtTheEnd_isCompatible_movedOneIsNot() {
+  void tenantAddedAtTheEnd_isCompatible_movedTenantIsNot() {
     Capabilities two =
         capabilities(new VersionRange(1, 2), "", List.of(SAVE), List.of("a", "b"), CAPACITY);
     assertNull(
@@ -86,30 +86,31 @@
             capabilities(
                 new VersionRange(1, 2), "", List.of(SAVE), List.of("a", "b", "c"), CAPACITY)));
     assertEquals(
-        "tenant 1 is 'a' here and 'b' there: keys are known by their tenant's place",
+        "tenant 1 is 'a' in the predecessor and 'b' in the successor: keys hold the index of their"
+            + " tenant",
         incompatibility(
             two,
             capabilities(new VersionRange(1, 2), "", List.of(SAVE), List.of("b", "a"), CAPACITY)));
-    assertEquals("only one of both has tenants", incompatibility(two, withClasses(SAVE)));
+    assertEquals("only one of the two processes has tenants", incompatibility(two, withClasses(SAVE)));
   }
 
   @Test
   void storedResults_needTheSameDirectoryAndLogVersions() {
     VersionRange one = new VersionRange(1, 1);
     assertNull(incompatibility(storing("/a", one), storing("/a", one)));
-    assertNull(incompatibility(withClasses(READ, SAVE), storing("/a", one)), "switched on");
+    assertNull(incompatibility(withClasses(READ, SAVE), storing("/a", one)), "storage switched on by the successor");
     assertEquals(
-        "results are kept in /a here, and nowhere there",
+        "the predecessor stores results in /a, the successor stores none",
         incompatibility(storing("/a", one), withClasses(READ, SAVE)));
     assertEquals(
-        "results are kept in /a here, and in /b there",
+        "the predecessor stores results in /a, the successor in /b",
         incompatibility(storing("/a", one), storing("/b", one)));
     assertTrue(
         incompatibility(storing("/a", new VersionRange(1, 2)), storing("/a", one))
-            .contains("is not read there"));
+            .contains("which the successor does not read"));
     assertTrue(
         incompatibility(storing("/a", one), storing("/a", new VersionRange(1, 2)))
-            .contains("no way back"));
+            .contains("a rollback would not be possible"));
   }
 
   @Test
@@ -141,7 +142,7 @@
             List.of(SAVE),
             List.of(),
             new Capabilities.KeyCapacity(1000, 1000, 0, 0));
-    assertNull(incompatibility(full, full), "a full table goes along");
+    assertNull(incompatibility(full, full), "a full table fits a successor of equal capacity");
   }
 
   @Test
@@ -149,7 +150,7 @@
     Capabilities later =
         capabilities(new VersionRange(3, 4), "", List.of(SAVE), List.of(), CAPACITY);
     assertEquals(
-        "the hand-over's words have no version in common: 1-2 here, 3-4 there",
+        "no common handover format: predecessor 1-2, successor 3-4",
         incompatibility(withClasses(SAVE), later));
   }
 
@@ -161,23 +162,23 @@
   }
 
   @Property(tries = 200)
-  void encodedCapabilities_areDecodedAsTheyWere(
-      @ForAll @Size(max = 5) List<String> names, @ForAll @IntRange(min = 0) int figure)
+  void encodedCapabilities_areDecodedUnchanged(
+      @ForAll @Size(max = 5) List<String> names, @ForAll @IntRange(min = 0) int number)
       throws Exception {
-    List<Capabilities.RequestClass> kinds = new ArrayList<>();
-    names.forEach(name -> kinds.add(new Capabilities.RequestClass(name, figure % 2 == 0, figure)));
+    List<Capabilities.RequestClass> requestClasses = new ArrayList<>();
+    names.forEach(name -> requestClasses.add(new Capabilities.RequestClass(name, number % 2 == 0, number)));
     Capabilities sent =
         capabilities(
             new VersionRange(1, 2),
             "/a b\n%0A",
-            kinds,
+            requestClasses,
             names,
-            new Capabilities.KeyCapacity(figure, 1, 2, 3));
+            new Capabilities.KeyCapacity(number, 1, 2, 3));
     assertEquals(sent, Capabilities.decode(sent.encode()));
     assertEquals(
         sent,
         Capabilities.decode(sent.encode() + "later says more\n"),
-        "what is not known is passed over");
+        "unknown lines are skipped");
   }
 
   @Test
--- a/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
+++ b/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
@@ -20,550 +20,551 @@
 import wharftrestle.handover.HandoverStateMachine.State;
 
 /**
- * Explores the shipped table of a hand-over over all interleavings: three processes of one box, one
- * key, links that keep their order, kills, stalls (a process that is not scheduled, for as long as
- * the search likes) and withdrawals. Checked in every state: the key runs once while a process
- * lives that knew of its run, one process owns at most, and where nothing can happen any more
- * somebody serves. Each seeded bug has to be found by it.
+ * Model-checks the transition table of the handover over all interleavings of three processes of
+ * one host with one key, ordered links, kills, process pauses of any length and cancelled
+ * handovers. In every state, at most one process owns the keys, and the key is not executed again
+ * while a process is alive that knew of its execution. In every final state a process serves. The
+ * search must find each seeded bug.
  */
 class HandoverStateMachineModelTest {
   private static final int PROCESSES = 3;
 
-  /** What goes wrong in a seeded bug. */
+  /** A deviation from the protocol that the search must detect. */
   enum Bug {
     NONE,
-    OWNS_BEFORE_YOURS,
-    OPEN_KEYS_NOT_TOLD,
-    SETTLED_NOT_FOLLOWED,
-    TAKES_BACK_FROM_THE_SILENT,
-    RUNS_UNTOLD,
-    STARTS_BESIDE_THE_CEDED,
-    RUNS_WITHOUT_ASKING,
-    SERVES_NOT_AGAIN,
-    KEEPS_OWNING,
-    OWNS_WHAT_WAS_WITHDRAWN
+    OWNS_KEYS_BEFORE_OWNERSHIP_MESSAGE,
+    OPEN_KEYS_NOT_SENT,
+    COMPLETED_KEYS_NOT_SENT,
+    RECLAIMS_FROM_SILENT_SUCCESSOR,
+    EXECUTES_WITHOUT_ANNOUNCEMENT,
+    STARTS_BESIDE_RELINQUISHED_PROCESS,
+    EXECUTES_WITHOUT_CLAIM,
+    DOES_NOT_LISTEN_ALONE,
+    OWNS_KEYS_AFTER_TRANSFER,
+    OWNS_KEYS_AFTER_CANCELLATION
   }
 
-  private enum Knows {
-    NOTHING,
+  private enum KeyKnowledge {
+    NONE,
     OPEN,
-    OVER
+    COMPLETED
   }
 
-  private record Word(Event event, boolean key, boolean over) {
-    static Word of(Event event) {
-      return new Word(event, false, false);
+  private record Message(Event event, boolean isKey, boolean isCompleted) {
+    static Message of(Event event) {
+      return new Message(event, false, false);
     }
   }
 
   private static final class ModelProcess {
     State state;
-    int peer = -1; // at the other end of its link
-    boolean alive;
-    boolean listens;
-    boolean holds; // has known all keys: while it lives nobody starts without them
-    boolean tells; // what settles is told to the peer
-    boolean linked; // to a process that took over or is taken over from: runs and ends are told
-    boolean asks; // a try of the key waits for the other's word
-    Knows knows = Knows.NOTHING;
+    int peer = -1; // the process at the other end of the link; -1 for none
+    boolean isAlive;
+    boolean isListening;
+    boolean holdsKeys; // knows all keys: while it is alive, no process serves without them
+    boolean sendsCompletedKeys; // sends each key that completes to the peer
+    boolean isLinked; // transferred ownership to the peer or received it: both exchange keys
+    boolean awaitsClaim; // an attempt of the key waits for the answer to a claim
+    KeyKnowledge knowledge = KeyKnowledge.NONE;
 
     ModelProcess copy() {
       ModelProcess that = new ModelProcess();
       that.state = state;
       that.peer = peer;
-      that.alive = alive;
-      that.listens = listens;
-      that.holds = holds;
-      that.tells = tells;
-      that.linked = linked;
-      that.asks = asks;
-      that.knows = knows;
+      that.isAlive = isAlive;
+      that.isListening = isListening;
+      that.holdsKeys = holdsKeys;
+      that.sendsCompletedKeys = sendsCompletedKeys;
+      that.isLinked = isLinked;
+      that.awaitsClaim = awaitsClaim;
+      that.knowledge = knowledge;
       return that;
     }
 
     @Override
     public String toString() {
-      return alive
+      return isAlive
           ? state
               + ">"
               + peer
-              + (listens ? "l" : "")
-              + (holds ? "h" : "")
-              + (tells ? "t" : "")
-              + (linked ? "k" : "")
-              + (asks ? "a" : "")
-              + knows
+              + (isListening ? "l" : "")
+              + (holdsKeys ? "h" : "")
+              + (sendsCompletedKeys ? "t" : "")
+              + (isLinked ? "k" : "")
+              + (awaitsClaim ? "a" : "")
+              + knowledge
           : "-";
     }
   }
 
-  /** One state of all: two with the same text are the same. */
-  private static final class World {
-    final ModelProcess[] all = new ModelProcess[PROCESSES];
+  /** The state of all processes and links; two states with the same text are equal. */
+  private static final class SystemState {
+    final ModelProcess[] processes = new ModelProcess[PROCESSES];
 
     @SuppressWarnings("unchecked")
-    final ArrayDeque<Word>[][] words = new ArrayDeque[PROCESSES][PROCESSES];
-
-    int meeting = -1;
-    int starts = PROCESSES - 1;
-    int kills = 2;
-    int tries = 3;
-    int overdue = 2;
-    int runs;
-    String wrong;
+    final ArrayDeque<Message>[][] links = new ArrayDeque[PROCESSES][PROCESSES];
+
+    int socketOwner = -1;
+    int remainingStarts = PROCESSES - 1;
+    int remainingKills = 2;
+    int remainingAttempts = 3;
+    int remainingTimeouts = 2;
+    int executions;
+    String violation;
     final Bug bug;
 
-    World(Bug bug) {
+    SystemState(Bug bug) {
       this.bug = bug;
       for (int i = 0; i < PROCESSES; i++) {
-        all[i] = new ModelProcess();
+        processes[i] = new ModelProcess();
         for (int j = 0; j < PROCESSES; j++) {
-          words[i][j] = new ArrayDeque<>();
+          links[i][j] = new ArrayDeque<>();
         }
       }
-      all[0].alive = true;
-      all[0].state = State.ACTIVE;
-      all[0].listens = true;
-      all[0].holds = true;
-      meeting = 0;
+      processes[0].isAlive = true;
+      processes[0].state = State.ACTIVE;
+      processes[0].isListening = true;
+      processes[0].holdsKeys = true;
+      socketOwner = 0;
     }
 
-    World copy() {
-      World that = new World(bug);
+    SystemState copy() {
+      SystemState that = new SystemState(bug);
       for (int i = 0; i < PROCESSES; i++) {
-        that.all[i] = all[i].copy();
+        that.processes[i] = processes[i].copy();
         for (int j = 0; j < PROCESSES; j++) {
-          that.words[i][j].addAll(words[i][j]);
+          that.links[i][j].addAll(links[i][j]);
         }
       }
-      that.meeting = meeting;
-      that.starts = starts;
-      that.kills = kills;
-      that.tries = tries;
-      that.overdue = overdue;
-      that.runs = runs;
+      that.socketOwner = socketOwner;
+      that.remainingStarts = remainingStarts;
+      that.remainingKills = remainingKills;
+      that.remainingAttempts = remainingAttempts;
+      that.remainingTimeouts = remainingTimeouts;
+      that.executions = executions;
       return that;
     }
 
     @Override
     public String toString() {
-      StringBuilder text = new StringBuilder(Arrays.toString(all));
+      StringBuilder text = new StringBuilder(Arrays.toString(processes));
       for (int i = 0; i < PROCESSES; i++) {
         for (int j = 0; j < PROCESSES; j++) {
-          words[i][j].forEach(
-              word -> text.append(word.event()).append(word.key()).append(word.over()).append(' '));
+          links[i][j].forEach(
+              message -> text.append(message.event()).append(message.isKey()).append(message.isCompleted()).append(' '));
           text.append('|');
         }
       }
-      return text.append(meeting)
+      return text.append(socketOwner)
           .append(' ')
-          .append(starts)
-          .append(kills)
-          .append(tries)
-          .append(overdue)
-          .append(runs)
+          .append(remainingStarts)
+          .append(remainingKills)
+          .append(remainingAttempts)
+          .append(remainingTimeouts)
+          .append(executions)
           .toString();
     }
 
-    boolean meetable(int i) {
-      return i >= 0 && all[i].alive && meeting == i;
+    boolean isReachable(int i) {
+      return i >= 0 && processes[i].isAlive && socketOwner == i;
     }
 
-    /** Nobody lives that has known all keys, and nobody listens. */
-    boolean vacant(int but) {
+    /** True if no other live process knows all keys, and none listens. */
+    boolean isVacant(int except) {
       for (int i = 0; i < PROCESSES; i++) {
-        if (i != but
-            && all[i].alive
-            && (all[i].listens || (all[i].holds && bug != Bug.STARTS_BESIDE_THE_CEDED))) {
+        if (i != except
+            && processes[i].isAlive
+            && (processes[i].isListening || (processes[i].holdsKeys && bug != Bug.STARTS_BESIDE_RELINQUISHED_PROCESS))) {
           return false;
         }
       }
       return true;
     }
 
-    void say(int from, Word word) {
-      int to = all[from].peer;
+    void send(int from, Message message) {
+      int to = processes[from].peer;
       if (to >= 0
-          && all[to].alive
-          && (all[to].peer == from || word.event() == Event.TAKEOVER_REQUEST)) {
-        words[from][to].add(word);
+          && processes[to].isAlive
+          && (processes[to].peer == from || message.event() == Event.TAKEOVER_REQUEST)) {
+        links[from][to].add(message);
       }
     }
 
-    void take(int i, Event event) {
-      ModelProcess process = all[i];
-      HandoverStateMachine steps = new HandoverStateMachine(process.state);
-      HandoverStateMachine.Transition step = steps.apply(event);
-      process.state = step.to();
-      step.actions().forEach(act -> act(i, act));
+    void apply(int i, Event event) {
+      ModelProcess process = processes[i];
+      HandoverStateMachine stateMachine = new HandoverStateMachine(process.state);
+      HandoverStateMachine.Transition transition = stateMachine.apply(event);
+      process.state = transition.to();
+      transition.actions().forEach(action -> execute(i, action));
     }
 
-    void act(int i, Action act) {
-      ModelProcess p = all[i];
-      switch (act) {
-        case SEND_TAKEOVER_REQUEST -> say(i, Word.of(Event.TAKEOVER_REQUEST));
-        case SEND_PREDECESSOR_CAPABILITIES -> say(i, Word.of(Event.PREDECESSOR_COMPATIBLE));
-        case SEND_SUCCESSOR_CAPABILITIES -> say(i, Word.of(Event.SUCCESSOR_COMPATIBLE));
-        case SEND_ACCEPTANCE -> say(i, Word.of(Event.TAKEOVER_ACCEPTED));
-        case SEND_RETRY_LATER -> say(i, Word.of(Event.RETRY_LATER));
+    void execute(int i, Action action) {
+      ModelProcess process = processes[i];
+      switch (action) {
+        case SEND_TAKEOVER_REQUEST -> send(i, Message.of(Event.TAKEOVER_REQUEST));
+        case SEND_PREDECESSOR_CAPABILITIES -> send(i, Message.of(Event.PREDECESSOR_COMPATIBLE));
+        case SEND_SUCCESSOR_CAPABILITIES -> send(i, Message.of(Event.SUCCESSOR_COMPATIBLE));
+        case SEND_ACCEPTANCE -> send(i, Message.of(Event.TAKEOVER_ACCEPTED));
+        case SEND_RETRY_LATER -> send(i, Message.of(Event.RETRY_LATER));
         case SEND_COMPLETED_KEYS -> {
-          p.tells = bug != Bug.SETTLED_NOT_FOLLOWED;
-          if (p.knows == Knows.OVER) {
-            say(i, new Word(null, true, true));
+          process.sendsCompletedKeys = bug != Bug.COMPLETED_KEYS_NOT_SENT;
+          if (process.knowledge == KeyKnowledge.COMPLETED) {
+            send(i, new Message(null, true, true));
           }
         }
-        case STOP_SENDING_KEYS -> p.tells = false;
-        case SEND_KEYS_COMPLETE -> say(i, Word.of(Event.KEYS_COMPLETE));
+        case STOP_SENDING_KEYS -> process.sendsCompletedKeys = false;
+        case SEND_KEYS_COMPLETE -> send(i, Message.of(Event.KEYS_COMPLETE));
         case SEND_KEYS_ACKNOWLEDGED -> {
-          p.holds = true;
-          say(i, Word.of(Event.KEYS_ACKNOWLEDGED));
+          process.holdsKeys = true;
+          send(i, Message.of(Event.KEYS_ACKNOWLEDGED));
         }
         case TRANSFER_OWNERSHIP -> {
-          p.tells = false;
-          p.linked = true;
-          if (p.knows == Knows.OPEN && bug != Bug.OPEN_KEYS_NOT_TOLD) {
-            say(i, new Word(null, true, false));
+          process.sendsCompletedKeys = false;
+          process.isLinked = true;
+          if (process.knowledge == KeyKnowledge.OPEN && bug != Bug.OPEN_KEYS_NOT_SENT) {
+            send(i, new Message(null, true, false));
           }
         }
-        case SEND_OWNERSHIP -> say(i, Word.of(Event.OWNERSHIP_RECEIVED));
+        case SEND_OWNERSHIP -> send(i, Message.of(Event.OWNERSHIP_RECEIVED));
         case OPEN_STORAGE -> {
-          p.linked = true;
-          take(i, Event.STORAGE_OPENED);
+          process.isLinked = true;
+          apply(i, Event.STORAGE_OPENED);
         }
-        case LISTEN_ALONGSIDE -> p.listens = true;
-        case SEND_LISTENING -> say(i, Word.of(Event.SUCCESSOR_LISTENING));
-        case RELINQUISH -> p.listens = false;
-        case SEND_RELINQUISHED -> say(i, Word.of(Event.PREDECESSOR_RELINQUISHED));
+        case LISTEN_ALONGSIDE -> process.isListening = true;
+        case SEND_LISTENING -> send(i, Message.of(Event.SUCCESSOR_LISTENING));
+        case RELINQUISH -> process.isListening = false;
+        case SEND_RELINQUISHED -> send(i, Message.of(Event.PREDECESSOR_RELINQUISHED));
         case RECLAIM_OWNERSHIP, RESOLVE_PEER_LOSS -> {
-          p.linked = false;
-          p.holds = true;
+          process.isLinked = false;
+          process.holdsKeys = true;
         }
-        case LISTEN_ALONE -> p.listens = bug != Bug.SERVES_NOT_AGAIN;
-        case START_SERVING -> meeting = i;
-        case DISCOVER_PEER, START_BACKOFF -> p.holds = false;
+        case LISTEN_ALONE -> process.isListening = bug != Bug.DOES_NOT_LISTEN_ALONE;
+        case START_SERVING -> socketOwner = i;
+        case DISCOVER_PEER, START_BACKOFF -> process.holdsKeys = false;
         case REPORT_REFUSAL, PARK_LINK -> {}
-        default -> throw new IllegalStateException("not in this model: " + act);
+        default -> throw new IllegalStateException("action is not part of this model: " + action);
       }
     }
 
-    boolean owns(int i) {
-      State state = all[i].state;
+    boolean ownsKeys(int i) {
+      State state = processes[i].state;
       return state.ownsKeys()
-          || (bug == Bug.KEEPS_OWNING && state == State.OWNERSHIP_TRANSFERRED)
-          || (bug == Bug.OWNS_BEFORE_YOURS && state == State.KEYS_RECEIVED);
+          || (bug == Bug.OWNS_KEYS_AFTER_TRANSFER && state == State.OWNERSHIP_TRANSFERRED)
+          || (bug == Bug.OWNS_KEYS_BEFORE_OWNERSHIP_MESSAGE && state == State.KEYS_RECEIVED);
     }
 
-    /** The key runs at this process. */
-    void run(int i) {
-      ModelProcess p = all[i];
-      runs++;
-      if (runs > 1) {
-        wrong = "the key ran again at " + i;
+    /** This process executes the key. */
+    void executeKey(int i) {
+      ModelProcess process = processes[i];
+      executions++;
+      if (executions > 1) {
+        violation = "the key was executed again at process " + i;
       }
-      p.knows = Knows.OPEN;
-      if (p.linked && owns(i) && bug != Bug.RUNS_UNTOLD) {
-        say(i, new Word(null, true, false));
+      process.knowledge = KeyKnowledge.OPEN;
+      if (process.isLinked && ownsKeys(i) && bug != Bug.EXECUTES_WITHOUT_ANNOUNCEMENT) {
+        send(i, new Message(null, true, false));
       }
     }
 
-    /** A try of the key comes to this process. */
-    void tried(int i) {
-      ModelProcess p = all[i];
-      if (p.knows != Knows.NOTHING) {
-        return; // it repeats what is known
+    /** This process receives an attempt of the key. */
+    void receiveAttempt(int i) {
+      ModelProcess process = processes[i];
+      if (process.knowledge != KeyKnowledge.NONE) {
+        return; // a duplicate
       }
-      if (!owns(i) && p.linked && bug != Bug.RUNS_WITHOUT_ASKING) {
-        p.asks = true;
-        say(i, Word.of(null)); // claim
+      if (!ownsKeys(i) && process.isLinked && bug != Bug.EXECUTES_WITHOUT_CLAIM) {
+        process.awaitsClaim = true;
+        send(i, Message.of(null)); // claim
       } else {
-        run(i);
+        executeKey(i);
       }
     }
 
-    /** The next word of this link is heard. */
-    void hear(int from, int to) {
-      Word word = words[from][to].poll();
-      ModelProcess p = all[to];
-      if (p.peer != from && word.event() != Event.TAKEOVER_REQUEST) {
-        return; // of a link that was given up on
+    /** Delivers the next message of this link. */
+    void receive(int from, int to) {
+      Message message = links[from][to].poll();
+      ModelProcess process = processes[to];
+      if (process.peer != from && message.event() != Event.TAKEOVER_REQUEST) {
+        return; // a message of an abandoned link
       }
-      if (word.key()) {
-        p.knows = word.over() || p.knows == Knows.OVER ? Knows.OVER : Knows.OPEN;
-        p.asks = false;
-      } else if (word.event() == null) {
-        // A claim: granted where nothing is known, and then it is the other's.
-        if (p.knows == Knows.NOTHING) {
-          p.knows = Knows.OPEN;
-          say(
+      if (message.isKey()) {
+        process.knowledge = message.isCompleted() || process.knowledge == KeyKnowledge.COMPLETED ? KeyKnowledge.COMPLETED : KeyKnowledge.OPEN;
+        process.awaitsClaim = false;
+      } else if (message.event() == null) {
+        // A claim, which is granted if the key is unknown; the peer executes it then.
+        if (process.knowledge == KeyKnowledge.NONE) {
+          process.knowledge = KeyKnowledge.OPEN;
+          send(
               to,
-              Word.of(
-                  Event.PEER_DISCOVERED)); // stands for granted, which no step of the hand-over is
+              Message.of(
+                  Event.PEER_DISCOVERED)); // represents a grant, for which there is no event
         } else {
-          say(to, new Word(null, true, p.knows == Knows.OVER));
+          send(to, new Message(null, true, process.knowledge == KeyKnowledge.COMPLETED));
         }
-      } else if (word.event() == Event.PEER_DISCOVERED) {
-        if (p.asks) {
-          p.asks = false;
-          if (p.knows == Knows.NOTHING) {
-            run(to);
+      } else if (message.event() == Event.PEER_DISCOVERED) {
+        if (process.awaitsClaim) {
+          process.awaitsClaim = false;
+          if (process.knowledge == KeyKnowledge.NONE) {
+            executeKey(to);
           }
         }
-      } else if (word.event() == Event.TAKEOVER_REQUEST && p.peer != from) {
-        if (p.state == State.ACTIVE) {
-          p.peer = from;
-          take(to, word.event());
+      } else if (message.event() == Event.TAKEOVER_REQUEST && process.peer != from) {
+        if (process.state == State.ACTIVE) {
+          process.peer = from;
+          apply(to, message.event());
         } else {
-          words[from][to].addFirst(word); // its turn comes
+          links[from][to].addFirst(message); // handled once no other handover is under way
         }
-      } else if (bug == Bug.OWNS_WHAT_WAS_WITHDRAWN
-          && word.event() == Event.RETRY_LATER
-          && p.state == State.KEYS_RECEIVED) {
-        take(to, Event.OWNERSHIP_RECEIVED);
+      } else if (bug == Bug.OWNS_KEYS_AFTER_CANCELLATION
+          && message.event() == Event.RETRY_LATER
+          && process.state == State.KEYS_RECEIVED) {
+        apply(to, Event.OWNERSHIP_RECEIVED);
       } else {
-        take(to, word.event());
+        apply(to, message.event());
       }
     }
 
-    /** It owns all keys, or knows what their owner knows. */
-    boolean full(int i) {
-      ModelProcess p = all[i];
-      return p.alive
-          && (p.state.ownsKeys()
-              || p.state == State.OWNERSHIP_TRANSFERRED
-              || p.state == State.RELINQUISHED);
+    /** True if this process owns all keys, or knows all that their owner knows. */
+    boolean knowsAllKeys(int i) {
+      ModelProcess process = processes[i];
+      return process.isAlive
+          && (process.state.ownsKeys()
+              || process.state == State.OWNERSHIP_TRANSFERRED
+              || process.state == State.RELINQUISHED);
     }
 
     void kill(int i) {
-      all[i].alive = false;
-      all[i].listens = false;
-      meeting = meeting == i ? -1 : meeting;
+      processes[i].isAlive = false;
+      processes[i].isListening = false;
+      socketOwner = socketOwner == i ? -1 : socketOwner;
       for (int j = 0; j < PROCESSES; j++) {
-        words[j][i].clear();
+        links[j][i].clear();
       }
-      boolean known = false;
+      boolean isKeyKnown = false;
       for (int j = 0; j < PROCESSES; j++) {
-        // What an asker was told in part counts for nothing: it owns nothing yet.
-        boolean given =
-            all[j].alive
-                && words[i][j].stream().anyMatch(word -> word.event() == Event.OWNERSHIP_RECEIVED);
-        known |= full(j) || given;
+        // Keys that a successor has received in part do not count, as it owns none of them yet.
+        boolean isOwnershipInTransit =
+            processes[j].isAlive
+                && links[i][j].stream().anyMatch(message -> message.event() == Event.OWNERSHIP_RECEIVED);
+        isKeyKnown |= knowsAllKeys(j) || isOwnershipInTransit;
       }
-      if (!known) {
-        runs = 0; // the only holder is gone: no design without a disk keeps the key
-        for (ModelProcess each : all) {
-          each.knows = Knows.NOTHING;
+      if (!isKeyKnown) {
+        // The only process that knew the key has ended, and no result is stored on disk.
+        executions = 0;
+        for (ModelProcess each : processes) {
+          each.knowledge = KeyKnowledge.NONE;
         }
       }
     }
 
-    void check() {
+    void checkSingleOwner() {
       int owners = 0;
       for (int i = 0; i < PROCESSES; i++) {
-        owners += all[i].alive && owns(i) ? 1 : 0;
+        owners += processes[i].isAlive && ownsKeys(i) ? 1 : 0;
       }
       if (owners > 1) {
-        wrong = "two own the keys";
+        violation = "more than one process owns the keys";
       }
     }
 
-    /** All that can happen next. */
-    List<World> next() {
-      List<World> all = new ArrayList<>();
+    /** All states that can follow this one. */
+    List<SystemState> successors() {
+      List<SystemState> successors = new ArrayList<>();
       for (int i = 0; i < PROCESSES; i++) {
-        int me = i;
-        ModelProcess p = this.all[i];
-        if (!p.alive) {
-          if (starts > 0 && p.state == null && meetable(meeting)) {
-            all.add(
-                after(
-                    w -> {
-                      w.starts--;
-                      w.all[me].alive = true;
-                      w.all[me].state = State.AWAITING_WORKER_POOL;
-                      w.all[me].peer = w.meeting;
+        int self = i;
+        ModelProcess process = processes[i];
+        if (!process.isAlive) {
+          if (remainingStarts > 0 && process.state == null && isReachable(socketOwner)) {
+            successors.add(
+                afterChange(
+                    next -> {
+                      next.remainingStarts--;
+                      next.processes[self].isAlive = true;
+                      next.processes[self].state = State.AWAITING_WORKER_POOL;
+                      next.processes[self].peer = next.socketOwner;
                     }));
           }
           continue;
         }
-        if (kills > 0) {
-          all.add(
-              after(
-                  w -> {
-                    w.kills--;
-                    w.kill(me);
+        if (remainingKills > 0) {
+          successors.add(
+              afterChange(
+                  next -> {
+                    next.remainingKills--;
+                    next.kill(self);
                   }));
         }
-        if (p.listens && tries > 0) {
-          all.add(
-              after(
-                  w -> {
-                    w.tries--;
-                    w.tried(me);
+        if (process.isListening && remainingAttempts > 0) {
+          successors.add(
+              afterChange(
+                  next -> {
+                    next.remainingAttempts--;
+                    next.receiveAttempt(self);
                   }));
         }
-        if (p.knows == Knows.OPEN && owns(i) && !p.asks) {
-          all.add(
-              after(
-                  w -> {
-                    w.all[me].knows = Knows.OVER;
-                    if (w.all[me].tells) {
-                      w.say(me, new Word(null, true, true));
+        if (process.knowledge == KeyKnowledge.OPEN && ownsKeys(i) && !process.awaitsClaim) {
+          successors.add(
+              afterChange(
+                  next -> {
+                    next.processes[self].knowledge = KeyKnowledge.COMPLETED;
+                    if (next.processes[self].sendsCompletedKeys) {
+                      next.send(self, new Message(null, true, true));
                     }
                   }));
         }
-        local(me, p, all);
+        addLocalSteps(self, process, successors);
         for (int j = 0; j < PROCESSES; j++) {
           int from = j;
-          Word first = words[j][i].peek();
-          boolean waits =
+          Message first = links[j][i].peek();
+          boolean isDeferred =
               first != null
                   && first.event() == Event.TAKEOVER_REQUEST
-                  && p.peer != j
-                  && p.state != State.ACTIVE;
-          if (first != null && !waits) {
-            all.add(after(w -> w.hear(from, me)));
+                  && process.peer != j
+                  && process.state != State.ACTIVE;
+          if (first != null && !isDeferred) {
+            successors.add(afterChange(next -> next.receive(from, self)));
           }
         }
-        if (p.peer >= 0 && !this.all[p.peer].alive && words[p.peer][i].isEmpty()) {
-          all.add(
-              after(
-                  w -> {
-                    w.all[me].peer = -1;
-                    w.take(me, Event.PEER_LOST);
-                    w.all[me].asks = false;
+        if (process.peer >= 0 && !processes[process.peer].isAlive && links[process.peer][i].isEmpty()) {
+          successors.add(
+              afterChange(
+                  next -> {
+                    next.processes[self].peer = -1;
+                    next.apply(self, Event.PEER_LOST);
+                    next.processes[self].awaitsClaim = false;
                   }));
         }
       }
-      return all;
+      return successors;
     }
 
-    private void local(int me, ModelProcess p, List<World> all) {
-      switch (p.state) {
-        case AWAITING_WORKER_POOL -> all.add(after(w -> w.joins(me)));
-        case SENDING_KEYS -> all.add(after(w -> w.take(me, Event.ALL_KEYS_SENT)));
-        case IN_BACKOFF -> all.add(after(w -> w.take(me, Event.BACKOFF_ELAPSED)));
+    private void addLocalSteps(int self, ModelProcess process, List<SystemState> successors) {
+      switch (process.state) {
+        case AWAITING_WORKER_POOL -> successors.add(afterChange(next -> next.connectWorkerPool(self)));
+        case SENDING_KEYS -> successors.add(afterChange(next -> next.apply(self, Event.ALL_KEYS_SENT)));
+        case IN_BACKOFF -> successors.add(afterChange(next -> next.apply(self, Event.BACKOFF_ELAPSED)));
         case DISCOVERING_PEER -> {
-          if (meetable(meeting) && meeting != me) {
-            all.add(
-                after(
-                    w -> {
-                      w.all[me].peer = w.meeting;
-                      w.take(me, Event.PEER_DISCOVERED);
+          if (isReachable(socketOwner) && socketOwner != self) {
+            successors.add(
+                afterChange(
+                    next -> {
+                      next.processes[self].peer = next.socketOwner;
+                      next.apply(self, Event.PEER_DISCOVERED);
                     }));
-          } else if (vacant(me)) {
-            all.add(after(w -> w.take(me, Event.NO_PEER_DISCOVERED)));
+          } else if (isVacant(self)) {
+            successors.add(afterChange(next -> next.apply(self, Event.NO_PEER_DISCOVERED)));
           }
         }
         default -> {}
       }
-      boolean bounded =
-          p.state.hasDeadline()
-              || (bug == Bug.TAKES_BACK_FROM_THE_SILENT && p.state == State.OWNERSHIP_TRANSFERRED);
-      if (bounded && overdue > 0) {
-        all.add(
-            after(
-                w -> {
-                  w.overdue--;
-                  w.take(
-                      me,
-                      p.state == State.OWNERSHIP_TRANSFERRED
+      boolean canTimeOut =
+          process.state.hasDeadline()
+              || (bug == Bug.RECLAIMS_FROM_SILENT_SUCCESSOR && process.state == State.OWNERSHIP_TRANSFERRED);
+      if (canTimeOut && remainingTimeouts > 0) {
+        successors.add(
+            afterChange(
+                next -> {
+                  next.remainingTimeouts--;
+                  next.apply(
+                      self,
+                      process.state == State.OWNERSHIP_TRANSFERRED
                           ? Event.OWNERSHIP_RETURNED
                           : Event.DEADLINE_EXCEEDED);
                 }));
       }
     }
 
-    private void joins(int me) {
-      take(me, Event.WORKER_POOL_READY);
+    private void connectWorkerPool(int self) {
+      apply(self, Event.WORKER_POOL_READY);
     }
 
-    private World after(Consumer<World> change) {
-      World that = copy();
+    private SystemState afterChange(Consumer<SystemState> change) {
+      SystemState that = copy();
       change.accept(that);
-      that.check();
+      that.checkSingleOwner();
       return that;
     }
 
-    /** True where a process serves, or none lives. */
-    boolean served() {
-      boolean lives = false;
-      for (ModelProcess p : all) {
-        lives |= p.alive;
-        if (p.alive && p.listens) {
+    /** True if a process listens, or none is alive. */
+    boolean isServed() {
+      boolean isAnyAlive = false;
+      for (ModelProcess process : processes) {
+        isAnyAlive |= process.isAlive;
+        if (process.isAlive && process.isListening) {
           return true;
         }
       }
-      return !lives;
+      return !isAnyAlive;
     }
   }
 
-  private record Found(String wrong, int states) {}
+  private record SearchResult(String violation, int states) {}
 
   /**
-   * The first state in which something is wrong, with the way that led there; null where there is
-   * none.
+   * Searches all reachable states for the first violation, and reports it with the states that lead
+   * to it; the violation is null if there is none.
    */
-  private static Found search(Bug bug, int most) {
-    Map<String, String> seen = new HashMap<>(); // each state with the one before it
-    ArrayDeque<World> open = new ArrayDeque<>();
-    World first = new World(bug);
+  private static SearchResult search(Bug bug, int maxStates) {
+    Map<String, String> seen = new HashMap<>(); // each state with its predecessor
+    ArrayDeque<SystemState> open = new ArrayDeque<>();
+    SystemState first = new SystemState(bug);
     seen.put(first.toString(), "");
     open.add(first);
     while (!open.isEmpty()) {
-      World world = open.poll();
-      boolean ends = true;
-      for (World next : world.next()) {
-        if (next.wrong != null) {
-          return new Found(next.wrong + " after " + way(seen, world), seen.size());
+      SystemState current = open.poll();
+      boolean isFinal = true;
+      for (SystemState next : current.successors()) {
+        if (next.violation != null) {
+          return new SearchResult(next.violation + " after " + pathTo(seen, current), seen.size());
         }
-        if (seen.putIfAbsent(next.toString(), world.toString()) == null) {
+        if (seen.putIfAbsent(next.toString(), current.toString()) == null) {
           open.add(next);
         }
-        ends = false;
+        isFinal = false;
       }
-      if (ends && !world.served()) {
-        return new Found("nobody serves after " + way(seen, world), seen.size());
+      if (isFinal && !current.isServed()) {
+        return new SearchResult("no process serves after " + pathTo(seen, current), seen.size());
       }
-      if (seen.size() > most) {
-        return new Found("too many states: the search has no end", seen.size());
+      if (seen.size() > maxStates) {
+        return new SearchResult("too many states: the search was stopped", seen.size());
       }
     }
-    return new Found(null, seen.size());
+    return new SearchResult(null, seen.size());
   }
 
-  private static String way(Map<String, String> seen, World last) {
-    StringBuilder way = new StringBuilder();
+  private static String pathTo(Map<String, String> seen, SystemState last) {
+    StringBuilder path = new StringBuilder();
     for (String at = last.toString(); !at.isEmpty(); at = seen.get(at)) {
-      way.insert(0, "\n  " + at);
+      path.insert(0, "\n  " + at);
     }
-    return way.toString();
+    return path.toString();
   }
 
   @Test
-  void noInterleavingRunsAKeyTwiceOrLeavesTheBoxWithoutAServer() {
-    Found found = search(Bug.NONE, 4_000_000);
-    assertNull(found.wrong());
-    assertTrue(found.states() > 10_000, "it explored little: " + found.states());
-    System.out.println("hand-over: " + found.states() + " states explored, none wrong");
+  void noInterleavingExecutesAKeyTwiceOrLeavesTheHostUnserved() {
+    SearchResult result = search(Bug.NONE, 4_000_000);
+    assertNull(result.violation());
+    assertTrue(result.states() > 10_000, "the search explored too few states: " + result.states());
+    System.out.println("handover model: " + result.states() + " states explored, no violation");
   }
 
   @ParameterizedTest
   @EnumSource(value = Bug.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
-  void eachSeededBugIsFound(Bug bug) {
-    Found found = search(bug, 4_000_000);
-    assertNotNull(found.wrong(), bug + " was not found in " + found.states() + " states");
-    assertTrue(!found.wrong().startsWith("too many"), found.wrong());
+  void eachSeededBugIsDetected(Bug bug) {
+    SearchResult result = search(bug, 4_000_000);
+    assertNotNull(result.violation(), bug + " was not detected in " + result.states() + " states");
+    assertTrue(!result.violation().startsWith("too many"), result.violation());
   }
 
   @Test
-  void anEventWithoutARowChangesNothing() {
+  void eventWithoutATransitionChangesNothing() {
     for (State state : State.values()) {
       for (Event event : Event.values()) {
-        HandoverStateMachine steps = new HandoverStateMachine(state);
-        boolean takes = steps.accepts(event);
-        HandoverStateMachine.Transition step = steps.apply(event);
-        assertEquals(!takes, step.isIgnored());
-        assertTrue(takes || (steps.state() == state && step.actions().isEmpty()));
+        HandoverStateMachine stateMachine = new HandoverStateMachine(state);
+        boolean isAccepted = stateMachine.accepts(event);
+        HandoverStateMachine.Transition transition = stateMachine.apply(event);
+        assertEquals(!isAccepted, transition.isIgnored());
+        assertTrue(isAccepted || (stateMachine.state() == state && transition.actions().isEmpty()));
       }
     }
   }
--- a/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
+++ b/src/test/java/wharftrestle/handover/KeyOwnershipTransferTest.java
@@ -11,7 +11,7 @@
 import wharftrestle.idempotency.KeyEntry;
 import wharftrestle.idempotency.KeyMemoryBudget;
 
-/** What a process makes of the keys that its predecessor sends. */
+/** Tests how a successor records the completed keys that its predecessor sends. */
 class KeyOwnershipTransferTest {
   private final KeyMemoryBudget budget = KeyMemoryBudget.of(64 << 10);
   private final IdempotencyTable<String> keys =
@@ -21,7 +21,7 @@
           keys,
           new KeyOwnershipTransfer.Host<>() {
             @Override
-            public long arrivalUnixMillis(String holder) {
+            public long arrivalUnixMillis(String request) {
               return 0;
             }
 
@@ -37,38 +37,38 @@
             public void onPeerRelease(KeyEntry<String> entry) {}
 
             @Override
-            public void wakeWaiters(String key, boolean granted) {}
+            public void wakeWaiters(String key, boolean isGranted) {}
           });
 
-  private boolean receive(String name, double secondsLeft, double now) {
+  private boolean receive(String name, double remainingSeconds, double now) {
     return transfer.onKeyReceived(
         new PeerProcess.CompletedKey(
-            KeyDigest.of("1/0/" + name), 50_000, secondsLeft, 3, new byte[] {1}),
+            KeyDigest.of("1/0/" + name), 50_000, remainingSeconds, 3, new byte[] {1}),
         now);
   }
 
   @Test
-  void fullTableReceivedSlowly_fitsAsItsOldestKeysExpire() {
+  void fullTableReceivedTwice_fitsOnceItsFirstKeysHaveExpired() {
     int maxKeys = budget.maxKeys();
     for (int i = 0; i < maxKeys; i++) {
-      assertTrue(receive("first " + i, 1, 100), "the table of the other one fits");
+      assertTrue(receive("first " + i, 1, 100), "the predecessor's full table fits");
     }
     assertTrue(budget.maxKeys() > 20);
     for (int i = 0; i < maxKeys; i++) {
-      assertTrue(receive("second " + i, 20, 104), "what is over by now takes no room");
+      assertTrue(receive("second " + i, 20, 104), "expired keys use no memory");
     }
-    assertNull(keys.find("1/0/new"), "so a key that is not known is new");
+    assertNull(keys.find("1/0/new"), "an unknown key is new");
     assertNotNull(keys.find("1/0/second 0"));
   }
 
   @Test
-  void keyThatDoesNotFit_failsUnknownKeysUntilItsWindowIsOver() {
+  void keyWithoutSpace_failsUnknownKeysUntilItsWindowIsOver() {
     int maxKeys = budget.maxKeys();
     for (int i = 0; i < maxKeys; i++) {
       assertTrue(receive("key " + i, 20, 100));
     }
     assertFalse(receive("one more", 5, 100));
-    assertNotNull(keys.find("1/0/new"), "it may be the one that is not known");
+    assertNotNull(keys.find("1/0/new"), "it may be the key that was not recorded");
     keys.expire(104);
     assertNotNull(keys.find("1/0/new"));
     keys.expire(106);
--- a/src/test/java/wharftrestle/handover/ProcessPauseDetectorTest.java
+++ b/src/test/java/wharftrestle/handover/ProcessPauseDetectorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When messages of the peer may be lost to a process that paused. */
+/** Tests when a process counts as paused, so that messages of the peer may be lost. */
 class ProcessPauseDetectorTest {
   private final ProcessPauseDetector detector = new ProcessPauseDetector(0);
 
@@ -24,9 +24,9 @@
   @Test
   void processThatResumed_hasPausedRecently() {
     pollBetween(0, 5);
-    assertTrue(detector.hasPausedRecently(6), "also before its first look");
+    assertTrue(detector.hasPausedRecently(6), "also before its first poll");
     pollBetween(6, 6.8);
-    assertTrue(detector.hasPausedRecently(6.9), "the other one may have been writing what waited");
+    assertTrue(detector.hasPausedRecently(6.9), "the peer may have been writing queued messages");
   }
 
   @Test
