--- a/src/main/java/wharftrestle/Main.java
+++ b/src/main/java/wharftrestle/Main.java
@@ -17,8 +17,8 @@
 import wharftrestle.testbed.TestbedCommand;
 
 /**
- * The command line: it registers the commands and maps their errors. A usage error or a
- * configuration that cannot be used is one line on standard error and exit code 2.
+ * The command line: registers the commands and maps their errors to exit codes. A usage error or an
+ * invalid configuration is reported as one line on standard error with exit code 2.
  */
 @Command(
     name = "wharftrestle",
@@ -34,7 +34,7 @@
 public final class Main implements Runnable {
   private static final int USAGE_ERROR = 2;
 
-  /** Their start does not pay for the registration of the operators' commands. */
+  /** Commands that start without the cost of registering the operators' commands. */
   private static final List<String> DAEMON_COMMANDS = List.of("serve", "adapter", "rehearse");
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -47,7 +47,7 @@
     if (args.length == 0 || !DAEMON_COMMANDS.contains(args[0])) {
       addOperatorCommands(commandLine);
     }
-    commandLine.setParameterExceptionHandler((e, given) -> reportUsageError(e.getMessage()));
+    commandLine.setParameterExceptionHandler((e, arguments) -> reportUsageError(e.getMessage()));
     commandLine.setExecutionExceptionHandler((e, command, parsed) -> onException(e));
     System.exit(commandLine.execute(args));
   }
@@ -69,7 +69,7 @@
   }
 
   private static int reportUsageError(String message) {
-    System.err.println("wharftrestle: " + message.lines().findFirst().orElse("bad use"));
+    System.err.println("wharftrestle: " + message.lines().findFirst().orElse("usage error"));
     return USAGE_ERROR;
   }
 
--- a/src/main/java/wharftrestle/cli/AdapterCommand.java
+++ b/src/main/java/wharftrestle/cli/AdapterCommand.java
@@ -6,10 +6,10 @@
 import wharftrestle.admission.AdmissionController;
 import wharftrestle.simulator.SimulatorAdapter;
 
-/** Runs the daemon's admission code on the simulator's protocol. */
+/** Runs the daemon's admission code behind the simulator's protocol. */
 @Command(
     name = "adapter",
-    description = "decide on the simulator's wire, on standard input and output")
+    description = "run the admission code for the simulator, on standard input and output")
 public final class AdapterCommand implements Callable<Integer> {
   @Override
   public Integer call() throws IOException {
--- a/src/main/java/wharftrestle/cli/ConsoleCommand.java
+++ b/src/main/java/wharftrestle/cli/ConsoleCommand.java
@@ -14,14 +14,15 @@
 @Command(
     name = "console",
     description =
-        "call a running daemon: ready, vars, lameduck on, lameduck off, status, version, results, "
+        "send commands to a running daemon: ready, vars, lameduck on, lameduck off, status, version, results, "
             + "counters, drain")
 public final class ConsoleCommand implements Callable<Integer> {
   @Option(
       names = "--at",
       description =
-          "the daemon's console address; default: $EDGE_CONSOLE, else control in --appliance")
-  private String at;
+          "address of the daemon's admin endpoint; default: $EDGE_CONSOLE, else control in"
+              + " --appliance")
+  private String address;
 
   @Option(
       names = "--appliance",
@@ -32,7 +33,7 @@
   @Parameters(
       arity = "0..2",
       paramLabel = "COMMAND",
-      description = "one command to send; without it the console asks for commands")
+      description = "command to send; without it the console prompts for commands")
   private String[] command;
 
   @Override
@@ -42,15 +43,15 @@
   }
 
   private InetSocketAddress address() throws Exception {
-    String named = at != null ? at : System.getenv().getOrDefault("EDGE_CONSOLE", "");
-    if (!named.isBlank()) {
-      return DaemonConfig.address("console", named);
+    String configured = address != null ? address : System.getenv().getOrDefault("EDGE_CONSOLE", "");
+    if (!configured.isBlank()) {
+      return DaemonConfig.address("console", configured);
     }
     InetSocketAddress control =
         appliance == null ? null : Settings.read(appliance).appliance().control();
     if (control == null) {
       throw new DaemonConfig.BadConfigException(
-          "say where to attach: --at HOST:PORT, or --appliance FILE with control");
+          "no address of an admin endpoint: expected --at HOST:PORT, or --appliance FILE with control");
     }
     return control;
   }
--- a/src/main/java/wharftrestle/cli/ResultsCommand.java
+++ b/src/main/java/wharftrestle/cli/ResultsCommand.java
@@ -12,10 +12,10 @@
 import wharftrestle.storage.ResultLogTool;
 import wharftrestle.storage.UnusableStorageException;
 
-/** Reads and compacts a directory of stored results while no daemon has it open. */
+/** Reads or compacts a directory of stored results while no daemon has it open. */
 @Command(
     name = "results",
-    description = "a folder of kept results, while no daemon has it",
+    description = "read or compact a directory of stored results that no daemon has open",
     subcommands = {
       ResultsCommand.Ls.class,
       ResultsCommand.Show.class,
@@ -32,12 +32,12 @@
         spec.commandLine(), "name a command: results ls, show, verify, compact or export");
   }
 
-  /** A command on the directory that is named, or that the settings name. */
+  /** A command on the directory of an option or of the operators' settings. */
   abstract static class DirectoryCommand implements Callable<Integer> {
     private static final int SUCCESS = 0;
     private static final int FAILURE = 1;
 
-    @Option(names = "--dir", paramLabel = "DIR", description = "the folder")
+    @Option(names = "--dir", paramLabel = "DIR", description = "directory of stored results")
     private Path directory;
 
     @Option(
@@ -51,14 +51,14 @@
 
     @Override
     public Integer call() throws Exception {
-      try (ResultLogTool results = new ResultLogTool(namedDirectory())) {
+      try (ResultLogTool results = new ResultLogTool(resolveDirectory())) {
         return run(results) ? SUCCESS : FAILURE;
       } catch (UnusableStorageException e) {
         throw new DaemonConfig.BadConfigException(e.getMessage());
       }
     }
 
-    private Path namedDirectory() throws Exception {
+    private Path resolveDirectory() throws Exception {
       if (directory != null) {
         return directory;
       }
@@ -66,16 +66,16 @@
           appliance == null ? null : Settings.read(appliance).appliance().durable();
       if (durable == null) {
         throw new DaemonConfig.BadConfigException(
-            "say which folder: --dir DIR, or --appliance FILE with durable");
+            "no directory of stored results: expected --dir DIR, or --appliance FILE with durable");
       }
       return durable.folder();
     }
   }
 
   /** Lists keys. */
-  @Command(name = "ls", description = "a line a key")
+  @Command(name = "ls", description = "list keys, one per line")
   static final class Ls extends DirectoryCommand {
-    @Option(names = "--all", description = "also keys whose time is over")
+    @Option(names = "--all", description = "include expired keys")
     private boolean includesExpired;
 
     @Override
@@ -86,7 +86,7 @@
   }
 
   /** Shows one key. */
-  @Command(name = "show", description = "all that is known of one key")
+  @Command(name = "show", description = "show what is stored about one key")
   static final class Show extends DirectoryCommand {
     @Parameters(paramLabel = "KEY")
     private String key;
@@ -95,14 +95,14 @@
     boolean run(ResultLogTool results) throws IOException {
       boolean isKnown = results.show(System.out, key);
       if (!isKnown) {
-        System.err.println("wharftrestle: nothing is known of " + key);
+        System.err.println("wharftrestle: no record of key " + key);
       }
       return isKnown;
     }
   }
 
-  /** Reads every byte. */
-  @Command(name = "verify", description = "read every byte; exit 1 where something is lost")
+  /** Reads and verifies all files. */
+  @Command(name = "verify", description = "read all files; exit code 1 if records are lost")
   static final class Verify extends DirectoryCommand {
     @Override
     boolean run(ResultLogTool results) throws IOException {
@@ -110,8 +110,8 @@
     }
   }
 
-  /** Rewrites what still counts in as few files as hold it. */
-  @Command(name = "compact", description = "keep what still matters in as few files as hold it")
+  /** Rewrites the live records into as few files as possible. */
+  @Command(name = "compact", description = "rewrite the live records into as few files as possible")
   static final class Compact extends DirectoryCommand {
     @Override
     boolean run(ResultLogTool results) throws IOException {
@@ -121,11 +121,11 @@
   }
 
   /** Writes all keys as JSON lines. */
-  @Command(name = "export", description = "all keys whose time is not over")
+  @Command(name = "export", description = "print all keys that have not expired")
   static final class Export extends DirectoryCommand {
-    // Set by picocli: the one form there is must be asked for by name.
+    // Set by picocli. The only export format has to be selected explicitly.
     @SuppressWarnings("UnusedVariable")
-    @Option(names = "--json", required = true, description = "a JSON object a line")
+    @Option(names = "--json", required = true, description = "one JSON object per line")
     private boolean json;
 
     @Override
--- a/src/main/java/wharftrestle/cli/ServeCommand.java
+++ b/src/main/java/wharftrestle/cli/ServeCommand.java
@@ -13,14 +13,15 @@
 import wharftrestle.settings.Settings;
 import wharftrestle.storage.UnusableStorageException;
 
-/** Runs the daemon in the foreground until it has had the notice to leave and is drained. */
+/** Runs the daemon in the foreground until a shutdown is requested and it has drained. */
 @Command(name = "serve", description = "serve the platform's front ends, in the foreground")
 public final class ServeCommand implements Callable<Integer> {
   @Option(
       names = "--appliance",
       paramLabel = "FILE",
       description =
-          "the operators' settings, such as deploy/appliance.star; without it all they set is off")
+          "the operators' settings, such as deploy/appliance.star; without them, all that they"
+              + " enable is off")
   private Path appliance;
 
   @Override
@@ -41,7 +42,7 @@
     return DaemonConfig.read(System.getenv());
   }
 
-  /** Without a script, nothing of the settings' language is loaded. */
+  /** Loads the interpreter of the settings' language only if there is a script. */
   private DaemonConfig.Appliance readAppliance() throws Exception {
     return appliance == null ? DaemonConfig.Appliance.none() : Settings.read(appliance).appliance();
   }
--- a/src/main/java/wharftrestle/cli/SettingsCommand.java
+++ b/src/main/java/wharftrestle/cli/SettingsCommand.java
@@ -21,8 +21,8 @@
         spec.commandLine(), "name a command: settings check, settings show");
   }
 
-  /** Reports whether a file can be used. */
-  @Command(name = "check", description = "read a settings script and say whether it can be used")
+  /** Reports whether a settings script is valid. */
+  @Command(name = "check", description = "check whether a settings script is valid")
   static final class Check implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
     private Path file;
@@ -36,7 +36,7 @@
   }
 
   /** Shows the effective values. */
-  @Command(name = "show", description = "the effective values with their origin")
+  @Command(name = "show", description = "show the effective values with their origin")
   static final class Show implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", arity = "0..1")
     private Path file;
--- a/src/main/java/wharftrestle/cli/VersionCommand.java
+++ b/src/main/java/wharftrestle/cli/VersionCommand.java
@@ -17,13 +17,13 @@
 public final class VersionCommand implements Callable<Integer> {
   @Option(
       names = "--json",
-      description = "all that a version is, as JSON; the jar is read for its digest")
+      description = "print all fields as JSON, with the computed digest of the jar")
   private boolean json;
 
   @Option(
       names = "--appliance",
       paramLabel = "FILE",
-      description = "the operators' settings, for their digest")
+      description = "the operators' settings, to include their digest")
   private Path appliance;
 
   @Override
@@ -42,7 +42,10 @@
       String digest = BuildInfo.digest(jar);
       fields.put("jar", digest);
       if (!digest.equals(version.jarDigest())) {
-        System.err.println("wharftrestle: the jar's digest is not the one beside it");
+        System.err.println("wharftrestle: jar digest differs from the recorded one: expected "
+                + version.jarDigest()
+                + ", found "
+                + digest);
       }
     }
     return new ObjectMapper().writeValueAsString(fields);
--- a/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
+++ b/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
@@ -16,15 +16,15 @@
 import wharftrestle.transport.BoundedReader;
 
 /**
- * The class-data-sharing training run: requests from end to end in a daemon without a worker pool,
- * whose messages are played here. The build runs it once, so that the JVM archives the classes that
- * a daemon loads. Never part of a daemon that serves.
+ * The class-data-sharing training run. It sends requests to a daemon without a worker pool and passes
+ * the messages of the worker pool to the daemon directly. The build runs it once, so that the JVM
+ * archives the classes that a daemon loads. A serving daemon does not use it.
  */
 public final class ClassDataTrainingRun {
   private static final String CONFIGURATION = "/rehearsal.json";
   private static final int REQUESTS = 4;
 
-  /** Requests after this one also call the store, at whose address nothing listens. */
+  /** Requests after this one also call the store, at an address at which no server listens. */
   private static final int LAST_REQUEST_WITHOUT_CALL = 2;
 
   private static final double[] WORKER_POOL_GAUGES = {0.1, 0, 0.1, 1};
@@ -35,7 +35,7 @@
   /**
    * Runs a daemon from start to stop.
    *
-   * @throws IOException where a request has no answer
+   * @throws IOException if a request gets no response
    */
   public static void run()
       throws IOException, InterruptedException, DaemonConfig.BadConfigException {
@@ -85,7 +85,7 @@
     OutputStream out = client.getOutputStream();
     InputStream in = client.getInputStream();
     out.write(BoundedReader.ascii(requestMessage(tag, reference) + statusMessage(tag)));
-    readUntil(in, "healthy"); // Answered once the request before it has been read.
+    readUntil(in, "healthy"); // Sent only after the daemon has read the request before it.
     if (tag > LAST_REQUEST_WITHOUT_CALL) {
       requests.executionBlocked(reference, tag, new byte[0]);
     }
@@ -119,7 +119,7 @@
     while (received.indexOf(end) < 0) {
       int next = in.read();
       if (next < 0) {
-        throw new IOException("connection ended before '" + end + "', received: " + received);
+        throw new IOException("connection closed: expected '" + end + "', received '" + received + "'");
       }
       received.append((char) next);
     }
--- a/src/main/java/wharftrestle/daemon/ConfigReload.java
+++ b/src/main/java/wharftrestle/daemon/ConfigReload.java
@@ -6,9 +6,9 @@
 import wharftrestle.metrics.Counters;
 
 /**
- * Applies a new configuration to a daemon that serves: the addresses of the worker pool, the store
- * and the name service. All else needs a new start. A configuration that cannot be used changes
- * nothing. Thread-safe.
+ * Applies a new configuration to a serving daemon: the addresses of the worker pool, the store and
+ * the name service. All other values need a restart. An invalid configuration changes nothing.
+ * Thread-safe.
  */
 final class ConfigReload {
   private final DaemonParts parts;
@@ -22,23 +22,25 @@
     try {
       next = source.read();
     } catch (DaemonConfig.BadConfigException | RuntimeException e) {
-      Logger.warn("the new configuration cannot be used, the old one holds: {}", e.getMessage());
+      Logger.warn("configuration reload failed, keeping the previous configuration error={}", e.getMessage());
       return;
     }
     if (lacksStore(next)) {
-      Logger.warn("the new configuration cannot be used, the old one holds: it names no store");
+      Logger.warn(
+          "configuration reload failed, keeping the previous configuration error=the new one names"
+              + " no store, but executions call a store");
       return;
     }
-    moveTo(next);
+    applyAddresses(next);
   }
 
-  /** A file of another site would leave executions that call the store without it. */
+  /** Detects a configuration without a store at a site whose executions call the store. */
   private boolean lacksStore(DaemonConfig next) {
     return next.db() == null
         && parts.config().settings().calls().dependency() != Admission.Dependency.NONE;
   }
 
-  private void moveTo(DaemonConfig next) {
+  private void applyAddresses(DaemonConfig next) {
     parts.workerPool().moveTo(next.pool());
     parts.store().moveTo(next.db());
     parts.loadReporter().moveTo(next.naming());
--- a/src/main/java/wharftrestle/daemon/ConfigWatcher.java
+++ b/src/main/java/wharftrestle/daemon/ConfigWatcher.java
@@ -9,8 +9,8 @@
 import wharftrestle.request.PlatformThreads;
 
 /**
- * Polls the configuration file where SIGHUP is ignored, on a thread of its own, and notifies a
- * listener of each change. It compares the file's bytes and does not interpret them.
+ * Polls the configuration file on a separate thread, if SIGHUP is ignored, and notifies a listener of
+ * each change. It compares the file's bytes and does not interpret them.
  */
 final class ConfigWatcher {
   static final int POLL_INTERVAL_MILLIS = 250;
@@ -38,7 +38,7 @@
     }
   }
 
-  /** A file that cannot be read now is read again at the next poll. */
+  /** Skips a file that cannot be read; the next poll reads it again. */
   private void poll() {
     byte[] content = read();
     if (content.length > 0 && !Arrays.equals(lastContent, content)) {
@@ -51,7 +51,7 @@
     try {
       return Files.readAllBytes(file);
     } catch (IOException e) {
-      Logger.debug("configuration: {}", e.toString());
+      Logger.debug("cannot read the configuration file error={}", e.toString());
       return UNREADABLE;
     }
   }
--- a/src/main/java/wharftrestle/daemon/DaemonAdmin.java
+++ b/src/main/java/wharftrestle/daemon/DaemonAdmin.java
@@ -10,7 +10,7 @@
 import wharftrestle.metrics.ResultMetric;
 import wharftrestle.version.Version;
 
-/** The daemon as the admin endpoint and the SNMP agent see it. Thread-safe. */
+/** Gives the admin endpoint and the SNMP agent access to the daemon. Thread-safe. */
 final class DaemonAdmin implements AdminServer.Daemon {
   private final DaemonParts parts;
   private final LifecycleState state;
@@ -19,7 +19,7 @@
   private volatile RolloutStatus rolloutStatus = RolloutStatus.NONE;
 
   /**
-   * @param shutdownRequest gives the daemon the notice to leave
+   * @param shutdownRequest requests a graceful shutdown of the daemon
    */
   DaemonAdmin(
       DaemonParts parts,
@@ -107,11 +107,11 @@
 
   @Override
   public boolean lameDuck(boolean isOn) {
-    if (!isOn && state.isLeaving()) {
+    if (!isOn && state.isShuttingDown()) {
       return false;
     }
     parts.requests().setDraining(isOn);
-    Logger.info("{}: lame duck {}", name(), isOn ? "on" : "off");
+    Logger.info("{}: lame duck mode={}", name(), isOn ? "on" : "off");
     return true;
   }
 
--- a/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
+++ b/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
@@ -5,7 +5,7 @@
 import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.handover.Capabilities;
 
-/** What a handover does to the parts of the daemon. */
+/** Applies the effects of a handover to the parts of the daemon. */
 final class DaemonHandoverHost implements HandoverHost {
   private static final Capabilities.KeyCapacity CAPACITY_NOT_STATED =
       new Capabilities.KeyCapacity(0, 0, 0, 0);
@@ -46,14 +46,14 @@
 
   @Override
   public boolean listen(boolean isAlone) {
-    return state.isLeaving() ? parts.frontends().isListening() : parts.frontends().listen(isAlone);
+    return state.isShuttingDown() ? parts.frontends().isListening() : parts.frontends().listen(isAlone);
   }
 
   @Override
   public void acceptClients() {
     parts.frontends().accept();
     parts.requests().setRelinquished(false);
-    parts.loadReporter().pause(state.isLeaving());
+    parts.loadReporter().pause(state.isShuttingDown());
   }
 
   @Override
@@ -88,8 +88,8 @@
   }
 
   @Override
-  public boolean isLeaving() {
-    return state.isLeaving();
+  public boolean isShuttingDown() {
+    return state.isShuttingDown();
   }
 
   @Override
@@ -100,7 +100,7 @@
   @Override
   public void reportRefusal(String reason) {
     Logger.error(
-        "{} cannot take over from the process that serves: {}; it starts once that one has ended",
+        "{}: cannot take over, waiting until the predecessor has ended reason={}",
         parts.config().name(),
         reason);
   }
@@ -109,7 +109,7 @@
   public void failUnknownKeys() {
     double seconds = parts.longestWindowSeconds();
     Logger.warn(
-        "{}: keys of the process that has ended are not known here: unknown ones fail for {} s",
+        "{}: keys of the ended peer process are unknown; failing unknown keys seconds={}",
         parts.config().name(),
         Math.round(seconds));
     parts.requests().peer().failUnknownKeysFor(seconds);
--- a/src/main/java/wharftrestle/daemon/DaemonParts.java
+++ b/src/main/java/wharftrestle/daemon/DaemonParts.java
@@ -14,8 +14,8 @@
 import wharftrestle.version.Version;
 
 /**
- * The parts of a daemon that serve requests, assembled from its configuration. Nothing is opened
- * and no thread is started by the assembly.
+ * The parts of a daemon that serve requests, assembled from its configuration. The
+ * assembly opens no resource and starts no thread.
  */
 record DaemonParts(
     DaemonConfig config,
@@ -57,7 +57,7 @@
         BuildInfo.describe(config.canonical(appliance)));
   }
 
-  /** Seconds in which a key of any class may come again, with the slack of the table. */
+  /** Longest idempotency window of all classes, including the slack of the table. */
   double longestWindowSeconds() {
     return longestWindowSeconds(config);
   }
--- a/src/main/java/wharftrestle/daemon/Frontends.java
+++ b/src/main/java/wharftrestle/daemon/Frontends.java
@@ -12,17 +12,17 @@
 import wharftrestle.transport.Server;
 
 /**
- * The servers that clients connect to: the platform's front end and, where it is on, that of uwsgi
- * gateways. Called by the start sequence, the handover and the shutdown; the servers are
- * thread-safe.
+ * The servers to which clients connect: the one for the platform's front ends and, if enabled, the
+ * one for uwsgi gateways. Called by the start sequence, the handover and the shutdown; the servers
+ * are thread-safe.
  */
 final class Frontends implements AutoCloseable {
   private final Server platform;
-  private final Server gateways; // null where uwsgi is off
+  private final Server gateways; // null if uwsgi is off
   private final List<Server> all;
   private final ResourceLimits limits;
 
-  /** Two processes of a host may listen at the same addresses. */
+  /** True if two processes of a host may listen at the same addresses. */
   private final boolean sharesAddresses;
 
   Frontends(
@@ -38,7 +38,7 @@
             "resp",
             config.listen(),
             limits.maxFrontendConnections(),
-            limits.frontendLeavingDescriptors(),
+            limits.closingFrontendDescriptors(),
             new RespFrontend(requests, counters),
             counters);
     gateways =
@@ -57,7 +57,7 @@
   /**
    * Binds all addresses at a start without a predecessor.
    *
-   * @throws IOException where one cannot be bound
+   * @throws IOException if one cannot be bound
    */
   void listenAtStart() throws IOException {
     for (Server server : all) {
@@ -66,11 +66,11 @@
   }
 
   /**
-   * Binds the addresses that are not bound. One that is taken does not end a process on which
-   * others rely: it is logged.
+   * Binds the addresses that are not bound. An address that is not available is logged and does not
+   * end the process, as a peer process relies on it.
    *
-   * @return false where the platform's address cannot be bound; gateways' connections are not taken
-   *     then either, as nothing would serve them
+   * @return false if the platform's address cannot be bound; the gateways' address is not bound then
+   *     either, as no process would serve its connections
    */
   boolean listen(boolean isAlone) {
     for (Server server : all) {
@@ -88,7 +88,7 @@
     try {
       server.listen(sharesAddresses, isAlone);
     } catch (IOException e) {
-      Logger.error("cannot listen at {}: {}", server.address(), e.getMessage());
+      Logger.error("cannot listen address={} error={}", server.address(), e.getMessage());
     }
   }
 
@@ -106,7 +106,10 @@
     }
   }
 
-  /** Uses half of all connections, or all of them; what is beyond a half is sent away. */
+  /**
+   * Limits this process to half of all connections, or lifts that limit. Connections of the platform
+   * beyond the half are asked to disconnect.
+   */
   void shareConnections(boolean isShared) {
     int processes = isShared ? 2 : 1;
     platform.limit(limits.maxFrontendConnections() / processes);
@@ -118,7 +121,7 @@
     }
   }
 
-  /** Takes no more clients, and tells those of the platform to go. */
+  /** Stops accepting clients, and asks those of the platform to disconnect. */
   void stopListening() {
     platform.stopListening();
     platform.goAway();
@@ -127,7 +130,7 @@
     }
   }
 
-  /** Reads nothing more: each connection ends once its answers are written. */
+  /** Stops reading: each connection ends once its responses are written. */
   void finish() {
     all.forEach(Server::finish);
   }
@@ -136,7 +139,7 @@
     return platform.address();
   }
 
-  /** Where uwsgi gateways connect; null where they are off. */
+  /** The address at which uwsgi gateways connect; null if they are off. */
   InetSocketAddress gatewayAddress() {
     return gateways == null ? null : gateways.address();
   }
@@ -153,7 +156,7 @@
     return platformConnections() + gatewayConnections() > 0;
   }
 
-  /** Gives all addresses back; open connections are cut. */
+  /** Releases all addresses and closes open connections at once. */
   @Override
   public void close() {
     all.forEach(Server::close);
--- a/src/main/java/wharftrestle/daemon/GracefulShutdown.java
+++ b/src/main/java/wharftrestle/daemon/GracefulShutdown.java
@@ -5,23 +5,23 @@
 import wharftrestle.admission.AdmissionController;
 
 /**
- * Waits for the notice to leave, answers all that was read, and ends the connections before the
- * process is stopped. The sequence runs on the main thread; {@link #request} may be called from
- * any.
+ * Waits for a shutdown request, answers all requests that were read, and ends the connections before
+ * the process is stopped. The sequence runs on the main thread; {@link #request} may be called from
+ * any thread.
  */
 final class GracefulShutdown {
-  /** Before the process is stopped by which all answers are out, also under contention. */
+  /** Time before the stop by which all responses have been sent, even under contention. */
   private static final double ANSWER_MARGIN_SECONDS = 0.5;
 
-  /** Before the stop from which on open connections are no longer waited for. */
+  /** Time before the stop from which on open connections are no longer waited for. */
   private static final double CONNECTION_MARGIN_SECONDS = 0.35;
 
-  /** After the grace period, in which requests that were on their way are still taken. */
+  /** Time after the grace period during which requests in transit are still accepted. */
   private static final double IN_TRANSIT_SECONDS = 0.05;
 
   /**
-   * After the notice by which a relinquished process has ended: its longest deadline, or this, and
-   * the margin.
+   * A relinquished process ends this long after the shutdown request at the latest, plus the margin;
+   * sooner if its longest deadline is shorter.
    */
   private static final double MAX_RELINQUISHED_SECONDS = 3;
 
@@ -43,7 +43,7 @@
     stopSeconds = parts.config().stopSeconds();
   }
 
-  /** Gives the notice to leave; only the first one counts. */
+  /** Requests the shutdown; only the first request has an effect. */
   void request() {
     if (requested.getCount() > 0) {
       requestedAtNanos = System.nanoTime();
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Waits for the notice, and returns when the process may end. */
+  /** Waits for the shutdown request, drains, and returns when the process may end. */
   void awaitRequestAndDrain() throws InterruptedException {
     requested.await();
     if (enterDraining()) {
@@ -60,19 +60,19 @@
       drainBesideSuccessor();
     }
     state.enter(Lifecycle.State.CLOSING);
-    // What comes from here on could not be answered: a refused connection serves callers better.
+    // A request that arrives from here on could not be answered: a refused connection is better.
     parts.frontends().stopListening();
     awaitAnswersAndDisconnects();
-    // What peers that never disconnect send from here on is not read, and so is not lost.
+    // Requests of peers that stay connected are no longer read, so none is lost after its receipt.
     parts.frontends().finish();
     awaitLastDisconnects();
     parts.storedResults().close(Math.max(0, (long) (remainingSeconds() * 1000)));
     state.enter(Lifecycle.State.STOPPED);
   }
 
-  /** True where no other process serves the clients of this host. */
+  /** True if no other process serves the clients of this host. */
   private boolean enterDraining() {
-    return handover.locked(
+    return handover.evaluateLocked(
         () -> {
           boolean isAlone = state.current() != Lifecycle.State.RELINQUISHED;
           state.enter(Lifecycle.State.DRAINING);
@@ -80,23 +80,23 @@
         });
   }
 
-  /** Tells front ends to leave, and takes requests until they have had the time for it. */
+  /** Announces the shutdown to front ends, and accepts requests for the grace period. */
   private void drainAlone() throws InterruptedException {
-    leaveRequests();
+    beginRequestShutdown();
     double graceSeconds =
         Math.min(
                 parts.config().settings().timing().drainGraceSeconds()
                     - AdmissionController.DRAIN_MARGIN_SECONDS,
                 parts.config().stopSeconds() - 2 * ANSWER_MARGIN_SECONDS)
             + IN_TRANSIT_SECONDS;
-    double openSeconds = graceSeconds - (parts.config().stopSeconds() - remainingSeconds());
-    if (openSeconds > 0) {
-      Thread.sleep((long) (openSeconds * 1000));
+    double remainingAcceptSeconds = graceSeconds - (parts.config().stopSeconds() - remainingSeconds());
+    if (remainingAcceptSeconds > 0) {
+      Thread.sleep((long) (remainingAcceptSeconds * 1000));
     }
   }
 
   /**
-   * The host is served by the successor: what is in flight here ends in the time of its deadlines.
+   * The successor serves the host; requests in flight here complete within their deadlines.
    */
   private void drainBesideSuccessor() {
     double longestDeadlineSeconds =
@@ -106,22 +106,23 @@
             .orElse(MAX_RELINQUISHED_SECONDS);
     stopSeconds =
         RELINQUISHED_MARGIN_SECONDS + Math.min(MAX_RELINQUISHED_SECONDS, longestDeadlineSeconds);
-    leaveRequests();
+    beginRequestShutdown();
   }
 
-  private void leaveRequests() {
+  private void beginRequestShutdown() {
     parts.requests().beginShutdown(Math.max(0, remainingSeconds() - ANSWER_MARGIN_SECONDS));
   }
 
   /**
-   * The last process that knows the keys of the host stays, so that a further one can receive them.
+   * Waits until all responses are sent and all connections are closed. The last process that knows
+   * the keys of the host waits until its stop, so that another process can receive them.
    */
   private void awaitAnswersAndDisconnects() throws InterruptedException {
     do {
       parts.requests().awaitDrained(Math.max(0, remainingSeconds() - CONNECTION_MARGIN_SECONDS));
       Thread.sleep(CONNECTION_POLL_INTERVAL_MILLIS);
     } while (remainingSeconds() > CONNECTION_MARGIN_SECONDS
-        && (handover.isLastHolder() || parts.frontends().hasConnections()));
+        && (handover.isLastKeyHolder() || parts.frontends().hasConnections()));
   }
 
   private void awaitLastDisconnects() throws InterruptedException {
--- a/src/main/java/wharftrestle/daemon/HandoverActions.java
+++ b/src/main/java/wharftrestle/daemon/HandoverActions.java
@@ -14,30 +14,30 @@
 
 /**
  * Carries out the actions of the handover's state machine. Called under the lock of {@link
- * HandoverCoordinator}; what waits for the peer runs on a thread of its own, without that lock.
+ * HandoverCoordinator}; work that waits for the peer runs on a separate thread without that lock.
  */
 final class HandoverActions {
 
-  /** The coordinator, as the actions use it. */
+  /** The operations of the coordinator that actions use. */
   interface Events {
     State state();
 
-    /** Numbers the handovers that this process was asked for. */
+    /** Sequence number of the latest handover to a successor. */
     int attempt();
 
-    /** Applies what an action led to. */
+    /** Applies an event that an action caused. */
     void apply(Event event);
 
-    /** The same for an event whose reason operators and the peer are shown. */
+    /** Applies an event with a reason, which is shown to operators and sent to the peer. */
     void apply(Event event, String reason);
 
     /** Runs a step under the lock after a delay, unless the process is closed by then. */
     void schedule(String threadName, long delayMillis, Runnable step);
 
-    /** Runs a step under the lock if this handover still sends keys to this successor. */
+    /** Runs a step under the lock if the given attempt still sends keys to this successor. */
     void whileSendingKeys(PeerLink successor, int attempt, Runnable step);
 
-    /** This process serves from now on. */
+    /** Starts to serve. */
     void startServing();
   }
 
@@ -47,10 +47,10 @@
   private static final long FIRST_DISCOVERY_INTERVAL_MILLIS = 50;
   private static final long MAX_DISCOVERY_INTERVAL_MILLIS = 1000;
 
-  /** Attempts to open the stored results that the peer has just closed. */
+  /** Attempts to open the stored results after the peer has closed them in a handover. */
   private static final int STORAGE_ATTEMPTS_AFTER_TRANSFER = 2;
 
-  /** Attempts to open those of a peer that has just ended. */
+  /** Attempts to open the stored results after the peer process has ended. */
   private static final int STORAGE_ATTEMPTS_AFTER_PEER_EXIT = 20;
 
   private final String name;
@@ -63,7 +63,7 @@
   private int completedKeysSent;
   private int openKeysSent;
 
-  /** True after a refusal: keys of the predecessor could not be received. */
+  /** True after a refused takeover: the keys of the predecessor were not received. */
   private boolean lacksPredecessorKeys;
 
   HandoverActions(
@@ -79,17 +79,17 @@
     this.events = events;
   }
 
-  /** What this process states of itself now. */
+  /** The capabilities of this process, with its current keys and clock. */
   Capabilities capabilities() {
     return host.capabilities().with(peerKeys.keyCapacity(), SteadyWallClock.offsetMillis());
   }
 
-  /** Ends the threads of this process's actions. */
+  /** Stops the threads that actions have started. */
   void close() {
     pauseWatch.stop();
   }
 
-  /** Carries out one action; the reason is that of the event which led to it. */
+  /** Carries out one action; the reason belongs to the event that caused it. */
   void execute(Action action, String reason) {
     switch (action) {
       case SEND_TAKEOVER_REQUEST -> requestTakeover();
@@ -99,8 +99,8 @@
           links.current().sendSuccessorCapabilities(capabilities().encode());
       case SEND_WITHDRAWAL -> links.current().send(Message.WITHDRAWAL, reason);
       case SEND_ACCEPTANCE -> links.current().send(Message.ACCEPTANCE, "");
-      case SEND_REJECTION -> reject(reason);
-      case SEND_RETRY_LATER -> giveUpForNow(reason);
+      case SEND_REJECTION -> sendRejection(reason);
+      case SEND_RETRY_LATER -> sendRetryLater(reason);
       case SEND_COMPLETED_KEYS -> sendCompletedKeys();
       case STOP_SENDING_KEYS -> peerKeys.stopSendingSettledKeys();
       case SEND_KEYS_COMPLETE -> links.current().sendKeysComplete(completedKeysSent);
@@ -110,7 +110,8 @@
       case TRANSFER_OWNERSHIP_LEGACY -> transferOwnershipLegacy(links.current());
       case PARK_LINK ->
           Logger.warn(
-              "{}: an older build asks to take over; it can start once this process has ended",
+              "{}: takeover request of handover format 0 cannot be served; its sender can start once"
+                  + " this process has ended",
               name);
       case OPEN_STORAGE -> openStorage();
       case RETURN_OWNERSHIP -> returnOwnership(reason);
@@ -125,7 +126,7 @@
       case DISCOVER_PEER -> scheduleDiscovery(FIRST_DISCOVERY_INTERVAL_MILLIS);
       case START_BACKOFF -> startBackoff();
       case REPORT_REFUSAL -> reportRefusal(reason);
-      default -> throw new IllegalStateException("no code for action " + action);
+      default -> throw new IllegalStateException("action is not implemented: " + action);
     }
   }
 
@@ -137,7 +138,7 @@
   }
 
   private void acknowledgeKeys() {
-    links.holdKeys(); // Before the open keys: they may arrive after their owner's end.
+    links.holdKeys(); // Before the open keys arrive, as their owner may have ended by then.
     links.current().send(Message.KEYS_ACKNOWLEDGED, "");
   }
 
@@ -146,7 +147,7 @@
       events.apply(Event.STORAGE_OPENED);
     } else {
       peerKeys.returnKeys();
-      events.apply(Event.STORAGE_UNAVAILABLE, "its folder of kept results cannot be had");
+      events.apply(Event.STORAGE_UNAVAILABLE, "the successor cannot open the directory of stored results");
     }
   }
 
@@ -163,13 +164,13 @@
   private void startBackoff() {
     links.releaseKeys();
     backoffs++;
-    boolean retries = backoffs <= MAX_BACKOFFS;
+    boolean hasRetriesLeft = backoffs <= MAX_BACKOFFS;
     events.schedule(
         "handover-backoff",
-        retries ? FIRST_BACKOFF_MILLIS << backoffs : 1,
+        hasRetriesLeft ? FIRST_BACKOFF_MILLIS << backoffs : 1,
         () -> {
           if (events.state() == State.IN_BACKOFF) {
-            events.apply(retries ? Event.BACKOFF_ELAPSED : Event.RETRIES_EXHAUSTED);
+            events.apply(hasRetriesLeft ? Event.BACKOFF_ELAPSED : Event.RETRIES_EXHAUSTED);
           }
         });
   }
@@ -183,7 +184,7 @@
     events.schedule("handover-discovery", intervalMillis, () -> discoverPeer(intervalMillis));
   }
 
-  /** Another process of this host may have waited as well: the first one serves. */
+  /** Several processes of this host may wait at the same time; the first one that can serves. */
   private void discoverPeer(long lastIntervalMillis) {
     if (events.state() != State.DISCOVERING_PEER) {
       return;
@@ -198,10 +199,10 @@
     }
   }
 
-  /** How the executions of the predecessor ended is unknown. */
+  /** Handles the end of the predecessor; the outcome of its executions in flight is unknown. */
   private void resolvePeerLoss() {
     if (!host.openStorage(STORAGE_ATTEMPTS_AFTER_PEER_EXIT)) {
-      Logger.error("{}: kept results cannot be had, keyed requests are refused", name);
+      Logger.error("{}: cannot open the stored results; rejecting requests with an idempotency key", name);
     }
     peerKeys.peerLost();
     host.shareResources(false);
@@ -214,17 +215,17 @@
 
   // ---- The predecessor ----
 
-  private void reject(String reason) {
-    Logger.warn("{}: another process asked to take over and cannot: {}", name, reason);
+  private void sendRejection(String reason) {
+    Logger.warn("{}: takeover request rejected reason={}", name, reason);
     links.current().send(Message.REJECTION, reason);
   }
 
-  private void giveUpForNow(String reason) {
-    Logger.warn("{}: the process that asked to take over is given up on for now: {}", name, reason);
+  private void sendRetryLater(String reason) {
+    Logger.warn("{}: handover cancelled, successor may retry reason={}", name, reason);
     links.current().send(Message.RETRY_LATER, reason);
   }
 
-  /** On a thread of its own, as the successor may be slow to read. */
+  /** Runs on a separate thread, as the successor may be slow to read. */
   private void sendCompletedKeys() {
     PeerLink successor = links.current();
     int attempt = events.attempt();
@@ -237,11 +238,11 @@
         .start();
   }
 
-  /** The count is negative where the successor did not read them in time. */
+  /** The count is negative if the successor did not read the keys in time. */
   private void onCompletedKeysSent(int sent) {
     completedKeysSent = sent;
     if (sent < 0) {
-      events.apply(Event.DEADLINE_EXCEEDED, "it does not take what it is told");
+      events.apply(Event.DEADLINE_EXCEEDED, "the successor does not read the completed keys in time");
     } else {
       events.apply(Event.ALL_KEYS_SENT);
     }
@@ -250,15 +251,15 @@
   private int transferKeysTo(PeerLink successor) {
     host.shareResources(true);
     int openKeys = peerKeys.transferKeys(successor);
-    host.closeStorage(); // Only the owner of the keys writes, and it reads what is on disk by now.
+    host.closeStorage(); // Only the owner writes, and the successor reads what is on disk by now.
     pauseWatch.start();
     return openKeys;
   }
 
   private void transferOwnershipLegacy(PeerLink successor) {
     int openKeys = transferKeysTo(successor);
-    // On a thread of its own, as a successor of format 1 that stalls owns all keys and is waited
-    // for.
+    // On a separate thread: a successor of format 1 owns all keys by now, so this process has to
+    // wait for it even if it stalls.
     PlatformThreads.thread(
             "handover-keys",
             () ->
@@ -269,13 +270,13 @@
 
   private void reclaimOwnership() {
     if (pauseWatch.hasPausedRecently() && !host.storesResults()) {
-      // The successor may have executed keys whose announcement it could not write meanwhile.
+      // The successor may have executed keys that it could not announce during the pause.
       host.failUnknownKeys();
     }
     pauseWatch.stop();
     host.openStorage(STORAGE_ATTEMPTS_AFTER_PEER_EXIT);
     peerKeys.peerLost();
     host.shareResources(false);
-    Logger.warn("{}: the process that took over is gone, this one owns its keys again", name);
+    Logger.warn("{}: successor has ended or returned ownership; this process owns all keys again", name);
   }
 }
--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -19,15 +19,15 @@
 import wharftrestle.transport.PeerLink.Message;
 
 /**
- * Drives the handover between the processes of a host: turns messages of the peer and timers into
- * events of the {@link HandoverStateMachine}, and has its actions carried out by {@link
- * HandoverActions}. One lock, this object's, guards the state machine, the links and the actions;
- * it is never held while the peer is waited for.
+ * Coordinates the handover between the processes of a host. It translates messages of the peer and
+ * timers into events of the {@link HandoverStateMachine}, and has the resulting actions carried out
+ * by {@link HandoverActions}. The lock of this object guards the state machine, the links and the
+ * actions; it is never held while waiting for the peer.
  */
 final class HandoverCoordinator implements PeerLink.MessageHandler, HandoverActions.Events {
 
-  /** A silent successor is given up on after that; nothing has moved by then. */
-  private static final long SUCCESSOR_SILENCE_MILLIS = 10_000;
+  /** A handover to a silent successor is cancelled after this time; no ownership has moved yet. */
+  private static final long SUCCESSOR_SILENCE_TIMEOUT_MILLIS = 10_000;
 
   private final String name;
   private final PeerCoordinator peerKeys;
@@ -37,20 +37,21 @@
   private final HandoverActions actions;
   private final HandoverStateMachine stateMachine;
 
-  /** Why the last handover failed, as operators and the peer are shown it. */
+  /** Why the last handover failed; shown to operators and sent to the peer. */
   private String failureReason = "";
 
   private int attempt;
 
-  /** True where the successor has died and this process leaves: only it knows the keys. */
-  private boolean leavesAsLastHolder;
+  /** True if the successor has ended and this process shuts down: no other knows the keys. */
+  private boolean drainsAsLastKeyHolder;
 
   private volatile boolean isClosed;
 
   /**
    * Connects to the process that serves this host, if one does.
    *
-   * @param socket where the processes of the host meet; null where handovers are off
+   * @param socket at which the serving process accepts links of other processes of the host; null if
+   *     handovers are off
    */
   HandoverCoordinator(
       String name,
@@ -67,7 +68,10 @@
     stateMachine = new HandoverStateMachine(initialState(links));
   }
 
-  /** A process that holds the keys may be stopped, or outlive its successor: it is waited for. */
+  /**
+   * Another process that holds the keys may be stopped, or may have outlived its successor. If it
+   * cannot be reached, this process waits for it.
+   */
   private static State initialState(HandoverLinks links) {
     if (links.current() != null) {
       return State.AWAITING_WORKER_POOL;
@@ -75,9 +79,9 @@
     return links.isOnlyKeyHolder() ? State.ACTIVE : State.DISCOVERING_PEER;
   }
 
-  // ---- The life of this process ----
+  // ---- Start, state and end of this process ----
 
-  /** True where another process serves, or holds the keys, and this one has yet to serve. */
+  /** True if another process serves or holds the keys, and this one does not serve yet. */
   synchronized boolean isStandby() {
     return stateMachine.state() != State.ACTIVE;
   }
@@ -87,17 +91,17 @@
     return stateMachine.state();
   }
 
-  /** Why this process cannot take over; empty where it can, or has. */
+  /** Why this process cannot take over; empty if it can, or has taken over. */
   synchronized String refusalReason() {
     return stateMachine.state() == State.AWAITING_PREDECESSOR_EXIT ? failureReason : "";
   }
 
-  /** True where this process leaves, and a further one could still receive the keys from it. */
-  synchronized boolean isLastHolder() {
-    return leavesAsLastHolder && stateMachine.state() != State.RELINQUISHED;
+  /** True if this process shuts down and another one could still receive the keys from it. */
+  synchronized boolean isLastKeyHolder() {
+    return drainsAsLastKeyHolder && stateMachine.state() != State.RELINQUISHED;
   }
 
-  /** Reads messages of the process that serves from now on. */
+  /** Starts to read messages of the process that serves, if it can be reached. */
   void start() {
     PeerLink predecessor;
     synchronized (this) {
@@ -107,13 +111,13 @@
       predecessor.start();
     } else {
       Logger.warn(
-          "{}: a process that knows the keys of this box lives and cannot be met now: it is waited"
-              + " for",
+          "{}: another process knows the keys of this host and cannot be reached; waiting until it"
+              + " can be reached or has ended",
           name);
     }
   }
 
-  /** The worker pool is connected, and with it all that this process needs to serve. */
+  /** Continues the takeover once the worker pool is connected, so that this process can serve. */
   synchronized void onWorkerPoolReady() {
     if (stateMachine.accepts(Event.WORKER_POOL_READY)) {
       apply(Event.WORKER_POOL_READY);
@@ -123,13 +127,13 @@
   }
 
   /**
-   * This process serves from now on. It can be reached by successors before it reports so: one that
-   * is started on that report must not meet the process before this one.
+   * Starts to serve. Successors can reach this process before it publishes its new state: one that is
+   * started on that state must not connect to the predecessor of this process.
    */
   @Override
   public synchronized void startServing() {
-    if (host.isLeaving()) {
-      leavesAsLastHolder = true;
+    if (host.isShuttingDown()) {
+      drainsAsLastKeyHolder = true;
       acceptSuccessors();
     } else {
       acceptSuccessors();
@@ -143,19 +147,19 @@
     }
   }
 
-  /** Evaluates this while no event is applied. */
-  synchronized boolean locked(BooleanSupplier supplier) {
-    return supplier.getAsBoolean();
+  /** Evaluates a condition under the lock, so that no event is applied meanwhile. */
+  synchronized boolean evaluateLocked(BooleanSupplier condition) {
+    return condition.getAsBoolean();
   }
 
-  /** Ends all links, as at the end of the process. */
+  /** Closes all links when the process ends. */
   synchronized void close() {
     isClosed = true;
     actions.close();
     links.close();
   }
 
-  // ---- Messages of the peer ----
+  // ---- Messages from the peer ----
 
   @Override
   public synchronized void onMessage(PeerLink link, Message message, String detail) {
@@ -236,7 +240,7 @@
         return Event.PREDECESSOR_INCOMPATIBLE;
       }
       if (predecessor.clockBaseUnixMillis() != 0) {
-        // Timestamps of its keys are compared with those of requests that are read here.
+        // Timestamps of its keys are compared with those of requests that this process reads.
         SteadyWallClock.adoptOffset(predecessor.clockBaseUnixMillis());
       }
       peerKeys.joinPeer(
@@ -263,13 +267,13 @@
 
   private Event onKeysAcknowledged() {
     if (peerKeys.hasUnsentKeys()) {
-      failureReason = "too much settled meanwhile";
+      failureReason = "more keys completed during the handover than could be sent";
       return Event.SUCCESSOR_LAGGING;
     }
     return Event.KEYS_ACKNOWLEDGED;
   }
 
-  /** The event of each message that needs no decision here. */
+  /** The event of a message that always leads to the same event. */
   private static Event eventOf(Message message) {
     return switch (message) {
       case WITHDRAWAL -> Event.SUCCESSOR_WITHDREW;
@@ -285,7 +289,7 @@
       case RELINQUISHED -> Event.PREDECESSOR_RELINQUISHED;
       case LINK_LOST -> Event.PEER_LOST;
       case TAKEOVER_REQUEST, PREDECESSOR_CAPABILITIES, SUCCESSOR_CAPABILITIES ->
-          throw new IllegalArgumentException("decided before it is an event: " + message);
+          throw new IllegalArgumentException("message without a fixed event: " + message);
     };
   }
 
@@ -315,15 +319,15 @@
     transition.actions().forEach(action -> actions.execute(action, failureReason));
   }
 
-  private void scheduleSilenceDeadline(int ofAttempt) {
+  private void scheduleSilenceDeadline(int scheduledAttempt) {
     schedule(
         "handover-silence",
-        SUCCESSOR_SILENCE_MILLIS,
+        SUCCESSOR_SILENCE_TIMEOUT_MILLIS,
         () -> {
-          if (ofAttempt == attempt && stateMachine.state().hasDeadline()) {
+          if (scheduledAttempt == attempt && stateMachine.state().hasDeadline()) {
             apply(
                 Event.DEADLINE_EXCEEDED,
-                "it was silent for " + SUCCESSOR_SILENCE_MILLIS / 1000 + " s");
+                "the successor sent no message for " + SUCCESSOR_SILENCE_TIMEOUT_MILLIS / 1000 + " s");
             serveWaitingRequest();
           }
         });
@@ -350,9 +354,9 @@
   }
 
   @Override
-  public synchronized void whileSendingKeys(PeerLink successor, int ofAttempt, Runnable step) {
+  public synchronized void whileSendingKeys(PeerLink successor, int expectedAttempt, Runnable step) {
     if (successor == links.current()
-        && ofAttempt == attempt
+        && expectedAttempt == attempt
         && stateMachine.state() == State.SENDING_KEYS) {
       step.run();
       serveWaitingRequest();
--- a/src/main/java/wharftrestle/daemon/HandoverHost.java
+++ b/src/main/java/wharftrestle/daemon/HandoverHost.java
@@ -3,55 +3,54 @@
 import wharftrestle.handover.Capabilities;
 
 /**
- * What a handover does to the process itself. Called under the lock of {@link HandoverCoordinator};
+ * The effects of a handover on the daemon of this process. Called under the lock of {@link HandoverCoordinator};
  * no method waits for the peer process.
  */
 interface HandoverHost {
-  /** What this process states of itself, but for its keys and its clock. */
+  /** The capabilities of this process, without its keys and its clock. */
   Capabilities capabilities();
 
   /**
-   * Binds the clients' addresses, alone or beside the peer process; false where the platform's
-   * address cannot be bound.
+   * Binds the clients' addresses, alone or beside the peer process; false if the platform's address
+   * cannot be bound.
    */
   boolean listen(boolean isAlone);
 
   /** Accepts clients at the addresses that are bound. */
   void acceptClients();
 
-  /** Takes no more clients. */
+  /** Stops accepting clients. */
   void relinquishClients();
 
   /**
-   * Uses half of all threads and connections while two processes serve, or all of them. Connections
-   * beyond that are sent away.
+   * Limits this process to half of all threads and connections while two processes serve, or lifts
+   * that limit. Surplus connections of the platform are asked to disconnect.
    */
   void shareResources(boolean isShared);
 
-  /** Opens the stored results where there are any; false where they cannot be opened. */
+  /** Opens the stored results, if there are any; false if they cannot be opened. */
   boolean openStorage(int attempts);
 
-  /** True where stored results tell what was executed, whichever process has ended. */
+  /** True if results are stored, so that executions are known whichever process has ended. */
   boolean storesResults();
 
-  /** Closes the stored results, once what waits to be written is, or has waited long enough. */
+  /** Closes the stored results once all records are written, or after a time limit. */
   void closeStorage();
 
-  /** True once this process has had the notice to leave. */
-  boolean isLeaving();
+  /** True once a shutdown of this process has been requested. */
+  boolean isShuttingDown();
 
-  /** This process serves from now on. */
+  /** Sets the state of the daemon to serving. */
   void enterServing();
 
-  /** This process cannot take over and waits until the peer has ended. */
+  /** Reports that this process cannot take over and waits until the peer has ended. */
   void reportRefusal(String reason);
 
   /**
-   * Fails unknown keys for the longest idempotency window: what was executed before may be among
-   * them.
+   * Fails unknown keys for the longest idempotency window, as they may have been executed already.
    */
   void failUnknownKeys();
 
-  /** The peer has ended: the operators' addresses become free. */
+  /** Called when the peer has ended, so that the operators' addresses become available. */
   void onPeerExit();
 }
--- a/src/main/java/wharftrestle/daemon/HandoverLinks.java
+++ b/src/main/java/wharftrestle/daemon/HandoverLinks.java
@@ -8,26 +8,26 @@
 import wharftrestle.transport.PeerLink;
 
 /**
- * The links of this process to the other processes of its host, the socket at which further ones
- * reach it, and the ownership lock. Guarded by the lock of {@link HandoverCoordinator}.
+ * The links of this process to the other processes of its host, the socket at which successors
+ * connect, and the ownership lock. Guarded by the lock of {@link HandoverCoordinator}.
  */
 final class HandoverLinks {
-  private final Path socket; // null where handovers are off
+  private final Path socket; // null if handovers are off
   private final PeerCoordinator peerKeys;
   private final PeerLink.MessageHandler handler;
-  private final OwnershipLock ownershipLock; // null where handovers are off
+  private final OwnershipLock ownershipLock; // null if handovers are off
 
-  /** To the peer of the handover under way; null for none. */
+  /** Link to the peer of the handover under way; null for none. */
   private PeerLink current;
 
   private WaitingRequest waiting;
   private ServerSocketChannel listener;
 
-  /** A takeover request that came while another handover was under way. */
+  /** A takeover request that arrived while another handover was under way. */
   record WaitingRequest(PeerLink link, String versions) {}
 
   /**
-   * Connects to the process that serves, if one does. Nothing is read before {@link
+   * Connects to the process that serves, if there is one. No message is read before {@link
    * PeerLink#start}.
    */
   HandoverLinks(Path socket, PeerCoordinator peerKeys, PeerLink.MessageHandler handler) {
@@ -55,9 +55,9 @@
     current = link;
   }
 
-  /** Connects anew and reads; false where no process can be reached. */
+  /** Connects again and starts to read messages; false if no process can be reached. */
   boolean reconnect() {
-    ownershipLock.release(); // Keys that were received in part count for nothing.
+    ownershipLock.release(); // Keys that were received in part are void.
     PeerLink link = connect();
     if (link == null) {
       return false;
@@ -67,38 +67,38 @@
     return true;
   }
 
-  /** True where no other process knows the keys of this host. */
+  /** True if no other process knows the keys of this host; locks them exclusively then. */
   boolean isOnlyKeyHolder() {
     return !isEnabled() || ownershipLock.tryAcquireExclusive();
   }
 
-  /** From here on this process knows the keys of its host, or is about to. */
+  /** Marks this process as one that knows the keys of its host, or is about to. */
   void holdKeys() {
     ownershipLock.acquireShared();
   }
 
-  /** This process knows nothing of the keys that others do not. */
+  /** Marks this process as one that knows no key which other processes do not know. */
   void releaseKeys() {
     ownershipLock.release();
   }
 
-  /** Lets further processes reach this one from now on. */
+  /** Opens the socket at which successors connect. */
   void listen() {
     BoundedReader.closeQuietly(listener);
     listener = PeerLink.listen(socket, peerKeys, handler);
     if (listener != null) {
       holdKeys();
     } else {
-      releaseKeys(); // A further process cannot reach this one, and must not wait for it.
+      releaseKeys(); // A successor cannot reach this process, and must not wait for it.
     }
   }
 
-  /** Keeps a request until the handover under way has ended. */
+  /** Stores a request until the handover under way has ended. */
   void enqueue(WaitingRequest request) {
     waiting = request;
   }
 
-  /** Forgets the waiting request of a link that has ended. */
+  /** Discards the waiting request of a link that has ended. */
   void removeWaiting(PeerLink lost) {
     if (waiting != null && waiting.link() == lost) {
       waiting = null;
--- a/src/main/java/wharftrestle/daemon/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -12,15 +12,15 @@
 import wharftrestle.request.RequestCoordinator;
 
 /**
- * A daemon from its start to its exit: it assembles the {@linkplain DaemonParts parts}, and runs
- * the start sequence. Where two processes serve one host, {@link HandoverCoordinator} decides what
- * follows; {@link GracefulShutdown} runs the end. Thread-safe.
+ * A daemon from its start to its exit. It assembles the {@linkplain DaemonParts parts} and runs the
+ * start sequence. While two processes serve one host, {@link HandoverCoordinator} decides on the
+ * next steps; {@link GracefulShutdown} runs the shutdown. Thread-safe.
  */
 public final class Lifecycle implements AutoCloseable {
 
   /**
-   * From start to exit, in this order; from RELINQUISHED on another process serves the clients of
-   * this host. The only way back is from RELINQUISHED to SERVING, where the successor dies early.
+   * The states from start to exit, in order. From RELINQUISHED on, another process serves the clients
+   * of this host. The only step back is from RELINQUISHED to SERVING, if the successor ends early.
    */
   public enum State {
     STARTING(1, "starting"),
@@ -43,18 +43,18 @@
       return publishedNumber;
     }
 
-    /** The name under which they show it. */
+    /** The name under which the SNMP agent and the admin endpoint show this state. */
     String publishedName() {
       return publishedName;
     }
   }
 
-  /** Reads the configuration anew. */
+  /** Source of the configuration. */
   public interface ConfigSource {
     /**
-     * The configuration as it is now.
+     * Reads the current configuration.
      *
-     * @throws DaemonConfig.BadConfigException where it cannot be used
+     * @throws DaemonConfig.BadConfigException if the configuration is invalid
      */
     DaemonConfig read() throws DaemonConfig.BadConfigException;
   }
@@ -69,23 +69,23 @@
   private final ConfigReload configReload;
 
   /**
-   * Assembles a daemon and binds its addresses. Where a process of this host serves already, the
-   * clients' addresses are bound when this one takes over, and the operators' when that one has
-   * ended.
+   * Assembles a daemon and binds its addresses. If another process of this host serves already, the
+   * clients' addresses are bound when this process takes over, and the operators' addresses when the
+   * other process has ended.
    *
-   * @throws IOException where an address cannot be bound, or the stored results cannot be opened
+   * @throws IOException if an address cannot be bound, or the stored results cannot be opened
    */
   public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance) throws IOException {
     this(config, appliance, KeyMemoryBudget.ofHeap(Runtime.getRuntime().maxMemory()));
   }
 
-  /** The same with a memory budget of keys that is not derived from the heap. */
+  /** Assembles a daemon whose memory budget of keys is not derived from the heap. */
   public Lifecycle(DaemonConfig config, DaemonConfig.Appliance appliance, KeyMemoryBudget keyMemory)
       throws IOException {
     this(config, appliance, keyMemory, CompatibilityCheck.DEFAULT);
   }
 
-  /** The same with another rule of which process may take over from which. */
+  /** Assembles a daemon with another compatibility check for handovers. */
   public Lifecycle(
       DaemonConfig config,
       DaemonConfig.Appliance appliance,
@@ -117,7 +117,7 @@
     }
     if (!operators.open() && !isStandby) {
       close();
-      throw new BindException("the operators' addresses are taken");
+      throw new BindException("address of the admin endpoint or the SNMP agent is not available");
     }
   }
 
@@ -127,7 +127,7 @@
 
   /** Starts to serve, or to take over from the process that serves. */
   public void start() {
-    Logger.info("{} starts: {}", parts.config().name(), parts.version().summaryLine());
+    Logger.info("{}: starting {}", parts.config().name(), parts.version().summaryLine());
     parts.requests().start(parts.workerPool(), parts.store(), parts.loadReporter());
     boolean isStandby = handover.isStandby();
     if (isStandby) {
@@ -156,24 +156,24 @@
   }
 
   /**
-   * Applies the addresses of a new configuration while serving; all else in it needs a new start.
-   * One that cannot be used changes nothing.
+   * Applies the addresses of a new configuration while serving; its other values need a restart. An
+   * invalid configuration changes nothing.
    */
   public void reload(ConfigSource source) {
     configReload.apply(source);
   }
 
-  /** Gives the notice to leave; only the first one counts. */
+  /** Requests a graceful shutdown; only the first request has an effect. */
   public void leave() {
     shutdown.request();
   }
 
-  /** Waits for the notice, answers all that was read, and returns when the process may end. */
+  /** Waits for a shutdown request, drains, and returns when the process may end. */
   public void serveUntilStopped() throws InterruptedException {
     shutdown.awaitRequestAndDrain();
   }
 
-  /** Gives all addresses back; what is open is cut. */
+  /** Releases all addresses and closes open connections at once. */
   @Override
   public void close() {
     handover.close();
@@ -192,12 +192,12 @@
     return parts.requests();
   }
 
-  /** What the daemon counts. */
+  /** The counters of the daemon. */
   public Counters counters() {
     return parts.counters();
   }
 
-  /** How far a handover is, as operators are shown it. */
+  /** The state of the handover, as shown to operators. */
   public String handover() {
     return admin.handover();
   }
@@ -207,12 +207,12 @@
     return admin.healthy();
   }
 
-  /** Where the platform's front ends connect. */
+  /** The address at which the platform's front ends connect. */
   public InetSocketAddress respAddress() {
     return parts.frontends().platformAddress();
   }
 
-  /** Where uwsgi gateways connect; null where they are off. */
+  /** The address at which uwsgi gateways connect; null if they are off. */
   public InetSocketAddress uwsgiAddress() {
     return parts.frontends().gatewayAddress();
   }
@@ -227,12 +227,12 @@
     return parts.frontends().gatewayConnections();
   }
 
-  /** Where the admin endpoint listens; null where it is off. */
+  /** The address of the admin endpoint; null if it is off. */
   public InetSocketAddress adminAddress() {
     return operators.adminAddress();
   }
 
-  /** Where the SNMP agent answers; null where it does not. */
+  /** The address of the SNMP agent; null if it does not run. */
   public InetSocketAddress snmpAddress() {
     return operators.snmpAddress();
   }
--- a/src/main/java/wharftrestle/daemon/LifecycleState.java
+++ b/src/main/java/wharftrestle/daemon/LifecycleState.java
@@ -5,7 +5,7 @@
 
 /**
  * The state of a daemon between its start and its exit, and its uptime. Each change is logged.
- * Thread-safe; the order of changes is guarded by the lock of {@link HandoverCoordinator}.
+ * Thread-safe; the lock of {@link HandoverCoordinator} guards the order of changes.
  */
 final class LifecycleState {
   private final String daemonName;
@@ -22,11 +22,11 @@
 
   void enter(State next) {
     current = next;
-    Logger.info("{} is {}", daemonName, next.publishedName());
+    Logger.info("{}: lifecycle state={}", daemonName, next.publishedName());
   }
 
-  /** True once this process has had the notice to leave. */
-  boolean isLeaving() {
+  /** True once a shutdown has been requested. */
+  boolean isShuttingDown() {
     return current.compareTo(State.RELINQUISHED) > 0;
   }
 
--- a/src/main/java/wharftrestle/daemon/OperatorEndpoints.java
+++ b/src/main/java/wharftrestle/daemon/OperatorEndpoints.java
@@ -11,7 +11,7 @@
 import wharftrestle.transport.Server;
 
 /**
- * Where operators reach the daemon: the admin endpoint and the SNMP agent, as far as they are on. A
+ * The endpoints for operators: the admin endpoint and the SNMP agent, as far as they are enabled. A
  * predecessor may hold their addresses until it has ended. Thread-safe.
  */
 final class OperatorEndpoints implements AutoCloseable {
@@ -19,8 +19,8 @@
 
   private final DaemonConfig.Appliance appliance;
   private final AdminServer.Daemon daemon;
-  private final Server adminServer; // null where the admin endpoint is off
-  private volatile SnmpAgent snmpAgent; // null where it is off, or its address is taken
+  private final Server adminServer; // null if the admin endpoint is off
+  private volatile SnmpAgent snmpAgent; // null if it is off, or its address is in use
   private volatile boolean isClosed;
 
   OperatorEndpoints(
@@ -41,7 +41,7 @@
                 parts.counters());
   }
 
-  /** Opens what is not open; false where an address is taken. */
+  /** Opens the endpoints that are not open; false if an address is not available. */
   synchronized boolean open() {
     try {
       if (adminServer != null && !adminServer.listening()) {
@@ -53,12 +53,12 @@
       }
       return true;
     } catch (IOException | RuntimeException e) {
-      Logger.debug("operators: {}", e.getMessage());
+      Logger.debug("cannot open the operator endpoints error={}", e.getMessage());
       return false;
     }
   }
 
-  /** Opens what is not open as soon as the addresses are free, on a thread of its own. */
+  /** Opens the endpoints as soon as their addresses are available, on a separate thread. */
   void openWhenFree() {
     PlatformThreads.thread("operators", this::openOrRetry).start();
   }
@@ -69,12 +69,12 @@
     }
   }
 
-  /** Where the admin endpoint listens; null where it is off. */
+  /** The address of the admin endpoint; null if it is off. */
   InetSocketAddress adminAddress() {
     return adminServer == null ? null : adminServer.address();
   }
 
-  /** Where the SNMP agent answers; null where it does not. */
+  /** The address of the SNMP agent; null if it does not run. */
   InetSocketAddress snmpAddress() {
     SnmpAgent agent = snmpAgent;
     return agent == null ? null : agent.address();
--- a/src/main/java/wharftrestle/daemon/PauseWatch.java
+++ b/src/main/java/wharftrestle/daemon/PauseWatch.java
@@ -5,8 +5,8 @@
 import wharftrestle.request.PlatformThreads;
 
 /**
- * Polls a {@link ProcessPauseDetector} on a thread of its own, from the moment at which this
- * process gave its keys away until it owns them again or is closed. Thread-safe. It uses no lock of
+ * Polls a {@link ProcessPauseDetector} on a separate thread, from the moment at which this process
+ * transfers its keys until it owns them again or is closed. Thread-safe. It does not use the lock of
  * the handover, which may be held for longer than a poll interval.
  */
 final class PauseWatch {
@@ -22,7 +22,7 @@
     detector = null;
   }
 
-  /** True where this process paused so recently that messages of the peer may be lost. */
+  /** True if this process paused so recently that messages of the peer may be lost. */
   boolean hasPausedRecently() {
     ProcessPauseDetector current = detector;
     if (current == null) {
--- a/src/main/java/wharftrestle/daemon/ResourceLimits.java
+++ b/src/main/java/wharftrestle/daemon/ResourceLimits.java
@@ -4,27 +4,30 @@
 import wharftrestle.transport.DescriptorBudget;
 
 /**
- * How many requests and connections this process holds at once, derived from its memory, cores and
- * descriptors. Each request in flight and each connection has a thread: threads of requests come
- * first, connections have what is left. Immutable.
+ * Limits of the requests in flight and the connections of this process, derived from its memory,
+ * cores and descriptors. Each request in flight and each connection has a thread: requests get half
+ * of the threads that memory has space for, up to a maximum, and connections get the remainder.
+ * Immutable.
  *
- * @param maxRequests in flight
- * @param maxConnections of front ends and gateways together
- * @param maxGatewayConnections the part of these that uwsgi gateways have; 0 where they are off
- * @param descriptors what each part of the process may open
+ * @param maxRequests limit of the requests in flight
+ * @param maxConnections limit of the connections of front ends and gateways together
+ * @param maxGatewayConnections the part of {@code maxConnections} for uwsgi gateways; 0 if they are
+ *     off
+ * @param descriptors descriptors that each part of the process may open
  */
 record ResourceLimits(
     int maxRequests, int maxConnections, int maxGatewayConnections, DescriptorBudget descriptors) {
 
   /**
-   * An external CPU limiter wakes each thread, idle or not, every time that it stops the process.
+   * Bounded because an external CPU limiter wakes each thread, even an idle one, each time that it
+   * stops the process.
    */
   private static final int CONNECTIONS_PER_CORE = 320;
 
-  /** Memory of the program besides its heap and its threads. */
+  /** Memory of the process besides its heap and its threads. */
   private static final double PROGRAM_MB = 28;
 
-  /** deploy/run.sh gives the heap less where memory is short. */
+  /** Largest heap that deploy/run.sh configures; it configures less if memory is short. */
   private static final double MAX_HEAP_MB = 40;
 
   private static final double FREE_MEMORY_FRACTION = 0.08;
@@ -40,9 +43,9 @@
   private static final double BYTES_PER_MB = 1024 * 1024;
 
   /**
-   * The limits of a process.
+   * Derives the limits of a process.
    *
-   * @param hasGateways true where uwsgi gateways are admitted
+   * @param hasGateways true if uwsgi gateways may connect
    * @param heapBytes maximum size of the heap
    */
   static ResourceLimits of(DaemonConfig config, boolean hasGateways, long heapBytes) {
@@ -62,13 +65,13 @@
     return (int) (((1 - FREE_MEMORY_FRACTION) * memoryMb - PROGRAM_MB - heapMb) / THREAD_MB);
   }
 
-  /** Connections of the platform's front ends. */
+  /** Limit of the connections of the platform's front ends. */
   int maxFrontendConnections() {
     return maxConnections - maxGatewayConnections;
   }
 
-  /** Descriptors for connections of the platform's front ends that are on their way out. */
-  int frontendLeavingDescriptors() {
+  /** Descriptors for connections of the platform's front ends that are being closed. */
+  int closingFrontendDescriptors() {
     return descriptors.leaving() - (maxGatewayConnections > 0 ? descriptors.gatewaysLeaving() : 0);
   }
 }
--- a/src/main/java/wharftrestle/daemon/SignalHandlers.java
+++ b/src/main/java/wharftrestle/daemon/SignalHandlers.java
@@ -6,33 +6,34 @@
 import sun.misc.SignalHandler;
 
 /**
- * Handles the signals of the process: TERM and INT give the daemon the notice to leave, HUP has its
- * configuration read anew. Installed before the first address is bound, as clients may connect from
- * then on, and a signal without a handler would end the process with all that they sent. Signals
- * that come before there is a daemon are remembered. Thread-safe; no handler waits.
+ * Handles the signals of the process: TERM and INT request a graceful shutdown, HUP reloads the
+ * configuration. The handlers are installed before the first address is bound: clients may connect
+ * from then on, and a signal without a handler would end the process and lose their requests.
+ * Signals that arrive before a daemon is attached are applied to it later. Thread-safe; no handler
+ * blocks.
  */
 public class SignalHandlers {
   private final Lifecycle.ConfigSource configSource;
 
   /**
-   * Under nohup, and some supervisors, hangups are ignored from the start, and the JVM leaves it
-   * so.
+   * True if SIGHUP was ignored when the process started, as under nohup and some supervisors; the JVM
+   * does not change that.
    */
-  private final boolean ignoresHangups;
+  private final boolean isHangupIgnored;
 
-  private Lifecycle daemon; // null until there is one
+  private Lifecycle daemon; // null until one is attached
   private boolean isShutdownRequested;
   private boolean isReloadRequested;
 
   /** Installs the handlers. */
   public SignalHandlers(Lifecycle.ConfigSource configSource) {
     this.configSource = configSource;
-    Signal.handle(new Signal("TERM"), signal -> leave());
-    Signal.handle(new Signal("INT"), signal -> leave());
-    ignoresHangups = Signal.handle(new Signal("HUP"), signal -> reload()) == SignalHandler.SIG_IGN;
+    Signal.handle(new Signal("TERM"), signal -> requestShutdown());
+    Signal.handle(new Signal("INT"), signal -> requestShutdown());
+    isHangupIgnored = Signal.handle(new Signal("HUP"), signal -> reload()) == SignalHandler.SIG_IGN;
   }
 
-  private synchronized void leave() {
+  private synchronized void requestShutdown() {
     isShutdownRequested = true;
     if (daemon != null) {
       daemon.leave();
@@ -52,30 +53,31 @@
     onHandled();
   }
 
-  /** Called after each handled signal, for tests. */
+  /** Called after each handled signal; tests override it. */
   public void onHandled() {}
 
-  /** Passes signals on to this daemon from now on, those that came before included. */
+  /** Sets the daemon that receives the signals, including those that have already arrived. */
   public SignalHandlers attach(Lifecycle started) {
-    boolean reloads;
+    boolean isReloadPending;
     synchronized (this) {
       daemon = started;
-      reloads = isReloadRequested;
+      isReloadPending = isReloadRequested;
       if (isShutdownRequested) {
         started.leave();
       }
     }
-    if (reloads) {
+    if (isReloadPending) {
       started.reload(configSource);
     }
     return this;
   }
 
-  /** Watches the configuration file instead, where hangups are ignored. */
+  /** Polls the configuration file for changes if SIGHUP is ignored. */
   public void watch(String file) {
-    if (ignoresHangups) {
+    if (isHangupIgnored) {
       Logger.warn(
-          "SIGHUP is ignored by whoever started this process: {} is looked at every {} ms instead",
+          "SIGHUP is ignored by whoever started this process; polling the configuration file instead"
+              + " file={} intervalMillis={}",
           file,
           ConfigWatcher.POLL_INTERVAL_MILLIS);
       new ConfigWatcher(Path.of(file), this::reload).start();
--- a/src/main/java/wharftrestle/daemon/StoredResults.java
+++ b/src/main/java/wharftrestle/daemon/StoredResults.java
@@ -9,24 +9,24 @@
 import wharftrestle.storage.WriteAheadLog;
 
 /**
- * The write-ahead log of results, where one is kept: opened by the start or the handover, closed by
- * the handover or the shutdown. The log is thread-safe.
+ * The write-ahead log of results, if results are stored. The start or the handover opens it, the
+ * handover or the shutdown closes it. The log is thread-safe.
  */
 final class StoredResults implements AutoCloseable {
   private static final long RETRY_INTERVAL_MILLIS = 50;
 
-  /** For which unwritten records hold up a handover. */
+  /** Longest time for which unwritten records delay a handover. */
   private static final long HANDOVER_CLOSE_MILLIS = 1000;
 
-  private final WriteAheadLog log; // null where no results are stored
+  private final WriteAheadLog log; // null if no results are stored
   private final Path directory;
   private final RequestCoordinator requests;
   private final double longestWindowSeconds;
 
   /**
-   * Nothing is opened yet.
+   * Does not open the log.
    *
-   * @param settings null where no results are stored
+   * @param settings null if no results are stored
    */
   StoredResults(
       DaemonConfig.Durable settings, RequestCoordinator requests, double longestWindowSeconds) {
@@ -43,15 +43,15 @@
     return log != null;
   }
 
-  /** Where results are stored; empty for nowhere. */
+  /** The directory of stored results; empty if none are stored. */
   String directory() {
     return directory == null ? "" : directory.toString();
   }
 
   /**
-   * Opens the log and recovers what it holds, before the first duplicate can be read.
+   * Opens the log and recovers its records. Called before the first duplicate can be read.
    *
-   * @throws IOException where it cannot be opened
+   * @throws IOException if the log cannot be opened
    */
   void open() throws IOException {
     if (log != null) {
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Opens the log where it is closed; false where that fails so often. */
+  /** Opens the log if it is closed; false if all attempts fail. */
   boolean open(int attempts) {
     if (log == null || log.state() != WriteAheadLog.State.CLOSED) {
       return true;
@@ -69,19 +69,19 @@
         open();
         return true;
       } catch (IOException e) {
-        Logger.warn("kept results: {}", e.getMessage());
+        Logger.warn("cannot open the stored results error={}", e.getMessage());
         LockSupport.parkNanos(RETRY_INTERVAL_MILLIS * 1_000_000);
       }
     }
     return false;
   }
 
-  /** Closes the log for the process that takes over. */
+  /** Closes the log, so that the successor can open it. */
   void closeForHandover() {
     close(HANDOVER_CLOSE_MILLIS);
   }
 
-  /** Closes the log once all records are written, or this time is over. */
+  /** Closes the log once all records are written, or after {@code maxMillis}. */
   void close(long maxMillis) {
     if (log != null) {
       log.close(maxMillis);
--- a/src/main/java/wharftrestle/version/BuildInfo.java
+++ b/src/main/java/wharftrestle/version/BuildInfo.java
@@ -12,27 +12,27 @@
 import wharftrestle.idempotency.KeyDigest;
 
 /**
- * Describes the running build, and holds the ranges of the formats that it speaks: whoever adds a
- * version of a format changes its range here. Stateless. A daemon's start reads the digest that the
- * build wrote beside the jar, not the jar itself.
+ * Describes the running build and defines the ranges of the formats that it supports. A change that
+ * adds a version of a format must change its range here. Stateless. At its start, a daemon reads the
+ * digest that the build wrote beside the jar, not the jar itself.
  */
 public final class BuildInfo {
-  /** The handover between two processes; 2 compares capabilities first. */
+  /** Versions of the handover between two processes; version 2 compares capabilities first. */
   public static final VersionRange HANDOVER_VERSIONS = new VersionRange(1, 2);
 
-  /** The write-ahead log of results ({@code storage.Segment}). */
+  /** Versions of the write-ahead log of results ({@code storage.Segment}). */
   public static final VersionRange LOG_VERSIONS = new VersionRange(1, 1);
 
-  /** The language of the operators' settings. */
+  /** Versions of the language of the operators' settings. */
   public static final VersionRange SETTINGS_LANGUAGE_VERSIONS = new VersionRange(1, 1);
 
   private static final String UNPACKAGED = "unpackaged";
   private static final String NO_SETTINGS = "none";
 
-  /** Separates the program's version from its commit in the jar's manifest. */
+  /** Separates the program version from the commit in the jar's manifest. */
   private static final char COMMIT_SEPARATOR = '+';
 
-  /** Of the file beside a jar, in the form of sha256sum. */
+  /** Suffix of the digest file beside a jar, which has the format of sha256sum. */
   private static final String DIGEST_SUFFIX = ".sha256";
 
   private static final int SHA_256_HEX_DIGITS = 64;
@@ -43,7 +43,7 @@
   /**
    * Describes this build.
    *
-   * @param settings canonical form of the effective settings; null where none are read
+   * @param settings canonical form of the effective settings; null if none are read
    */
   public static Version describe(String settings) {
     String manifestVersion = BuildInfo.class.getPackage().getImplementationVersion();
@@ -73,18 +73,18 @@
         : manifestVersion.substring(separator + 1);
   }
 
-  /** The jar that this program runs from; null where it runs from class files. */
+  /** The jar from which this program runs; null if it runs from class files. */
   public static Path jar() {
     try {
       Path source =
           Path.of(BuildInfo.class.getProtectionDomain().getCodeSource().getLocation().toURI());
       return Files.isRegularFile(source) ? source : null;
     } catch (URISyntaxException | RuntimeException e) {
-      return null; // The code source is no file.
+      return null; // The code source is not a file.
     }
   }
 
-  /** The digest that the build wrote beside a jar; "unknown" where there is none. */
+  /** The digest that the build wrote beside a jar; "unknown" if there is none. */
   public static String recordedDigest(Path jar) {
     Path digestFile = jar.resolveSibling(jar.getFileName() + DIGEST_SUFFIX);
     try {
@@ -101,7 +101,7 @@
   /**
    * SHA-256 of a file, in hex.
    *
-   * @throws IOException where the file cannot be read
+   * @throws IOException if the file cannot be read
    */
   public static String digest(Path file) throws IOException {
     try (InputStream in = Files.newInputStream(file)) {
@@ -112,11 +112,11 @@
       }
       return HexFormat.of().formatHex(sha256.digest());
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java has SHA-256", e);
+      throw new IllegalStateException("this Java runtime lacks SHA-256, which every Java platform must support", e);
     }
   }
 
-  /** 128 bits that tell texts apart, in hex. */
+  /** 128-bit digest of a text, in hex; for comparison of texts. */
   public static String digest(String text) {
     KeyDigest digest = KeyDigest.of(text);
     return HexFormat.of().toHexDigits(digest.high()) + HexFormat.of().toHexDigits(digest.low());
--- a/src/main/java/wharftrestle/version/Version.java
+++ b/src/main/java/wharftrestle/version/Version.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * A version of the program: its build, its effective settings, and the formats that it speaks.
- * Immutable. Its published names are given in {@link #publishedFields} alone.
+ * A version of the program: its build, its effective settings, and the formats that it supports.
+ * Immutable. Only {@link #publishedFields} defines its published names.
  *
  * @param program version of the project
- * @param commit that it was built from; "unknown" where the build had no history
- * @param jarDigest SHA-256 of the jar in hex, as the build recorded it; "unknown" where it did not
- * @param settingsDigest digest of the effective settings' canonical form, in hex; "none" where none
+ * @param commit from which it was built; "unknown" if the build had no history
+ * @param jarDigest SHA-256 of the jar in hex, as the build recorded it; "unknown" if it did not
+ * @param settingsDigest digest of the effective settings' canonical form, in hex; "none" if none
  *     are read
  * @param handoverVersions formats of the handover between two processes
  * @param logVersions formats of the write-ahead log that it reads; it writes the newest
@@ -25,10 +25,10 @@
     VersionRange logVersions,
     VersionRange settingsLanguageVersions) {
 
-  /** Stands for a part that is not known. */
+  /** Value of a part that is not known. */
   public static final String UNKNOWN = "unknown";
 
-  /** Hex digits of a digest that an operator is shown. */
+  /** Number of hex digits of a digest that are shown to operators. */
   private static final int DISPLAYED_HEX_DIGITS = 12;
 
   /** Each part under its published name, in the order in which it is shown. */
@@ -44,7 +44,7 @@
     return fields;
   }
 
-  /** One operator-facing line, with long digests cut. */
+  /** One line for operators, with long digests truncated. */
   public String summaryLine() {
     StringBuilder line = new StringBuilder();
     publishedFields()
@@ -53,11 +53,11 @@
                 line.append(line.isEmpty() ? "" : " ")
                     .append(name)
                     .append(' ')
-                    .append(displayed(value)));
+                    .append(truncateDigest(value)));
     return line.toString();
   }
 
-  private static String displayed(String value) {
+  private static String truncateDigest(String value) {
     return value.length() > DISPLAYED_HEX_DIGITS && isHex(value)
         ? value.substring(0, DISPLAYED_HEX_DIGITS)
         : value;
--- a/src/main/java/wharftrestle/version/VersionRange.java
+++ b/src/main/java/wharftrestle/version/VersionRange.java
@@ -1,40 +1,40 @@
 package wharftrestle.version;
 
 /**
- * The versions of one format that a program speaks, both included; written {@code 1-2}, or {@code
- * 1}. Immutable.
+ * The versions of one format that a program supports, from the oldest to the newest inclusive;
+ * written as {@code 1-2} or {@code 1}. Immutable.
  */
 public record VersionRange(int oldest, int newest) {
-  private static final int NONE_IN_COMMON = -1;
+  private static final int NO_COMMON_VERSION = -1;
 
-  /** Checks that the range is not empty. */
+  /** Rejects an empty range and negative versions. */
   public VersionRange {
     if (oldest < 0 || newest < oldest) {
-      throw new IllegalArgumentException("no range: " + oldest + " to " + newest);
+      throw new IllegalArgumentException("expected 0 <= oldest <= newest version, found " + oldest + " to " + newest);
     }
   }
 
   /**
-   * Reads {@code 1-2} or {@code 1}.
+   * Parses a range such as {@code 1-2} or {@code 1}.
    *
    * @throws IllegalArgumentException for any other text
    */
   public static VersionRange parse(String text) {
     if (!text.matches("[0-9]{1,6}(-[0-9]{1,6})?")) {
-      throw new IllegalArgumentException("no range: '" + text + "'");
+      throw new IllegalArgumentException("expected a version range such as 1-2 or 1, found '" + text + "'");
     }
     String[] bounds = text.split("-", -1);
     return new VersionRange(
         Integer.parseInt(bounds[0]), Integer.parseInt(bounds[bounds.length - 1]));
   }
 
-  /** The newest version that both speak; -1 for none. */
-  public int newestCommon(VersionRange that) {
-    int candidate = Math.min(newest, that.newest);
-    return candidate >= Math.max(oldest, that.oldest) ? candidate : NONE_IN_COMMON;
+  /** The newest version in both ranges; -1 if there is none. */
+  public int newestCommon(VersionRange other) {
+    int candidate = Math.min(newest, other.newest);
+    return candidate >= Math.max(oldest, other.oldest) ? candidate : NO_COMMON_VERSION;
   }
 
-  /** True where this range includes the version. */
+  /** True if this range includes the version. */
   public boolean contains(int version) {
     return version >= oldest && version <= newest;
   }
--- a/src/test/java/wharftrestle/RunScriptTest.java
+++ b/src/test/java/wharftrestle/RunScriptTest.java
@@ -14,62 +14,62 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * deploy/run.sh where no other program can be started: the search path holds a stand-in java and
- * nothing else.
+ * Tests that deploy/run.sh needs no other program and starts the JVM with the right options: its
+ * search path contains only a fake java.
  */
 class RunScriptTest {
-  @TempDir Path folder;
+  @TempDir Path directory;
 
-  /** What the stand-in was given: its process id, then its words, one a line. */
-  private record Start(long pid, List<String> words, long script) {}
+  /** Process id and arguments of the fake java, and process id of the script. */
+  private record Start(long pid, List<String> arguments, long scriptPid) {}
 
-  private Start start(String config, String... words) throws IOException, InterruptedException {
-    Path bin = Files.createDirectories(folder.resolve("bin"));
-    Path seen = folder.resolve("seen");
-    Path java = bin.resolve("java");
+  private Start start(String config, String... arguments) throws IOException, InterruptedException {
+    Path bin = Files.createDirectories(directory.resolve("bin"));
+    Path recordedCall = directory.resolve("seen");
+    Path fakeJava = bin.resolve("java");
     Files.writeString(
-        java,
+        fakeJava,
         "#!/bin/sh\n{ echo \"$$\"; printf '%s\\n' \"arenas=$MALLOC_ARENA_MAX\" \"$@\"; } > \"$SEEN\"\n");
-    Files.setPosixFilePermissions(java, PosixFilePermissions.fromString("rwxr-xr-x"));
-    Path file = folder.resolve("config.json");
+    Files.setPosixFilePermissions(fakeJava, PosixFilePermissions.fromString("rwxr-xr-x"));
+    Path file = directory.resolve("config.json");
     Files.deleteIfExists(file);
     if (config != null) {
       Files.writeString(file, config);
     }
     ProcessBuilder script = new ProcessBuilder("/bin/sh", "deploy/run.sh");
-    script.command().addAll(List.of(words));
+    script.command().addAll(List.of(arguments));
     script.environment().clear();
     script.environment().put("PATH", bin.toString());
     script.environment().put("EDGE_CONFIG", file.toString());
-    script.environment().put("SEEN", seen.toString());
+    script.environment().put("SEEN", recordedCall.toString());
     Process process = script.redirectErrorStream(true).start();
-    String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    assertTrue(process.waitFor(10, TimeUnit.SECONDS), "the script never ended");
-    assertEquals(0, process.exitValue(), said);
-    assertEquals("", said, "the script said something");
-    List<String> lines = Files.readAllLines(seen);
+    String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    assertTrue(process.waitFor(10, TimeUnit.SECONDS), "the script did not end");
+    assertEquals(0, process.exitValue(), output);
+    assertEquals("", output, "the script printed output");
+    List<String> lines = Files.readAllLines(recordedCall);
     return new Start(Long.parseLong(lines.get(0)), lines.subList(1, lines.size()), process.pid());
   }
 
-  private void assertHeap(String least, String most, String config)
+  private void assertHeap(String initialSize, String maxSize, String config)
       throws IOException, InterruptedException {
     Start start = start(config);
-    assertTrue(start.words.contains("-Xms" + least), config + ": " + start.words);
-    assertTrue(start.words.contains("-Xmx" + most), config + ": " + start.words);
+    assertTrue(start.arguments.contains("-Xms" + initialSize), config + ": " + start.arguments);
+    assertTrue(start.arguments.contains("-Xmx" + maxSize), config + ": " + start.arguments);
   }
 
   @Test
   void heapFollowsTheConfiguredMemory() throws Exception {
-    String form =
+    String template =
         "{\"name\":\"n3\",\"limits\":{\"cores\":1.0,\"memory_mb\":%d,\"sockets\":1024},\"settings\":{}}\n";
-    assertHeap("9m", "16m", form.formatted(52));
-    assertHeap("11m", "19m", form.formatted(64));
-    assertHeap("15m", "26m", form.formatted(88));
-    assertHeap("24m", "40m", form.formatted(192));
+    assertHeap("9m", "16m", template.formatted(52));
+    assertHeap("11m", "19m", template.formatted(64));
+    assertHeap("15m", "26m", template.formatted(88));
+    assertHeap("24m", "40m", template.formatted(192));
   }
 
   @Test
-  void figureMayStandOnItsOwnLineOrAtTheEndOfAFileWithoutOne() throws Exception {
+  void memoryLimitIsReadAcrossLinesAndWithoutATrailingNewline() throws Exception {
     assertHeap(
         "11m",
         "19m",
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void withoutAFigureTheLimitIsTakenFor192() throws Exception {
+  void missingOrInvalidMemoryLimit_countsAs192Mb() throws Exception {
     assertHeap("24m", "40m", null);
     assertHeap("24m", "40m", "");
     assertHeap("24m", "40m", "{\"limits\":{\"memory_mb\":\"x\"}}");
@@ -86,16 +86,16 @@
   }
 
   @Test
-  void endsInTheDaemonByExecAndPassesItsWordsOn() throws Exception {
+  void scriptExecsTheDaemonAndPassesItsArgumentsOn() throws Exception {
     Start start = start("{\"limits\":{\"memory_mb\":192}}", "--appliance", "a file.star");
-    assertEquals(start.script, start.pid, "the daemon is another process than the script");
-    assertEquals("arenas=1", start.words.get(0));
+    assertEquals(start.scriptPid, start.pid, "the script did not exec the daemon");
+    assertEquals("arenas=1", start.arguments.get(0));
     assertTrue(
-        start.words.contains("-XX:ArchiveRelocationMode=0"),
-        "the archive's pages stay the kernel's");
-    int serve = start.words.indexOf("serve");
+        start.arguments.contains("-XX:ArchiveRelocationMode=0"),
+        "without relocation, the pages of the class archive stay file-backed");
+    int serve = start.arguments.indexOf("serve");
     assertEquals(
         List.of("serve", "--appliance", "a file.star"),
-        start.words.subList(serve, start.words.size()));
+        start.arguments.subList(serve, start.arguments.size()));
   }
 }
--- a/src/test/java/wharftrestle/daemon/ConfigWatcherTest.java
+++ b/src/test/java/wharftrestle/daemon/ConfigWatcherTest.java
@@ -11,25 +11,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The look at a configuration where hangups are not heard. */
+/** Tests the polling of the configuration file. */
 class ConfigWatcherTest {
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   @Test
-  void aWatchGoesOnAfterAnError() throws Exception {
-    Path file = Files.writeString(folder.resolve("config.json"), "0");
-    BlockingQueue<String> told = new LinkedBlockingQueue<>();
+  void watcherContinuesAfterAnErrorOfItsListener() throws Exception {
+    Path file = Files.writeString(directory.resolve("config.json"), "0");
+    BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
     new ConfigWatcher(
             file,
             () -> {
-              told.add("changed");
-              throw new StackOverflowError("made up");
+              notifications.add("changed");
+              throw new StackOverflowError("test");
             })
         .start();
     for (String text : new String[] {"1", "2"}) {
       Files.move(
-          Files.writeString(folder.resolve("next"), text), file, StandardCopyOption.ATOMIC_MOVE);
-      assertEquals("changed", told.poll(10, TimeUnit.SECONDS), text);
+          Files.writeString(directory.resolve("next"), text), file, StandardCopyOption.ATOMIC_MOVE);
+      assertEquals("changed", notifications.poll(10, TimeUnit.SECONDS), text);
     }
   }
 }
--- a/src/test/java/wharftrestle/version/VersionTest.java
+++ b/src/test/java/wharftrestle/version/VersionTest.java
@@ -24,11 +24,11 @@
 import wharftrestle.admission.AdmissionSettings;
 import wharftrestle.config.DaemonConfig;
 
-/** What a version is: its ranges, its digests, and which settings tell two apart. */
+/** Tests version ranges, build digests, and which settings change the settings digest. */
 class VersionTest {
 
   @Test
-  void rangesHaveTheNewestVersionInCommonOrNone() {
+  void newestCommonVersionOfTwoRanges_isTheNewestInBothOrNone() {
     assertEquals(2, VersionRange.parse("1-2").newestCommon(VersionRange.parse("2-5")));
     assertEquals(-1, VersionRange.parse("1-2").newestCommon(VersionRange.parse("3")));
     assertEquals("1-2", VersionRange.parse("1-2").toString());
@@ -38,16 +38,16 @@
   }
 
   @Test
-  void whatIsBesideTheJarIsReadAndWhatIsNoDigestIsNotBelieved(@TempDir Path folder)
+  void recordedDigest_isReadFromTheFileBesideTheJar_unknownIfMalformed(@TempDir Path directory)
       throws Exception {
-    Path jar = Files.writeString(folder.resolve("a.jar"), "bytes");
+    Path jar = Files.writeString(directory.resolve("a.jar"), "bytes");
     assertEquals("unknown", BuildInfo.recordedDigest(jar));
-    Files.writeString(folder.resolve("a.jar.sha256"), BuildInfo.digest(jar) + "  a.jar\n");
+    Files.writeString(directory.resolve("a.jar.sha256"), BuildInfo.digest(jar) + "  a.jar\n");
     assertEquals(BuildInfo.digest(jar), BuildInfo.recordedDigest(jar));
     assertEquals(
         "277089d91c0bdf4f2e6862ba7e4a07605119431f5d13f726dd352b06f1b206a9",
         BuildInfo.recordedDigest(jar));
-    Files.writeString(folder.resolve("a.jar.sha256"), "half");
+    Files.writeString(directory.resolve("a.jar.sha256"), "half");
     assertEquals("unknown", BuildInfo.recordedDigest(jar));
   }
 
@@ -61,20 +61,20 @@
   }
 
   @Test
-  void everySettingTellsTwoVersionsApartAndNoAddressOrSeedDoes() throws Exception {
+  void canonicalSettings_changeWithEverySetting_notWithAddressesOrSeed() throws Exception {
     AdmissionSettings plain = Sites.site().build();
     DaemonConfig.Appliance none = DaemonConfig.Appliance.none();
     String before = canonical(plain, 1000, none);
     assertEquals(before, canonical(plain, 2000, none));
-    // Whether a process has just started is no setting of the operators.
-    Set<String> left = Set.of("coldStart");
-    Map<String, Record> changes = eachChanged(plain);
+    // A cold start is a state of the process, not a setting of the operators.
+    Set<String> ignored = Set.of("coldStart");
+    Map<String, Record> changes = changedCopies(plain);
     assertEquals(30, changes.size(), changes.keySet().toString());
     changes.forEach(
         (name, changed) -> {
           String after =
               assertDoesNotThrow(() -> canonical((AdmissionSettings) changed, 1000, none));
-          if (left.contains(name)) {
+          if (ignored.contains(name)) {
             assertEquals(before, after);
           } else {
             assertNotEquals(before, after, name);
@@ -96,8 +96,8 @@
                 new DaemonConfig.Durable(Path.of("/a"), 1, 2, 3, 4, "group"))));
   }
 
-  /** By the name of each component, down through the groups: the same record with it changed. */
-  private static Map<String, Record> eachChanged(Record plain) throws Exception {
+  /** Maps the name of each component, also of nested records, to a copy with it changed. */
+  private static Map<String, Record> changedCopies(Record plain) throws Exception {
     RecordComponent[] parts = plain.getClass().getRecordComponents();
     Object[] values = new Object[parts.length];
     Class<?>[] types = new Class<?>[parts.length];
@@ -109,13 +109,13 @@
     Map<String, Record> changes = new LinkedHashMap<>();
     for (int i = 0; i < parts.length; i++) {
       Object before = values[i];
-      Map<String, Object> others = new LinkedHashMap<>();
+      Map<String, Object> changedValues = new LinkedHashMap<>();
       if (before instanceof Record group) {
-        others.putAll(eachChanged(group));
+        changedValues.putAll(changedCopies(group));
       } else {
-        others.put(parts[i].getName(), other(before, parts[i].getName()));
+        changedValues.put(parts[i].getName(), changedValue(before, parts[i].getName()));
       }
-      for (Map.Entry<String, Object> each : others.entrySet()) {
+      for (Map.Entry<String, Object> each : changedValues.entrySet()) {
         values[i] = each.getValue();
         Record changed = (Record) constructor.newInstance(values.clone());
         assertNull(changes.put(each.getKey(), changed));
@@ -125,7 +125,7 @@
     return changes;
   }
 
-  private static Object other(Object value, String name) {
+  private static Object changedValue(Object value, String name) {
     if (value instanceof Integer number) {
       return number + 1;
     }
@@ -135,9 +135,9 @@
     if (value instanceof Boolean flag) {
       return !flag;
     }
-    if (value instanceof Enum<?> word) {
-      Object[] all = word.getDeclaringClass().getEnumConstants();
-      return all[(Arrays.asList(all).indexOf(word) + 1) % all.length];
+    if (value instanceof Enum<?> constant) {
+      Object[] all = constant.getDeclaringClass().getEnumConstants();
+      return all[(Arrays.asList(all).indexOf(constant) + 1) % all.length];
     }
     return name.equals("tenants") ? List.of(new Admission.Tenant("t", 1, 1)) : List.of();
   }
