--- a/src/main/java/wharftrestle/cli/ConsoleCommand.java
+++ b/src/main/java/wharftrestle/cli/ConsoleCommand.java
@@ -22,7 +22,7 @@
       description =
           "address of the daemon's admin endpoint; default: $EDGE_CONSOLE, else control in"
               + " --appliance")
-  private String address;
+  private String adminAddress;
 
   @Option(
       names = "--appliance",
@@ -43,7 +43,7 @@
   }
 
   private InetSocketAddress address() throws Exception {
-    String configured = address != null ? address : System.getenv().getOrDefault("EDGE_CONSOLE", "");
+    String configured = adminAddress != null ? adminAddress : System.getenv().getOrDefault("EDGE_CONSOLE", "");
     if (!configured.isBlank()) {
       return DaemonConfig.address("console", configured);
     }
--- a/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
+++ b/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
@@ -109,7 +109,7 @@
   public void failUnknownKeys() {
     double seconds = parts.longestWindowSeconds();
     Logger.warn(
-        "{}: keys of the ended peer process are unknown; failing unknown keys seconds={}",
+        "{}: keys of the ended peer process are not known here; failing unknown keys seconds={}",
         parts.config().name(),
         Math.round(seconds));
     parts.requests().peer().failUnknownKeysFor(seconds);
--- a/src/main/java/wharftrestle/daemon/GracefulShutdown.java
+++ b/src/main/java/wharftrestle/daemon/GracefulShutdown.java
@@ -60,7 +60,7 @@
       drainBesideSuccessor();
     }
     state.enter(Lifecycle.State.CLOSING);
-    // A request that arrives from here on could not be answered: a refused connection is better.
+    // A request that arrives from here on could not be answered: refuse connections instead.
     parts.frontends().stopListening();
     awaitAnswersAndDisconnects();
     // Requests of peers that stay connected are no longer read, so none is lost after its receipt.
@@ -72,7 +72,7 @@
 
   /** True if no other process serves the clients of this host. */
   private boolean enterDraining() {
-    return handover.evaluateLocked(
+    return handover.runLocked(
         () -> {
           boolean isAlone = state.current() != Lifecycle.State.RELINQUISHED;
           state.enter(Lifecycle.State.DRAINING);
--- a/src/main/java/wharftrestle/daemon/HandoverActions.java
+++ b/src/main/java/wharftrestle/daemon/HandoverActions.java
@@ -184,7 +184,7 @@
     events.schedule("handover-discovery", intervalMillis, () -> discoverPeer(intervalMillis));
   }
 
-  /** Several processes of this host may wait at the same time; the first one that can serves. */
+  /** Other processes of this host may be waiting as well; the first to acquire the lock serves. */
   private void discoverPeer(long lastIntervalMillis) {
     if (events.state() != State.DISCOVERING_PEER) {
       return;
--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -50,8 +50,8 @@
   /**
    * Connects to the process that serves this host, if one does.
    *
-   * @param socket at which the serving process accepts links of other processes of the host; null if
-   *     handovers are off
+   * @param socket at which processes of the host connect to the serving one; null if handovers are
+   *     off
    */
   HandoverCoordinator(
       String name,
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Another process that holds the keys may be stopped, or may have outlived its successor. If it
-   * cannot be reached, this process waits for it.
+   * Determines the initial state. A process that holds the keys but cannot be reached, as it is
+   * stopped or has outlived its successor, is waited for.
    */
   private static State initialState(HandoverLinks links) {
     if (links.current() != null) {
@@ -127,8 +127,8 @@
   }
 
   /**
-   * Starts to serve. Successors can reach this process before it publishes its new state: one that is
-   * started on that state must not connect to the predecessor of this process.
+   * Starts to serve. The socket for successors is opened before the new state is published, so that a
+   * successor which is started on that state does not connect to the predecessor of this process.
    */
   @Override
   public synchronized void startServing() {
@@ -147,9 +147,9 @@
     }
   }
 
-  /** Evaluates a condition under the lock, so that no event is applied meanwhile. */
-  synchronized boolean evaluateLocked(BooleanSupplier condition) {
-    return condition.getAsBoolean();
+  /** Runs an operation while no event is applied, and returns its result. */
+  synchronized boolean runLocked(BooleanSupplier operation) {
+    return operation.getAsBoolean();
   }
 
   /** Closes all links when the process ends. */
--- a/src/main/java/wharftrestle/daemon/HandoverLinks.java
+++ b/src/main/java/wharftrestle/daemon/HandoverLinks.java
@@ -67,17 +67,17 @@
     return true;
   }
 
-  /** True if no other process knows the keys of this host; locks them exclusively then. */
+  /** True if no other process knows the keys of this host; holds the lock exclusively then. */
   boolean isOnlyKeyHolder() {
     return !isEnabled() || ownershipLock.tryAcquireExclusive();
   }
 
-  /** Marks this process as one that knows the keys of its host, or is about to. */
+  /** Holds the ownership lock shared: this process knows the keys of its host, or is about to. */
   void holdKeys() {
     ownershipLock.acquireShared();
   }
 
-  /** Marks this process as one that knows no key which other processes do not know. */
+  /** Releases the ownership lock: this process knows no key that others do not know. */
   void releaseKeys() {
     ownershipLock.release();
   }
--- a/src/main/java/wharftrestle/handover/HandoverStateMachine.java
+++ b/src/main/java/wharftrestle/handover/HandoverStateMachine.java
@@ -425,7 +425,7 @@
             .computeIfAbsent(state, key -> new EnumMap<>(Event.class))
             .put(event, new Row(next, List.of(actions)));
     if (previous != null) {
-      throw new IllegalStateException("duplicate transition: state=" + state + " event=" + event);
+      throw new IllegalStateException("duplicate transition: event=" + event + " state=" + state);
     }
   }
 
--- a/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
+++ b/src/main/java/wharftrestle/handover/KeyOwnershipTransfer.java
@@ -64,8 +64,8 @@
 
     /** Sends the completed key to the claimant; the result is null if there is none. */
     public void send(byte[] result) {
-      // The claimant must also detect a duplicate whose body differs from the first one, which is no
-      // longer held: it is sent a body that differs from its own.
+      // The claimant must also detect a duplicate whose body differs from the first one. The first
+      // body is no longer held, so the claimant is sent a body that differs from its own.
       byte[] firstBody = entry.body().matches(body) ? body : Arrays.copyOf(body, body.length + 1);
       claimant.sendKey(
           new KeyUpdate(
@@ -175,8 +175,8 @@
 
   private void sendOpenKey(PeerProcess successor, KeyEntry<T> entry, double now) {
     if (entry.isFinal() && entry.body().bytes() == null) {
-      // Completed, and still active only because the index of completed keys is full: its body is no
-      // longer held.
+      // Completed, and still active only because the index of completed keys is full: its body has
+      // been released.
       successor.forwardCompletedKey(
           new CompletedKey(
               KeyDigest.of(entry.key()),
--- a/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
+++ b/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import wharftrestle.version.VersionRange;
 
-/** Which process may take over from which, and the reason where it may not. */
+/** Tests which process may take over from which, and the reason if it may not. */
 class CompatibilityCheckTest {
   private static final Capabilities.RequestClass READ =
       new Capabilities.RequestClass("read", false, 0);
@@ -165,13 +165,13 @@
   void encodedCapabilities_areDecodedUnchanged(
       @ForAll @Size(max = 5) List<String> names, @ForAll @IntRange(min = 0) int number)
       throws Exception {
-    List<Capabilities.RequestClass> requestClasses = new ArrayList<>();
-    names.forEach(name -> requestClasses.add(new Capabilities.RequestClass(name, number % 2 == 0, number)));
+    List<Capabilities.RequestClass> namedClasses = new ArrayList<>();
+    names.forEach(name -> namedClasses.add(new Capabilities.RequestClass(name, number % 2 == 0, number)));
     Capabilities sent =
         capabilities(
             new VersionRange(1, 2),
             "/a b\n%0A",
-            requestClasses,
+            namedClasses,
             names,
             new Capabilities.KeyCapacity(number, 1, 2, 3));
     assertEquals(sent, Capabilities.decode(sent.encode()));
--- a/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
+++ b/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
@@ -45,7 +45,7 @@
   }
 
   private enum KeyKnowledge {
-    NONE,
+    UNKNOWN,
     OPEN,
     COMPLETED
   }
@@ -65,7 +65,7 @@
     boolean sendsCompletedKeys; // sends each key that completes to the peer
     boolean isLinked; // transferred ownership to the peer or received it: both exchange keys
     boolean awaitsClaim; // an attempt of the key waits for the answer to a claim
-    KeyKnowledge knowledge = KeyKnowledge.NONE;
+    KeyKnowledge knowledge = KeyKnowledge.UNKNOWN;
 
     ModelProcess copy() {
       ModelProcess that = new ModelProcess();
@@ -269,7 +269,7 @@
     /** This process receives an attempt of the key. */
     void receiveAttempt(int i) {
       ModelProcess process = processes[i];
-      if (process.knowledge != KeyKnowledge.NONE) {
+      if (process.knowledge != KeyKnowledge.UNKNOWN) {
         return; // a duplicate
       }
       if (!ownsKeys(i) && process.isLinked && bug != Bug.EXECUTES_WITHOUT_CLAIM) {
@@ -292,7 +292,7 @@
         process.awaitsClaim = false;
       } else if (message.event() == null) {
         // A claim, which is granted if the key is unknown; the peer executes it then.
-        if (process.knowledge == KeyKnowledge.NONE) {
+        if (process.knowledge == KeyKnowledge.UNKNOWN) {
           process.knowledge = KeyKnowledge.OPEN;
           send(
               to,
@@ -304,7 +304,7 @@
       } else if (message.event() == Event.PEER_DISCOVERED) {
         if (process.awaitsClaim) {
           process.awaitsClaim = false;
-          if (process.knowledge == KeyKnowledge.NONE) {
+          if (process.knowledge == KeyKnowledge.UNKNOWN) {
             executeKey(to);
           }
         }
@@ -352,7 +352,7 @@
         // The only process that knew the key has ended, and no result is stored on disk.
         executions = 0;
         for (ModelProcess each : processes) {
-          each.knowledge = KeyKnowledge.NONE;
+          each.knowledge = KeyKnowledge.UNKNOWN;
         }
       }
     }
@@ -369,13 +369,13 @@
 
     /** All states that can follow this one. */
     List<SystemState> successors() {
-      List<SystemState> successors = new ArrayList<>();
+      List<SystemState> nextStates = new ArrayList<>();
       for (int i = 0; i < PROCESSES; i++) {
         int self = i;
-        ModelProcess process = processes[i];
+        ModelProcess process = this.processes[i];
         if (!process.isAlive) {
           if (remainingStarts > 0 && process.state == null && isReachable(socketOwner)) {
-            successors.add(
+            nextStates.add(
                 afterChange(
                     next -> {
                       next.remainingStarts--;
@@ -387,7 +387,7 @@
           continue;
         }
         if (remainingKills > 0) {
-          successors.add(
+          nextStates.add(
               afterChange(
                   next -> {
                     next.remainingKills--;
@@ -395,7 +395,7 @@
                   }));
         }
         if (process.isListening && remainingAttempts > 0) {
-          successors.add(
+          nextStates.add(
               afterChange(
                   next -> {
                     next.remainingAttempts--;
@@ -403,7 +403,7 @@
                   }));
         }
         if (process.knowledge == KeyKnowledge.OPEN && ownsKeys(i) && !process.awaitsClaim) {
-          successors.add(
+          nextStates.add(
               afterChange(
                   next -> {
                     next.processes[self].knowledge = KeyKnowledge.COMPLETED;
@@ -412,7 +412,7 @@
                     }
                   }));
         }
-        addLocalSteps(self, process, successors);
+        addLocalSteps(self, process, nextStates);
         for (int j = 0; j < PROCESSES; j++) {
           int from = j;
           Message first = links[j][i].peek();
@@ -422,11 +422,11 @@
                   && process.peer != j
                   && process.state != State.ACTIVE;
           if (first != null && !isDeferred) {
-            successors.add(afterChange(next -> next.receive(from, self)));
+            nextStates.add(afterChange(next -> next.receive(from, self)));
           }
         }
-        if (process.peer >= 0 && !processes[process.peer].isAlive && links[process.peer][i].isEmpty()) {
-          successors.add(
+        if (process.peer >= 0 && !this.processes[process.peer].isAlive && links[process.peer][i].isEmpty()) {
+          nextStates.add(
               afterChange(
                   next -> {
                     next.processes[self].peer = -1;
@@ -435,24 +435,24 @@
                   }));
         }
       }
-      return successors;
+      return nextStates;
     }
 
-    private void addLocalSteps(int self, ModelProcess process, List<SystemState> successors) {
+    private void addLocalSteps(int self, ModelProcess process, List<SystemState> nextStates) {
       switch (process.state) {
-        case AWAITING_WORKER_POOL -> successors.add(afterChange(next -> next.connectWorkerPool(self)));
-        case SENDING_KEYS -> successors.add(afterChange(next -> next.apply(self, Event.ALL_KEYS_SENT)));
-        case IN_BACKOFF -> successors.add(afterChange(next -> next.apply(self, Event.BACKOFF_ELAPSED)));
+        case AWAITING_WORKER_POOL -> nextStates.add(afterChange(next -> next.connectWorkerPool(self)));
+        case SENDING_KEYS -> nextStates.add(afterChange(next -> next.apply(self, Event.ALL_KEYS_SENT)));
+        case IN_BACKOFF -> nextStates.add(afterChange(next -> next.apply(self, Event.BACKOFF_ELAPSED)));
         case DISCOVERING_PEER -> {
           if (isReachable(socketOwner) && socketOwner != self) {
-            successors.add(
+            nextStates.add(
                 afterChange(
                     next -> {
                       next.processes[self].peer = next.socketOwner;
                       next.apply(self, Event.PEER_DISCOVERED);
                     }));
           } else if (isVacant(self)) {
-            successors.add(afterChange(next -> next.apply(self, Event.NO_PEER_DISCOVERED)));
+            nextStates.add(afterChange(next -> next.apply(self, Event.NO_PEER_DISCOVERED)));
           }
         }
         default -> {}
@@ -461,7 +461,7 @@
           process.state.hasDeadline()
               || (bug == Bug.RECLAIMS_FROM_SILENT_SUCCESSOR && process.state == State.OWNERSHIP_TRANSFERRED);
       if (canTimeOut && remainingTimeouts > 0) {
-        successors.add(
+        nextStates.add(
             afterChange(
                 next -> {
                   next.remainingTimeouts--;
