--- a/src/main/java/wharftrestle/cli/ConsoleCommand.java
+++ b/src/main/java/wharftrestle/cli/ConsoleCommand.java
@@ -14,8 +14,8 @@
 @Command(
     name = "console",
     description =
-        "send commands to a running daemon: ready, vars, lameduck on, lameduck off, status, version, results, "
-            + "counters, drain")
+        "send commands to a running daemon: ready, vars, lameduck on, lameduck off, status, "
+            + "version, results, counters, drain")
 public final class ConsoleCommand implements Callable<Integer> {
   @Option(
       names = "--at",
@@ -51,7 +51,7 @@
         appliance == null ? null : Settings.read(appliance).appliance().control();
     if (control == null) {
       throw new DaemonConfig.BadConfigException(
-          "no address of an admin endpoint: expected --at HOST:PORT, or --appliance FILE with control");
+          "no admin endpoint address: expected --at HOST:PORT, or --appliance FILE with control");
     }
     return control;
   }
--- a/src/main/java/wharftrestle/daemon/HandoverActions.java
+++ b/src/main/java/wharftrestle/daemon/HandoverActions.java
@@ -110,8 +110,8 @@
       case TRANSFER_OWNERSHIP_LEGACY -> transferOwnershipLegacy(links.current());
       case PARK_LINK ->
           Logger.warn(
-              "{}: takeover request of handover format 0 cannot be served; its sender can start once"
-                  + " this process has ended",
+              "{}: takeover request of handover format 0 cannot be served; its sender can start"
+                  + " once this process has ended",
               name);
       case OPEN_STORAGE -> openStorage();
       case RETURN_OWNERSHIP -> returnOwnership(reason);
--- a/src/main/java/wharftrestle/daemon/SignalHandlers.java
+++ b/src/main/java/wharftrestle/daemon/SignalHandlers.java
@@ -76,8 +76,8 @@
   public void watch(String file) {
     if (isHangupIgnored) {
       Logger.warn(
-          "SIGHUP is ignored by whoever started this process; polling the configuration file instead"
-              + " file={} intervalMillis={}",
+          "SIGHUP is ignored by whoever started this process; polling the configuration file"
+              + " instead file={} intervalMillis={}",
           file,
           ConfigWatcher.POLL_INTERVAL_MILLIS);
       new ConfigWatcher(Path.of(file), this::reload).start();
