--- a/src/main/java/wharftrestle/cli/ConsoleCommand.java
+++ b/src/main/java/wharftrestle/cli/ConsoleCommand.java
@@ -43,7 +43,8 @@
   }
 
   private InetSocketAddress address() throws Exception {
-    String configured = adminAddress != null ? adminAddress : System.getenv().getOrDefault("EDGE_CONSOLE", "");
+    String configured =
+        adminAddress != null ? adminAddress : System.getenv().getOrDefault("EDGE_CONSOLE", "");
     if (!configured.isBlank()) {
       return DaemonConfig.address("console", configured);
     }
--- a/src/main/java/wharftrestle/cli/VersionCommand.java
+++ b/src/main/java/wharftrestle/cli/VersionCommand.java
@@ -42,7 +42,8 @@
       String digest = BuildInfo.digest(jar);
       fields.put("jar", digest);
       if (!digest.equals(version.jarDigest())) {
-        System.err.println("wharftrestle: jar digest differs from the recorded one: expected "
+        System.err.println(
+            "wharftrestle: jar digest differs from the recorded one: expected "
                 + version.jarDigest()
                 + ", found "
                 + digest);
--- a/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
+++ b/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
@@ -16,9 +16,9 @@
 import wharftrestle.transport.BoundedReader;
 
 /**
- * The class-data-sharing training run. It sends requests to a daemon without a worker pool and passes
- * the messages of the worker pool to the daemon directly. The build runs it once, so that the JVM
- * archives the classes that a daemon loads. A serving daemon does not use it.
+ * The class-data-sharing training run. It sends requests to a daemon without a worker pool and
+ * passes the messages of the worker pool to the daemon directly. The build runs it once, so that
+ * the JVM archives the classes that a daemon loads. A serving daemon does not use it.
  */
 public final class ClassDataTrainingRun {
   private static final String CONFIGURATION = "/rehearsal.json";
@@ -119,7 +119,8 @@
     while (received.indexOf(end) < 0) {
       int next = in.read();
       if (next < 0) {
-        throw new IOException("connection closed: expected '" + end + "', received '" + received + "'");
+        throw new IOException(
+            "connection closed: expected '" + end + "', received '" + received + "'");
       }
       received.append((char) next);
     }
--- a/src/main/java/wharftrestle/daemon/ConfigReload.java
+++ b/src/main/java/wharftrestle/daemon/ConfigReload.java
@@ -22,7 +22,9 @@
     try {
       next = source.read();
     } catch (DaemonConfig.BadConfigException | RuntimeException e) {
-      Logger.warn("configuration reload failed, keeping the previous configuration error={}", e.getMessage());
+      Logger.warn(
+          "configuration reload failed, keeping the previous configuration error={}",
+          e.getMessage());
       return;
     }
     if (lacksStore(next)) {
--- a/src/main/java/wharftrestle/daemon/ConfigWatcher.java
+++ b/src/main/java/wharftrestle/daemon/ConfigWatcher.java
@@ -9,8 +9,8 @@
 import wharftrestle.request.PlatformThreads;
 
 /**
- * Polls the configuration file on a separate thread, if SIGHUP is ignored, and notifies a listener of
- * each change. It compares the file's bytes and does not interpret them.
+ * Polls the configuration file on a separate thread, if SIGHUP is ignored, and notifies a listener
+ * of each change. It compares the file's bytes and does not interpret them.
  */
 final class ConfigWatcher {
   static final int POLL_INTERVAL_MILLIS = 250;
--- a/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
+++ b/src/main/java/wharftrestle/daemon/DaemonHandoverHost.java
@@ -46,7 +46,9 @@
 
   @Override
   public boolean listen(boolean isAlone) {
-    return state.isShuttingDown() ? parts.frontends().isListening() : parts.frontends().listen(isAlone);
+    return state.isShuttingDown()
+        ? parts.frontends().isListening()
+        : parts.frontends().listen(isAlone);
   }
 
   @Override
--- a/src/main/java/wharftrestle/daemon/DaemonParts.java
+++ b/src/main/java/wharftrestle/daemon/DaemonParts.java
@@ -14,8 +14,8 @@
 import wharftrestle.version.Version;
 
 /**
- * The parts of a daemon that serve requests, assembled from its configuration. The
- * assembly opens no resource and starts no thread.
+ * The parts of a daemon that serve requests, assembled from its configuration. The assembly opens
+ * no resource and starts no thread.
  */
 record DaemonParts(
     DaemonConfig config,
--- a/src/main/java/wharftrestle/daemon/Frontends.java
+++ b/src/main/java/wharftrestle/daemon/Frontends.java
@@ -69,8 +69,8 @@
    * Binds the addresses that are not bound. An address that is not available is logged and does not
    * end the process, as a peer process relies on it.
    *
-   * @return false if the platform's address cannot be bound; the gateways' address is not bound then
-   *     either, as no process would serve its connections
+   * @return false if the platform's address cannot be bound; the gateways' address is not bound
+   *     then either, as no process would serve its connections
    */
   boolean listen(boolean isAlone) {
     for (Server server : all) {
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Limits this process to half of all connections, or lifts that limit. Connections of the platform
-   * beyond the half are asked to disconnect.
+   * Limits this process to half of all connections, or lifts that limit. Connections of the
+   * platform beyond the half are asked to disconnect.
    */
   void shareConnections(boolean isShared) {
     int processes = isShared ? 2 : 1;
--- a/src/main/java/wharftrestle/daemon/GracefulShutdown.java
+++ b/src/main/java/wharftrestle/daemon/GracefulShutdown.java
@@ -5,9 +5,9 @@
 import wharftrestle.admission.AdmissionController;
 
 /**
- * Waits for a shutdown request, answers all requests that were read, and ends the connections before
- * the process is stopped. The sequence runs on the main thread; {@link #request} may be called from
- * any thread.
+ * Waits for a shutdown request, answers all requests that were read, and ends the connections
+ * before the process is stopped. The sequence runs on the main thread; {@link #request} may be
+ * called from any thread.
  */
 final class GracefulShutdown {
   /** Time before the stop by which all responses have been sent, even under contention. */
@@ -20,8 +20,8 @@
   private static final double IN_TRANSIT_SECONDS = 0.05;
 
   /**
-   * A relinquished process ends this long after the shutdown request at the latest, plus the margin;
-   * sooner if its longest deadline is shorter.
+   * A relinquished process ends this long after the shutdown request at the latest, plus the
+   * margin; sooner if its longest deadline is shorter.
    */
   private static final double MAX_RELINQUISHED_SECONDS = 3;
 
@@ -89,15 +89,14 @@
                     - AdmissionController.DRAIN_MARGIN_SECONDS,
                 parts.config().stopSeconds() - 2 * ANSWER_MARGIN_SECONDS)
             + IN_TRANSIT_SECONDS;
-    double remainingAcceptSeconds = graceSeconds - (parts.config().stopSeconds() - remainingSeconds());
+    double remainingAcceptSeconds =
+        graceSeconds - (parts.config().stopSeconds() - remainingSeconds());
     if (remainingAcceptSeconds > 0) {
       Thread.sleep((long) (remainingAcceptSeconds * 1000));
     }
   }
 
-  /**
-   * The successor serves the host; requests in flight here complete within their deadlines.
-   */
+  /** The successor serves the host; requests in flight here complete within their deadlines. */
   private void drainBesideSuccessor() {
     double longestDeadlineSeconds =
         parts.config().settings().classes().stream()
--- a/src/main/java/wharftrestle/daemon/HandoverActions.java
+++ b/src/main/java/wharftrestle/daemon/HandoverActions.java
@@ -81,7 +81,8 @@
 
   /** The capabilities of this process, with its current keys and clock. */
   Capabilities capabilities() {
-    return host.capabilities().with(peerKeys.keyCapacity(), SteadyWallClock.offsetMillis());
+    return host.capabilities()
+        .withRuntimeState(peerKeys.keyCapacity(), SteadyWallClock.offsetMillis());
   }
 
   /** Stops the threads that actions have started. */
@@ -147,7 +148,8 @@
       events.apply(Event.STORAGE_OPENED);
     } else {
       peerKeys.returnKeys();
-      events.apply(Event.STORAGE_UNAVAILABLE, "the successor cannot open the directory of stored results");
+      events.apply(
+          Event.STORAGE_UNAVAILABLE, "the successor cannot open the directory of stored results");
     }
   }
 
@@ -202,7 +204,8 @@
   /** Handles the end of the predecessor; the outcome of its executions in flight is unknown. */
   private void resolvePeerLoss() {
     if (!host.openStorage(STORAGE_ATTEMPTS_AFTER_PEER_EXIT)) {
-      Logger.error("{}: cannot open the stored results; rejecting requests with an idempotency key", name);
+      Logger.error(
+          "{}: cannot open the stored results; rejecting requests with an idempotency key", name);
     }
     peerKeys.peerLost();
     host.shareResources(false);
@@ -242,7 +245,8 @@
   private void onCompletedKeysSent(int sent) {
     completedKeysSent = sent;
     if (sent < 0) {
-      events.apply(Event.DEADLINE_EXCEEDED, "the successor does not read the completed keys in time");
+      events.apply(
+          Event.DEADLINE_EXCEEDED, "the successor does not read the completed keys in time");
     } else {
       events.apply(Event.ALL_KEYS_SENT);
     }
@@ -277,6 +281,7 @@
     host.openStorage(STORAGE_ATTEMPTS_AFTER_PEER_EXIT);
     peerKeys.peerLost();
     host.shareResources(false);
-    Logger.warn("{}: successor has ended or returned ownership; this process owns all keys again", name);
+    Logger.warn(
+        "{}: successor has ended or returned ownership; this process owns all keys again", name);
   }
 }
--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -127,8 +127,8 @@
   }
 
   /**
-   * Starts to serve. The socket for successors is opened before the new state is published, so that a
-   * successor which is started on that state does not connect to the predecessor of this process.
+   * Starts to serve. The socket for successors is opened before the new state is published, so that
+   * a successor which is started on that state does not connect to the predecessor of this process.
    */
   @Override
   public synchronized void startServing() {
@@ -327,7 +327,9 @@
           if (scheduledAttempt == attempt && stateMachine.state().hasDeadline()) {
             apply(
                 Event.DEADLINE_EXCEEDED,
-                "the successor sent no message for " + SUCCESSOR_SILENCE_TIMEOUT_MILLIS / 1000 + " s");
+                "the successor sent no message for "
+                    + SUCCESSOR_SILENCE_TIMEOUT_MILLIS / 1000
+                    + " s");
             serveWaitingRequest();
           }
         });
@@ -354,7 +356,8 @@
   }
 
   @Override
-  public synchronized void whileSendingKeys(PeerLink successor, int expectedAttempt, Runnable step) {
+  public synchronized void whileSendingKeys(
+      PeerLink successor, int expectedAttempt, Runnable step) {
     if (successor == links.current()
         && expectedAttempt == attempt
         && stateMachine.state() == State.SENDING_KEYS) {
--- a/src/main/java/wharftrestle/daemon/HandoverHost.java
+++ b/src/main/java/wharftrestle/daemon/HandoverHost.java
@@ -3,8 +3,8 @@
 import wharftrestle.handover.Capabilities;
 
 /**
- * The effects of a handover on the daemon of this process. Called under the lock of {@link HandoverCoordinator};
- * no method waits for the peer process.
+ * The effects of a handover on the daemon of this process. Called under the lock of {@link
+ * HandoverCoordinator}; no method waits for the peer process.
  */
 interface HandoverHost {
   /** The capabilities of this process, without its keys and its clock. */
--- a/src/main/java/wharftrestle/daemon/Lifecycle.java
+++ b/src/main/java/wharftrestle/daemon/Lifecycle.java
@@ -19,8 +19,9 @@
 public final class Lifecycle implements AutoCloseable {
 
   /**
-   * The states from start to exit, in order. From RELINQUISHED on, another process serves the clients
-   * of this host. The only step back is from RELINQUISHED to SERVING, if the successor ends early.
+   * The states from start to exit, in order. From RELINQUISHED on, another process serves the
+   * clients of this host. The only step back is from RELINQUISHED to SERVING, if the successor ends
+   * early.
    */
   public enum State {
     STARTING(1, "starting"),
@@ -70,8 +71,8 @@
 
   /**
    * Assembles a daemon and binds its addresses. If another process of this host serves already, the
-   * clients' addresses are bound when this process takes over, and the operators' addresses when the
-   * other process has ended.
+   * clients' addresses are bound when this process takes over, and the operators' addresses when
+   * the other process has ended.
    *
    * @throws IOException if an address cannot be bound, or the stored results cannot be opened
    */
--- a/src/main/java/wharftrestle/daemon/PauseWatch.java
+++ b/src/main/java/wharftrestle/daemon/PauseWatch.java
@@ -6,8 +6,8 @@
 
 /**
  * Polls a {@link ProcessPauseDetector} on a separate thread, from the moment at which this process
- * transfers its keys until it owns them again or is closed. Thread-safe. It does not use the lock of
- * the handover, which may be held for longer than a poll interval.
+ * transfers its keys until it owns them again or is closed. Thread-safe. It does not use the lock
+ * of the handover, which may be held for longer than a poll interval.
  */
 final class PauseWatch {
   private volatile ProcessPauseDetector detector; // null while stopped
--- a/src/main/java/wharftrestle/daemon/SignalHandlers.java
+++ b/src/main/java/wharftrestle/daemon/SignalHandlers.java
@@ -16,8 +16,8 @@
   private final Lifecycle.ConfigSource configSource;
 
   /**
-   * True if SIGHUP was ignored when the process started, as under nohup and some supervisors; the JVM
-   * does not change that.
+   * True if SIGHUP was ignored when the process started, as under nohup and some supervisors; the
+   * JVM does not change that.
    */
   private final boolean isHangupIgnored;
 
--- a/src/main/java/wharftrestle/handover/Capabilities.java
+++ b/src/main/java/wharftrestle/handover/Capabilities.java
@@ -4,8 +4,8 @@
 import wharftrestle.version.VersionRange;
 
 /**
- * The properties that a process declares to its peer before a handover begins. Immutable; {@link CapabilitiesCodec}
- * reads and writes its text form.
+ * The properties that a process declares to its peer before a handover begins. Immutable; {@link
+ * CapabilitiesCodec} reads and writes its text form.
  *
  * @param build operator-facing name of the build
  * @param handoverVersions formats of the handover that it supports
--- a/src/main/java/wharftrestle/handover/CapabilitiesCodec.java
+++ b/src/main/java/wharftrestle/handover/CapabilitiesCodec.java
@@ -11,8 +11,8 @@
 
 /**
  * The text form of {@link Capabilities}: lines of {@code name value}. Lines with an unknown name
- * are skipped, so that later builds can add lines. The format is fixed, as different builds exchange
- * it.
+ * are skipped, so that later builds can add lines. The format is fixed, as different builds
+ * exchange it.
  */
 final class CapabilitiesCodec {
   private static final String BUILD = "build";
@@ -83,7 +83,8 @@
   static Capabilities decode(String text) throws MalformedCapabilitiesException {
     String[] lines = text.split("\n");
     if (lines.length > MAX_LINES) {
-      throw new MalformedCapabilitiesException("capabilities: expected at most " + MAX_LINES + " lines, found " + lines.length);
+      throw new MalformedCapabilitiesException(
+          "capabilities: expected at most " + MAX_LINES + " lines, found " + lines.length);
     }
     Map<String, String> singleValues = new HashMap<>();
     List<RequestClass> requestClasses = new ArrayList<>();
@@ -127,7 +128,8 @@
           decodeKeyCapacity(required(singleValues, KEY_CAPACITY)),
           Long.parseLong(singleValues.getOrDefault(CLOCK_BASE, "0")));
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-      throw new MalformedCapabilitiesException("capabilities: malformed value: " + e.getMessage(), e);
+      throw new MalformedCapabilitiesException(
+          "capabilities: malformed value: " + e.getMessage(), e);
     }
   }
 
@@ -155,7 +157,14 @@
     if (fields.length < 3
         || !fields[0].matches(KEYED + "|" + NOT_KEYED)
         || !fields[1].matches("[0-9]{1,12}")) {
-      throw new MalformedCapabilitiesException("capabilities: expected '" + REQUEST_CLASS + " " + KEYED + "|" + NOT_KEYED + " windowMillis name'");
+      throw new MalformedCapabilitiesException(
+          "capabilities: expected '"
+              + REQUEST_CLASS
+              + " "
+              + KEYED
+              + "|"
+              + NOT_KEYED
+              + " windowMillis name'");
     }
     return new RequestClass(fields[2], fields[0].equals(KEYED), Long.parseLong(fields[1]));
   }
--- a/src/main/java/wharftrestle/handover/CompatibilityCheck.java
+++ b/src/main/java/wharftrestle/handover/CompatibilityCheck.java
@@ -62,7 +62,8 @@
         .or(() -> insufficientKeyCapacity(predecessor.keyCapacity(), successor.keyCapacity()));
   }
 
-  private static Optional<String> incompatibleHandover(VersionRange predecessor, VersionRange successor) {
+  private static Optional<String> incompatibleHandover(
+      VersionRange predecessor, VersionRange successor) {
     return predecessor.newestCommon(successor) >= OLDEST_COMPARING_VERSION
         ? Optional.empty()
         : Optional.of(
@@ -77,15 +78,23 @@
       return Optional.empty();
     }
     if (successorDirectory.isEmpty()) {
-      return Optional.of("the predecessor stores results in " + predecessorDirectory + ", the successor stores none");
+      return Optional.of(
+          "the predecessor stores results in "
+              + predecessorDirectory
+              + ", the successor stores none");
     }
     if (!predecessorDirectory.equals(successorDirectory)) {
-      return Optional.of("the predecessor stores results in " + predecessorDirectory + ", the successor in " + successorDirectory);
+      return Optional.of(
+          "the predecessor stores results in "
+              + predecessorDirectory
+              + ", the successor in "
+              + successorDirectory);
     }
     return incompatibleLog(predecessor.logVersions(), successor.logVersions());
   }
 
-  private static Optional<String> incompatibleLog(VersionRange predecessor, VersionRange successor) {
+  private static Optional<String> incompatibleLog(
+      VersionRange predecessor, VersionRange successor) {
     if (!successor.contains(predecessor.newest())) {
       return Optional.of(
           "the predecessor writes log format "
@@ -131,7 +140,8 @@
     return Optional.empty();
   }
 
-  private static Optional<String> incompatibleTenants(List<String> predecessor, List<String> successor) {
+  private static Optional<String> incompatibleTenants(
+      List<String> predecessor, List<String> successor) {
     for (int i = 0; i < Math.min(predecessor.size(), successor.size()); i++) {
       if (!predecessor.get(i).equals(successor.get(i))) {
         return Optional.of(
@@ -156,9 +166,11 @@
    * dropped, its key stays known, and duplicates of it fail. A successor with the same capacity as
    * the predecessor has space for all of its keys.
    */
-  private static Optional<String> insufficientKeyCapacity(KeyCapacity predecessor, KeyCapacity successor) {
+  private static Optional<String> insufficientKeyCapacity(
+      KeyCapacity predecessor, KeyCapacity successor) {
     return successor.maxKeys() < predecessor.maxKeys()
-            && predecessor.keys() + predecessor.keys() / KEYS_PER_ADDITIONAL_KEY > successor.maxKeys()
+            && predecessor.keys() + predecessor.keys() / KEYS_PER_ADDITIONAL_KEY
+                > successor.maxKeys()
         ? Optional.of(
             predecessor.keys()
                 + " keys are known here, and there is room for "
--- a/src/main/java/wharftrestle/handover/HandoverStateMachine.java
+++ b/src/main/java/wharftrestle/handover/HandoverStateMachine.java
@@ -6,8 +6,8 @@
 
 /**
  * The handover protocol of one process of a host, as a state machine without I/O. It maps an event
- * to the actions that the caller carries out, in order. A process runs through it twice: first as the
- * successor of the process that serves, later as the predecessor of the next one.
+ * to the actions that the caller carries out, in order. A process runs through it twice: first as
+ * the successor of the process that serves, later as the predecessor of the next one.
  *
  * <p>At most one of the processes of a host {@linkplain State#ownsKeys owns its keys}; between the
  * sending and the receipt of {@code OWNERSHIP} none does. A link ends only with the process at its
@@ -155,8 +155,8 @@
     SEND_REJECTION,
     SEND_RETRY_LATER,
     /**
-     * Sends all completed keys, and then each key that completes; {@link
-     * Event#ALL_KEYS_SENT} or {@link Event#DEADLINE_EXCEEDED} follows.
+     * Sends all completed keys, and then each key that completes; {@link Event#ALL_KEYS_SENT} or
+     * {@link Event#DEADLINE_EXCEEDED} follows.
      */
     SEND_COMPLETED_KEYS,
     STOP_SENDING_KEYS,
@@ -183,7 +183,9 @@
     SEND_RELINQUISHED,
     /** Takes all keys back, as the successor has ended or has returned the ownership. */
     RECLAIM_OWNERSHIP,
-    /** Fails the keys of the predecessor's executions: it has ended, so their outcome is unknown. */
+    /**
+     * Fails the keys of the predecessor's executions: it has ended, so their outcome is unknown.
+     */
     RESOLVE_PEER_LOSS,
     /** Accepts clients as the only process of the host. */
     LISTEN_ALONE,
@@ -204,7 +206,8 @@
    * The effect of one event.
    *
    * @param actions to carry out, in this order
-   * @param isIgnored true if the table does not list the event for this state; nothing has changed then
+   * @param isIgnored true if the table does not list the event for this state; nothing has changed
+   *     then
    */
   public record Transition(State from, State to, List<Action> actions, boolean isIgnored) {}
 
@@ -243,7 +246,8 @@
         Action.SEND_WITHDRAWAL,
         Action.REPORT_REFUSAL);
     for (State waiting : List.of(State.TAKEOVER_REQUESTED, State.CAPABILITIES_SENT)) {
-      addRow(waiting, Event.TAKEOVER_REJECTED, State.AWAITING_PREDECESSOR_EXIT, Action.REPORT_REFUSAL);
+      addRow(
+          waiting, Event.TAKEOVER_REJECTED, State.AWAITING_PREDECESSOR_EXIT, Action.REPORT_REFUSAL);
     }
   }
 
@@ -275,7 +279,8 @@
         Event.KEYS_COMPLETE,
         State.KEYS_RECEIVED,
         Action.SEND_KEYS_ACKNOWLEDGED);
-    addRow(State.KEYS_RECEIVED, Event.OWNERSHIP_RECEIVED, State.OPENING_STORAGE, Action.OPEN_STORAGE);
+    addRow(
+        State.KEYS_RECEIVED, Event.OWNERSHIP_RECEIVED, State.OPENING_STORAGE, Action.OPEN_STORAGE);
     addRow(
         State.TAKEOVER_REQUESTED,
         Event.LEGACY_OWNERSHIP_RECEIVED,
--- a/src/main/java/wharftrestle/version/BuildInfo.java
+++ b/src/main/java/wharftrestle/version/BuildInfo.java
@@ -13,8 +13,8 @@
 
 /**
  * Describes the running build and defines the ranges of the formats that it supports. A change that
- * adds a version of a format must change its range here. Stateless. At its start, a daemon reads the
- * digest that the build wrote beside the jar, not the jar itself.
+ * adds a version of a format must change its range here. Stateless. At its start, a daemon reads
+ * the digest that the build wrote beside the jar, not the jar itself.
  */
 public final class BuildInfo {
   /** Versions of the handover between two processes; version 2 compares capabilities first. */
@@ -112,7 +112,8 @@
       }
       return HexFormat.of().formatHex(sha256.digest());
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("this Java runtime lacks SHA-256, which every Java platform must support", e);
+      throw new IllegalStateException(
+          "this Java runtime lacks SHA-256, which every Java platform must support", e);
     }
   }
 
--- a/src/main/java/wharftrestle/version/VersionRange.java
+++ b/src/main/java/wharftrestle/version/VersionRange.java
@@ -10,7 +10,8 @@
   /** Rejects an empty range and negative versions. */
   public VersionRange {
     if (oldest < 0 || newest < oldest) {
-      throw new IllegalArgumentException("expected 0 <= oldest <= newest version, found " + oldest + " to " + newest);
+      throw new IllegalArgumentException(
+          "expected 0 <= oldest <= newest version, found " + oldest + " to " + newest);
     }
   }
 
@@ -21,7 +22,8 @@
    */
   public static VersionRange parse(String text) {
     if (!text.matches("[0-9]{1,6}(-[0-9]{1,6})?")) {
-      throw new IllegalArgumentException("expected a version range such as 1-2 or 1, found '" + text + "'");
+      throw new IllegalArgumentException(
+          "expected a version range such as 1-2 or 1, found '" + text + "'");
     }
     String[] bounds = text.split("-", -1);
     return new VersionRange(
--- a/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
+++ b/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
@@ -91,14 +91,17 @@
         incompatibility(
             two,
             capabilities(new VersionRange(1, 2), "", List.of(SAVE), List.of("b", "a"), CAPACITY)));
-    assertEquals("only one of the two processes has tenants", incompatibility(two, withClasses(SAVE)));
+    assertEquals(
+        "only one of the two processes has tenants", incompatibility(two, withClasses(SAVE)));
   }
 
   @Test
   void storedResults_needTheSameDirectoryAndLogVersions() {
     VersionRange one = new VersionRange(1, 1);
     assertNull(incompatibility(storing("/a", one), storing("/a", one)));
-    assertNull(incompatibility(withClasses(READ, SAVE), storing("/a", one)), "storage switched on by the successor");
+    assertNull(
+        incompatibility(withClasses(READ, SAVE), storing("/a", one)),
+        "storage switched on by the successor");
     assertEquals(
         "the predecessor stores results in /a, the successor stores none",
         incompatibility(storing("/a", one), withClasses(READ, SAVE)));
@@ -166,7 +169,8 @@
       @ForAll @Size(max = 5) List<String> names, @ForAll @IntRange(min = 0) int number)
       throws Exception {
     List<Capabilities.RequestClass> namedClasses = new ArrayList<>();
-    names.forEach(name -> namedClasses.add(new Capabilities.RequestClass(name, number % 2 == 0, number)));
+    names.forEach(
+        name -> namedClasses.add(new Capabilities.RequestClass(name, number % 2 == 0, number)));
     Capabilities sent =
         capabilities(
             new VersionRange(1, 2),
--- a/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
+++ b/src/test/java/wharftrestle/handover/HandoverStateMachineModelTest.java
@@ -151,7 +151,11 @@
       for (int i = 0; i < PROCESSES; i++) {
         for (int j = 0; j < PROCESSES; j++) {
           links[i][j].forEach(
-              message -> text.append(message.event()).append(message.isKey()).append(message.isCompleted()).append(' '));
+              message ->
+                  text.append(message.event())
+                      .append(message.isKey())
+                      .append(message.isCompleted())
+                      .append(' '));
           text.append('|');
         }
       }
@@ -174,7 +178,8 @@
       for (int i = 0; i < PROCESSES; i++) {
         if (i != except
             && processes[i].isAlive
-            && (processes[i].isListening || (processes[i].holdsKeys && bug != Bug.STARTS_BESIDE_RELINQUISHED_PROCESS))) {
+            && (processes[i].isListening
+                || (processes[i].holdsKeys && bug != Bug.STARTS_BESIDE_RELINQUISHED_PROCESS))) {
           return false;
         }
       }
@@ -288,7 +293,10 @@
         return; // a message of an abandoned link
       }
       if (message.isKey()) {
-        process.knowledge = message.isCompleted() || process.knowledge == KeyKnowledge.COMPLETED ? KeyKnowledge.COMPLETED : KeyKnowledge.OPEN;
+        process.knowledge =
+            message.isCompleted() || process.knowledge == KeyKnowledge.COMPLETED
+                ? KeyKnowledge.COMPLETED
+                : KeyKnowledge.OPEN;
         process.awaitsClaim = false;
       } else if (message.event() == null) {
         // A claim, which is granted if the key is unknown; the peer executes it then.
@@ -296,8 +304,7 @@
           process.knowledge = KeyKnowledge.OPEN;
           send(
               to,
-              Message.of(
-                  Event.PEER_DISCOVERED)); // represents a grant, for which there is no event
+              Message.of(Event.PEER_DISCOVERED)); // represents a grant, for which there is no event
         } else {
           send(to, new Message(null, true, process.knowledge == KeyKnowledge.COMPLETED));
         }
@@ -345,7 +352,8 @@
         // Keys that a successor has received in part do not count, as it owns none of them yet.
         boolean isOwnershipInTransit =
             processes[j].isAlive
-                && links[i][j].stream().anyMatch(message -> message.event() == Event.OWNERSHIP_RECEIVED);
+                && links[i][j].stream()
+                    .anyMatch(message -> message.event() == Event.OWNERSHIP_RECEIVED);
         isKeyKnown |= knowsAllKeys(j) || isOwnershipInTransit;
       }
       if (!isKeyKnown) {
@@ -425,7 +433,9 @@
             nextStates.add(afterChange(next -> next.receive(from, self)));
           }
         }
-        if (process.peer >= 0 && !this.processes[process.peer].isAlive && links[process.peer][i].isEmpty()) {
+        if (process.peer >= 0
+            && !this.processes[process.peer].isAlive
+            && links[process.peer][i].isEmpty()) {
           nextStates.add(
               afterChange(
                   next -> {
@@ -440,9 +450,12 @@
 
     private void addLocalSteps(int self, ModelProcess process, List<SystemState> nextStates) {
       switch (process.state) {
-        case AWAITING_WORKER_POOL -> nextStates.add(afterChange(next -> next.connectWorkerPool(self)));
-        case SENDING_KEYS -> nextStates.add(afterChange(next -> next.apply(self, Event.ALL_KEYS_SENT)));
-        case IN_BACKOFF -> nextStates.add(afterChange(next -> next.apply(self, Event.BACKOFF_ELAPSED)));
+        case AWAITING_WORKER_POOL ->
+            nextStates.add(afterChange(next -> next.connectWorkerPool(self)));
+        case SENDING_KEYS ->
+            nextStates.add(afterChange(next -> next.apply(self, Event.ALL_KEYS_SENT)));
+        case IN_BACKOFF ->
+            nextStates.add(afterChange(next -> next.apply(self, Event.BACKOFF_ELAPSED)));
         case DISCOVERING_PEER -> {
           if (isReachable(socketOwner) && socketOwner != self) {
             nextStates.add(
@@ -459,7 +472,8 @@
       }
       boolean canTimeOut =
           process.state.hasDeadline()
-              || (bug == Bug.RECLAIMS_FROM_SILENT_SUCCESSOR && process.state == State.OWNERSHIP_TRANSFERRED);
+              || (bug == Bug.RECLAIMS_FROM_SILENT_SUCCESSOR
+                  && process.state == State.OWNERSHIP_TRANSFERRED);
       if (canTimeOut && remainingTimeouts > 0) {
         nextStates.add(
             afterChange(
