--- a/src/main/java/wharftrestle/storage/Compaction.java
+++ b/src/main/java/wharftrestle/storage/Compaction.java
@@ -9,10 +9,10 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * Rewrites the live records of a log that nobody writes into as few segments as hold them. After
- * each step a crash leaves a log that says the same: new segments first, then the manifest that
- * names them alone, then the old ones are deleted. Must not be run on a damaged log, as the damage
- * would be forgotten. One instance serves one run, on one thread.
+ * Rewrites the live records of a log without a writer into as few segments as possible. It creates
+ * the new segments, then writes a manifest that lists only them, then deletes the old segments, so a
+ * crash after any step leaves a log with the same keys. A damaged log must not be compacted, since
+ * the evidence of the damage would be lost. An instance is used for one run, by one thread.
  */
 final class Compaction {
   private static final int BATCH = 1;
@@ -23,7 +23,7 @@
   private final long monotonicMillis = LogClock.monotonicMillis();
   private final long wallMillis = SteadyWallClock.wallMillis();
   private final List<Long> newSegments = new ArrayList<>();
-  private ByteBuffer segment; // records of the last new segment; null before the first
+  private ByteBuffer segment; // records of the newest segment; null before the first
 
   private Compaction(SegmentStore store, int segmentBytes) {
     this.store = store;
@@ -31,10 +31,10 @@
     bootId = store.bootId();
   }
 
-  /** A record that still matters, and where it lies. */
+  /** The location of the last record of a key that has not expired. */
   private record LiveRecord(RecordLocation location, int size, boolean sameBoot) {}
 
-  /** True where a start finds so many segments that a few more would leave no capacity. */
+  /** True if more than half of the allowed segments are in use, so that further starts would fill the space budget. */
   static boolean isWorthwhile(SpaceBudget space) {
     return space.segmentCount() > space.maxSegments() / 2;
   }
@@ -43,8 +43,9 @@
    * Compacts the log.
    *
    * @param segmentBytes size of a new segment
-   * @param maxSegments old and new ones together
-   * @return false where it would not fit or gain nothing; then nothing has changed
+   * @param maxSegments limit on the number of old and new segments together
+   * @return false, with the log unchanged, if the new segments would exceed the limit or would not be
+   *     fewer than the old ones
    */
   static boolean run(SegmentStore store, int segmentBytes, int maxSegments) throws IOException {
     return new Compaction(store, segmentBytes).run(maxSegments);
@@ -53,8 +54,8 @@
   private boolean run(int maxSegments) throws IOException {
     long[] oldSegments = store.segmentNumbers();
     List<LiveRecord> live = findLiveRecords(oldSegments);
-    int needed = segmentsFor(live);
-    if (oldSegments.length + needed > maxSegments || needed >= oldSegments.length) {
+    int neededSegments = segmentsFor(live);
+    if (oldSegments.length + neededSegments > maxSegments || neededSegments >= oldSegments.length) {
       return false;
     }
     writeAll(live, oldSegments.length == 0 ? 0 : oldSegments[oldSegments.length - 1]);
@@ -65,7 +66,7 @@
     return true;
   }
 
-  /** The last record of each key that is not expired, in the order of the log. */
+  /** The last record of each key that has not expired, in the order of the log. */
   private List<LiveRecord> findLiveRecords(long[] segments) throws IOException {
     Map<String, LiveRecord> live = new LinkedHashMap<>();
     Recovery recovery = new Recovery(SteadyWallClock.steadyWallMillis(), monotonicMillis);
@@ -103,16 +104,16 @@
   }
 
   private int segmentsFor(List<LiveRecord> live) {
-    int needed = live.isEmpty() ? 0 : 1;
-    int used = Segment.HEADER_BYTES;
-    for (LiveRecord each : live) {
-      if (used + each.size() > segmentBytes) {
-        needed++;
-        used = Segment.HEADER_BYTES;
+    int neededSegments = live.isEmpty() ? 0 : 1;
+    int usedBytes = Segment.HEADER_BYTES;
+    for (LiveRecord liveRecord : live) {
+      if (usedBytes + liveRecord.size() > segmentBytes) {
+        neededSegments++;
+        usedBytes = Segment.HEADER_BYTES;
       }
-      used += each.size();
+      usedBytes += liveRecord.size();
     }
-    return needed;
+    return neededSegments;
   }
 
   private void writeAll(List<LiveRecord> live, long lastOldSegment) throws IOException {
@@ -139,15 +140,15 @@
     RecordLocation at = live.location();
     LogRecord record = LogRecord.readAt(store.read(at.segment(), at.offset(), live.size()), 0);
     if (record == null) {
-      throw new IOException("expected a record at " + at + ", found none");
+      throw new IOException("expected a record at " + at + ", found none or a corrupt one");
     }
-    // A record of an earlier boot ages from now on: its monotonic clock says nothing here.
+    // Monotonic times of an earlier boot cannot be compared, so the record ages from now on.
     record
         .stamped(
             lastOfBatch,
             BATCH,
             live.sameBoot() ? record.writtenAtMillis() : wallMillis,
-            live.sameBoot() ? record.writtenAtSteadyMillis() : monotonicMillis)
+            live.sameBoot() ? record.writtenAtMonotonicMillis() : monotonicMillis)
         .writeTo(segment);
   }
 
--- a/src/main/java/wharftrestle/storage/FileSegmentStore.java
+++ b/src/main/java/wharftrestle/storage/FileSegmentStore.java
@@ -20,28 +20,28 @@
 import wharftrestle.idempotency.KeyDigest;
 
 /**
- * A segment store in a folder of the file system. Owns the folder by a file lock, which the kernel
- * releases when the process dies, and the channels of all segments until {@link #close}. Files are
- * made under another name and moved, so that none is half made under its own. The writer thread
- * writes, any thread reads.
+ * A segment store in a folder of the file system. Holds an exclusive file lock on the folder, which
+ * the kernel releases if the process dies, and keeps segment channels open until {@link #close}.
+ * Files are written under a temporary name and then renamed, so that no incomplete file appears
+ * under its final name. Only the writer thread writes; any thread may read.
  */
 final class FileSegmentStore implements SegmentStore {
   private static final String PREFIX = "results-";
   private static final String SUFFIX = ".log";
   private static final String MANIFEST = "list";
-  private static final int ZEROS_BYTES = 256 * 1024;
+  private static final int ZERO_FILL_BYTES = 256 * 1024;
   private static final long UNKNOWN_BOOT = 0;
 
   private final Path folder;
   private final FileChannel lockFile;
   private final FileLock lock;
-  private final Map<Long, FileChannel> open = new ConcurrentHashMap<>();
+  private final Map<Long, FileChannel> openChannels = new ConcurrentHashMap<>();
 
   /**
-   * Takes the folder, and makes it where it is missing.
+   * Creates the folder if it is missing and locks it.
    *
-   * @throws UnusableStorageException in one line, where the folder cannot be used or another
-   *     process holds it
+   * @throws UnusableStorageException if the folder cannot be written or another process holds its
+   *     lock; the message is one line
    */
   FileSegmentStore(Path folder) throws IOException {
     this.folder = folder;
@@ -58,7 +58,7 @@
     try {
       acquired = lockFile.tryLock();
     } catch (OverlappingFileLockException e) {
-      acquired = null; // This very process holds it.
+      acquired = null; // This process already holds the lock.
     }
     if (acquired == null) {
       lockFile.close();
@@ -73,7 +73,7 @@
       String id = Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).trim();
       return KeyDigest.of(id).high();
     } catch (IOException e) {
-      return UNKNOWN_BOOT; // No record is then left out as expired.
+      return UNKNOWN_BOOT; // Recovery then skips no record as expired.
     }
   }
 
@@ -82,24 +82,24 @@
   }
 
   private FileChannel channel(long number) throws IOException {
-    FileChannel known = open.get(number);
-    if (known != null) {
-      return known;
+    FileChannel cached = openChannels.get(number);
+    if (cached != null) {
+      return cached;
     }
-    FileChannel made =
+    FileChannel opened =
         FileChannel.open(path(number), StandardOpenOption.READ, StandardOpenOption.WRITE);
-    FileChannel first = open.putIfAbsent(number, made);
-    if (first != null) {
-      made.close();
+    FileChannel existing = openChannels.putIfAbsent(number, opened);
+    if (existing != null) {
+      opened.close();
     }
-    return first == null ? made : first;
+    return existing == null ? opened : existing;
   }
 
   @Override
   public byte[] readManifest() throws IOException {
     try {
       return Files.readAllBytes(folder.resolve(MANIFEST));
-    } catch (NoSuchFileException none) {
+    } catch (NoSuchFileException e) {
       return null;
     }
   }
@@ -119,27 +119,27 @@
     try {
       Files.move(fresh, folder.resolve(MANIFEST), StandardCopyOption.ATOMIC_MOVE);
     } catch (AtomicMoveNotSupportedException e) {
-      throw new UnusableStorageException(folder + " cannot replace a file in one step");
+      throw new UnusableStorageException(folder + " is on a file system that cannot replace a file atomically");
     }
     syncFolder();
   }
 
-  /** Makes names of files durable. */
+  /** Makes file creations and renames durable. */
   private void syncFolder() throws IOException {
-    try (FileChannel self = FileChannel.open(folder, StandardOpenOption.READ)) {
-      self.force(true);
+    try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+      directory.force(true);
     }
   }
 
   @Override
   public long[] segmentNumbers() throws IOException {
     LongStream.Builder numbers = LongStream.builder();
-    try (DirectoryStream<Path> all = Files.newDirectoryStream(folder, PREFIX + "*" + SUFFIX)) {
-      for (Path each : all) {
-        String name = each.getFileName().toString();
+    try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*" + SUFFIX)) {
+      for (Path file : files) {
+        String name = file.getFileName().toString();
         String digits = name.substring(PREFIX.length(), name.length() - SUFFIX.length());
         if (!digits.matches("[0-9]{8,15}")) {
-          throw new UnusableStorageException(folder + ": " + name + " is no file of kept results");
+          throw new UnusableStorageException(folder + ": " + name + " is not a segment file, expected a number of 8 to 15 digits");
         }
         numbers.add(Long.parseLong(digits));
       }
@@ -156,8 +156,9 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-      // All zeros: a sync of records then writes no length, and a file that was cut shows.
-      ByteBuffer zeros = ByteBuffer.allocate(Math.min(ZEROS_BYTES, size));
+      // Full size from the start: a sync of records then need not write the file length, and a
+      // truncated file is detected.
+      ByteBuffer zeros = ByteBuffer.allocate(Math.min(ZERO_FILL_BYTES, size));
       for (int at = 0; at < size; at += zeros.capacity()) {
         writeFully(file, zeros.clear().limit(Math.min(zeros.capacity(), size - at)), at);
       }
@@ -169,8 +170,8 @@
   }
 
   private static void writeFully(FileChannel file, ByteBuffer bytes, long at) throws IOException {
-    for (long to = at; bytes.hasRemaining(); ) {
-      to += file.write(bytes, to);
+    for (long position = at; bytes.hasRemaining(); ) {
+      position += file.write(bytes, position);
     }
   }
 
@@ -201,7 +202,7 @@
 
   @Override
   public void delete(long number) throws IOException {
-    FileChannel file = open.remove(number);
+    FileChannel file = openChannels.remove(number);
     if (file != null) {
       file.close();
     }
@@ -210,10 +211,10 @@
 
   @Override
   public void close() {
-    for (FileChannel file : open.values()) {
+    for (FileChannel file : openChannels.values()) {
       closeQuietly(file);
     }
-    open.clear();
+    openChannels.clear();
     closeQuietly(lock);
     closeQuietly(lockFile);
   }
--- a/src/main/java/wharftrestle/storage/GroupCommitQueue.java
+++ b/src/main/java/wharftrestle/storage/GroupCommitQueue.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * The queue of the group commit: records that wait for the next write and sync, in the order of the
- * log. Adding never waits for the disk; the one writer thread takes all that is queued at once.
- * Each entry is given out once or withdrawn. Thread-safe, by its own monitor.
+ * The queue of the group commit: entries that wait for the next write and sync, in the order in which
+ * they are added. Adding never waits for the disk; the single writer thread removes all queued
+ * entries at once. Each entry is either drained once or withdrawn. Thread-safe: all methods
+ * synchronize on the queue.
  *
- * @param <T> entries, told apart by identity
+ * @param <T> type of the entries, which are compared by identity
  */
 public final class GroupCommitQueue<T> {
   private final int maxBytes;
@@ -17,15 +18,15 @@
   private boolean closed;
 
   /**
-   * An empty, open queue.
+   * Creates an empty, open queue.
    *
-   * @param maxBytes queued at most, required entries left out
+   * @param maxBytes limit on the queued bytes; required entries are accepted beyond it
    */
   public GroupCommitQueue(int maxBytes) {
     this.maxBytes = maxBytes;
   }
 
-  /** Adds an entry; false where the queue is closed, or is full and the entry is not required. */
+  /** Adds an entry; returns false if the queue is closed, or is full and the entry is not required. */
   public synchronized boolean add(T entry, int size, boolean required) {
     if (closed || (!required && queuedBytes + size > maxBytes)) {
       return false;
@@ -36,7 +37,7 @@
     return true;
   }
 
-  /** Removes an entry; false where the writer has it already. */
+  /** Removes an entry; returns false if the writer has already taken it. */
   public synchronized boolean withdraw(T entry, int size) {
     for (int i = queued.size() - 1; i >= 0; i--) {
       if (queued.get(i) == entry) {
@@ -48,36 +49,36 @@
     return false;
   }
 
-  /** Takes all that is queued, in order. */
+  /** Removes and returns all queued entries, in order. */
   public synchronized List<T> drain() {
-    List<T> all = queued;
+    List<T> entries = queued;
     queued = new ArrayList<>();
     queuedBytes = 0;
-    return all;
+    return entries;
   }
 
-  /** Waits until something is queued, the queue is closed, or the time is over; then drains it. */
+  /** Waits until an entry is queued, the queue is closed, or the timeout elapses; then drains it. */
   @SuppressWarnings(
-      "WaitNotInLoop") // Woken early it gives out nothing, and its caller polls again.
-  public synchronized List<T> awaitBatch(long millis) throws InterruptedException {
+      "WaitNotInLoop") // After a spurious wakeup it returns no entries, and the caller polls again.
+  public synchronized List<T> awaitBatch(long timeoutMillis) throws InterruptedException {
     if (queued.isEmpty() && !closed) {
-      wait(millis);
+      wait(timeoutMillis);
     }
     return drain();
   }
 
-  /** Takes no more entries; those that are queued are still given out. */
+  /** Rejects further entries; those already queued can still be drained. */
   public synchronized void close() {
     closed = true;
     notifyAll();
   }
 
-  /** True once closed. */
+  /** True once {@link #close} was called. */
   public synchronized boolean isClosed() {
     return closed;
   }
 
-  /** Bytes of the queued entries. */
+  /** Total size of the queued entries. */
   public synchronized long queuedBytes() {
     return queuedBytes;
   }
--- a/src/main/java/wharftrestle/storage/LogMetrics.java
+++ b/src/main/java/wharftrestle/storage/LogMetrics.java
@@ -9,11 +9,11 @@
 import wharftrestle.request.ResultStore;
 
 /**
- * Counts what the write-ahead log did. Any thread may count and read; the figures are displayed and
- * decide nothing.
+ * Metrics of the write-ahead log. Thread-safe. The values are only published; no decision depends on
+ * them.
  */
 final class LogMetrics {
-  /** Longest sync that the histogram tells apart. */
+  /** Upper limit of the sync histogram; longer syncs are recorded as this value. */
   private static final long MAX_SYNC_MICROS = 60_000_000;
 
   private static final int HISTOGRAM_DIGITS = 2;
@@ -30,11 +30,11 @@
   private volatile boolean damaged;
   private volatile long recoveryMicros;
 
-  void countRecords(int written) {
-    records.add(written);
+  void countRecords(int count) {
+    records.add(count);
   }
 
-  /** A result was answered that is not on disk. */
+  /** Counts a result that was not written to disk; it is still sent to its clients. */
   void countUnsaved() {
     unsaved.increment();
   }
@@ -54,64 +54,64 @@
     }
   }
 
-  void recordRecovery(int known, int unknown, boolean wasDamaged) {
+  void recordRecovery(int known, int unknown, boolean isDamaged) {
     recoveredKnown = known;
     recoveredUnknown = unknown;
-    damaged = wasDamaged;
+    damaged = isDamaged;
   }
 
   void recordRecoveryTime(long nanos) {
     recoveryMicros = nanos / NANOS_PER_MICRO;
   }
 
-  /** All figures under their published names. */
+  /** All metrics under their published names. */
   Map<ResultMetric, Long> snapshot(WriteAheadLog.State state, SpaceBudget space, long queuedBytes) {
-    Map<ResultMetric, Long> all = new EnumMap<>(ResultMetric.class);
-    all.put(ResultMetric.STATE, publishedNumber(state));
-    all.put(ResultMetric.RECORDS, records.sum());
-    all.put(ResultMetric.QUEUED_BYTES, queuedBytes);
-    putSpace(all, space);
-    putSyncs(all);
-    putRecovery(all);
-    all.put(ResultMetric.DISK_ERRORS, errors.sum());
-    all.put(ResultMetric.UNSAVED_RESULTS, unsaved.sum());
+    Map<ResultMetric, Long> values = new EnumMap<>(ResultMetric.class);
+    values.put(ResultMetric.STATE, publishedNumber(state));
+    values.put(ResultMetric.RECORDS, records.sum());
+    values.put(ResultMetric.QUEUED_BYTES, queuedBytes);
+    putSpace(values, space);
+    putSyncs(values);
+    putRecovery(values);
+    values.put(ResultMetric.DISK_ERRORS, errors.sum());
+    values.put(ResultMetric.UNSAVED_RESULTS, unsaved.sum());
     for (ResultStore.RejectionReason reason : ResultStore.RejectionReason.values()) {
-      all.put(reason.metric(), rejections.get(index(reason)));
+      values.put(reason.metric(), rejections.get(index(reason)));
     }
-    return all;
+    return values;
   }
 
-  private static void putSpace(Map<ResultMetric, Long> all, SpaceBudget space) {
+  private static void putSpace(Map<ResultMetric, Long> values, SpaceBudget space) {
     synchronized (space) {
-      all.put(ResultMetric.SIZE_KB, space.allocatedBytes() >> 10);
-      all.put(ResultMetric.USED_KB, space.usedBytes() >> 10);
-      all.put(ResultMetric.RESERVED_KB, space.reservedBytes() >> 10);
-      all.put(ResultMetric.SEGMENTS, (long) space.segmentCount());
+      values.put(ResultMetric.SIZE_KB, space.allocatedBytes() >> 10);
+      values.put(ResultMetric.USED_KB, space.usedBytes() >> 10);
+      values.put(ResultMetric.RESERVED_KB, space.reservedBytes() >> 10);
+      values.put(ResultMetric.SEGMENTS, (long) space.segmentCount());
     }
   }
 
-  private void putSyncs(Map<ResultMetric, Long> all) {
+  private void putSyncs(Map<ResultMetric, Long> values) {
     synchronized (syncMicros) {
-      all.put(ResultMetric.SYNCS, syncMicros.getTotalCount());
-      all.put(ResultMetric.SYNC_P50_US, syncMicros.getValueAtPercentile(50));
-      all.put(ResultMetric.SYNC_P99_US, syncMicros.getValueAtPercentile(99));
-      all.put(ResultMetric.SYNC_MAX_US, syncMicros.getMaxValue());
+      values.put(ResultMetric.SYNCS, syncMicros.getTotalCount());
+      values.put(ResultMetric.SYNC_P50_US, syncMicros.getValueAtPercentile(50));
+      values.put(ResultMetric.SYNC_P99_US, syncMicros.getValueAtPercentile(99));
+      values.put(ResultMetric.SYNC_MAX_US, syncMicros.getMaxValue());
     }
   }
 
-  private void putRecovery(Map<ResultMetric, Long> all) {
-    all.put(ResultMetric.RECOVERED_WITH_RESULT, (long) recoveredKnown);
-    all.put(ResultMetric.RECOVERED_UNKNOWN, (long) recoveredUnknown);
-    all.put(ResultMetric.RECOVERY_US, recoveryMicros);
-    all.put(ResultMetric.DAMAGED, damaged ? 1L : 0L);
+  private void putRecovery(Map<ResultMetric, Long> values) {
+    values.put(ResultMetric.RECOVERED_WITH_RESULT, (long) recoveredKnown);
+    values.put(ResultMetric.RECOVERED_UNKNOWN, (long) recoveredUnknown);
+    values.put(ResultMetric.RECOVERY_US, recoveryMicros);
+    values.put(ResultMetric.DAMAGED, damaged ? 1L : 0L);
   }
 
-  @SuppressWarnings("EnumOrdinal") // The MIB counts states in the order of declaration.
+  @SuppressWarnings("EnumOrdinal") // The MIB numbers states in the order of declaration.
   private static long publishedNumber(WriteAheadLog.State state) {
     return state.ordinal() + 1L;
   }
 
-  @SuppressWarnings("EnumOrdinal") // An index into rejections, never stored or sent.
+  @SuppressWarnings("EnumOrdinal") // An index into the rejections array, never stored or sent.
   private static int index(ResultStore.RejectionReason reason) {
     return reason.ordinal();
   }
--- a/src/main/java/wharftrestle/storage/LogReader.java
+++ b/src/main/java/wharftrestle/storage/LogReader.java
@@ -8,9 +8,9 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * Reads all segments of a folder as the log is opened: replays their records, accounts for their
- * space, and tells whether something that was on disk is lost. Used by one thread, before the
- * writer starts.
+ * Reads all segments of a folder when the log is opened: replays their records, enters the segments
+ * into the space budget, and detects whether synced records are lost. Used by the thread that opens
+ * the log, before the writer starts.
  */
 final class LogReader {
   private final SegmentStore store;
@@ -22,11 +22,11 @@
   private boolean damaged;
 
   /**
-   * What the folder holds.
+   * The result of reading a folder.
    *
-   * @param missingSegments numbers in the manifest without a file
-   * @param batch a number as large as that of any batch there, from which the writer goes on
-   * @param damaged keys may be lost: unknown ones must not run for a while
+   * @param missingSegments numbers that the manifest lists and that have no file
+   * @param batch batch number after which the writer continues; higher than any batch number read
+   * @param damaged true if keys may be lost, so that unknown keys must not run for one window
    */
   record Contents(Recovery recovery, TreeSet<Long> missingSegments, int batch, boolean damaged) {}
 
@@ -39,10 +39,10 @@
   }
 
   /**
-   * Reads the folder; the space budget has its segments and no others afterwards.
+   * Reads the folder and replaces the contents of the space budget with the segments found.
    *
-   * @param nowSeconds of System.nanoTime
-   * @param batch the least batch number to go on from
+   * @param nowSeconds current System.nanoTime in seconds
+   * @param batch lower limit of the batch number in the result
    */
   static Contents read(SegmentStore store, SpaceBudget space, double nowSeconds, int batch)
       throws IOException, Segment.ForeignFormatException {
--- a/src/main/java/wharftrestle/storage/LogRecord.java
+++ b/src/main/java/wharftrestle/storage/LogRecord.java
@@ -5,35 +5,35 @@
 import java.util.zip.CRC32C;
 
 /**
- * One record of the write-ahead log and its layout on disk. Reading trusts no length that it has
- * not checked.
+ * One record of the write-ahead log, with its layout on disk. When a record is read, every length
+ * field is validated before use.
  *
  * <pre>
- * int    bytes of the payload, 1 to MAX_PAYLOAD_BYTES
+ * int    length of the payload in bytes, 1 to MAX_PAYLOAD_BYTES
  * int    CRC32C of that length and of the payload, which follows
  * byte   kind; its highest bit is set on the last record of a batch
- * int    batch: all records that were synced together have one number, later ones a larger one
- * long   written at, Unix ms
- * long   written at, ms of the machine's monotonic clock
- * long   covered until, Unix ms: no attempt with a timestamp up to here may run
- * int    window, ms, with its slack
- * long   checksum of the body
- * short  length of the key, then its UTF-8
- * int    length of the result, then its bytes
+ * int    batch number: the same for all records synced together, increasing from batch to batch
+ * long   time of writing, Unix ms
+ * long   time of writing, ms of the machine's monotonic clock
+ * long   covered until, Unix ms: no attempt with a timestamp up to this one may run
+ * int    idempotency window, ms, including its slack
+ * long   checksum of the request body
+ * short  length of the key in bytes, then the key in UTF-8
+ * int    length of the result in bytes, then the result
  * </pre>
  *
- * Records begin at multiples of 8 bytes; zeros fill the gap.
+ * Records are aligned to 8 bytes and padded with zeros.
  *
- * @param kind what it says of its key
+ * @param kind what the record states about its key
  * @param lastOfBatch true on the last record of a batch
  * @param batch number of the batch
- * @param writtenAtMillis Unix ms
- * @param writtenAtSteadyMillis ms of the machine's monotonic clock
- * @param coveredUntilMillis Unix ms
- * @param windowMillis ms, with its slack
- * @param bodyChecksum of the request's body
- * @param key with its class and tenant
- * @param result empty but in a RESULT
+ * @param writtenAtMillis time of writing, Unix ms
+ * @param writtenAtMonotonicMillis time of writing, ms of the machine's monotonic clock
+ * @param coveredUntilMillis no attempt with a timestamp up to this one may run, Unix ms
+ * @param windowMillis idempotency window, ms, including its slack
+ * @param bodyChecksum checksum of the request body
+ * @param key idempotency key, with request class and tenant
+ * @param result the result of a RESULT record; empty for the other kinds
  */
 @SuppressWarnings("JavaLangClash") // A log consists of records; java.lang.Record is never named.
 public record LogRecord(
@@ -41,22 +41,22 @@
     boolean lastOfBatch,
     int batch,
     long writtenAtMillis,
-    long writtenAtSteadyMillis,
+    long writtenAtMonotonicMillis,
     long coveredUntilMillis,
     int windowMillis,
     long bodyChecksum,
     String key,
     byte[] result) {
 
-  /** What a record says of its key; each kind is stored as its number. */
+  /** What a record states about its key; stored on disk as a number. */
   public enum Kind {
     /** An execution is about to be dispatched. */
     INTENT(1),
-    /** It succeeded, with this result. */
+    /** The execution succeeded with this result. */
     RESULT(2),
-    /** It ended, and has no result to give. */
+    /** The execution ended without a result. */
     FAILED(3),
-    /** No execution was begun. */
+    /** No execution was dispatched. */
     VOID(4);
 
     private static final Kind[] BY_STORED_NUMBER = byStoredNumber();
@@ -67,12 +67,12 @@
       this.storedNumber = storedNumber;
     }
 
-    /** The number on disk. */
+    /** The number of this kind on disk. */
     public int storedNumber() {
       return storedNumber;
     }
 
-    /** The kind that a number on disk stands for; null for none. */
+    /** The kind with this number on disk; null if there is none. */
     static Kind ofStoredNumber(int number) {
       return number >= 0 && number < BY_STORED_NUMBER.length ? BY_STORED_NUMBER[number] : null;
     }
@@ -86,15 +86,15 @@
     }
   }
 
-  /** Bytes of a key at most. */
+  /** Maximum length of a key in bytes. */
   public static final int MAX_KEY_BYTES = 512;
 
-  /** Bytes of a result at most; the protocol has 4 kB. */
+  /** Maximum length of a result in bytes; the protocol allows 4 kB. */
   public static final int MAX_RESULT_BYTES = 64 * 1024;
 
   static final int MAX_PAYLOAD_BYTES = 128 * 1024;
 
-  /** The length and the check. */
+  /** Length and CRC. */
   static final int HEADER_BYTES = 8;
 
   static final int ALIGNMENT_BYTES = 8;
@@ -103,7 +103,7 @@
   private static final int LAST_OF_BATCH_FLAG = 0x80;
   private static final int FIXED_PAYLOAD_BYTES = 1 + 4 + 8 + 8 + 8 + 4 + 8 + 2 + 4;
 
-  /** A record that belongs to no batch yet. */
+  /** Creates a record without batch number and time of writing. */
   static LogRecord unstamped(
       Kind kind,
       long coveredUntilMillis,
@@ -115,14 +115,14 @@
         kind, false, 0, 0, 0, coveredUntilMillis, windowMillis, bodyChecksum, key, result);
   }
 
-  /** The same record as one of a batch that is written at this moment. */
-  LogRecord stamped(boolean last, int inBatch, long wallMillis, long steadyMillis) {
+  /** Returns a copy with the given batch number and times of writing. */
+  LogRecord stamped(boolean isLastOfBatch, int batchNumber, long wallMillis, long monotonicMillis) {
     return new LogRecord(
         kind,
-        last,
-        inBatch,
+        isLastOfBatch,
+        batchNumber,
         wallMillis,
-        steadyMillis,
+        monotonicMillis,
         coveredUntilMillis,
         windowMillis,
         bodyChecksum,
@@ -130,7 +130,7 @@
         result);
   }
 
-  /** Bytes on disk, with the gap to the next record. */
+  /** Size on disk in bytes, including padding. */
   int size() {
     return size(key.getBytes(StandardCharsets.UTF_8).length, result.length);
   }
@@ -143,17 +143,17 @@
     return size + ALIGNMENT_BYTES - 1 & -ALIGNMENT_BYTES;
   }
 
-  /** Puts the record's bytes, and the zeros behind it, into a buffer. */
-  void writeTo(ByteBuffer to) {
-    int begin = to.position();
+  /** Appends the record and its padding to a buffer. */
+  void writeTo(ByteBuffer buffer) {
+    int offset = buffer.position();
     byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
     int length = FIXED_PAYLOAD_BYTES + keyBytes.length + result.length;
-    to.putInt(length)
+    buffer.putInt(length)
         .putInt(0)
         .put((byte) (kind.storedNumber() | (lastOfBatch ? LAST_OF_BATCH_FLAG : 0)))
         .putInt(batch)
         .putLong(writtenAtMillis)
-        .putLong(writtenAtSteadyMillis)
+        .putLong(writtenAtMonotonicMillis)
         .putLong(coveredUntilMillis)
         .putInt(windowMillis)
         .putLong(bodyChecksum)
@@ -161,55 +161,58 @@
         .put(keyBytes)
         .putInt(result.length)
         .put(result);
-    to.putInt(begin + CRC_OFFSET, crc(to, begin, length));
-    while ((to.position() - begin) % ALIGNMENT_BYTES != 0) {
-      to.put((byte) 0);
+    buffer.putInt(offset + CRC_OFFSET, crc(buffer, offset, length));
+    while ((buffer.position() - offset) % ALIGNMENT_BYTES != 0) {
+      buffer.put((byte) 0);
     }
   }
 
-  private static int crc(ByteBuffer bytes, int begin, int length) {
+  private static int crc(ByteBuffer bytes, int offset, int length) {
     CRC32C crc = new CRC32C();
     ByteBuffer part = bytes.duplicate();
-    crc.update(part.limit(begin + CRC_OFFSET).position(begin));
-    crc.update(part.limit(begin + HEADER_BYTES + length).position(begin + HEADER_BYTES));
+    crc.update(part.limit(offset + CRC_OFFSET).position(offset));
+    crc.update(part.limit(offset + HEADER_BYTES + length).position(offset + HEADER_BYTES));
     return (int) crc.getValue();
   }
 
-  /** Bytes that the record at the begin of the buffer says it has, its gap left out; 0 for none. */
-  static int bytesAt(ByteBuffer bytes) {
+  /**
+   * Size that the first record of the buffer declares, without padding; 0 if the buffer is too short
+   * or the declared length exceeds the maximum. The record is not validated.
+   */
+  static int declaredSize(ByteBuffer bytes) {
     if (bytes.limit() < Integer.BYTES || bytes.getInt(0) > MAX_PAYLOAD_BYTES) {
       return 0;
     }
     return bytes.getInt(0) + HEADER_BYTES;
   }
 
-  /** The intact record that begins there; null where there is none. */
-  static LogRecord readAt(ByteBuffer bytes, int begin) {
-    if (begin < 0 || bytes.limit() - begin < HEADER_BYTES + FIXED_PAYLOAD_BYTES) {
+  /** Reads the record at an offset; null if there is no intact record. */
+  static LogRecord readAt(ByteBuffer bytes, int offset) {
+    if (offset < 0 || bytes.limit() - offset < HEADER_BYTES + FIXED_PAYLOAD_BYTES) {
       return null;
     }
-    int length = bytes.getInt(begin);
+    int length = bytes.getInt(offset);
     if (length < FIXED_PAYLOAD_BYTES
         || length > MAX_PAYLOAD_BYTES
-        || length > bytes.limit() - begin - HEADER_BYTES) {
+        || length > bytes.limit() - offset - HEADER_BYTES) {
       return null;
     }
-    int kindAndFlag = bytes.get(begin + HEADER_BYTES);
+    int kindAndFlag = bytes.get(offset + HEADER_BYTES);
     Kind kind = Kind.ofStoredNumber(kindAndFlag & LAST_OF_BATCH_FLAG - 1);
-    if (kind == null || bytes.getInt(begin + CRC_OFFSET) != crc(bytes, begin, length)) {
+    if (kind == null || bytes.getInt(offset + CRC_OFFSET) != crc(bytes, offset, length)) {
       return null;
     }
     boolean lastOfBatch = (kindAndFlag & LAST_OF_BATCH_FLAG) != 0;
-    ByteBuffer fields = bytes.duplicate().position(begin + HEADER_BYTES + 1);
+    ByteBuffer fields = bytes.duplicate().position(offset + HEADER_BYTES + 1);
     return readFields(kind, lastOfBatch, fields, length - FIXED_PAYLOAD_BYTES);
   }
 
-  /** The fields behind the kind; null where the lengths of key and result do not add up. */
+  /** Reads the fields after the kind; null if the lengths of key and result are inconsistent. */
   private static LogRecord readFields(
       Kind kind, boolean lastOfBatch, ByteBuffer fields, int keyAndResultBytes) {
     int batch = fields.getInt();
     long writtenAtMillis = fields.getLong();
-    long writtenAtSteadyMillis = fields.getLong();
+    long writtenAtMonotonicMillis = fields.getLong();
     long coveredUntilMillis = fields.getLong();
     int windowMillis = fields.getInt();
     long bodyChecksum = fields.getLong();
@@ -229,7 +232,7 @@
         lastOfBatch,
         batch,
         writtenAtMillis,
-        writtenAtSteadyMillis,
+        writtenAtMonotonicMillis,
         coveredUntilMillis,
         windowMillis,
         bodyChecksum,
--- a/src/main/java/wharftrestle/storage/LogWriter.java
+++ b/src/main/java/wharftrestle/storage/LogWriter.java
@@ -7,67 +7,71 @@
 import org.tinylog.Logger;
 
 /**
- * The writer thread's work: takes all records that wait, writes them as one batch, notifies who
- * waits, and removes what expired. After a failure of the disk it writes nothing until a fresh
- * segment could be begun: after a failed sync the kernel may have dropped pages of the old one.
+ * The task of the writer thread: drains the queue, writes the records as one batch, notifies their
+ * listeners, and deletes expired segments. After a disk failure it writes nothing until it could
+ * create a new segment, because after a failed sync the kernel may have dropped pages of the old
+ * one.
  */
 final class LogWriter implements Runnable {
-  /** Between two looks for expired segments while no record comes. */
+  /** Interval between checks for expired segments while no records are queued. */
   private static final long POLL_MILLIS = 250;
 
   private static final long RETRY_AFTER_FAILURE_NANOS = TimeUnit.SECONDS.toNanos(1);
   private static final double NANOS_PER_SECOND = 1e9;
-  private static final long IDLE = 0;
+  private static final long NO_BATCH = 0;
 
   private final GroupCommitQueue<PendingRecord> queue;
   private final SegmentWriter segments;
-  private final boolean batchOfOne;
+  private final boolean syncEachRecord;
   private final LogMetrics metrics;
   private final Consumer<PendingRecord> processed;
   private volatile boolean failed;
-  private volatile long batchBeganNanos = IDLE;
+  private volatile long batchStartNanos = NO_BATCH;
   private long failedAtNanos;
 
   /**
-   * A writer that has not begun.
+   * Creates a writer; the caller begins the first segment and then starts the thread.
    *
-   * @param batchOfOne true where each record is synced alone
+   * @param syncEachRecord true if each record is written and synced as a batch of its own
    * @param processed called for each record before its listener is notified
    */
   LogWriter(
       GroupCommitQueue<PendingRecord> queue,
       SegmentWriter segments,
-      boolean batchOfOne,
+      boolean syncEachRecord,
       LogMetrics metrics,
       Consumer<PendingRecord> processed) {
     this.queue = queue;
     this.segments = segments;
-    this.batchOfOne = batchOfOne;
+    this.syncEachRecord = syncEachRecord;
     this.metrics = metrics;
     this.processed = processed;
   }
 
-  /** Begins the first segment; false, and failed for now, where the space budget allows none. */
+  /** Begins the first segment; if the space budget allows none, returns false in the failed state. */
   boolean beginFirstSegment() throws IOException {
     if (segments.hasCapacityForSegment()) {
       segments.beginSegment();
       return true;
     }
-    // Not an error of the start: old segments expire soon, and then one is begun.
+    // Not an error at startup: old segments expire soon, and then a new one is created.
     failedAtNanos = System.nanoTime();
     failed = true;
     return false;
   }
 
-  /** True while nothing is written, as the disk failed; from any thread. */
+  /**
+   * True while no records are written, after a disk failure or for lack of capacity; safe to call
+   * from any thread.
+   */
   boolean isFailed() {
     return failed;
   }
 
-  /** True where the batch in hand takes longer than so many seconds; from any thread. */
+  /** True if the current batch takes longer than the given time; safe to call from any thread. */
   boolean isStalled(double seconds) {
-    long began = batchBeganNanos;
-    return began != IDLE && System.nanoTime() - began > seconds * NANOS_PER_SECOND;
+    long startNanos = batchStartNanos;
+    return startNanos != NO_BATCH && System.nanoTime() - startNanos > seconds * NANOS_PER_SECOND;
   }
 
   @Override
@@ -76,11 +80,11 @@
       writeUntilClosed();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-    } catch (RuntimeException | Error fault) {
-      Logger.error(fault, "write-ahead log writer ended by a fault");
+    } catch (RuntimeException | Error e) {
+      Logger.error(e, "write-ahead log writer thread terminated by an exception");
       failed = true;
     } finally {
-      // Records must not wait for a writer that has ended.
+      // Listeners of queued records must be notified after the writer has ended.
       queue.close();
       queue.drain().forEach(PendingRecord::notifyListener);
     }
@@ -100,14 +104,15 @@
 
   private void commit(List<PendingRecord> records) {
     if (!failed) {
-      batchBeganNanos = System.nanoTime();
+      batchStartNanos = System.nanoTime();
       try {
         write(records);
       } catch (IOException | RuntimeException | Error e) {
-        // Errors too: a short lack of memory must neither end the writer nor leave a batch waiting.
+        // Errors too: a short lack of memory must neither end the writer nor leave the listeners of a
+        // batch without notification.
         fail(e);
       } finally {
-        batchBeganNanos = IDLE;
+        batchStartNanos = NO_BATCH;
       }
     }
     for (PendingRecord pending : records) {
@@ -117,7 +122,7 @@
   }
 
   private void write(List<PendingRecord> records) throws IOException {
-    if (!batchOfOne) {
+    if (!syncEachRecord) {
       segments.write(records);
       return;
     }
@@ -150,7 +155,7 @@
     failedAtNanos = System.nanoTime();
     failed = true;
     Logger.error(
-        "write-ahead log failed, keyed requests are rejected until a segment can be begun cause={}",
+        "write-ahead log failed, keyed requests are rejected until a segment can be created cause={}",
         cause.toString());
   }
 }
--- a/src/main/java/wharftrestle/storage/Manifest.java
+++ b/src/main/java/wharftrestle/storage/Manifest.java
@@ -6,16 +6,16 @@
 import wharftrestle.idempotency.KeyDigest;
 
 /**
- * The list of segments as text: a title with the version, a number a line, a checksum. A missing
- * segment is known by it: a number is listed before its segment is used, and taken off before its
- * segment is deleted.
+ * The list of segments as text: a title with the version, one segment number per line, and a
+ * checksum. It allows a missing segment to be detected: a number is listed before records are written
+ * to its segment, and removed before its segment is deleted.
  */
 final class Manifest {
   private static final String TITLE = "wharftrestle-results ";
 
   private Manifest() {}
 
-  /** The manifest of these segments. */
+  /** Encodes the manifest that lists these segments. */
   static byte[] encode(Iterable<Long> numbers) {
     StringBuilder text = new StringBuilder(TITLE + Segment.VERSION + "\n");
     for (long number : numbers) {
@@ -28,7 +28,11 @@
     return "end " + Long.toHexString(KeyDigest.of(text.toString()).high()) + "\n";
   }
 
-  /** The numbers; null where the manifest is garbled. */
+  /**
+   * Decodes the segment numbers; null if the manifest is corrupt.
+   *
+   * @throws Segment.ForeignFormatException if the title differs from that of this version
+   */
   static List<Long> decode(byte[] bytes) throws Segment.ForeignFormatException {
     String text = new String(bytes, StandardCharsets.US_ASCII);
     int end = text.indexOf("end ");
@@ -38,7 +42,7 @@
     String[] lines = text.substring(0, end).split("\n");
     if (!lines[0].equals(TITLE + Segment.VERSION)) {
       throw new Segment.ForeignFormatException(
-          "is of '" + lines[0] + "', this program knows " + TITLE + Segment.VERSION);
+          "the manifest has the title '" + lines[0] + "', expected " + TITLE + Segment.VERSION);
     }
     List<Long> numbers = new ArrayList<>();
     for (int i = 1; i < lines.length; i++) {
--- a/src/main/java/wharftrestle/storage/PendingRecord.java
+++ b/src/main/java/wharftrestle/storage/PendingRecord.java
@@ -5,8 +5,9 @@
 import wharftrestle.request.ResultStore;
 
 /**
- * One record on its way to the disk. Made by the thread that asked for it; the writer thread sets
- * its location and notifies the listener once.
+ * A record that is queued or being written. Created by the thread that requested the write; the
+ * writer thread sets its location and notifies the listener once. Not thread-safe; it is passed to the
+ * writer thread through the queue.
  */
 final class PendingRecord implements PendingIntent {
   private final LogRecord record;
@@ -26,12 +27,12 @@
     return record;
   }
 
-  /** Bytes on disk. */
+  /** Size on disk in bytes. */
   int sizeBytes() {
     return sizeBytes;
   }
 
-  /** When the record's key is forgotten, in seconds of System.nanoTime. */
+  /** When the record's key expires, in seconds of System.nanoTime. */
   double expiresAtSeconds() {
     return expiresAtSeconds;
   }
@@ -40,17 +41,20 @@
     return location >= 0;
   }
 
-  /** The record is on disk. */
+  /** Sets the location after the record was synced. */
   void setLocation(long location) {
     this.location = location;
   }
 
-  /** Says where the record lies; a fault in the listener must not end the writer thread. */
+  /**
+   * Passes the location to the listener. Exceptions of the listener are logged, so that they do not
+   * end the writer thread.
+   */
   void notifyListener() {
     try {
       listener.onWritten(location);
-    } catch (RuntimeException | Error fault) {
-      Logger.error(fault, "write-ahead log listener failed kind={}", record.kind());
+    } catch (RuntimeException | Error e) {
+      Logger.error(e, "write-ahead log listener failed kind={}", record.kind());
     }
   }
 }
--- a/src/main/java/wharftrestle/storage/RecordLocation.java
+++ b/src/main/java/wharftrestle/storage/RecordLocation.java
@@ -1,14 +1,14 @@
 package wharftrestle.storage;
 
 /**
- * Where a record begins. Outside this package it is known as one packed long, which the idempotency
- * table keeps for each result on disk.
+ * The position of a record on disk. Outside this package it is represented by a packed long, which
+ * the idempotency table keeps for each result on disk.
  *
  * @param segment number of the segment
- * @param offset bytes from the begin of the segment
+ * @param offset in bytes from the start of the segment
  */
 record RecordLocation(long segment, int offset) {
-  /** Stands for a record that is not on disk. */
+  /** Packed value for a record that is not on disk. */
   static final long NOT_WRITTEN = -1;
 
   private static final int OFFSET_BITS = 32;
--- a/src/main/java/wharftrestle/storage/Recovery.java
+++ b/src/main/java/wharftrestle/storage/Recovery.java
@@ -5,28 +5,28 @@
 import wharftrestle.idempotency.IdempotencyTable;
 
 /**
- * Replays the records of a dead process. With a result, duplicates get it. With an intent alone the
- * outcome is unknown, whatever the worker pool may still do of it: attempts in the window fail and
- * do not run. With neither, the key may run. No clock that can step is trusted: see {@link
- * #expiresAtSeconds}. Used by one thread.
+ * Replays the records that an earlier process wrote. If a key has a result record, duplicates get
+ * that result. If it has only an intent record, the outcome is unknown, even if the worker pool is
+ * still executing the request: attempts within the window fail and do not run. A key without records
+ * may run. Clocks that can step are not trusted: see {@link #expiresAtSeconds}. Not thread-safe.
  *
  * <pre>
  * last records of a key       after recovery
  * INTENT                      outcome unknown
  * INTENT RESULT               succeeded
  * RESULT                      succeeded        (its intent was in a deleted segment)
- * INTENT FAILED, FAILED       outcome unknown  (it ran, and there is no result to give)
- * INTENT VOID, VOID           nothing is known
+ * INTENT FAILED, FAILED       outcome unknown  (it ran and has no result)
+ * INTENT VOID, VOID           not known, may run
  * </pre>
  */
 public final class Recovery {
-  /** How long a key is known past its window, as one in memory. */
+  /** How long a key is kept after its window, the same as for a key in memory. */
   static final double LINGER_SECONDS = IdempotencyTable.LINGER_SECONDS;
 
   /**
-   * What is known of one key.
+   * The recovered state of one key.
    *
-   * @param location of its result; -1 where its outcome is unknown
+   * @param location of its result; -1 if its outcome is unknown
    */
   public record RecoveredKey(
       String key, long location, long coveredUntilMillis, int windowMillis, long bodyChecksum) {}
@@ -37,10 +37,10 @@
   private int expiredCount;
 
   /**
-   * A recovery without records.
+   * Creates a recovery without records.
    *
-   * @param steadyWallMillis now, on the clock of timestamps
-   * @param monotonicMillis now, on the machine's monotonic clock
+   * @param steadyWallMillis current time of the clock that stamps attempts, Unix ms
+   * @param monotonicMillis current time of the machine's monotonic clock, ms
    */
   public Recovery(long steadyWallMillis, long monotonicMillis) {
     this.steadyWallMillis = steadyWallMillis;
@@ -50,9 +50,10 @@
   /**
    * Replays the next record of the log.
    *
-   * @param location where it lies
-   * @param sameBoot its monotonic clock is the present one
-   * @return false where nothing of it need be kept
+   * @param location of the record
+   * @param sameBoot true if the record was written since the last boot, so that its monotonic time
+   *     can be compared with the current one
+   * @return false if the record is void or expired and need not be kept
    */
   public boolean replay(LogRecord record, long location, boolean sameBoot) {
     keys.remove(record.key());
@@ -60,14 +61,14 @@
       return false;
     }
     if (sameBoot
-        && monotonicMillis - record.writtenAtSteadyMillis()
+        && monotonicMillis - record.writtenAtMonotonicMillis()
             > record.windowMillis() + LINGER_SECONDS * 1000) {
-      expiredCount++; // Processes that die one after another must not carry it for ever.
+      expiredCount++; // Otherwise each restart would extend the life of the key.
       return false;
     }
     boolean hasResult = record.kind() == LogRecord.Kind.RESULT;
-    // Timestamps are of a clock that may have stepped meanwhile: any attempt that is read within a
-    // window from now is covered.
+    // The clock that stamps attempts may have stepped since, so the key covers every attempt that is
+    // read within one window from now.
     keys.put(
         record.key(),
         new RecoveredKey(
@@ -80,29 +81,29 @@
   }
 
   /**
-   * When a recovered key is forgotten: one window and the linger after now, whatever was left of it
-   * before. In seconds on the clock of {@code now}.
+   * When a recovered key expires: one window plus the linger time after {@code now}, regardless of
+   * the time that remained when the record was written. In seconds on the clock of {@code now}.
    */
   public static double expiresAtSeconds(RecoveredKey key, double now) {
     return now + key.windowMillis() / 1000.0 + LINGER_SECONDS;
   }
 
-  /** What is known of keys, in the order of their last records. */
+  /** The recovered keys, in the order of their last records. */
   public Iterable<RecoveredKey> keys() {
     return keys.values();
   }
 
-  /** Keys with a result. */
+  /** Number of keys with a result. */
   public int knownCount() {
     return (int) keys.values().stream().filter(key -> key.location() >= 0).count();
   }
 
-  /** Keys whose outcome is unknown. */
+  /** Number of keys whose outcome is unknown. */
   public int unknownCount() {
     return keys.size() - knownCount();
   }
 
-  /** Records left out as they had expired. */
+  /** Number of records that were skipped because they had expired. */
   public int expiredCount() {
     return expiredCount;
   }
--- a/src/main/java/wharftrestle/storage/ResultLogTool.java
+++ b/src/main/java/wharftrestle/storage/ResultLogTool.java
@@ -20,9 +20,9 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * The operators' commands on a folder of the write-ahead log while no daemon has it: list, show,
- * verify, compact, export. Holds the folder's lock until it is closed, and changes nothing but in
- * {@link #compact}. Used by one thread.
+ * The operators' commands on a folder of the write-ahead log that no daemon is using: list, show,
+ * verify, compact, export. Holds the folder's lock until it is closed. Only {@link #compact} modifies
+ * the folder. Not thread-safe.
  */
 public final class ResultLogTool implements AutoCloseable {
   private static final int MAX_DISPLAYED_CHARS = 400;
@@ -31,34 +31,34 @@
   private final SegmentStore store;
 
   /**
-   * Takes the folder; a missing one is not made.
+   * Locks an existing folder.
    *
-   * @throws UnusableStorageException where it is missing, or another process holds it
+   * @throws UnusableStorageException if it is missing or another process holds its lock
    */
   public ResultLogTool(Path folder) throws IOException {
     if (!Files.isDirectory(folder)) {
-      throw new UnusableStorageException(folder + " is no folder");
+      throw new UnusableStorageException(folder + " is not a folder");
     }
     this.folder = folder;
     store = new FileSegmentStore(folder);
   }
 
-  /** The last record of a key with what it means. */
-  private record KeyLine(LogRecord record, String state, boolean isExpired) {}
+  /** The last record of a key and the state that follows from it. */
+  private record KeyEntry(LogRecord record, String state, boolean isExpired) {}
 
-  /** The last record of each key, by key. */
-  private Map<String, KeyLine> lines() throws IOException {
-    Map<String, KeyLine> all = new TreeMap<>();
-    long boot = store.bootId();
-    long steady = LogClock.monotonicMillis();
-    Recovery recovery = new Recovery(SteadyWallClock.steadyWallMillis(), steady);
+  /** Reads the last record of each key, sorted by key. */
+  private Map<String, KeyEntry> readEntries() throws IOException {
+    Map<String, KeyEntry> entries = new TreeMap<>();
+    long bootId = store.bootId();
+    long monotonicMillis = LogClock.monotonicMillis();
+    Recovery recovery = new Recovery(SteadyWallClock.steadyWallMillis(), monotonicMillis);
     for (long number : store.segmentNumbers()) {
       ByteBuffer bytes = store.read(number);
-      boolean same = Compaction.isSameBoot(bytes, boot);
+      boolean sameBoot = Compaction.isSameBoot(bytes, bootId);
       Compaction.scan(
           bytes,
           (record, offset) -> {
-            boolean kept = recovery.replay(record, offset, same);
+            boolean isLive = recovery.replay(record, offset, sameBoot);
             String state =
                 switch (record.kind()) {
                   case RESULT -> "known";
@@ -66,53 +66,59 @@
                   case FAILED -> "failed";
                   case VOID -> "void";
                 };
-            all.put(record.key(), new KeyLine(record, state, !kept));
+            entries.put(record.key(), new KeyEntry(record, state, !isLive));
           });
     }
-    return all;
+    return entries;
   }
 
-  /** Prints a line a key: what its last record says, when it was written, bytes of its result. */
-  public void list(PrintStream out, boolean everything) throws IOException {
+  /**
+   * Prints one line per key: state, time of the last record, size of the result.
+   *
+   * @param includeExpired true to include expired keys
+   */
+  public void list(PrintStream out, boolean includeExpired) throws IOException {
     int displayedKeys = 0;
-    Map<String, KeyLine> all = lines();
+    Map<String, KeyEntry> entries = readEntries();
     out.printf(
         Locale.ROOT, "%-8s %-24s %8s  %s%n", "state", "written", "bytes", "class/tenant/key");
-    for (KeyLine line : all.values()) {
-      if (everything || !line.isExpired()) {
+    for (KeyEntry entry : entries.values()) {
+      if (includeExpired || !entry.isExpired()) {
         out.printf(
             Locale.ROOT,
             "%-8s %-24s %8d  %s%s%n",
-            line.state(),
-            Instant.ofEpochMilli(line.record().writtenAtMillis()),
-            line.record().result().length,
-            line.record().key(),
-            line.isExpired() ? "  (over)" : "");
+            entry.state(),
+            Instant.ofEpochMilli(entry.record().writtenAtMillis()),
+            entry.record().result().length,
+            entry.record().key(),
+            entry.isExpired() ? "  (over)" : "");
         displayedKeys++;
       }
     }
-    out.println(displayedKeys + " of " + all.size() + " keys");
+    out.println(displayedKeys + " of " + entries.size() + " keys");
   }
 
   /**
-   * Prints what is known of one key, given in full or without its class and tenant; false where
-   * nothing is.
+   * Prints the last record of a key.
+   *
+   * @param key with or without its request class and tenant
+   * @return false if no record has this key
    */
   public boolean show(PrintStream out, String key) throws IOException {
     boolean isKnown = false;
-    for (KeyLine line : lines().values()) {
-      LogRecord record = line.record();
+    for (KeyEntry entry : readEntries().values()) {
+      LogRecord record = entry.record();
       if (record.key().equals(key)
           || (record.key().matches("[0-9]+/[0-9]+/.*")
               && record.key().replaceFirst("[0-9]+/[0-9]+/", "").equals(key))) {
         isKnown = true;
         out.printf(
             Locale.ROOT,
-            "key       %s%nstate     %s%s%nwritten   %s%ncovers    tries stamped up to %s%n"
+            "key       %s%nstate     %s%s%nwritten   %s%ncovers    attempts with a timestamp up to %s%n"
                 + "window    %d ms%nbody      check %016x%nresult    %d bytes%n%s%n",
             record.key(),
-            line.state(),
-            line.isExpired() ? ", its time is over" : "",
+            entry.state(),
+            entry.isExpired() ? ", expired" : "",
             Instant.ofEpochMilli(record.writtenAtMillis()),
             Instant.ofEpochMilli(record.coveredUntilMillis()),
             record.windowMillis(),
@@ -133,16 +139,16 @@
             : text;
       }
     } catch (CharacterCodingException e) {
-      // It is no text, and is displayed as base64 below.
+      // Not text: displayed as base64 below.
     }
-    String coded = Base64.getEncoder().encodeToString(bytes);
+    String base64 = Base64.getEncoder().encodeToString(bytes);
     return "base64 "
-        + (coded.length() > MAX_DISPLAYED_CHARS
-            ? coded.substring(0, MAX_DISPLAYED_CHARS) + "..."
-            : coded);
+        + (base64.length() > MAX_DISPLAYED_CHARS
+            ? base64.substring(0, MAX_DISPLAYED_CHARS) + "..."
+            : base64);
   }
 
-  /** Reads every byte; a line a segment. False where something that was on store is lost. */
+  /** Reads all segments and prints one line for each; returns false if synced records are lost. */
   public boolean verify(PrintStream out) throws IOException {
     long[] segments = store.segmentNumbers();
     boolean intact = verifyManifest(out, segments);
@@ -152,7 +158,7 @@
     out.println(
         intact
             ? "whole"
-            : "damaged: a daemon that starts here lets no unknown key run for one window");
+            : "damaged: a daemon started on this folder fails unknown keys for one window");
     return intact;
   }
 
@@ -160,7 +166,7 @@
     List<Long> listed = readManifest();
     if (listed == null) {
       if (segments.length > 0) {
-        out.println("list: missing or garbled");
+        out.println("list: missing or corrupt");
       }
       return segments.length == 0;
     }
@@ -179,7 +185,7 @@
     try {
       return manifest == null ? null : Manifest.decode(manifest);
     } catch (Segment.ForeignFormatException e) {
-      throw new UnusableStorageException(folder + " " + e.getMessage(), e);
+      throw new UnusableStorageException(folder + ": " + e.getMessage(), e);
     }
   }
 
@@ -199,48 +205,48 @@
   }
 
   /**
-   * Rewrites the live records into as few segments as hold them; false where that gains nothing.
+   * Rewrites the live records into as few segments as possible; returns false if that saves none.
    *
-   * @throws UnusableStorageException where the log is damaged: it is left as it is
+   * @throws UnusableStorageException if the log is damaged; it is left unchanged
    */
   public boolean compact(PrintStream out) throws IOException {
-    PrintStream discarded = new PrintStream(OutputStream.nullOutputStream());
-    if (!verify(discarded)) {
+    PrintStream nullOutput = new PrintStream(OutputStream.nullOutputStream());
+    if (!verify(nullOutput)) {
       throw new UnusableStorageException(
-          folder + " is damaged, and is left as it is: see 'results verify'");
+          folder + " is damaged and was not compacted: see 'results verify'");
     }
     long[] segments = store.segmentNumbers();
-    long before = 0;
+    long sizeBefore = 0;
     int segmentBytes = 0;
     for (long number : segments) {
       int length = store.read(number).limit();
-      before += length;
+      sizeBefore += length;
       segmentBytes = Math.max(segmentBytes, length);
     }
-    boolean done =
+    boolean compacted =
         segments.length > 0 && Compaction.run(store, segmentBytes, 2 * segments.length + 1);
     long[] after = store.segmentNumbers();
     out.printf(
         Locale.ROOT,
         "%d files, %d kB; before: %d files, %d kB%n",
         after.length,
-        (done ? (long) after.length * segmentBytes : before) >> 10,
+        (compacted ? (long) after.length * segmentBytes : sizeBefore) >> 10,
         segments.length,
-        before >> 10);
-    return done;
+        sizeBefore >> 10);
+    return compacted;
   }
 
-  /** Prints a JSON object a line for each key that is not expired. */
+  /** Prints one line with a JSON object for each key that has not expired. */
   public void export(PrintStream out) throws IOException {
     ObjectMapper mapper = new ObjectMapper();
-    for (KeyLine line : lines().values()) {
-      if (line.isExpired()) {
+    for (KeyEntry entry : readEntries().values()) {
+      if (entry.isExpired()) {
         continue;
       }
-      LogRecord record = line.record();
+      LogRecord record = entry.record();
       ObjectNode node = mapper.createObjectNode();
       node.put("key", record.key())
-          .put("state", line.state())
+          .put("state", entry.state())
           .put("written_ms", record.writtenAtMillis())
           .put("last_door_ms", record.coveredUntilMillis())
           .put("window_ms", record.windowMillis())
--- a/src/main/java/wharftrestle/storage/Segment.java
+++ b/src/main/java/wharftrestle/storage/Segment.java
@@ -4,12 +4,12 @@
 import java.util.zip.CRC32C;
 
 /**
- * Layout of one file of the write-ahead log: a header, records, then zeros up to its full size. A
- * file has its full size from the start, so a shorter one was cut. {@link SegmentScan} reads the
+ * Layout of one file of the write-ahead log: a header, records, then zeros up to its capacity. A
+ * file is created at full size, so a shorter file was truncated. {@link SegmentScan} reads the
  * records.
  */
 final class Segment {
-  /** Magic, version, first batch, number, boot, capacity and check; records follow. */
+  /** Magic, version, first batch, number, boot ID, capacity and CRC; records follow. */
   static final int HEADER_BYTES = 48;
 
   static final int VERSION = 1;
@@ -22,35 +22,42 @@
   private static final int CAPACITY_OFFSET = 32;
   private static final int CRC_OFFSET = 40;
 
-  /** Bytes of the magic that must be right in a garbled file of ours. */
-  private static final int LEAST_MAGIC_BYTES = 4;
+  /** Bytes of the magic that must match for a file with a bad CRC to count as damaged, not foreign. */
+  private static final int MIN_MATCHING_MAGIC_BYTES = 4;
 
   private static final long UNKNOWN_BOOT = 0;
 
   private Segment() {}
 
-  /** A header as read; its boot tells whether the records' monotonic clock is the present one. */
+  /**
+   * A decoded header.
+   *
+   * @param boot ID of the boot in which the records were written; their monotonic times are valid
+   *     only in that boot
+   */
   record Header(int version, int firstBatch, long number, long boot, long capacity) {}
 
-  /** Visits each intact record in turn. */
+  /** Called for each intact record in the order of the file. */
   interface RecordVisitor {
     void visit(LogRecord record, int offset);
   }
 
   /**
-   * What a scan found.
+   * The result of a scan.
    *
-   * @param header null where it is garbled or cut
-   * @param end where the next record would begin
-   * @param recordCount intact records
-   * @param lastBatch batch of the last of them; 0 for none
-   * @param torn something at the end is no record: a write that a crash cut
-   * @param damaged something that was on disk is lost
+   * @param header null if it is corrupt or truncated
+   * @param end offset behind the last intact record
+   * @param recordCount number of intact records
+   * @param lastBatch batch number of the last intact record; 0 if the header is corrupt and there is
+   *     no record
+   * @param torn true if there are bytes that belong to no complete batch, as a crash during a write
+   *     leaves them
+   * @param damaged true if records that had been synced are lost
    */
   record ScanResult(
       Header header, int end, int recordCount, int lastBatch, boolean torn, boolean damaged) {}
 
-  /** A file that is none of the log's, or one of a later version. */
+  /** Thrown for a file that is not part of a write-ahead log or has a later version. */
   static final class ForeignFormatException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -59,7 +66,7 @@
     }
   }
 
-  /** The bytes of a header. */
+  /** Encodes a header. */
   static ByteBuffer header(int firstBatch, long number, long boot, long capacity) {
     ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
     header
@@ -74,9 +81,9 @@
   }
 
   /**
-   * Reads the header; null where it is garbled or cut.
+   * Reads the header; null if it is corrupt or truncated.
    *
-   * @throws ForeignFormatException where the file is of another format or a later version
+   * @throws ForeignFormatException if the file has another format or a later version
    */
   static Header readHeader(ByteBuffer bytes) throws ForeignFormatException {
     if (bytes.limit() < HEADER_BYTES) {
@@ -85,13 +92,13 @@
     boolean intact = bytes.getInt(CRC_OFFSET) == crc(bytes);
     if (bytes.getLong(0) != MAGIC) {
       if (intact || !resemblesMagic(bytes.getLong(0))) {
-        throw new ForeignFormatException("is no file of the write-ahead log");
+        throw new ForeignFormatException("a file is not a segment of the write-ahead log");
       }
       return null;
     }
     int version = bytes.getInt(VERSION_OFFSET);
     if (intact && version > VERSION) {
-      throw new ForeignFormatException("is of version " + version + ", expected " + VERSION);
+      throw new ForeignFormatException("a segment is of version " + version + ", expected at most " + VERSION);
     }
     return intact
         ? new Header(
@@ -109,22 +116,25 @@
     return (int) crc.getValue();
   }
 
-  /** A file of the log with some garbled bytes, or zeros that a crash left, is not foreign. */
+  /**
+   * True if the magic may be that of a damaged segment: enough of its bytes match, or all are zero,
+   * which happens after a crash.
+   */
   private static boolean resemblesMagic(long magic) {
-    int same = 0;
+    int matchingBytes = 0;
     for (int shift = 0; shift < Long.SIZE; shift += Byte.SIZE) {
-      same += (magic >>> shift & 0xff) == (MAGIC >>> shift & 0xff) ? 1 : 0;
+      matchingBytes += (magic >>> shift & 0xff) == (MAGIC >>> shift & 0xff) ? 1 : 0;
     }
-    return magic == 0 || same >= LEAST_MAGIC_BYTES;
+    return magic == 0 || matchingBytes >= MIN_MATCHING_MAGIC_BYTES;
   }
 
-  /** True where the records' monotonic clock is that of this boot. */
+  /** True if the records were written during the given boot. */
   static boolean isSameBoot(ByteBuffer bytes, long boot) throws ForeignFormatException {
     Header header = readHeader(bytes);
     return header != null && boot != UNKNOWN_BOOT && header.boot() == boot;
   }
 
-  /** Visits the intact records in the order of the file. */
+  /** Visits the intact records in the order of the file, and detects torn writes and damage. */
   static ScanResult scan(ByteBuffer bytes, RecordVisitor visitor) throws ForeignFormatException {
     return new SegmentScan(bytes, readHeader(bytes)).run(visitor);
   }
--- a/src/main/java/wharftrestle/storage/SegmentScan.java
+++ b/src/main/java/wharftrestle/storage/SegmentScan.java
@@ -3,23 +3,25 @@
 import java.nio.ByteBuffer;
 
 /**
- * One pass over the bytes of a segment that may not be intact. A hole in what was synced must not
- * be taken for the end of the log: a key lost in there could run again.
+ * One pass over the bytes of a segment that may be corrupt. A corrupt region among synced records
+ * must not be mistaken for the end of the log, since a key whose record is lost there could run
+ * again.
  *
- * <p>Holes are told apart by batches, as a batch is written only after the one before it was
- * synced. A hole with a later batch behind it was on disk and is damage. A hole within the last
- * batch of the log is a write that a crash tore, and nothing in it was acted on.
+ * <p>Batch numbers distinguish the two cases, because a batch is written only after the previous one
+ * was synced. A corrupt region that is followed by a later batch had been synced, so the segment is
+ * damaged. A corrupt region in the last batch of the log is a torn write: its records were never
+ * confirmed, so nothing depends on them.
  */
 final class SegmentScan {
-  private static final int NONE = Integer.MAX_VALUE;
+  private static final int NO_BATCH = Integer.MAX_VALUE;
 
   private final ByteBuffer bytes;
   private final Segment.Header header;
   private boolean damaged;
   private int recordCount;
-  private int batch; // of the last intact record
-  private boolean batchEnded; // that record was the last of its batch
-  private int holeBatch = NONE; // the batch that the earliest hole lies in
+  private int batch; // batch number of the last intact record
+  private boolean batchEnded; // whether the last intact record ended its batch
+  private int firstCorruptBatch = NO_BATCH; // lowest batch number with a corrupt region
   private int end = Segment.HEADER_BYTES;
 
   SegmentScan(ByteBuffer bytes, Segment.Header header) {
@@ -34,25 +36,25 @@
     int at = Segment.HEADER_BYTES;
     while (at >= 0 && at < bytes.limit()) {
       LogRecord record = LogRecord.readAt(bytes, at);
-      at = record == null ? skipHole(at) : accept(record, at, visitor);
+      at = record == null ? skipCorruptRegion(at) : visitRecord(record, at, visitor);
     }
-    boolean torn = holeBatch != NONE || (recordCount > 0 && !batchEnded) || !isZeroFrom(end);
+    boolean torn = firstCorruptBatch != NO_BATCH || (recordCount > 0 && !batchEnded) || !isZeroFrom(end);
     return new Segment.ScanResult(header, end, recordCount, batch, torn, damaged);
   }
 
-  /** Notes a hole; where the next intact record begins, -1 for none. */
-  private int skipHole(int at) {
-    int next = nextRecord(at);
+  /** Handles a corrupt region; returns the offset of the next intact record, -1 if there is none. */
+  private int skipCorruptRegion(int at) {
+    int next = findIntactRecord(at);
     if (next >= 0) {
-      holeBatch = Math.min(holeBatch, batchEnded ? batch + 1 : batch);
-      damaged |= LogRecord.readAt(bytes, next).batch() > holeBatch;
+      firstCorruptBatch = Math.min(firstCorruptBatch, batchEnded ? batch + 1 : batch);
+      damaged |= LogRecord.readAt(bytes, next).batch() > firstCorruptBatch;
     }
     return next;
   }
 
-  /** Visits a record; where the next one begins. */
-  private int accept(LogRecord record, int at, Segment.RecordVisitor visitor) {
-    damaged |= record.batch() > holeBatch;
+  /** Visits a record; returns the offset of the next one. */
+  private int visitRecord(LogRecord record, int at, Segment.RecordVisitor visitor) {
+    damaged |= record.batch() > firstCorruptBatch;
     batch = record.batch();
     batchEnded = record.lastOfBatch();
     recordCount++;
@@ -61,12 +63,12 @@
     return end;
   }
 
-  private int nextRecord(int after) {
+  private int findIntactRecord(int after) {
     for (int at = after + LogRecord.ALIGNMENT_BYTES;
         at < bytes.limit();
         at += LogRecord.ALIGNMENT_BYTES) {
-      boolean mayBegin = bytes.limit() - at >= Integer.BYTES && bytes.getInt(at) != 0;
-      if (mayBegin && LogRecord.readAt(bytes, at) != null) {
+      boolean mayBeRecord = bytes.limit() - at >= Integer.BYTES && bytes.getInt(at) != 0;
+      if (mayBeRecord && LogRecord.readAt(bytes, at) != null) {
         return at;
       }
     }
--- a/src/main/java/wharftrestle/storage/SegmentWriter.java
+++ b/src/main/java/wharftrestle/storage/SegmentWriter.java
@@ -7,10 +7,10 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * Appends batches of records to the current segment, begins the next one, and keeps the manifest.
- * Owns the batch number and the write buffer. Used by one thread at a time: the one that opens the
- * log, then the writer thread. The lock of the space budget is held for its figures alone, never
- * over a call of the store.
+ * Appends batches of records to the current segment, creates new segments, deletes expired ones, and
+ * updates the manifest. Not thread-safe: used by the thread that opens the log, then by the writer
+ * thread. The monitor of the space budget is held only to read and update the budget, never during a
+ * call of the store.
  */
 final class SegmentWriter {
   private static final int BUFFER_BYTES = 256 * 1024;
@@ -21,17 +21,17 @@
   private final boolean syncs;
   private final LogMetrics metrics;
   private final TreeSet<Long> missingSegments;
-  private final double missingExpireAtSeconds;
+  private final double missingSegmentsExpireAtSeconds;
   private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
-  private int bufferOffset = EMPTY; // where in the segment the buffer's first byte belongs
+  private int bufferOffset = EMPTY; // offset in the segment of the buffer's first byte
   private int batch;
 
   /**
-   * A writer behind what a reader found.
+   * Creates a writer that continues the log that a reader found.
    *
-   * @param syncs false where records may be lost with the machine's power
-   * @param missingExpireAtSeconds until then segments that were missing stay in the manifest, so
-   *     that a further start still knows of the damage
+   * @param syncs false if records are not synced and may be lost in a power failure
+   * @param missingSegmentsExpireAtSeconds time until which missing segments stay in the manifest, so that
+   *     another start detects the damage as well
    */
   SegmentWriter(
       SegmentStore store,
@@ -39,27 +39,27 @@
       boolean syncs,
       LogMetrics metrics,
       LogReader.Contents contents,
-      double missingExpireAtSeconds) {
+      double missingSegmentsExpireAtSeconds) {
     this.store = store;
     this.space = space;
     this.syncs = syncs;
     this.metrics = metrics;
     this.missingSegments = new TreeSet<>(contents.missingSegments());
-    this.missingExpireAtSeconds = missingExpireAtSeconds;
+    this.missingSegmentsExpireAtSeconds = missingSegmentsExpireAtSeconds;
     this.batch = contents.batch();
   }
 
-  /** True where the space budget allows a further segment. */
+  /** True if the space budget allows another segment. */
   boolean hasCapacityForSegment() {
     synchronized (space) {
       return space.hasCapacityForSegment();
     }
   }
 
-  /** Begins a further segment: it is made, then listed, before anything in it counts. */
+  /** Creates a segment, then lists it in the manifest, before any record is written to it. */
   void beginSegment() throws IOException {
     if (!hasCapacityForSegment()) {
-      throw new IOException("no capacity for a further segment");
+      throw new IOException("space budget allows no further segment");
     }
     long number = nextSegmentNumber();
     int bytes = space.segmentBytes();
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Begins a segment after a failure. The batch number leaves a gap: what the failed batch left on
-   * disk must not look like a part of the next one.
+   * Begins a segment after a failure. Skips a batch number, so that records of the failed batch that
+   * reached the disk cannot be mistaken for part of the next batch.
    */
   void beginSegmentAfterFailure() throws IOException {
     batch += 2;
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Writes one batch and syncs it; a record gets its location only when it is on disk. A record
-   * that finds no capacity gets none.
+   * Writes one batch and syncs it. Each record gets its location once it is on disk; a record for
+   * which there is no capacity gets {@link RecordLocation#NOT_WRITTEN}.
    */
   void write(List<PendingRecord> records) throws IOException {
     batch++;
@@ -122,13 +122,13 @@
     }
   }
 
-  /** Makes place for a record in the segment and in the buffer. */
+  /** Allocates space for a record in the segment and in the buffer, and returns its location. */
   private long allocate(PendingRecord pending) throws IOException {
     if (needsNewSegment(pending)) {
       flush();
       sync();
       if (!hasCapacityForSegment()) {
-        return RecordLocation.NOT_WRITTEN; // Longer than was reserved: it stays in memory alone.
+        return RecordLocation.NOT_WRITTEN; // Exceeds its reservation: the result is kept only in memory.
       }
       beginSegment();
     }
@@ -162,15 +162,15 @@
 
   private void sync() throws IOException {
     if (syncs) {
-      long began = System.nanoTime();
+      long startNanos = System.nanoTime();
       store.sync(space.currentSegment());
-      metrics.recordSync(System.nanoTime() - began);
+      metrics.recordSync(System.nanoTime() - startNanos);
     }
   }
 
-  /** Deletes the segments whose keys are all forgotten: off the manifest first, then the file. */
+  /** Deletes segments whose keys have all expired, first from the manifest, then the file. */
   void removeExpired(double nowSeconds) throws IOException {
-    if (!missingSegments.isEmpty() && nowSeconds > missingExpireAtSeconds) {
+    if (!missingSegments.isEmpty() && nowSeconds > missingSegmentsExpireAtSeconds) {
       missingSegments.clear();
       writeManifest();
     }
--- a/src/main/java/wharftrestle/storage/SpaceBudget.java
+++ b/src/main/java/wharftrestle/storage/SpaceBudget.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * The space on disk: bytes used by segment, bytes reserved for results to come, and when a segment
- * expires. An intent is let in only where its result will fit. Does no I/O: the writer says what it
- * did. Sizes in bytes, times in seconds on one clock. Not thread-safe: its callers hold it as their
- * lock.
+ * The space budget of the log: the bytes used in each segment, the bytes reserved for the results of
+ * executions in flight, and the expiry time of each segment. An intent is accepted only if its result
+ * will fit as well. Does no I/O: the writer reports what it wrote. Sizes are in bytes, times in
+ * seconds on one clock. Not thread-safe: callers synchronize on the instance.
  */
 public final class SpaceBudget {
   private static final int PROTOCOL_MAX_RESULT_BYTES = 4096;
 
-  /** For the result of each intent: the protocol's longest one, and a VOID record beside it. */
+  /** Reserved for each intent: the longest result of the protocol plus a VOID record. */
   static final int RESERVED_BYTES_PER_INTENT =
       LogRecord.size(LogRecord.MAX_KEY_BYTES, PROTOCOL_MAX_RESULT_BYTES)
           + LogRecord.size(LogRecord.MAX_KEY_BYTES, 0);
@@ -25,7 +25,7 @@
   private static final double MIN_RETRY_AFTER_SECONDS = 0.05;
   private static final double DEFAULT_RETRY_AFTER_SECONDS = 1;
 
-  /** One segment: its number, what is used of it, and when the last of its keys is forgotten. */
+  /** One segment: its number, the bytes used, and when the last of its keys expires. */
   private static final class SegmentUsage {
     private final long number;
     private int usedBytes = Segment.HEADER_BYTES;
@@ -42,9 +42,9 @@
   private long reservedBytes;
 
   /**
-   * A budget without segments.
+   * Creates a budget without segments.
    *
-   * @param bytes on disk at most
+   * @param bytes limit on the size on disk
    */
   public SpaceBudget(long bytes) {
     segmentBytes =
@@ -53,7 +53,7 @@
     maxSegments = (int) Math.max(MIN_SEGMENTS, bytes / segmentBytes);
   }
 
-  /** Bytes of one segment. */
+  /** Size of a segment in bytes. */
   int segmentBytes() {
     return segmentBytes;
   }
@@ -62,22 +62,22 @@
     return segments.size();
   }
 
-  /** Bytes on disk, whole segments. */
+  /** Size of all segments on disk, including unused space. */
   public long allocatedBytes() {
     return (long) segments.size() * segmentBytes;
   }
 
-  /** Bytes written to the segments that are there. */
+  /** Bytes used in all segments. */
   public long usedBytes() {
     return segments.stream().mapToLong(segment -> segment.usedBytes).sum();
   }
 
-  /** The segment that is written; -1 for none. */
+  /** Number of the segment that is being written; -1 if there is none. */
   long currentSegment() {
     return segments.isEmpty() ? NO_SEGMENT : segments.peekLast().number;
   }
 
-  /** A segment was begun, or was found with so many bytes used. */
+  /** Adds a new segment, or one that was found on disk. */
   void addSegment(long number, int usedBytes, double expiresAtSeconds) {
     SegmentUsage segment = new SegmentUsage(number);
     segment.usedBytes = usedBytes;
@@ -85,17 +85,17 @@
     segments.addLast(segment);
   }
 
-  /** True where a record of this size needs a further segment. */
+  /** True if a record of this size does not fit in the current segment. */
   boolean needsNewSegment(int size) {
     return segments.isEmpty() || segments.peekLast().usedBytes + size > segmentBytes;
   }
 
-  /** True where a further segment may be begun. */
+  /** True if another segment may be created. */
   boolean hasCapacityForSegment() {
     return segments.size() < maxSegments;
   }
 
-  /** A record of this size is appended to the current segment; at which offset. */
+  /** Allocates space for a record in the current segment and returns its offset. */
   int append(int size, double expiresAtSeconds) {
     SegmentUsage segment = segments.peekLast();
     int offset = segment.usedBytes;
@@ -104,7 +104,7 @@
     return offset;
   }
 
-  /** Segments at most. */
+  /** Maximum number of segments. */
   int maxSegments() {
     return maxSegments;
   }
@@ -114,13 +114,13 @@
     return segments.stream().map(segment -> segment.number).toList();
   }
 
-  /** Forgets all segments and reservations. */
+  /** Removes all segments and reservations. */
   void clear() {
     segments.clear();
     reservedBytes = 0;
   }
 
-  /** Reserves space for an intent of this size and its result; false where there is none. */
+  /** Reserves space for an intent of this size and its result; returns false if there is none. */
   boolean tryReserve(int size) {
     if (!hasCapacityFor(size)) {
       return false;
@@ -129,17 +129,18 @@
     return true;
   }
 
-  /** True where an intent of this size and its result fit. */
+  /** True if there is space for an intent of this size and its result. */
   boolean hasCapacityFor(int size) {
-    long currentRest = segments.isEmpty() ? 0 : segmentBytes - segments.peekLast().usedBytes;
-    long newSegments =
+    long currentFreeBytes = segments.isEmpty() ? 0 : segmentBytes - segments.peekLast().usedBytes;
+    long newSegmentBytes =
         (long) (maxSegments - segments.size()) * (segmentBytes - Segment.HEADER_BYTES);
-    // The end of a segment stays unused where the next record does not fit: a result at most.
-    long unusable = (long) RESERVED_BYTES_PER_INTENT * (maxSegments - segments.size() + 1);
-    return currentRest + newSegments - unusable - reservedBytes >= size + RESERVED_BYTES_PER_INTENT;
+    // A segment may end in unused space that is too small for the next record; that wastes at most
+    // the reservation of one intent per segment.
+    long unusableBytes = (long) RESERVED_BYTES_PER_INTENT * (maxSegments - segments.size() + 1);
+    return currentFreeBytes + newSegmentBytes - unusableBytes - reservedBytes >= size + RESERVED_BYTES_PER_INTENT;
   }
 
-  /** Gives the reservation of an intent of this size back. */
+  /** Releases the reservation of an intent of this size. */
   void release(int size) {
     reservedBytes -= size + RESERVED_BYTES_PER_INTENT;
   }
@@ -148,22 +149,22 @@
     return reservedBytes;
   }
 
-  /** The oldest segment whose keys are all forgotten; -1 for none. The current one stays. */
+  /** The oldest segment if all its keys have expired and it is not the current one; else -1. */
   long oldestExpiredSegment(double now) {
-    SegmentUsage first = segments.peekFirst();
-    return segments.size() > 1 && first.expiresAtSeconds < now ? first.number : NO_SEGMENT;
+    SegmentUsage oldest = segments.peekFirst();
+    return segments.size() > 1 && oldest.expiresAtSeconds < now ? oldest.number : NO_SEGMENT;
   }
 
-  /** The oldest segment is deleted. */
+  /** Removes the oldest segment. */
   void removeOldest() {
     segments.removeFirst();
   }
 
-  /** Seconds until the oldest segment expires, as far as is known now. */
+  /** Estimated seconds until the oldest segment expires. */
   double secondsUntilCapacity(double now) {
-    SegmentUsage first = segments.peekFirst();
-    return first == null || first.expiresAtSeconds == Double.NEGATIVE_INFINITY
+    SegmentUsage oldest = segments.peekFirst();
+    return oldest == null || oldest.expiresAtSeconds == Double.NEGATIVE_INFINITY
         ? DEFAULT_RETRY_AFTER_SECONDS
-        : Math.max(MIN_RETRY_AFTER_SECONDS, first.expiresAtSeconds - now);
+        : Math.max(MIN_RETRY_AFTER_SECONDS, oldest.expiresAtSeconds - now);
   }
 }
--- a/src/main/java/wharftrestle/storage/UnusableStorageException.java
+++ b/src/main/java/wharftrestle/storage/UnusableStorageException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * A folder of the write-ahead log that is another process's, foreign, of a newer version, or cannot
- * be written; the message says so in one line.
+ * Thrown if the folder of the write-ahead log cannot be used: another process holds its lock, its
+ * format is foreign or newer, or it cannot be read or written. The message is one line.
  */
 public final class UnusableStorageException extends IOException {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -14,32 +14,33 @@
 import wharftrestle.request.ResultStore;
 
 /**
- * The write-ahead log of intents and results: takes records from callers, who never wait, and has
- * one writer thread put them on disk as group commits. Owns the folder while it is open, the thread
- * ({@link LogWriter}), and the space reserved for results to come. It never decides what a key may
- * do, overwrites what is on disk, or goes on after a disk failure but in a fresh segment.
+ * The write-ahead log of intent records and result records. Callers enqueue records without
+ * waiting for the disk, and one writer thread ({@link LogWriter}) writes them as group commits.
+ * While the log is open, it holds the lock of its folder, runs the writer thread and reserves space
+ * for the results of executions in flight. Records on disk are never overwritten, and after a disk
+ * failure writing continues only in a new segment. Whether a key may run is decided by the caller.
  *
- * <p>Callers hold the lock of the request coordinator; the space budget is the lock of the
- * reservations, held for arithmetic alone.
+ * <p>Callers hold the lock of the request coordinator. The reservations are protected by the
+ * monitor of the space budget, which is held only for arithmetic.
  *
  * <pre>
  * state   meaning                             next
- * CLOSED  the folder is not held              OPEN, FAILED (open)
+ * CLOSED  the folder is not locked            OPEN, FAILED (open)
  * OPEN    records are written                 FAILED (a disk error), CLOSED (close)
- * FAILED  nothing is written, all is          OPEN (a fresh segment could be begun),
- *         rejected                            CLOSED (close)
+ * FAILED  nothing is written, keyed requests  OPEN (a new segment was created),
+ *         are rejected                        CLOSED (close)
  * </pre>
  */
 public final class WriteAheadLog implements ResultStore, AutoCloseable {
 
-  /** Whether records are written; the MIB numbers the states in this order. */
+  /** The state of the log; the MIB numbers the states in this order. */
   public enum State {
     CLOSED,
     OPEN,
     FAILED
   }
 
-  /** Takes the folder; tests give a store with faults. */
+  /** Opens the segment store; tests supply one that injects faults. */
   interface StoreOpener {
     SegmentStore open() throws IOException;
   }
@@ -47,23 +48,23 @@
   private static final String WRITER_THREAD = "results";
   private static final long CLOSE_TIMEOUT_MILLIS = 2500;
 
-  /** Retry-After of rejections whose end is not known. */
+  /** Retry-After of a rejection when it is unknown how long its cause will last. */
   private static final double DEFAULT_RETRY_AFTER_SECONDS = 0.25;
 
-  /** Read at once for a result: the protocol's longest one is in them. */
+  /** Size of the first read for a result; covers the longest result that the protocol allows. */
   private static final int READ_BYTES = 5 * 1024;
 
   private final DaemonConfig.Durable settings;
   private final StoreOpener opener;
   private final SpaceBudget space;
-  private final Map<String, Integer> reservedIntentBytes = new HashMap<>(); // by key; under space
+  private final Map<String, Integer> reservedIntentBytes = new HashMap<>(); // by key; guarded by space
   private final LogMetrics metrics = new LogMetrics();
   private volatile GroupCommitQueue<PendingRecord> queue;
   private volatile LogWriter writer; // null while closed
-  private volatile SegmentStore store; // stays readable after close
+  private volatile SegmentStore store; // kept after close, for reads
   private Thread writerThread;
 
-  /** A log in the configured folder, not open yet. */
+  /** Creates a closed log for the configured folder. */
   public WriteAheadLog(DaemonConfig.Durable settings) {
     this(settings, () -> new FileSegmentStore(settings.folder()));
   }
@@ -77,24 +78,24 @@
   // ---- Opening and closing ----
 
   /**
-   * Takes the folder and reads what an earlier process left.
+   * Locks the folder, recovers the records of earlier processes and starts the writer thread.
    *
    * @param longestWindowSeconds the longest idempotency window, for which unknown keys fail where
    *     the log is damaged
-   * @return what is known of keys, in the order of their last records
-   * @throws UnusableStorageException in one line, where the folder is another process's, of a newer
-   *     version, or cannot be written
+   * @return the recovered keys, in the order of their last records
+   * @throws UnusableStorageException if another process holds the folder's lock, the format is
+   *     foreign or newer, or the folder cannot be read or written; the message is one line
    */
   public synchronized ResultStore.RecoveredKeys open(double longestWindowSeconds)
       throws IOException {
     if (writer != null) {
       throw new IllegalStateException("expected a closed write-ahead log, found " + state());
     }
-    long beganNanos = System.nanoTime();
+    long startNanos = System.nanoTime();
     SegmentStore opened = opener.open();
     try {
       ResultStore.RecoveredKeys recovered = recoverAndStart(opened, longestWindowSeconds);
-      metrics.recordRecoveryTime(System.nanoTime() - beganNanos);
+      metrics.recordRecoveryTime(System.nanoTime() - startNanos);
       return recovered;
     } catch (UnusableStorageException e) {
       opened.close();
@@ -112,7 +113,7 @@
     }
     double now = LogClock.seconds();
     LogReader.Contents contents = read(opened, now, 0);
-    // Starts one after another must not fill the folder.
+    // Each start creates a segment, so repeated restarts would otherwise use up the space budget.
     if (!contents.damaged()
         && Compaction.isWorthwhile(space)
         && Compaction.run(opened, space.segmentBytes(), space.maxSegments())) {
@@ -128,7 +129,7 @@
     try {
       return LogReader.read(opened, space, now, batch);
     } catch (Segment.ForeignFormatException e) {
-      throw new UnusableStorageException(settings.folder() + " " + e.getMessage(), e);
+      throw new UnusableStorageException(settings.folder() + ": " + e.getMessage(), e);
     }
   }
 
@@ -162,23 +163,23 @@
   }
 
   private void startWriter(
-      SegmentStore opened, LogReader.Contents contents, double missingExpireAtSeconds)
+      SegmentStore opened, LogReader.Contents contents, double missingSegmentsExpireAtSeconds)
       throws IOException {
     boolean syncs = !settings.sync().equals("none");
     SegmentWriter segments =
-        new SegmentWriter(opened, space, syncs, metrics, contents, missingExpireAtSeconds);
-    GroupCommitQueue<PendingRecord> fresh = new GroupCommitQueue<>(settings.queue());
-    boolean batchOfOne = settings.sync().equals("each");
-    LogWriter started = new LogWriter(fresh, segments, batchOfOne, metrics, this::onProcessed);
-    if (!started.beginFirstSegment()) {
+        new SegmentWriter(opened, space, syncs, metrics, contents, missingSegmentsExpireAtSeconds);
+    GroupCommitQueue<PendingRecord> newQueue = new GroupCommitQueue<>(settings.queue());
+    boolean syncEachRecord = settings.sync().equals("each");
+    LogWriter newWriter = new LogWriter(newQueue, segments, syncEachRecord, metrics, this::onProcessed);
+    if (!newWriter.beginFirstSegment()) {
       Logger.warn(
           "write-ahead log has no capacity, keyed requests are rejected folder={}",
           settings.folder());
     }
     store = opened;
-    queue = fresh;
-    writer = started;
-    writerThread = PlatformThreads.thread(WRITER_THREAD, started);
+    queue = newQueue;
+    writer = newWriter;
+    writerThread = PlatformThreads.thread(WRITER_THREAD, newWriter);
     writerThread.start();
   }
 
@@ -187,7 +188,7 @@
     close(CLOSE_TIMEOUT_MILLIS);
   }
 
-  /** Waits until the records so far are on disk, at most so long, and gives the folder back. */
+  /** Waits up to the timeout until the queued records are on disk, then unlocks the folder. */
   public synchronized void close(long timeoutMillis) {
     if (writer == null) {
       return;
@@ -202,7 +203,7 @@
     store.close();
   }
 
-  /** Whether records are written now; from any thread. */
+  /** The current state; safe to call from any thread. */
   public State state() {
     LogWriter current = writer;
     if (current == null) {
@@ -280,23 +281,23 @@
   @Override
   public void discardIntent(ResultStore.KeyRecord key) {
     releaseReservation(key.key());
-    writeEnd(LogRecord.Kind.VOID, key, null, location -> {});
+    writeOutcome(LogRecord.Kind.VOID, key, null, location -> {});
   }
 
   @Override
   public void writeResult(
       ResultStore.KeyRecord key, byte[] result, ResultStore.WriteListener listener) {
-    writeEnd(result == null ? LogRecord.Kind.FAILED : LogRecord.Kind.RESULT, key, result, listener);
+    writeOutcome(result == null ? LogRecord.Kind.FAILED : LogRecord.Kind.RESULT, key, result, listener);
   }
 
-  private void writeEnd(
+  private void writeOutcome(
       LogRecord.Kind kind,
       ResultStore.KeyRecord key,
       byte[] result,
       ResultStore.WriteListener listener) {
     PendingRecord pending = pending(kind, key, result, listener);
-    boolean tooLong = result != null && result.length > LogRecord.MAX_RESULT_BYTES;
-    if (tooLong || writer == null || !queue.add(pending, pending.sizeBytes(), true)) {
+    boolean exceedsMaxSize = result != null && result.length > LogRecord.MAX_RESULT_BYTES;
+    if (exceedsMaxSize || writer == null || !queue.add(pending, pending.sizeBytes(), true)) {
       releaseReservation(key.key());
       if (kind != LogRecord.Kind.VOID) {
         metrics.countUnsaved();
@@ -343,7 +344,7 @@
     }
   }
 
-  /** On the writer thread, for each record that was written or could not be. */
+  /** Called on the writer thread for each record, whether or not it could be written. */
   private void onProcessed(PendingRecord pending) {
     LogRecord.Kind kind = pending.record().kind();
     boolean endsExecution = kind == LogRecord.Kind.RESULT || kind == LogRecord.Kind.FAILED;
@@ -356,15 +357,15 @@
     }
   }
 
-  // ---- Reading and figures ----
+  // ---- Reads and metrics ----
 
   @Override
   public byte[] readResult(String key, long location) throws IOException {
-    SegmentStore from = store;
-    if (from == null) {
+    SegmentStore source = store;
+    if (source == null) {
       throw new IOException("the write-ahead log was never opened");
     }
-    LogRecord record = readRecord(from, RecordLocation.unpack(location));
+    LogRecord record = readRecord(source, RecordLocation.unpack(location));
     if (record == null || record.kind() != LogRecord.Kind.RESULT || !record.key().equals(key)) {
       throw new IOException(
           "expected the result of a key at "
@@ -375,11 +376,11 @@
     return record.result();
   }
 
-  private static LogRecord readRecord(SegmentStore from, RecordLocation at) throws IOException {
-    ByteBuffer bytes = from.read(at.segment(), at.offset(), READ_BYTES);
-    int recordBytes = LogRecord.bytesAt(bytes);
+  private static LogRecord readRecord(SegmentStore source, RecordLocation at) throws IOException {
+    ByteBuffer bytes = source.read(at.segment(), at.offset(), READ_BYTES);
+    int recordBytes = LogRecord.declaredSize(bytes);
     if (recordBytes > READ_BYTES) {
-      bytes = from.read(at.segment(), at.offset(), recordBytes);
+      bytes = source.read(at.segment(), at.offset(), recordBytes);
     }
     return LogRecord.readAt(bytes, 0);
   }
--- a/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
@@ -231,7 +231,7 @@
         record.lastOfBatch(),
         record.batch(),
         record.writtenAtMillis(),
-        record.writtenAtSteadyMillis(),
+        record.writtenAtMonotonicMillis(),
         record.coveredUntilMillis(),
         record.windowMillis(),
         record.bodyChecksum(),
