--- a/src/main/java/wharftrestle/storage/Compaction.java
+++ b/src/main/java/wharftrestle/storage/Compaction.java
@@ -10,9 +10,9 @@
 
 /**
  * Rewrites the live records of a log without a writer into as few segments as possible. It creates
- * the new segments, then writes a manifest that lists only them, then deletes the old segments, so a
- * crash after any step leaves a log with the same keys. A damaged log must not be compacted, since
- * the evidence of the damage would be lost. An instance is used for one run, by one thread.
+ * the new segments, then writes a manifest that lists only them, then deletes the old segments, so
+ * a crash after any step leaves a log with the same keys. A damaged log must not be compacted,
+ * since the evidence of the damage would be lost. An instance is used for one run, by one thread.
  */
 final class Compaction {
   private static final int BATCH = 1;
@@ -34,7 +34,10 @@
   /** The location of the last record of a key that has not expired. */
   private record LiveRecord(RecordLocation location, int size, boolean sameBoot) {}
 
-  /** True if more than half of the allowed segments are in use, so that further starts would fill the space budget. */
+  /**
+   * True if more than half of the allowed segments are in use, so that further starts would fill
+   * the space budget.
+   */
   static boolean isWorthwhile(SpaceBudget space) {
     return space.segmentCount() > space.maxSegments() / 2;
   }
@@ -44,8 +47,8 @@
    *
    * @param segmentBytes size of a new segment
    * @param maxSegments limit on the number of old and new segments together
-   * @return false, with the log unchanged, if the new segments would exceed the limit or would not be
-   *     fewer than the old ones
+   * @return false, with the log unchanged, if the new segments would exceed the limit or would not
+   *     be fewer than the old ones
    */
   static boolean run(SegmentStore store, int segmentBytes, int maxSegments) throws IOException {
     return new Compaction(store, segmentBytes).run(maxSegments);
--- a/src/main/java/wharftrestle/storage/FileSegmentStore.java
+++ b/src/main/java/wharftrestle/storage/FileSegmentStore.java
@@ -119,7 +119,8 @@
     try {
       Files.move(fresh, folder.resolve(MANIFEST), StandardCopyOption.ATOMIC_MOVE);
     } catch (AtomicMoveNotSupportedException e) {
-      throw new UnusableStorageException(folder + " is on a file system that cannot replace a file atomically");
+      throw new UnusableStorageException(
+          folder + " is on a file system that cannot replace a file atomically");
     }
     syncFolder();
   }
@@ -139,7 +140,8 @@
         String name = file.getFileName().toString();
         String digits = name.substring(PREFIX.length(), name.length() - SUFFIX.length());
         if (!digits.matches("[0-9]{8,15}")) {
-          throw new UnusableStorageException(folder + ": " + name + " is not a segment file, expected a number of 8 to 15 digits");
+          throw new UnusableStorageException(
+              folder + ": " + name + " is not a segment file, expected a number of 8 to 15 digits");
         }
         numbers.add(Long.parseLong(digits));
       }
--- a/src/main/java/wharftrestle/storage/GroupCommitQueue.java
+++ b/src/main/java/wharftrestle/storage/GroupCommitQueue.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The queue of the group commit: entries that wait for the next write and sync, in the order in which
- * they are added. Adding never waits for the disk; the single writer thread removes all queued
- * entries at once. Each entry is either drained once or withdrawn. Thread-safe: all methods
+ * The queue of the group commit: entries that wait for the next write and sync, in the order in
+ * which they are added. Adding never waits for the disk; the single writer thread removes all
+ * queued entries at once. Each entry is either drained once or withdrawn. Thread-safe: all methods
  * synchronize on the queue.
  *
  * @param <T> type of the entries, which are compared by identity
@@ -26,7 +26,9 @@
     this.maxBytes = maxBytes;
   }
 
-  /** Adds an entry; returns false if the queue is closed, or is full and the entry is not required. */
+  /**
+   * Adds an entry; returns false if the queue is closed, or is full and the entry is not required.
+   */
   public synchronized boolean add(T entry, int size, boolean required) {
     if (closed || (!required && queuedBytes + size > maxBytes)) {
       return false;
@@ -57,7 +59,9 @@
     return entries;
   }
 
-  /** Waits until an entry is queued, the queue is closed, or the timeout elapses; then drains it. */
+  /**
+   * Waits until an entry is queued, the queue is closed, or the timeout elapses; then drains it.
+   */
   @SuppressWarnings(
       "WaitNotInLoop") // After a spurious wakeup it returns no entries, and the caller polls again.
   public synchronized List<T> awaitBatch(long timeoutMillis) throws InterruptedException {
--- a/src/main/java/wharftrestle/storage/LogMetrics.java
+++ b/src/main/java/wharftrestle/storage/LogMetrics.java
@@ -9,8 +9,8 @@
 import wharftrestle.request.ResultStore;
 
 /**
- * Metrics of the write-ahead log. Thread-safe. The values are only published; no decision depends on
- * them.
+ * Metrics of the write-ahead log. Thread-safe. The values are only published; no decision depends
+ * on them.
  */
 final class LogMetrics {
   /** Upper limit of the sync histogram; longer syncs are recorded as this value. */
--- a/src/main/java/wharftrestle/storage/LogRecord.java
+++ b/src/main/java/wharftrestle/storage/LogRecord.java
@@ -148,7 +148,8 @@
     int offset = buffer.position();
     byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
     int length = FIXED_PAYLOAD_BYTES + keyBytes.length + result.length;
-    buffer.putInt(length)
+    buffer
+        .putInt(length)
         .putInt(0)
         .put((byte) (kind.storedNumber() | (lastOfBatch ? LAST_OF_BATCH_FLAG : 0)))
         .putInt(batch)
@@ -176,8 +177,8 @@
   }
 
   /**
-   * Size that the first record of the buffer declares, without padding; 0 if the buffer is too short
-   * or the declared length exceeds the maximum. The record is not validated.
+   * Size that the first record of the buffer declares, without padding; 0 if the buffer is too
+   * short or the declared length exceeds the maximum. The record is not validated.
    */
   static int declaredSize(ByteBuffer bytes) {
     if (bytes.limit() < Integer.BYTES || bytes.getInt(0) > MAX_PAYLOAD_BYTES) {
--- a/src/main/java/wharftrestle/storage/LogWriter.java
+++ b/src/main/java/wharftrestle/storage/LogWriter.java
@@ -48,7 +48,9 @@
     this.processed = processed;
   }
 
-  /** Begins the first segment; if the space budget allows none, returns false in the failed state. */
+  /**
+   * Begins the first segment; if the space budget allows none, returns false in the failed state.
+   */
   boolean beginFirstSegment() throws IOException {
     if (segments.hasCapacityForSegment()) {
       segments.beginSegment();
@@ -108,7 +110,8 @@
       try {
         write(records);
       } catch (IOException | RuntimeException | Error e) {
-        // Errors too: a short lack of memory must neither end the writer nor leave the listeners of a
+        // Errors too: a short lack of memory must neither end the writer nor leave the listeners of
+        // a
         // batch without notification.
         fail(e);
       } finally {
--- a/src/main/java/wharftrestle/storage/Manifest.java
+++ b/src/main/java/wharftrestle/storage/Manifest.java
@@ -7,8 +7,8 @@
 
 /**
  * The list of segments as text: a title with the version, one segment number per line, and a
- * checksum. It allows a missing segment to be detected: a number is listed before records are written
- * to its segment, and removed before its segment is deleted.
+ * checksum. It allows a missing segment to be detected: a number is listed before records are
+ * written to its segment, and removed before its segment is deleted.
  */
 final class Manifest {
   private static final String TITLE = "wharftrestle-results ";
--- a/src/main/java/wharftrestle/storage/PendingRecord.java
+++ b/src/main/java/wharftrestle/storage/PendingRecord.java
@@ -6,8 +6,8 @@
 
 /**
  * A record that is queued or being written. Created by the thread that requested the write; the
- * writer thread sets its location and notifies the listener once. Not thread-safe; it is passed to the
- * writer thread through the queue.
+ * writer thread sets its location and notifies the listener once. Not thread-safe; it is passed to
+ * the writer thread through the queue.
  */
 final class PendingRecord implements PendingIntent {
   private final LogRecord record;
--- a/src/main/java/wharftrestle/storage/Recovery.java
+++ b/src/main/java/wharftrestle/storage/Recovery.java
@@ -7,8 +7,9 @@
 /**
  * Replays the records that an earlier process wrote. If a key has a result record, duplicates get
  * that result. If it has only an intent record, the outcome is unknown, even if the worker pool is
- * still executing the request: attempts within the window fail and do not run. A key without records
- * may run. Clocks that can step are not trusted: see {@link #expiresAtSeconds}. Not thread-safe.
+ * still executing the request: attempts within the window fail and do not run. A key without
+ * records may run. Clocks that can step are not trusted: see {@link #expiresAtSeconds}. Not
+ * thread-safe.
  *
  * <pre>
  * last records of a key       after recovery
@@ -67,7 +68,8 @@
       return false;
     }
     boolean hasResult = record.kind() == LogRecord.Kind.RESULT;
-    // The clock that stamps attempts may have stepped since, so the key covers every attempt that is
+    // The clock that stamps attempts may have stepped since, so the key covers every attempt that
+    // is
     // read within one window from now.
     keys.put(
         record.key(),
--- a/src/main/java/wharftrestle/storage/ResultLogTool.java
+++ b/src/main/java/wharftrestle/storage/ResultLogTool.java
@@ -21,8 +21,8 @@
 
 /**
  * The operators' commands on a folder of the write-ahead log that no daemon is using: list, show,
- * verify, compact, export. Holds the folder's lock until it is closed. Only {@link #compact} modifies
- * the folder. Not thread-safe.
+ * verify, compact, export. Holds the folder's lock until it is closed. Only {@link #compact}
+ * modifies the folder. Not thread-safe.
  */
 public final class ResultLogTool implements AutoCloseable {
   private static final int MAX_DISPLAYED_CHARS = 400;
--- a/src/main/java/wharftrestle/storage/Segment.java
+++ b/src/main/java/wharftrestle/storage/Segment.java
@@ -22,7 +22,9 @@
   private static final int CAPACITY_OFFSET = 32;
   private static final int CRC_OFFSET = 40;
 
-  /** Bytes of the magic that must match for a file with a bad CRC to count as damaged, not foreign. */
+  /**
+   * Bytes of the magic that must match for a file with a bad CRC to count as damaged, not foreign.
+   */
   private static final int MIN_MATCHING_MAGIC_BYTES = 4;
 
   private static final long UNKNOWN_BOOT = 0;
@@ -48,8 +50,8 @@
    * @param header null if it is corrupt or truncated
    * @param end offset behind the last intact record
    * @param recordCount number of intact records
-   * @param lastBatch batch number of the last intact record; 0 if the header is corrupt and there is
-   *     no record
+   * @param lastBatch batch number of the last intact record; 0 if the header is corrupt and there
+   *     is no record
    * @param torn true if there are bytes that belong to no complete batch, as a crash during a write
    *     leaves them
    * @param damaged true if records that had been synced are lost
@@ -98,7 +100,8 @@
     }
     int version = bytes.getInt(VERSION_OFFSET);
     if (intact && version > VERSION) {
-      throw new ForeignFormatException("a segment is of version " + version + ", expected at most " + VERSION);
+      throw new ForeignFormatException(
+          "a segment is of version " + version + ", expected at most " + VERSION);
     }
     return intact
         ? new Header(
--- a/src/main/java/wharftrestle/storage/SegmentScan.java
+++ b/src/main/java/wharftrestle/storage/SegmentScan.java
@@ -7,10 +7,10 @@
  * must not be mistaken for the end of the log, since a key whose record is lost there could run
  * again.
  *
- * <p>Batch numbers distinguish the two cases, because a batch is written only after the previous one
- * was synced. A corrupt region that is followed by a later batch had been synced, so the segment is
- * damaged. A corrupt region in the last batch of the log is a torn write: its records were never
- * confirmed, so nothing depends on them.
+ * <p>Batch numbers distinguish the two cases, because a batch is written only after the previous
+ * one was synced. A corrupt region that is followed by a later batch had been synced, so the
+ * segment is damaged. A corrupt region in the last batch of the log is a torn write: its records
+ * were never confirmed, so nothing depends on them.
  */
 final class SegmentScan {
   private static final int NO_BATCH = Integer.MAX_VALUE;
@@ -38,11 +38,14 @@
       LogRecord record = LogRecord.readAt(bytes, at);
       at = record == null ? skipCorruptRegion(at) : visitRecord(record, at, visitor);
     }
-    boolean torn = firstCorruptBatch != NO_BATCH || (recordCount > 0 && !batchEnded) || !isZeroFrom(end);
+    boolean torn =
+        firstCorruptBatch != NO_BATCH || (recordCount > 0 && !batchEnded) || !isZeroFrom(end);
     return new Segment.ScanResult(header, end, recordCount, batch, torn, damaged);
   }
 
-  /** Handles a corrupt region; returns the offset of the next intact record, -1 if there is none. */
+  /**
+   * Handles a corrupt region; returns the offset of the next intact record, -1 if there is none.
+   */
   private int skipCorruptRegion(int at) {
     int next = findIntactRecord(at);
     if (next >= 0) {
--- a/src/main/java/wharftrestle/storage/SegmentWriter.java
+++ b/src/main/java/wharftrestle/storage/SegmentWriter.java
@@ -7,10 +7,10 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * Appends batches of records to the current segment, creates new segments, deletes expired ones, and
- * updates the manifest. Not thread-safe: used by the thread that opens the log, then by the writer
- * thread. The monitor of the space budget is held only to read and update the budget, never during a
- * call of the store.
+ * Appends batches of records to the current segment, creates new segments, deletes expired ones,
+ * and updates the manifest. Not thread-safe: used by the thread that opens the log, then by the
+ * writer thread. The monitor of the space budget is held only to read and update the budget, never
+ * during a call of the store.
  */
 final class SegmentWriter {
   private static final int BUFFER_BYTES = 256 * 1024;
@@ -30,8 +30,8 @@
    * Creates a writer that continues the log that a reader found.
    *
    * @param syncs false if records are not synced and may be lost in a power failure
-   * @param missingSegmentsExpireAtSeconds time until which missing segments stay in the manifest, so that
-   *     another start detects the damage as well
+   * @param missingSegmentsExpireAtSeconds time until which missing segments stay in the manifest,
+   *     so that another start detects the damage as well
    */
   SegmentWriter(
       SegmentStore store,
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Begins a segment after a failure. Skips a batch number, so that records of the failed batch that
-   * reached the disk cannot be mistaken for part of the next batch.
+   * Begins a segment after a failure. Skips a batch number, so that records of the failed batch
+   * that reached the disk cannot be mistaken for part of the next batch.
    */
   void beginSegmentAfterFailure() throws IOException {
     batch += 2;
@@ -128,7 +128,8 @@
       flush();
       sync();
       if (!hasCapacityForSegment()) {
-        return RecordLocation.NOT_WRITTEN; // Exceeds its reservation: the result is kept only in memory.
+        return RecordLocation
+            .NOT_WRITTEN; // Exceeds its reservation: the result is kept only in memory.
       }
       beginSegment();
     }
--- a/src/main/java/wharftrestle/storage/SpaceBudget.java
+++ b/src/main/java/wharftrestle/storage/SpaceBudget.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * The space budget of the log: the bytes used in each segment, the bytes reserved for the results of
- * executions in flight, and the expiry time of each segment. An intent is accepted only if its result
- * will fit as well. Does no I/O: the writer reports what it wrote. Sizes are in bytes, times in
- * seconds on one clock. Not thread-safe: callers synchronize on the instance.
+ * The space budget of the log: the bytes used in each segment, the bytes reserved for the results
+ * of executions in flight, and the expiry time of each segment. An intent is accepted only if its
+ * result will fit as well. Does no I/O: the writer reports what it wrote. Sizes are in bytes, times
+ * in seconds on one clock. Not thread-safe: callers synchronize on the instance.
  */
 public final class SpaceBudget {
   private static final int PROTOCOL_MAX_RESULT_BYTES = 4096;
@@ -137,7 +137,8 @@
     // A segment may end in unused space that is too small for the next record; that wastes at most
     // the reservation of one intent per segment.
     long unusableBytes = (long) RESERVED_BYTES_PER_INTENT * (maxSegments - segments.size() + 1);
-    return currentFreeBytes + newSegmentBytes - unusableBytes - reservedBytes >= size + RESERVED_BYTES_PER_INTENT;
+    return currentFreeBytes + newSegmentBytes - unusableBytes - reservedBytes
+        >= size + RESERVED_BYTES_PER_INTENT;
   }
 
   /** Releases the reservation of an intent of this size. */
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -14,11 +14,11 @@
 import wharftrestle.request.ResultStore;
 
 /**
- * The write-ahead log of intent records and result records. Callers enqueue records without
- * waiting for the disk, and one writer thread ({@link LogWriter}) writes them as group commits.
- * While the log is open, it holds the lock of its folder, runs the writer thread and reserves space
- * for the results of executions in flight. Records on disk are never overwritten, and after a disk
- * failure writing continues only in a new segment. Whether a key may run is decided by the caller.
+ * The write-ahead log of intent records and result records. Callers enqueue records without waiting
+ * for the disk, and one writer thread ({@link LogWriter}) writes them as group commits. While the
+ * log is open, it holds the lock of its folder, runs the writer thread and reserves space for the
+ * results of executions in flight. Records on disk are never overwritten, and after a disk failure
+ * writing continues only in a new segment. Whether a key may run is decided by the caller.
  *
  * <p>Callers hold the lock of the request coordinator. The reservations are protected by the
  * monitor of the space budget, which is held only for arithmetic.
@@ -57,7 +57,8 @@
   private final DaemonConfig.Durable settings;
   private final StoreOpener opener;
   private final SpaceBudget space;
-  private final Map<String, Integer> reservedIntentBytes = new HashMap<>(); // by key; guarded by space
+  private final Map<String, Integer> reservedIntentBytes =
+      new HashMap<>(); // by key; guarded by space
   private final LogMetrics metrics = new LogMetrics();
   private volatile GroupCommitQueue<PendingRecord> queue;
   private volatile LogWriter writer; // null while closed
@@ -170,7 +171,8 @@
         new SegmentWriter(opened, space, syncs, metrics, contents, missingSegmentsExpireAtSeconds);
     GroupCommitQueue<PendingRecord> newQueue = new GroupCommitQueue<>(settings.queue());
     boolean syncEachRecord = settings.sync().equals("each");
-    LogWriter newWriter = new LogWriter(newQueue, segments, syncEachRecord, metrics, this::onProcessed);
+    LogWriter newWriter =
+        new LogWriter(newQueue, segments, syncEachRecord, metrics, this::onProcessed);
     if (!newWriter.beginFirstSegment()) {
       Logger.warn(
           "write-ahead log has no capacity, keyed requests are rejected folder={}",
@@ -287,7 +289,8 @@
   @Override
   public void writeResult(
       ResultStore.KeyRecord key, byte[] result, ResultStore.WriteListener listener) {
-    writeOutcome(result == null ? LogRecord.Kind.FAILED : LogRecord.Kind.RESULT, key, result, listener);
+    writeOutcome(
+        result == null ? LogRecord.Kind.FAILED : LogRecord.Kind.RESULT, key, result, listener);
   }
 
   private void writeOutcome(
--- a/src/main/java/wharftrestle/storage/package-info.java
+++ b/src/main/java/wharftrestle/storage/package-info.java
@@ -4,9 +4,9 @@
  * budget for their size on disk.
  *
  * <p>Start with {@link wharftrestle.storage.WriteAheadLog}, the entry point for callers. {@link
- * wharftrestle.storage.LogRecord} and {@link wharftrestle.storage.Segment} define the layout on disk,
- * {@link wharftrestle.storage.LogReader} and {@link wharftrestle.storage.Recovery} read what an
- * earlier process wrote, and {@link wharftrestle.storage.LogWriter} and {@link
+ * wharftrestle.storage.LogRecord} and {@link wharftrestle.storage.Segment} define the layout on
+ * disk, {@link wharftrestle.storage.LogReader} and {@link wharftrestle.storage.Recovery} read what
+ * an earlier process wrote, and {@link wharftrestle.storage.LogWriter} and {@link
  * wharftrestle.storage.SegmentWriter} append new records. All file access goes through {@link
  * wharftrestle.storage.SegmentStore}.
  *
