--- a/src/main/java/wharftrestle/storage/Segment.java
+++ b/src/main/java/wharftrestle/storage/Segment.java
@@ -37,7 +37,7 @@
    * @param boot ID of the boot in which the records were written; their monotonic times are valid
    *     only in that boot
    */
-  record Header(int version, int firstBatch, long number, long boot, long capacity) {}
+  record Header(int version, int firstBatch, long number, long bootId, long capacity) {}
 
   /** Called for each intact record in the order of the file. */
   interface RecordVisitor {
@@ -69,14 +69,14 @@
   }
 
   /** Encodes a header. */
-  static ByteBuffer header(int firstBatch, long number, long boot, long capacity) {
+  static ByteBuffer header(int firstBatch, long number, long bootId, long capacity) {
     ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
     header
         .putLong(MAGIC)
         .putInt(VERSION)
         .putInt(firstBatch)
         .putLong(number)
-        .putLong(boot)
+        .putLong(bootId)
         .putLong(capacity);
     header.putInt(crc(header));
     return header.position(0).limit(HEADER_BYTES);
@@ -132,9 +132,9 @@
   }
 
   /** True if the records were written during the given boot. */
-  static boolean isSameBoot(ByteBuffer bytes, long boot) throws ForeignFormatException {
+  static boolean isSameBoot(ByteBuffer bytes, long bootId) throws ForeignFormatException {
     Header header = readHeader(bytes);
-    return header != null && boot != UNKNOWN_BOOT && header.boot() == boot;
+    return header != null && bootId != UNKNOWN_BOOT && header.bootId() == bootId;
   }
 
   /** Visits the intact records in the order of the file, and detects torn writes and damage. */
--- a/src/test/java/wharftrestle/storage/GroupCommitQueueTest.java
+++ b/src/test/java/wharftrestle/storage/GroupCommitQueueTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Lincheck on the queue of the group commit: under every interleaving it is as one queue with one
- * writer.
+ * Checks with Lincheck that the group commit queue is linearizable for several producers and one
+ * writer thread.
  */
 @Param(name = "entry", gen = IntGen.class, conf = "1:3")
 public class GroupCommitQueueTest {
-  private static final Integer[] ENTRIES = {null, 1000, 2000, 3000}; // told apart by identity
+  private static final Integer[] ENTRIES = {null, 1000, 2000, 3000}; // compared by identity
 
   private final GroupCommitQueue<Integer> queue = new GroupCommitQueue<>(2);
 
@@ -24,7 +24,7 @@
   }
 
   @Operation
-  public boolean must(@Param(name = "entry") int entry) {
+  public boolean addRequired(@Param(name = "entry") int entry) {
     return queue.add(ENTRIES[entry], 1, true);
   }
 
@@ -39,7 +39,7 @@
   }
 
   @Operation
-  public long bytes() {
+  public long queuedBytes() {
     return queue.queuedBytes();
   }
 
--- a/src/test/java/wharftrestle/storage/LogMetricsTest.java
+++ b/src/test/java/wharftrestle/storage/LogMetricsTest.java
@@ -7,7 +7,7 @@
 import wharftrestle.metrics.ResultMetric;
 import wharftrestle.request.ResultStore;
 
-/** The log's figures, which several threads count at once. */
+/** Counts metrics of the log from several threads at once. */
 class LogMetricsTest {
   private static final int THREADS = 4;
   private static final int RESULTS_PER_THREAD = 20_000;
@@ -16,11 +16,11 @@
       new WriteAheadLog(WriteAheadLogTest.settings(4, "group"), MemorySegmentStore::new);
 
   @Test
-  void unsavedResults_countedByThreadsAtOnce_loseNone() throws Exception {
+  void countUnsaved_fromSeveralThreads_losesNoCount() throws Exception {
     CountDownLatch start = new CountDownLatch(1);
     Thread[] threads = new Thread[THREADS];
     for (int i = 0; i < THREADS; i++) {
-      threads[i] = new Thread(() -> refuseResults(start), "results " + i);
+      threads[i] = new Thread(() -> writeUnsavedResults(start), "results " + i);
       threads[i].start();
     }
 
@@ -33,8 +33,8 @@
         (long) THREADS * RESULTS_PER_THREAD, log.metrics().get(ResultMetric.UNSAVED_RESULTS));
   }
 
-  /** A log that is not open takes no result, so each one counts as unsaved. */
-  private void refuseResults(CountDownLatch start) {
+  /** A log that is not open writes no result, so each one counts as unsaved. */
+  private void writeUnsavedResults(CountDownLatch start) {
     try {
       start.await();
     } catch (InterruptedException e) {
--- a/src/test/java/wharftrestle/storage/LogRecordKindTest.java
+++ b/src/test/java/wharftrestle/storage/LogRecordKindTest.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The numbers that stand for kinds on disk. */
+/** Checks the numbers by which record kinds are stored on disk. */
 class LogRecordKindTest {
   @Test
-  void storedNumber_ofEachKind_isTheNumberOnDisk() {
+  void storedNumber_ofEachKind_matchesFormatOnDisk() {
     List<LogRecord.Kind> kinds = List.of(LogRecord.Kind.values());
 
     List<String> numbers = kinds.stream().map(kind -> kind.storedNumber() + " " + kind).toList();
@@ -18,14 +18,14 @@
   }
 
   @Test
-  void ofStoredNumber_ofEachNumber_isTheKindThatHasIt() {
+  void ofStoredNumber_withNumberOfKind_returnsKind() {
     for (LogRecord.Kind kind : LogRecord.Kind.values()) {
       assertEquals(kind, LogRecord.Kind.ofStoredNumber(kind.storedNumber()));
     }
   }
 
   @Test
-  void ofStoredNumber_ofAnyOther_isNone() {
+  void ofStoredNumber_withUnknownNumber_returnsNull() {
     assertNull(LogRecord.Kind.ofStoredNumber(0));
     assertNull(LogRecord.Kind.ofStoredNumber(5));
     assertNull(LogRecord.Kind.ofStoredNumber(-1));
--- a/src/test/java/wharftrestle/storage/MemorySegmentStore.java
+++ b/src/test/java/wharftrestle/storage/MemorySegmentStore.java
@@ -10,117 +10,118 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A disk in memory that knows what was synced. Faults are put in by counting its operations: the
- * n-th fails, stalls, or is where the machine loses power; then each unsynced block of 512 bytes is
- * there or not, as a seed says.
+ * A segment store in memory that distinguishes synced from unsynced bytes and injects faults. Faults
+ * are placed by operation number: the n-th operation fails, or the machine loses power before it. After
+ * a power loss, a seeded random generator decides for each unsynced block of 512 bytes whether it
+ * reached the disk.
  */
 final class MemorySegmentStore implements SegmentStore {
-  private static final int BLOCK = 512;
+  private static final int BLOCK_BYTES = 512;
 
-  /** What is on the platter, and what a process sees. */
+  /** The synced contents, and the contents that a process reads. */
   private static final class File {
     private byte[] synced;
-    private byte[] seen;
+    private byte[] visible;
   }
 
   private final Map<Long, File> files = new TreeMap<>();
-  private byte[] list;
+  private byte[] manifest;
   private int operations;
   private int failAt = -1;
   private int failures;
-  private boolean bug;
-  private int dieAt = -1;
-  private boolean dead;
-  private volatile CountDownLatch stall;
-  private final CountDownLatch stalled = new CountDownLatch(1);
-  long boot = 7;
+  private boolean failWithError;
+  private int powerLossAt = -1;
+  private boolean powerLost;
+  private volatile CountDownLatch resumeLatch;
+  private final CountDownLatch syncStalled = new CountDownLatch(1);
+  long bootId = 7;
 
-  /** The n-th operation from now and so many after it throw. */
-  synchronized void fail(int in, int times) {
-    failAt = operations + in;
-    failures = times;
+  /** Makes operations fail, beginning with the n-th from now. */
+  synchronized void failOperations(int operationsFromNow, int count) {
+    failAt = operations + operationsFromNow;
+    failures = count;
   }
 
-  /** The same by an error that no caller of a disk reckons with. */
-  synchronized void failBadly(int in, int times) {
-    fail(in, times);
-    bug = true;
+  /** Like {@link #failOperations}, with an OutOfMemoryError instead of an IOException. */
+  synchronized void failOperationsWithError(int operationsFromNow, int count) {
+    failOperations(operationsFromNow, count);
+    failWithError = true;
   }
 
-  /** Power is lost before the n-th operation from now. */
-  synchronized void die(int in) {
-    dieAt = operations + in;
+  /** Simulates a power loss before the n-th operation from now. */
+  synchronized void losePowerAt(int operationsFromNow) {
+    powerLossAt = operations + operationsFromNow;
   }
 
   synchronized int operations() {
     return operations;
   }
 
-  synchronized boolean dead() {
-    return dead;
+  synchronized boolean isPowerLost() {
+    return powerLost;
   }
 
-  /** From now on every sync waits until {@link #wake}. */
-  void stall() {
-    stall = new CountDownLatch(1);
+  /** Blocks every sync from now on until {@link #resumeSyncs}. */
+  void stallSyncs() {
+    resumeLatch = new CountDownLatch(1);
   }
 
-  void awaitStalled() throws InterruptedException {
-    stalled.await();
+  void awaitStalledSync() throws InterruptedException {
+    syncStalled.await();
   }
 
-  void wake() {
-    CountDownLatch now = stall;
-    stall = null;
-    if (now != null) {
-      now.countDown();
+  void resumeSyncs() {
+    CountDownLatch latch = resumeLatch;
+    resumeLatch = null;
+    if (latch != null) {
+      latch.countDown();
     }
   }
 
-  /** What a process finds after the power came back. */
+  /** The store that a process finds after a power loss and a reboot. */
   synchronized MemorySegmentStore afterPowerLoss(long seed) {
     Random random = new Random(seed);
     MemorySegmentStore next = new MemorySegmentStore();
-    next.boot = boot + 1;
-    next.list = list == null ? null : list.clone();
+    next.bootId = bootId + 1;
+    next.manifest = manifest == null ? null : manifest.clone();
     files.forEach(
         (number, file) -> {
-          File made = new File();
-          made.synced = file.synced.clone();
-          for (int at = 0; at < made.synced.length; at += BLOCK) {
+          File copy = new File();
+          copy.synced = file.synced.clone();
+          for (int at = 0; at < copy.synced.length; at += BLOCK_BYTES) {
             if (random.nextBoolean()) {
               System.arraycopy(
-                  file.seen, at, made.synced, at, Math.min(BLOCK, made.synced.length - at));
+                  file.visible, at, copy.synced, at, Math.min(BLOCK_BYTES, copy.synced.length - at));
             }
           }
-          made.seen = made.synced.clone();
-          next.files.put(number, made);
+          copy.visible = copy.synced.clone();
+          next.files.put(number, copy);
         });
     return next;
   }
 
-  /** What the next process finds after this one was killed: all that it wrote. */
+  /** The store that the next process finds after this one was killed: all its writes are there. */
   synchronized MemorySegmentStore afterKill() {
     MemorySegmentStore next = new MemorySegmentStore();
-    next.boot = boot;
-    next.list = list == null ? null : list.clone();
+    next.bootId = bootId;
+    next.manifest = manifest == null ? null : manifest.clone();
     files.forEach(
         (number, file) -> {
-          File made = new File();
-          made.synced = file.seen.clone();
-          made.seen = file.seen.clone();
-          next.files.put(number, made);
+          File copy = new File();
+          copy.synced = file.visible.clone();
+          copy.visible = file.visible.clone();
+          next.files.put(number, copy);
         });
     return next;
   }
 
   synchronized byte[] bytes(long number) {
-    return files.get(number).seen;
+    return files.get(number).visible;
   }
 
   synchronized void replace(long number, byte[] bytes) {
     File file = new File();
-    file.seen = bytes;
+    file.visible = bytes;
     file.synced = bytes.clone();
     files.put(number, file);
   }
@@ -129,38 +130,38 @@
     return new ArrayList<>(files.keySet());
   }
 
-  synchronized void lose(long number) {
+  synchronized void remove(long number) {
     files.remove(number);
   }
 
-  private synchronized void operation() throws IOException {
+  private synchronized void countOperation() throws IOException {
     operations++;
-    if (dead || operations == dieAt) {
-      dead = true;
-      throw new IOException("no power");
+    if (powerLost || operations == powerLossAt) {
+      powerLost = true;
+      throw new IOException("simulated power loss");
     }
     if (failAt >= 0 && operations >= failAt && operations < failAt + failures) {
-      if (bug) {
-        throw new OutOfMemoryError("made up");
+      if (failWithError) {
+        throw new OutOfMemoryError("injected error");
       }
-      throw new IOException("a fault put in at operation " + operations);
+      throw new IOException("injected fault at operation " + operations);
     }
   }
 
   @Override
   public long bootId() {
-    return boot;
+    return bootId;
   }
 
   @Override
   public synchronized byte[] readManifest() {
-    return list;
+    return manifest;
   }
 
   @Override
-  public synchronized void writeManifest(byte[] fresh) throws IOException {
-    operation();
-    list = fresh.clone();
+  public synchronized void writeManifest(byte[] newManifest) throws IOException {
+    countOperation();
+    manifest = newManifest.clone();
   }
 
   @Override
@@ -169,10 +170,10 @@
   }
 
   @Override
-  public synchronized void create(long number, ByteBuffer head, int size) throws IOException {
-    operation();
+  public synchronized void create(long number, ByteBuffer header, int size) throws IOException {
+    countOperation();
     byte[] bytes = new byte[size];
-    head.duplicate().get(bytes, 0, head.remaining());
+    header.duplicate().get(bytes, 0, header.remaining());
     replace(number, bytes);
   }
 
@@ -185,45 +186,45 @@
   public synchronized ByteBuffer read(long number, int from, int length) throws IOException {
     File file = files.get(number);
     if (file == null) {
-      throw new IOException("no file " + number);
+      throw new IOException("no segment " + number);
     }
-    byte[] part = new byte[Math.max(0, Math.min(length, file.seen.length - from))];
-    System.arraycopy(file.seen, from, part, 0, part.length);
+    byte[] part = new byte[Math.max(0, Math.min(length, file.visible.length - from))];
+    System.arraycopy(file.visible, from, part, 0, part.length);
     return ByteBuffer.wrap(part);
   }
 
   @Override
   public synchronized void write(long number, int at, ByteBuffer bytes) throws IOException {
-    operation();
-    bytes.get(files.get(number).seen, at, bytes.remaining());
+    countOperation();
+    bytes.get(files.get(number).visible, at, bytes.remaining());
   }
 
   @Override
   public void sync(long number) throws IOException {
-    CountDownLatch wait = stall;
-    if (wait != null) {
-      stalled.countDown();
+    CountDownLatch latch = resumeLatch;
+    if (latch != null) {
+      syncStalled.countDown();
       try {
-        wait.await();
+        latch.await();
       } catch (InterruptedException e) {
         throw new IOException(e);
       }
     }
     synchronized (this) {
-      operation();
+      countOperation();
       File file = files.get(number);
-      file.synced = file.seen.clone();
+      file.synced = file.visible.clone();
     }
   }
 
   @Override
   public synchronized void delete(long number) throws IOException {
-    operation();
+    countOperation();
     files.remove(number);
   }
 
   @Override
   public void close() {
-    wake();
+    resumeSyncs();
   }
 }
--- a/src/test/java/wharftrestle/storage/ResultLogToolTest.java
+++ b/src/test/java/wharftrestle/storage/ResultLogToolTest.java
@@ -24,22 +24,22 @@
 import wharftrestle.config.DaemonConfig;
 import wharftrestle.request.ResultStore;
 
-/** What operators see of a folder that no daemon has. */
+/** Checks the output of the operators' commands on a folder that no daemon is using. */
 class ResultLogToolTest {
   private static final byte[] RESULT = {'s', 'a', 'v', 'e', 'd', 0, (byte) 200};
 
   @TempDir private Path folder;
 
-  private interface Act {
-    Object on(ResultLogTool results, PrintStream out) throws IOException;
+  private interface Command {
+    Object run(ResultLogTool results, PrintStream out) throws IOException;
   }
 
-  private Object answer;
+  private Object returnValue;
 
-  private String said(Act act) throws IOException {
+  private String outputOf(Command command) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (ResultLogTool results = new ResultLogTool(folder)) {
-      answer = act.on(results, new PrintStream(bytes, true, StandardCharsets.UTF_8));
+      returnValue = command.run(results, new PrintStream(bytes, true, StandardCharsets.UTF_8));
     }
     return bytes.toString(StandardCharsets.UTF_8);
   }
@@ -53,46 +53,46 @@
   }
 
   @BeforeEach
-  void threeKeysOverThreeStarts() throws Exception {
+  void writeThreeKeysInThreeSegments() throws Exception {
     for (String key : new String[] {"2/0/first", "2/0/second", "2/1/third"}) {
       try (WriteAheadLog log = new WriteAheadLog(settings())) {
         log.open(20);
-        CountDownLatch written = new CountDownLatch(1);
-        log.writeIntent(keyed(key), place -> written.countDown());
-        written.await();
+        CountDownLatch intentWritten = new CountDownLatch(1);
+        log.writeIntent(keyed(key), location -> intentWritten.countDown());
+        intentWritten.await();
         assertThrows(
-            UnusableStorageException.class, () -> new ResultLogTool(folder), "a daemon has it");
+            UnusableStorageException.class, () -> new ResultLogTool(folder), "the log is open and holds the lock of the folder");
         if (!key.contains("third")) {
-          CountDownLatch ended = new CountDownLatch(1);
-          log.writeResult(keyed(key), RESULT, place -> ended.countDown());
-          ended.await();
+          CountDownLatch resultWritten = new CountDownLatch(1);
+          log.writeResult(keyed(key), RESULT, location -> resultWritten.countDown());
+          resultWritten.await();
         }
       }
     }
   }
 
   @Test
-  void keysAreListedShownAndExported() throws Exception {
-    List<String> lines =
-        said((results, out) -> {
+  void listShowAndExport_printRecordedKeys() throws Exception {
+    List<String> listedLines =
+        outputOf((results, out) -> {
               results.list(out, false);
               return null;
             })
             .lines()
             .toList();
-    assertEquals(5, lines.size());
+    assertEquals(5, listedLines.size());
     assertTrue(
-        lines.get(1).startsWith("known") && lines.get(1).endsWith("2/0/first"), lines.get(1));
+        listedLines.get(1).startsWith("known") && listedLines.get(1).endsWith("2/0/first"), listedLines.get(1));
     assertTrue(
-        lines.get(3).startsWith("unknown") && lines.get(3).endsWith("2/1/third"), lines.get(3));
-    String shown = said((results, out) -> results.show(out, "second"));
+        listedLines.get(3).startsWith("unknown") && listedLines.get(3).endsWith("2/1/third"), listedLines.get(3));
+    String showOutput = outputOf((results, out) -> results.show(out, "second"));
     assertTrue(
-        (boolean) answer && shown.contains("key       2/0/second") && shown.contains("7 bytes"),
-        shown);
-    said((results, out) -> results.show(out, "fourth"));
-    assertFalse((boolean) answer);
+        (boolean) returnValue && showOutput.contains("key       2/0/second") && showOutput.contains("7 bytes"),
+        showOutput);
+    outputOf((results, out) -> results.show(out, "fourth"));
+    assertFalse((boolean) returnValue);
     List<String> exported =
-        said((results, out) -> {
+        outputOf((results, out) -> {
               results.export(out);
               return null;
             })
@@ -104,13 +104,13 @@
   }
 
   @Test
-  void aCompactedFolderHoldsTheSameKeys() throws Exception {
+  void compact_keepsAllKeysAndResults() throws Exception {
     assertTrue(
-        said((results, out) -> results.compact(out))
+        outputOf((results, out) -> results.compact(out))
             .startsWith("1 files, 256 kB; before: 3 files, 768 kB"));
-    assertTrue((boolean) answer);
-    said((results, out) -> results.compact(out));
-    assertFalse((boolean) answer, "nothing more to gain");
+    assertTrue((boolean) returnValue);
+    outputOf((results, out) -> results.compact(out));
+    assertFalse((boolean) returnValue, "a second compaction saves no segment");
     try (WriteAheadLog next = new WriteAheadLog(settings())) {
       ResultStore.RecoveredKeys recovered = next.open(20);
       assertEquals(3, recovered.keys().size());
@@ -119,23 +119,23 @@
   }
 
   @Test
-  void damageIsReportedAndNotCompactedAway() throws Exception {
-    String whole = said((results, out) -> results.verify(out));
-    assertTrue((boolean) answer && whole.endsWith("whole\n"), whole);
+  void verifyAndCompact_ofDamagedLog_reportDamageAndChangeNothing() throws Exception {
+    String intactOutput = outputOf((results, out) -> results.verify(out));
+    assertTrue((boolean) returnValue && intactOutput.endsWith("whole\n"), intactOutput);
     Path first;
-    try (Stream<Path> all = Files.list(folder)) {
+    try (Stream<Path> files = Files.list(folder)) {
       first =
-          all.filter(file -> file.toString().endsWith(".log")).sorted().findFirst().orElseThrow();
+          files.filter(file -> file.toString().endsWith(".log")).sorted().findFirst().orElseThrow();
     }
     byte[] bytes = Files.readAllBytes(first);
     bytes[Segment.HEADER_BYTES + 20] ^= 1;
     Files.write(first, bytes);
-    String hurt = said((results, out) -> results.verify(out));
-    assertTrue(!(boolean) answer && hurt.contains("DAMAGED"), hurt);
+    String damagedOutput = outputOf((results, out) -> results.verify(out));
+    assertTrue(!(boolean) returnValue && damagedOutput.contains("DAMAGED"), damagedOutput);
     assertThrows(
-        UnusableStorageException.class, () -> said((results, out) -> results.compact(out)));
+        UnusableStorageException.class, () -> outputOf((results, out) -> results.compact(out)));
     Files.delete(first);
-    assertTrue(said((results, out) -> results.verify(out)).contains("missing"));
+    assertTrue(outputOf((results, out) -> results.verify(out)).contains("missing"));
     assertThrows(UnusableStorageException.class, () -> new ResultLogTool(folder.resolve("none")));
   }
 }
--- a/src/test/java/wharftrestle/storage/ResultRecorderTest.java
+++ b/src/test/java/wharftrestle/storage/ResultRecorderTest.java
@@ -24,15 +24,15 @@
 import wharftrestle.request.ResultStore;
 
 /**
- * The core with a journal on a disk that fails, stalls and fills: what a keyed request gets, and
- * what an unkeyed one.
+ * Runs the request coordinator with a write-ahead log on a disk that fails, stalls or is damaged, and
+ * checks the answers to requests with and without an idempotency key.
  */
 class ResultRecorderTest {
   private final MemorySegmentStore disk = new MemorySegmentStore();
-  private final WriteAheadLog journal =
+  private final WriteAheadLog log =
       new WriteAheadLog(WriteAheadLogTest.settings(4, "group"), () -> disk);
-  private final BlockingQueue<String> spawned = new LinkedBlockingQueue<>();
-  private final RequestCoordinator core =
+  private final BlockingQueue<String> dispatched = new LinkedBlockingQueue<>();
+  private final RequestCoordinator coordinator =
       new RequestCoordinator(
           settings(),
           7,
@@ -40,21 +40,21 @@
           KeyMemoryBudget.of(1 << 20),
           AdmissionController::new,
           new Counters(List.of("read", "keyed")));
-  private int references;
+  private int requestCount;
 
   ResultRecorderTest() throws Exception {
-    core.useResultStore(journal);
-    core.restore(journal.open(20));
-    core.start(
+    coordinator.useResultStore(log);
+    coordinator.restore(log.open(20));
+    coordinator.start(
         new SilentPool() {
           @Override
-          public void dispatch(String ref, String className, byte[] body) {
-            spawned.add(ref);
+          public void dispatch(String requestId, String className, byte[] body) {
+            dispatched.add(requestId);
           }
         },
         null,
         good -> {});
-    core.workerPoolStarted(false, 100);
+    coordinator.workerPoolStarted(false, 100);
   }
 
   private static AdmissionSettings settings() {
@@ -77,16 +77,16 @@
         List.of());
   }
 
-  private final class Asked {
+  private final class ClientRequest {
     private final BlockingQueue<Answer> answers = new LinkedBlockingQueue<>();
-    private final String ref = String.format("%016x", ++references);
-    private final long at = System.nanoTime();
-    private double took;
+    private final String requestId = String.format("%016x", ++requestCount);
+    private final long acceptedAtNanos = System.nanoTime();
+    private double answerSeconds;
 
-    Asked(String key, String body) {
-      core.accept(
+    ClientRequest(String key, String body) {
+      coordinator.accept(
           new IncomingRequest(
-              ref,
+              requestId,
               false,
               key == null ? 0 : 1,
               0,
@@ -99,161 +99,161 @@
               System.currentTimeMillis(),
               body.getBytes(StandardCharsets.UTF_8)),
           answer -> {
-            took = (System.nanoTime() - at) / 1e9;
+            answerSeconds = (System.nanoTime() - acceptedAtNanos) / 1e9;
             answers.add(answer);
           });
     }
 
     Answer answer() throws InterruptedException {
       Answer answer = answers.poll(10, TimeUnit.SECONDS);
-      assertNotNull(answer, "no answer to " + ref);
+      assertNotNull(answer, "no answer to " + requestId);
       return answer;
     }
 
-    void runs() throws InterruptedException {
-      assertEquals(ref, spawned.poll(10, TimeUnit.SECONDS));
+    void awaitDispatch() throws InterruptedException {
+      assertEquals(requestId, dispatched.poll(10, TimeUnit.SECONDS));
     }
 
-    void ends(String result) {
-      core.executionCompleted(
-          ref, Admission.Outcome.SUCCESS, 0.01, result.getBytes(StandardCharsets.UTF_8));
+    void complete(String result) {
+      coordinator.executionCompleted(
+          requestId, Admission.Outcome.SUCCESS, 0.01, result.getBytes(StandardCharsets.UTF_8));
     }
   }
 
-  private void awaitRefusal(ResultStore.RejectionReason wanted) {
-    while (journal.rejectionReason() != wanted) {
+  private void awaitRejectionReason(ResultStore.RejectionReason expected) {
+    while (log.rejectionReason() != expected) {
       Thread.onSpinWait();
     }
   }
 
   @Test
-  void aResultGoesOutWhenItIsOnDiskAndNotBefore() throws Exception {
-    Asked one = new Asked("k", "x");
-    one.runs();
-    disk.stall();
-    one.ends("saved");
-    disk.awaitStalled();
-    Asked repeat = new Asked("k", "x");
-    assertTrue(one.answers.isEmpty() && repeat.answers.isEmpty(), "it is not on disk");
-    disk.wake();
-    assertEquals("saved", new String(one.answer().result(), StandardCharsets.UTF_8));
+  void result_whileItsSyncIsStalled_isAnsweredOnlyAfterSync() throws Exception {
+    ClientRequest request = new ClientRequest("k", "x");
+    request.awaitDispatch();
+    disk.stallSyncs();
+    request.complete("saved");
+    disk.awaitStalledSync();
+    ClientRequest repeat = new ClientRequest("k", "x");
+    assertTrue(request.answers.isEmpty() && repeat.answers.isEmpty(), "no answer before the result is on disk");
+    disk.resumeSyncs();
+    assertEquals("saved", new String(request.answer().result(), StandardCharsets.UTF_8));
     assertEquals("saved", new String(repeat.answer().result(), StandardCharsets.UTF_8));
   }
 
   @Test
-  void aStalledDiskRefusesKeyedWorkAtOnceAndNothingElse() throws Exception {
-    disk.stall();
-    Asked first = new Asked("a", "x");
-    disk.awaitStalled();
-    Answer refused = first.answer();
-    assertEquals(Answer.Kind.REJECTED, refused.kind());
-    assertTrue(refused.retryAfterSeconds() > 0, "with a time to come back");
-    assertTrue(first.took < 1.5, "its patience is 0.3 s: " + first.took);
-    awaitRefusal(ResultStore.RejectionReason.DISK_STALLED);
-    Asked second = new Asked("b", "x");
+  void stalledDisk_rejectsKeyedRequestsAndServesUnkeyed() throws Exception {
+    disk.stallSyncs();
+    ClientRequest first = new ClientRequest("a", "x");
+    disk.awaitStalledSync();
+    Answer rejection = first.answer();
+    assertEquals(Answer.Kind.REJECTED, rejection.kind());
+    assertTrue(rejection.retryAfterSeconds() > 0, "the rejection has a Retry-After");
+    assertTrue(first.answerSeconds < 1.5, "expected an answer after the intent timeout of 0.3 s, found " + first.answerSeconds);
+    awaitRejectionReason(ResultStore.RejectionReason.DISK_STALLED);
+    ClientRequest second = new ClientRequest("b", "x");
     assertEquals(Answer.Kind.REJECTED, second.answer().kind());
-    assertTrue(second.took < 1, "not held to near its due time of 3 s: " + second.took);
-    Asked read = new Asked(null, "x");
-    read.runs();
-    read.ends("fine");
+    assertTrue(second.answerSeconds < 1, "expected an immediate rejection, long before the deadline of 3 s, found " + second.answerSeconds);
+    ClientRequest read = new ClientRequest(null, "x");
+    read.awaitDispatch();
+    read.complete("fine");
     assertEquals("fine", new String(read.answer().result(), StandardCharsets.UTF_8));
-    assertEquals(null, spawned.poll(), "what could not be recorded never ran");
-    disk.wake();
-    awaitRefusal(null);
-    Asked again = new Asked("a", "x");
-    again.runs();
-    again.ends("now");
-    assertEquals("now", new String(again.answer().result(), StandardCharsets.UTF_8));
+    assertEquals(null, dispatched.poll(), "a request without an intent record must not be dispatched");
+    disk.resumeSyncs();
+    awaitRejectionReason(null);
+    ClientRequest retry = new ClientRequest("a", "x");
+    retry.awaitDispatch();
+    retry.complete("now");
+    assertEquals("now", new String(retry.answer().result(), StandardCharsets.UTF_8));
   }
 
   @Test
-  void aDiskThatIsSilentForTwoSecondsUnderLoadLeavesNobodyWithoutAnAnswer() throws Exception {
-    Asked first = new Asked("first", "x");
-    first.runs();
-    disk.stall();
-    first.ends("saved");
-    disk.awaitStalled();
+  void diskStalledForTwoSecondsUnderLoad_everyRequestIsAnswered() throws Exception {
+    ClientRequest first = new ClientRequest("first", "x");
+    first.awaitDispatch();
+    disk.stallSyncs();
+    first.complete("saved");
+    disk.awaitStalledSync();
     long until = System.nanoTime() + 2_000_000_000L;
-    List<Asked> keyed = new ArrayList<>();
+    List<ClientRequest> keyed = new ArrayList<>();
     int reads = 0;
     while (System.nanoTime() < until) {
-      Asked refused = new Asked("k" + keyed.size(), "x");
-      keyed.add(refused);
-      assertEquals(Answer.Kind.REJECTED, refused.answer().kind());
-      assertTrue(refused.took < 1, "given up is answered at once: " + refused.took);
-      Asked read = new Asked(null, "x");
-      read.runs(); // and nothing keyed: that would come first
-      read.ends("fine");
+      ClientRequest rejected = new ClientRequest("k" + keyed.size(), "x");
+      keyed.add(rejected);
+      assertEquals(Answer.Kind.REJECTED, rejected.answer().kind());
+      assertTrue(rejected.answerSeconds < 1, "expected an immediate rejection, found " + rejected.answerSeconds);
+      ClientRequest read = new ClientRequest(null, "x");
+      read.awaitDispatch(); // also checks that no keyed request was dispatched before
+      read.complete("fine");
       assertEquals(Answer.Kind.SERVED, read.answer().kind());
       reads++;
     }
-    disk.wake();
+    disk.resumeSyncs();
     assertEquals(
         "saved",
         new String(first.answer().result(), StandardCharsets.UTF_8),
-        "in time, once the disk is back");
+        "the result is answered before its deadline, once the disk responds");
     assertTrue(
         keyed.size() > 50 && reads > 50, keyed.size() + " keyed and " + reads + " unkeyed in 2 s");
-    awaitRefusal(null);
-    Asked again = new Asked("k0", "x");
-    again.runs();
+    awaitRejectionReason(null);
+    ClientRequest retry = new ClientRequest("k0", "x");
+    retry.awaitDispatch();
   }
 
   @Test
-  void aResultThatTheDiskDoesNotTakeIsStillAnsweredAndNeverRunsAgain() throws Exception {
-    Asked one = new Asked("k", "x");
-    one.runs();
-    disk.fail(1, 1);
-    one.ends("saved");
-    assertEquals("saved", new String(one.answer().result(), StandardCharsets.UTF_8));
-    assertEquals(1L, journal.metrics().get(ResultMetric.UNSAVED_RESULTS));
+  void resultThatCannotBeWritten_isAnsweredAndNotExecutedAgain() throws Exception {
+    ClientRequest request = new ClientRequest("k", "x");
+    request.awaitDispatch();
+    disk.failOperations(1, 1);
+    request.complete("saved");
+    assertEquals("saved", new String(request.answer().result(), StandardCharsets.UTF_8));
+    assertEquals(1L, log.metrics().get(ResultMetric.UNSAVED_RESULTS));
     assertEquals(
         "saved",
-        new String(new Asked("k", "x").answer().result(), StandardCharsets.UTF_8),
-        "from memory");
-    assertEquals(1L, journal.metrics().get(ResultMetric.DISK_ERRORS));
+        new String(new ClientRequest("k", "x").answer().result(), StandardCharsets.UTF_8),
+        "a retry gets the result from memory");
+    assertEquals(1L, log.metrics().get(ResultMetric.DISK_ERRORS));
   }
 
   @Test
-  void aResultThatWaitsForTheDiskPastItsDueTimeFailsAndIsThereLater() throws Exception {
-    Asked one = new Asked("k", "x");
-    one.runs();
-    disk.stall();
-    one.ends("saved");
+  void resultSyncedAfterDeadline_firstAttemptFailsAndRetryGetsResult() throws Exception {
+    ClientRequest request = new ClientRequest("k", "x");
+    request.awaitDispatch();
+    disk.stallSyncs();
+    request.complete("saved");
     assertEquals(
         Answer.Kind.DEADLINE_EXCEEDED,
-        one.answer().kind(),
-        "the due time holds whatever the disk does");
-    disk.wake();
+        request.answer().kind(),
+        "the deadline is kept even while the disk is stalled");
+    disk.resumeSyncs();
     assertEquals(
-        "saved", new String(new Asked("k", "x").answer().result(), StandardCharsets.UTF_8));
+        "saved", new String(new ClientRequest("k", "x").answer().result(), StandardCharsets.UTF_8));
   }
 
   @Test
-  void aDiskThatFailsAnIntentRefusesItAndTheKeyMayRunLater() throws Exception {
-    disk.fail(1, 1);
-    Asked one = new Asked("k", "x");
-    assertEquals(Answer.Kind.REJECTED, one.answer().kind());
-    Asked meanwhile = new Asked("k", "x");
+  void intentThatCannotBeWritten_isRejectedAndKeyRunsLater() throws Exception {
+    disk.failOperations(1, 1);
+    ClientRequest request = new ClientRequest("k", "x");
+    assertEquals(Answer.Kind.REJECTED, request.answer().kind());
+    ClientRequest meanwhile = new ClientRequest("k", "x");
     assertEquals(Answer.Kind.REJECTED, meanwhile.answer().kind());
-    assertEquals(null, spawned.poll());
-    awaitRefusal(null);
-    Asked again = new Asked("k", "x");
-    again.runs();
+    assertEquals(null, dispatched.poll());
+    awaitRejectionReason(null);
+    ClientRequest retry = new ClientRequest("k", "x");
+    retry.awaitDispatch();
   }
 
   @Test
-  void aDamagedLogLetsNoUnknownKeyRunForAWindow() throws Exception {
-    MemorySegmentStore other = disk.afterKill();
-    other.lose(other.numbers().get(0));
-    WriteAheadLog next = new WriteAheadLog(WriteAheadLogTest.settings(4, "group"), () -> other);
-    core.restore(next.open(20));
-    Asked unknown = new Asked("k", "x");
+  void damagedLog_failsUnknownKeysAndServesUnkeyedRequests() throws Exception {
+    MemorySegmentStore damagedDisk = disk.afterKill();
+    damagedDisk.remove(damagedDisk.numbers().get(0));
+    WriteAheadLog next = new WriteAheadLog(WriteAheadLogTest.settings(4, "group"), () -> damagedDisk);
+    coordinator.restore(next.open(20));
+    ClientRequest unknown = new ClientRequest("k", "x");
     assertEquals(
         Answer.Kind.FAILED,
         unknown.answer().kind(),
-        "it may have run: it fails, and is not refused");
-    Asked read = new Asked(null, "x");
-    read.runs();
+        "the request may have run, so it fails and is not rejected");
+    ClientRequest read = new ClientRequest(null, "x");
+    read.awaitDispatch();
   }
 }
--- a/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
@@ -19,8 +19,8 @@
 
 /**
  * Writes the stored results folder that {@link StoredFormatTest} reads. It was run once, with the
- * build whose files are to stay readable; running it again records whatever the present build
- * writes, so a difference in an existing file is a change of the format on disk.
+ * build whose files must stay readable. Running it again records what the current build writes, so a
+ * difference in an existing file is a change of the format on disk.
  */
 final class StoredFormatFixtures {
   static final Path FOLDER = Path.of("src/test/resources/fixtures/durable");
@@ -32,27 +32,30 @@
       List.of("results-00000000.log", "results-00000001.log", "results-00000002.log");
   static final String MANIFEST = "list";
 
-  /** Of no machine: records of another boot are never left out for their age. */
-  static final long BOOT = 0x0102030405060708L;
+  /** A boot ID that no machine has: recovery never skips records of another boot as expired. */
+  static final long BOOT_ID = 0x0102030405060708L;
 
-  /** The year 2100, so that recovery's lower bound, which depends on the present, never shows. */
-  static final long LAST_DOOR = 4_102_444_800_000L;
+  /**
+   * In the year 2100, so that the lower bound that recovery derives from the current time never takes
+   * effect.
+   */
+  static final long COVERED_UNTIL_MILLIS = 4_102_444_800_000L;
 
   static final double LONGEST_WINDOW_SECONDS = 20;
   private static final double WINDOW_SECONDS = 12.5;
-  private static final long CHECK = 0x1122334455667788L;
+  private static final long BODY_CHECKSUM = 0x1122334455667788L;
 
-  /** Bytes of the record that a crash cut, of those that reached the disk. */
+  /** Bytes of the torn record that reached the disk. */
   private static final int TORN_BYTES = 40;
 
   private StoredFormatFixtures() {}
 
-  /** Run from the project's folder; needs the classes of the tests and of the program. */
+  /** Run from the project's root folder, with the test and main classes on the class path. */
   public static void main(String[] arguments) throws Exception {
     Files.createDirectories(STORE);
     try (var files = Files.list(STORE)) {
       if (files.findAny().isPresent()) {
-        throw new IllegalStateException(STORE + " has files: delete them to record anew");
+        throw new IllegalStateException(STORE + " is not empty: delete its files before recording them again");
       }
     }
     writeSequence(STORE);
@@ -69,7 +72,7 @@
     return copy;
   }
 
-  /** Whoever opens a folder writes to it, so what is recorded is only ever opened as a copy. */
+  /** Copies the stored folder: opening a log writes to its folder, so tests open only a copy. */
   static void copyStore(Path to) throws IOException {
     for (String name : SEGMENTS) {
       Files.copy(STORE.resolve(name), to.resolve(name));
@@ -89,68 +92,71 @@
     return new DaemonConfig.Durable(folder, 4 << 20, 100, 1 << 20, 5, "group");
   }
 
-  /** Three starts, each of which begins a segment; one record a batch, and one batch of two. */
+  /**
+   * Starts the log three times, which creates three segments. Every batch has one record, except one
+   * batch of two.
+   */
   static void writeSequence(Path folder) throws Exception {
-    try (WriteAheadLog journal = open(folder)) {
-      writeIntent(journal, key("2/0/first", 1));
-      writeEnd(journal, key("2/0/first", 1), new byte[] {'s', 'a', 'v', 'e', 'd', 0, (byte) 200});
-      writeIntent(journal, key("2/0/second", 2));
+    try (WriteAheadLog log = open(folder)) {
+      writeIntent(log, key("2/0/first", 1));
+      writeEnd(log, key("2/0/first", 1), new byte[] {'s', 'a', 'v', 'e', 'd', 0, (byte) 200});
+      writeIntent(log, key("2/0/second", 2));
     }
-    try (WriteAheadLog journal = open(folder)) {
-      writeEnd(journal, key("2/0/second", 2), new byte[0]);
-      writeIntent(journal, key("2/1/r\u00fcck/\u20ac", 3));
-      writeEnd(journal, key("2/1/r\u00fcck/\u20ac", 3), null);
-      writeIntent(journal, key("3/0/never begun", 4));
-      journal.discardIntent(key("3/0/never begun", 4));
+    try (WriteAheadLog log = open(folder)) {
+      writeEnd(log, key("2/0/second", 2), new byte[0]);
+      writeIntent(log, key("2/1/r\u00fcck/\u20ac", 3));
+      writeEnd(log, key("2/1/r\u00fcck/\u20ac", 3), null);
+      writeIntent(log, key("3/0/never begun", 4));
+      log.discardIntent(key("3/0/never begun", 4));
     }
-    FixedBootDisk disk = new FixedBootDisk(folder, BOOT);
-    try (WriteAheadLog journal = open(folder, disk)) {
-      disk.holdSyncs();
-      CountDownLatch three = new CountDownLatch(3);
-      journal.writeIntent(key("3/0/alone", 7), place -> three.countDown());
-      disk.awaitHeldSync();
-      journal.writeResult(key("3/0/alone", 7), new byte[] {1}, place -> three.countDown());
-      journal.writeIntent(key("3/0/same batch", 8), place -> three.countDown());
-      disk.releaseSyncs();
-      await(three);
-      writeIntent(journal, key("3/0/unknown end", 5));
-      writeIntent(journal, key("3/0/long result", 6));
+    FixedBootStore store = new FixedBootStore(folder, BOOT_ID);
+    try (WriteAheadLog log = open(folder, store)) {
+      store.blockSyncs();
+      CountDownLatch allWritten = new CountDownLatch(3);
+      log.writeIntent(key("3/0/alone", 7), location -> allWritten.countDown());
+      store.awaitBlockedSync();
+      log.writeResult(key("3/0/alone", 7), new byte[] {1}, location -> allWritten.countDown());
+      log.writeIntent(key("3/0/same batch", 8), location -> allWritten.countDown());
+      store.unblockSyncs();
+      await(allWritten);
+      writeIntent(log, key("3/0/unknown end", 5));
+      writeIntent(log, key("3/0/long result", 6));
       byte[] result = new byte[300];
       for (int i = 0; i < result.length; i++) {
         result[i] = (byte) (i * 7);
       }
-      writeEnd(journal, key("3/0/long result", 6), result);
+      writeEnd(log, key("3/0/long result", 6), result);
     }
   }
 
   private static WriteAheadLog open(Path folder) throws IOException {
-    return open(folder, new FixedBootDisk(folder, BOOT));
+    return open(folder, new FixedBootStore(folder, BOOT_ID));
   }
 
-  private static WriteAheadLog open(Path folder, SegmentStore disk) throws IOException {
-    WriteAheadLog journal = new WriteAheadLog(settings(folder), () -> disk);
-    journal.open(LONGEST_WINDOW_SECONDS);
-    return journal;
+  private static WriteAheadLog open(Path folder, SegmentStore store) throws IOException {
+    WriteAheadLog log = new WriteAheadLog(settings(folder), () -> store);
+    log.open(LONGEST_WINDOW_SECONDS);
+    return log;
   }
 
   private static ResultStore.KeyRecord key(String key, int number) {
     return new ResultStore.KeyRecord(
-        key, LAST_DOOR + number, WINDOW_SECONDS + number, CHECK + number);
+        key, COVERED_UNTIL_MILLIS + number, WINDOW_SECONDS + number, BODY_CHECKSUM + number);
   }
 
-  private static void writeIntent(WriteAheadLog journal, ResultStore.KeyRecord keyed)
+  private static void writeIntent(WriteAheadLog log, ResultStore.KeyRecord keyRecord)
       throws Exception {
     CountDownLatch written = new CountDownLatch(1);
-    if (journal.writeIntent(keyed, place -> written.countDown()) == null) {
+    if (log.writeIntent(keyRecord, location -> written.countDown()) == null) {
       throw new IllegalStateException("no intent could be written");
     }
     await(written);
   }
 
-  private static void writeEnd(WriteAheadLog journal, ResultStore.KeyRecord keyed, byte[] result)
+  private static void writeEnd(WriteAheadLog log, ResultStore.KeyRecord keyRecord, byte[] result)
       throws Exception {
     CountDownLatch written = new CountDownLatch(1);
-    journal.writeResult(keyed, result, place -> written.countDown());
+    log.writeResult(keyRecord, result, location -> written.countDown());
     await(written);
   }
 
@@ -160,29 +166,29 @@
     }
   }
 
-  /** What a crash leaves of a write: the first bytes of one further record, and zeros. */
+  /** Simulates a torn write: appends the first bytes of another record, followed by zeros. */
   private static void tearTail(Path segment) throws Exception {
     byte[] bytes = Files.readAllBytes(segment);
-    Segment.ScanResult seen = Segment.scan(ByteBuffer.wrap(bytes), (record, offset) -> {});
-    LogRecord cut =
+    Segment.ScanResult scan = Segment.scan(ByteBuffer.wrap(bytes), (record, offset) -> {});
+    LogRecord torn =
         new LogRecord(
             LogRecord.Kind.INTENT,
             true,
-            seen.lastBatch() + 1,
-            LAST_DOOR,
+            scan.lastBatch() + 1,
+            COVERED_UNTIL_MILLIS,
             1,
-            LAST_DOOR,
+            COVERED_UNTIL_MILLIS,
             12_500,
-            CHECK,
+            BODY_CHECKSUM,
             "3/0/torn",
             new byte[0]);
-    ByteBuffer whole = ByteBuffer.allocate(cut.size());
-    cut.writeTo(whole);
-    System.arraycopy(whole.array(), 0, bytes, seen.end(), TORN_BYTES);
+    ByteBuffer tornBytes = ByteBuffer.allocate(torn.size());
+    torn.writeTo(tornBytes);
+    System.arraycopy(tornBytes.array(), 0, bytes, scan.end(), TORN_BYTES);
     Files.write(segment, bytes);
   }
 
-  /** A line a segment, a record, and a run of bytes that is no record; all fields by name. */
+  /** One line per segment, record and torn tail, with all fields by name. */
   static String describeRecords(Path folder) throws Exception {
     StringBuilder text = new StringBuilder();
     byte[] manifest = Files.readAllBytes(folder.resolve(MANIFEST));
@@ -190,44 +196,44 @@
     for (String name : SEGMENTS) {
       byte[] bytes = Files.readAllBytes(folder.resolve(name));
       StringBuilder records = new StringBuilder();
-      Segment.ScanResult seen =
+      Segment.ScanResult scan =
           Segment.scan(
               ByteBuffer.wrap(bytes),
               (record, offset) -> records.append(describe(record, offset)).append('\n'));
-      Segment.Header head = seen.header();
+      Segment.Header header = scan.header();
       text.append(
           String.format(
               "segment file=%s bytes=%d version=%d firstBatch=%d number=%d boot=%016x capacity=%d"
                   + " records=%d lastBatch=%d end=%d torn=%b damaged=%b%n",
               name,
               bytes.length,
-              head.version(),
-              head.firstBatch(),
-              head.number(),
-              head.boot(),
-              head.capacity(),
-              seen.recordCount(),
-              seen.lastBatch(),
-              seen.end(),
-              seen.torn(),
-              seen.damaged()));
+              header.version(),
+              header.firstBatch(),
+              header.number(),
+              header.bootId(),
+              header.capacity(),
+              scan.recordCount(),
+              scan.lastBatch(),
+              scan.end(),
+              scan.torn(),
+              scan.damaged()));
       text.append(records);
-      byte[] tail = tail(bytes, seen.end());
+      byte[] tail = tail(bytes, scan.end());
       if (tail.length > 0) {
-        text.append("tail offset=").append(seen.end());
+        text.append("tail offset=").append(scan.end());
         text.append(" bytes=").append(HexFormat.of().formatHex(tail)).append('\n');
       }
     }
     return text.toString();
   }
 
-  @SuppressWarnings("EnumOrdinal") // stored: the format counts kinds in the order of declaration
+  @SuppressWarnings("EnumOrdinal") // the format numbers kinds in the order of declaration
   private static String describe(LogRecord record, int offset) {
     return String.format(
         "record offset=%d kind=%d ends=%b batch=%d wall=%d steady=%d lastDoor=%d window=%d"
             + " check=%016x result=%s key=%s",
         offset,
-        record.kind().ordinal() + 1, // as on disk: its name there is this number
+        record.kind().ordinal() + 1, // the number stored on disk
         record.lastOfBatch(),
         record.batch(),
         record.writtenAtMillis(),
@@ -247,13 +253,13 @@
     return Arrays.copyOfRange(bytes, from, to);
   }
 
-  /** What a daemon that starts on the folder knows: a line a key, results as it reads them. */
+  /** The keys that a daemon recovers from the folder, one line per key, with results as it reads them. */
   static String describeRecovered(Path folder) throws IOException {
     StringJoiner lines = new StringJoiner("\n", "", "\n");
-    WriteAheadLog journal =
-        new WriteAheadLog(settings(folder), () -> new FixedBootDisk(folder, BOOT + 1));
+    WriteAheadLog log =
+        new WriteAheadLog(settings(folder), () -> new FixedBootStore(folder, BOOT_ID + 1));
     try {
-      ResultStore.RecoveredKeys recovered = journal.open(LONGEST_WINDOW_SECONDS);
+      ResultStore.RecoveredKeys recovered = log.open(LONGEST_WINDOW_SECONDS);
       lines.add("blind=" + (recovered.unknownKeysFailUntilSeconds() > Double.NEGATIVE_INFINITY));
       for (ResultStore.RecoveredKey key : recovered.keys()) {
         lines.add(
@@ -264,43 +270,43 @@
                 key.bodyChecksum(),
                 key.position() < 0
                     ? "unknown"
-                    : HexFormat.of().formatHex(journal.readResult(key.key(), key.position())),
+                    : HexFormat.of().formatHex(log.readResult(key.key(), key.position())),
                 key.key()));
       }
     } finally {
-      journal.close();
+      log.close();
     }
     return lines.toString();
   }
 
-  /** Real files under a fixed boot; a sync can be held up, so that records gather behind it. */
-  private static final class FixedBootDisk implements SegmentStore {
+  /** Real files with a fixed boot ID; syncs can be blocked, so that records queue into one batch. */
+  private static final class FixedBootStore implements SegmentStore {
     private final FileSegmentStore files;
-    private final long boot;
+    private final long bootId;
     private final Semaphore syncs = new Semaphore(Integer.MAX_VALUE);
 
-    FixedBootDisk(Path folder, long boot) throws IOException {
+    FixedBootStore(Path folder, long bootId) throws IOException {
       files = new FileSegmentStore(folder);
-      this.boot = boot;
+      this.bootId = bootId;
     }
 
-    void holdSyncs() {
+    void blockSyncs() {
       syncs.drainPermits();
     }
 
-    void awaitHeldSync() throws InterruptedException {
+    void awaitBlockedSync() throws InterruptedException {
       while (!syncs.hasQueuedThreads()) {
         Thread.sleep(1);
       }
     }
 
-    void releaseSyncs() {
+    void unblockSyncs() {
       syncs.release(Integer.MAX_VALUE / 2);
     }
 
     @Override
     public long bootId() {
-      return boot;
+      return bootId;
     }
 
     @Override
@@ -319,8 +325,8 @@
     }
 
     @Override
-    public void create(long number, ByteBuffer head, int size) throws IOException {
-      files.create(number, head, size);
+    public void create(long number, ByteBuffer header, int size) throws IOException {
+      files.create(number, header, size);
     }
 
     @Override
--- a/src/test/java/wharftrestle/storage/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatTest.java
@@ -24,19 +24,19 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Holds the format on disk against a folder that an earlier build wrote: three segments, the
- * manifest, and a last segment that ends in a torn write.
+ * Compares the format on disk with a folder that an earlier build wrote: three segments, of which the
+ * last ends in a torn write, and the manifest.
  */
 class StoredFormatTest {
-  private static final int SEGMENT_HEAD_BYTES = 48;
-  private static final int RECORD_CRC_AT = 4;
-  private static final int RECORD_TIMES_AT = 13;
-  private static final int RECORD_TIMES_END = 29;
+  private static final int SEGMENT_HEADER_BYTES = 48;
+  private static final int RECORD_CRC_OFFSET = 4;
+  private static final int RECORD_TIMES_OFFSET = 13;
+  private static final int RECORD_TIMES_END_OFFSET = 29;
 
   @TempDir private Path folder;
 
   @Test
-  void aScanOfTheStoredFolder_givesTheRecordedFieldsOfEachRecord() throws Exception {
+  void scan_ofStoredFolder_readsRecordedFields() throws Exception {
     String expected = Files.readString(RECORDS);
 
     String actual = StoredFormatFixtures.describeRecords(STORE);
@@ -45,16 +45,16 @@
   }
 
   @Test
-  void theTailOfTheStoredFolder_isTornAndNotDamaged() throws Exception {
+  void scan_ofLastStoredSegment_isTornAndNotDamaged() throws Exception {
     ByteBuffer last = ByteBuffer.wrap(Files.readAllBytes(STORE.resolve(SEGMENTS.get(2))));
 
-    Segment.ScanResult seen = Segment.scan(last, (record, offset) -> {});
+    Segment.ScanResult scan = Segment.scan(last, (record, offset) -> {});
 
-    assertEquals("torn=true damaged=false", "torn=" + seen.torn() + " damaged=" + seen.damaged());
+    assertEquals("torn=true damaged=false", "torn=" + scan.torn() + " damaged=" + scan.damaged());
   }
 
   @Test
-  void aJournalOpenedOnTheStoredFolder_recoversTheRecordedKeysAndResults() throws Exception {
+  void open_onStoredFolder_recoversRecordedKeysAndResults() throws Exception {
     StoredFormatFixtures.copyStore(folder);
     String expected = Files.readString(RECOVERED);
 
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void anExportOfTheStoredFolder_givesTheRecordedJsonLines() throws Exception {
+  void export_ofStoredFolder_printsRecordedJsonLines() throws Exception {
     StoredFormatFixtures.copyStore(folder);
     String expected = Files.readString(EXPORT);
 
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void theRecordedFieldsWrittenToAFreshFolder_giveTheStoredBytes() throws Exception {
+  void recordedFields_writtenToNewFolder_giveStoredBytes() throws Exception {
     List<String> lines = Files.readAllLines(RECORDS);
 
     writeFolder(lines);
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void theSameSequenceThroughTheJournal_givesTheStoredBytesApartFromTimes() throws Exception {
+  void sameSequence_writtenByLog_givesStoredBytesApartFromTimes() throws Exception {
     StoredFormatFixtures.writeSequence(folder);
 
     for (String name : SEGMENTS) {
@@ -106,32 +106,32 @@
         MANIFEST);
   }
 
-  /** Writes segments, records with their recorded times, torn bytes and manifest. */
+  /** Writes the segments, records with their recorded times, the torn tail and the manifest. */
   private void writeFolder(List<String> lines) throws IOException {
-    FileSegmentStore disk = new FileSegmentStore(folder);
+    FileSegmentStore store = new FileSegmentStore(folder);
     try {
       List<Long> numbers = new ArrayList<>();
       for (String line : lines) {
         if (line.startsWith("segment ")) {
           numbers.add(Long.parseLong(field(line, "number")));
-          disk.create(numbers.get(numbers.size() - 1), head(line), integer(line, "capacity"));
+          store.create(numbers.get(numbers.size() - 1), header(line), integer(line, "capacity"));
         } else if (line.startsWith("record ")) {
           LogRecord record = record(line);
           ByteBuffer bytes = ByteBuffer.allocate(record.size());
           record.writeTo(bytes);
-          disk.write(numbers.get(numbers.size() - 1), integer(line, "offset"), bytes.flip());
+          store.write(numbers.get(numbers.size() - 1), integer(line, "offset"), bytes.flip());
         } else if (line.startsWith("tail ")) {
           ByteBuffer bytes = ByteBuffer.wrap(HexFormat.of().parseHex(field(line, "bytes")));
-          disk.write(numbers.get(numbers.size() - 1), integer(line, "offset"), bytes);
+          store.write(numbers.get(numbers.size() - 1), integer(line, "offset"), bytes);
         }
       }
-      disk.writeManifest(Manifest.encode(numbers));
+      store.writeManifest(Manifest.encode(numbers));
     } finally {
-      disk.close();
+      store.close();
     }
   }
 
-  private static ByteBuffer head(String line) {
+  private static ByteBuffer header(String line) {
     return Segment.header(
         integer(line, "firstBatch"),
         Long.parseLong(field(line, "number")),
@@ -159,21 +159,21 @@
 
   private static String field(String line, String name) {
     Matcher field = Pattern.compile(" " + name + "=(\\S*)").matcher(line);
-    assertTrue(field.find(), "no " + name + " in: " + line);
+    assertTrue(field.find(), "expected field " + name + " in line: " + line);
     return field.group(1);
   }
 
   /**
-   * Zeros in place of what depends on the moment of writing: both clocks of each record, with its
-   * check over them, and the torn bytes behind the last record. The places are those of the layout
-   * on disk and not taken from the code, so a field that moves shows.
+   * Zeros the bytes that depend on the time of writing: both times of each record, its CRC, and the
+   * torn bytes behind the last record. The offsets repeat the layout on disk instead of using
+   * constants of the main code, so that a moved field is detected.
    */
   private static byte[] withoutTimes(byte[] bytes) {
     ByteBuffer segment = ByteBuffer.wrap(bytes);
-    int at = SEGMENT_HEAD_BYTES;
+    int at = SEGMENT_HEADER_BYTES;
     while (isComplete(segment, at)) {
-      Arrays.fill(bytes, at + RECORD_CRC_AT, at + RECORD_CRC_AT + Integer.BYTES, (byte) 0);
-      Arrays.fill(bytes, at + RECORD_TIMES_AT, at + RECORD_TIMES_END, (byte) 0);
+      Arrays.fill(bytes, at + RECORD_CRC_OFFSET, at + RECORD_CRC_OFFSET + Integer.BYTES, (byte) 0);
+      Arrays.fill(bytes, at + RECORD_TIMES_OFFSET, at + RECORD_TIMES_END_OFFSET, (byte) 0);
       at += LogRecord.aligned(LogRecord.HEADER_BYTES + segment.getInt(at));
     }
     Arrays.fill(bytes, at, bytes.length, (byte) 0);
--- a/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
+++ b/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
@@ -31,32 +31,35 @@
 import wharftrestle.request.PendingIntent;
 import wharftrestle.request.ResultStore;
 
-/** The log alone: crashes at every byte and every operation, damage, bounds. */
+/**
+ * Tests the write-ahead log alone: crashes at every byte and every operation, damage, disk faults, and
+ * the space budget.
+ */
 class WriteAheadLogTest {
-  private static final double WINDOW = 20;
+  private static final double WINDOW_SECONDS = 20;
 
   static DaemonConfig.Durable settings(long mb, String sync) {
     return new DaemonConfig.Durable(Path.of("unused"), mb << 20, 1000, 1 << 20, 0.3, sync);
   }
 
-  private static ResultStore.KeyRecord keyed(String key) {
-    return new ResultStore.KeyRecord(key, System.currentTimeMillis() + 20_000, WINDOW, 5);
+  private static ResultStore.KeyRecord keyRecord(String key) {
+    return new ResultStore.KeyRecord(key, System.currentTimeMillis() + 20_000, WINDOW_SECONDS, 5);
   }
 
-  /** Where a record came to lie; waits for the word. */
+  /** A listener that waits for the location of a record. */
   private static final class WrittenLocation implements ResultStore.WriteListener {
     private final CountDownLatch notified = new CountDownLatch(1);
-    private volatile long place;
+    private volatile long location;
 
     @Override
     public void onWritten(long at) {
-      place = at;
+      location = at;
       notified.countDown();
     }
 
     long await() throws InterruptedException {
-      assertTrue(notified.await(10, TimeUnit.SECONDS), "no word from the disk");
-      return place;
+      assertTrue(notified.await(10, TimeUnit.SECONDS), "listener was not notified within 10 s");
+      return location;
     }
   }
 
@@ -67,24 +70,24 @@
   }
 
   /**
-   * Runs one key from intent to result; where the result lies, below 0 where any of it was not
-   * written.
+   * Writes the intent record and the result record of a key; returns the location of the result, or a
+   * negative value if one of them was not written.
    */
-  private static long run(WriteAheadLog log, String key, byte[] result)
+  private static long writeKey(WriteAheadLog log, String key, byte[] result)
       throws InterruptedException {
     WrittenLocation intent = new WrittenLocation();
-    if (log.writeIntent(keyed(key), intent) == null || intent.await() < 0) {
+    if (log.writeIntent(keyRecord(key), intent) == null || intent.await() < 0) {
       return -2;
     }
     WrittenLocation end = new WrittenLocation();
-    log.writeResult(keyed(key), result, end);
+    log.writeResult(keyRecord(key), result, end);
     return end.await();
   }
 
-  private static Map<String, ResultStore.RecoveredKey> byKey(ResultStore.RecoveredKeys recovered) {
-    Map<String, ResultStore.RecoveredKey> all = new HashMap<>();
-    recovered.keys().forEach(key -> all.put(key.key(), key));
-    return all;
+  private static Map<String, ResultStore.RecoveredKey> recoveredByKey(ResultStore.RecoveredKeys recovered) {
+    Map<String, ResultStore.RecoveredKey> keys = new HashMap<>();
+    recovered.keys().forEach(key -> keys.put(key.key(), key));
+    return keys;
   }
 
   private static boolean unknownKeysFail(ResultStore.RecoveredKeys recovered) {
@@ -92,38 +95,38 @@
   }
 
   @Example
-  void recordsAreRecoveredByteForByteAfterAKill() throws Exception {
+  void open_afterKill_recoversRecordsByteForByte() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
     try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> disk)) {
-      assertTrue(byKey(log.open(WINDOW)).isEmpty());
-      assertTrue(run(log, "2/0/good", result(3)) >= 0);
+      assertTrue(recoveredByKey(log.open(WINDOW_SECONDS)).isEmpty());
+      assertTrue(writeKey(log, "2/0/good", result(3)) >= 0);
       WrittenLocation intent = new WrittenLocation();
-      assertNotNull(log.writeIntent(keyed("2/0/open"), intent));
+      assertNotNull(log.writeIntent(keyRecord("2/0/open"), intent));
       intent.await();
       WrittenLocation failed = new WrittenLocation();
-      log.writeIntent(keyed("2/0/bad"), new WrittenLocation());
-      log.writeResult(keyed("2/0/bad"), null, failed);
+      log.writeIntent(keyRecord("2/0/bad"), new WrittenLocation());
+      log.writeResult(keyRecord("2/0/bad"), null, failed);
       failed.await();
-      PendingIntent given = log.writeIntent(keyed("2/0/void"), intent);
-      log.withdrawIntent(given, keyed("2/0/void"));
-      assertTrue(run(log, "2/0/last", result(4)) >= 0);
+      PendingIntent withdrawn = log.writeIntent(keyRecord("2/0/void"), intent);
+      log.withdrawIntent(withdrawn, keyRecord("2/0/void"));
+      assertTrue(writeKey(log, "2/0/last", result(4)) >= 0);
     }
     try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> disk.afterKill())) {
-      Map<String, ResultStore.RecoveredKey> known = byKey(next.open(WINDOW));
-      assertEquals(Set.of("2/0/good", "2/0/open", "2/0/bad", "2/0/last"), known.keySet());
-      assertArrayEquals(result(3), next.readResult("2/0/good", known.get("2/0/good").position()));
-      assertEquals(-1, known.get("2/0/open").position());
-      assertEquals(-1, known.get("2/0/bad").position());
+      Map<String, ResultStore.RecoveredKey> recoveredKeys = recoveredByKey(next.open(WINDOW_SECONDS));
+      assertEquals(Set.of("2/0/good", "2/0/open", "2/0/bad", "2/0/last"), recoveredKeys.keySet());
+      assertArrayEquals(result(3), next.readResult("2/0/good", recoveredKeys.get("2/0/good").position()));
+      assertEquals(-1, recoveredKeys.get("2/0/open").position());
+      assertEquals(-1, recoveredKeys.get("2/0/bad").position());
       assertThrows(
-          IOException.class, () -> next.readResult("2/0/other", known.get("2/0/good").position()));
+          IOException.class, () -> next.readResult("2/0/other", recoveredKeys.get("2/0/good").position()));
       assertTrue(
-          known.get("2/0/good").lastAttemptAtMillis() >= System.currentTimeMillis() + 15_000,
-          "whatever the clock did");
+          recoveredKeys.get("2/0/good").lastAttemptAtMillis() >= System.currentTimeMillis() + 15_000,
+          "the recovered key covers attempts of the next window, even if the clock stepped");
     }
   }
 
   @Example
-  void aForeignFormatAndANewerVersionAreRejectedInOneLine() throws Exception {
+  void open_withForeignFormatOrNewerVersion_failsWithOneLineMessage() throws Exception {
     MemorySegmentStore foreign = new MemorySegmentStore();
     foreign.replace(
         1,
@@ -131,30 +134,35 @@
             .getBytes(StandardCharsets.UTF_8));
     assertThrows(
         UnusableStorageException.class,
-        () -> new WriteAheadLog(settings(4, "group"), () -> foreign).open(WINDOW));
+        () -> new WriteAheadLog(settings(4, "group"), () -> foreign).open(WINDOW_SECONDS));
     MemorySegmentStore newer = new MemorySegmentStore();
     newer.writeManifest("wharftrestle-results 2\nend 0\n".getBytes(StandardCharsets.UTF_8));
     byte[] list = Manifest.encode(List.of(1L));
     String text = new String(list, StandardCharsets.UTF_8).replace("results 1", "results 9");
     assertNull(
-        Manifest.decode(text.getBytes(StandardCharsets.UTF_8)), "its check is of another text");
-    ByteBuffer head = Segment.header(1, 1, 7, 1024);
-    head.putInt(8, 9);
+        Manifest.decode(text.getBytes(StandardCharsets.UTF_8)), "the checksum does not match the changed text");
+    ByteBuffer header = Segment.header(1, 1, 7, 1024);
+    header.putInt(8, 9);
     java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
-    crc.update(head.slice(0, 40));
-    head.putInt(40, (int) crc.getValue());
-    newer.create(1, head, 1024);
+    crc.update(header.slice(0, 40));
+    header.putInt(40, (int) crc.getValue());
+    newer.create(1, header, 1024);
     UnusableStorageException e =
         assertThrows(
             UnusableStorageException.class,
-            () -> new WriteAheadLog(settings(4, "group"), () -> newer).open(WINDOW));
+            () -> new WriteAheadLog(settings(4, "group"), () -> newer).open(WINDOW_SECONDS));
     assertTrue(
         e.getMessage().contains("version 9") && e.getMessage().lines().count() == 1,
         e.getMessage());
   }
 
-  /** A log of three batches, with the places where its records begin. */
-  private static byte[] written(List<LogRecord> records, List<Integer> begins) {
+  /**
+   * A segment with three batches of three records.
+   *
+   * @param records filled with the records
+   * @param offsets filled with the offset of each record, and the offset behind the last one
+   */
+  private static byte[] segmentOfThreeBatches(List<LogRecord> records, List<Integer> offsets) {
     ByteBuffer file = ByteBuffer.allocate(4096);
     file.put(Segment.header(1, 3, 7, 4096));
     for (int i = 0; i < 9; i++) {
@@ -174,78 +182,78 @@
               i,
               "2/0/k" + (i % 3 == 1 ? i - 1 : i),
               kind == LogRecord.Kind.RESULT ? result(i) : new byte[0]);
-      begins.add(file.position());
+      offsets.add(file.position());
       record.writeTo(file);
       records.add(record);
     }
-    begins.add(file.position());
+    offsets.add(file.position());
     return file.array();
   }
 
   @Example
-  void aSegmentCutAtAnyByteNeverLosesAKeyUndetected() throws Exception {
+  void scan_ofSegmentTruncatedAtAnyByte_reportsDamage() throws Exception {
     List<LogRecord> records = new ArrayList<>();
-    List<Integer> begins = new ArrayList<>();
-    byte[] whole = written(records, begins);
-    for (int cut = 0; cut <= whole.length; cut++) {
-      Set<String> known = new HashSet<>();
-      Segment.ScanResult seen =
+    List<Integer> offsets = new ArrayList<>();
+    byte[] complete = segmentOfThreeBatches(records, offsets);
+    for (int cut = 0; cut <= complete.length; cut++) {
+      Set<String> foundKeys = new HashSet<>();
+      Segment.ScanResult scan =
           Segment.scan(
-              ByteBuffer.wrap(Arrays.copyOf(whole, cut)), (record, at) -> known.add(record.key()));
+              ByteBuffer.wrap(Arrays.copyOf(complete, cut)), (record, at) -> foundKeys.add(record.key()));
       int last = cut;
       long lost =
-          records.stream().filter(record -> begins.get(records.indexOf(record) + 1) > last).count();
+          records.stream().filter(record -> offsets.get(records.indexOf(record) + 1) > last).count();
       assertTrue(
-          lost == 0 || seen.damaged(), "cut at " + cut + ": records are gone and nobody says so");
-      assertEquals(cut < whole.length, seen.damaged(), "cut at " + cut);
+          lost == 0 || scan.damaged(), "cut at " + cut + ": records are lost but no damage is reported");
+      assertEquals(cut < complete.length, scan.damaged(), "cut at " + cut);
     }
   }
 
   @Example
-  void zerosFromAnyByteOnAreATornWriteAndLoseNothingBefore() throws Exception {
+  void scan_ofSegmentZeroedFromAnyByte_keepsEarlierRecordsWithoutDamage() throws Exception {
     List<LogRecord> records = new ArrayList<>();
-    List<Integer> begins = new ArrayList<>();
-    byte[] whole = written(records, begins);
-    for (int cut = begins.get(0); cut <= begins.get(9); cut++) {
-      byte[] torn = whole.clone();
+    List<Integer> offsets = new ArrayList<>();
+    byte[] complete = segmentOfThreeBatches(records, offsets);
+    for (int cut = offsets.get(0); cut <= offsets.get(9); cut++) {
+      byte[] torn = complete.clone();
       Arrays.fill(torn, cut, torn.length, (byte) 0);
-      List<LogRecord> known = new ArrayList<>();
-      Segment.ScanResult seen =
-          Segment.scan(ByteBuffer.wrap(torn), (record, at) -> known.add(record));
-      assertFalse(seen.damaged(), "a write that was never synced is no damage: " + cut);
+      List<LogRecord> foundRecords = new ArrayList<>();
+      Segment.ScanResult scan =
+          Segment.scan(ByteBuffer.wrap(torn), (record, at) -> foundRecords.add(record));
+      assertFalse(scan.damaged(), "a write that was never synced must not count as damage, cut at " + cut);
       for (int i = 0; i < records.size(); i++) {
-        if (begins.get(i + 1) <= cut) {
-          assertEquals(records.get(i).key(), known.get(i).key());
-          assertArrayEquals(records.get(i).result(), known.get(i).result());
+        if (offsets.get(i + 1) <= cut) {
+          assertEquals(records.get(i).key(), foundRecords.get(i).key());
+          assertArrayEquals(records.get(i).result(), foundRecords.get(i).result());
         }
       }
     }
   }
 
   @Example
-  void aGarbledByteInWhatWasSyncedIsDamage() throws Exception {
-    List<Integer> begins = new ArrayList<>();
-    byte[] whole = written(new ArrayList<>(), begins);
-    for (int at = Segment.HEADER_BYTES; at < begins.get(9); at++) {
-      byte[] bad = whole.clone();
+  void scan_withCorruptByteInSyncedBatch_reportsDamage() throws Exception {
+    List<Integer> offsets = new ArrayList<>();
+    byte[] complete = segmentOfThreeBatches(new ArrayList<>(), offsets);
+    for (int at = Segment.HEADER_BYTES; at < offsets.get(9); at++) {
+      byte[] bad = complete.clone();
       bad[at] ^= 0x41;
-      int[] seen = {0};
-      Segment.ScanResult scan = Segment.scan(ByteBuffer.wrap(bad), (record, offset) -> seen[0]++);
-      boolean padding = seen[0] == 9; // between two records nothing is notified
-      boolean lastBatch = at >= begins.get(6);
-      assertTrue(padding || seen[0] == 8, "one byte harms one record");
+      int[] intactRecords = {0};
+      Segment.ScanResult scan = Segment.scan(ByteBuffer.wrap(bad), (record, offset) -> intactRecords[0]++);
+      boolean padding = intactRecords[0] == 9; // a corrupt padding byte is not detected
+      boolean lastBatch = at >= offsets.get(6);
+      assertTrue(padding || intactRecords[0] == 8, "one corrupt byte invalidates one record");
       assertTrue(padding || lastBatch || scan.damaged(), "byte " + at + " of a synced batch");
       assertTrue(padding || scan.torn() || scan.damaged(), "byte " + at);
     }
   }
 
   /**
-   * Any log, cut at every byte: by zeros, as a crash tears it, and by its length, as a fault of the
-   * disk cuts it. The model says of each key what its whole records before the cut mean; none that
-   * ran may be free.
+   * Cuts random segments at every byte, either by zeros, as in a torn write, or by truncating the file,
+   * as in a disk fault. The model holds for each key the last of its records that are complete before
+   * the cut. A key that may have run must not be lost, as it could then run again.
    */
   @Property(tries = 60, seed = "29421")
-  void whereverALogIsCutNoKeyThatRanIsFree(@ForAll long seed) throws Exception {
+  void recovery_ofSegmentCutAtAnyByte_keepsEveryKeyThatMayHaveRun(@ForAll long seed) throws Exception {
     Random random = new Random(seed);
     ByteBuffer file = ByteBuffer.allocate(2048);
     file.put(Segment.header(1, 3, 7, 2048));
@@ -271,47 +279,47 @@
         record.writeTo(file);
         records.add(record);
         ends.add(
-            begin + LogRecord.HEADER_BYTES + file.getInt(begin)); // the zeros behind it say nothing
+            begin + LogRecord.HEADER_BYTES + file.getInt(begin)); // without padding
       }
     }
     for (int cut = Segment.HEADER_BYTES; cut <= 2048; cut++) {
       byte[] torn = file.array().clone();
       Arrays.fill(torn, cut, torn.length, (byte) 0);
-      Map<String, LogRecord> whole = new HashMap<>();
-      Map<String, LogRecord> unharmed = new HashMap<>(); // also those of which only zeros were cut
+      Map<String, LogRecord> complete = new HashMap<>();
+      Map<String, LogRecord> intact = new HashMap<>(); // also records of which only zero bytes were cut
       for (int i = 0; i < records.size(); i++) {
         if (ends.get(i) <= cut) {
-          whole.put(records.get(i).key(), records.get(i));
+          complete.put(records.get(i).key(), records.get(i));
         }
         if (Arrays.equals(torn, 0, ends.get(i), file.array(), 0, ends.get(i))) {
-          unharmed.put(records.get(i).key(), records.get(i));
+          intact.put(records.get(i).key(), records.get(i));
         }
       }
-      recovers(torn, unharmed, false, cut);
+      assertRecovers(torn, intact, false, cut);
       if (cut < 2048) {
-        recovers(Arrays.copyOf(file.array(), cut), whole, true, cut);
+        assertRecovers(Arrays.copyOf(file.array(), cut), complete, true, cut);
       }
     }
   }
 
-  private static void recovers(byte[] bytes, Map<String, LogRecord> model, boolean damaged, int cut)
+  private static void assertRecovers(byte[] bytes, Map<String, LogRecord> model, boolean damaged, int cut)
       throws Exception {
     Recovery recovery = new Recovery(System.currentTimeMillis(), 1000);
-    Segment.ScanResult seen =
+    Segment.ScanResult scan =
         Segment.scan(ByteBuffer.wrap(bytes), (record, at) -> recovery.replay(record, at, true));
     assertEquals(
         damaged,
-        seen.damaged(),
-        "cut at " + cut + ": where keys may be lost none that is unknown runs");
-    Map<String, Recovery.RecoveredKey> known = new HashMap<>();
-    recovery.keys().forEach(key -> known.put(key.key(), key));
+        scan.damaged(),
+        "cut at " + cut + ": damage must be reported if and only if keys may be lost");
+    Map<String, Recovery.RecoveredKey> recoveredKeys = new HashMap<>();
+    recovery.keys().forEach(key -> recoveredKeys.put(key.key(), key));
     for (LogRecord last : model.values()) {
-      Recovery.RecoveredKey key = known.remove(last.key());
+      Recovery.RecoveredKey key = recoveredKeys.remove(last.key());
       if (last.kind() == LogRecord.Kind.VOID) {
         assertNull(key, "cut at " + cut);
         continue;
       }
-      assertNotNull(key, "cut at " + cut + ": " + last.key() + " ran and is free");
+      assertNotNull(key, "cut at " + cut + ": " + last.key() + " may have run but was not recovered");
       byte[] found =
           key.location() < 0
               ? new byte[0]
@@ -322,9 +330,9 @@
   }
 
   @Property(tries = 300, seed = "29421")
-  void noBytesMakeAScanFail(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int changes)
+  void scan_ofRandomlyChangedBytes_neverThrows(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int changes)
       throws Exception {
-    byte[] bytes = written(new ArrayList<>(), new ArrayList<>());
+    byte[] bytes = segmentOfThreeBatches(new ArrayList<>(), new ArrayList<>());
     Random random = new Random(seed);
     for (int i = 0; i < changes; i++) {
       int at = Segment.HEADER_BYTES + random.nextInt(bytes.length - Segment.HEADER_BYTES);
@@ -334,195 +342,198 @@
   }
 
   @Example
-  void aMissingSegmentOrManifestIsDamageAndUnknownKeysDoNotRun() throws Exception {
+  void open_withMissingSegmentOrCorruptManifest_failsUnknownKeys() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
     try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> disk)) {
-      log.open(WINDOW);
-      run(log, "2/0/a", result(1));
+      log.open(WINDOW_SECONDS);
+      writeKey(log, "2/0/a", result(1));
     }
-    MemorySegmentStore without = disk.afterKill();
-    without.lose(without.numbers().get(0));
-    MemorySegmentStore again = without;
-    for (int i = 0; i < 2; i++) { // and also where the process that found it dies as well
-      MemorySegmentStore found = again;
+    MemorySegmentStore withoutSegment = disk.afterKill();
+    withoutSegment.remove(withoutSegment.numbers().get(0));
+    MemorySegmentStore reopened = withoutSegment;
+    for (int i = 0; i < 2; i++) { // the next start must detect the damage as well
+      MemorySegmentStore found = reopened;
       try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> found)) {
-        assertTrue(unknownKeysFail(next.open(WINDOW)));
+        assertTrue(unknownKeysFail(next.open(WINDOW_SECONDS)));
       }
-      again = found.afterKill();
+      reopened = found.afterKill();
     }
-    MemorySegmentStore short1 = disk.afterKill();
-    short1.replace(
-        short1.numbers().get(0), Arrays.copyOf(short1.bytes(short1.numbers().get(0)), 100));
-    try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> short1)) {
-      assertTrue(unknownKeysFail(next.open(WINDOW)), "a file that was cut");
+    MemorySegmentStore truncated = disk.afterKill();
+    truncated.replace(
+        truncated.numbers().get(0), Arrays.copyOf(truncated.bytes(truncated.numbers().get(0)), 100));
+    try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> truncated)) {
+      assertTrue(unknownKeysFail(next.open(WINDOW_SECONDS)), "a truncated segment");
     }
-    MemorySegmentStore unlisted = disk.afterKill();
-    unlisted.writeManifest("rubbish".getBytes(StandardCharsets.UTF_8));
-    try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> unlisted)) {
-      assertTrue(unknownKeysFail(next.open(WINDOW)), "a list that says nothing");
+    MemorySegmentStore corruptManifest = disk.afterKill();
+    corruptManifest.writeManifest("rubbish".getBytes(StandardCharsets.UTF_8));
+    try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> corruptManifest)) {
+      assertTrue(unknownKeysFail(next.open(WINDOW_SECONDS)), "a corrupt manifest");
     }
   }
 
   /**
-   * The promise of the log: whatever was told to be on disk before the power went is known after
-   * it, and a result is never another one. The power goes before each operation in turn.
+   * Simulates a power loss before each operation in turn. Every record whose listener was notified
+   * before the power loss must be recovered, with the same result.
    */
   @Example
-  void afterAPowerLossAtAnyOperationConfirmedRecordsAreRecovered() throws Exception {
+  void open_afterPowerLossAtAnyOperation_recoversConfirmedRecords() throws Exception {
     int operations = Integer.MAX_VALUE;
-    for (int dieAt = 1; dieAt < operations; dieAt++) {
+    for (int powerLossAt = 1; powerLossAt < operations; powerLossAt++) {
       MemorySegmentStore disk = new MemorySegmentStore();
-      Set<String> intended = new HashSet<>();
-      Map<String, byte[]> ended = new HashMap<>();
+      Set<String> confirmedIntents = new HashSet<>();
+      Map<String, byte[]> confirmedResults = new HashMap<>();
       WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> disk);
-      disk.die(dieAt);
+      disk.losePowerAt(powerLossAt);
       try {
-        log.open(WINDOW);
+        log.open(WINDOW_SECONDS);
       } catch (UnusableStorageException e) {
-        continue; // nothing was told yet
+        continue; // no record was confirmed yet
       }
       for (int i = 0; i < 6; i++) {
         String key = "2/0/k" + i;
         WrittenLocation intent = new WrittenLocation();
-        if (log.writeIntent(keyed(key), intent) == null || intent.await() < 0) {
+        if (log.writeIntent(keyRecord(key), intent) == null || intent.await() < 0) {
           break;
         }
-        intended.add(key);
+        confirmedIntents.add(key);
         WrittenLocation end = new WrittenLocation();
-        log.writeResult(keyed(key), result(i), end);
+        log.writeResult(keyRecord(key), result(i), end);
         if (end.await() >= 0) {
-          ended.put(key, result(i));
+          confirmedResults.put(key, result(i));
         }
       }
-      operations = disk.dead() ? operations : dieAt;
-      MemorySegmentStore left = disk.afterPowerLoss(dieAt);
+      operations = disk.isPowerLost() ? operations : powerLossAt;
+      MemorySegmentStore remaining = disk.afterPowerLoss(powerLossAt);
       log.close();
-      try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> left)) {
-        ResultStore.RecoveredKeys recovered = next.open(WINDOW);
-        Map<String, ResultStore.RecoveredKey> known = byKey(recovered);
+      try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> remaining)) {
+        ResultStore.RecoveredKeys recovered = next.open(WINDOW_SECONDS);
+        Map<String, ResultStore.RecoveredKey> recoveredKeys = recoveredByKey(recovered);
         assertTrue(
-            known.keySet().containsAll(intended), "power lost at " + dieAt + ": " + known.keySet());
-        assertFalse(unknownKeysFail(recovered), "power lost at " + dieAt);
-        for (String key : ended.keySet()) {
-          assertArrayEquals(ended.get(key), next.readResult(key, known.get(key).position()));
+            recoveredKeys.keySet().containsAll(confirmedIntents), "power lost at " + powerLossAt + ": " + recoveredKeys.keySet());
+        assertFalse(unknownKeysFail(recovered), "power lost at " + powerLossAt);
+        for (String key : confirmedResults.keySet()) {
+          assertArrayEquals(confirmedResults.get(key), next.readResult(key, recoveredKeys.get(key).position()));
         }
       }
     }
-    assertTrue(operations > 20 && operations < 100, operations + " operations were cut");
+    assertTrue(operations > 20 && operations < 100, operations + " operations, expected between 20 and 100");
   }
 
-  /** The next write goes well and its sync does not: that is told, and a fresh file goes on. */
-  private static void goesOnAfter(Consumer<MemorySegmentStore> fault) throws Exception {
+  /**
+   * Lets the sync of the next batch fail: its listener must get -1, and writing must continue in a new
+   * segment.
+   */
+  private static void assertContinuesAfter(Consumer<MemorySegmentStore> fault) throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
     try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> disk)) {
-      log.open(WINDOW);
-      run(log, "2/0/before", result(1));
+      log.open(WINDOW_SECONDS);
+      writeKey(log, "2/0/before", result(1));
       fault.accept(disk);
       WrittenLocation intent = new WrittenLocation();
-      log.writeIntent(keyed("2/0/at"), intent);
+      log.writeIntent(keyRecord("2/0/at"), intent);
       assertEquals(-1, intent.await());
       assertEquals(ResultStore.RejectionReason.DISK_FAILED, log.rejectionReason());
-      assertNull(log.writeIntent(keyed("2/0/while"), intent), "nothing is recorded meanwhile");
+      assertNull(log.writeIntent(keyRecord("2/0/while"), intent), "no intent is accepted after the failure");
       long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
       while (log.rejectionReason() != null && System.nanoTime() < until) {
         Thread.onSpinWait();
       }
-      assertTrue(run(log, "2/0/after", result(2)) >= 0);
-      assertEquals(2, disk.numbers().size(), "in a fresh file");
+      assertTrue(writeKey(log, "2/0/after", result(2)) >= 0);
+      assertEquals(2, disk.numbers().size(), "writing continues in a new segment");
     }
   }
 
   @Example
-  void aDiskFaultIsReportedAndAFreshSegmentGoesOn() throws Exception {
-    goesOnAfter(disk -> disk.fail(2, 1));
+  void syncThrowsIoException_writingContinuesInNewSegment() throws Exception {
+    assertContinuesAfter(disk -> disk.failOperations(2, 1));
   }
 
   @Example
-  void anErrorOfAnyKindIsReportedAndAFreshSegmentGoesOn() throws Exception {
-    goesOnAfter(disk -> disk.failBadly(2, 1));
+  void syncThrowsError_writingContinuesInNewSegment() throws Exception {
+    assertContinuesAfter(disk -> disk.failOperationsWithError(2, 1));
   }
 
   @Example
-  void aFaultInAListenerDoesNotEndTheWriter() throws Exception {
+  void listenerThrowsError_writerContinues() throws Exception {
     try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), MemorySegmentStore::new)) {
-      log.open(WINDOW);
+      log.open(WINDOW_SECONDS);
       log.writeIntent(
-          keyed("2/0/bad"),
-          place -> {
-            throw new StackOverflowError("made up");
+          keyRecord("2/0/bad"),
+          location -> {
+            throw new StackOverflowError("injected error");
           });
-      assertTrue(run(log, "2/0/good", result(1)) >= 0);
+      assertTrue(writeKey(log, "2/0/good", result(1)) >= 0);
     }
   }
 
   @Example
-  void aStalledDiskIsDetectedAndAQueuedIntentCanBeWithdrawn() throws Exception {
+  void stalledDisk_isDetectedAndIntentsCanBeWithdrawn() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
     try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> disk)) {
-      log.open(WINDOW);
-      disk.stall();
+      log.open(WINDOW_SECONDS);
+      disk.stallSyncs();
       WrittenLocation first = new WrittenLocation();
-      PendingIntent given = log.writeIntent(keyed("2/0/a"), first);
-      disk.awaitStalled();
-      PendingIntent waits = log.writeIntent(keyed("2/0/b"), new WrittenLocation());
+      PendingIntent intentBeingWritten = log.writeIntent(keyRecord("2/0/a"), first);
+      disk.awaitStalledSync();
+      PendingIntent queuedIntent = log.writeIntent(keyRecord("2/0/b"), new WrittenLocation());
       while (log.rejectionReason() == null) {
         Thread.onSpinWait();
       }
       assertEquals(ResultStore.RejectionReason.DISK_STALLED, log.rejectionReason());
-      log.withdrawIntent(waits, keyed("2/0/b")); // was never on its way
-      log.withdrawIntent(given, keyed("2/0/a")); // is on disk without a run: a record says so
-      disk.wake();
+      log.withdrawIntent(queuedIntent, keyRecord("2/0/b")); // still queued: removed from the queue
+      log.withdrawIntent(intentBeingWritten, keyRecord("2/0/a")); // being written: a VOID record must follow
+      disk.resumeSyncs();
       first.await();
-      run(log, "2/0/c", result(1));
+      writeKey(log, "2/0/c", result(1));
     }
     try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> disk.afterKill())) {
-      assertEquals(Set.of("2/0/c"), byKey(next.open(WINDOW)).keySet());
+      assertEquals(Set.of("2/0/c"), recoveredByKey(next.open(WINDOW_SECONDS)).keySet());
     }
   }
 
   @Example
-  void aFullLogAcceptsNoIntentWhoseResultWouldNotFit() throws Exception {
+  void fullLog_acceptsNoIntentWhoseResultWouldNotFit() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
     DaemonConfig.Durable small = settings(4, "none");
     long lost = 0;
     try (WriteAheadLog log = new WriteAheadLog(small, () -> disk)) {
-      log.open(WINDOW);
-      int taken = 0;
+      log.open(WINDOW_SECONDS);
+      int acceptedKeys = 0;
       byte[] longest = new byte[4096];
       for (int i = 0; i < 5000; i++) {
         String key = "2/0/k" + i;
         WrittenLocation intent = new WrittenLocation();
-        if (log.writeIntent(keyed(key), intent) == null) {
+        if (log.writeIntent(keyRecord(key), intent) == null) {
           assertEquals(ResultStore.RejectionReason.STORE_FULL, log.rejectionReason());
           break;
         }
         intent.await();
-        taken++;
+        acceptedKeys++;
         WrittenLocation end = new WrittenLocation();
-        log.writeResult(keyed(key), longest, end);
+        log.writeResult(keyRecord(key), longest, end);
         lost += end.await() < 0 ? 1 : 0;
       }
-      assertTrue(taken > 700 && taken < 5000, taken + " keys in 4 MB");
-      assertEquals(0, lost, "every intent that was taken has its result on disk");
+      assertTrue(acceptedKeys > 700 && acceptedKeys < 5000, acceptedKeys + " keys in 4 MB");
+      assertEquals(0, lost, "every accepted intent must have its result on disk");
       assertTrue(
-          disk.numbers().stream().mapToLong(n -> disk.bytes(n).length).sum() <= 4 << 20, "bounded");
+          disk.numbers().stream().mapToLong(n -> disk.bytes(n).length).sum() <= 4 << 20, "size on disk within the budget of 4 MB");
       assertTrue(
           log.retryAfterSeconds(ResultStore.RejectionReason.STORE_FULL) > 1,
-          "and says when it is worth while to come again");
+          "Retry-After must be the time until a segment expires");
     }
   }
 
   @Example
-  void repeatedStartsDoNotFillTheFolder() throws Exception {
+  void open_repeatedly_keepsNumberOfSegmentsBounded() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
     for (int start = 0; start < 40; start++) {
       MemorySegmentStore found = disk;
       try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> found)) {
-        Map<String, ResultStore.RecoveredKey> known = byKey(log.open(WINDOW));
-        assertEquals(start, known.size(), "start " + start);
+        Map<String, ResultStore.RecoveredKey> recoveredKeys = recoveredByKey(log.open(WINDOW_SECONDS));
+        assertEquals(start, recoveredKeys.size(), "start " + start);
         assertNull(log.rejectionReason(), "start " + start);
         for (int i = 0; i < start; i++) {
-          ResultStore.RecoveredKey key = known.get("2/0/k" + i);
+          ResultStore.RecoveredKey key = recoveredKeys.get("2/0/k" + i);
           if (i % 3 == 0) {
             assertEquals(-1, key.position());
           } else {
@@ -532,56 +543,56 @@
         String key = "2/0/k" + start;
         if (start % 3 == 0) {
           WrittenLocation intent = new WrittenLocation();
-          log.writeIntent(keyed(key), intent);
+          log.writeIntent(keyRecord(key), intent);
           assertTrue(intent.await() >= 0);
         } else {
-          assertTrue(run(log, key, result(start)) >= 0);
+          assertTrue(writeKey(log, key, result(start)) >= 0);
         }
       }
       disk = disk.afterKill();
-      assertTrue(disk.numbers().size() <= 10, disk.numbers() + " files");
+      assertTrue(disk.numbers().size() <= 10, disk.numbers() + ": expected at most 10 segments");
     }
   }
 
   @Example
-  void aCompactionThatDiesAtAnyOperationLosesNoKey() throws Exception {
+  void compaction_withPowerLossAtAnyOperation_losesNoKey() throws Exception {
     MemorySegmentStore full = new MemorySegmentStore();
     Map<String, byte[]> results = new HashMap<>();
     for (int start = 0; start < 5; start++) {
       MemorySegmentStore found = full;
       try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> found)) {
-        log.open(WINDOW);
+        log.open(WINDOW_SECONDS);
         results.put("2/0/k" + start, result(start));
-        run(log, "2/0/k" + start, result(start));
+        writeKey(log, "2/0/k" + start, result(start));
       }
       full = full.afterKill();
     }
-    boolean died = true;
-    for (int dieAt = 1; died; dieAt++) {
+    boolean powerLost = true;
+    for (int powerLossAt = 1; powerLost; powerLossAt++) {
       MemorySegmentStore disk = full.afterKill();
-      disk.die(dieAt);
+      disk.losePowerAt(powerLossAt);
       try {
         assertTrue(Compaction.run(disk, 256 * 1024, 16));
-        died = false;
-      } catch (IOException power) {
-        died = true;
+        powerLost = false;
+      } catch (IOException e) {
+        powerLost = true;
       }
-      MemorySegmentStore left = disk.afterPowerLoss(dieAt);
-      try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> left)) {
-        ResultStore.RecoveredKeys recovered = next.open(WINDOW);
-        assertFalse(unknownKeysFail(recovered), "died at " + dieAt);
-        Map<String, ResultStore.RecoveredKey> known = byKey(recovered);
-        assertEquals(results.keySet(), known.keySet());
+      MemorySegmentStore remaining = disk.afterPowerLoss(powerLossAt);
+      try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> remaining)) {
+        ResultStore.RecoveredKeys recovered = next.open(WINDOW_SECONDS);
+        assertFalse(unknownKeysFail(recovered), "power lost at " + powerLossAt);
+        Map<String, ResultStore.RecoveredKey> recoveredKeys = recoveredByKey(recovered);
+        assertEquals(results.keySet(), recoveredKeys.keySet());
         for (String key : results.keySet()) {
-          assertArrayEquals(results.get(key), next.readResult(key, known.get(key).position()));
+          assertArrayEquals(results.get(key), next.readResult(key, recoveredKeys.get(key).position()));
         }
       }
-      assertTrue(died || disk.numbers().size() == 1, "one file is left of five");
+      assertTrue(powerLost || disk.numbers().size() == 1, "a completed compaction leaves one segment of five");
     }
   }
 
   @Example
-  void expiredSegmentsFreeTheirSpace() {
+  void removingExpiredSegment_freesItsSpace() {
     SpaceBudget space = new SpaceBudget(4 << 20);
     space.addSegment(1, Segment.HEADER_BYTES, 0);
     for (int i = 0; space.tryReserve(200); i++) {
@@ -596,18 +607,18 @@
     assertEquals(-1, space.oldestExpiredSegment(29));
     assertEquals(1, space.oldestExpiredSegment(60));
     space.removeOldest();
-    assertTrue(space.tryReserve(200), "whole files come back");
-    assertEquals(2, space.oldestExpiredSegment(1000), "the one that is written stays");
+    assertTrue(space.tryReserve(200), "removing a segment frees its space");
+    assertEquals(2, space.oldestExpiredSegment(1000), "the current segment is never removed");
   }
 
   @Example
-  void recordsExpireByTheMonotonicClockUnlessOfAnEarlierBoot() {
+  void recovery_skipsRecordsExpiredByMonotonicClockUnlessOfEarlierBoot() {
     long now = 1_000_000;
     Recovery recovery = new Recovery(System.currentTimeMillis(), now);
-    LogRecord old =
+    LogRecord expired =
         new LogRecord(
             LogRecord.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/old", new byte[1]);
-    LogRecord young =
+    LogRecord live =
         new LogRecord(
             LogRecord.Kind.RESULT,
             true,
@@ -619,21 +630,21 @@
             5,
             "2/0/young",
             new byte[1]);
-    LogRecord before =
+    LogRecord earlierBoot =
         new LogRecord(
             LogRecord.Kind.RESULT, true, 1, 0, now - 31_000, 1, 20_000, 5, "2/0/boot", new byte[1]);
-    recovery.replay(old, 1, true);
-    recovery.replay(young, 2, true);
-    recovery.replay(before, 3, false);
+    recovery.replay(expired, 1, true);
+    recovery.replay(live, 2, true);
+    recovery.replay(earlierBoot, 3, false);
     Set<String> keys = new HashSet<>();
     recovery
         .keys()
         .forEach(
-            known -> {
-              keys.add(known.key());
+            recoveredKey -> {
+              keys.add(recoveredKey.key());
               assertTrue(
-                  known.coveredUntilMillis() >= System.currentTimeMillis() + 19_000,
-                  "stamps are of a clock that may step");
+                  recoveredKey.coveredUntilMillis() >= System.currentTimeMillis() + 19_000,
+                  "the clock that stamps attempts may step");
             });
     assertEquals(Set.of("2/0/young", "2/0/boot"), keys);
   }
