--- a/src/main/java/wharftrestle/storage/Segment.java
+++ b/src/main/java/wharftrestle/storage/Segment.java
@@ -34,7 +34,7 @@
   /**
    * A decoded header.
    *
-   * @param boot ID of the boot in which the records were written; their monotonic times are valid
+   * @param bootId ID of the boot in which the records were written; their monotonic times are valid
    *     only in that boot
    */
   record Header(int version, int firstBatch, long number, long bootId, long capacity) {}
@@ -50,8 +50,8 @@
    * @param header null if it is corrupt or truncated
    * @param end offset behind the last intact record
    * @param recordCount number of intact records
-   * @param lastBatch batch number of the last intact record; 0 if the header is corrupt and there
-   *     is no record
+   * @param lastBatch batch number of the last intact record; if there is none, the number before
+   *     the header's first batch, or 0 without a header
    * @param torn true if there are bytes that belong to no complete batch, as a crash during a write
    *     leaves them
    * @param damaged true if records that had been synced are lost
--- a/src/main/java/wharftrestle/storage/SegmentScan.java
+++ b/src/main/java/wharftrestle/storage/SegmentScan.java
@@ -20,7 +20,7 @@
   private boolean damaged;
   private int recordCount;
   private int batch; // batch number of the last intact record
-  private boolean batchEnded; // whether the last intact record ended its batch
+  private boolean batchComplete; // whether the last intact record ended its batch
   private int firstCorruptBatch = NO_BATCH; // lowest batch number with a corrupt region
   private int end = Segment.HEADER_BYTES;
 
@@ -29,7 +29,7 @@
     this.header = header;
     damaged = header == null || bytes.limit() < header.capacity();
     batch = header == null ? 0 : header.firstBatch() - 1;
-    batchEnded = header != null;
+    batchComplete = header != null;
   }
 
   Segment.ScanResult run(Segment.RecordVisitor visitor) {
@@ -39,7 +39,7 @@
       at = record == null ? skipCorruptRegion(at) : visitRecord(record, at, visitor);
     }
     boolean torn =
-        firstCorruptBatch != NO_BATCH || (recordCount > 0 && !batchEnded) || !isZeroFrom(end);
+        firstCorruptBatch != NO_BATCH || (recordCount > 0 && !batchComplete) || !isZeroFrom(end);
     return new Segment.ScanResult(header, end, recordCount, batch, torn, damaged);
   }
 
@@ -49,7 +49,7 @@
   private int skipCorruptRegion(int at) {
     int next = findIntactRecord(at);
     if (next >= 0) {
-      firstCorruptBatch = Math.min(firstCorruptBatch, batchEnded ? batch + 1 : batch);
+      firstCorruptBatch = Math.min(firstCorruptBatch, batchComplete ? batch + 1 : batch);
       damaged |= LogRecord.readAt(bytes, next).batch() > firstCorruptBatch;
     }
     return next;
@@ -59,7 +59,7 @@
   private int visitRecord(LogRecord record, int at, Segment.RecordVisitor visitor) {
     damaged |= record.batch() > firstCorruptBatch;
     batch = record.batch();
-    batchEnded = record.lastOfBatch();
+    batchComplete = record.lastOfBatch();
     recordCount++;
     visitor.visit(record, at);
     end = at + record.size();
--- a/src/main/java/wharftrestle/storage/SegmentWriter.java
+++ b/src/main/java/wharftrestle/storage/SegmentWriter.java
@@ -14,35 +14,35 @@
  */
 final class SegmentWriter {
   private static final int BUFFER_BYTES = 256 * 1024;
-  private static final int EMPTY = -1;
+  private static final int NO_OFFSET = -1;
 
   private final SegmentStore store;
   private final SpaceBudget space;
-  private final boolean syncs;
+  private final boolean syncEnabled;
   private final LogMetrics metrics;
   private final TreeSet<Long> missingSegments;
   private final double missingSegmentsExpireAtSeconds;
   private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
-  private int bufferOffset = EMPTY; // offset in the segment of the buffer's first byte
+  private int bufferOffset = NO_OFFSET; // offset in the segment of the buffer's first byte
   private int batch;
 
   /**
    * Creates a writer that continues the log that a reader found.
    *
-   * @param syncs false if records are not synced and may be lost in a power failure
+   * @param syncEnabled false if records are not synced and may be lost in a power failure
    * @param missingSegmentsExpireAtSeconds time until which missing segments stay in the manifest,
    *     so that another start detects the damage as well
    */
   SegmentWriter(
       SegmentStore store,
       SpaceBudget space,
-      boolean syncs,
+      boolean syncEnabled,
       LogMetrics metrics,
       LogReader.Contents contents,
       double missingSegmentsExpireAtSeconds) {
     this.store = store;
     this.space = space;
-    this.syncs = syncs;
+    this.syncEnabled = syncEnabled;
     this.metrics = metrics;
     this.missingSegments = new TreeSet<>(contents.missingSegments());
     this.missingSegmentsExpireAtSeconds = missingSegmentsExpireAtSeconds;
@@ -102,7 +102,7 @@
   void write(List<PendingRecord> records) throws IOException {
     batch++;
     buffer.clear();
-    bufferOffset = EMPTY;
+    bufferOffset = NO_OFFSET;
     long wallMillis = SteadyWallClock.wallMillis();
     long monotonicMillis = LogClock.monotonicMillis();
     long[] locations = new long[records.size()];
@@ -142,7 +142,7 @@
       offset = space.append(pending.sizeBytes(), pending.expiresAtSeconds());
       number = space.currentSegment();
     }
-    bufferOffset = bufferOffset == EMPTY ? offset : bufferOffset;
+    bufferOffset = bufferOffset == NO_OFFSET ? offset : bufferOffset;
     return RecordLocation.pack(number, offset);
   }
 
@@ -153,16 +153,16 @@
   }
 
   private void flush() throws IOException {
-    if (bufferOffset != EMPTY) {
+    if (bufferOffset != NO_OFFSET) {
       buffer.flip();
       store.write(space.currentSegment(), bufferOffset, buffer);
-      bufferOffset = EMPTY;
+      bufferOffset = NO_OFFSET;
     }
     buffer.clear();
   }
 
   private void sync() throws IOException {
-    if (syncs) {
+    if (syncEnabled) {
       long startNanos = System.nanoTime();
       store.sync(space.currentSegment());
       metrics.recordSync(System.nanoTime() - startNanos);
@@ -175,14 +175,14 @@
       missingSegments.clear();
       writeManifest();
     }
-    for (long expired = oldestExpired(nowSeconds);
-        expired >= 0;
-        expired = oldestExpired(nowSeconds)) {
+    for (long expiredSegment = oldestExpired(nowSeconds);
+        expiredSegment >= 0;
+        expiredSegment = oldestExpired(nowSeconds)) {
       synchronized (space) {
         space.removeOldest();
       }
       writeManifest();
-      store.delete(expired);
+      store.delete(expiredSegment);
     }
   }
 
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -52,7 +52,7 @@
   private static final double DEFAULT_RETRY_AFTER_SECONDS = 0.25;
 
   /** Size of the first read for a result; covers the longest result that the protocol allows. */
-  private static final int READ_BYTES = 5 * 1024;
+  private static final int FIRST_READ_BYTES = 5 * 1024;
 
   private final DaemonConfig.Durable settings;
   private final StoreOpener opener;
@@ -112,30 +112,31 @@
     synchronized (space) {
       reservedIntentBytes.clear();
     }
-    double now = LogClock.seconds();
-    LogReader.Contents contents = read(opened, now, 0);
+    double nowSeconds = LogClock.seconds();
+    LogReader.Contents contents = read(opened, nowSeconds, 0);
     // Each start creates a segment, so repeated restarts would otherwise use up the space budget.
     if (!contents.damaged()
         && Compaction.isWorthwhile(space)
         && Compaction.run(opened, space.segmentBytes(), space.maxSegments())) {
-      now = LogClock.seconds();
-      contents = read(opened, now, contents.batch());
+      nowSeconds = LogClock.seconds();
+      contents = read(opened, nowSeconds, contents.batch());
     }
-    ResultStore.RecoveredKeys recovered = recoveredKeys(contents, now, longestWindowSeconds);
-    startWriter(opened, contents, now + longestWindowSeconds + Recovery.LINGER_SECONDS);
+    ResultStore.RecoveredKeys recovered = recoveredKeys(contents, nowSeconds, longestWindowSeconds);
+    startWriter(opened, contents, nowSeconds + longestWindowSeconds + Recovery.LINGER_SECONDS);
     return recovered;
   }
 
-  private LogReader.Contents read(SegmentStore opened, double now, int batch) throws IOException {
+  private LogReader.Contents read(SegmentStore opened, double nowSeconds, int batch)
+      throws IOException {
     try {
-      return LogReader.read(opened, space, now, batch);
+      return LogReader.read(opened, space, nowSeconds, batch);
     } catch (Segment.ForeignFormatException e) {
       throw new UnusableStorageException(settings.folder() + ": " + e.getMessage(), e);
     }
   }
 
   private ResultStore.RecoveredKeys recoveredKeys(
-      LogReader.Contents contents, double now, double longestWindowSeconds) {
+      LogReader.Contents contents, double nowSeconds, double longestWindowSeconds) {
     Recovery recovery = contents.recovery();
     metrics.recordRecovery(recovery.knownCount(), recovery.unknownCount(), contents.damaged());
     if (contents.damaged()) {
@@ -156,19 +157,20 @@
               key.key(),
               key.location(),
               key.coveredUntilMillis(),
-              Recovery.expiresAtSeconds(key, now),
+              Recovery.expiresAtSeconds(key, nowSeconds),
               key.bodyChecksum()));
     }
     return new ResultStore.RecoveredKeys(
-        keys, contents.damaged() ? now + longestWindowSeconds : Double.NEGATIVE_INFINITY);
+        keys, contents.damaged() ? nowSeconds + longestWindowSeconds : Double.NEGATIVE_INFINITY);
   }
 
   private void startWriter(
       SegmentStore opened, LogReader.Contents contents, double missingSegmentsExpireAtSeconds)
       throws IOException {
-    boolean syncs = !settings.sync().equals("none");
+    boolean syncEnabled = !settings.sync().equals("none");
     SegmentWriter segments =
-        new SegmentWriter(opened, space, syncs, metrics, contents, missingSegmentsExpireAtSeconds);
+        new SegmentWriter(
+            opened, space, syncEnabled, metrics, contents, missingSegmentsExpireAtSeconds);
     GroupCommitQueue<PendingRecord> newQueue = new GroupCommitQueue<>(settings.queue());
     boolean syncEachRecord = settings.sync().equals("each");
     LogWriter newWriter =
@@ -380,9 +382,9 @@
   }
 
   private static LogRecord readRecord(SegmentStore source, RecordLocation at) throws IOException {
-    ByteBuffer bytes = source.read(at.segment(), at.offset(), READ_BYTES);
+    ByteBuffer bytes = source.read(at.segment(), at.offset(), FIRST_READ_BYTES);
     int recordBytes = LogRecord.declaredSize(bytes);
-    if (recordBytes > READ_BYTES) {
+    if (recordBytes > FIRST_READ_BYTES) {
       bytes = source.read(at.segment(), at.offset(), recordBytes);
     }
     return LogRecord.readAt(bytes, 0);
--- a/src/test/java/wharftrestle/storage/MemorySegmentStore.java
+++ b/src/test/java/wharftrestle/storage/MemorySegmentStore.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A segment store in memory that distinguishes synced from unsynced bytes and injects faults. Faults
- * are placed by operation number: the n-th operation fails, or the machine loses power before it. After
- * a power loss, a seeded random generator decides for each unsynced block of 512 bytes whether it
- * reached the disk.
+ * A segment store in memory that distinguishes synced from unsynced bytes and injects faults.
+ * Faults are placed by operation number: the n-th operation fails, or the machine loses power
+ * before it. After a power loss, a seeded random generator decides for each unsynced block of 512
+ * bytes whether it reached the disk.
  */
 final class MemorySegmentStore implements SegmentStore {
   private static final int BLOCK_BYTES = 512;
@@ -91,7 +91,11 @@
           for (int at = 0; at < copy.synced.length; at += BLOCK_BYTES) {
             if (random.nextBoolean()) {
               System.arraycopy(
-                  file.visible, at, copy.synced, at, Math.min(BLOCK_BYTES, copy.synced.length - at));
+                  file.visible,
+                  at,
+                  copy.synced,
+                  at,
+                  Math.min(BLOCK_BYTES, copy.synced.length - at));
             }
           }
           copy.visible = copy.synced.clone();
--- a/src/test/java/wharftrestle/storage/ResultLogToolTest.java
+++ b/src/test/java/wharftrestle/storage/ResultLogToolTest.java
@@ -61,7 +61,9 @@
         log.writeIntent(keyed(key), location -> intentWritten.countDown());
         intentWritten.await();
         assertThrows(
-            UnusableStorageException.class, () -> new ResultLogTool(folder), "the log is open and holds the lock of the folder");
+            UnusableStorageException.class,
+            () -> new ResultLogTool(folder),
+            "the log is open and holds the lock of the folder");
         if (!key.contains("third")) {
           CountDownLatch resultWritten = new CountDownLatch(1);
           log.writeResult(keyed(key), RESULT, location -> resultWritten.countDown());
@@ -74,28 +76,34 @@
   @Test
   void listShowAndExport_printRecordedKeys() throws Exception {
     List<String> listedLines =
-        outputOf((results, out) -> {
-              results.list(out, false);
-              return null;
-            })
+        outputOf(
+                (results, out) -> {
+                  results.list(out, false);
+                  return null;
+                })
             .lines()
             .toList();
     assertEquals(5, listedLines.size());
     assertTrue(
-        listedLines.get(1).startsWith("known") && listedLines.get(1).endsWith("2/0/first"), listedLines.get(1));
+        listedLines.get(1).startsWith("known") && listedLines.get(1).endsWith("2/0/first"),
+        listedLines.get(1));
     assertTrue(
-        listedLines.get(3).startsWith("unknown") && listedLines.get(3).endsWith("2/1/third"), listedLines.get(3));
+        listedLines.get(3).startsWith("unknown") && listedLines.get(3).endsWith("2/1/third"),
+        listedLines.get(3));
     String showOutput = outputOf((results, out) -> results.show(out, "second"));
     assertTrue(
-        (boolean) returnValue && showOutput.contains("key       2/0/second") && showOutput.contains("7 bytes"),
+        (boolean) returnValue
+            && showOutput.contains("key       2/0/second")
+            && showOutput.contains("7 bytes"),
         showOutput);
     outputOf((results, out) -> results.show(out, "fourth"));
     assertFalse((boolean) returnValue);
     List<String> exported =
-        outputOf((results, out) -> {
-              results.export(out);
-              return null;
-            })
+        outputOf(
+                (results, out) -> {
+                  results.export(out);
+                  return null;
+                })
             .lines()
             .toList();
     JsonNode first = new ObjectMapper().readTree(exported.get(0));
--- a/src/test/java/wharftrestle/storage/ResultRecorderTest.java
+++ b/src/test/java/wharftrestle/storage/ResultRecorderTest.java
@@ -24,8 +24,8 @@
 import wharftrestle.request.ResultStore;
 
 /**
- * Runs the request coordinator with a write-ahead log on a disk that fails, stalls or is damaged, and
- * checks the answers to requests with and without an idempotency key.
+ * Runs the request coordinator with a write-ahead log on a disk that fails, stalls or is damaged,
+ * and checks the answers to requests with and without an idempotency key.
  */
 class ResultRecorderTest {
   private final MemorySegmentStore disk = new MemorySegmentStore();
@@ -134,7 +134,9 @@
     request.complete("saved");
     disk.awaitStalledSync();
     ClientRequest repeat = new ClientRequest("k", "x");
-    assertTrue(request.answers.isEmpty() && repeat.answers.isEmpty(), "no answer before the result is on disk");
+    assertTrue(
+        request.answers.isEmpty() && repeat.answers.isEmpty(),
+        "no answer before the result is on disk");
     disk.resumeSyncs();
     assertEquals("saved", new String(request.answer().result(), StandardCharsets.UTF_8));
     assertEquals("saved", new String(repeat.answer().result(), StandardCharsets.UTF_8));
@@ -148,16 +150,22 @@
     Answer rejection = first.answer();
     assertEquals(Answer.Kind.REJECTED, rejection.kind());
     assertTrue(rejection.retryAfterSeconds() > 0, "the rejection has a Retry-After");
-    assertTrue(first.answerSeconds < 1.5, "expected an answer after the intent timeout of 0.3 s, found " + first.answerSeconds);
+    assertTrue(
+        first.answerSeconds < 1.5,
+        "expected an answer after the intent timeout of 0.3 s, found " + first.answerSeconds);
     awaitRejectionReason(ResultStore.RejectionReason.DISK_STALLED);
     ClientRequest second = new ClientRequest("b", "x");
     assertEquals(Answer.Kind.REJECTED, second.answer().kind());
-    assertTrue(second.answerSeconds < 1, "expected an immediate rejection, long before the deadline of 3 s, found " + second.answerSeconds);
+    assertTrue(
+        second.answerSeconds < 1,
+        "expected an immediate rejection, long before the deadline of 3 s, found "
+            + second.answerSeconds);
     ClientRequest read = new ClientRequest(null, "x");
     read.awaitDispatch();
     read.complete("fine");
     assertEquals("fine", new String(read.answer().result(), StandardCharsets.UTF_8));
-    assertEquals(null, dispatched.poll(), "a request without an intent record must not be dispatched");
+    assertEquals(
+        null, dispatched.poll(), "a request without an intent record must not be dispatched");
     disk.resumeSyncs();
     awaitRejectionReason(null);
     ClientRequest retry = new ClientRequest("a", "x");
@@ -180,7 +188,9 @@
       ClientRequest rejected = new ClientRequest("k" + keyed.size(), "x");
       keyed.add(rejected);
       assertEquals(Answer.Kind.REJECTED, rejected.answer().kind());
-      assertTrue(rejected.answerSeconds < 1, "expected an immediate rejection, found " + rejected.answerSeconds);
+      assertTrue(
+          rejected.answerSeconds < 1,
+          "expected an immediate rejection, found " + rejected.answerSeconds);
       ClientRequest read = new ClientRequest(null, "x");
       read.awaitDispatch(); // also checks that no keyed request was dispatched before
       read.complete("fine");
@@ -246,7 +256,8 @@
   void damagedLog_failsUnknownKeysAndServesUnkeyedRequests() throws Exception {
     MemorySegmentStore damagedDisk = disk.afterKill();
     damagedDisk.remove(damagedDisk.numbers().get(0));
-    WriteAheadLog next = new WriteAheadLog(WriteAheadLogTest.settings(4, "group"), () -> damagedDisk);
+    WriteAheadLog next =
+        new WriteAheadLog(WriteAheadLogTest.settings(4, "group"), () -> damagedDisk);
     coordinator.restore(next.open(20));
     ClientRequest unknown = new ClientRequest("k", "x");
     assertEquals(
--- a/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatFixtures.java
@@ -19,8 +19,8 @@
 
 /**
  * Writes the stored results folder that {@link StoredFormatTest} reads. It was run once, with the
- * build whose files must stay readable. Running it again records what the current build writes, so a
- * difference in an existing file is a change of the format on disk.
+ * build whose files must stay readable. Running it again records what the current build writes, so
+ * a difference in an existing file is a change of the format on disk.
  */
 final class StoredFormatFixtures {
   static final Path FOLDER = Path.of("src/test/resources/fixtures/durable");
@@ -36,8 +36,8 @@
   static final long BOOT_ID = 0x0102030405060708L;
 
   /**
-   * In the year 2100, so that the lower bound that recovery derives from the current time never takes
-   * effect.
+   * In the year 2100, so that the lower bound that recovery derives from the current time never
+   * takes effect.
    */
   static final long COVERED_UNTIL_MILLIS = 4_102_444_800_000L;
 
@@ -55,7 +55,8 @@
     Files.createDirectories(STORE);
     try (var files = Files.list(STORE)) {
       if (files.findAny().isPresent()) {
-        throw new IllegalStateException(STORE + " is not empty: delete its files before recording them again");
+        throw new IllegalStateException(
+            STORE + " is not empty: delete its files before recording them again");
       }
     }
     writeSequence(STORE);
@@ -93,8 +94,8 @@
   }
 
   /**
-   * Starts the log three times, which creates three segments. Every batch has one record, except one
-   * batch of two.
+   * Starts the log three times, which creates three segments. Every batch has one record, except
+   * one batch of two.
    */
   static void writeSequence(Path folder) throws Exception {
     try (WriteAheadLog log = open(folder)) {
@@ -253,7 +254,10 @@
     return Arrays.copyOfRange(bytes, from, to);
   }
 
-  /** The keys that a daemon recovers from the folder, one line per key, with results as it reads them. */
+  /**
+   * The keys that a daemon recovers from the folder, one line per key, with results as it reads
+   * them.
+   */
   static String describeRecovered(Path folder) throws IOException {
     StringJoiner lines = new StringJoiner("\n", "", "\n");
     WriteAheadLog log =
@@ -279,7 +283,9 @@
     return lines.toString();
   }
 
-  /** Real files with a fixed boot ID; syncs can be blocked, so that records queue into one batch. */
+  /**
+   * Real files with a fixed boot ID; syncs can be blocked, so that records queue into one batch.
+   */
   private static final class FixedBootStore implements SegmentStore {
     private final FileSegmentStore files;
     private final long bootId;
--- a/src/test/java/wharftrestle/storage/StoredFormatTest.java
+++ b/src/test/java/wharftrestle/storage/StoredFormatTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Compares the format on disk with a folder that an earlier build wrote: three segments, of which the
- * last ends in a torn write, and the manifest.
+ * Compares the format on disk with a folder that an earlier build wrote: three segments, of which
+ * the last ends in a torn write, and the manifest.
  */
 class StoredFormatTest {
   private static final int SEGMENT_HEADER_BYTES = 48;
--- a/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
+++ b/src/test/java/wharftrestle/storage/WriteAheadLogTest.java
@@ -32,8 +32,8 @@
 import wharftrestle.request.ResultStore;
 
 /**
- * Tests the write-ahead log alone: crashes at every byte and every operation, damage, disk faults, and
- * the space budget.
+ * Tests the write-ahead log alone: crashes at every byte and every operation, damage, disk faults,
+ * and the space budget.
  */
 class WriteAheadLogTest {
   private static final double WINDOW_SECONDS = 20;
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Writes the intent record and the result record of a key; returns the location of the result, or a
-   * negative value if one of them was not written.
+   * Writes the intent record and the result record of a key; returns the location of the result, or
+   * a value below 0 if one of them was not written.
    */
   private static long writeKey(WriteAheadLog log, String key, byte[] result)
       throws InterruptedException {
@@ -79,12 +79,13 @@
     if (log.writeIntent(keyRecord(key), intent) == null || intent.await() < 0) {
       return -2;
     }
-    WrittenLocation end = new WrittenLocation();
-    log.writeResult(keyRecord(key), result, end);
-    return end.await();
+    WrittenLocation resultLocation = new WrittenLocation();
+    log.writeResult(keyRecord(key), result, resultLocation);
+    return resultLocation.await();
   }
 
-  private static Map<String, ResultStore.RecoveredKey> recoveredByKey(ResultStore.RecoveredKeys recovered) {
+  private static Map<String, ResultStore.RecoveredKey> recoveredByKey(
+      ResultStore.RecoveredKeys recovered) {
     Map<String, ResultStore.RecoveredKey> keys = new HashMap<>();
     recovered.keys().forEach(key -> keys.put(key.key(), key));
     return keys;
@@ -112,15 +113,19 @@
       assertTrue(writeKey(log, "2/0/last", result(4)) >= 0);
     }
     try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> disk.afterKill())) {
-      Map<String, ResultStore.RecoveredKey> recoveredKeys = recoveredByKey(next.open(WINDOW_SECONDS));
+      Map<String, ResultStore.RecoveredKey> recoveredKeys =
+          recoveredByKey(next.open(WINDOW_SECONDS));
       assertEquals(Set.of("2/0/good", "2/0/open", "2/0/bad", "2/0/last"), recoveredKeys.keySet());
-      assertArrayEquals(result(3), next.readResult("2/0/good", recoveredKeys.get("2/0/good").position()));
+      assertArrayEquals(
+          result(3), next.readResult("2/0/good", recoveredKeys.get("2/0/good").position()));
       assertEquals(-1, recoveredKeys.get("2/0/open").position());
       assertEquals(-1, recoveredKeys.get("2/0/bad").position());
       assertThrows(
-          IOException.class, () -> next.readResult("2/0/other", recoveredKeys.get("2/0/good").position()));
+          IOException.class,
+          () -> next.readResult("2/0/other", recoveredKeys.get("2/0/good").position()));
       assertTrue(
-          recoveredKeys.get("2/0/good").lastAttemptAtMillis() >= System.currentTimeMillis() + 15_000,
+          recoveredKeys.get("2/0/good").lastAttemptAtMillis()
+              >= System.currentTimeMillis() + 15_000,
           "the recovered key covers attempts of the next window, even if the clock stepped");
     }
   }
@@ -140,7 +145,8 @@
     byte[] list = Manifest.encode(List.of(1L));
     String text = new String(list, StandardCharsets.UTF_8).replace("results 1", "results 9");
     assertNull(
-        Manifest.decode(text.getBytes(StandardCharsets.UTF_8)), "the checksum does not match the changed text");
+        Manifest.decode(text.getBytes(StandardCharsets.UTF_8)),
+        "the checksum does not match the changed text");
     ByteBuffer header = Segment.header(1, 1, 7, 1024);
     header.putInt(8, 9);
     java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
@@ -199,12 +205,16 @@
       Set<String> foundKeys = new HashSet<>();
       Segment.ScanResult scan =
           Segment.scan(
-              ByteBuffer.wrap(Arrays.copyOf(complete, cut)), (record, at) -> foundKeys.add(record.key()));
+              ByteBuffer.wrap(Arrays.copyOf(complete, cut)),
+              (record, at) -> foundKeys.add(record.key()));
       int last = cut;
       long lost =
-          records.stream().filter(record -> offsets.get(records.indexOf(record) + 1) > last).count();
+          records.stream()
+              .filter(record -> offsets.get(records.indexOf(record) + 1) > last)
+              .count();
       assertTrue(
-          lost == 0 || scan.damaged(), "cut at " + cut + ": records are lost but no damage is reported");
+          lost == 0 || scan.damaged(),
+          "cut at " + cut + ": records are lost but no damage is reported");
       assertEquals(cut < complete.length, scan.damaged(), "cut at " + cut);
     }
   }
@@ -220,7 +230,8 @@
       List<LogRecord> foundRecords = new ArrayList<>();
       Segment.ScanResult scan =
           Segment.scan(ByteBuffer.wrap(torn), (record, at) -> foundRecords.add(record));
-      assertFalse(scan.damaged(), "a write that was never synced must not count as damage, cut at " + cut);
+      assertFalse(
+          scan.damaged(), "a write that was never synced must not count as damage, cut at " + cut);
       for (int i = 0; i < records.size(); i++) {
         if (offsets.get(i + 1) <= cut) {
           assertEquals(records.get(i).key(), foundRecords.get(i).key());
@@ -238,7 +249,8 @@
       byte[] bad = complete.clone();
       bad[at] ^= 0x41;
       int[] intactRecords = {0};
-      Segment.ScanResult scan = Segment.scan(ByteBuffer.wrap(bad), (record, offset) -> intactRecords[0]++);
+      Segment.ScanResult scan =
+          Segment.scan(ByteBuffer.wrap(bad), (record, offset) -> intactRecords[0]++);
       boolean padding = intactRecords[0] == 9; // a corrupt padding byte is not detected
       boolean lastBatch = at >= offsets.get(6);
       assertTrue(padding || intactRecords[0] == 8, "one corrupt byte invalidates one record");
@@ -248,17 +260,18 @@
   }
 
   /**
-   * Cuts random segments at every byte, either by zeros, as in a torn write, or by truncating the file,
-   * as in a disk fault. The model holds for each key the last of its records that are complete before
-   * the cut. A key that may have run must not be lost, as it could then run again.
+   * Cuts random segments at every byte, either by zeros, as in a torn write, or by truncating the
+   * file, as in a disk fault. The model holds for each key the last of its records that are
+   * complete before the cut. A key that may have run must not be lost, as it could then run again.
    */
   @Property(tries = 60, seed = "29421")
-  void recovery_ofSegmentCutAtAnyByte_keepsEveryKeyThatMayHaveRun(@ForAll long seed) throws Exception {
+  void recovery_ofSegmentCutAtAnyByte_keepsEveryKeyThatMayHaveRun(@ForAll long seed)
+      throws Exception {
     Random random = new Random(seed);
     ByteBuffer file = ByteBuffer.allocate(2048);
     file.put(Segment.header(1, 3, 7, 2048));
     List<LogRecord> records = new ArrayList<>();
-    List<Integer> ends = new ArrayList<>();
+    List<Integer> endOffsets = new ArrayList<>();
     for (int batch = 1; file.remaining() > 400; batch++) {
       int size = 1 + random.nextInt(3);
       for (int i = 0; i < size && file.remaining() > 200; i++) {
@@ -275,23 +288,24 @@
                 5,
                 "k" + random.nextInt(5),
                 kind == LogRecord.Kind.RESULT ? result(random.nextInt(100)) : new byte[0]);
-        int begin = file.position();
+        int startOffset = file.position();
         record.writeTo(file);
         records.add(record);
-        ends.add(
-            begin + LogRecord.HEADER_BYTES + file.getInt(begin)); // without padding
+        endOffsets.add(
+            startOffset + LogRecord.HEADER_BYTES + file.getInt(startOffset)); // without padding
       }
     }
     for (int cut = Segment.HEADER_BYTES; cut <= 2048; cut++) {
       byte[] torn = file.array().clone();
       Arrays.fill(torn, cut, torn.length, (byte) 0);
       Map<String, LogRecord> complete = new HashMap<>();
-      Map<String, LogRecord> intact = new HashMap<>(); // also records of which only zero bytes were cut
+      Map<String, LogRecord> intact =
+          new HashMap<>(); // also records of which only zero bytes were cut
       for (int i = 0; i < records.size(); i++) {
-        if (ends.get(i) <= cut) {
+        if (endOffsets.get(i) <= cut) {
           complete.put(records.get(i).key(), records.get(i));
         }
-        if (Arrays.equals(torn, 0, ends.get(i), file.array(), 0, ends.get(i))) {
+        if (Arrays.equals(torn, 0, endOffsets.get(i), file.array(), 0, endOffsets.get(i))) {
           intact.put(records.get(i).key(), records.get(i));
         }
       }
@@ -302,8 +316,8 @@
     }
   }
 
-  private static void assertRecovers(byte[] bytes, Map<String, LogRecord> model, boolean damaged, int cut)
-      throws Exception {
+  private static void assertRecovers(
+      byte[] bytes, Map<String, LogRecord> model, boolean damaged, int cut) throws Exception {
     Recovery recovery = new Recovery(System.currentTimeMillis(), 1000);
     Segment.ScanResult scan =
         Segment.scan(ByteBuffer.wrap(bytes), (record, at) -> recovery.replay(record, at, true));
@@ -319,19 +333,20 @@
         assertNull(key, "cut at " + cut);
         continue;
       }
-      assertNotNull(key, "cut at " + cut + ": " + last.key() + " may have run but was not recovered");
-      byte[] found =
+      assertNotNull(
+          key, "cut at " + cut + ": " + last.key() + " may have run but was not recovered");
+      byte[] recoveredResult =
           key.location() < 0
               ? new byte[0]
               : LogRecord.readAt(ByteBuffer.wrap(bytes), (int) key.location()).result();
       assertEquals(last.kind() == LogRecord.Kind.RESULT, key.location() >= 0);
-      assertArrayEquals(last.result(), found);
+      assertArrayEquals(last.result(), recoveredResult);
     }
   }
 
   @Property(tries = 300, seed = "29421")
-  void scan_ofRandomlyChangedBytes_neverThrows(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int changes)
-      throws Exception {
+  void scan_ofRandomlyChangedBytes_neverThrows(
+      @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int changes) throws Exception {
     byte[] bytes = segmentOfThreeBatches(new ArrayList<>(), new ArrayList<>());
     Random random = new Random(seed);
     for (int i = 0; i < changes; i++) {
@@ -352,15 +367,16 @@
     withoutSegment.remove(withoutSegment.numbers().get(0));
     MemorySegmentStore reopened = withoutSegment;
     for (int i = 0; i < 2; i++) { // the next start must detect the damage as well
-      MemorySegmentStore found = reopened;
-      try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> found)) {
+      MemorySegmentStore currentDisk = reopened;
+      try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> currentDisk)) {
         assertTrue(unknownKeysFail(next.open(WINDOW_SECONDS)));
       }
-      reopened = found.afterKill();
+      reopened = currentDisk.afterKill();
     }
     MemorySegmentStore truncated = disk.afterKill();
     truncated.replace(
-        truncated.numbers().get(0), Arrays.copyOf(truncated.bytes(truncated.numbers().get(0)), 100));
+        truncated.numbers().get(0),
+        Arrays.copyOf(truncated.bytes(truncated.numbers().get(0)), 100));
     try (WriteAheadLog next = new WriteAheadLog(settings(4, "group"), () -> truncated)) {
       assertTrue(unknownKeysFail(next.open(WINDOW_SECONDS)), "a truncated segment");
     }
@@ -396,9 +412,9 @@
           break;
         }
         confirmedIntents.add(key);
-        WrittenLocation end = new WrittenLocation();
-        log.writeResult(keyRecord(key), result(i), end);
-        if (end.await() >= 0) {
+        WrittenLocation resultLocation = new WrittenLocation();
+        log.writeResult(keyRecord(key), result(i), resultLocation);
+        if (resultLocation.await() >= 0) {
           confirmedResults.put(key, result(i));
         }
       }
@@ -409,19 +425,23 @@
         ResultStore.RecoveredKeys recovered = next.open(WINDOW_SECONDS);
         Map<String, ResultStore.RecoveredKey> recoveredKeys = recoveredByKey(recovered);
         assertTrue(
-            recoveredKeys.keySet().containsAll(confirmedIntents), "power lost at " + powerLossAt + ": " + recoveredKeys.keySet());
+            recoveredKeys.keySet().containsAll(confirmedIntents),
+            "power lost at " + powerLossAt + ": " + recoveredKeys.keySet());
         assertFalse(unknownKeysFail(recovered), "power lost at " + powerLossAt);
         for (String key : confirmedResults.keySet()) {
-          assertArrayEquals(confirmedResults.get(key), next.readResult(key, recoveredKeys.get(key).position()));
+          assertArrayEquals(
+              confirmedResults.get(key), next.readResult(key, recoveredKeys.get(key).position()));
         }
       }
     }
-    assertTrue(operations > 20 && operations < 100, operations + " operations, expected between 20 and 100");
+    assertTrue(
+        operations > 20 && operations < 100,
+        operations + " operations, expected between 20 and 100");
   }
 
   /**
-   * Lets the sync of the next batch fail: its listener must get -1, and writing must continue in a new
-   * segment.
+   * Lets the sync of the next batch fail: its listener must get -1, and writing must continue in a
+   * new segment.
    */
   private static void assertContinuesAfter(Consumer<MemorySegmentStore> fault) throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
@@ -433,7 +453,9 @@
       log.writeIntent(keyRecord("2/0/at"), intent);
       assertEquals(-1, intent.await());
       assertEquals(ResultStore.RejectionReason.DISK_FAILED, log.rejectionReason());
-      assertNull(log.writeIntent(keyRecord("2/0/while"), intent), "no intent is accepted after the failure");
+      assertNull(
+          log.writeIntent(keyRecord("2/0/while"), intent),
+          "no intent is accepted after the failure");
       long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
       while (log.rejectionReason() != null && System.nanoTime() < until) {
         Thread.onSpinWait();
@@ -481,7 +503,8 @@
       }
       assertEquals(ResultStore.RejectionReason.DISK_STALLED, log.rejectionReason());
       log.withdrawIntent(queuedIntent, keyRecord("2/0/b")); // still queued: removed from the queue
-      log.withdrawIntent(intentBeingWritten, keyRecord("2/0/a")); // being written: a VOID record must follow
+      log.withdrawIntent(
+          intentBeingWritten, keyRecord("2/0/a")); // being written: a VOID record must follow
       disk.resumeSyncs();
       first.await();
       writeKey(log, "2/0/c", result(1));
@@ -509,14 +532,15 @@
         }
         intent.await();
         acceptedKeys++;
-        WrittenLocation end = new WrittenLocation();
-        log.writeResult(keyRecord(key), longest, end);
-        lost += end.await() < 0 ? 1 : 0;
+        WrittenLocation resultLocation = new WrittenLocation();
+        log.writeResult(keyRecord(key), longest, resultLocation);
+        lost += resultLocation.await() < 0 ? 1 : 0;
       }
       assertTrue(acceptedKeys > 700 && acceptedKeys < 5000, acceptedKeys + " keys in 4 MB");
       assertEquals(0, lost, "every accepted intent must have its result on disk");
       assertTrue(
-          disk.numbers().stream().mapToLong(n -> disk.bytes(n).length).sum() <= 4 << 20, "size on disk within the budget of 4 MB");
+          disk.numbers().stream().mapToLong(n -> disk.bytes(n).length).sum() <= 4 << 20,
+          "size on disk within the budget of 4 MB");
       assertTrue(
           log.retryAfterSeconds(ResultStore.RejectionReason.STORE_FULL) > 1,
           "Retry-After must be the time until a segment expires");
@@ -527,9 +551,10 @@
   void open_repeatedly_keepsNumberOfSegmentsBounded() throws Exception {
     MemorySegmentStore disk = new MemorySegmentStore();
     for (int start = 0; start < 40; start++) {
-      MemorySegmentStore found = disk;
-      try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> found)) {
-        Map<String, ResultStore.RecoveredKey> recoveredKeys = recoveredByKey(log.open(WINDOW_SECONDS));
+      MemorySegmentStore currentDisk = disk;
+      try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> currentDisk)) {
+        Map<String, ResultStore.RecoveredKey> recoveredKeys =
+            recoveredByKey(log.open(WINDOW_SECONDS));
         assertEquals(start, recoveredKeys.size(), "start " + start);
         assertNull(log.rejectionReason(), "start " + start);
         for (int i = 0; i < start; i++) {
@@ -559,8 +584,8 @@
     MemorySegmentStore full = new MemorySegmentStore();
     Map<String, byte[]> results = new HashMap<>();
     for (int start = 0; start < 5; start++) {
-      MemorySegmentStore found = full;
-      try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> found)) {
+      MemorySegmentStore currentDisk = full;
+      try (WriteAheadLog log = new WriteAheadLog(settings(4, "group"), () -> currentDisk)) {
         log.open(WINDOW_SECONDS);
         results.put("2/0/k" + start, result(start));
         writeKey(log, "2/0/k" + start, result(start));
@@ -584,10 +609,13 @@
         Map<String, ResultStore.RecoveredKey> recoveredKeys = recoveredByKey(recovered);
         assertEquals(results.keySet(), recoveredKeys.keySet());
         for (String key : results.keySet()) {
-          assertArrayEquals(results.get(key), next.readResult(key, recoveredKeys.get(key).position()));
+          assertArrayEquals(
+              results.get(key), next.readResult(key, recoveredKeys.get(key).position()));
         }
       }
-      assertTrue(powerLost || disk.numbers().size() == 1, "a completed compaction leaves one segment of five");
+      assertTrue(
+          powerLost || disk.numbers().size() == 1,
+          "a completed compaction leaves one segment of five");
     }
   }
 
