--- a/src/main/java/wharftrestle/transport/Address.java
+++ b/src/main/java/wharftrestle/transport/Address.java
@@ -6,17 +6,15 @@
 import java.net.ServerSocket;
 import java.util.concurrent.ThreadLocalRandom;
 
-/**
- * Addresses as they are written: HOST:PORT with a numeric host, as there are no names to look up.
- */
+/** Parses addresses of the form HOST:PORT with a numeric host; names are never resolved. */
 public final class Address {
-  private static final int FIRST = 10_240;
-  private static final int LAST = 32_000;
-  private static final int TRIES = 20;
+  private static final int MIN_PORT = 10_240;
+  private static final int MAX_PORT = 32_000;
+  private static final int MAX_ATTEMPTS = 20;
 
   private Address() {}
 
-  /** The address; null where the text is none. */
+  /** Parses an address; null if the text is not HOST:PORT with a numeric host. */
   public static InetSocketAddress of(String text) {
     int colon = text.lastIndexOf(':');
     if (colon > 0 && text.substring(0, colon).matches("[0-9.]{7,15}|\\[[0-9a-fA-F:.]+]")) {
@@ -32,13 +30,10 @@
     return null;
   }
 
-  /**
-   * A port on loopback that nobody has now: below those that systems give to connections that go
-   * out, as one of them would take it before it is listened at.
-   */
+  /** Finds a loopback port that is free now. It lies below the ephemeral range, because an outgoing connection could otherwise occupy it before the caller listens on it. */
   public static int freePort() throws IOException {
-    for (int i = 0; i < TRIES; i++) {
-      int port = ThreadLocalRandom.current().nextInt(FIRST, LAST);
+    for (int i = 0; i < MAX_ATTEMPTS; i++) {
+      int port = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT);
       try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
         return probe.getLocalPort();
       } catch (IOException taken) {
--- a/src/main/java/wharftrestle/transport/BoundedReader.java
+++ b/src/main/java/wharftrestle/transport/BoundedReader.java
@@ -8,119 +8,112 @@
 import java.nio.charset.StandardCharsets;
 import org.tinylog.Logger;
 
-/**
- * Owns the pieces that the parsers share: bounded lines, lengths, exact reads. A bound is checked
- * before anything is allocated for what it bounds; nothing here guesses at what it cannot read.
- */
+/** Helpers shared by the protocol parsers: lines, numbers and bodies of bounded length. A limit is checked before memory is allocated for what it limits, and malformed input is rejected rather than interpreted. */
 public final class BoundedReader {
   private BoundedReader() {}
 
-  /** An input that is read in runs of bytes; a single one is a run of one. */
-  public abstract static class Runs extends InputStream {
+  /** An input stream whose single-byte read is implemented by the block read. */
+  public abstract static class BlockInputStream extends InputStream {
     @Override
     public int read() throws IOException {
-      byte[] one = new byte[1];
-      return read(one, 0, 1) < 0 ? -1 : one[0] & 0xff;
+      byte[] single = new byte[1];
+      return read(single, 0, 1) < 0 ? -1 : single[0] & 0xff;
     }
 
     @Override
-    public abstract int read(byte[] into, int from, int most) throws IOException;
+    public abstract int read(byte[] buffer, int offset, int length) throws IOException;
   }
 
-  /**
-   * A socket's input with one limit in time for all reads up to it. Guards against a peer that
-   * drips: a limit for each read would start anew with every byte.
-   */
-  public static class Timed extends Runs {
+  /** A socket's input stream with one deadline for all reads. A timeout for each read would start anew with every byte, so a peer that sends byte by byte could hold the connection forever. */
+  public static class DeadlineInputStream extends BlockInputStream {
     private final Socket socket;
-    private final InputStream raw;
-    private long until;
+    private final InputStream input;
+    private long deadlineNanos;
 
-    public Timed(Socket socket) throws IOException {
+    public DeadlineInputStream(Socket socket) throws IOException {
       this.socket = socket;
-      raw = socket.getInputStream();
+      input = socket.getInputStream();
     }
 
-    /** When reads throw SocketTimeoutException, on the clock of System.nanoTime; 0 for never. */
-    public void until(long nanos) {
-      until = nanos;
+    /** Sets when reads throw SocketTimeoutException, on the clock of System.nanoTime; 0 for never. */
+    public void setDeadlineNanos(long nanos) {
+      deadlineNanos = nanos;
     }
 
     @Override
-    public int read(byte[] into, int from, int most) throws IOException {
+    public int read(byte[] buffer, int offset, int length) throws IOException {
       socket.setSoTimeout(
-          until == 0 ? 0 : (int) Math.max(1, (until - System.nanoTime()) / 1_000_000));
-      return raw.read(into, from, most);
+          deadlineNanos == 0 ? 0 : (int) Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000));
+      return input.read(buffer, offset, length);
     }
 
     @Override
     public int available() throws IOException {
-      return raw.available();
+      return input.available();
     }
   }
 
-  /** A line without its CR LF; at most so many bytes. */
-  public static String line(InputStream in, int most) throws IOException {
+  /** Reads a line of at most {@code maxLength} bytes and returns it without its CR LF. */
+  public static String line(InputStream in, int maxLength) throws IOException {
     StringBuilder line = new StringBuilder(32);
     for (int c = in.read(); c != '\r'; c = in.read()) {
       if (c < 0) {
-        throw new EOFException("ended within a line");
+        throw new EOFException("end of stream within a line");
       }
-      if (line.length() >= most || c == '\n') {
-        throw new Server.MalformedException("a line without an end");
+      if (line.length() >= maxLength || c == '\n') {
+        throw new Server.MalformedException("line too long or without CR LF");
       }
       line.append((char) c);
     }
     if (in.read() != '\n') {
-      throw new Server.MalformedException("a line with half an end");
+      throw new Server.MalformedException("CR without LF at the end of a line");
     }
     return line.toString();
   }
 
   public static void crlf(InputStream in) throws IOException {
     if (in.read() != '\r' || in.read() != '\n') {
-      throw new Server.MalformedException("bytes past a body's length");
+      throw new Server.MalformedException("no CR LF after a body of the announced length");
     }
   }
 
   public static byte[] exactly(InputStream in, int length) throws IOException {
     byte[] bytes = in.readNBytes(length);
     if (bytes.length < length) {
-      throw new EOFException("ended within a body");
+      throw new EOFException("end of stream within a body");
     }
     return bytes;
   }
 
-  /** A whole number from 0 to {@code most}. */
-  public static long number(String text, long most) throws IOException {
-    // Digits alone: signs and blanks, which the library takes, are no part of a length on any wire
-    // here.
+  /** Parses an integer from 0 to {@code max}. */
+  public static long number(String text, long max) throws IOException {
+    // Digits only: the library also accepts signs and blanks, which no protocol here allows in a length.
     long value = text.isEmpty() || text.length() > 18 ? -1 : 0;
     for (int i = 0; i < text.length() && value >= 0; i++) {
       int digit = text.charAt(i) - '0';
       value = digit >= 0 && digit <= 9 ? value * 10 + digit : -1;
     }
-    if (value >= 0 && value <= most) {
+    if (value >= 0 && value <= max) {
       return value;
     }
-    throw new Server.MalformedException("not a number up to " + most + ": " + clip(text));
+    throw new Server.MalformedException("expected an integer up to " + max + ": " + truncate(text));
   }
 
-  public static double decimal(String text) throws IOException {
+  public static double parseDecimal(String text) throws IOException {
     try {
       double value = Double.parseDouble(text);
       if (Double.isFinite(value)) {
         return value;
       }
     } catch (NumberFormatException e) {
-      // Named below.
+      // Reported below.
     }
-    throw new Server.MalformedException("not a figure: " + clip(text));
+    throw new Server.MalformedException("expected a decimal number, found: " + truncate(text));
   }
 
-  /** Seconds from a figure in milliseconds, which the worker pool tells with decimals. */
-  public static double duration(String text) throws IOException {
-    return Math.max(0, decimal(text) / 1000);
+  /** Converts milliseconds to seconds; the worker pool sends milliseconds with decimals. */
+  public static double parseMillisAsSeconds(String text) throws IOException {
+    return Math.max(0, parseDecimal(text) / 1000);
   }
 
   public static byte[] join(byte[]... parts) {
@@ -141,7 +134,7 @@
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** Closes what may be null already or fail to close: its peer is of no more use either way. */
+  /** Closes a connection that may be null; a failure is logged only, as the connection is discarded in any case. */
   public static void closeQuietly(Closeable connection) {
     try {
       if (connection != null) {
@@ -152,7 +145,7 @@
     }
   }
 
-  private static String clip(String text) {
+  private static String truncate(String text) {
     return text.length() <= 40 ? text : text.substring(0, 40) + "...";
   }
 }
--- a/src/main/java/wharftrestle/transport/Connection.java
+++ b/src/main/java/wharftrestle/transport/Connection.java
@@ -9,103 +9,88 @@
 import java.util.Set;
 import java.util.concurrent.locks.LockSupport;
 import org.tinylog.Logger;
-import wharftrestle.transport.ConnectionState.Act;
+import wharftrestle.transport.ConnectionState.Action;
 import wharftrestle.transport.ConnectionState.Phase;
 
-/**
- * Owns one accepted socket: it carries out what {@link ConnectionState} says. Any thread may send,
- * and whoever finds no one writing writes for all; one thread reads. It must never close over what
- * is owed: all but a peer's own end and a peer that does not read goes by {@link #goAway}, {@link
- * #finish}, the shut output and the peer's end, or their deadline.
- */
+/** One accepted socket; carries out the transitions of {@link ConnectionState}. Any thread may send: if no other thread is writing, the caller writes the whole queue. One thread reads. A connection with requests in flight is closed only if the peer has disconnected or does not read; all other closes go through {@link #goAway}, {@link #finish}, the shutdown of the output and the peer's close, each with a deadline. */
 public final class Connection {
 
-  /** What a connection has shown of itself; the least goes first where room is short. */
+  /** How far a peer has used its connection; lower values are evicted first when connections run out. */
   public enum Merit {
     SILENT,
     HEARD,
     SERVED
   }
 
-  /**
-   * Milliseconds in which a peer that was told to go may do so: longer than a process stands still
-   * for its share.
-   */
-  static final int GO_MS = 300;
+  /** Milliseconds for a peer to close after the go-away message: longer than a process is paused by its CPU limit. */
+  static final int GO_AWAY_MS = 300;
 
-  /** The same where nothing presses: with room short, the first told go sooner. */
-  static final int REST_MS = 1000;
+  /** The same without time pressure; if connections run out, those notified first are closed sooner. */
+  static final int UNHURRIED_GO_AWAY_MS = 1000;
 
-  /**
-   * Milliseconds in which a peer may end its side once ours is shut; then it is closed over what
-   * still comes.
-   */
+  /** Milliseconds for the peer to close after the output is shut down; then the socket is closed whatever still arrives. */
   static final int LINGER_MS = 500;
 
-  /** Bytes that are read and dropped at most: more is no message on its way but a flood. */
-  private static final int MOST_DROPPED = 256 * 1024;
+  /** Maximum input to discard; more cannot be messages that were already under way. */
+  private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
-  /** Milliseconds between two looks at how far its end has come, by the thread that reads. */
-  private static final int DROP_LOOK_MS = 50;
+  /** Milliseconds between two polls of a closing connection by its reading thread. */
+  private static final int DISCARD_POLL_MS = 50;
 
-  private static final int DROP_BYTES = 2048;
+  private static final int DISCARD_BUFFER_BYTES = 2048;
 
-  /**
-   * Looks at which a peer that has ended its side while it was owed answers hears the word to go:
-   * 0, 0.05 and 0.5 s.
-   */
-  private static final Set<Integer> WORD_LOOKS = Set.of(0, 1, 10);
+  /** Polls at which a peer that shut down its output with requests in flight is sent the go-away message: after 0, 0.05 and 0.5 s. */
+  private static final Set<Integer> GO_AWAY_POLLS = Set.of(0, 1, 10);
 
   private final Socket socket;
-  private final Server.Front front;
+  private final Server.Front frontend;
   private final ConnectionState state = new ConnectionState();
   private final Input input;
   private final InputStream in;
   private final long openedAt = System.nanoTime();
-  private volatile long heardAt = openedAt;
+  private volatile long lastMessageNanos = openedAt;
   private volatile Merit merit = Merit.SILENT;
-  private volatile boolean unread;
-  private Runnable gone = () -> {};
-  private long dropped;
+  private volatile boolean isPeerNotReading;
+  private Runnable disconnectCallback = () -> {};
+  private long discardedBytes;
 
-  /** What its front reads: it ends where the peer does, or where nothing is taken any more. */
+  /** The input of the front end: ends when the peer closes, or when no request is accepted any more. */
   private final class Input extends BoundedReader.Timed {
-    private volatile boolean ended;
-    private volatile boolean reset;
+    private volatile boolean isAtEnd;
+    private volatile boolean isReset;
 
     Input() throws IOException {
       super(socket);
     }
 
     @Override
-    public int read(byte[] into, int from, int most) throws IOException {
-      if (state.deaf()) {
+    public int read(byte[] buffer, int offset, int length) throws IOException {
+      if (state.rejectsRequests()) {
         return -1;
       }
-      int read = raw(into, from, most);
-      // Guards against a request that is read after the shutdown and run, and whose answer has no
-      // way back.
-      return read >= 0 && state.read() ? read : -1;
+      int read = readSocket(buffer, offset, length);
+      // A request read after the output is shut down would be executed, but its answer could not be sent.
+      return read >= 0 && state.recordRead() ? read : -1;
     }
 
-    private int raw(byte[] into, int from, int most) throws IOException {
+    private int readSocket(byte[] buffer, int offset, int length) throws IOException {
       try {
-        int read = super.read(into, from, most);
-        ended |= read < 0;
+        int read = super.read(buffer, offset, length);
+        isAtEnd |= read < 0;
         return read;
-      } catch (SocketTimeoutException quiet) {
-        throw quiet;
+      } catch (SocketTimeoutException timeout) {
+        throw timeout;
       } catch (IOException e) {
-        ended = true;
-        reset = true;
+        isAtEnd = true;
+        isReset = true;
         throw e;
       }
     }
   }
 
-  Connection(Socket socket, Server.Front front) throws IOException {
+  Connection(Socket socket, Server.Front frontend) throws IOException {
     this.socket = socket;
-    this.front = front;
+    this.frontend = frontend;
     input = new Input();
     in = new BufferedInputStream(input, 2048);
   }
@@ -114,18 +99,18 @@
     return in;
   }
 
-  /** All reads up to this moment of System.nanoTime; then they throw SocketTimeoutException. */
+  /** Sets the deadline of all reads on System.nanoTime; then they throw SocketTimeoutException. */
   public void readUntil(long nanos) {
-    input.until(nanos);
+    input.setDeadlineNanos(nanos);
   }
 
   public long openedAt() {
     return openedAt;
   }
 
-  /** When its last whole message had come, or it was opened. */
-  public long heardAt() {
-    return heardAt;
+  /** When the last complete message was read, or the connection was opened. */
+  public long lastMessageNanos() {
+    return lastMessageNanos;
   }
 
   public Merit merit() {
@@ -136,240 +121,212 @@
     return socket.getRemoteSocketAddress();
   }
 
-  /**
-   * A whole message was read and understood, or an answer 'served' is owed to what was asked here.
-   */
-  public void heard(Merit shown) {
-    heardAt = System.nanoTime();
-    if (shown.compareTo(merit) > 0) {
-      merit = shown;
+  /** Records that a complete, valid message was read or that a request of this peer was served. */
+  public void heard(Merit reached) {
+    lastMessageNanos = System.nanoTime();
+    if (reached.compareTo(merit) > 0) {
+      merit = reached;
     }
   }
 
-  /** Its front has dealt with all that was read and waits for the next message. */
-  public void settled() {
-    state.settled();
+  /** Records that the front end has handled all input and waits for the next message. */
+  public void markInputHandled() {
+    state.markInputHandled();
   }
 
-  /**
-   * What is to be done when nobody waits for answers here any more; run once, by the thread that
-   * reads.
-   */
-  public void whenGone(Runnable left) {
-    gone = left;
+  /** Sets the callback for the end of the connection, when nobody waits for its answers any more. The reading thread calls it once. */
+  public void onDisconnect(Runnable callback) {
+    disconnectCallback = callback;
   }
 
-  /**
-   * A request is taken in; false where that comes too late: nothing was run, its sender asks
-   * elsewhere.
-   */
-  public boolean begin() {
-    return state.begin();
+  /** Accepts a request; false if the connection is closing: nothing was executed and the sender retries on another connection. */
+  public boolean beginRequest() {
+    return state.beginRequest();
   }
 
-  /** Its answer is sent, or nobody waits for it. */
-  public void end() {
-    carryOut(state.end(System.nanoTime()));
+  /** Completes a request: its answer is sent, or its caller has disconnected. */
+  public void completeRequest() {
+    carryOut(state.completeRequest(System.nanoTime()));
   }
 
-  /** Requests taken in and not yet answered. */
-  public int owed() {
-    return state.owed();
+  /** Number of requests accepted and not yet answered. */
+  public int inFlight() {
+    return state.inFlight();
   }
 
   Phase phase() {
     return state.phase();
   }
 
-  /** Sends whole messages in the order given; never waits for a write of another thread. */
+  /** Sends a complete message, in the order of the calls; never waits for a write of another thread. */
   public void send(byte[] message) {
-    Act act = state.offer(message);
-    if (act == Act.CUT) {
-      // Guards against a peer that does not read: its answers must not fill the memory.
-      cutUnread();
+    Action act = state.enqueue(message);
+    if (act == Action.ABORT) {
+      // The peer does not read; its answers must not use up the memory.
+      closeUnreadPeer();
     }
     carryOut(act);
   }
 
-  private void carryOut(Act act) {
+  private void carryOut(Action act) {
     try {
-      Act next = act;
-      if (next == Act.WRITE) {
-        for (byte[] each = state.next(System.nanoTime());
+      Action next = act;
+      if (next == Action.WRITE) {
+        for (byte[] each = state.nextMessage(System.nanoTime());
             each != null;
-            each = state.next(System.nanoTime())) {
+            each = state.nextMessage(System.nanoTime())) {
           socket.getOutputStream().write(each);
         }
-        next = state.written(System.nanoTime());
+        next = state.onQueueWritten(System.nanoTime());
       }
-      if (next == Act.SHUT_OUTPUT) {
+      if (next == Action.SHUT_OUTPUT) {
         socket.shutdownOutput();
       }
     } catch (IOException e) {
-      close(); // the peer's side is gone, and its answers with it
+      close(); // the peer has disconnected; its answers cannot be delivered
     }
   }
 
-  // ---- Its end ----
+  // ---- Closing ----
 
-  /**
-   * Tells its peer, once, that no new request may come here; what crosses that word is still taken
-   * and answered.
-   */
+  /** Sends the peer, once, the go-away message: it must send no new request here. Requests that cross the message are still accepted and answered. */
   public void goAway() {
-    goAway(REST_MS);
+    goAway(UNHURRIED_GO_AWAY_MS);
   }
 
-  /** The same with so many ms in which its peer may go by itself. */
+  /** The same, with the milliseconds for the peer to close by itself. */
   private void goAway(int millis) {
-    if (toldToGo(millis)) {
-      sayGo();
+    if (beginGoAway(millis)) {
+      sendGoAway();
     }
   }
 
-  /** Says the word that {@link #toldToGo} left to say. */
-  void sayGo() {
+  /** Sends the go-away message after {@link #beginGoAway}; may block while the peer does not read. */
+  void sendGoAway() {
     try {
-      front.sayClosing(this);
+      frontend.notifyClosing(this);
     } finally {
-      carryOut(state.said(System.nanoTime()));
+      carryOut(state.goAwayQueued(System.nanoTime()));
     }
   }
 
-  /**
-   * It is to go within so many ms; true for the one who then has to say so, on a thread that may
-   * wait for its peer.
-   */
-  boolean toldToGo(int millis) {
+  /** Starts the close, for which the peer has {@code millis}. Returns true for the one caller that has to call {@link #sendGoAway}, on a thread that may block. */
+  boolean beginGoAway(int millis) {
     long now = System.nanoTime();
-    return state.goAway(now, now + millis * 1_000_000L);
+    return state.beginGoAway(now, now + millis * 1_000_000L);
   }
 
-  /** Takes nothing from now on, answers what was taken, then shuts its side. */
+  /** Accepts no request from now on, answers those in flight, then shuts down the output. */
   public void finish() {
     carryOut(state.finish(System.nanoTime()));
   }
 
-  boolean unread() {
-    return unread;
+  boolean isPeerNotReading() {
+    return isPeerNotReading;
   }
 
-  private void cutUnread() {
-    unread = true;
+  private void closeUnreadPeer() {
+    isPeerNotReading = true;
     close();
   }
 
-  /**
-   * The look of the server's own thread, every some ten ms: the one place where a connection's
-   * deadlines are kept.
+  /** Enforces the deadlines of the connection; nothing else does. Called by the server's accept thread every some ten milliseconds.
    *
-   * @param hurry the process ends: a peer that does not read is not waited for
+   * @param isShuttingDown true while the server stops: a peer that does not read is closed sooner
    */
-  void look(long now, boolean hurry) {
-    if (state.stuck(now, hurry ? GO_MS * 1_000_000L : ConnectionState.WRITE_NANOS)) {
-      cutUnread();
-    } else if (state.since(Phase.HALF_CLOSED, now) > LINGER_MS * 1_000_000L) {
+  void checkDeadlines(long now, boolean isShuttingDown) {
+    if (state.isWriteStuck(now, isShuttingDown ? GO_AWAY_MS * 1_000_000L : ConnectionState.WRITE_TIMEOUT_NANOS)) {
+      closeUnreadPeer();
+    } else if (state.nanosInPhase(Phase.HALF_CLOSED, now) > LINGER_MS * 1_000_000L) {
       close();
-    } else if (state.goneBy(now) && quiet()) {
+    } else if (state.isGoAwayExpired(now) && isQuiet()) {
       finish();
     }
   }
 
-  private boolean quiet() {
+  private boolean isQuiet() {
     try {
-      return state.quiet(input.available());
+      return state.isQuiet(input.available());
     } catch (IOException e) {
-      return true; // its end is known already
+      return true; // the reading thread sees the error too
     }
   }
 
-  /**
-   * True where a bare close loses nothing now: all is written and nothing lies unread, or it never
-   * said a whole message, and what a new connection brings has failed where it is closed.
-   */
-  boolean free() {
+  /** Returns true if closing the socket now loses nothing: all answers are written and no input is unread, or the peer never sent a complete message. Clients treat a first request on a connection closed by the server as failed. */
+  boolean isSafeToClose() {
     try {
-      return state.deaf()
+      return state.rejectsRequests()
           ? state.phase() == Phase.HALF_CLOSED
-          : input.available() == 0 && state.owed() == 0 && (merit == Merit.SILENT || state.idle());
+          : input.available() == 0 && state.inFlight() == 0 && (merit == Merit.SILENT || state.isIdle());
     } catch (IOException e) {
       return true;
     }
   }
 
-  /**
-   * The one way out for the thread that reads: what was taken is answered, this side is shut, and
-   * the peer's end awaited. A peer that has only ended its side may read still: it is owed its
-   * answers. Whoever is gone resets what is written to it, and the write after that fails: so the
-   * word to go is said to it, and again, until no way there and back is longer.
-   */
-  void release() {
-    if (input.reset) {
-      return; // known gone: nothing can be owed to it
+  /** Ends the connection on its reading thread: requests in flight are answered, the output is shut down and the peer's close is awaited. A peer that has only shut down its own output still reads and gets its answers. A peer that has disconnected answers a write with a reset, and the next write fails: so the go-away message is sent several times, spread over more than any round trip. */
+  void finishAndAwaitPeer() {
+    if (input.isReset) {
+      return; // the peer has disconnected; no answer can be delivered
     }
     finish();
-    if (!input.ended) {
-      drop();
+    if (!input.isAtEnd) {
+      discardInput();
     }
-    for (int look = 0; !input.reset && state.phase() == Phase.CLOSING; look++) {
-      if (WORD_LOOKS.contains(look) && !front.sayClosing(this)) {
-        return; // its protocol has no such word, and its callers end with their connections
+    for (int poll = 0; !input.isReset && state.phase() == Phase.CLOSING; poll++) {
+      if (GO_AWAY_POLLS.contains(poll) && !frontend.notifyClosing(this)) {
+        return; // the protocol has no such message, and its callers end with their connections
       }
-      LockSupport.parkNanos(DROP_LOOK_MS * 1_000_000L);
+      LockSupport.parkNanos(DISCARD_POLL_MS * 1_000_000L);
     }
   }
 
-  /**
-   * Reads and drops what still comes until the peer ends, or its time is over. Guards against a
-   * close over unread bytes: it resets the connection, and answers that the peer has not read yet
-   * go with it.
-   */
-  private void drop() {
-    while (dropOnce(DROP_LOOK_MS)) {
+  /** Reads and discards input until the peer closes or the deadline passes. Closing a socket with unread input resets the connection, and answers that the peer has not read yet are lost. */
+  private void discardInput() {
+    while (discardOnce(DISCARD_POLL_MS)) {
       continue;
     }
   }
 
-  /** The same for one read of so many ms; false once there is nothing more to drop. */
-  boolean dropOnce(int millis) {
+  /** The same for one read of at most {@code millis}; false once the input has ended. */
+  boolean discardOnce(int millis) {
     try {
-      if (dropped > MOST_DROPPED) {
+      if (discardedBytes > MAX_DISCARDED_BYTES) {
         LockSupport.parkNanos(millis * 1_000_000L);
       } else {
-        input.until(System.nanoTime() + millis * 1_000_000L);
-        dropped += Math.max(0, input.raw(new byte[DROP_BYTES], 0, DROP_BYTES));
+        input.setDeadlineNanos(System.nanoTime() + millis * 1_000_000L);
+        discardedBytes += Math.max(0, input.readSocket(new byte[DISCARD_BUFFER_BYTES], 0, DISCARD_BUFFER_BYTES));
       }
-    } catch (SocketTimeoutException quiet) {
-      // Its deadline is looked at below.
+    } catch (SocketTimeoutException timeout) {
+      // The deadline is checked below.
     } catch (IOException e) {
-      return false; // noted as its end
+      return false; // the connection is reset
     }
-    look(System.nanoTime(), false);
-    return !input.ended && state.phase() != Phase.CLOSED;
+    checkDeadlines(System.nanoTime(), false);
+    return !input.isAtEnd && state.phase() != Phase.CLOSED;
   }
 
-  /** Nobody reads here any more: whoever is still in hand has left. */
-  void over() {
+  /** Closes the socket and reports the callers of requests in flight as disconnected. */
+  void closeAndNotify() {
     close();
-    gone.run();
+    disconnectCallback.run();
   }
 
-  /** Why it is closed, and how it stood then: what to look for where a request was lost with it. */
-  void note(String server, String why) {
+  /** Logs the reason of a close and the state of the connection, to trace requests that were lost with it. */
+  void logClose(String server, String reason) {
     if (Logger.isDebugEnabled()) {
       Logger.debug(
-          "{}: {} closed: {} ({}, {}, owes {}, heard {} ms ago)",
+          "connection closed server={} peer={} reason={} use={} phase={} in_flight={} idle_ms={}",
           server,
           peer(),
-          why,
+          reason,
           merit,
           state.phase(),
-          state.owed(),
-          (System.nanoTime() - heardAt) / 1_000_000);
+          state.inFlight(),
+          (System.nanoTime() - lastMessageNanos) / 1_000_000);
     }
   }
 
-  /** Gives the socket back, whatever was said. */
+  /** Closes the socket at once, whatever is in flight. */
   void close() {
     if (state.close(System.nanoTime())) {
       BoundedReader.closeQuietly(socket);
--- a/src/main/java/wharftrestle/transport/ConnectionState.java
+++ b/src/main/java/wharftrestle/transport/ConnectionState.java
@@ -7,25 +7,23 @@
 import java.util.Set;
 
 /**
- * Owns what one connection still owes and how far its end has come: one state, moved under one
- * lock, its own monitor. It must never touch a socket or a clock, and nobody else may keep a flag
- * that says the same. Times are System.nanoTime.
+ * State machine of one connection: its phase, the requests in flight and the messages queued for its peer. Thread-safe: every transition is made under one lock, the object's own monitor. It uses neither sockets nor clocks, and it is the only place for this state: no other class keeps a copy. Times are System.nanoTime.
  *
  * <table>
- * <caption>Phases; a transition that is not here throws</caption>
- * <tr><td>OPEN</td><td>requests are taken</td><td>to GOING_AWAY, CLOSING, CLOSED</td></tr>
- * <tr><td>GOING_AWAY</td><td>its peer was told to send no more; what crosses that word is still taken</td>
+ * <caption>Phases; any other transition throws IllegalStateException</caption>
+ * <tr><td>OPEN</td><td>requests are accepted</td><td>to GOING_AWAY, CLOSING, CLOSED</td></tr>
+ * <tr><td>GOING_AWAY</td><td>the peer was sent a go-away message; requests that cross it are still accepted</td>
  *     <td>to CLOSING, CLOSED</td></tr>
- * <tr><td>CLOSING</td><td>nothing is taken any more; what was taken is still answered</td>
+ * <tr><td>CLOSING</td><td>no request is accepted; those in flight are still answered</td>
  *     <td>to HALF_CLOSED, CLOSED</td></tr>
- * <tr><td>HALF_CLOSED</td><td>all is written and this side is shut; what comes is read and dropped until the peer ends</td>
+ * <tr><td>HALF_CLOSED</td><td>all answers are written and the output is shut down; input is discarded until the peer closes</td>
  *     <td>to CLOSED</td></tr>
  * <tr><td>CLOSED</td><td>nothing is sent or read</td><td></td></tr>
  * </table>
  */
 final class ConnectionState {
 
-  /** How far the end of a connection has come. */
+  /** Phases of a connection, in order. */
   enum Phase {
     OPEN,
     GOING_AWAY,
@@ -34,15 +32,15 @@
     CLOSED
   }
 
-  /** What whoever moved the state has to do next, outside the lock. */
-  enum Act {
+  /** What the caller of a transition has to do next, outside the lock. */
+  enum Action {
     NOTHING,
     WRITE,
     SHUT_OUTPUT,
-    CUT
+    ABORT
   }
 
-  private static final Map<Phase, Set<Phase>> NEXT =
+  private static final Map<Phase, Set<Phase>> TRANSITIONS =
       new EnumMap<>(
           Map.of(
               Phase.OPEN, EnumSet.of(Phase.GOING_AWAY, Phase.CLOSING, Phase.CLOSED),
@@ -51,203 +49,188 @@
               Phase.HALF_CLOSED, EnumSet.of(Phase.CLOSED),
               Phase.CLOSED, EnumSet.noneOf(Phase.class)));
 
-  /** Bytes that may wait for a peer that does not read: some dozens of the longest answers. */
-  static final int MOST_WAITING = 512 * 1024;
+  /** Bytes that may be queued for a peer that does not read: some dozens of the longest answers. */
+  static final int MAX_QUEUED_BYTES = 512 * 1024;
 
-  /**
-   * Nanoseconds that one message may take to be written: a peer that takes nothing for so long does
-   * not read.
-   */
-  static final long WRITE_NANOS = 5_000_000_000L;
+  /** Nanoseconds within which a message must be written; a peer that accepts no bytes for so long is not reading. */
+  static final long WRITE_TIMEOUT_NANOS = 5_000_000_000L;
 
   private final ArrayDeque<byte[]> queue = new ArrayDeque<>();
   private Phase phase = Phase.OPEN;
-  private int owed; // requests taken whose answer is not in the queue yet
-  private int waiting; // bytes in the queue
-  private boolean writing; // a thread takes messages from the queue and writes them
-  private long writingSince; // the message that is being written; 0 for none
-  private boolean inHand; // bytes were read that the front has not dealt with
-  private long reads;
-  private long quietReads = -1; // what reads was at the last look that found it quiet
-  private long movedAt; // when the present phase began
-  private long goBy; // once its peer was told to go
-  private boolean wordOwed; // and the word itself is not in the queue yet
-
-  /**
-   * Under the lock as all else: a look without it would see the instant between two steps that are
-   * one.
-   */
+  private int inFlight; // accepted requests whose answer is not queued yet
+  private int queuedBytes; // size of all messages in the queue
+  private boolean isWriting; // a thread is writing the queue
+  private long writeStartedNanos; // start of the write in progress; 0 for none
+  private boolean isInputPending; // the front end has not handled all input yet
+  private long readCount;
+  private long readCountWhenQuiet = -1; // value of readCount at the last poll that found the connection quiet
+  private long phaseStartedNanos; // start of the present phase
+  private long goAwayDeadlineNanos; // by which the peer should close
+  private boolean isGoAwayPending; // the go-away message is not queued yet
+
+  /** Returns the phase. Reading it without the lock could observe a transition half-way. */
   synchronized Phase phase() {
     return phase;
   }
 
-  /** True once no request is taken any more. */
-  synchronized boolean deaf() {
+  /** Returns true once no further request is accepted. */
+  synchronized boolean rejectsRequests() {
     return phase.compareTo(Phase.CLOSING) >= 0;
   }
 
-  private void move(Phase next, long now) {
-    if (!NEXT.get(phase).contains(next)) {
-      throw new IllegalStateException("a connection goes from " + phase + " to " + next);
+  private void enter(Phase next, long now) {
+    if (!TRANSITIONS.get(phase).contains(next)) {
+      throw new IllegalStateException("illegal transition of a connection from " + phase + " to " + next);
     }
     phase = next;
-    movedAt = now;
+    phaseStartedNanos = now;
   }
 
-  // ---- What is read ----
+  // ---- Input ----
 
-  /** Bytes came; false where nothing is taken any more and they are to be dropped. */
-  synchronized boolean read() {
-    reads++;
-    inHand = !deaf();
-    return inHand;
+  /** Records that bytes were read; false if they are to be discarded, as no request is accepted any more. */
+  synchronized boolean recordRead() {
+    readCount++;
+    isInputPending = !rejectsRequests();
+    return isInputPending;
   }
 
-  /** The front has dealt with all that was read. */
-  synchronized void settled() {
-    inHand = false;
+  /** Records that the front end has handled all input read so far. */
+  synchronized void markInputHandled() {
+    isInputPending = false;
   }
 
-  /** A request is taken in and owed its answer; false where it comes too late for that. */
-  synchronized boolean begin() {
-    if (deaf()) {
+  /** Accepts a request, which is in flight until it is completed; false if the connection is closing. */
+  synchronized boolean beginRequest() {
+    if (rejectsRequests()) {
       return false;
     }
-    owed++;
+    inFlight++;
     return true;
   }
 
-  /** Its answer is in the queue, or nobody waits for it. */
-  synchronized Act end(long now) {
-    if (owed == 0) {
-      throw new IllegalStateException("more answers than requests");
+  /** Completes a request: its answer is queued, or its caller has disconnected. */
+  synchronized Action completeRequest(long now) {
+    if (inFlight == 0) {
+      throw new IllegalStateException("more requests completed than accepted");
     }
-    owed--;
+    inFlight--;
     return shutIfDone(now);
   }
 
-  synchronized int owed() {
-    return owed;
+  synchronized int inFlight() {
+    return inFlight;
   }
 
-  // ---- What is written ----
+  // ---- Output ----
 
-  /**
-   * A message to send; WRITE where the caller is to write what waits, CUT where the peer does not
-   * read.
-   */
-  synchronized Act offer(byte[] message) {
+  /** Queues a message. Returns WRITE if the caller has to write the queue, ABORT if the queue is full because the peer does not read. */
+  synchronized Action enqueue(byte[] message) {
     if (phase.compareTo(Phase.HALF_CLOSED) >= 0) {
-      return Act.NOTHING; // all that was owed is written, or the peer is gone
+      return Action.NOTHING; // all answers are written, or the peer has disconnected
     }
-    if (waiting + message.length > MOST_WAITING) {
-      return Act.CUT;
+    if (queuedBytes + message.length > MAX_QUEUED_BYTES) {
+      return Action.ABORT;
     }
-    waiting += message.length;
+    queuedBytes += message.length;
     queue.add(message);
-    if (writing) {
-      return Act.NOTHING;
+    if (isWriting) {
+      return Action.NOTHING;
     }
-    writing = true;
-    return Act.WRITE;
+    isWriting = true;
+    return Action.WRITE;
   }
 
-  /** The next message for who writes; null where none is left, and then it writes no more. */
-  synchronized byte[] next(long now) {
+  /** Returns the next message for the writing thread; null if none is left, and then that thread stops writing. */
+  synchronized byte[] nextMessage(long now) {
     byte[] message = queue.poll();
-    writing = message != null;
-    writingSince = writing ? now : 0;
-    waiting -= writing ? message.length : 0;
+    isWriting = message != null;
+    writeStartedNanos = isWriting ? now : 0;
+    queuedBytes -= isWriting ? message.length : 0;
     return message;
   }
 
-  /** What is to be done once nothing waits to be written. */
-  synchronized Act written(long now) {
+  /** Returns the next action once the queue is written. */
+  synchronized Action onQueueWritten(long now) {
     return shutIfDone(now);
   }
 
-  // ---- Its end ----
+  // ---- Closing ----
 
-  /**
-   * Its peer is to hear that no request may come any more, and go by then; true for the one who has
-   * to say so.
-   */
-  synchronized boolean goAway(long now, long by) {
+  /** Starts the close: the peer is to be sent a go-away message and should close by the deadline. Returns true for the one caller that has to send the message. */
+  synchronized boolean beginGoAway(long now, long deadline) {
     if (phase != Phase.OPEN) {
-      goBy = Math.min(goBy, by);
+      goAwayDeadlineNanos = Math.min(goAwayDeadlineNanos, deadline);
       return false;
     }
-    move(Phase.GOING_AWAY, now);
-    goBy = by;
-    wordOwed = true;
+    enter(Phase.GOING_AWAY, now);
+    goAwayDeadlineNanos = deadline;
+    isGoAwayPending = true;
     return true;
   }
 
-  /** The word to go is in the queue. */
-  synchronized Act said(long now) {
-    wordOwed = false;
+  /** Records that the go-away message is queued. */
+  synchronized Action goAwayQueued(long now) {
+    isGoAwayPending = false;
     return shutIfDone(now);
   }
 
-  /** True where its peer was told to go and has had the time for it. */
-  synchronized boolean goneBy(long now) {
-    return phase == Phase.GOING_AWAY && now > goBy;
+  /** Returns true if the deadline after the go-away message has passed. */
+  synchronized boolean isGoAwayExpired(long now) {
+    return phase == Phase.GOING_AWAY && now > goAwayDeadlineNanos;
   }
 
-  /** Nothing is taken from now on. */
-  synchronized Act finish(long now) {
-    if (!deaf()) {
-      move(Phase.CLOSING, now);
+  /** Accepts no request from now on. */
+  synchronized Action finish(long now) {
+    if (!rejectsRequests()) {
+      enter(Phase.CLOSING, now);
     }
     return shutIfDone(now);
   }
 
-  private Act shutIfDone(long now) {
-    if (phase != Phase.CLOSING || owed > 0 || wordOwed || writing || !queue.isEmpty()) {
-      return Act.NOTHING;
+  private Action shutIfDone(long now) {
+    if (phase != Phase.CLOSING || inFlight > 0 || isGoAwayPending || isWriting || !queue.isEmpty()) {
+      return Action.NOTHING;
     }
-    move(Phase.HALF_CLOSED, now);
-    return Act.SHUT_OUTPUT;
+    enter(Phase.HALF_CLOSED, now);
+    return Action.SHUT_OUTPUT;
   }
 
-  /** The end of all; true for the one who has to give the socket back. */
+  /** Enters CLOSED; true for the one caller that has to close the socket. */
   synchronized boolean close(long now) {
     if (phase == Phase.CLOSED) {
       return false;
     }
-    move(Phase.CLOSED, now);
+    enter(Phase.CLOSED, now);
     queue.clear();
-    waiting = 0;
+    queuedBytes = 0;
     return true;
   }
 
-  /** True where no answer is owed or on its way out, and nothing read and not dealt with. */
-  synchronized boolean idle() {
-    return owed == 0 && !writing && queue.isEmpty() && !inHand;
+  /** Returns true if no request is in flight, no message is queued or being written and no input is pending. */
+  synchronized boolean isIdle() {
+    return inFlight == 0 && !isWriting && queue.isEmpty() && !isInputPending;
   }
 
   /**
-   * One of several looks, some ten milliseconds apart, by another thread than the one that reads.
-   * True where it was idle at the look before too and nothing was read between. Guards against the
-   * instant in which bytes have left the system and the thread that read them has not said so yet:
-   * at the second look it has, or it was read between the two.
+   * Polled by another thread than the reader, at intervals of some ten milliseconds. Returns true if the connection was idle at the previous poll too and nothing was read in between. A single poll is not enough: bytes may have left the kernel's buffer before the reading thread has recorded them. At the second poll it has, or the read falls between the two.
    *
-   * @param unread bytes that the system holds
+   * @param unreadBytes bytes in the kernel's receive buffer
    */
-  synchronized boolean quiet(int unread) {
-    boolean now = unread == 0 && idle() && !wordOwed;
-    boolean before = quietReads == reads;
-    quietReads = now ? reads : -1;
-    return now && before;
+  synchronized boolean isQuiet(int unreadBytes) {
+    boolean isQuietNow = unreadBytes == 0 && isIdle() && !isGoAwayPending;
+    boolean wasQuiet = readCountWhenQuiet == readCount;
+    readCountWhenQuiet = isQuietNow ? readCount : -1;
+    return isQuietNow && wasQuiet;
   }
 
-  /** Nanoseconds for which it has been in this phase; 0 where it is in another. */
-  synchronized long since(Phase asked, long now) {
-    return phase == asked ? Math.max(1, now - movedAt) : 0;
+  /** Returns the nanoseconds spent in this phase; 0 if the connection is in another. */
+  synchronized long nanosInPhase(Phase expected, long now) {
+    return phase == expected ? Math.max(1, now - phaseStartedNanos) : 0;
   }
 
-  /** True where the message that is being written has waited longer than that for its peer. */
-  synchronized boolean stuck(long now, long most) {
-    return writingSince != 0 && now - writingSince > most;
+  /** Returns true if the write in progress has taken longer than {@code maxNanos}. */
+  synchronized boolean isWriteStuck(long now, long maxNanos) {
+    return writeStartedNanos != 0 && now - writeStartedNanos > maxNanos;
   }
 }
--- a/src/main/java/wharftrestle/transport/DescriptorBudget.java
+++ b/src/main/java/wharftrestle/transport/DescriptorBudget.java
@@ -1,58 +1,52 @@
 package wharftrestle.transport;
 
 /**
- * How many descriptors each part of the process may hold, of those that it is allowed: what the
- * worker pool's link, the store's calls and the operators need is kept free of callers, however
- * many rest. Owns the sums, and must never open anything.
+ * Divides the file descriptors that the process may open among its parts. The worker pool's link, the
+ * store's connections and the operators keep theirs, however many callers have idle connections.
+ * Computes the limits only and opens nothing.
  *
  * @param callers connections of front ends and gateways
- * @param leaving further ones of theirs that are on their way out, at most; half as many newcomers
- *     are turned away and have yet to hear so
- * @param calls connections to the store, under way or idle
- * @param operators calls at the operators' door
+ * @param leaving maximum number of further caller connections that are closing; half as many
+ *     rejected connections may wait for their close
+ * @param calls connections to the store, in use or idle
+ * @param operators connections to the admin endpoint
  */
 public record DescriptorBudget(int callers, int leaving, int calls, int operators) {
-  /**
-   * Files, listeners, the worker pool's link and the one that replaces it, the reports, the log: 12
-   * after a start on the platform, as counted under /proc on 2026-12-02.
-   */
-  static final int OWN = 16;
+  /** Files, listeners, the worker pool's link and its replacement, load reports, the log: 12 after a start on the platform, as counted under /proc on 2026-12-02. */
+  static final int RESERVED = 16;
 
-  /**
-   * Part that all callers may hold: front ends open at most half, and whoever else connects must
-   * not fill that.
-   */
-  private static final double CALLERS_SHARE = 0.6;
+  /** Fraction for all callers. Front ends open at most half of the descriptors, and other clients must not use up that half. */
+  private static final double MAX_CALLERS_FRACTION = 0.6;
 
-  private static final int MOST_LEAVING = 16;
+  private static final int MAX_CLOSING = 16;
 
-  /** The same for operators: few call at once. */
-  static final int OPERATORS_LEAVING = 4;
+  /** Closing connections of operators; few operators connect at once. */
+  static final int MAX_OPERATORS_CLOSING = 4;
 
-  private static final int MOST_CALLS = 48;
-  private static final int MOST_OPERATORS = 16;
+  private static final int MAX_STORE_CONNECTIONS = 48;
+  private static final int MAX_OPERATORS = 16;
 
-  /** The parts of a process that may hold so many. */
+  /** Computes the budget of a process that may open {@code allowed} descriptors. */
   public static DescriptorBudget of(int allowed) {
-    int leaving = part(allowed, 16, 4, MOST_LEAVING);
-    int calls = part(allowed, 8, 8, MOST_CALLS);
-    int operators = part(allowed, 16, 4, MOST_OPERATORS);
-    int rest = allowed - OWN - leaving * 3 / 2 - calls - operators - OPERATORS_LEAVING * 3 / 2;
+    int leaving = share(allowed, 16, 4, MAX_CLOSING);
+    int calls = share(allowed, 8, 8, MAX_STORE_CONNECTIONS);
+    int operators = share(allowed, 16, 4, MAX_OPERATORS);
+    int remaining = allowed - RESERVED - leaving * 3 / 2 - calls - operators - MAX_OPERATORS_CLOSING * 3 / 2;
     return new DescriptorBudget(
-        (int) Math.max(1, Math.min(CALLERS_SHARE * allowed, rest)), leaving, calls, operators);
+        (int) Math.max(1, Math.min(MAX_CALLERS_FRACTION * allowed, remaining)), leaving, calls, operators);
   }
 
-  /** What gateways have of those that leave, where they are let in. */
+  /** Closing connections granted to gateways, where gateways are enabled. */
   public int gatewaysLeaving() {
     return leaving / 4;
   }
 
-  /** What operators' calls have. */
+  /** Closing connections granted to operators. */
   public int operatorsLeaving() {
-    return OPERATORS_LEAVING;
+    return MAX_OPERATORS_CLOSING;
   }
 
-  private static int part(int allowed, int of, int least, int most) {
-    return Math.max(least, Math.min(most, allowed / of));
+  private static int share(int allowed, int divisor, int min, int max) {
+    return Math.max(min, Math.min(max, allowed / divisor));
   }
 }
--- a/src/main/java/wharftrestle/transport/LogRateLimiter.java
+++ b/src/main/java/wharftrestle/transport/LogRateLimiter.java
@@ -2,26 +2,22 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/**
- * Owns when a line about what comes from outside may be logged again: one a second of each kind.
- * Guards against a log that grows as fast as peers, links or the system fail. It must never log
- * itself, and never wait.
- */
+/** Limits log lines about external events to one a second for each kind, so that the log does not grow as fast as peers, links or the system fail. Thread-safe; never blocks and logs nothing itself. */
 public final class LogRateLimiter {
-  private static final long EVERY_NANOS = 1_000_000_000L;
+  private static final long INTERVAL_NANOS = 1_000_000_000L;
 
-  private final AtomicLong last;
+  private final AtomicLong lastNanos;
 
   /**
-   * @param now System.nanoTime; the first line may come at once
+   * @param now System.nanoTime; the first line is allowed immediately
    */
   public LogRateLimiter(long now) {
-    last = new AtomicLong(now - 2 * EVERY_NANOS);
+    lastNanos = new AtomicLong(now - 2 * INTERVAL_NANOS);
   }
 
-  /** True for the one line of this second. */
-  public boolean may(long now) {
-    long before = last.get();
-    return now - before > EVERY_NANOS && last.compareAndSet(before, now);
+  /** Returns true if a line may be logged now: at most once a second. */
+  public boolean tryAcquire(long now) {
+    long previous = lastNanos.get();
+    return now - previous > INTERVAL_NANOS && lastNanos.compareAndSet(previous, now);
   }
 }
--- a/src/main/java/wharftrestle/transport/OwnershipLock.java
+++ b/src/main/java/wharftrestle/transport/OwnershipLock.java
@@ -9,25 +9,20 @@
 import java.nio.file.StandardOpenOption;
 import org.tinylog.Logger;
 
-/**
- * A file lock that lives as long as a process that knows the keys of this host, or is about to:
- * each such process holds it shared, and whoever would start without those keys has to hold it
- * alone. The kernel releases it when its process ends, and not before, so a stopped process keeps
- * it. Where files cannot be locked, no other process is assumed. Thread-safe.
- */
+/** A file lock for the processes that own the keys of this host or are about to own them. Each such process holds it shared; a process that would start without the keys has to acquire it exclusively. The kernel releases the lock when its process ends and not earlier, so a stopped process keeps it. If the file cannot be locked, no other process is assumed. Thread-safe. */
 public final class OwnershipLock implements Closeable {
   private final Path file;
   private FileChannel channel;
   private FileLock lock;
 
   /**
-   * @param socket where the processes of the host meet; the file lies beside it
+   * @param socket Unix socket of the handover; the lock file is created in the same directory
    */
   public OwnershipLock(Path socket) {
     file = socket.resolveSibling(socket.getFileName() + ".seat");
   }
 
-  /** Holds the lock shared: this process knows the keys of its host, or is about to. */
+  /** Acquires the lock shared: this process owns the keys of the host or is about to. */
   public synchronized void acquireShared() {
     if (lock == null || !lock.isShared()) {
       release();
@@ -35,30 +30,27 @@
     }
   }
 
-  /**
-   * Tries to hold the lock alone, until it is held shared or released. True where no other process
-   * holds it, or that cannot be told.
-   */
+  /** Tries to acquire the lock exclusively, until it is acquired shared or released. Returns true if no other process holds it, or if locking the file fails. */
   public synchronized boolean tryAcquireExclusive() {
     release();
     try {
-      lock = lockOf(false);
+      lock = openAndTryLock(false);
       return lock != null;
     } catch (OverlappingFileLockException e) {
       return false;
     } catch (IOException e) {
-      Logger.debug("{}: {}", file, e.toString());
+      Logger.debug("cannot lock file={} error={}", file, e.toString());
       return true;
     }
   }
 
-  /** Holds the lock no more: this process knows nothing that others do not. */
+  /** Releases the lock: this process holds no keys that another process lacks. */
   public synchronized void release() {
     if (lock != null) {
       try {
         lock.release();
       } catch (IOException e) {
-        Logger.debug("{}: {}", file, e.toString());
+        Logger.debug("cannot release file={} error={}", file, e.toString());
       }
       lock = null;
     }
@@ -66,14 +58,14 @@
 
   private FileLock tryLock(boolean shared) {
     try {
-      return lockOf(shared);
+      return openAndTryLock(shared);
     } catch (IOException | OverlappingFileLockException e) {
-      Logger.debug("{}: {}", file, e.toString());
+      Logger.debug("cannot lock file={} error={}", file, e.toString());
       return null;
     }
   }
 
-  private FileLock lockOf(boolean shared) throws IOException {
+  private FileLock openAndTryLock(boolean shared) throws IOException {
     if (channel == null) {
       channel =
           FileChannel.open(
--- a/src/main/java/wharftrestle/transport/PeerLink.java
+++ b/src/main/java/wharftrestle/transport/PeerLink.java
@@ -24,17 +24,10 @@
 import wharftrestle.request.PlatformThreads;
 import wharftrestle.version.VersionRange;
 
-/**
- * Owns the Unix socket over which the two processes of a box talk: lines of words, bounded, with
- * bodies by length. It carries what the core tells the other core and the steps of the hand-over,
- * in order. It must never decide who owns a key or when a side listens, never make the core wait
- * but where the core asks for it, and never close a link while its process lives and the other may
- * talk: the end of a link means that a process has ended. What cannot be understood makes it deaf
- * and dumb instead.
- */
+/** One end of the Unix socket between the two processes of a host. Messages are lines of fields with bounded lengths, followed by bodies of announced length; they carry the updates of keys between the two {@link PeerCoordinator}s and the steps of the handover, in order. Key ownership and the time to listen are decided elsewhere. Senders return at once, except where {@link PeerProcess} says that they wait. The link stays open while both processes live, because its end means that a process has ended; after a message that cannot be parsed, the link stays open but is no longer read or written. */
 public final class PeerLink implements PeerProcess, Closeable {
 
-  /** The steps of a hand-over, as the other process says them. */
+  /** Messages of the handover from the peer process. */
   public enum Message {
     TAKEOVER_REQUEST,
     PREDECESSOR_CAPABILITIES,
@@ -53,121 +46,106 @@
     LINK_LOST
   }
 
-  /** Told of each word, in order; LOST is the last. */
+  /** Receives each handover message, in order; LINK_LOST is the last. */
   public interface MessageHandler {
-    /** The detail is what came with the word: terms, a reason; empty for none. */
-    void onMessage(PeerLink link, Message word, String detail);
+    /** Called on the reading thread. The detail is the message's text, such as capabilities or a reason; empty if there is none. */
+    void onMessage(PeerLink link, Message message, String detail);
   }
 
-  private static final int LONGEST_LINE = 1024;
-  private static final int LONGEST_BODY = 64 * 1024;
+  private static final int MAX_LINE_BYTES = 1024;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Characters of a reason. */
-  private static final int LONGEST_REASON = 300;
+  /** Maximum length of a reason. */
+  private static final int MAX_REASON_CHARS = 300;
 
-  /** Milliseconds for which a run waits at most until the other process can know of it. */
-  private static final long SURELY_MS = 1000;
+  /** Milliseconds for which an execution waits at most until its key is sent to the peer process. */
+  private static final long KEY_WRITE_TIMEOUT_MS = 1000;
 
-  /**
-   * Milliseconds for which the words of settled keys wait at most: waiting for a stopped process
-   * costs nothing.
-   */
-  private static final long PATIENCE_MS = 10_000;
+  /** Milliseconds to wait at most for completed keys to be written; waiting for a stopped process costs nothing. */
+  private static final long COMPLETED_KEY_TIMEOUT_MS = 10_000;
 
-  /** Nanoseconds between two tries to hear who comes, where descriptors are short. */
-  private static final long AGAIN_NANOS = 200_000_000L;
+  /** Nanoseconds between two attempts to accept a link while descriptors are short. */
+  private static final long ACCEPT_RETRY_NANOS = 200_000_000L;
 
   private static final byte[] CRLF = {'\r', '\n'};
 
-  /**
-   * Words of keys that are over which wait to be written at most: a full table is never in the heap
-   * twice.
-   */
-  private static final int MOST_OVER = 16;
+  /** Maximum number of completed keys that wait to be written, so that a full table is never in the heap twice. */
+  private static final int MAX_UNWRITTEN_COMPLETED_KEYS = 16;
 
-  /**
-   * Words that may wait while what settles is told; with more, the other side lags too far behind.
-   */
-  private static final int MOST_FOLLOW = 1024;
+  /** Messages that may be unwritten while completions are forwarded; with more, the peer process lags too far behind. */
+  private static final int MAX_UNWRITTEN_MESSAGES = 1024;
 
-  /** What a process says with its wish to take over: it knows the word for keys that are over. */
-  private static final String KNOWS_OVER = "over";
+  /** Field of a takeover request: the sender understands messages of completed keys. */
+  private static final String COMPLETED_KEY_CAPABILITY = "over";
 
-  /** Links at once: the process that takes over, and those that wait. */
-  private static final int MOST_LINKS = 4;
+  /** Maximum number of links at once: the successor, and processes that wait for their turn. */
+  private static final int MAX_LINKS = 4;
 
   private final SocketChannel channel;
   private final PeerCoordinator core;
-  private final MessageHandler side;
-  private final LinkedBlockingQueue<byte[]> words = new LinkedBlockingQueue<>();
-  private long queued;
-  private long written;
-  private boolean over;
-  private volatile boolean mute;
-
-  private PeerLink(SocketChannel channel, PeerCoordinator core, MessageHandler side) {
+  private final MessageHandler handler;
+  private final LinkedBlockingQueue<byte[]> outgoing = new LinkedBlockingQueue<>();
+  private long queuedCount;
+  private long writtenCount;
+  private boolean isClosed;
+  private volatile boolean isMuted;
+
+  private PeerLink(SocketChannel channel, PeerCoordinator core, MessageHandler handler) {
     this.channel = channel;
     this.core = core;
-    this.side = side;
+    this.handler = handler;
   }
 
-  /**
-   * The link to a process that serves already; null where none does. Nothing is heard before {@link
-   * #start}.
-   */
-  public static PeerLink connect(Path at, PeerCoordinator core, MessageHandler side) {
+  /** Connects to a process that is already serving; null if there is none. Messages are read from {@link #start} on. */
+  public static PeerLink connect(Path path, PeerCoordinator core, MessageHandler handler) {
     try {
-      return new PeerLink(SocketChannel.open(UnixDomainSocketAddress.of(at)), core, side);
-    } catch (IOException | RuntimeException none) {
-      return null; // no such file, or a stale one
+      return new PeerLink(SocketChannel.open(UnixDomainSocketAddress.of(path)), core, handler);
+    } catch (IOException | RuntimeException e) {
+      return null; // no such socket file, or a stale one
     }
   }
 
-  /**
-   * Waits for further processes at this file, which may be a stale one; null where it cannot be
-   * had.
-   */
-  public static ServerSocketChannel listen(Path at, PeerCoordinator core, MessageHandler side) {
+  /** Listens for further processes on this socket file, replacing a stale one; null if that fails. */
+  public static ServerSocketChannel listen(Path path, PeerCoordinator core, MessageHandler handler) {
     ServerSocketChannel server;
     try {
-      Files.deleteIfExists(at);
+      Files.deleteIfExists(path);
       server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-      server.bind(UnixDomainSocketAddress.of(at));
+      server.bind(UnixDomainSocketAddress.of(path));
     } catch (IOException | RuntimeException e) {
-      Logger.warn("no upgrade can take over from this process: {}", e.toString());
+      Logger.warn("cannot listen for a successor, handover is not possible: {}", e.toString());
       return null;
     }
-    Semaphore links = new Semaphore(MOST_LINKS);
+    Semaphore linkPermits = new Semaphore(MAX_LINKS);
     PlatformThreads.thread(
             "box-accept",
             () -> {
               while (server.isOpen()) {
                 try {
-                  links.acquire();
+                  linkPermits.acquire();
                   SocketChannel channel = server.accept();
                   try {
-                    PeerLink link = new PeerLink(channel, core, side);
+                    PeerLink link = new PeerLink(channel, core, handler);
                     PlatformThreads.thread(
                             "box",
                             () -> {
                               try {
-                                link.converse();
+                                link.readMessages();
                               } finally {
-                                links.release();
+                                linkPermits.release();
                               }
                             })
                         .start();
                   } catch (RuntimeException | Error noThread) {
                     BoundedReader.closeQuietly(
-                        channel); // nothing was heard on it: whoever comes tries again
+                        channel); // nothing was read from it, so the successor retries
                     throw noThread;
                   }
                 } catch (IOException | RuntimeException | Error e) {
-                  // Guards against a box that no process can take over any more, as descriptors
-                  // were short once.
-                  Logger.debug("hand-over: {}", e.toString());
-                  links.release();
-                  LockSupport.parkNanos(AGAIN_NANOS);
+                  // A temporary shortage of descriptors must not make later handovers impossible.
+                  Logger.debug("handover: cannot accept a link: {}", e.toString());
+                  linkPermits.release();
+                  LockSupport.parkNanos(ACCEPT_RETRY_NANOS);
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
                   return;
@@ -178,41 +156,41 @@
     return server;
   }
 
-  /** Hears from now on. */
+  /** Starts to read and write messages. */
   public void start() {
-    PlatformThreads.thread("box", this::converse).start();
+    PlatformThreads.thread("box", this::readMessages).start();
   }
 
-  // ---- The steps, as this side says them ----
+  // ---- Messages of the handover ----
 
-  /** Asks to take over; a build of format 1 reads the first words alone. */
-  public void sendTakeoverRequest(String name, VersionRange speaks) {
+  /** Requests a takeover; a build of format 1 reads only the first fields. */
+  public void sendTakeoverRequest(String name, VersionRange formats) {
     send(
         "take "
             + URLEncoder.encode(name, StandardCharsets.ISO_8859_1)
             + " "
-            + KNOWS_OVER
+            + COMPLETED_KEY_CAPABILITY
             + " "
-            + speaks);
+            + formats);
   }
 
-  public void sendPredecessorCapabilities(String terms) {
-    sayText("who", terms);
+  public void sendPredecessorCapabilities(String capabilities) {
+    sendText("who", capabilities);
   }
 
-  public void sendSuccessorCapabilities(String terms) {
-    sayText("terms", terms);
+  public void sendSuccessorCapabilities(String capabilities) {
+    sendText("terms", capabilities);
   }
 
-  private void sayText(String word, String text) {
+  private void sendText(String verb, String text) {
     byte[] body = text.getBytes(StandardCharsets.UTF_8);
-    send(word + " " + body.length, body);
+    send(verb + " " + body.length, body);
   }
 
-  /** Says one step; the reason is for people. */
-  public void send(Message word, String reason) {
+  /** Sends a message that has no fields but a reason, which is for people. */
+  public void send(Message message, String reason) {
     String text =
-        switch (word) {
+        switch (message) {
           case ACCEPTANCE -> "agreed";
           case REJECTION -> "no never";
           case RETRY_LATER -> "no later";
@@ -221,338 +199,334 @@
           case KEYS_ACKNOWLEDGED -> "taken";
           case LISTENING -> "listens";
           case RELINQUISHED -> "ceded";
-          default -> throw new IllegalArgumentException("has more to say: " + word);
+          default -> throw new IllegalArgumentException("message needs further fields: " + message);
         };
-    String brief = reason.length() > LONGEST_REASON ? reason.substring(0, LONGEST_REASON) : reason;
-    send(brief.isEmpty() ? text : text + " " + URLEncoder.encode(brief, StandardCharsets.UTF_8));
+    String truncated = reason.length() > MAX_REASON_CHARS ? reason.substring(0, MAX_REASON_CHARS) : reason;
+    send(truncated.isEmpty() ? text : text + " " + URLEncoder.encode(truncated, StandardCharsets.UTF_8));
   }
 
-  /** Says that so many keys have been told, which this side owns still. */
+  /** Reports that this number of keys has been sent; this process still owns them. */
   public void sendKeysComplete(int keys) {
     send("told " + keys);
   }
 
-  /** Says that so many open keys have been told, and that the other side owns all. */
+  /** Reports that this number of open keys has been sent, and transfers the ownership of all keys. */
   public void sendOwnership(int keys) {
     send("yours " + keys);
   }
 
-  /** The same to a process of format 1. */
+  /** The same for a process of format 1. */
   public void sendLegacyOwnership(int keys) {
     send("handed " + keys);
   }
 
   // ---- Reading ----
 
-  private void converse() {
-    PlatformThreads.thread("box-write", this::write).start();
+  private void readMessages() {
+    PlatformThreads.thread("box-write", this::writeMessages).start();
     try {
       InputStream in =
           new BufferedInputStream(
-              new BoundedReader.Runs() {
-                // The channel's own stream would hold its lock while it waits, and so hold up all
-                // writes.
+              new BoundedReader.BlockInputStream() {
+                // The channel's own stream holds its lock during a read, which would block all writes.
                 @Override
-                public int read(byte[] into, int from, int most) throws IOException {
-                  return channel.read(ByteBuffer.wrap(into, from, Math.min(most, 4096)));
+                public int read(byte[] buffer, int offset, int length) throws IOException {
+                  return channel.read(ByteBuffer.wrap(buffer, offset, Math.min(length, 4096)));
                 }
               },
               4096);
       try {
         for (; ; ) {
-          hear(BoundedReader.line(in, LONGEST_LINE).split(" "), in);
+          handle(BoundedReader.line(in, MAX_LINE_BYTES).split(" "), in);
         }
       } catch (Server.MalformedException | RuntimeException | Error e) {
         Logger.error(
-            "the other process of this box is not understood ({}): nothing more is said or heard until it"
-                + " has ended",
+            "peer process link: message cannot be handled, link unused until the peer process ends: {}",
             e.toString());
-        hush();
-        for (byte[] dropped = new byte[4096]; in.read(dropped) >= 0; ) {
+        mute();
+        for (byte[] discarded = new byte[4096]; in.read(discarded) >= 0; ) {
           continue;
         }
       }
     } catch (IOException e) {
-      Logger.info("the other process of this box has ended its link ({})", e.getMessage());
+      Logger.info("peer process link closed: {}", e.getMessage());
     } finally {
       close();
-      side.onMessage(this, Message.LINK_LOST, "");
+      handler.onMessage(this, Message.LINK_LOST, "");
     }
   }
 
-  private void hear(String[] words, InputStream in) throws IOException {
-    need(words, 1);
-    switch (words[0]) {
+  private void handle(String[] fields, InputStream in) throws IOException {
+    requireFields(fields, 1);
+    switch (fields[0]) {
       case "take" ->
-          step(
+          deliver(
               Message.TAKEOVER_REQUEST,
-              words.length < 3 || !words[2].equals(KNOWS_OVER)
+              fields.length < 3 || !fields[2].equals(COMPLETED_KEY_CAPABILITY)
                   ? "0"
-                  : words.length < 4 ? "1" : words[3]);
-      case "who" -> step(Message.PREDECESSOR_CAPABILITIES, text(words, in));
-      case "terms" -> step(Message.SUCCESSOR_CAPABILITIES, text(words, in));
-      case "unfit" -> step(Message.WITHDRAWAL, reason(words, 1));
-      case "agreed" -> step(Message.ACCEPTANCE, "");
+                  : fields.length < 4 ? "1" : fields[3]);
+      case "who" -> deliver(Message.PREDECESSOR_CAPABILITIES, readText(fields, in));
+      case "terms" -> deliver(Message.SUCCESSOR_CAPABILITIES, readText(fields, in));
+      case "unfit" -> deliver(Message.WITHDRAWAL, decodeReason(fields, 1));
+      case "agreed" -> deliver(Message.ACCEPTANCE, "");
       case "no" -> {
-        need(words, 2);
-        step(words[1].equals("never") ? Message.REJECTION : Message.RETRY_LATER, reason(words, 2));
+        requireFields(fields, 2);
+        deliver(fields[1].equals("never") ? Message.REJECTION : Message.RETRY_LATER, decodeReason(fields, 2));
       }
-      case "told" -> step(Message.KEYS_COMPLETE, "");
-      case "taken" -> step(Message.KEYS_ACKNOWLEDGED, "");
-      case "yours" -> step(Message.OWNERSHIP, "");
-      case "handed" -> step(Message.LEGACY_OWNERSHIP, "");
-      case "listens" -> step(Message.LISTENING, "");
-      case "back" -> step(Message.OWNERSHIP_RETURNED, reason(words, 1));
-      case "ceded" -> step(Message.RELINQUISHED, "");
+      case "told" -> deliver(Message.KEYS_COMPLETE, "");
+      case "taken" -> deliver(Message.KEYS_ACKNOWLEDGED, "");
+      case "yours" -> deliver(Message.OWNERSHIP, "");
+      case "handed" -> deliver(Message.LEGACY_OWNERSHIP, "");
+      case "listens" -> deliver(Message.LISTENING, "");
+      case "back" -> deliver(Message.OWNERSHIP_RETURNED, decodeReason(fields, 1));
+      case "ceded" -> deliver(Message.RELINQUISHED, "");
       case "over" -> {
-        need(words, 7);
+        requireFields(fields, 7);
         core.keySettled(
             new CompletedKey(
-                new KeyDigest(Long.parseLong(words[1]), Long.parseLong(words[2])),
-                Long.parseLong(words[3]),
-                BoundedReader.duration(words[4]),
-                Long.parseLong(words[5]),
-                words[6].equals("-") ? null : body(in, words[6])));
+                new KeyDigest(Long.parseLong(fields[1]), Long.parseLong(fields[2])),
+                Long.parseLong(fields[3]),
+                BoundedReader.parseMillisAsSeconds(fields[4]),
+                Long.parseLong(fields[5]),
+                fields[6].equals("-") ? null : readBody(in, fields[6])));
       }
       case "key" -> {
-        need(words, 7);
-        byte[] body = body(in, words[5]);
-        byte[] result = words[6].equals("-") ? null : body(in, words[6]);
+        requireFields(fields, 7);
+        byte[] body = readBody(in, fields[5]);
+        byte[] result = fields[6].equals("-") ? null : readBody(in, fields[6]);
         core.keyUpdated(
             new KeyUpdate(
-                key(words[1]),
-                words[2].equals("over"),
-                Long.parseLong(words[3]),
-                BoundedReader.duration(words[4]),
+                decodeKey(fields[1]),
+                fields[2].equals("over"),
+                Long.parseLong(fields[3]),
+                BoundedReader.parseMillisAsSeconds(fields[4]),
                 body,
                 result));
       }
       case "claim" -> {
-        need(words, 4);
-        core.keyClaimed(key(words[1]), Long.parseLong(words[2]), body(in, words[3]));
+        requireFields(fields, 4);
+        core.keyClaimed(decodeKey(fields[1]), Long.parseLong(fields[2]), readBody(in, fields[3]));
       }
-      case "granted" -> core.keyGranted(key(words[1]));
+      case "granted" -> core.keyGranted(decodeKey(fields[1]));
       case "ended" -> {
-        need(words, 3);
-        core.executionCompleted(key(words[1]), words[2].equals("-") ? null : body(in, words[2]));
+        requireFields(fields, 3);
+        core.executionCompleted(decodeKey(fields[1]), fields[2].equals("-") ? null : readBody(in, fields[2]));
       }
-      case "freed" -> core.keyReleased(key(words[1]));
+      case "freed" -> core.keyReleased(decodeKey(fields[1]));
       case "intend" -> {
-        need(words, 4);
-        body(in, words[3]);
-        core.intentRequested(key(words[1]));
+        requireFields(fields, 4);
+        readBody(in, fields[3]);
+        core.intentRequested(decodeKey(fields[1]));
       }
       case "intended" -> {
-        need(words, 3);
-        core.intentWritten(key(words[1]), words[2].equals("yes"));
+        requireFields(fields, 3);
+        core.intentWritten(decodeKey(fields[1]), fields[2].equals("yes"));
       }
-      case "saved" -> core.resultSaved(key(words[1]));
-      default -> throw new Server.MalformedException("the other process says '" + words[0] + "'");
+      case "saved" -> core.resultSaved(decodeKey(fields[1]));
+      default -> throw new Server.MalformedException("unknown message of the peer process: '" + fields[0] + "'");
     }
   }
 
-  private void step(Message word, String detail) {
-    side.onMessage(this, word, detail);
+  private void deliver(Message message, String detail) {
+    handler.onMessage(this, message, detail);
   }
 
-  private static void need(String[] words, int least) throws IOException {
-    boolean keyed = words[0].matches("key|claim|granted|ended|freed|intend|intended|saved");
-    if (words.length < (keyed ? Math.max(2, least) : least)) {
-      throw new Server.MalformedException("too short a word of the other process");
+  private static void requireFields(String[] fields, int minFields) throws IOException {
+    boolean hasKey = fields[0].matches("key|claim|granted|ended|freed|intend|intended|saved");
+    if (fields.length < (hasKey ? Math.max(2, minFields) : minFields)) {
+      throw new Server.MalformedException("message of the peer process has too few fields");
     }
   }
 
-  private static String key(String word) {
-    String key = URLDecoder.decode(word, StandardCharsets.ISO_8859_1);
+  private static String decodeKey(String field) {
+    String key = URLDecoder.decode(field, StandardCharsets.ISO_8859_1);
     if (!key.matches("(?s)[0-9]{1,6}/.*")) {
-      throw new IllegalArgumentException("a key without its class");
+      throw new IllegalArgumentException("key without its class number");
     }
     return key;
   }
 
-  private static String reason(String[] words, int at) {
-    return words.length <= at ? "" : URLDecoder.decode(words[at], StandardCharsets.UTF_8);
+  private static String decodeReason(String[] fields, int index) {
+    return fields.length <= index ? "" : URLDecoder.decode(fields[index], StandardCharsets.UTF_8);
   }
 
-  private static String text(String[] words, InputStream in) throws IOException {
-    need(words, 2);
-    return new String(body(in, words[1]), StandardCharsets.UTF_8);
+  private static String readText(String[] fields, InputStream in) throws IOException {
+    requireFields(fields, 2);
+    return new String(readBody(in, fields[1]), StandardCharsets.UTF_8);
   }
 
-  private static byte[] body(InputStream in, String length) throws IOException {
-    byte[] body = BoundedReader.exactly(in, (int) BoundedReader.number(length, LONGEST_BODY));
+  private static byte[] readBody(InputStream in, String length) throws IOException {
+    byte[] body = BoundedReader.exactly(in, (int) BoundedReader.number(length, MAX_BODY_BYTES));
     BoundedReader.crlf(in);
     return body;
   }
 
   // ---- Writing ----
 
-  private void write() {
+  private void writeMessages() {
     try {
-      for (byte[] next = words.take(); next.length > 0; next = words.take()) {
-        for (ByteBuffer rest = ByteBuffer.wrap(next); rest.hasRemaining() && !mute; ) {
-          channel.write(rest);
+      for (byte[] next = outgoing.take(); next.length > 0; next = outgoing.take()) {
+        for (ByteBuffer remaining = ByteBuffer.wrap(next); remaining.hasRemaining() && !isMuted; ) {
+          channel.write(remaining);
         }
-        synchronized (words) {
-          written++;
-          words.notifyAll();
+        synchronized (outgoing) {
+          writtenCount++;
+          outgoing.notifyAll();
         }
       }
     } catch (IOException | RuntimeException | Error e) {
-      Logger.debug("hand-over: {}", e.toString());
-      hush(); // its end is heard where words are read; half a word must not be followed by another
+      Logger.debug("handover: cannot write a message: {}", e.toString());
+      mute(); // the reading thread sees the end of the link; nothing may follow a message written in part
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** The words stand in the order of the core's events, which tells them under its lock. */
+  /** Queues a message and returns its number. The coordinator calls it under its lock, so messages are in the order of its events. */
   private long send(String line, byte[]... bodies) {
-    byte[] all = BoundedReader.ascii(line + "\r\n");
+    byte[] message = BoundedReader.ascii(line + "\r\n");
     for (byte[] body : bodies) {
-      all = body == null ? all : BoundedReader.join(all, body, CRLF);
+      message = body == null ? message : BoundedReader.join(message, body, CRLF);
     }
-    synchronized (words) {
-      if (!over) {
-        words.add(all);
+    synchronized (outgoing) {
+      if (!isClosed) {
+        outgoing.add(message);
       }
-      return ++queued;
+      return ++queuedCount;
     }
   }
 
-  private static String word(String key) {
+  private static String encodeKey(String key) {
     return URLEncoder.encode(key, StandardCharsets.ISO_8859_1);
   }
 
-  private static String length(byte[] body) {
+  private static String lengthField(byte[] body) {
     return body == null ? "-" : Integer.toString(body.length);
   }
 
   @Override
-  public void sendClaim(String key, long door, byte[] body) {
-    send("claim " + word(key) + " " + door + " " + body.length, body);
+  public void sendClaim(String key, long arrivalUnixMillis, byte[] body) {
+    send("claim " + encodeKey(key) + " " + arrivalUnixMillis + " " + body.length, body);
   }
 
   @Override
   public void sendGrant(String key) {
-    send("granted " + word(key));
+    send("granted " + encodeKey(key));
   }
 
   @Override
-  public void sendKey(KeyUpdate kept) {
-    told(kept);
+  public void sendKey(KeyUpdate update) {
+    enqueueKey(update);
   }
 
-  private long told(KeyUpdate kept) {
+  private long enqueueKey(KeyUpdate update) {
     return send(
         "key "
-            + word(kept.key())
-            + (kept.isCompleted() ? " over " : " open ")
-            + kept.coveredUntilUnixMillis()
+            + encodeKey(update.key())
+            + (update.isCompleted() ? " over " : " open ")
+            + update.coveredUntilUnixMillis()
             + " "
-            + Math.round(kept.remainingSeconds() * 1000)
+            + Math.round(update.remainingSeconds() * 1000)
             + " "
-            + kept.body().length
+            + update.body().length
             + " "
-            + length(kept.result()),
-        kept.body(),
-        kept.result());
+            + lengthField(update.result()),
+        update.body(),
+        update.result());
   }
 
   @Override
-  public void sendKeyAndAwaitWrite(KeyUpdate kept) {
-    awaitWritten(told(kept), SURELY_MS);
+  public void sendKeyAndAwaitWrite(KeyUpdate update) {
+    awaitWritten(enqueueKey(update), KEY_WRITE_TIMEOUT_MS);
   }
 
-  private long told(CompletedKey key) {
+  private long enqueueKey(CompletedKey completed) {
     return send(
         "over "
-            + key.digest().high()
+            + completed.digest().high()
             + " "
-            + key.digest().low()
+            + completed.digest().low()
             + " "
-            + key.coveredUntilUnixMillis()
+            + completed.coveredUntilUnixMillis()
             + " "
-            + Math.round(key.remainingSeconds() * 1000)
+            + Math.round(completed.remainingSeconds() * 1000)
             + " "
-            + key.bodyChecksum()
+            + completed.bodyChecksum()
             + " "
-            + length(key.result()),
-        key.result());
+            + lengthField(completed.result()),
+        completed.result());
   }
 
   @Override
-  public boolean sendCompletedKey(CompletedKey key) {
-    return awaitWritten(told(key) - MOST_OVER, PATIENCE_MS);
+  public boolean sendCompletedKey(CompletedKey completed) {
+    return awaitWritten(enqueueKey(completed) - MAX_UNWRITTEN_COMPLETED_KEYS, COMPLETED_KEY_TIMEOUT_MS);
   }
 
   @Override
-  public boolean forwardCompletedKey(CompletedKey key) {
-    long mine = told(key);
-    synchronized (words) {
-      return mine - written <= MOST_FOLLOW;
+  public boolean forwardCompletedKey(CompletedKey completed) {
+    long messageNumber = enqueueKey(completed);
+    synchronized (outgoing) {
+      return messageNumber - writtenCount <= MAX_UNWRITTEN_MESSAGES;
     }
   }
 
-  /** Waits until so many words are written; false where they are not in time. */
-  private boolean awaitWritten(long count, long patienceMs) {
-    long end = System.nanoTime() + patienceMs * 1_000_000;
-    synchronized (words) {
+  /** Waits until this number of messages is written; false on a timeout or if the link is closed. */
+  private boolean awaitWritten(long count, long timeoutMs) {
+    long deadline = System.nanoTime() + timeoutMs * 1_000_000;
+    synchronized (outgoing) {
       try {
-        for (long left = patienceMs;
-            written < count && !over && left > 0;
-            left = (end - System.nanoTime()) / 1_000_000) {
-          words.wait(left);
+        for (long remainingMs = timeoutMs;
+            writtenCount < count && !isClosed && remainingMs > 0;
+            remainingMs = (deadline - System.nanoTime()) / 1_000_000) {
+          outgoing.wait(remainingMs);
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
-      return written >= count && !over;
+      return writtenCount >= count && !isClosed;
     }
   }
 
   @Override
   public void sendCompletion(String key, byte[] result) {
-    send("ended " + word(key) + " " + length(result), result);
+    send("ended " + encodeKey(key) + " " + lengthField(result), result);
   }
 
   @Override
   public void sendRelease(String key) {
-    send("freed " + word(key));
+    send("freed " + encodeKey(key));
   }
 
   @Override
-  public void sendIntentRequest(String key, long door, byte[] body) {
-    send("intend " + word(key) + " " + door + " " + body.length, body);
+  public void sendIntentRequest(String key, long arrivalUnixMillis, byte[] body) {
+    send("intend " + encodeKey(key) + " " + arrivalUnixMillis + " " + body.length, body);
   }
 
   @Override
-  public void sendIntentOutcome(String key, boolean written) {
-    send("intended " + word(key) + (written ? " yes" : " no"));
+  public void sendIntentOutcome(String key, boolean isWritten) {
+    send("intended " + encodeKey(key) + (isWritten ? " yes" : " no"));
   }
 
   @Override
   public void sendResultWritten(String key) {
-    send("saved " + word(key));
+    send("saved " + encodeKey(key));
   }
 
-  /** Says nothing more; what waits to be said is dropped, and whoever waits for it goes on. */
-  private void hush() {
-    synchronized (words) {
-      mute = true;
-      over = true;
-      words.clear();
-      words.add(new byte[0]);
-      words.notifyAll();
+  /** Writes nothing more: drops unwritten messages and wakes the threads that wait for them. */
+  private void mute() {
+    synchronized (outgoing) {
+      isMuted = true;
+      isClosed = true;
+      outgoing.clear();
+      outgoing.add(new byte[0]);
+      outgoing.notifyAll();
     }
   }
 
-  /**
-   * As at the end of the process; nothing else may close a link that the other side still talks on.
-   */
+  /** Closes the link, which the peer process takes for the end of this process. */
   @Override
   public void close() {
-    hush();
+    mute();
     BoundedReader.closeQuietly(channel);
   }
 }
--- a/src/main/java/wharftrestle/transport/Server.java
+++ b/src/main/java/wharftrestle/transport/Server.java
@@ -28,27 +28,21 @@
 import wharftrestle.transport.Connection.Merit;
 import wharftrestle.transport.ConnectionState.Phase;
 
-/**
- * Owns one listening address, its connections and a thread for each; how one of them ends is {@link
- * Connection}'s. It knows no protocol: a front reads a connection to its end and writes through
- * {@link Connection#send}. It must never let one peer's slowness or nonsense reach another: a peer
- * that does not read is cut, one that sends nonsense is closed and counted. The thread that accepts
- * also looks at how far the ends of connections have come, until the last is over.
- */
+/** Listens on one address and runs one thread for each connection; {@link Connection} implements how each of them ends. The protocol is the front end's: it reads a connection until the peer closes it and writes through {@link Connection#send}. Peers are isolated from each other: one that does not read is closed, and one that sends malformed input is closed and counted. The accept thread also enforces the deadlines of closing connections, until the last is closed. */
 public final class Server implements Closeable {
 
-  /** Reads one connection until it ends. */
+  /** The protocol of a listening address; called on the thread of each connection. */
   public interface Front {
-    /** Returns at the peer's end; throws {@link MalformedException} at what it cannot read. */
+    /** Reads the connection until the peer closes it; throws {@link MalformedException} on malformed input. */
     void serve(Connection connection) throws IOException;
 
-    /** Tells a peer that no new request may come; false where its protocol has no word for that. */
-    default boolean sayClosing(Connection connection) {
+    /** Sends the go-away message, after which the peer sends no new request; false if the protocol has none. */
+    default boolean notifyClosing(Connection connection) {
       return false;
     }
   }
 
-  /** Input that no peer of the protocol sends. */
+  /** Input that violates the protocol. */
   public static final class MalformedException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -57,328 +51,296 @@
     }
   }
 
-  private static final int MOST_TRIES = 8;
+  private static final int MAX_EVICTION_ATTEMPTS = 8;
 
-  /** Nanoseconds in which a peer may be writing its first message still. */
-  private static final long FIRST_NANOS = 2_300_000_000L;
+  /** Nanoseconds within which a new peer may still be writing its first message. */
+  private static final long FIRST_MESSAGE_NANOS = 2_300_000_000L;
 
-  /**
-   * Nanoseconds of silence after which one that had its answers is worth less than one that writes.
-   */
+  /** Nanoseconds without a message after which an answered peer is evicted before active ones. */
   private static final long IDLE_NANOS = 1_000_000_000L;
 
-  /** Threads that wait for connections at any time. */
-  private static final int READY = 2;
+  /** Threads kept waiting for connections. */
+  private static final int IDLE_THREADS = 2;
 
-  /** Connections that may wait to be accepted. */
+  /** Length of the queue of connections not yet accepted. */
   private static final int BACKLOG = 512;
 
-  /** Milliseconds between two looks at whether the listener is to end, and of the last one. */
-  private static final int LOOK_MS = 50;
+  /** Milliseconds between two checks for the end of the listener, and of the last accept. */
+  private static final int POLL_MS = 50;
 
-  /**
-   * Milliseconds in which one that was turned away is read at each look: it says no more than one
-   * request.
-   */
-  private static final int TURNED_AWAY_MS = 1;
+  /** Milliseconds of reading from a rejected connection at each poll; such a peer sends one request at most. */
+  private static final int REJECTED_READ_MS = 1;
 
-  /** Threads that tell peers to go, at most. */
-  private static final int MOST_WORDS = 4;
+  /** Maximum number of threads that send go-away messages. */
+  private static final int GO_AWAY_THREADS = 4;
 
-  /** Descriptors that stay free once they ran out: for a link, a call, operators. */
-  private static final int KEPT_FREE = 8;
+  /** Descriptors kept free after they ran out: for a link, a dependency call, operators. */
+  private static final int RESERVED_DESCRIPTORS = 8;
 
-  /** Nanoseconds in which a listener that ends is emptied at most, however many still come. */
-  private static final long EMPTY_NANOS = 300_000_000L;
+  /** Maximum nanoseconds for accepting what is queued at a closing listener, however many peers still connect. */
+  private static final long BACKLOG_DRAIN_NANOS = 300_000_000L;
 
   private final String name;
   private final InetSocketAddress address;
   private volatile ServerSocket listener;
-  private final Front front;
-  private volatile int most;
-  private final int leaving;
+  private final Front frontend;
+  private volatile int maxConnections;
+  private final int maxClosing;
   private final Counters counters;
-  private final Set<Connection> open = ConcurrentHashMap.newKeySet();
+  private final Set<Connection> openConnections = ConcurrentHashMap.newKeySet();
 
-  /** Newcomers for which there was no room, the first first. */
-  private final ConcurrentLinkedDeque<Connection> turnedAway = new ConcurrentLinkedDeque<>();
+  /** Connections rejected at the connection limit, oldest first. */
+  private final ConcurrentLinkedDeque<Connection> rejected = new ConcurrentLinkedDeque<>();
 
-  private final LogRateLimiter lines = new LogRateLimiter(System.nanoTime());
+  private final LogRateLimiter logLimiter = new LogRateLimiter(System.nanoTime());
 
-  /**
-   * A thread each while it lasts; kept some seconds for the next, as a new one costs more than an
-   * answer.
-   */
-  private final ThreadPoolExecutor threads;
+  /** One thread for each connection; idle threads are kept for some seconds, as starting one costs more than an answer. */
+  private final ThreadPoolExecutor connectionThreads;
 
-  /** Threads that tell peers to go; none while there is nobody to tell. */
-  private final ThreadPoolExecutor words;
+  /** Threads that send go-away messages; they end when idle. */
+  private final ThreadPoolExecutor goAwayThreads;
 
-  private volatile boolean closing;
-  private volatile boolean ended;
-  private volatile CountDownLatch emptied = new CountDownLatch(0);
+  private volatile boolean isStopping;
+  private volatile boolean isShutDown;
+  private volatile CountDownLatch backlogDrained = new CountDownLatch(0);
 
   /**
-   * Takes nothing until it is told to listen.
+   * Creates a server that is not yet listening.
    *
-   * @param most connections
-   * @param leaving further ones that are on their way out, and half as many newcomers that hear
-   *     there is no room
+   * @param maxConnections limit of open connections
+   * @param maxClosing limit of further connections that are closing; half as many rejected connections may wait for their close
    */
   public Server(
       String name,
       InetSocketAddress address,
-      int most,
-      int leaving,
-      Front front,
+      int maxConnections,
+      int maxClosing,
+      Front frontend,
       Counters counters) {
     this.name = name;
     this.address = address;
-    this.front = front;
-    this.most = most;
-    this.leaving = leaving;
+    this.frontend = frontend;
+    this.maxConnections = maxConnections;
+    this.maxClosing = maxClosing;
     this.counters = counters;
-    threads =
+    connectionThreads =
         new ThreadPoolExecutor(
-            READY,
+            IDLE_THREADS,
             Integer.MAX_VALUE,
             5,
             TimeUnit.SECONDS,
             new SynchronousQueue<>(),
             task -> PlatformThreads.thread(name, task));
-    words =
+    goAwayThreads =
         new ThreadPoolExecutor(
-            MOST_WORDS,
-            MOST_WORDS,
+            GO_AWAY_THREADS,
+            GO_AWAY_THREADS,
             1,
             TimeUnit.SECONDS,
             new LinkedBlockingQueue<>(),
             task -> PlatformThreads.thread(name + "-words", task));
-    words.allowCoreThreadTimeOut(true);
+    goAwayThreads.allowCoreThreadTimeOut(true);
   }
 
-  /**
-   * Takes the address; what comes waits for {@link #start}. Where it is shared, another process of
-   * this box may listen at it too. Guards against sharing it with a stranger: without that other
-   * process, it is first taken for this one alone.
-   */
-  public void listen(boolean shared, boolean alone) throws IOException {
-    if (shared && alone && address.getPort() != 0) {
+  /** Binds the address; connections are queued until {@link #start}. A shared address may also be bound by another process of this host. If there is no such process, the address is first bound exclusively, so that it is not shared with an unrelated process. */
+  public void listen(boolean isShared, boolean isFirstProcess) throws IOException {
+    if (isShared && isFirstProcess && address.getPort() != 0) {
       try (ServerSocket probe = new ServerSocket()) {
         probe.setReuseAddress(true);
         probe.bind(address, 1);
       }
     }
-    ServerSocket made = new ServerSocket();
+    ServerSocket socket = new ServerSocket();
     try {
-      made.setReuseAddress(true);
-      if (shared) {
-        made.setOption(StandardSocketOptions.SO_REUSEPORT, true);
+      socket.setReuseAddress(true);
+      if (isShared) {
+        socket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
       }
-      made.bind(address, BACKLOG);
+      socket.bind(address, BACKLOG);
     } catch (IOException e) {
-      made.close();
+      socket.close();
       throw e;
     }
-    closing = false;
-    listener = made;
+    isStopping = false;
+    listener = socket;
   }
 
   public void start() {
-    threads.prestartAllCoreThreads();
-    ServerSocket mine = listener;
-    CountDownLatch done = new CountDownLatch(1);
-    emptied = done;
-    PlatformThreads.restartingThread(name + "-accept", () -> accept(mine, done)).start();
+    connectionThreads.prestartAllCoreThreads();
+    ServerSocket accepting = listener;
+    CountDownLatch drained = new CountDownLatch(1);
+    backlogDrained = drained;
+    PlatformThreads.restartingThread(name + "-accept", () -> accept(accepting, drained)).start();
   }
 
   public boolean listening() {
-    ServerSocket now = listener;
-    return now != null && !now.isClosed();
+    ServerSocket current = listener;
+    return current != null && !current.isClosed();
   }
 
-  /** So many connections at most from now on. */
+  /** Sets the limit of open connections. */
   public void limit(int connections) {
-    most = connections;
+    maxConnections = connections;
   }
 
-  /** Where it listens, also where the port was chosen by the system. */
+  /** The bound address, with the port that the system has chosen if none was set. */
   public InetSocketAddress address() {
     return listener == null ? address : (InetSocketAddress) listener.getLocalSocketAddress();
   }
 
   public Set<Connection> connections() {
-    return open;
+    return openConnections;
   }
 
-  private void accept(ServerSocket mine, CountDownLatch done) {
-    long endBy = 0;
-    long lookAt = 0;
-    for (boolean empty = false;
-        !empty && !mine.isClosed() && (endBy == 0 || System.nanoTime() < endBy); ) {
-      // Guards against resets: what waits at a listener that ends is taken before it is closed.
-      boolean last = closing;
-      if (last && endBy == 0) {
-        endBy = System.nanoTime() + EMPTY_NANOS;
+  private void accept(ServerSocket accepting, CountDownLatch drained) {
+    long drainDeadline = 0;
+    long nextPoll = 0;
+    for (boolean isDrained = false;
+        !isDrained && !accepting.isClosed() && (drainDeadline == 0 || System.nanoTime() < drainDeadline); ) {
+      // Closing a listener resets the connections queued at it, so they are accepted first.
+      boolean isLast = isStopping;
+      if (isLast && drainDeadline == 0) {
+        drainDeadline = System.nanoTime() + BACKLOG_DRAIN_NANOS;
       }
       try {
-        mine.setSoTimeout(last ? 1 : LOOK_MS);
-        take(mine.accept());
-      } catch (SocketTimeoutException quiet) {
-        empty = last;
+        accepting.setSoTimeout(isLast ? 1 : POLL_MS);
+        register(accepting.accept());
+      } catch (SocketTimeoutException timeout) {
+        isDrained = isLast;
       } catch (IOException | RuntimeException | Error e) {
-        // Guards against the listener ending for good, or spinning, while descriptors or memory are
-        // short.
-        if (!mine.isClosed()) {
-          tell("accepting failed: " + e);
-          makeDoWithLess();
+        // A shortage of descriptors or memory must neither end the accept loop nor make it spin.
+        if (!accepting.isClosed()) {
+          warn("accept failed: " + e);
+          lowerConnectionLimit();
           LockSupport.parkNanos(20_000_000);
         }
       }
-      if (System.nanoTime() >= lookAt) {
-        look();
-        lookAt = System.nanoTime() + LOOK_MS * 1_000_000L;
+      if (System.nanoTime() >= nextPoll) {
+        pollConnections();
+        nextPoll = System.nanoTime() + POLL_MS * 1_000_000L;
       }
     }
-    BoundedReader.closeQuietly(mine);
-    done.countDown();
-    while (!ended && mine == listener && !(open.isEmpty() && turnedAway.isEmpty())) {
-      look();
-      LockSupport.parkNanos(LOOK_MS * 1_000_000L);
+    BoundedReader.closeQuietly(accepting);
+    drained.countDown();
+    while (!isShutDown && accepting == listener && !(openConnections.isEmpty() && rejected.isEmpty())) {
+      pollConnections();
+      LockSupport.parkNanos(POLL_MS * 1_000_000L);
     }
   }
 
-  /**
-   * Where no descriptor is to be had, there are fewer than was reckoned with: from now on some
-   * connections less are held. Guards against idle ones that keep the last of them for good, so
-   * that none with work gets in, nor operators, nor the worker pool's next link: room is made as
-   * connections are accepted, and none could be.
-   */
-  private void makeDoWithLess() {
+  /** Lowers the connection limit if no descriptor is left, as the process then has fewer than the budget assumes. Otherwise idle connections would keep the last descriptors for good: eviction happens only when a connection is accepted, which is impossible without a descriptor, so neither callers nor operators nor the worker pool's next link could connect. */
+  private void lowerConnectionLimit() {
     try (FileInputStream probe = new FileInputStream("/dev/null")) {
-      return; // it was something else
+      return; // a descriptor is available; the failure had another cause
     } catch (IOException none) {
-      int less = Math.max(1, open.size() - KEPT_FREE);
-      if (less < most) {
-        most = less;
-        Logger.warn("{}: no descriptor is left: {} connections at most from now on", name, less);
+      int lowered = Math.max(1, openConnections.size() - RESERVED_DESCRIPTORS);
+      if (lowered < maxConnections) {
+        maxConnections = lowered;
+        Logger.warn("{}: no descriptor is left: connection limit lowered to {}", name, lowered);
       }
-      sendAway(less);
-      for (int go = open.size() - less; go > 0 && cutFirst(); go--) {
+      sendAway(lowered);
+      for (int excess = openConnections.size() - lowered; excess > 0 && closeOneClosing(); excess--) {
         continue;
       }
     }
   }
 
-  /** How far the end of each connection has come. */
-  private void look() {
+  /** Enforces the deadlines of all connections, rejected ones included. */
+  private void pollConnections() {
     long now = System.nanoTime();
-    open.forEach(each -> each.look(now, closing));
-    turnedAway.removeIf(
+    openConnections.forEach(each -> each.checkDeadlines(now, isStopping));
+    rejected.removeIf(
         each -> {
-          boolean more = each.dropOnce(TURNED_AWAY_MS);
-          if (!more) {
+          boolean hasInput = each.discardOnce(REJECTED_READ_MS);
+          if (!hasInput) {
             each.close();
           }
-          return !more;
+          return !hasInput;
         });
   }
 
-  private void take(Socket socket) throws IOException {
+  private void register(Socket socket) throws IOException {
     Connection connection;
     try {
       socket.setTcpNoDelay(true);
-      connection = new Connection(socket, front);
+      connection = new Connection(socket, frontend);
     } catch (IOException | RuntimeException | Error e) {
-      BoundedReader.closeQuietly(socket); // it is gone already, or there is no memory for it
+      BoundedReader.closeQuietly(socket); // the peer has disconnected, or memory is short
       throw e;
     }
-    if (open.size() >= most && !makeRoom()) {
-      turnAway(connection);
+    if (openConnections.size() >= maxConnections && !evictOne()) {
+      reject(connection);
       return;
     }
-    open.add(connection);
+    openConnections.add(connection);
     counters.add(Count.CONNECTIONS);
-    if (closing) {
-      // Guards against a peer that came with the end of the listener and never heard of it.
-      tellToGo(connection, Connection.GO_MS);
+    if (isStopping) {
+      // A peer accepted after goAway() would not get the go-away message otherwise.
+      requestGoAway(connection, Connection.GO_AWAY_MS);
     }
     try {
-      threads.execute(() -> serve(connection));
+      connectionThreads.execute(() -> serve(connection));
     } catch (RuntimeException | Error noThread) {
-      open.remove(connection);
-      turnAway(connection);
+      openConnections.remove(connection);
+      reject(connection);
       throw noThread;
     }
   }
 
-  /**
-   * Guards against connections eating the descriptors and threads: nothing is read of it, and it
-   * hears that it is so.
-   */
-  private void turnAway(Connection connection) {
+  /** Rejects a connection, to limit descriptors and threads: no request is read from it, and the peer is sent the go-away message. */
+  private void reject(Connection connection) {
     counters.add(Count.CONNECTIONS_REJECTED);
     connection.goAway();
     connection.finish();
-    turnedAway.add(connection);
-    if (turnedAway.size() > leaving / 2) {
-      turnedAway.poll().close();
+    rejected.add(connection);
+    if (rejected.size() > maxClosing / 2) {
+      rejected.poll().close();
     }
   }
 
-  /** The least goes first, and among equals who was silent longest. */
-  @SuppressWarnings("EnumOrdinal") // a rank within this process: merits are declared from the least
-  private static int use(Connection each, long now) {
-    long quiet = now - each.heardAt();
-    boolean silent = each.merit() == Merit.SILENT;
-    return silent && quiet > FIRST_NANOS
+  /** Rank of a connection for eviction; the lowest is evicted first, among equals the one idle longest. */
+  @SuppressWarnings("EnumOrdinal") // ranks within this process only; Merit is declared in ascending order
+  private static int evictionRank(Connection each, long now) {
+    long idleNanos = now - each.lastMessageNanos();
+    boolean isSilent = each.merit() == Merit.SILENT;
+    return isSilent && idleNanos > FIRST_MESSAGE_NANOS
         ? 0
-        : !silent && quiet > IDLE_NANOS ? 1 : 2 + each.merit().ordinal();
+        : !isSilent && idleNanos > IDLE_NANOS ? 1 : 2 + each.merit().ordinal();
   }
 
-  /**
-   * Sends away the connection that is likeliest of no more use; false where each owes an answer.
-   * Guards against silent peers, or ones that ask once and stay, locking front ends out; and
-   * against those that take two seconds for their first request being cut for the sake of others
-   * that have their answer. Guards against losing a request that crosses its close on a process
-   * that stood still for a moment: who was heard before is told first, and goes when it has had the
-   * time to hear of it, or when more are told than there is room for.
-   */
-  private boolean makeRoom() {
-    int go = onTheWayOut().size();
-    if (open.size() - go < most) {
-      return go < leaving || cutFirst();
+  /** Evicts the connection that is least likely to be used again; false if each has requests in flight. Silent peers, or peers that ask once and stay connected, could otherwise lock front ends out; and peers that take two seconds for their first request must not be closed before others that already have their answer. A request that crosses the close must not be lost on a process that was paused for a moment: so a peer that has sent messages is sent the go-away message first, and is closed when it has had time to read it, or when more connections are closing than the limit allows. */
+  private boolean evictOne() {
+    int closingCount = closingConnections().size();
+    if (openConnections.size() - closingCount < maxConnections) {
+      return closingCount < maxClosing || closeOneClosing();
     }
-    Set<Connection> kept = new HashSet<>();
+    Set<Connection> considered = new HashSet<>();
     long now = System.nanoTime();
-    for (int tries = 0; tries < MOST_TRIES; tries++) {
-      Connection least = null;
-      for (Connection each : open) {
+    for (int attempts = 0; attempts < MAX_EVICTION_ATTEMPTS; attempts++) {
+      Connection candidate = null;
+      for (Connection each : openConnections) {
         if (each.phase() == Phase.OPEN
-            && each.owed() == 0
-            && !kept.contains(each)
-            && (least == null
-                || use(each, now) < use(least, now)
-                || (use(each, now) == use(least, now) && each.heardAt() < least.heardAt()))) {
-          least = each;
+            && each.inFlight() == 0
+            && !considered.contains(each)
+            && (candidate == null
+                || evictionRank(each, now) < evictionRank(candidate, now)
+                || (evictionRank(each, now) == evictionRank(candidate, now) && each.lastMessageNanos() < candidate.lastMessageNanos()))) {
+          candidate = each;
         }
       }
-      if (least == null) {
+      if (candidate == null) {
         return false;
       }
-      kept.add(least);
-      boolean silent = least.merit() == Merit.SILENT;
-      if ((!silent || least.free()) && (go < leaving || cutFirst())) {
+      considered.add(candidate);
+      boolean isSilent = candidate.merit() == Merit.SILENT;
+      if ((!isSilent || candidate.isSafeToClose()) && (closingCount < maxClosing || closeOneClosing())) {
         counters.add(Count.CONNECTIONS_EVICTED);
-        if (silent) {
-          // Said here: it was sent nothing but a few errors, so the word fits what the system holds
-          // for it. Guards
-          // against newcomers with work that are turned away while others have yet to say it to
-          // silent ones.
-          least.goAway();
-          least.finish(); // what a new connection brings has failed where it is closed
+        if (isSilent) {
+          // Sent on this thread: the peer was sent nothing but a few errors, so the message fits the socket's send buffer. Otherwise new connections with requests would be rejected while the go-away messages to silent peers are still queued.
+          candidate.goAway();
+          candidate.finish(); // clients treat a first request on a closed connection as failed
         } else {
-          tellToGo(least, Connection.REST_MS);
+          requestGoAway(candidate, Connection.UNHURRIED_GO_AWAY_MS);
         }
         return true;
       }
@@ -386,123 +348,113 @@
     return false;
   }
 
-  private List<Connection> onTheWayOut() {
-    return open.stream().filter(each -> each.phase() != Phase.OPEN).toList();
+  private List<Connection> closingConnections() {
+    return openConnections.stream().filter(each -> each.phase() != Phase.OPEN).toList();
   }
 
-  /**
-   * Closes one of those that go, the first of them that nothing is lost with: half closed ones
-   * before the others.
-   */
-  private boolean cutFirst() {
+  /** Closes the first closing connection with which nothing is lost, half-closed ones before others. */
+  private boolean closeOneClosing() {
     Connection first =
-        onTheWayOut().stream()
-            .filter(Connection::free)
+        closingConnections().stream()
+            .filter(Connection::isSafeToClose)
             .min(
                 Comparator.comparing(Connection::phase)
                     .reversed()
-                    .thenComparing(Connection::heardAt))
+                    .thenComparing(Connection::lastMessageNanos))
             .orElse(null);
     if (first == null) {
       return false;
     }
     first.finish();
-    open.remove(first);
-    first.note(name, "to make room");
+    openConnections.remove(first);
+    first.logClose(name, "connection limit reached");
     first.close();
     return true;
   }
 
-  /**
-   * Sends away all but so many, those of least use first, without harm to what is on its way; the
-   * silent ones end by themselves.
-   */
-  public void sendAway(int keep) {
+  /** Sends the go-away message to all connections above {@code remaining}, lowest rank first. Requests under way are not lost, and silent connections end by themselves. */
+  public void sendAway(int remaining) {
     long now = System.nanoTime();
-    open.stream()
-        .filter(each -> each.merit() != Merit.SILENT && each.owed() == 0)
+    openConnections.stream()
+        .filter(each -> each.merit() != Merit.SILENT && each.inFlight() == 0)
         .sorted(
-            Comparator.comparingInt((Connection each) -> use(each, now))
-                .thenComparing(Connection::heardAt))
-        .limit(Math.max(0, open.size() - keep))
-        .forEach(each -> tellToGo(each, Connection.GO_MS));
+            Comparator.comparingInt((Connection each) -> evictionRank(each, now))
+                .thenComparing(Connection::lastMessageNanos))
+        .limit(Math.max(0, openConnections.size() - remaining))
+        .forEach(each -> requestGoAway(each, Connection.GO_AWAY_MS));
   }
 
-  /** Tells all peers to go: each is released once it is answered and quiet. */
+  /** Sends all peers the go-away message; each connection closes once it is answered and quiet. */
   public void goAway() {
-    open.forEach(each -> tellToGo(each, Connection.GO_MS));
+    openConnections.forEach(each -> requestGoAway(each, Connection.GO_AWAY_MS));
   }
 
-  /**
-   * Guards against one peer that does not read holding up the thread that accepts, or the end of
-   * the process: the word is written by another thread, and who does not take it is cut as any who
-   * does not read.
-   */
-  private void tellToGo(Connection connection, int millis) {
-    if (connection.toldToGo(millis)) {
+  /** Sends the go-away message on another thread, so that a peer that does not read delays neither the accept thread nor the end of the process. Such a peer is closed like any other that does not read. */
+  private void requestGoAway(Connection connection, int millis) {
+    if (connection.beginGoAway(millis)) {
       try {
-        words.execute(connection::sayGo);
-      } catch (RejectedExecutionException over) {
-        connection.close(); // the server was closed meanwhile
+        goAwayThreads.execute(connection::sendGoAway);
+      } catch (RejectedExecutionException closed) {
+        connection.close(); // the server has been closed meanwhile
       }
     }
   }
 
-  /** Takes nothing any more: each connection ends once what it is owed is written. */
+  /** Accepts no further request; each connection ends once its answers are written. */
   public void finish() {
-    open.forEach(
+    openConnections.forEach(
         each -> {
-          tellToGo(each, Connection.GO_MS);
+          requestGoAway(each, Connection.GO_AWAY_MS);
           each.finish();
         });
   }
 
   private void serve(Connection connection) {
-    String why = "its peer went, or was told to go";
+    String reason = "the peer disconnected or was sent the go-away message";
     try {
-      front.serve(connection);
+      frontend.serve(connection);
     } catch (MalformedException e) {
-      why = "malformed input";
+      reason = "malformed input";
       counters.add(Count.MALFORMED);
-      tell("malformed input, connection closed: " + e.getMessage());
+      warn("malformed input, connection closed: " + e.getMessage());
     } catch (SocketTimeoutException e) {
-      why = "a message stood still";
+      reason = "incomplete message timed out";
       counters.add(Count.CONNECTIONS_STALLED);
     } catch (IOException e) {
-      why = e.toString();
+      reason = e.toString();
     } catch (RuntimeException | Error e) {
-      why = e.toString();
-      tell("a connection ended by a fault: " + e);
+      reason = e.toString();
+      warn("connection closed after an internal error: " + e);
     } finally {
-      release(connection, why);
+      release(connection, reason);
     }
   }
 
-  private void release(Connection connection, String why) {
+  private void release(Connection connection, String reason) {
     try {
-      connection.release();
+      connection.finishAndAwaitPeer();
     } finally {
-      if (connection.unread()) {
+      if (connection.isPeerNotReading()) {
         counters.add(Count.CONNECTIONS_UNREAD);
-        tell("a peer does not read its answers; cut");
+        warn("peer does not read its answers, connection closed");
       }
-      open.remove(connection);
-      connection.note(name, why);
-      connection.over();
+      openConnections.remove(connection);
+      connection.logClose(name, reason);
+      connection.closeAndNotify();
     }
   }
 
-  private void tell(String what) {
-    if (lines.may(System.nanoTime())) {
-      Logger.warn("{}: {}", name, what);
+  private void warn(String event) {
+    if (logLimiter.tryAcquire(System.nanoTime())) {
+      Logger.warn("{}: {}", name, event);
     }
   }
 
-  /** Takes what has connected and then no new connections; the open ones go on. */
+  /** Accepts the connections that are queued, then stops listening; open connections continue. */
   public void stopListening() {
-    closing = true;
+    isStopping = true;
     try {
-      emptied.await(LOOK_MS + 2 * EMPTY_NANOS / 1_000_000, TimeUnit.MILLISECONDS);
+      backlogDrained.await(POLL_MS + 2 * BACKLOG_DRAIN_NANOS / 1_000_000, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -512,9 +464,9 @@
   @Override
   public void close() {
     stopListening();
-    ended = true;
-    open.forEach(Connection::close);
-    threads.shutdown();
-    words.shutdownNow();
+    isShutDown = true;
+    openConnections.forEach(Connection::close);
+    connectionThreads.shutdown();
+    goAwayThreads.shutdownNow();
   }
 }
--- a/src/main/java/wharftrestle/upstream/StoreClient.java
+++ b/src/main/java/wharftrestle/upstream/StoreClient.java
@@ -25,83 +25,68 @@
 import wharftrestle.transport.BoundedReader;
 import wharftrestle.transport.Server;
 
-/**
- * Owns the connections to the store: HTTP/1.1, one call at a time on each, kept for the next while
- * fresh. It tells how each call ended and must never call a call unrun without proof, nor repeat
- * one by itself, nor hand on a reply that it cannot be sure of.
- */
+/** HTTP/1.1 client of the store, with a pool of connections and one call at a time on each. It reports the outcome of each call to its listener, on a thread of the pool. A call is reported as never started only if the store proves it, is never repeated by this class, and its response is passed on only if it is fully understood. Thread-safe. */
 public final class StoreClient implements DependencyClient {
-  private static final int MOST_CALLS = 32;
-  private static final int LONGEST_LINE = 256;
-  private static final int MOST_HEADERS = 16;
+  private static final int MAX_CONCURRENT_CALLS = 32;
+  private static final int MAX_LINE_BYTES = 256;
+  private static final int MAX_HEADERS = 16;
 
-  /**
-   * Bytes of all heads of a reply: each may come in a packet of its own, which costs far more than
-   * it says.
-   */
-  private static final int LONGEST_HEAD = 1024;
+  /** Bytes of all headers of a response, interim ones included; each header may arrive in a packet of its own, which costs far more than its bytes. */
+  private static final int MAX_HEAD_BYTES = 1024;
 
-  /** Answers with 1xx that may come ahead of a reply. */
-  private static final int MOST_INTERIM = 8;
+  /** Interim (1xx) responses allowed before a response. */
+  private static final int MAX_INTERIM_RESPONSES = 8;
 
-  private static final int LONGEST_REPLY = 64 * 1024;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Idle connections kept at most; the one used last goes first. */
-  private static final int MOST_IDLE = 16;
+  /** Maximum number of idle connections; the most recently used is reused first. */
+  private static final int MAX_IDLE_CONNECTIONS = 16;
 
-  /**
-   * The store closes idle ones at 10 s at the latest, and what lies between may forget them sooner.
-   */
-  private static final long FRESH_NANOS = 400_000_000L;
+  /** Idle connections are not reused after this time: the store closes them after 10 s at the latest, and devices in between may drop them sooner. */
+  private static final long MAX_IDLE_NANOS = 400_000_000L;
 
-  /**
-   * Idle for less than this, a connection is taken as it is: a look for its end costs a
-   * millisecond.
-   */
-  private static final long HOT_NANOS = 50_000_000L;
+  /** Connections idle for less than this are reused without a check, which costs a millisecond. */
+  private static final long UNCHECKED_IDLE_NANOS = 50_000_000L;
 
-  /** Milliseconds past the call's limit in which the store's own word of it may come. */
-  private static final int GRACE_MS = 20;
+  /** Milliseconds after the call's timeout within which the store may still report the timeout itself. */
+  private static final int RESPONSE_GRACE_MS = 20;
 
-  private static final Pattern STATUS = Pattern.compile("HTTP/1\\.1 [1-5][0-9][0-9]( .*)?");
-  private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_-]+");
+  private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.1 [1-5][0-9][0-9]( .*)?");
+  private static final Pattern HEADER_NAME = Pattern.compile("[A-Za-z0-9_-]+");
 
   private volatile InetSocketAddress address;
   private final Counters counters;
-  private final int most;
+  private final int maxConnections;
   private final ThreadPoolExecutor threads;
-  private final ArrayDeque<Link> idle = new ArrayDeque<>();
+  private final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
 
-  private static final class Link {
-    final InetSocketAddress to;
+  private static final class PooledConnection {
+    final InetSocketAddress target;
     final Socket socket;
     final InputStream in;
-    final BoundedReader.Timed timed;
-    long usedAt;
+    final BoundedReader.DeadlineInputStream deadlineInput;
+    long lastUsedNanos;
 
-    Link(InetSocketAddress to, Socket socket) throws IOException {
-      this.to = to;
+    PooledConnection(InetSocketAddress target, Socket socket) throws IOException {
+      this.target = target;
       this.socket = socket;
-      timed = new BoundedReader.Timed(socket);
-      in = new BufferedInputStream(timed, 4096);
+      deadlineInput = new BoundedReader.DeadlineInputStream(socket);
+      in = new BufferedInputStream(deadlineInput, 4096);
     }
 
-    /**
-     * Guards against a call on a connection that has ended, or on which bytes lie that nobody asked
-     * for.
-     */
-    boolean usable(long age) {
+    /** Returns false if the peer has closed the connection, or if unexpected bytes are waiting on it. */
+    boolean isReusable(long idleNanos) {
       try {
         if (in.available() > 0) {
           return false;
         }
-        if (age < HOT_NANOS) {
+        if (idleNanos < UNCHECKED_IDLE_NANOS) {
           return true;
         }
-        timed.until(System.nanoTime() + 1_000_000);
+        deadlineInput.setDeadlineNanos(System.nanoTime() + 1_000_000);
         in.read();
         return false;
-      } catch (SocketTimeoutException quiet) {
+      } catch (SocketTimeoutException timeout) {
         return true;
       } catch (IOException e) {
         return false;
@@ -109,132 +94,129 @@
     }
   }
 
-  private record Reply(Outcome outcome, byte[] body, boolean keep) {}
+  private record Response(Outcome outcome, byte[] body, boolean keep) {}
 
-  /** A call under way; abandoning it closes its connection. */
-  private final class Running implements DependencyCall {
-    private final String ref;
+  /** A call in progress; cancelling it closes its connection. */
+  private final class Call implements DependencyCall {
+    private final String reference;
     private final byte[] body;
-    private final boolean again;
-    private final long until;
-    private final DependencyCallListener end;
+    private final boolean isIdempotent;
+    private final long deadlineNanos;
+    private final DependencyCallListener listener;
     private Socket socket;
-    private boolean abandoned;
+    private boolean isCancelled;
 
-    Running(String ref, byte[] body, long timeoutMs, boolean again, DependencyCallListener end) {
-      this.ref = ref;
+    Call(String reference, byte[] body, long timeoutMillis, boolean isIdempotent, DependencyCallListener listener) {
+      this.reference = reference;
       this.body = body;
-      this.again = again;
-      this.until = System.nanoTime() + timeoutMs * 1_000_000;
-      this.end = end;
+      this.isIdempotent = isIdempotent;
+      this.deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
+      this.listener = listener;
     }
 
-    private synchronized void uses(Socket mine) throws IOException {
-      socket = mine;
-      if (abandoned) {
-        throw new IOException("abandoned");
+    private synchronized void attach(Socket current) throws IOException {
+      socket = current;
+      if (isCancelled) {
+        throw new IOException("call cancelled");
       }
     }
 
-    private synchronized boolean done() {
+    private synchronized boolean detach() {
       socket = null;
-      return !abandoned;
+      return !isCancelled;
     }
 
     @Override
     public synchronized void cancel() {
-      abandoned = true;
+      isCancelled = true;
       BoundedReader.closeQuietly(socket);
     }
 
     void run() {
-      Reply reply;
+      Response response;
       try {
-        reply = exchange();
+        response = exchange();
       } catch (RuntimeException | Error fault) {
-        // Guards against a fault of ours keeping a run at its call until it is due.
-        Logger.error(fault, "store call");
-        reply = new Reply(Outcome.BROKEN, null, false);
+        // After an internal error the execution must not stay blocked on its call until its deadline.
+        Logger.error(fault, "store call failed with an internal error");
+        response = new Response(Outcome.BROKEN, null, false);
       }
-      if (done()) {
-        end.onCompleted(reply.outcome(), reply.body());
+      if (detach()) {
+        listener.onCompleted(response.outcome(), response.body());
       }
     }
 
-    private Reply exchange() {
-      if (System.nanoTime() >= until) {
-        return new Reply(Outcome.TIMED_OUT, null, false); // while it waited for a thread
+    private Response exchange() {
+      if (System.nanoTime() >= deadlineNanos) {
+        return new Response(Outcome.TIMED_OUT, null, false); // timed out while it waited for a thread
       }
-      // Guards against losing a call that may not be made again to a connection that has ended, or
-      // was
-      // forgotten, while it was idle: nothing tells before the call, and its reset proves nothing.
-      Link link = again ? fresh() : null;
+      // A connection may have ended, or been dropped by a device in between, while it was idle. That cannot be detected before the call, and a reset does not prove that the call never ran, so calls that must not be repeated use a new connection.
+      PooledConnection connection = isIdempotent ? takeIdle() : null;
       try {
-        if (link == null) {
-          InetSocketAddress to = address;
-          if (to == null) {
-            return new Reply(Outcome.UNREACHABLE, null, false);
+        if (connection == null) {
+          InetSocketAddress target = address;
+          if (target == null) {
+            return new Response(Outcome.UNREACHABLE, null, false);
           }
-          makeRoom();
-          Socket made = new Socket();
-          uses(made);
-          made.setTcpNoDelay(true);
-          made.connect(to, millisTo(until));
-          link = new Link(to, made);
+          evictIdle();
+          Socket newSocket = new Socket();
+          attach(newSocket);
+          newSocket.setTcpNoDelay(true);
+          newSocket.connect(target, millisUntil(deadlineNanos));
+          connection = new PooledConnection(target, newSocket);
         } else {
-          uses(link.socket);
+          attach(connection.socket);
         }
       } catch (IOException e) {
-        // Nothing was sent. Refused at once or not reached in time, the call never ran.
-        forgetIdle();
+        // Nothing was sent: the connection was refused or not established in time, so the call never ran.
+        closeIdle();
         BoundedReader.closeQuietly(socket);
-        return new Reply(Outcome.UNREACHABLE, null, false);
+        return new Response(Outcome.UNREACHABLE, null, false);
       }
-      Reply reply;
+      Response response;
       try {
-        link.timed.until(until + GRACE_MS * 1_000_000L);
-        link.socket
+        connection.deadlineInput.setDeadlineNanos(deadlineNanos + RESPONSE_GRACE_MS * 1_000_000L);
+        connection.socket
             .getOutputStream()
             .write(
                 BoundedReader.join(
                     BoundedReader.ascii(
                         "POST /v1/exec HTTP/1.1\r\nHost: db\r\n"
                             + "Request-Ref: "
-                            + ref
+                            + reference
                             + "\r\nStatement-Timeout-Ms: "
-                            + millisTo(until)
+                            + millisUntil(deadlineNanos)
                             + "\r\nContent-Length: "
                             + body.length
                             + "\r\n\r\n"),
                     body));
-        reply = read(link.in);
-      } catch (SocketTimeoutException late) {
-        reply = new Reply(Outcome.TIMED_OUT, null, false);
-      } catch (Server.MalformedException spoilt) {
+        response = readResponse(connection.in);
+      } catch (SocketTimeoutException timeout) {
+        response = new Response(Outcome.TIMED_OUT, null, false);
+      } catch (Server.MalformedException e) {
         counters.add(Count.UNREADABLE_RESPONSES);
-        Logger.debug("store call: {}", spoilt.getMessage());
-        reply = new Reply(Outcome.BROKEN, null, false);
+        Logger.debug("store call: {}", e.getMessage());
+        response = new Response(Outcome.BROKEN, null, false);
       } catch (IOException e) {
         Logger.debug("store call: {}", e.getMessage());
-        reply = new Reply(Outcome.BROKEN, null, false);
+        response = new Response(Outcome.BROKEN, null, false);
       }
-      if (!reply.keep() || !done() || !retain(link)) {
-        BoundedReader.closeQuietly(link.socket);
+      if (!response.keep() || !detach() || !returnToPool(connection)) {
+        BoundedReader.closeQuietly(connection.socket);
       }
-      return reply;
+      return response;
     }
   }
 
   /**
-   * @param address null at a site whose runs call nothing: a call that is asked for all the same
-   *     never ran
-   * @param most connections, under way or idle
+   * @param address null at a site without dependency calls: a call made nevertheless never runs
+   * @param maxConnections limit of connections, in use or idle
    */
-  public StoreClient(InetSocketAddress address, int most, Counters counters) {
+  public StoreClient(InetSocketAddress address, int maxConnections, Counters counters) {
     this.address = address;
-    this.most = most;
+    this.maxConnections = maxConnections;
     this.counters = counters;
-    int calls = Math.min(MOST_CALLS, most);
+    int calls = Math.min(MAX_CONCURRENT_CALLS, maxConnections);
     threads =
         new ThreadPoolExecutor(
             calls,
@@ -246,132 +228,128 @@
     threads.allowCoreThreadTimeOut(true);
   }
 
-  /** New calls go to the new address; those under way end where they are. */
+  /** Sets the address for new calls; calls in progress end on their connections. */
   public void moveTo(InetSocketAddress next) {
     address = next;
-    forgetIdle();
+    closeIdle();
   }
 
   @Override
   public DependencyCall call(
-      String ref, byte[] body, long timeoutMs, boolean again, DependencyCallListener end) {
-    Running call = new Running(ref, body, timeoutMs, again, end);
+      String reference, byte[] body, long timeoutMillis, boolean isIdempotent, DependencyCallListener listener) {
+    Call call = new Call(reference, body, timeoutMillis, isIdempotent, listener);
     threads.execute(call::run);
     return call;
   }
 
-  private static int millisTo(long until) {
-    return (int) Math.max(1, (until - System.nanoTime()) / 1_000_000);
+  private static int millisUntil(long deadlineNanos) {
+    return (int) Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000);
   }
 
-  private Link fresh() {
+  private PooledConnection takeIdle() {
     for (; ; ) {
-      Link link;
+      PooledConnection connection;
       synchronized (idle) {
-        link = idle.poll();
+        connection = idle.poll();
       }
-      if (link == null) {
+      if (connection == null) {
         return null;
       }
-      long age = System.nanoTime() - link.usedAt;
-      if (age < FRESH_NANOS && link.to.equals(address) && link.usable(age)) {
-        return link;
+      long idleNanos = System.nanoTime() - connection.lastUsedNanos;
+      if (idleNanos < MAX_IDLE_NANOS && connection.target.equals(address) && connection.isReusable(idleNanos)) {
+        return connection;
       }
-      BoundedReader.closeQuietly(link.socket);
+      BoundedReader.closeQuietly(connection.socket);
     }
   }
 
-  /** Keeps a connection for the next call; false where it is of no further use. */
-  private boolean retain(Link link) {
-    link.usedAt = System.nanoTime();
+  /** Keeps a connection for the next call; false if the address has changed and it must be closed. */
+  private boolean returnToPool(PooledConnection connection) {
+    connection.lastUsedNanos = System.nanoTime();
     synchronized (idle) {
-      if (!link.to.equals(address)) {
+      if (!connection.target.equals(address)) {
         return false;
       }
-      idle.push(link);
-      while (idle.size() > MOST_IDLE || link.usedAt - idle.peekLast().usedAt > FRESH_NANOS) {
+      idle.push(connection);
+      while (idle.size() > MAX_IDLE_CONNECTIONS || connection.lastUsedNanos - idle.peekLast().lastUsedNanos > MAX_IDLE_NANOS) {
         BoundedReader.closeQuietly(idle.pollLast().socket);
       }
     }
     return true;
   }
 
-  /** Guards against more connections than this part may have: idle ones go for a new one. */
-  private void makeRoom() {
+  /** Closes idle connections, so that a new one stays within the limit. */
+  private void evictIdle() {
     synchronized (idle) {
-      while (!idle.isEmpty() && idle.size() + threads.getActiveCount() > most) {
+      while (!idle.isEmpty() && idle.size() + threads.getActiveCount() > maxConnections) {
         BoundedReader.closeQuietly(idle.pollLast().socket);
       }
     }
   }
 
-  private void forgetIdle() {
+  private void closeIdle() {
     synchronized (idle) {
-      idle.forEach(link -> BoundedReader.closeQuietly(link.socket));
+      idle.forEach(connection -> BoundedReader.closeQuietly(connection.socket));
       idle.clear();
     }
   }
 
-  /**
-   * One reply. Guards against a run being given what no call returned: a head that is not wholly
-   * understood, or a length that is missing, told twice or contradicted, says nothing about the
-   * body.
-   */
-  private static Reply read(InputStream in) throws IOException {
-    int[] room = {LONGEST_HEAD};
-    for (int interim = 0; interim <= MOST_INTERIM; interim++) {
-      String status = line(in, room);
-      if (!STATUS.matcher(status).matches()) {
-        throw new Server.MalformedException("store status line");
+  /** Reads one response. A head that is not fully understood, or a length that is missing, repeated or contradicted, says nothing reliable about the body; the call then fails, so that an execution never gets bytes that no call returned. */
+  private static Response readResponse(InputStream in) throws IOException {
+    int[] remainingHeadBytes = {MAX_HEAD_BYTES};
+    for (int interim = 0; interim <= MAX_INTERIM_RESPONSES; interim++) {
+      String status = readLine(in, remainingHeadBytes);
+      if (!STATUS_LINE.matcher(status).matches()) {
+        throw new Server.MalformedException("malformed status line of the store");
       }
       int code = Integer.parseInt(status.substring(9, 12));
-      Map<String, String> headers = headers(in, room);
+      Map<String, String> headers = readHeaders(in, remainingHeadBytes);
       if ((code > 101 && code < 200) || code == 100) {
-        continue; // ahead of the reply proper
+        continue; // interim response
       }
       String length = headers.get("content-length");
-      String never = headers.getOrDefault("never-started", "0");
+      String neverStartedField = headers.getOrDefault("never-started", "0");
       if (length == null
           || headers.containsKey("transfer-encoding")
-          || (!never.equals("0") && !never.equals("1"))) {
-        throw new Server.MalformedException("store reply without a plain length");
+          || (!neverStartedField.equals("0") && !neverStartedField.equals("1"))) {
+        throw new Server.MalformedException("store response without a plain Content-Length, or with an invalid Never-Started");
       }
-      byte[] body = BoundedReader.exactly(in, (int) BoundedReader.number(length, LONGEST_REPLY));
+      byte[] body = BoundedReader.exactly(in, (int) BoundedReader.number(length, MAX_BODY_BYTES));
       boolean keep =
           in.available() == 0 && !headers.getOrDefault("connection", "").equalsIgnoreCase("close");
-      return new Reply(outcome(code, never.equals("1")), body, keep);
+      return new Response(toOutcome(code, neverStartedField.equals("1")), body, keep);
     }
-    throw new Server.MalformedException("store replies ahead without an end");
+    throw new Server.MalformedException("too many interim responses of the store");
   }
 
-  private static String line(InputStream in, int[] room) throws IOException {
-    String line = BoundedReader.line(in, Math.min(room[0], LONGEST_LINE));
-    room[0] -= line.length() + 2;
+  private static String readLine(InputStream in, int[] remainingHeadBytes) throws IOException {
+    String line = BoundedReader.line(in, Math.min(remainingHeadBytes[0], MAX_LINE_BYTES));
+    remainingHeadBytes[0] -= line.length() + 2;
     return line;
   }
 
-  private static Map<String, String> headers(InputStream in, int[] room) throws IOException {
+  private static Map<String, String> readHeaders(InputStream in, int[] remainingHeadBytes) throws IOException {
     Map<String, String> headers = new HashMap<>();
-    for (String line = line(in, room); !line.isEmpty(); line = line(in, room)) {
+    for (String line = readLine(in, remainingHeadBytes); !line.isEmpty(); line = readLine(in, remainingHeadBytes)) {
       int colon = line.indexOf(':');
       if (colon < 1
-          || headers.size() >= MOST_HEADERS
-          || !NAME.matcher(line.substring(0, colon)).matches()) {
-        throw new Server.MalformedException("store headers");
+          || headers.size() >= MAX_HEADERS
+          || !HEADER_NAME.matcher(line.substring(0, colon)).matches()) {
+        throw new Server.MalformedException("malformed or too many headers of the store");
       }
       String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
       if (headers.put(name, line.substring(colon + 1).trim()) != null
           && (name.equals("content-length") || name.equals("never-started"))) {
-        throw new Server.MalformedException("store header told twice: " + name);
+        throw new Server.MalformedException("store header repeated: " + name);
       }
     }
     return headers;
   }
 
-  /** Only a reply that says so proves that a call never ran. */
-  private static Outcome outcome(int status, boolean neverStarted) throws IOException {
+  /** Maps a status to an outcome. Only Never-Started: 1 proves that a call never ran. */
+  private static Outcome toOutcome(int status, boolean neverStarted) throws IOException {
     if (status == 200 && neverStarted) {
-      throw new Server.MalformedException("store contradicts itself");
+      throw new Server.MalformedException("store sent status 200 together with Never-Started: 1");
     }
     return switch (status) {
       case 200 -> Outcome.SUCCESS;
@@ -379,7 +357,7 @@
       case 409 -> neverStarted ? Outcome.VOID : Outcome.FAILURE;
       case 504 -> Outcome.TIMED_OUT;
       case 500 -> Outcome.FAILURE;
-      default -> throw new Server.MalformedException("store status " + status);
+      default -> throw new Server.MalformedException("unexpected status of the store: " + status);
     };
   }
 }
--- a/src/main/java/wharftrestle/upstream/WorkerPoolClient.java
+++ b/src/main/java/wharftrestle/upstream/WorkerPoolClient.java
@@ -27,38 +27,24 @@
 import wharftrestle.transport.LogRateLimiter;
 import wharftrestle.transport.Server;
 
-/**
- * Owns the link to the worker pool: one socket, and a thread that reads notices. Commands are
- * written by who has one, or by who writes already; polls, which may not wait, by a thread of their
- * own. It makes the link anew whenever it breaks, falls silent or moves, binding with the last
- * notice read, and then sends again what may have been lost. It must never tell a notice twice, and
- * never make the core's lock wait for a socket.
- */
+/** The link to the worker pool: one socket, and a thread that reads announcements. A command is written by the thread that sends it, or by one that is writing already; polls, which must not block the caller, are written by a thread of their own. When the link breaks, falls silent or moves, it is established again and bound with the number of the last announcement read; commands that may have been lost are then sent again. Each announcement is passed on once, and the coordinator's lock never waits for a socket. Thread-safe. */
 public final class WorkerPoolClient implements WorkerPool {
-  private static final int LONGEST_LINE = 16 * 1024;
-  private static final int LONGEST_BODY = 64 * 1024;
-  private static final int RETRY_MS = 50;
-  private static final int CONNECT_MS = 2000;
-
-  /**
-   * Milliseconds between two polls at most: their answers prove that the link lives and is read.
-   */
-  private static final int POLL_MS = 250;
-
-  /** Milliseconds without a word from a worker pool that is polled after which the link is cut. */
-  private static final int SILENT_MS = 2000;
-
-  /**
-   * A break may take with it what was sent up to 50 ms before: an answer later than this proves
-   * more.
-   */
-  private static final long LOSS_NANOS = 150_000_000L;
-
-  /**
-   * Seconds by which a start must lie after a notice that was read, to have come after it: clocks
-   * and links are late.
-   */
-  private static final double SURELY_LATER = 1;
+  private static final int MAX_LINE_BYTES = 16 * 1024;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
+  private static final int RECONNECT_DELAY_MS = 50;
+  private static final int CONNECT_TIMEOUT_MS = 2000;
+
+  /** Maximum milliseconds between two polls, whose answers prove that the link is alive and read. */
+  private static final int POLL_INTERVAL_MS = 250;
+
+  /** Milliseconds without a message from the polled worker pool after which the link is closed. */
+  private static final int SILENCE_TIMEOUT_MS = 2000;
+
+  /** A break may lose what was sent up to 50 ms before it; commands sent this long before an answered poll have arrived. */
+  private static final long LOSS_WINDOW_NANOS = 150_000_000L;
+
+  /** A start counts as later than the last announcement read only by this margin in seconds, as clocks and links are late. */
+  private static final double RESTART_MARGIN_SECONDS = 1;
 
   private static final byte[] CRLF = {'\r', '\n'};
 
@@ -66,57 +52,54 @@
   private final RequestCoordinator core;
   private final Counters counters;
 
-  /** Commands by request that no notice has followed; guarded by itself, with the fields below. */
-  private final Map<String, List<Sent>> unproven = new LinkedHashMap<>();
+  /** Commands by request not followed by an announcement; its monitor guards it and the fields below. */
+  private final Map<String, List<SentCommand>> unacknowledged = new LinkedHashMap<>();
 
   private Session session;
   private Socket socket;
-  private long lastNotice;
-  private long noticedAt; // when that was read
-  private boolean boundBefore;
-  private long binds;
+  private long lastAnnouncement;
+  private long lastAnnouncementNanos; // when it was read
+  private boolean hasBoundBefore;
+  private long bindCount;
 
-  private record Sent(byte[] command, long at, Session on) {}
+  private record SentCommand(byte[] command, long sentNanos, Session session) {}
 
-  /** One socket's life. */
+  /** One connection to the worker pool. */
   private static final class Session {
     final Socket socket;
     final ConcurrentLinkedQueue<byte[]> commands = new ConcurrentLinkedQueue<>();
-    private final ReentrantLock writing = new ReentrantLock();
+    private final ReentrantLock writeLock = new ReentrantLock();
     private final ByteArrayOutputStream batch = new ByteArrayOutputStream(4096);
     private volatile Thread writer;
-    volatile boolean bound;
-    volatile boolean over;
-    private final Map<String, Long> polls = new HashMap<>();
-    private long polledAt;
-    private long tags;
+    volatile boolean isBound;
+    volatile boolean isClosed;
+    private final Map<String, Long> pollTimes = new HashMap<>();
+    private long lastPollNanos;
+    private long tagCount;
 
     Session(Socket socket) {
       this.socket = socket;
     }
 
-    /** A poll whose answer tells up to when all commands were read. */
+    /** Queues a poll; its answer proves that all commands sent before it were read. */
     synchronized void poll() {
-      polledAt = System.nanoTime();
-      polls.put("g" + ++tags, polledAt);
-      commands.add(line("poll g" + tags));
+      lastPollNanos = System.nanoTime();
+      pollTimes.put("g" + ++tagCount, lastPollNanos);
+      commands.add(encodeLine("poll g" + tagCount));
     }
 
-    /** When the poll of this tag was sent; null where there is none. */
-    synchronized Long sentAt(String tag) {
-      return polls.remove(tag);
+    /** Removes the poll with this tag and returns when it was sent; null if there is none. */
+    synchronized Long takePollTime(String tag) {
+      return pollTimes.remove(tag);
     }
 
-    private synchronized boolean pollDue() {
-      return bound && System.nanoTime() - polledAt > POLL_MS * 1_000_000L;
+    private synchronized boolean isPollDue() {
+      return isBound && System.nanoTime() - lastPollNanos > POLL_INTERVAL_MS * 1_000_000L;
     }
 
-    /**
-     * Writes what waits unless another thread is at it, which then writes this too. Saves the hop
-     * to a writer's thread, of which each request has several.
-     */
+    /** Writes the queued commands, unless another thread is writing, which then writes these too. Without a separate writer thread, the several commands of each request need no thread switch. */
     void flush() {
-      while (!commands.isEmpty() && !over && writing.tryLock()) {
+      while (!commands.isEmpty() && !isClosed && writeLock.tryLock()) {
         try {
           batch.reset();
           for (byte[] next = commands.poll(); next != null; next = commands.poll()) {
@@ -124,22 +107,22 @@
           }
           batch.writeTo(socket.getOutputStream());
         } catch (IOException e) {
-          Logger.debug("link: {}", e.getMessage());
-          BoundedReader.closeQuietly(socket); // the reader makes the link anew
+          Logger.debug("worker pool write failed: {}", e.getMessage());
+          BoundedReader.closeQuietly(socket); // the reading thread establishes the link again
           return;
         } finally {
-          writing.unlock();
+          writeLock.unlock();
         }
       }
     }
 
-    /** Writes the polls, and sends one where none was due for a while. */
-    void write() {
+    /** Writes polls, and sends one after each interval without a poll. */
+    void writePolls() {
       writer = Thread.currentThread();
-      while (!over) {
-        LockSupport.parkNanos(POLL_MS * 1_000_000L);
-        if (pollDue()) {
-          poll(); // guards against a link that stays open and says nothing more
+      while (!isClosed) {
+        LockSupport.parkNanos(POLL_INTERVAL_MS * 1_000_000L);
+        if (isPollDue()) {
+          poll(); // detects a link that stays open but is silent
         }
         flush();
       }
@@ -150,7 +133,7 @@
     }
 
     void close() throws IOException {
-      over = true;
+      isClosed = true;
       wakeWriter();
       socket.close();
     }
@@ -163,19 +146,19 @@
   }
 
   public void start() {
-    PlatformThreads.restartingThread("pool-link", this::keepLinked).start();
+    PlatformThreads.restartingThread("pool-link", this::runLink).start();
   }
 
-  /** True while the worker pool has answered the bind of the present link. */
+  /** Returns true while the worker pool has answered the bind of the present link. */
   public boolean linked() {
-    synchronized (unproven) {
-      return session != null && session.bound;
+    synchronized (unacknowledged) {
+      return session != null && session.isBound;
     }
   }
 
-  /** Makes the link anew at another address; runs and the numbers of notices go on. */
+  /** Establishes the link at another address; executions and announcement numbers continue. */
   public void moveTo(InetSocketAddress next) {
-    synchronized (unproven) {
+    synchronized (unacknowledged) {
       if (!next.equals(address)) {
         address = next;
         BoundedReader.closeQuietly(socket);
@@ -183,51 +166,50 @@
     }
   }
 
-  private void keepLinked() {
-    LogRateLimiter lines = new LogRateLimiter(System.nanoTime());
-    boolean told = false; // of this outage
+  private void runLink() {
+    LogRateLimiter logLimiter = new LogRateLimiter(System.nanoTime());
+    boolean isOutageLogged = false; // one line for each outage
     for (; ; ) {
-      long began = System.nanoTime();
-      try (Socket made = new Socket()) {
-        InetSocketAddress to;
-        synchronized (unproven) {
-          socket = made;
-          to = address;
+      long startedNanos = System.nanoTime();
+      try (Socket newSocket = new Socket()) {
+        InetSocketAddress target;
+        synchronized (unacknowledged) {
+          socket = newSocket;
+          target = address;
         }
-        made.setTcpNoDelay(true);
-        made.connect(to, CONNECT_MS);
-        told = false;
+        newSocket.setTcpNoDelay(true);
+        newSocket.connect(target, CONNECT_TIMEOUT_MS);
+        isOutageLogged = false;
         counters.add(Count.WORKER_POOL_CONNECTS);
-        made.setSoTimeout(boundBefore ? SILENT_MS : 0); // the first bind waits for the worker pool
-        Session mine = new Session(made);
-        mine.commands.add(line("bind " + lastNotice));
-        synchronized (unproven) {
-          session = mine;
+        newSocket.setSoTimeout(hasBoundBefore ? SILENCE_TIMEOUT_MS : 0); // the first bind waits until the worker pool starts
+        Session current = new Session(newSocket);
+        current.commands.add(encodeLine("bind " + lastAnnouncement));
+        synchronized (unacknowledged) {
+          session = current;
         }
         try {
-          PlatformThreads.thread("pool-write", mine::write).start();
-          mine.flush();
-          read(mine, new BufferedInputStream(made.getInputStream(), 8192));
+          PlatformThreads.thread("pool-write", current::writePolls).start();
+          current.flush();
+          readAnnouncements(current, new BufferedInputStream(newSocket.getInputStream(), 8192));
         } finally {
-          synchronized (unproven) {
+          synchronized (unacknowledged) {
             session = null;
           }
-          mine.close();
+          current.close();
         }
       } catch (IOException | RuntimeException | Error e) {
-        // Guards against anything that arrives, or memory for a moment short, ending the link for
-        // good.
-        if (!told && lines.may(System.nanoTime())) {
+        // Neither malformed input nor a temporary shortage of memory may end the link for good.
+        if (!isOutageLogged && logLimiter.may(System.nanoTime())) {
           Logger.warn("worker pool link: {}", e.toString());
-          told = true;
+          isOutageLogged = true;
         }
         if (e instanceof Server.MalformedException) {
           counters.add(Count.MALFORMED);
         }
       }
       try {
-        if (System.nanoTime() - began < RETRY_MS * 4_000_000L) {
-          Thread.sleep(RETRY_MS);
+        if (System.nanoTime() - startedNanos < RECONNECT_DELAY_MS * 4_000_000L) {
+          Thread.sleep(RECONNECT_DELAY_MS);
         }
       } catch (InterruptedException e) {
         return;
@@ -235,211 +217,202 @@
     }
   }
 
-  private void read(Session mine, InputStream in) throws IOException {
-    String barrier = "b" + ++binds;
+  private void readAnnouncements(Session current, InputStream in) throws IOException {
+    String barrierTag = "b" + ++bindCount;
     for (; ; ) {
-      String[] words = BoundedReader.line(in, LONGEST_LINE).split(" ");
-      switch (words[0]) {
+      String[] fields = BoundedReader.line(in, MAX_LINE_BYTES).split(" ");
+      switch (fields[0]) {
         case "bound" -> {
-          need(words, 3);
-          double ago = BoundedReader.duration(words[2]);
-          if (lastNotice > 0 && ago + SURELY_LATER < (System.nanoTime() - noticedAt) / 1e9) {
-            // Guards against waiting for runs that no worker pool knows, deaf to notices that begin
-            // anew at 1.
-            lastNotice = 0;
-            synchronized (unproven) {
-              unproven.clear();
+          requireFields(fields, 3);
+          double secondsAgo = BoundedReader.parseMillisAsSeconds(fields[2]);
+          if (lastAnnouncement > 0 && secondsAgo + RESTART_MARGIN_SECONDS < (System.nanoTime() - lastAnnouncementNanos) / 1e9) {
+            // The worker pool has restarted: it does not know the executions, and numbers its announcements from 1 again, which would be ignored as old.
+            lastAnnouncement = 0;
+            synchronized (unacknowledged) {
+              unacknowledged.clear();
             }
             core.workerPoolRestarted();
-            throw new IOException("the worker pool has started anew since it last said something");
+            throw new IOException("the worker pool has restarted since its last announcement");
           }
-          mine.socket.setSoTimeout(SILENT_MS);
-          mine.bound = true;
-          core.workerPoolStarted(words[1].equals("new"), ago);
-          if (boundBefore) {
-            mine.commands.add(line("poll " + barrier));
-            mine.flush();
+          current.socket.setSoTimeout(SILENCE_TIMEOUT_MS);
+          current.isBound = true;
+          core.workerPoolStarted(fields[1].equals("new"), secondsAgo);
+          if (hasBoundBefore) {
+            current.commands.add(encodeLine("poll " + barrierTag));
+            current.flush();
           }
-          boundBefore = true;
+          hasBoundBefore = true;
         }
         case "finished" -> {
-          need(words, 5);
-          byte[] result = words.length > 5 ? body(words[5], in) : new byte[0];
-          if (isNew(words[1])) {
-            proven(words[2]);
+          requireFields(fields, 5);
+          byte[] result = fields.length > 5 ? readBody(fields[5], in) : new byte[0];
+          if (acceptAnnouncement(fields[1])) {
+            acknowledge(fields[2]);
             core.executionCompleted(
-                words[2], outcome(words[3]), BoundedReader.duration(words[4]), result);
+                fields[2], parseOutcome(fields[3]), BoundedReader.parseMillisAsSeconds(fields[4]), result);
           }
         }
         case "blocked" -> {
-          need(words, 4);
-          byte[] call = body(words[3], in);
-          if (isNew(words[1])) {
-            proven(words[2]);
-            core.executionBlocked(words[2], lastNotice, call);
+          requireFields(fields, 4);
+          byte[] call = readBody(fields[3], in);
+          if (acceptAnnouncement(fields[1])) {
+            acknowledge(fields[2]);
+            core.executionBlocked(fields[2], lastAnnouncement, call);
           }
         }
         case "polled" -> {
-          need(words, 2);
-          Long sent = mine.sentAt(words[1]);
-          if (sent != null) {
-            readUpTo(mine, sent);
-            core.gaugesReceived(gauges(words));
-          } else if (words[1].equals(barrier)) {
-            sendAgain(mine);
-            mine.flush();
+          requireFields(fields, 2);
+          Long pollTime = current.takePollTime(fields[1]);
+          if (pollTime != null) {
+            acknowledgeSentBefore(current, pollTime);
+            core.gaugesReceived(parseGauges(fields));
+          } else if (fields[1].equals(barrierTag)) {
+            resendUnacknowledged(current);
+            current.flush();
           }
         }
         case "unknown" -> {
-          need(words, 3);
-          Logger.debug("the worker pool does not know {} {}", words[1], words[2]);
+          requireFields(fields, 3);
+          Logger.debug("unknown to the worker pool: command={} request={}", fields[1], fields[2]);
           counters.add(Count.UNKNOWN_COMMANDS);
-          proven(words[2]);
-          // Guards against waiting for a run that no command reaches: none began, or its end is
-          // lost.
+          acknowledge(fields[2]);
+          // No command reaches this execution: it never began, or its end was lost.
           core.executionCompleted(
-              words[2], words[1].equals("spawn") ? Outcome.VOID : Outcome.FAILURE, 0, null);
+              fields[2], fields[1].equals("spawn") ? Outcome.VOID : Outcome.FAILURE, 0, null);
         }
         case "chatter" -> {
-          need(words, 2);
-          isNew(words[1]);
+          requireFields(fields, 2);
+          acceptAnnouncement(fields[1]);
         }
-        default -> throw new Server.MalformedException("worker pool says '" + words[0] + "'");
+        default -> throw new Server.MalformedException("unknown message of the worker pool: '" + fields[0] + "'");
       }
     }
   }
 
-  private void proven(String ref) {
-    synchronized (unproven) {
-      unproven.remove(ref);
+  private void acknowledge(String reference) {
+    synchronized (unacknowledged) {
+      unacknowledged.remove(reference);
     }
   }
 
-  /**
-   * All that was sent on this link well before the poll has been read: none of it can be lost any
-   * more.
-   */
-  private void readUpTo(Session mine, long polled) {
-    synchronized (unproven) {
-      for (Iterator<List<Sent>> all = unproven.values().iterator(); all.hasNext(); ) {
-        List<Sent> commands = all.next();
-        commands.removeIf(sent -> sent.on() == mine && sent.at() < polled - LOSS_NANOS);
+  /** Forgets the commands sent on this link well before an answered poll; they have been read and cannot be lost. */
+  private void acknowledgeSentBefore(Session current, long pollNanos) {
+    synchronized (unacknowledged) {
+      for (Iterator<List<SentCommand>> iterator = unacknowledged.values().iterator(); iterator.hasNext(); ) {
+        List<SentCommand> commands = iterator.next();
+        commands.removeIf(sent -> sent.session() == current && sent.sentNanos() < pollNanos - LOSS_WINDOW_NANOS);
         if (commands.isEmpty()) {
-          all.remove();
+          iterator.remove();
         }
       }
     }
   }
 
-  /**
-   * All notices up to the bind have been heard. Guards against commands lost with the old link:
-   * each that was sent over it shortly before its end, or while there was none, and that no notice
-   * has followed, is sent again in its order. A run that goes on ignores a second spawn.
-   */
-  private void sendAgain(Session mine) {
-    synchronized (unproven) {
-      for (List<Sent> commands : unproven.values()) {
+  /** Sends the commands again that may have been lost with the old link: those sent shortly before its end, or while there was no link, and not followed by an announcement. Called when all announcements up to the bind have been read; keeps the order. An execution in progress ignores a second spawn. */
+  private void resendUnacknowledged(Session current) {
+    synchronized (unacknowledged) {
+      for (List<SentCommand> commands : unacknowledged.values()) {
         for (int i = 0; i < commands.size(); i++) {
-          if (commands.get(i).on() != mine) {
-            Sent again = new Sent(commands.get(i).command(), System.nanoTime(), mine);
-            commands.set(i, again);
-            mine.commands.add(again.command());
+          if (commands.get(i).session() != current) {
+            SentCommand resent = new SentCommand(commands.get(i).command(), System.nanoTime(), current);
+            commands.set(i, resent);
+            current.commands.add(resent.command());
           }
         }
       }
     }
   }
 
-  /** Guards against notices told again after a bind. */
-  private boolean isNew(String word) throws IOException {
-    long number = BoundedReader.number(word, Long.MAX_VALUE);
-    if (number <= lastNotice) {
+  /** Returns false for announcements that are repeated after a bind; else records the number. */
+  private boolean acceptAnnouncement(String field) throws IOException {
+    long number = BoundedReader.number(field, Long.MAX_VALUE);
+    if (number <= lastAnnouncement) {
       return false;
     }
-    lastNotice = number;
-    noticedAt = System.nanoTime();
+    lastAnnouncement = number;
+    lastAnnouncementNanos = System.nanoTime();
     return true;
   }
 
-  private static Outcome outcome(String end) throws IOException {
-    return switch (end) {
+  private static Outcome parseOutcome(String result) throws IOException {
+    return switch (result) {
       case "good" -> Outcome.SUCCESS;
       case "bad" -> Outcome.FAILURE;
       case "cut" -> Outcome.WITHDRAWN;
       case "gone" -> Outcome.VOID;
-      default -> throw new Server.MalformedException("a run ended '" + end + "'");
+      default -> throw new Server.MalformedException("unknown outcome of an execution: '" + result + "'");
     };
   }
 
-  private static double[] gauges(String[] words) throws IOException {
-    double[] values = new double[words.length - 2];
+  private static double[] parseGauges(String[] fields) throws IOException {
+    double[] values = new double[fields.length - 2];
     for (int i = 0; i < values.length; i++) {
-      values[i] = BoundedReader.decimal(words[i + 2]);
+      values[i] = BoundedReader.parseDecimal(fields[i + 2]);
     }
     return values;
   }
 
-  private static void need(String[] words, int least) throws IOException {
-    if (words.length < least) {
+  private static void requireFields(String[] fields, int minFields) throws IOException {
+    if (fields.length < minFields) {
       throw new Server.MalformedException(
-          "worker pool notice too short: " + String.join(" ", words));
+          "worker pool message has too few fields: " + String.join(" ", fields));
     }
   }
 
-  private static byte[] body(String length, InputStream in) throws IOException {
-    byte[] body = BoundedReader.exactly(in, (int) BoundedReader.number(length, LONGEST_BODY));
+  private static byte[] readBody(String length, InputStream in) throws IOException {
+    byte[] body = BoundedReader.exactly(in, (int) BoundedReader.number(length, MAX_BODY_BYTES));
     BoundedReader.crlf(in);
     return body;
   }
 
-  private static byte[] line(String text) {
+  private static byte[] encodeLine(String text) {
     return (text + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  private static byte[] line(String text, byte[] body) {
-    return BoundedReader.join(line(text + " " + body.length), body, CRLF);
+  private static byte[] encodeLine(String text, byte[] body) {
+    return BoundedReader.join(encodeLine(text + " " + body.length), body, CRLF);
   }
 
-  private void send(String ref, byte[] command) {
-    Session mine;
-    synchronized (unproven) {
-      mine = session;
-      unproven
-          .computeIfAbsent(ref, key -> new ArrayList<>(2))
-          .add(new Sent(command, System.nanoTime(), mine));
-      if (mine != null) {
-        mine.commands.add(command);
+  private void send(String reference, byte[] command) {
+    Session current;
+    synchronized (unacknowledged) {
+      current = session;
+      unacknowledged
+          .computeIfAbsent(reference, key -> new ArrayList<>(2))
+          .add(new SentCommand(command, System.nanoTime(), current));
+      if (current != null) {
+        current.commands.add(command);
       }
     }
-    if (mine != null) {
-      mine.flush();
+    if (current != null) {
+      current.flush();
     }
   }
 
   @Override
-  public void dispatch(String ref, String className, byte[] body) {
-    send(ref, line("spawn " + ref + " " + className, body));
+  public void dispatch(String reference, String className, byte[] body) {
+    send(reference, encodeLine("spawn " + reference + " " + className, body));
   }
 
   @Override
-  public void suspend(String ref) {
-    send(ref, line("suspend " + ref));
+  public void suspend(String reference) {
+    send(reference, encodeLine("suspend " + reference));
   }
 
   @Override
-  public void deliverResponse(String ref, byte[] reply) {
-    send(ref, line("supply " + ref, reply));
+  public void deliverResponse(String reference, byte[] response) {
+    send(reference, encodeLine("supply " + reference, response));
   }
 
   @Override
-  public void skipCall(String ref, long notice) {
-    send(ref, line("pass " + ref + " " + notice));
+  public void skipCall(String reference, long announcementNumber) {
+    send(reference, encodeLine("pass " + reference + " " + announcementNumber));
   }
 
   @Override
   public boolean pollGauges() {
-    synchronized (unproven) {
-      if (session == null || !session.bound) {
+    synchronized (unacknowledged) {
+      if (session == null || !session.isBound) {
         return false;
       }
       session.poll();
--- a/src/test/java/wharftrestle/transport/DescriptorBudgetTest.java
+++ b/src/test/java/wharftrestle/transport/DescriptorBudgetTest.java
@@ -6,19 +6,16 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/**
- * All parts together stay within what a process is allowed, and front ends have the half that the
- * protocol gives them.
- */
+/** The parts of the budget together stay within the descriptor limit of the process, and front ends have the half that the protocol grants them. */
 class DescriptorBudgetTest {
   @Property
-  void thePartsFitTheWhole(@ForAll @IntRange(min = 64, max = 4096) int allowed) {
-    DescriptorBudget parts = DescriptorBudget.of(allowed);
-    int leaving = parts.leaving() * 3 / 2 + DescriptorBudget.OPERATORS_LEAVING * 3 / 2;
-    int all = DescriptorBudget.OWN + parts.callers() + leaving + parts.calls() + parts.operators();
-    assertTrue(all <= allowed, all + " of " + allowed);
-    assertTrue(allowed < 128 || parts.callers() >= allowed / 2, parts + " of " + allowed);
+  void budgetStaysWithinTheDescriptorLimit(@ForAll @IntRange(min = 64, max = 4096) int allowed) {
+    DescriptorBudget budget = DescriptorBudget.of(allowed);
+    int closing = budget.leaving() * 3 / 2 + DescriptorBudget.MAX_OPERATORS_CLOSING * 3 / 2;
+    int total = DescriptorBudget.RESERVED + budget.callers() + closing + budget.calls() + budget.operators();
+    assertTrue(total <= allowed, total + " of " + allowed);
+    assertTrue(allowed < 128 || budget.callers() >= allowed / 2, budget + " of " + allowed);
     assertTrue(
-        parts.callers() >= 16 && parts.calls() >= 8 && parts.operators() >= 4, parts.toString());
+        budget.callers() >= 16 && budget.calls() >= 8 && budget.operators() >= 4, budget.toString());
   }
 }
--- a/src/test/java/wharftrestle/transport/LogRateLimiterTest.java
+++ b/src/test/java/wharftrestle/transport/LogRateLimiterTest.java
@@ -9,22 +9,22 @@
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
 
-/** However often something fails, a second has one line. */
+/** However often an event occurs, at most one line a second is logged. */
 class LogRateLimiterTest {
   private static final long SECOND = 1_000_000_000L;
 
   @Property(tries = 200)
-  void noTwoLinesWithinASecondAndTheFirstAtOnce(
+  void firstLineIsAllowedAtOnceAndAtMostOneASecondAfterwards(
       @ForAll long start,
       @ForAll @Size(min = 1, max = 200) List<@LongRange(min = 0, max = 300_000_000L) Long> gaps) {
-    LogRateLimiter lines = new LogRateLimiter(start);
+    LogRateLimiter limiter = new LogRateLimiter(start);
     long now = start;
-    assertTrue(lines.may(now));
+    assertTrue(limiter.tryAcquire(now));
     long last = now;
     for (long gap : gaps) {
       now += gap;
       boolean due = now - last > SECOND;
-      assertEquals(due, lines.may(now));
+      assertEquals(due, limiter.tryAcquire(now));
       last = due ? now : last;
     }
   }
