--- a/src/main/java/wharftrestle/config/DaemonConfig.java
+++ b/src/main/java/wharftrestle/config/DaemonConfig.java
@@ -15,11 +15,11 @@
 import wharftrestle.transport.Address;
 
 /**
- * Owns what the program is told at its start: the platform's configuration, and where the processes
- * of an upgrade meet. What operators set comes from {@code settings}, in the records below. It must
- * never fill in what is missing or wrong: that is one plain line in a {@link BadConfigException}.
- * {@code db} is null at a site whose runs call nothing; {@code cores}, {@code sockets} and {@code
- * memoryMb} are this process's limits, not the worker pool's.
+ * The configuration of the daemon: the platform's configuration file and the Unix socket of the
+ * handover. {@code settings} holds the operators' settings, in the records below. Missing or wrong
+ * values are not replaced by defaults of this class's own but reported in one line, as a {@link
+ * BadConfigException}. {@code db} is null at a site without dependency calls; {@code cores}, {@code
+ * sockets} and {@code memoryMb} are limits of this process, not of the worker pool.
  */
 public record DaemonConfig(
     String name,
@@ -36,7 +36,7 @@
     Path meeting,
     AdmissionSettings settings) {
 
-  /** Something that the program was told cannot be used. */
+  /** A configuration that cannot be used. */
   public static final class BadConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -45,23 +45,23 @@
     }
   }
 
-  /** kB booked for a held uwsgi request where nothing is set. */
+  /** Default of the kB reserved for a uwsgi request in flight. */
   public static final double HELD_KB = 24;
 
   /**
-   * Results kept over restarts.
+   * Settings of the results that are kept across restarts.
    *
-   * @param folder on a disk that lasts
-   * @param most bytes on disk
-   * @param keys known at most
-   * @param queue bytes that wait for the disk at most
-   * @param patience seconds after which a silent disk counts as stalled
+   * @param folder directory on a persistent disk
+   * @param most maximum bytes on disk
+   * @param keys maximum number of keys
+   * @param queue maximum bytes that wait for the disk
+   * @param patience seconds without a completed write after which the disk counts as stalled
    * @param sync "group", "each" or "none"
    */
   public record Durable(
       Path folder, long most, int keys, int queue, double patience, String sync) {}
 
-  /** What the operators' settings open besides the platform's front; null where off. */
+  /** Endpoints that the operators' settings open besides the platform's front end; null if off. */
   public record Appliance(
       InetSocketAddress uwsgi,
       InetSocketAddress control,
@@ -78,16 +78,16 @@
       this(uwsgi, control, snmp, community, heldKb, null);
     }
 
-    /** Nothing but the platform's front: what the platform has. */
+    /** Only the platform's front end, as on the platform. */
     public static Appliance none() {
       return new Appliance(null, null, null, "public", HELD_KB, null);
     }
   }
 
   /**
-   * All that a daemon is set to, in one form whatever way it was written down; addresses of others
-   * and seeds are no settings. Written out by hand: the text forms that the JVM makes for records
-   * cost a start a tenth of a second of CPU.
+   * Returns all settings of a daemon in a canonical text, independent of how they were written;
+   * addresses of other services and seeds are not settings. The text is built by hand, because the
+   * generated {@code toString} of records costs a tenth of a second of CPU at each start.
    */
   public String canonical(Appliance appliance) {
     StringBuilder text = new StringBuilder(1024);
@@ -129,7 +129,7 @@
       text.append('\n')
           .append(each.name())
           .append(' ')
-          .append(published(each.idempotency()))
+          .append(idempotencyName(each.idempotency()))
           .append(' ');
       put(text, each.callsDependency());
       put(
@@ -165,8 +165,10 @@
     return text.toString();
   }
 
-  /** The words in which this text has always named the ways of idempotency. */
-  private static String published(Admission.Idempotency idempotency) {
+  /**
+   * Names of the idempotency values in the canonical text; they must stay the same across releases.
+   */
+  private static String idempotencyName(Admission.Idempotency idempotency) {
     return switch (idempotency) {
       case IDEMPOTENT -> "SAFE";
       case IDEMPOTENCY_KEY -> "KEYED";
@@ -201,7 +203,7 @@
     }
     String name = environment.getOrDefault("EDGE_NAME", root.path("name").asText());
     String listen = environment.getOrDefault("EDGE_LISTEN", root.path("listen").asText());
-    String door =
+    String console =
         environment.getOrDefault("EDGE_CONSOLE", "").isBlank()
             ? root.path("console").asText()
             : environment.get("EDGE_CONSOLE");
@@ -211,15 +213,15 @@
           name,
           address("listen", listen),
           address("pool", root.path("pool").asText()),
-          store(root.path("db"), settings),
+          dependencyAddress(root.path("db"), settings),
           address("naming", root.path("naming").asText()),
-          door.isBlank() ? null : address("console", door.trim()),
+          console.isBlank() ? null : address("console", console.trim()),
           Long.parseUnsignedLong(root.path("seed").asText("0"), 16),
           root.path("stop_ms").asDouble(3000) / 1000,
           root.path("limits").path("cores").asDouble(1),
           root.path("limits").path("sockets").asInt(1024),
           root.path("limits").path("memory_mb").asDouble(192),
-          meeting(environment.get("TMPDIR"), name),
+          handoverSocket(environment.get("TMPDIR"), name),
           settings);
     } catch (NumberFormatException e) {
       throw new BadConfigException("the configuration's 'seed' is no hexadecimal number");
@@ -228,25 +230,27 @@
     }
   }
 
-  /** The store's address; null where there is none and the settings say that no run calls below. */
-  private static InetSocketAddress store(JsonNode told, AdmissionSettings settings)
+  /**
+   * Returns the store's address; null if there is none and the settings have no dependency calls.
+   */
+  private static InetSocketAddress dependencyAddress(JsonNode node, AdmissionSettings settings)
       throws BadConfigException {
-    return told.asText("").isBlank() && settings.calls().dependency() == Admission.Dependency.NONE
+    return node.asText("").isBlank() && settings.calls().dependency() == Admission.Dependency.NONE
         ? null
-        : address("db", told.asText());
+        : address("db", node.asText());
   }
 
   /**
-   * Where the two processes of an upgrade meet; null, and with it no upgrade, where there is no
-   * such folder.
+   * Returns the Unix socket of the handover; null if there is no directory for it, and then no
+   * handover is possible.
    */
-  private static Path meeting(String folder, String name) {
+  private static Path handoverSocket(String folder, String name) {
     return folder == null || folder.isBlank()
         ? null
         : Path.of(folder, "wharftrestle-" + name.replaceAll("[^A-Za-z0-9_.-]", "_") + ".sock");
   }
 
-  /** HOST:PORT with a numeric host: there are no names to look up. */
+  /** Parses HOST:PORT with a numeric host; names are never resolved. */
   public static InetSocketAddress address(String key, String text) throws BadConfigException {
     InetSocketAddress address = Address.of(text);
     if (address == null) {
--- a/src/main/java/wharftrestle/config/package-info.java
+++ b/src/main/java/wharftrestle/config/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration that the platform gives the daemon: one file, checked when it is read. */
+/** The daemon's configuration from the platform: one file, validated when it is read. */
 package wharftrestle.config;
--- a/src/main/java/wharftrestle/discovery/LoadReporter.java
+++ b/src/main/java/wharftrestle/discovery/LoadReporter.java
@@ -14,28 +14,28 @@
 import wharftrestle.transport.LogRateLimiter;
 
 /**
- * Owns the reports to the name service: one datagram many times within the 3 s after which an entry
- * runs out, and some at once when health changes, as some are lost. It must never make the one who
- * changes health wait.
+ * Sends load reports to the name service: one datagram several times within the 3 s after which an
+ * entry expires, and some in quick order when health changes, as datagrams may be lost. Reports are
+ * sent on a thread of its own, so a change of health never waits for the network. Thread-safe.
  */
 public final class LoadReporter implements HealthListener {
-  private static final int EVERY_MS = 250;
+  private static final int REPORT_INTERVAL_MS = 250;
 
-  /** Reports in quick order after a change, and the milliseconds between them. */
-  private static final int REPEATS = 3;
+  /** Repeated reports after a change, and the milliseconds between them. */
+  private static final int CHANGE_REPEATS = 3;
 
-  private static final int REPEAT_MS = 40;
+  private static final int CHANGE_REPEAT_MS = 40;
 
   private final String name;
   private final Counters counters;
-  private volatile InetSocketAddress naming;
-  private boolean good = true;
-  private boolean paused;
-  private int urgent = REPEATS;
+  private volatile InetSocketAddress nameService;
+  private boolean isHealthy = true;
+  private boolean isPaused;
+  private int pendingRepeats = CHANGE_REPEATS;
 
-  public LoadReporter(String name, InetSocketAddress naming, Counters counters) {
+  public LoadReporter(String name, InetSocketAddress nameService, Counters counters) {
     this.name = name;
-    this.naming = naming;
+    this.nameService = nameService;
     this.counters = counters;
   }
 
@@ -43,70 +43,74 @@
     PlatformThreads.restartingThread("reporter", this::report).start();
   }
 
-  /** Reports go to another address from now on. */
+  /** Sets the address of the name service. */
   public synchronized void moveTo(InetSocketAddress next) {
-    naming = next;
-    hurry();
+    nameService = next;
+    reportChange();
   }
 
-  /** Says nothing, while another process of this box reports for both, or goes on. */
-  public synchronized void pause(boolean quiet) {
-    paused = quiet;
-    hurry();
+  /** Pauses the reports while another process of this host reports for both, or resumes them. */
+  public synchronized void pause(boolean shouldPause) {
+    isPaused = shouldPause;
+    reportChange();
   }
 
   @Override
-  public synchronized void onHealthChanged(boolean now) {
-    if (now != good) {
-      good = now;
-      hurry();
+  public synchronized void onHealthChanged(boolean isHealthyNow) {
+    if (isHealthyNow != isHealthy) {
+      isHealthy = isHealthyNow;
+      reportChange();
     }
   }
 
-  /** Guards against a lost datagram hiding a change: it is told again at once. */
-  private void hurry() {
-    urgent = REPEATS + 1;
+  /** Reports at once and repeats the report, so that a lost datagram does not hide a change. */
+  private void reportChange() {
+    pendingRepeats = CHANGE_REPEATS + 1;
     notifyAll();
   }
 
   private void report() {
-    LogRateLimiter lines = new LogRateLimiter(System.nanoTime());
-    boolean told = false;
+    LogRateLimiter logLimiter = new LogRateLimiter(System.nanoTime());
+    boolean isOutageLogged = false;
     for (; ; ) {
       try (DatagramSocket socket = new DatagramSocket()) {
         for (; ; ) {
-          byte[] word = BoundedReader.ascii("renew " + name + (next() ? " yes" : " no"));
-          socket.send(new DatagramPacket(word, word.length, naming));
+          byte[] message =
+              BoundedReader.ascii("renew " + name + (awaitNextReport() ? " yes" : " no"));
+          socket.send(new DatagramPacket(message, message.length, nameService));
           counters.add(Count.LOAD_REPORTS);
-          told = false;
+          isOutageLogged = false;
         }
       } catch (IOException | RuntimeException e) {
-        if (!told && lines.may(System.nanoTime())) {
-          Logger.warn("name service: {}", e.getMessage());
-          told = true;
+        if (!isOutageLogged && logLimiter.tryAcquire(System.nanoTime())) {
+          Logger.warn("load report to the name service failed: {}", e.getMessage());
+          isOutageLogged = true;
         }
-        // Guards against spinning where there is no socket to be had.
-        LockSupport.parkNanos(EVERY_MS * 1_000_000L);
+        // Do not spin while no socket can be opened.
+        LockSupport.parkNanos(REPORT_INTERVAL_MS * 1_000_000L);
       } catch (InterruptedException e) {
         return;
       }
     }
   }
 
-  private synchronized boolean next() throws InterruptedException {
-    long began = System.nanoTime();
+  private synchronized boolean awaitNextReport() throws InterruptedException {
+    long startedNanos = System.nanoTime();
     for (; ; ) {
-      if (paused) {
+      if (isPaused) {
         wait();
         continue;
       }
-      long pause = urgent > REPEATS ? 0 : urgent > 0 ? REPEAT_MS : EVERY_MS;
-      long left = pause - (System.nanoTime() - began) / 1_000_000;
-      if (left <= 0) {
-        urgent = Math.max(0, urgent - 1);
-        return good;
+      long intervalMs =
+          pendingRepeats > CHANGE_REPEATS
+              ? 0
+              : pendingRepeats > 0 ? CHANGE_REPEAT_MS : REPORT_INTERVAL_MS;
+      long remainingMs = intervalMs - (System.nanoTime() - startedNanos) / 1_000_000;
+      if (remainingMs <= 0) {
+        pendingRepeats = Math.max(0, pendingRepeats - 1);
+        return isHealthy;
       }
-      wait(left);
+      wait(remainingMs);
     }
   }
 }
--- a/src/main/java/wharftrestle/discovery/package-info.java
+++ b/src/main/java/wharftrestle/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Load reports to the name service: one datagram many times within the lifetime of an entry. One
- * thread of its own.
+ * Load reports to the name service: one datagram several times within the lifetime of an entry,
+ * sent by a thread of its own.
  */
 package wharftrestle.discovery;
--- a/src/main/java/wharftrestle/frontend/RespFrontend.java
+++ b/src/main/java/wharftrestle/frontend/RespFrontend.java
@@ -26,56 +26,62 @@
 import wharftrestle.transport.Server.MalformedException;
 
 /**
- * The platform's front: RESP arrays of bulk strings, parsed and written here. It owns the tags open
- * on a connection and nothing else; it must never decide about a request, and never keep one past
- * its answer.
+ * The platform's protocol: RESP arrays of bulk strings. Keeps the open requests of each connection
+ * by tag until they are answered, and passes every request to the {@link RequestCoordinator}, which
+ * decides about it.
  */
 public final class RespFrontend implements Server.Front {
-  private static final int MOST_PARTS = 5;
-  private static final int LONGEST_WORD = 1024;
-  private static final int LONGEST_BODY = 2048;
-  private static final int LONGEST_COUNT = 6;
-  private static final int LONGEST_KEY = 64;
+  private static final int MAX_PARTS = 5;
+  private static final int MAX_PART_BYTES = 1024;
+  private static final int MAX_BODY_BYTES = 2048;
+  private static final int MAX_LENGTH_DIGITS = 6;
+  private static final int MAX_KEY_CHARS = 64;
 
-  /** Requests open at once on a connection, as the protocol has it. */
-  private static final int MOST_OPEN = 32;
+  /** Maximum number of open requests on a connection, by the protocol. */
+  private static final int MAX_OPEN_REQUESTS = 32;
 
-  /** Memory booked for a request stays under this, in kB. */
-  private static final double MOST_RAM = 2000;
+  /** Memory reserved for a request is below this, in kB. */
+  private static final double MEMORY_LIMIT_KB = 2000;
 
-  /** Milliseconds of work that may be told, in ten hours: more is a slip of its sender. */
-  private static final double MOST_CPU_MS = 36_000_000;
+  /**
+   * Maximum work announced for a request, ten hours in milliseconds; more is an error of the
+   * sender.
+   */
+  private static final double MAX_CPU_MS = 36_000_000;
 
-  /** Milliseconds by which a request may be stamped ahead of this clock, and behind it. */
-  private static final long EARLY_MS = 1000;
+  /** Milliseconds by which the timestamp of a request may be ahead of this clock, and behind it. */
+  private static final long MAX_AHEAD_MS = 1000;
 
-  private static final long STALE_MS = 600_000;
+  private static final long MAX_BEHIND_MS = 600_000;
 
   /**
-   * The same for a connection on which nothing was served yet, the messages it may send at once,
-   * and the milliseconds for each further one.
+   * Limits for a connection on which no request has been served yet: open requests, messages read
+   * without delay, and milliseconds for each further message.
    */
-  private static final int MOST_UNPROVEN = 16;
+  private static final int MAX_OPEN_UNSERVED = 16;
 
-  private static final int UNPROVEN_BURST = 48;
-  private static final int UNPROVEN_MS = 40;
+  private static final int UNSERVED_BURST = 48;
+  private static final int UNSERVED_DELAY_MS = 40;
 
-  /** Requests answered as not valid before a connection that was never served is closed. */
-  private static final int MOST_INVALID = 8;
+  /** Invalid requests after which a connection without a served request is closed. */
+  private static final int MAX_INVALID = 8;
 
-  /** Milliseconds between two looks at whether idle connections may go: hundreds of them look. */
-  private static final int LOOK_MS = 3000;
+  /**
+   * Maximum milliseconds between two idle checks of a connection; hundreds of connections check.
+   */
+  private static final int MAX_IDLE_POLL_MS = 3000;
 
   /**
-   * The least of these where the policy wants idle ones gone: less would cost more than they do.
+   * Minimum of these milliseconds if idle connections are closed; more frequent checks would cost
+   * more than the connections.
    */
-  private static final int LEAST_LOOK_MS = 200;
+  private static final int MIN_IDLE_POLL_MS = 200;
 
-  /** Milliseconds from its opening in which a connection completes its first message. */
-  private static final int FIRST_MS = 2500;
+  /** Milliseconds from the opening of a connection for its first message. */
+  private static final int FIRST_MESSAGE_MS = 2500;
 
-  /** Milliseconds in which any other message is complete: longer than a machine stands still. */
-  private static final int MESSAGE_MS = 10_000;
+  /** Milliseconds for any other message; longer than a machine is paused. */
+  private static final int MESSAGE_TIMEOUT_MS = 10_000;
 
   private static final Pattern REFERENCE = Pattern.compile("[0-9a-f]{16}");
   private static final byte[] CLOSING = array("0", "closing", "", new byte[0]);
@@ -88,9 +94,9 @@
   public RespFrontend(RequestCoordinator core, Counters counters) {
     this.core = core;
     this.counters = counters;
-    List<Admission.RequestClass> known = core.settings().classes();
-    for (int i = 0; i < known.size(); i++) {
-      classes.put(known.get(i).name(), i);
+    List<Admission.RequestClass> requestClasses = core.settings().classes();
+    for (int i = 0; i < requestClasses.size(); i++) {
+      classes.put(requestClasses.get(i).name(), i);
     }
     for (int i = 0; i < core.settings().tenants().size(); i++) {
       tenants.put(core.settings().tenants().get(i).name(), i);
@@ -98,63 +104,65 @@
   }
 
   @Override
-  public boolean sayClosing(Connection connection) {
+  public boolean notifyClosing(Connection connection) {
     connection.send(CLOSING);
     return true;
   }
 
   @Override
   public void serve(Connection connection) throws IOException {
-    Map<String, Acceptance.InFlight> open = new ConcurrentHashMap<>();
-    int invalid = 0;
-    int taken = 0;
-    connection.whenGone(() -> open.values().forEach(core::callerDisconnected));
-    // Guards against a cut while a message is half read: a peer whose next one is always there
-    // before it is looked
-    // for would never be known as one whose front says what is dealt with.
-    connection.settled();
-    for (byte[][] words = read(connection); words != null; words = read(connection)) {
-      // Guards against peers that ask and take back, or ask anew, as fast as they are answered:
-      // until
-      // a request of theirs has been served they are read no faster than this.
-      for (taken++;
-          connection.merit() != Connection.Merit.SERVED && open.size() >= MOST_UNPROVEN; ) {
-        LockSupport.parkNanos(UNPROVEN_MS * 1_000_000L);
+    Map<String, Acceptance.InFlight> openRequests = new ConcurrentHashMap<>();
+    int invalidCount = 0;
+    int messageCount = 0;
+    connection.onDisconnect(() -> openRequests.values().forEach(core::callerDisconnected));
+    // Announces that this front end reports handled input. A peer whose next message always arrives
+    // in time would otherwise never cause such a report, and could be closed while a message is
+    // half read.
+    connection.markInputHandled();
+    for (byte[][] parts = readMessage(connection); parts != null; parts = readMessage(connection)) {
+      // Peers may send and withdraw requests, or repeat them, as fast as they are answered. Until
+      // one of their requests has been served, their messages are read at a limited rate.
+      for (messageCount++;
+          connection.merit() != Connection.Merit.SERVED
+              && openRequests.size() >= MAX_OPEN_UNSERVED; ) {
+        LockSupport.parkNanos(UNSERVED_DELAY_MS * 1_000_000L);
       }
-      if (connection.merit() != Connection.Merit.SERVED && taken > UNPROVEN_BURST) {
-        LockSupport.parkNanos(UNPROVEN_MS * 1_000_000L);
+      if (connection.merit() != Connection.Merit.SERVED && messageCount > UNSERVED_BURST) {
+        LockSupport.parkNanos(UNSERVED_DELAY_MS * 1_000_000L);
       }
       try {
-        take(connection, open, words);
+        handle(connection, openRequests, parts);
       } catch (InvalidException e) {
-        // Well framed, but nothing that can run: its error says so and the connection goes on.
-        // Guards against senders of nothing else, who would ask again as fast as they are answered.
+        // Well framed, but not executable: it is answered with an error and the connection
+        // continues. Peers that send nothing else would repeat it as fast as they are answered, so
+        // they are closed.
         counters.add(Count.INVALID);
-        connection.send(array(text(words[1]), "error", "", new byte[0]));
-        if (++invalid >= MOST_INVALID && connection.merit() != Connection.Merit.SERVED) {
-          throw new MalformedException("nothing but requests that are not valid");
+        connection.send(array(text(parts[1]), "error", "", new byte[0]));
+        if (++invalidCount >= MAX_INVALID && connection.merit() != Connection.Merit.SERVED) {
+          throw new MalformedException("only invalid requests on this connection");
         }
       }
     }
   }
 
-  private void take(Connection connection, Map<String, Acceptance.InFlight> open, byte[][] words)
+  private void handle(
+      Connection connection, Map<String, Acceptance.InFlight> openRequests, byte[][] parts)
       throws IOException {
-    String verb = text(words[0]);
-    if (words.length < 2) {
-      throw new MalformedException("a command without a tag");
+    String command = text(parts[0]);
+    if (parts.length < 2) {
+      throw new MalformedException("command without a tag");
     }
-    String tag = text(words[1]);
+    String tag = text(parts[1]);
     if (BoundedReader.number(tag, Long.MAX_VALUE) == 0) {
-      throw new MalformedException("a tag of 0");
+      throw new MalformedException("tag must not be 0");
     }
-    switch (verb) {
-      case "ASK" -> ask(connection, open, tag, words);
+    switch (command) {
+      case "ASK" -> handleAsk(connection, openRequests, tag, parts);
       case "NEVERMIND" -> {
-        Acceptance.InFlight left = open.remove(tag);
-        if (left != null) {
-          connection.end();
-          core.callerDisconnected(left);
+        Acceptance.InFlight abandoned = openRequests.remove(tag);
+        if (abandoned != null) {
+          connection.completeRequest();
+          core.callerDisconnected(abandoned);
         }
       }
       case "STATUS" -> {
@@ -162,11 +170,11 @@
         connection.heard(Connection.Merit.HEARD);
         connection.send(array(tag, core.isHealthy() ? "healthy" : "sick", "", new byte[0]));
       }
-      default -> throw new MalformedException("no such command");
+      default -> throw new MalformedException("unknown command");
     }
   }
 
-  /** A request that is well framed and cannot be taken. */
+  /** A well-framed request whose content is invalid. */
   private static final class InvalidException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -175,100 +183,107 @@
     }
   }
 
-  private void ask(
-      Connection connection, Map<String, Acceptance.InFlight> open, String tag, byte[][] words)
+  private void handleAsk(
+      Connection connection,
+      Map<String, Acceptance.InFlight> openRequests,
+      String tag,
+      byte[][] parts)
       throws IOException {
-    if (open.containsKey(tag) || open.size() >= MOST_OPEN) {
-      // Guards against answers that cannot be told apart, and against one peer taking all there is.
-      throw new MalformedException("a tag used twice, or too many requests open");
+    if (openRequests.containsKey(tag) || openRequests.size() >= MAX_OPEN_REQUESTS) {
+      // Two answers with one tag could not be distinguished, and one peer must not use up all
+      // capacity.
+      throw new MalformedException("tag already in use, or too many open requests");
     }
-    IncomingRequest arrival = arrival(words);
+    IncomingRequest request = parseRequest(parts);
     connection.heard(Connection.Merit.HEARD);
-    if (!connection.begin()) {
-      return; // it is being closed, nothing was run: the front end sends it once more
+    if (!connection.beginRequest()) {
+      return; // the connection is closing and nothing was executed: the front end sends the request
+      // again
     }
-    Answering answering = new Answering(connection, open, tag);
-    synchronized (answering) {
-      if (core.accept(arrival, answering) instanceof Acceptance.InFlight taken) {
-        open.put(tag, taken);
+    AnswerWriter answerWriter = new AnswerWriter(connection, openRequests, tag);
+    synchronized (answerWriter) {
+      if (core.accept(request, answerWriter) instanceof Acceptance.InFlight inFlight) {
+        openRequests.put(tag, inFlight);
       } else {
-        connection.end();
+        connection.completeRequest();
       }
     }
   }
 
   /**
-   * Guards against figures that the policy would reckon with: each field lies within the protocol's
-   * range.
+   * Parses a request and checks that each field is within the range of the protocol, as the
+   * admission policy computes with them.
    */
-  private IncomingRequest arrival(byte[][] words) throws InvalidException {
-    if (words.length < 4) {
-      throw new InvalidException("a request without its fields");
+  private IncomingRequest parseRequest(byte[][] parts) throws InvalidException {
+    if (parts.length < 4) {
+      throw new InvalidException("request without fields");
     }
-    Map<String, String> fields = fields(text(words[3]));
-    Integer type = classes.get(text(words[2]));
-    Integer tenant = tenants.isEmpty() ? Integer.valueOf(0) : tenants.get(fields.get("team"));
-    String ref = fields.getOrDefault("txn", "");
-    if (type == null || tenant == null || !REFERENCE.matcher(ref).matches()) {
-      throw new InvalidException("no such class or tenant, or no reference");
+    Map<String, String> fields = parseFields(text(parts[3]));
+    Integer classIndex = classes.get(text(parts[2]));
+    Integer tenantIndex = tenants.isEmpty() ? Integer.valueOf(0) : tenants.get(fields.get("team"));
+    String reference = fields.getOrDefault("txn", "");
+    if (classIndex == null || tenantIndex == null || !REFERENCE.matcher(reference).matches()) {
+      throw new InvalidException("unknown class or tenant, or no valid reference");
     }
-    boolean keyed =
-        core.settings().classes().get(type).idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY;
-    String key = keyed ? fields.getOrDefault("unique", "") : null;
-    String item = fields.get("item");
-    if ((keyed && (key.isEmpty() || key.length() > LONGEST_KEY))
-        || (item != null && item.length() > LONGEST_KEY)) {
-      throw new InvalidException("no key, or one too long");
+    boolean isKeyed =
+        core.settings().classes().get(classIndex).idempotency()
+            == Admission.Idempotency.IDEMPOTENCY_KEY;
+    String idempotencyKey = isKeyed ? fields.getOrDefault("unique", "") : null;
+    String subject = fields.get("item");
+    if ((isKeyed && (idempotencyKey.isEmpty() || idempotencyKey.length() > MAX_KEY_CHARS))
+        || (subject != null && subject.length() > MAX_KEY_CHARS)) {
+      throw new InvalidException("idempotency key missing or too long, or subject too long");
     }
-    double ram;
-    double standing;
-    double cpu;
-    long caller;
-    long door;
-    long second;
+    double memoryKb;
+    double rank;
+    double expectedWorkMillis;
+    long callerId;
+    long arrivalUnixMillis;
+    long retryFlag;
     try {
-      ram = BoundedReader.decimal(fields.getOrDefault("ram", ""));
-      standing = BoundedReader.decimal(fields.getOrDefault("standing", ""));
-      cpu = BoundedReader.decimal(fields.getOrDefault("cpu", "0"));
-      second = BoundedReader.number(fields.getOrDefault("second", "0"), Integer.MAX_VALUE);
-      caller = BoundedReader.number(fields.getOrDefault("lb", ""), Integer.MAX_VALUE);
-      door = BoundedReader.number(fields.getOrDefault("door", ""), Long.MAX_VALUE);
+      memoryKb = BoundedReader.parseDecimal(fields.getOrDefault("ram", ""));
+      rank = BoundedReader.parseDecimal(fields.getOrDefault("standing", ""));
+      expectedWorkMillis = BoundedReader.parseDecimal(fields.getOrDefault("cpu", "0"));
+      retryFlag = BoundedReader.number(fields.getOrDefault("second", "0"), Integer.MAX_VALUE);
+      callerId = BoundedReader.number(fields.getOrDefault("lb", ""), Integer.MAX_VALUE);
+      arrivalUnixMillis = BoundedReader.number(fields.getOrDefault("door", ""), Long.MAX_VALUE);
     } catch (IOException e) {
       throw new InvalidException(e.getMessage());
     }
     long now = SteadyWallClock.wallMillis();
-    if (ram <= 0
-        || ram >= MOST_RAM
-        || standing < 0
-        || standing >= 1
-        || cpu < 0
-        || cpu > MOST_CPU_MS
-        || door > now + EARLY_MS
-        || door < now - STALE_MS) {
-      throw new InvalidException("a figure out of range");
+    if (memoryKb <= 0
+        || memoryKb >= MEMORY_LIMIT_KB
+        || rank < 0
+        || rank >= 1
+        || expectedWorkMillis < 0
+        || expectedWorkMillis > MAX_CPU_MS
+        || arrivalUnixMillis > now + MAX_AHEAD_MS
+        || arrivalUnixMillis < now - MAX_BEHIND_MS) {
+      throw new InvalidException("numeric field out of range");
     }
     return new IncomingRequest(
-        ref,
-        second > 0,
-        type,
-        tenant,
-        ram,
-        (int) caller,
-        standing,
-        cpu / 1000,
-        key,
-        item,
-        SteadyWallClock.toSteadyWallMillis(door),
-        words.length > 4 ? words[4] : new byte[0]);
+        reference,
+        retryFlag > 0,
+        classIndex,
+        tenantIndex,
+        memoryKb,
+        (int) callerId,
+        rank,
+        expectedWorkMillis / 1000,
+        idempotencyKey,
+        subject,
+        SteadyWallClock.toSteadyWallMillis(arrivalUnixMillis),
+        parts.length > 4 ? parts[4] : new byte[0]);
   }
 
-  private record Answering(Connection connection, Map<String, Acceptance.InFlight> open, String tag)
+  private record AnswerWriter(
+      Connection connection, Map<String, Acceptance.InFlight> openRequests, String tag)
       implements AnswerListener {
     @Override
     public void onAnswer(Answer answer) {
-      boolean owed;
+      boolean wasOpen;
       synchronized (this) {
-        owed = open.remove(tag) != null;
+        wasOpen = openRequests.remove(tag) != null;
       }
       if (answer.kind() == Answer.Kind.SERVED) {
         connection.heard(Connection.Merit.SERVED);
@@ -277,111 +292,112 @@
           switch (answer.kind()) {
             case SERVED -> array(tag, "done", "", answer.result());
             case FAILED, DEADLINE_EXCEEDED, CONFLICT -> array(tag, "error", "", answer.result());
-            case REJECTED -> array(tag, "later", advice(answer), answer.result());
+            case REJECTED -> array(tag, "later", retryAdvice(answer), answer.result());
           });
-      if (owed) {
-        connection.end(); // guards against a close between the two that loses the answer
+      if (wasOpen) {
+        connection
+            .completeRequest(); // after the answer is sent, as a close in between would lose it
       }
     }
 
-    private static String advice(Answer answer) {
+    private static String retryAdvice(Answer answer) {
       long millis = Math.round(answer.retryAfterSeconds() * 1000);
-      String wait = millis > 0 ? "later=" + millis : "";
-      return !answer.fleetOverloaded() ? wait : wait.isEmpty() ? "giveup=1" : wait + ",giveup=1";
+      String delay = millis > 0 ? "later=" + millis : "";
+      return !answer.fleetOverloaded() ? delay : delay.isEmpty() ? "giveup=1" : delay + ",giveup=1";
     }
   }
 
-  private static Map<String, String> fields(String text) throws InvalidException {
+  private static Map<String, String> parseFields(String text) throws InvalidException {
     Map<String, String> fields = new HashMap<>();
     for (String field : text.isEmpty() ? new String[0] : text.split(",")) {
       int equals = field.indexOf('=');
       if (equals <= 0
           || fields.put(field.substring(0, equals), field.substring(equals + 1)) != null) {
-        throw new InvalidException("a field without a value, or told twice");
+        throw new InvalidException("field without a value or repeated");
       }
     }
     return fields;
   }
 
-  /**
-   * The next array; null at the peer's end between two, or where the connection stood idle long
-   * enough.
-   */
-  private byte[][] read(Connection connection) throws IOException {
+  /** Reads the next array; null if the peer closed between two, or never sent one in time. */
+  private byte[][] readMessage(Connection connection) throws IOException {
     InputStream in = connection.in();
-    int mark = first(connection);
-    if (mark < 0) {
+    int firstByte = readFirstByte(connection);
+    if (firstByte < 0) {
       return null;
     }
-    if (mark != '*') {
-      throw new MalformedException("no array");
+    if (firstByte != '*') {
+      throw new MalformedException("expected an array");
     }
-    int count = (int) BoundedReader.number(BoundedReader.line(in, LONGEST_COUNT), MOST_PARTS);
+    int count = (int) BoundedReader.number(BoundedReader.line(in, MAX_LENGTH_DIGITS), MAX_PARTS);
     if (count == 0) {
-      throw new MalformedException("an empty array");
+      throw new MalformedException("empty array");
     }
-    byte[][] words = new byte[count][];
+    byte[][] parts = new byte[count][];
     for (int i = 0; i < count; i++) {
-      int kind = in.read();
-      if (kind < 0) {
-        throw new EOFException("ended within an array");
+      int marker = in.read();
+      if (marker < 0) {
+        throw new EOFException("end of stream within an array");
       }
-      if (kind != '$') {
-        throw new MalformedException("no bulk string");
+      if (marker != '$') {
+        throw new MalformedException("expected a bulk string");
       }
-      int most = i == MOST_PARTS - 1 ? LONGEST_BODY : LONGEST_WORD;
-      words[i] =
+      int maxBytes = i == MAX_PARTS - 1 ? MAX_BODY_BYTES : MAX_PART_BYTES;
+      parts[i] =
           BoundedReader.exactly(
-              in, (int) BoundedReader.number(BoundedReader.line(in, LONGEST_COUNT), most));
+              in, (int) BoundedReader.number(BoundedReader.line(in, MAX_LENGTH_DIGITS), maxBytes));
       BoundedReader.crlf(in);
     }
-    return words;
+    return parts;
   }
 
   /**
-   * The first byte of the next message, whose time limit begins with it. Guards against peers that
-   * connect and say nothing, or never end what they say: they would use up the connections.
+   * Reads the first byte of the next message, with which its timeout begins. Peers that connect and
+   * send nothing, or never complete a message, would otherwise use up the connections.
    */
-  private int first(Connection connection) throws IOException {
-    boolean silent = connection.merit() == Connection.Merit.SILENT;
-    long firstBy = connection.openedAt() + FIRST_MS * 1_000_000L;
+  private int readFirstByte(Connection connection) throws IOException {
+    boolean isSilent = connection.merit() == Connection.Merit.SILENT;
+    long firstDeadline = connection.openedAt() + FIRST_MESSAGE_MS * 1_000_000L;
     if (connection.in().available() == 0) {
-      connection.settled();
+      connection.markInputHandled();
     }
     for (; ; ) {
-      double idleFor = core.idleTimeoutSeconds();
-      long look =
-          idleFor > 0
-              ? Math.max(LEAST_LOOK_MS, Math.min(LOOK_MS, (long) (idleFor * 1000)))
-              : LOOK_MS;
-      connection.readUntil(silent ? firstBy : System.nanoTime() + look * 1_000_000L);
+      double idleTimeout = core.idleTimeoutSeconds();
+      long pollMillis =
+          idleTimeout > 0
+              ? Math.max(MIN_IDLE_POLL_MS, Math.min(MAX_IDLE_POLL_MS, (long) (idleTimeout * 1000)))
+              : MAX_IDLE_POLL_MS;
+      connection.readUntil(isSilent ? firstDeadline : System.nanoTime() + pollMillis * 1_000_000L);
       try {
-        int mark = connection.in().read();
-        connection.readUntil(silent ? firstBy : System.nanoTime() + MESSAGE_MS * 1_000_000L);
-        return mark;
-      } catch (SocketTimeoutException quiet) {
-        double limit = core.idleTimeoutSeconds();
-        boolean idle = limit > 0 && System.nanoTime() - connection.heardAt() > limit * 1e9;
-        if (silent || (idle && connection.owed() == 0)) {
-          // Guards against losing a request that crosses the close: its peer hears first, and may
-          // still ask.
+        int firstByte = connection.in().read();
+        connection.readUntil(
+            isSilent ? firstDeadline : System.nanoTime() + MESSAGE_TIMEOUT_MS * 1_000_000L);
+        return firstByte;
+      } catch (SocketTimeoutException timeout) {
+        double timeoutSeconds = core.idleTimeoutSeconds();
+        boolean isIdle =
+            timeoutSeconds > 0
+                && System.nanoTime() - connection.lastMessageNanos() > timeoutSeconds * 1e9;
+        if (isSilent || (isIdle && connection.inFlight() == 0)) {
+          // A request that crosses the close must not be lost: the peer is sent the go-away message
+          // first, and may still send.
           connection.goAway();
         }
-        if (silent) {
-          return -1; // it never said a word, and nothing was read of it
+        if (isSilent) {
+          return -1; // the peer never sent a message
         }
       }
     }
   }
 
-  private static String text(byte[] word) {
-    return new String(word, StandardCharsets.ISO_8859_1);
+  private static String text(byte[] part) {
+    return new String(part, StandardCharsets.ISO_8859_1);
   }
 
-  static byte[] array(String tag, String word, String fields, byte[] body) {
+  static byte[] array(String tag, String status, String fields, byte[] body) {
     return BoundedReader.join(
         BoundedReader.ascii(
-            "*4\r\n" + bulk(tag) + bulk(word) + bulk(fields) + "$" + body.length + "\r\n"),
+            "*4\r\n" + bulk(tag) + bulk(status) + bulk(fields) + "$" + body.length + "\r\n"),
         body,
         BoundedReader.ascii("\r\n"));
   }
--- a/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
+++ b/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
@@ -23,33 +23,33 @@
 import wharftrestle.transport.Server.MalformedException;
 
 /**
- * The uwsgi front: one request a connection, a packet of variables and a body in, an HTTP response
- * out. It parses and writes; the time of arrival and the reference are stamped here, as the wire
- * has neither. It must never decide about a request, and never hand one to the core before its last
- * byte is read.
+ * The uwsgi protocol: one request on each connection, a packet of variables and a body as input, an
+ * HTTP response as output. The time of arrival and the reference are assigned here, as the protocol
+ * has neither. A request is passed to the {@link RequestCoordinator}, which decides about it, only
+ * after its last byte is read.
  */
 public final class UwsgiFrontend implements Server.Front {
-  /** A body at most, as on the platform's wire: what runs requests takes no more. */
-  static final int LONGEST_BODY = 2048;
+  /** Maximum length of a body, as in the platform's protocol; the worker pool accepts no more. */
+  static final int MAX_BODY_BYTES = 2048;
 
-  private static final int LONGEST_VARS = 32 * 1024;
-  private static final int LONGEST_KEY = 128;
-  private static final int MOST_VARS = 256;
+  private static final int MAX_VARS_BYTES = 32 * 1024;
+  private static final int MAX_KEY_CHARS = 128;
+  private static final int MAX_VARS = 256;
 
-  /** Milliseconds in which a gateway must have sent its whole request, however it drips. */
-  private static final int REQUEST_MS = 2500;
+  /** Milliseconds for a gateway to send its whole request, however slowly the bytes arrive. */
+  private static final int REQUEST_TIMEOUT_MS = 2500;
 
   /**
-   * Milliseconds between two looks at whether a gateway that waits for its answer is still there.
+   * Milliseconds between two checks whether a gateway that waits for its answer is still connected.
    */
-  private static final int LOOK_MS = 300;
+  private static final int DISCONNECT_POLL_MS = 300;
 
-  /** What is answered without the core. */
-  private static final class Status extends IOException {
+  /** A response that is sent without the coordinator. */
+  private static final class ImmediateResponse extends IOException {
     private static final long serialVersionUID = 1L;
     private final String line;
 
-    Status(String line, String reason) {
+    ImmediateResponse(String line, String reason) {
       super(reason);
       this.line = line;
     }
@@ -60,21 +60,22 @@
   private final double heldKb;
   private final Map<String, Integer> classes = new HashMap<>();
   private final Map<String, Integer> tenants = new HashMap<>();
-  private final double[] ranks;
+  private final double[] classRanks;
   private final AtomicLong references;
 
   public UwsgiFrontend(RequestCoordinator core, Counters counters, long seed, double heldKb) {
     this.core = core;
     this.counters = counters;
     this.heldKb = heldKb;
-    // References share the worker pool's name space with the platform's random ones.
+    // References share the worker pool's name space with the random ones of the platform.
     references = new AtomicLong(seed * 0x9E3779B97F4A7C15L ^ System.nanoTime());
-    List<Admission.RequestClass> known = core.settings().classes();
-    ranks = new double[known.size()];
-    for (int i = 0; i < known.size(); i++) {
-      classes.put(known.get(i).name(), i);
-      for (Admission.RequestClass other : known) {
-        ranks[i] += other.weight() < known.get(i).weight() ? 1.0 / known.size() : 0;
+    List<Admission.RequestClass> requestClasses = core.settings().classes();
+    classRanks = new double[requestClasses.size()];
+    for (int i = 0; i < requestClasses.size(); i++) {
+      classes.put(requestClasses.get(i).name(), i);
+      for (Admission.RequestClass other : requestClasses) {
+        classRanks[i] +=
+            other.weight() < requestClasses.get(i).weight() ? 1.0 / requestClasses.size() : 0;
       }
     }
     for (int i = 0; i < core.settings().tenants().size(); i++) {
@@ -84,24 +85,24 @@
 
   @Override
   public void serve(Connection connection) throws IOException {
-    IncomingRequest arrival;
+    IncomingRequest request;
     try {
-      connection.readUntil(connection.openedAt() + REQUEST_MS * 1_000_000L);
-      arrival = read(connection.in());
-    } catch (Status answered) {
-      connection.send(
-          response(answered.line, "", BoundedReader.ascii(answered.getMessage() + "\n")));
+      connection.readUntil(connection.openedAt() + REQUEST_TIMEOUT_MS * 1_000_000L);
+      request = readRequest(connection.in());
+    } catch (ImmediateResponse e) {
+      connection.send(response(e.line, "", BoundedReader.ascii(e.getMessage() + "\n")));
       counters.add(Count.MALFORMED);
       return;
     } catch (MalformedException e) {
       connection.send(response("400 Bad Request", "", BoundedReader.ascii("malformed\n")));
       throw e;
     } catch (IOException e) {
-      counters.add(Count.CALLERS_DISCONNECTED); // within its request: nothing was taken in
+      counters.add(
+          Count.CALLERS_DISCONNECTED); // before the request was complete: nothing was accepted
       throw e;
     }
     connection.heard(Connection.Merit.HEARD);
-    if (arrival == null) {
+    if (request == null) {
       counters.add(Count.HEALTH_CHECKS);
       connection.send(
           core.isHealthy()
@@ -109,49 +110,50 @@
               : response("503 Service Unavailable", "", BoundedReader.ascii("sick\n")));
       return;
     }
-    if (!connection.begin()) {
-      return; // closed for want of room before its request was whole
+    if (!connection.beginRequest()) {
+      return; // closed at the connection limit before its request was complete
     }
-    AtomicReference<Acceptance> taken = new AtomicReference<>();
-    connection.whenGone(
-        () -> core.callerDisconnected(taken.get())); // after its answer this means nothing
-    taken.set(
+    AtomicReference<Acceptance> acceptance = new AtomicReference<>();
+    connection.onDisconnect(
+        () -> core.callerDisconnected(acceptance.get())); // has no effect after the answer
+    acceptance.set(
         core.accept(
-            arrival,
+            request,
             answer -> {
               connection.send(response(answer));
               connection.finish();
-              connection.end();
+              connection.completeRequest();
             }));
-    int extra = 0;
-    while (extra < LONGEST_VARS) {
-      connection.readUntil(System.nanoTime() + LOOK_MS * 1_000_000L);
+    int extraBytes = 0;
+    while (extraBytes < MAX_VARS_BYTES) {
+      connection.readUntil(System.nanoTime() + DISCONNECT_POLL_MS * 1_000_000L);
       try {
         if (connection.in().read() < 0) {
-          return; // its gateway's end, or the answer's: one request a connection, more is no
-          // request
+          return; // closed by the gateway or after the answer; further bytes on the connection are
+          // not a request
         }
-        extra++;
-      } catch (SocketTimeoutException quiet) {
+        extraBytes++;
+      } catch (SocketTimeoutException timeout) {
         continue;
       }
     }
   }
 
-  /** The request; null where the path asks for this box's health. */
-  private IncomingRequest read(InputStream in) throws IOException {
-    byte[] head = BoundedReader.exactly(in, 4);
-    int size = (head[1] & 0xff) | (head[2] & 0xff) << 8;
-    if (head[0] != 0 || head[3] != 0 || size > LONGEST_VARS) {
-      throw new MalformedException("no uwsgi request, or too many variables");
+  /** Reads the request; null for the path of the health check. */
+  private IncomingRequest readRequest(InputStream in) throws IOException {
+    byte[] header = BoundedReader.exactly(in, 4);
+    int size = (header[1] & 0xff) | (header[2] & 0xff) << 8;
+    if (header[0] != 0 || header[3] != 0 || size > MAX_VARS_BYTES) {
+      throw new MalformedException("not a uwsgi request, or its variables are too long");
     }
-    Map<String, String> vars = vars(BoundedReader.exactly(in, size));
+    Map<String, String> vars = parseVars(BoundedReader.exactly(in, size));
     String length = vars.getOrDefault("CONTENT_LENGTH", "");
-    long bytes = length.isEmpty() ? 0 : BoundedReader.number(length, Long.MAX_VALUE);
-    if (bytes > LONGEST_BODY) {
-      throw new Status("413 Content Too Large", "a body holds at most " + LONGEST_BODY + " bytes");
+    long bodyLength = length.isEmpty() ? 0 : BoundedReader.number(length, Long.MAX_VALUE);
+    if (bodyLength > MAX_BODY_BYTES) {
+      throw new ImmediateResponse(
+          "413 Content Too Large", "a body holds at most " + MAX_BODY_BYTES + " bytes");
     }
-    byte[] body = BoundedReader.exactly(in, (int) bytes);
+    byte[] body = BoundedReader.exactly(in, (int) bodyLength);
     String path =
         vars.containsKey("PATH_INFO")
             ? vars.get("PATH_INFO")
@@ -160,41 +162,43 @@
     if (name.equals("health")) {
       return null;
     }
-    Integer type = classes.get(name);
-    if (type == null) {
-      throw new Status("404 Not Found", "no such class of request");
+    Integer classIndex = classes.get(name);
+    if (classIndex == null) {
+      throw new ImmediateResponse("404 Not Found", "no such class of request");
     }
-    Integer tenant =
+    Integer tenantIndex =
         tenants.isEmpty()
             ? Integer.valueOf(0)
             : tenants.get(vars.getOrDefault("TENANT", vars.getOrDefault("HTTP_X_TENANT", "")));
-    if (tenant == null) {
-      throw new Status("400 Bad Request", "TENANT or X-Tenant names no tenant of this site");
+    if (tenantIndex == null) {
+      throw new ImmediateResponse(
+          "400 Bad Request", "TENANT or X-Tenant names no tenant of this site");
     }
-    boolean keyed =
-        core.settings().classes().get(type).idempotency() == Admission.Idempotency.IDEMPOTENCY_KEY;
+    boolean isKeyed =
+        core.settings().classes().get(classIndex).idempotency()
+            == Admission.Idempotency.IDEMPOTENCY_KEY;
     String key = vars.getOrDefault("HTTP_IDEMPOTENCY_KEY", "");
-    if (keyed && (key.isEmpty() || key.length() > LONGEST_KEY)) {
-      throw new Status(
+    if (isKeyed && (key.isEmpty() || key.length() > MAX_KEY_CHARS)) {
+      throw new ImmediateResponse(
           "400 Bad Request",
-          "this class needs an Idempotency-Key of 1 to " + LONGEST_KEY + " characters");
+          "this class needs an Idempotency-Key of 1 to " + MAX_KEY_CHARS + " characters");
     }
     return new IncomingRequest(
         String.format("%016x", references.addAndGet(0x9E3779B97F4A7C15L)),
         false,
-        type,
-        tenant,
+        classIndex,
+        tenantIndex,
         heldKb,
         -1,
-        ranks[type],
+        classRanks[classIndex],
         0,
-        keyed ? key : null,
+        isKeyed ? key : null,
         null,
         SteadyWallClock.steadyWallMillis(),
         body);
   }
 
-  private static Map<String, String> vars(byte[] block) throws MalformedException {
+  private static Map<String, String> parseVars(byte[] block) throws MalformedException {
     Map<String, String> vars = new HashMap<>();
     int at = 0;
     while (at < block.length) {
@@ -205,13 +209,13 @@
                 ? (block[at] & 0xff) | (block[at + 1] & 0xff) << 8
                 : block.length;
         if (at + 2 + size > block.length) {
-          throw new MalformedException("a variable past its packet's end");
+          throw new MalformedException("variable exceeds its packet");
         }
         pair[i] = new String(block, at + 2, size, StandardCharsets.ISO_8859_1);
         at += 2 + size;
       }
       vars.put(pair[0], pair[1]);
-      if (vars.size() > MOST_VARS) {
+      if (vars.size() > MAX_VARS) {
         throw new MalformedException("too many variables");
       }
     }
--- a/src/main/java/wharftrestle/transport/Address.java
+++ b/src/main/java/wharftrestle/transport/Address.java
@@ -30,7 +30,10 @@
     return null;
   }
 
-  /** Finds a loopback port that is free now. It lies below the ephemeral range, because an outgoing connection could otherwise occupy it before the caller listens on it. */
+  /**
+   * Finds a loopback port that is free now. It lies below the ephemeral range, because an outgoing
+   * connection could otherwise occupy it before the caller listens on it.
+   */
   public static int freePort() throws IOException {
     for (int i = 0; i < MAX_ATTEMPTS; i++) {
       int port = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT);
--- a/src/main/java/wharftrestle/transport/BoundedReader.java
+++ b/src/main/java/wharftrestle/transport/BoundedReader.java
@@ -8,7 +8,11 @@
 import java.nio.charset.StandardCharsets;
 import org.tinylog.Logger;
 
-/** Helpers shared by the protocol parsers: lines, numbers and bodies of bounded length. A limit is checked before memory is allocated for what it limits, and malformed input is rejected rather than interpreted. */
+/**
+ * Helpers shared by the protocol parsers: lines, numbers and bodies of bounded length. A limit is
+ * checked before memory is allocated for what it limits, and malformed input is rejected rather
+ * than interpreted.
+ */
 public final class BoundedReader {
   private BoundedReader() {}
 
@@ -24,7 +28,10 @@
     public abstract int read(byte[] buffer, int offset, int length) throws IOException;
   }
 
-  /** A socket's input stream with one deadline for all reads. A timeout for each read would start anew with every byte, so a peer that sends byte by byte could hold the connection forever. */
+  /**
+   * A socket's input stream with one deadline for all reads. A timeout for each read would start
+   * anew with every byte, so a peer that sends byte by byte could hold the connection forever.
+   */
   public static class DeadlineInputStream extends BlockInputStream {
     private final Socket socket;
     private final InputStream input;
@@ -35,7 +42,9 @@
       input = socket.getInputStream();
     }
 
-    /** Sets when reads throw SocketTimeoutException, on the clock of System.nanoTime; 0 for never. */
+    /**
+     * Sets when reads throw SocketTimeoutException, on the clock of System.nanoTime; 0 for never.
+     */
     public void setDeadlineNanos(long nanos) {
       deadlineNanos = nanos;
     }
@@ -43,7 +52,9 @@
     @Override
     public int read(byte[] buffer, int offset, int length) throws IOException {
       socket.setSoTimeout(
-          deadlineNanos == 0 ? 0 : (int) Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000));
+          deadlineNanos == 0
+              ? 0
+              : (int) Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000));
       return input.read(buffer, offset, length);
     }
 
@@ -87,7 +98,8 @@
 
   /** Parses an integer from 0 to {@code max}. */
   public static long number(String text, long max) throws IOException {
-    // Digits only: the library also accepts signs and blanks, which no protocol here allows in a length.
+    // Digits only: the library also accepts signs and blanks, which no protocol here allows in a
+    // length.
     long value = text.isEmpty() || text.length() > 18 ? -1 : 0;
     for (int i = 0; i < text.length() && value >= 0; i++) {
       int digit = text.charAt(i) - '0';
@@ -134,7 +146,10 @@
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** Closes a connection that may be null; a failure is logged only, as the connection is discarded in any case. */
+  /**
+   * Closes a connection that may be null; a failure is logged only, as the connection is discarded
+   * in any case.
+   */
   public static void closeQuietly(Closeable connection) {
     try {
       if (connection != null) {
--- a/src/main/java/wharftrestle/transport/Connection.java
+++ b/src/main/java/wharftrestle/transport/Connection.java
@@ -12,23 +12,40 @@
 import wharftrestle.transport.ConnectionState.Action;
 import wharftrestle.transport.ConnectionState.Phase;
 
-/** One accepted socket; carries out the transitions of {@link ConnectionState}. Any thread may send: if no other thread is writing, the caller writes the whole queue. One thread reads. A connection with requests in flight is closed only if the peer has disconnected or does not read; all other closes go through {@link #goAway}, {@link #finish}, the shutdown of the output and the peer's close, each with a deadline. */
+/**
+ * One accepted socket; carries out the transitions of {@link ConnectionState}. Any thread may send:
+ * if no other thread is writing, the caller writes the whole queue. One thread reads. A connection
+ * with requests in flight is closed only if the peer has disconnected or does not read; all other
+ * closes go through {@link #goAway}, {@link #finish}, the shutdown of the output and the peer's
+ * close, each with a deadline.
+ */
 public final class Connection {
 
-  /** How far a peer has used its connection; lower values are evicted first when connections run out. */
+  /**
+   * How far a peer has used its connection; lower values are evicted first when connections run
+   * out.
+   */
   public enum Merit {
     SILENT,
     HEARD,
     SERVED
   }
 
-  /** Milliseconds for a peer to close after the go-away message: longer than a process is paused by its CPU limit. */
+  /**
+   * Milliseconds for a peer to close after the go-away message: longer than a process is paused by
+   * its CPU limit.
+   */
   static final int GO_AWAY_MS = 300;
 
-  /** The same without time pressure; if connections run out, those notified first are closed sooner. */
+  /**
+   * The same without time pressure; if connections run out, those notified first are closed sooner.
+   */
   static final int UNHURRIED_GO_AWAY_MS = 1000;
 
-  /** Milliseconds for the peer to close after the output is shut down; then the socket is closed whatever still arrives. */
+  /**
+   * Milliseconds for the peer to close after the output is shut down; then the socket is closed
+   * whatever still arrives.
+   */
   static final int LINGER_MS = 500;
 
   /** Maximum input to discard; more cannot be messages that were already under way. */
@@ -39,7 +56,10 @@
 
   private static final int DISCARD_BUFFER_BYTES = 2048;
 
-  /** Polls at which a peer that shut down its output with requests in flight is sent the go-away message: after 0, 0.05 and 0.5 s. */
+  /**
+   * Polls at which a peer that shut down its output with requests in flight is sent the go-away
+   * message: after 0, 0.05 and 0.5 s.
+   */
   private static final Set<Integer> GO_AWAY_POLLS = Set.of(0, 1, 10);
 
   private final Socket socket;
@@ -54,7 +74,9 @@
   private Runnable disconnectCallback = () -> {};
   private long discardedBytes;
 
-  /** The input of the front end: ends when the peer closes, or when no request is accepted any more. */
+  /**
+   * The input of the front end: ends when the peer closes, or when no request is accepted any more.
+   */
   private final class Input extends BoundedReader.Timed {
     private volatile boolean isAtEnd;
     private volatile boolean isReset;
@@ -69,7 +91,8 @@
         return -1;
       }
       int read = readSocket(buffer, offset, length);
-      // A request read after the output is shut down would be executed, but its answer could not be sent.
+      // A request read after the output is shut down would be executed, but its answer could not be
+      // sent.
       return read >= 0 && state.recordRead() ? read : -1;
     }
 
@@ -134,12 +157,18 @@
     state.markInputHandled();
   }
 
-  /** Sets the callback for the end of the connection, when nobody waits for its answers any more. The reading thread calls it once. */
+  /**
+   * Sets the callback for the end of the connection, when nobody waits for its answers any more.
+   * The reading thread calls it once.
+   */
   public void onDisconnect(Runnable callback) {
     disconnectCallback = callback;
   }
 
-  /** Accepts a request; false if the connection is closing: nothing was executed and the sender retries on another connection. */
+  /**
+   * Accepts a request; false if the connection is closing: nothing was executed and the sender
+   * retries on another connection.
+   */
   public boolean beginRequest() {
     return state.beginRequest();
   }
@@ -158,7 +187,9 @@
     return state.phase();
   }
 
-  /** Sends a complete message, in the order of the calls; never waits for a write of another thread. */
+  /**
+   * Sends a complete message, in the order of the calls; never waits for a write of another thread.
+   */
   public void send(byte[] message) {
     Action act = state.enqueue(message);
     if (act == Action.ABORT) {
@@ -189,7 +220,10 @@
 
   // ---- Closing ----
 
-  /** Sends the peer, once, the go-away message: it must send no new request here. Requests that cross the message are still accepted and answered. */
+  /**
+   * Sends the peer, once, the go-away message: it must send no new request here. Requests that
+   * cross the message are still accepted and answered.
+   */
   public void goAway() {
     goAway(UNHURRIED_GO_AWAY_MS);
   }
@@ -201,7 +235,9 @@
     }
   }
 
-  /** Sends the go-away message after {@link #beginGoAway}; may block while the peer does not read. */
+  /**
+   * Sends the go-away message after {@link #beginGoAway}; may block while the peer does not read.
+   */
   void sendGoAway() {
     try {
       frontend.notifyClosing(this);
@@ -210,7 +246,10 @@
     }
   }
 
-  /** Starts the close, for which the peer has {@code millis}. Returns true for the one caller that has to call {@link #sendGoAway}, on a thread that may block. */
+  /**
+   * Starts the close, for which the peer has {@code millis}. Returns true for the one caller that
+   * has to call {@link #sendGoAway}, on a thread that may block.
+   */
   boolean beginGoAway(int millis) {
     long now = System.nanoTime();
     return state.beginGoAway(now, now + millis * 1_000_000L);
@@ -230,12 +269,15 @@
     close();
   }
 
-  /** Enforces the deadlines of the connection; nothing else does. Called by the server's accept thread every some ten milliseconds.
+  /**
+   * Enforces the deadlines of the connection; nothing else does. Called by the server's accept
+   * thread every some ten milliseconds.
    *
    * @param isShuttingDown true while the server stops: a peer that does not read is closed sooner
    */
   void checkDeadlines(long now, boolean isShuttingDown) {
-    if (state.isWriteStuck(now, isShuttingDown ? GO_AWAY_MS * 1_000_000L : ConnectionState.WRITE_TIMEOUT_NANOS)) {
+    if (state.isWriteStuck(
+        now, isShuttingDown ? GO_AWAY_MS * 1_000_000L : ConnectionState.WRITE_TIMEOUT_NANOS)) {
       closeUnreadPeer();
     } else if (state.nanosInPhase(Phase.HALF_CLOSED, now) > LINGER_MS * 1_000_000L) {
       close();
@@ -252,18 +294,30 @@
     }
   }
 
-  /** Returns true if closing the socket now loses nothing: all answers are written and no input is unread, or the peer never sent a complete message. Clients treat a first request on a connection closed by the server as failed. */
+  /**
+   * Returns true if closing the socket now loses nothing: all answers are written and no input is
+   * unread, or the peer never sent a complete message. Clients treat a first request on a
+   * connection closed by the server as failed.
+   */
   boolean isSafeToClose() {
     try {
       return state.rejectsRequests()
           ? state.phase() == Phase.HALF_CLOSED
-          : input.available() == 0 && state.inFlight() == 0 && (merit == Merit.SILENT || state.isIdle());
+          : input.available() == 0
+              && state.inFlight() == 0
+              && (merit == Merit.SILENT || state.isIdle());
     } catch (IOException e) {
       return true;
     }
   }
 
-  /** Ends the connection on its reading thread: requests in flight are answered, the output is shut down and the peer's close is awaited. A peer that has only shut down its own output still reads and gets its answers. A peer that has disconnected answers a write with a reset, and the next write fails: so the go-away message is sent several times, spread over more than any round trip. */
+  /**
+   * Ends the connection on its reading thread: requests in flight are answered, the output is shut
+   * down and the peer's close is awaited. A peer that has only shut down its own output still reads
+   * and gets its answers. A peer that has disconnected answers a write with a reset, and the next
+   * write fails: so the go-away message is sent several times, spread over more than any round
+   * trip.
+   */
   void finishAndAwaitPeer() {
     if (input.isReset) {
       return; // the peer has disconnected; no answer can be delivered
@@ -280,7 +334,10 @@
     }
   }
 
-  /** Reads and discards input until the peer closes or the deadline passes. Closing a socket with unread input resets the connection, and answers that the peer has not read yet are lost. */
+  /**
+   * Reads and discards input until the peer closes or the deadline passes. Closing a socket with
+   * unread input resets the connection, and answers that the peer has not read yet are lost.
+   */
   private void discardInput() {
     while (discardOnce(DISCARD_POLL_MS)) {
       continue;
@@ -294,7 +351,8 @@
         LockSupport.parkNanos(millis * 1_000_000L);
       } else {
         input.setDeadlineNanos(System.nanoTime() + millis * 1_000_000L);
-        discardedBytes += Math.max(0, input.readSocket(new byte[DISCARD_BUFFER_BYTES], 0, DISCARD_BUFFER_BYTES));
+        discardedBytes +=
+            Math.max(0, input.readSocket(new byte[DISCARD_BUFFER_BYTES], 0, DISCARD_BUFFER_BYTES));
       }
     } catch (SocketTimeoutException timeout) {
       // The deadline is checked below.
@@ -311,7 +369,10 @@
     disconnectCallback.run();
   }
 
-  /** Logs the reason of a close and the state of the connection, to trace requests that were lost with it. */
+  /**
+   * Logs the reason of a close and the state of the connection, to trace requests that were lost
+   * with it.
+   */
   void logClose(String server, String reason) {
     if (Logger.isDebugEnabled()) {
       Logger.debug(
--- a/src/main/java/wharftrestle/transport/ConnectionState.java
+++ b/src/main/java/wharftrestle/transport/ConnectionState.java
@@ -7,7 +7,10 @@
 import java.util.Set;
 
 /**
- * State machine of one connection: its phase, the requests in flight and the messages queued for its peer. Thread-safe: every transition is made under one lock, the object's own monitor. It uses neither sockets nor clocks, and it is the only place for this state: no other class keeps a copy. Times are System.nanoTime.
+ * State machine of one connection: its phase, the requests in flight and the messages queued for
+ * its peer. Thread-safe: every transition is made under one lock, the object's own monitor. It uses
+ * neither sockets nor clocks, and it is the only place for this state: no other class keeps a copy.
+ * Times are System.nanoTime.
  *
  * <table>
  * <caption>Phases; any other transition throws IllegalStateException</caption>
@@ -52,7 +55,10 @@
   /** Bytes that may be queued for a peer that does not read: some dozens of the longest answers. */
   static final int MAX_QUEUED_BYTES = 512 * 1024;
 
-  /** Nanoseconds within which a message must be written; a peer that accepts no bytes for so long is not reading. */
+  /**
+   * Nanoseconds within which a message must be written; a peer that accepts no bytes for so long is
+   * not reading.
+   */
   static final long WRITE_TIMEOUT_NANOS = 5_000_000_000L;
 
   private final ArrayDeque<byte[]> queue = new ArrayDeque<>();
@@ -63,7 +69,8 @@
   private long writeStartedNanos; // start of the write in progress; 0 for none
   private boolean isInputPending; // the front end has not handled all input yet
   private long readCount;
-  private long readCountWhenQuiet = -1; // value of readCount at the last poll that found the connection quiet
+  private long readCountWhenQuiet =
+      -1; // value of readCount at the last poll that found the connection quiet
   private long phaseStartedNanos; // start of the present phase
   private long goAwayDeadlineNanos; // by which the peer should close
   private boolean isGoAwayPending; // the go-away message is not queued yet
@@ -80,7 +87,8 @@
 
   private void enter(Phase next, long now) {
     if (!TRANSITIONS.get(phase).contains(next)) {
-      throw new IllegalStateException("illegal transition of a connection from " + phase + " to " + next);
+      throw new IllegalStateException(
+          "illegal transition of a connection from " + phase + " to " + next);
     }
     phase = next;
     phaseStartedNanos = now;
@@ -88,7 +96,10 @@
 
   // ---- Input ----
 
-  /** Records that bytes were read; false if they are to be discarded, as no request is accepted any more. */
+  /**
+   * Records that bytes were read; false if they are to be discarded, as no request is accepted any
+   * more.
+   */
   synchronized boolean recordRead() {
     readCount++;
     isInputPending = !rejectsRequests();
@@ -100,7 +111,10 @@
     isInputPending = false;
   }
 
-  /** Accepts a request, which is in flight until it is completed; false if the connection is closing. */
+  /**
+   * Accepts a request, which is in flight until it is completed; false if the connection is
+   * closing.
+   */
   synchronized boolean beginRequest() {
     if (rejectsRequests()) {
       return false;
@@ -124,7 +138,10 @@
 
   // ---- Output ----
 
-  /** Queues a message. Returns WRITE if the caller has to write the queue, ABORT if the queue is full because the peer does not read. */
+  /**
+   * Queues a message. Returns WRITE if the caller has to write the queue, ABORT if the queue is
+   * full because the peer does not read.
+   */
   synchronized Action enqueue(byte[] message) {
     if (phase.compareTo(Phase.HALF_CLOSED) >= 0) {
       return Action.NOTHING; // all answers are written, or the peer has disconnected
@@ -141,7 +158,10 @@
     return Action.WRITE;
   }
 
-  /** Returns the next message for the writing thread; null if none is left, and then that thread stops writing. */
+  /**
+   * Returns the next message for the writing thread; null if none is left, and then that thread
+   * stops writing.
+   */
   synchronized byte[] nextMessage(long now) {
     byte[] message = queue.poll();
     isWriting = message != null;
@@ -157,7 +177,10 @@
 
   // ---- Closing ----
 
-  /** Starts the close: the peer is to be sent a go-away message and should close by the deadline. Returns true for the one caller that has to send the message. */
+  /**
+   * Starts the close: the peer is to be sent a go-away message and should close by the deadline.
+   * Returns true for the one caller that has to send the message.
+   */
   synchronized boolean beginGoAway(long now, long deadline) {
     if (phase != Phase.OPEN) {
       goAwayDeadlineNanos = Math.min(goAwayDeadlineNanos, deadline);
@@ -189,7 +212,11 @@
   }
 
   private Action shutIfDone(long now) {
-    if (phase != Phase.CLOSING || inFlight > 0 || isGoAwayPending || isWriting || !queue.isEmpty()) {
+    if (phase != Phase.CLOSING
+        || inFlight > 0
+        || isGoAwayPending
+        || isWriting
+        || !queue.isEmpty()) {
       return Action.NOTHING;
     }
     enter(Phase.HALF_CLOSED, now);
@@ -207,13 +234,19 @@
     return true;
   }
 
-  /** Returns true if no request is in flight, no message is queued or being written and no input is pending. */
+  /**
+   * Returns true if no request is in flight, no message is queued or being written and no input is
+   * pending.
+   */
   synchronized boolean isIdle() {
     return inFlight == 0 && !isWriting && queue.isEmpty() && !isInputPending;
   }
 
   /**
-   * Polled by another thread than the reader, at intervals of some ten milliseconds. Returns true if the connection was idle at the previous poll too and nothing was read in between. A single poll is not enough: bytes may have left the kernel's buffer before the reading thread has recorded them. At the second poll it has, or the read falls between the two.
+   * Polled by another thread than the reader, at intervals of some ten milliseconds. Returns true
+   * if the connection was idle at the previous poll too and nothing was read in between. A single
+   * poll is not enough: bytes may have left the kernel's buffer before the reading thread has
+   * recorded them. At the second poll it has, or the read falls between the two.
    *
    * @param unreadBytes bytes in the kernel's receive buffer
    */
--- a/src/main/java/wharftrestle/transport/DescriptorBudget.java
+++ b/src/main/java/wharftrestle/transport/DescriptorBudget.java
@@ -1,9 +1,9 @@
 package wharftrestle.transport;
 
 /**
- * Divides the file descriptors that the process may open among its parts. The worker pool's link, the
- * store's connections and the operators keep theirs, however many callers have idle connections.
- * Computes the limits only and opens nothing.
+ * Divides the file descriptors that the process may open among its parts. The worker pool's link,
+ * the store's connections and the operators keep theirs, however many callers have idle
+ * connections. Computes the limits only and opens nothing.
  *
  * @param callers connections of front ends and gateways
  * @param leaving maximum number of further caller connections that are closing; half as many
@@ -12,10 +12,16 @@
  * @param operators connections to the admin endpoint
  */
 public record DescriptorBudget(int callers, int leaving, int calls, int operators) {
-  /** Files, listeners, the worker pool's link and its replacement, load reports, the log: 12 after a start on the platform, as counted under /proc on 2026-12-02. */
+  /**
+   * Files, listeners, the worker pool's link and its replacement, load reports, the log: 12 after a
+   * start on the platform, as counted under /proc on 2026-12-02.
+   */
   static final int RESERVED = 16;
 
-  /** Fraction for all callers. Front ends open at most half of the descriptors, and other clients must not use up that half. */
+  /**
+   * Fraction for all callers. Front ends open at most half of the descriptors, and other clients
+   * must not use up that half.
+   */
   private static final double MAX_CALLERS_FRACTION = 0.6;
 
   private static final int MAX_CLOSING = 16;
@@ -31,9 +37,13 @@
     int leaving = share(allowed, 16, 4, MAX_CLOSING);
     int calls = share(allowed, 8, 8, MAX_STORE_CONNECTIONS);
     int operators = share(allowed, 16, 4, MAX_OPERATORS);
-    int remaining = allowed - RESERVED - leaving * 3 / 2 - calls - operators - MAX_OPERATORS_CLOSING * 3 / 2;
+    int remaining =
+        allowed - RESERVED - leaving * 3 / 2 - calls - operators - MAX_OPERATORS_CLOSING * 3 / 2;
     return new DescriptorBudget(
-        (int) Math.max(1, Math.min(MAX_CALLERS_FRACTION * allowed, remaining)), leaving, calls, operators);
+        (int) Math.max(1, Math.min(MAX_CALLERS_FRACTION * allowed, remaining)),
+        leaving,
+        calls,
+        operators);
   }
 
   /** Closing connections granted to gateways, where gateways are enabled. */
--- a/src/main/java/wharftrestle/transport/LogRateLimiter.java
+++ b/src/main/java/wharftrestle/transport/LogRateLimiter.java
@@ -2,7 +2,11 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Limits log lines about external events to one a second for each kind, so that the log does not grow as fast as peers, links or the system fail. Thread-safe; never blocks and logs nothing itself. */
+/**
+ * Limits log lines about external events to one a second for each kind, so that the log does not
+ * grow as fast as peers, links or the system fail. Thread-safe; never blocks and logs nothing
+ * itself.
+ */
 public final class LogRateLimiter {
   private static final long INTERVAL_NANOS = 1_000_000_000L;
 
--- a/src/main/java/wharftrestle/transport/OwnershipLock.java
+++ b/src/main/java/wharftrestle/transport/OwnershipLock.java
@@ -9,7 +9,12 @@
 import java.nio.file.StandardOpenOption;
 import org.tinylog.Logger;
 
-/** A file lock for the processes that own the keys of this host or are about to own them. Each such process holds it shared; a process that would start without the keys has to acquire it exclusively. The kernel releases the lock when its process ends and not earlier, so a stopped process keeps it. If the file cannot be locked, no other process is assumed. Thread-safe. */
+/**
+ * A file lock for the processes that own the keys of this host or are about to own them. Each such
+ * process holds it shared; a process that would start without the keys has to acquire it
+ * exclusively. The kernel releases the lock when its process ends and not earlier, so a stopped
+ * process keeps it. If the file cannot be locked, no other process is assumed. Thread-safe.
+ */
 public final class OwnershipLock implements Closeable {
   private final Path file;
   private FileChannel channel;
@@ -30,7 +35,10 @@
     }
   }
 
-  /** Tries to acquire the lock exclusively, until it is acquired shared or released. Returns true if no other process holds it, or if locking the file fails. */
+  /**
+   * Tries to acquire the lock exclusively, until it is acquired shared or released. Returns true if
+   * no other process holds it, or if locking the file fails.
+   */
   public synchronized boolean tryAcquireExclusive() {
     release();
     try {
--- a/src/main/java/wharftrestle/transport/PeerLink.java
+++ b/src/main/java/wharftrestle/transport/PeerLink.java
@@ -24,7 +24,15 @@
 import wharftrestle.request.PlatformThreads;
 import wharftrestle.version.VersionRange;
 
-/** One end of the Unix socket between the two processes of a host. Messages are lines of fields with bounded lengths, followed by bodies of announced length; they carry the updates of keys between the two {@link PeerCoordinator}s and the steps of the handover, in order. Key ownership and the time to listen are decided elsewhere. Senders return at once, except where {@link PeerProcess} says that they wait. The link stays open while both processes live, because its end means that a process has ended; after a message that cannot be parsed, the link stays open but is no longer read or written. */
+/**
+ * One end of the Unix socket between the two processes of a host. Messages are lines of fields with
+ * bounded lengths, followed by bodies of announced length; they carry the updates of keys between
+ * the two {@link PeerCoordinator}s and the steps of the handover, in order. Key ownership and the
+ * time to listen are decided elsewhere. Senders return at once, except where {@link PeerProcess}
+ * says that they wait. The link stays open while both processes live, because its end means that a
+ * process has ended; after a message that cannot be parsed, the link stays open but is no longer
+ * read or written.
+ */
 public final class PeerLink implements PeerProcess, Closeable {
 
   /** Messages of the handover from the peer process. */
@@ -48,7 +56,10 @@
 
   /** Receives each handover message, in order; LINK_LOST is the last. */
   public interface MessageHandler {
-    /** Called on the reading thread. The detail is the message's text, such as capabilities or a reason; empty if there is none. */
+    /**
+     * Called on the reading thread. The detail is the message's text, such as capabilities or a
+     * reason; empty if there is none.
+     */
     void onMessage(PeerLink link, Message message, String detail);
   }
 
@@ -58,10 +69,15 @@
   /** Maximum length of a reason. */
   private static final int MAX_REASON_CHARS = 300;
 
-  /** Milliseconds for which an execution waits at most until its key is sent to the peer process. */
+  /**
+   * Milliseconds for which an execution waits at most until its key is sent to the peer process.
+   */
   private static final long KEY_WRITE_TIMEOUT_MS = 1000;
 
-  /** Milliseconds to wait at most for completed keys to be written; waiting for a stopped process costs nothing. */
+  /**
+   * Milliseconds to wait at most for completed keys to be written; waiting for a stopped process
+   * costs nothing.
+   */
   private static final long COMPLETED_KEY_TIMEOUT_MS = 10_000;
 
   /** Nanoseconds between two attempts to accept a link while descriptors are short. */
@@ -69,10 +85,16 @@
 
   private static final byte[] CRLF = {'\r', '\n'};
 
-  /** Maximum number of completed keys that wait to be written, so that a full table is never in the heap twice. */
+  /**
+   * Maximum number of completed keys that wait to be written, so that a full table is never in the
+   * heap twice.
+   */
   private static final int MAX_UNWRITTEN_COMPLETED_KEYS = 16;
 
-  /** Messages that may be unwritten while completions are forwarded; with more, the peer process lags too far behind. */
+  /**
+   * Messages that may be unwritten while completions are forwarded; with more, the peer process
+   * lags too far behind.
+   */
   private static final int MAX_UNWRITTEN_MESSAGES = 1024;
 
   /** Field of a takeover request: the sender understands messages of completed keys. */
@@ -96,7 +118,10 @@
     this.handler = handler;
   }
 
-  /** Connects to a process that is already serving; null if there is none. Messages are read from {@link #start} on. */
+  /**
+   * Connects to a process that is already serving; null if there is none. Messages are read from
+   * {@link #start} on.
+   */
   public static PeerLink connect(Path path, PeerCoordinator core, MessageHandler handler) {
     try {
       return new PeerLink(SocketChannel.open(UnixDomainSocketAddress.of(path)), core, handler);
@@ -105,8 +130,11 @@
     }
   }
 
-  /** Listens for further processes on this socket file, replacing a stale one; null if that fails. */
-  public static ServerSocketChannel listen(Path path, PeerCoordinator core, MessageHandler handler) {
+  /**
+   * Listens for further processes on this socket file, replacing a stale one; null if that fails.
+   */
+  public static ServerSocketChannel listen(
+      Path path, PeerCoordinator core, MessageHandler handler) {
     ServerSocketChannel server;
     try {
       Files.deleteIfExists(path);
@@ -201,8 +229,12 @@
           case RELINQUISHED -> "ceded";
           default -> throw new IllegalArgumentException("message needs further fields: " + message);
         };
-    String truncated = reason.length() > MAX_REASON_CHARS ? reason.substring(0, MAX_REASON_CHARS) : reason;
-    send(truncated.isEmpty() ? text : text + " " + URLEncoder.encode(truncated, StandardCharsets.UTF_8));
+    String truncated =
+        reason.length() > MAX_REASON_CHARS ? reason.substring(0, MAX_REASON_CHARS) : reason;
+    send(
+        truncated.isEmpty()
+            ? text
+            : text + " " + URLEncoder.encode(truncated, StandardCharsets.UTF_8));
   }
 
   /** Reports that this number of keys has been sent; this process still owns them. */
@@ -210,7 +242,9 @@
     send("told " + keys);
   }
 
-  /** Reports that this number of open keys has been sent, and transfers the ownership of all keys. */
+  /**
+   * Reports that this number of open keys has been sent, and transfers the ownership of all keys.
+   */
   public void sendOwnership(int keys) {
     send("yours " + keys);
   }
@@ -228,7 +262,8 @@
       InputStream in =
           new BufferedInputStream(
               new BoundedReader.BlockInputStream() {
-                // The channel's own stream holds its lock during a read, which would block all writes.
+                // The channel's own stream holds its lock during a read, which would block all
+                // writes.
                 @Override
                 public int read(byte[] buffer, int offset, int length) throws IOException {
                   return channel.read(ByteBuffer.wrap(buffer, offset, Math.min(length, 4096)));
@@ -271,7 +306,9 @@
       case "agreed" -> deliver(Message.ACCEPTANCE, "");
       case "no" -> {
         requireFields(fields, 2);
-        deliver(fields[1].equals("never") ? Message.REJECTION : Message.RETRY_LATER, decodeReason(fields, 2));
+        deliver(
+            fields[1].equals("never") ? Message.REJECTION : Message.RETRY_LATER,
+            decodeReason(fields, 2));
       }
       case "told" -> deliver(Message.KEYS_COMPLETE, "");
       case "taken" -> deliver(Message.KEYS_ACKNOWLEDGED, "");
@@ -310,7 +347,8 @@
       case "granted" -> core.keyGranted(decodeKey(fields[1]));
       case "ended" -> {
         requireFields(fields, 3);
-        core.executionCompleted(decodeKey(fields[1]), fields[2].equals("-") ? null : readBody(in, fields[2]));
+        core.executionCompleted(
+            decodeKey(fields[1]), fields[2].equals("-") ? null : readBody(in, fields[2]));
       }
       case "freed" -> core.keyReleased(decodeKey(fields[1]));
       case "intend" -> {
@@ -323,7 +361,9 @@
         core.intentWritten(decodeKey(fields[1]), fields[2].equals("yes"));
       }
       case "saved" -> core.resultSaved(decodeKey(fields[1]));
-      default -> throw new Server.MalformedException("unknown message of the peer process: '" + fields[0] + "'");
+      default ->
+          throw new Server.MalformedException(
+              "unknown message of the peer process: '" + fields[0] + "'");
     }
   }
 
@@ -376,13 +416,17 @@
       }
     } catch (IOException | RuntimeException | Error e) {
       Logger.debug("handover: cannot write a message: {}", e.toString());
-      mute(); // the reading thread sees the end of the link; nothing may follow a message written in part
+      mute(); // the reading thread sees the end of the link; nothing may follow a message written
+      // in part
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Queues a message and returns its number. The coordinator calls it under its lock, so messages are in the order of its events. */
+  /**
+   * Queues a message and returns its number. The coordinator calls it under its lock, so messages
+   * are in the order of its events.
+   */
   private long send(String line, byte[]... bodies) {
     byte[] message = BoundedReader.ascii(line + "\r\n");
     for (byte[] body : bodies) {
@@ -459,7 +503,8 @@
 
   @Override
   public boolean sendCompletedKey(CompletedKey completed) {
-    return awaitWritten(enqueueKey(completed) - MAX_UNWRITTEN_COMPLETED_KEYS, COMPLETED_KEY_TIMEOUT_MS);
+    return awaitWritten(
+        enqueueKey(completed) - MAX_UNWRITTEN_COMPLETED_KEYS, COMPLETED_KEY_TIMEOUT_MS);
   }
 
   @Override
@@ -470,7 +515,9 @@
     }
   }
 
-  /** Waits until this number of messages is written; false on a timeout or if the link is closed. */
+  /**
+   * Waits until this number of messages is written; false on a timeout or if the link is closed.
+   */
   private boolean awaitWritten(long count, long timeoutMs) {
     long deadline = System.nanoTime() + timeoutMs * 1_000_000;
     synchronized (outgoing) {
--- a/src/main/java/wharftrestle/transport/Server.java
+++ b/src/main/java/wharftrestle/transport/Server.java
@@ -28,15 +28,27 @@
 import wharftrestle.transport.Connection.Merit;
 import wharftrestle.transport.ConnectionState.Phase;
 
-/** Listens on one address and runs one thread for each connection; {@link Connection} implements how each of them ends. The protocol is the front end's: it reads a connection until the peer closes it and writes through {@link Connection#send}. Peers are isolated from each other: one that does not read is closed, and one that sends malformed input is closed and counted. The accept thread also enforces the deadlines of closing connections, until the last is closed. */
+/**
+ * Listens on one address and runs one thread for each connection; {@link Connection} implements how
+ * each of them ends. The protocol is the front end's: it reads a connection until the peer closes
+ * it and writes through {@link Connection#send}. Peers are isolated from each other: one that does
+ * not read is closed, and one that sends malformed input is closed and counted. The accept thread
+ * also enforces the deadlines of closing connections, until the last is closed.
+ */
 public final class Server implements Closeable {
 
   /** The protocol of a listening address; called on the thread of each connection. */
   public interface Front {
-    /** Reads the connection until the peer closes it; throws {@link MalformedException} on malformed input. */
+    /**
+     * Reads the connection until the peer closes it; throws {@link MalformedException} on malformed
+     * input.
+     */
     void serve(Connection connection) throws IOException;
 
-    /** Sends the go-away message, after which the peer sends no new request; false if the protocol has none. */
+    /**
+     * Sends the go-away message, after which the peer sends no new request; false if the protocol
+     * has none.
+     */
     default boolean notifyClosing(Connection connection) {
       return false;
     }
@@ -68,7 +80,10 @@
   /** Milliseconds between two checks for the end of the listener, and of the last accept. */
   private static final int POLL_MS = 50;
 
-  /** Milliseconds of reading from a rejected connection at each poll; such a peer sends one request at most. */
+  /**
+   * Milliseconds of reading from a rejected connection at each poll; such a peer sends one request
+   * at most.
+   */
   private static final int REJECTED_READ_MS = 1;
 
   /** Maximum number of threads that send go-away messages. */
@@ -77,7 +92,10 @@
   /** Descriptors kept free after they ran out: for a link, a dependency call, operators. */
   private static final int RESERVED_DESCRIPTORS = 8;
 
-  /** Maximum nanoseconds for accepting what is queued at a closing listener, however many peers still connect. */
+  /**
+   * Maximum nanoseconds for accepting what is queued at a closing listener, however many peers
+   * still connect.
+   */
   private static final long BACKLOG_DRAIN_NANOS = 300_000_000L;
 
   private final String name;
@@ -94,7 +112,10 @@
 
   private final LogRateLimiter logLimiter = new LogRateLimiter(System.nanoTime());
 
-  /** One thread for each connection; idle threads are kept for some seconds, as starting one costs more than an answer. */
+  /**
+   * One thread for each connection; idle threads are kept for some seconds, as starting one costs
+   * more than an answer.
+   */
   private final ThreadPoolExecutor connectionThreads;
 
   /** Threads that send go-away messages; they end when idle. */
@@ -108,7 +129,8 @@
    * Creates a server that is not yet listening.
    *
    * @param maxConnections limit of open connections
-   * @param maxClosing limit of further connections that are closing; half as many rejected connections may wait for their close
+   * @param maxClosing limit of further connections that are closing; half as many rejected
+   *     connections may wait for their close
    */
   public Server(
       String name,
@@ -142,7 +164,11 @@
     goAwayThreads.allowCoreThreadTimeOut(true);
   }
 
-  /** Binds the address; connections are queued until {@link #start}. A shared address may also be bound by another process of this host. If there is no such process, the address is first bound exclusively, so that it is not shared with an unrelated process. */
+  /**
+   * Binds the address; connections are queued until {@link #start}. A shared address may also be
+   * bound by another process of this host. If there is no such process, the address is first bound
+   * exclusively, so that it is not shared with an unrelated process.
+   */
   public void listen(boolean isShared, boolean isFirstProcess) throws IOException {
     if (isShared && isFirstProcess && address.getPort() != 0) {
       try (ServerSocket probe = new ServerSocket()) {
@@ -196,7 +222,9 @@
     long drainDeadline = 0;
     long nextPoll = 0;
     for (boolean isDrained = false;
-        !isDrained && !accepting.isClosed() && (drainDeadline == 0 || System.nanoTime() < drainDeadline); ) {
+        !isDrained
+            && !accepting.isClosed()
+            && (drainDeadline == 0 || System.nanoTime() < drainDeadline); ) {
       // Closing a listener resets the connections queued at it, so they are accepted first.
       boolean isLast = isStopping;
       if (isLast && drainDeadline == 0) {
@@ -222,13 +250,20 @@
     }
     BoundedReader.closeQuietly(accepting);
     drained.countDown();
-    while (!isShutDown && accepting == listener && !(openConnections.isEmpty() && rejected.isEmpty())) {
+    while (!isShutDown
+        && accepting == listener
+        && !(openConnections.isEmpty() && rejected.isEmpty())) {
       pollConnections();
       LockSupport.parkNanos(POLL_MS * 1_000_000L);
     }
   }
 
-  /** Lowers the connection limit if no descriptor is left, as the process then has fewer than the budget assumes. Otherwise idle connections would keep the last descriptors for good: eviction happens only when a connection is accepted, which is impossible without a descriptor, so neither callers nor operators nor the worker pool's next link could connect. */
+  /**
+   * Lowers the connection limit if no descriptor is left, as the process then has fewer than the
+   * budget assumes. Otherwise idle connections would keep the last descriptors for good: eviction
+   * happens only when a connection is accepted, which is impossible without a descriptor, so
+   * neither callers nor operators nor the worker pool's next link could connect.
+   */
   private void lowerConnectionLimit() {
     try (FileInputStream probe = new FileInputStream("/dev/null")) {
       return; // a descriptor is available; the failure had another cause
@@ -239,7 +274,9 @@
         Logger.warn("{}: no descriptor is left: connection limit lowered to {}", name, lowered);
       }
       sendAway(lowered);
-      for (int excess = openConnections.size() - lowered; excess > 0 && closeOneClosing(); excess--) {
+      for (int excess = openConnections.size() - lowered;
+          excess > 0 && closeOneClosing();
+          excess--) {
         continue;
       }
     }
@@ -287,7 +324,10 @@
     }
   }
 
-  /** Rejects a connection, to limit descriptors and threads: no request is read from it, and the peer is sent the go-away message. */
+  /**
+   * Rejects a connection, to limit descriptors and threads: no request is read from it, and the
+   * peer is sent the go-away message.
+   */
   private void reject(Connection connection) {
     counters.add(Count.CONNECTIONS_REJECTED);
     connection.goAway();
@@ -298,8 +338,12 @@
     }
   }
 
-  /** Rank of a connection for eviction; the lowest is evicted first, among equals the one idle longest. */
-  @SuppressWarnings("EnumOrdinal") // ranks within this process only; Merit is declared in ascending order
+  /**
+   * Rank of a connection for eviction; the lowest is evicted first, among equals the one idle
+   * longest.
+   */
+  @SuppressWarnings(
+      "EnumOrdinal") // ranks within this process only; Merit is declared in ascending order
   private static int evictionRank(Connection each, long now) {
     long idleNanos = now - each.lastMessageNanos();
     boolean isSilent = each.merit() == Merit.SILENT;
@@ -308,7 +352,15 @@
         : !isSilent && idleNanos > IDLE_NANOS ? 1 : 2 + each.merit().ordinal();
   }
 
-  /** Evicts the connection that is least likely to be used again; false if each has requests in flight. Silent peers, or peers that ask once and stay connected, could otherwise lock front ends out; and peers that take two seconds for their first request must not be closed before others that already have their answer. A request that crosses the close must not be lost on a process that was paused for a moment: so a peer that has sent messages is sent the go-away message first, and is closed when it has had time to read it, or when more connections are closing than the limit allows. */
+  /**
+   * Evicts the connection that is least likely to be used again; false if each has requests in
+   * flight. Silent peers, or peers that ask once and stay connected, could otherwise lock front
+   * ends out; and peers that take two seconds for their first request must not be closed before
+   * others that already have their answer. A request that crosses the close must not be lost on a
+   * process that was paused for a moment: so a peer that has sent messages is sent the go-away
+   * message first, and is closed when it has had time to read it, or when more connections are
+   * closing than the limit allows.
+   */
   private boolean evictOne() {
     int closingCount = closingConnections().size();
     if (openConnections.size() - closingCount < maxConnections) {
@@ -324,7 +376,8 @@
             && !considered.contains(each)
             && (candidate == null
                 || evictionRank(each, now) < evictionRank(candidate, now)
-                || (evictionRank(each, now) == evictionRank(candidate, now) && each.lastMessageNanos() < candidate.lastMessageNanos()))) {
+                || (evictionRank(each, now) == evictionRank(candidate, now)
+                    && each.lastMessageNanos() < candidate.lastMessageNanos()))) {
           candidate = each;
         }
       }
@@ -333,10 +386,13 @@
       }
       considered.add(candidate);
       boolean isSilent = candidate.merit() == Merit.SILENT;
-      if ((!isSilent || candidate.isSafeToClose()) && (closingCount < maxClosing || closeOneClosing())) {
+      if ((!isSilent || candidate.isSafeToClose())
+          && (closingCount < maxClosing || closeOneClosing())) {
         counters.add(Count.CONNECTIONS_EVICTED);
         if (isSilent) {
-          // Sent on this thread: the peer was sent nothing but a few errors, so the message fits the socket's send buffer. Otherwise new connections with requests would be rejected while the go-away messages to silent peers are still queued.
+          // Sent on this thread: the peer was sent nothing but a few errors, so the message fits
+          // the socket's send buffer. Otherwise new connections with requests would be rejected
+          // while the go-away messages to silent peers are still queued.
           candidate.goAway();
           candidate.finish(); // clients treat a first request on a closed connection as failed
         } else {
@@ -352,7 +408,9 @@
     return openConnections.stream().filter(each -> each.phase() != Phase.OPEN).toList();
   }
 
-  /** Closes the first closing connection with which nothing is lost, half-closed ones before others. */
+  /**
+   * Closes the first closing connection with which nothing is lost, half-closed ones before others.
+   */
   private boolean closeOneClosing() {
     Connection first =
         closingConnections().stream()
@@ -372,7 +430,10 @@
     return true;
   }
 
-  /** Sends the go-away message to all connections above {@code remaining}, lowest rank first. Requests under way are not lost, and silent connections end by themselves. */
+  /**
+   * Sends the go-away message to all connections above {@code remaining}, lowest rank first.
+   * Requests under way are not lost, and silent connections end by themselves.
+   */
   public void sendAway(int remaining) {
     long now = System.nanoTime();
     openConnections.stream()
@@ -389,7 +450,11 @@
     openConnections.forEach(each -> requestGoAway(each, Connection.GO_AWAY_MS));
   }
 
-  /** Sends the go-away message on another thread, so that a peer that does not read delays neither the accept thread nor the end of the process. Such a peer is closed like any other that does not read. */
+  /**
+   * Sends the go-away message on another thread, so that a peer that does not read delays neither
+   * the accept thread nor the end of the process. Such a peer is closed like any other that does
+   * not read.
+   */
   private void requestGoAway(Connection connection, int millis) {
     if (connection.beginGoAway(millis)) {
       try {
--- a/src/main/java/wharftrestle/upstream/StoreClient.java
+++ b/src/main/java/wharftrestle/upstream/StoreClient.java
@@ -25,13 +25,21 @@
 import wharftrestle.transport.BoundedReader;
 import wharftrestle.transport.Server;
 
-/** HTTP/1.1 client of the store, with a pool of connections and one call at a time on each. It reports the outcome of each call to its listener, on a thread of the pool. A call is reported as never started only if the store proves it, is never repeated by this class, and its response is passed on only if it is fully understood. Thread-safe. */
+/**
+ * HTTP/1.1 client of the store, with a pool of connections and one call at a time on each. It
+ * reports the outcome of each call to its listener, on a thread of the pool. A call is reported as
+ * never started only if the store proves it, is never repeated by this class, and its response is
+ * passed on only if it is fully understood. Thread-safe.
+ */
 public final class StoreClient implements DependencyClient {
   private static final int MAX_CONCURRENT_CALLS = 32;
   private static final int MAX_LINE_BYTES = 256;
   private static final int MAX_HEADERS = 16;
 
-  /** Bytes of all headers of a response, interim ones included; each header may arrive in a packet of its own, which costs far more than its bytes. */
+  /**
+   * Bytes of all headers of a response, interim ones included; each header may arrive in a packet
+   * of its own, which costs far more than its bytes.
+   */
   private static final int MAX_HEAD_BYTES = 1024;
 
   /** Interim (1xx) responses allowed before a response. */
@@ -42,13 +50,19 @@
   /** Maximum number of idle connections; the most recently used is reused first. */
   private static final int MAX_IDLE_CONNECTIONS = 16;
 
-  /** Idle connections are not reused after this time: the store closes them after 10 s at the latest, and devices in between may drop them sooner. */
+  /**
+   * Idle connections are not reused after this time: the store closes them after 10 s at the
+   * latest, and devices in between may drop them sooner.
+   */
   private static final long MAX_IDLE_NANOS = 400_000_000L;
 
   /** Connections idle for less than this are reused without a check, which costs a millisecond. */
   private static final long UNCHECKED_IDLE_NANOS = 50_000_000L;
 
-  /** Milliseconds after the call's timeout within which the store may still report the timeout itself. */
+  /**
+   * Milliseconds after the call's timeout within which the store may still report the timeout
+   * itself.
+   */
   private static final int RESPONSE_GRACE_MS = 20;
 
   private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.1 [1-5][0-9][0-9]( .*)?");
@@ -74,7 +88,10 @@
       in = new BufferedInputStream(deadlineInput, 4096);
     }
 
-    /** Returns false if the peer has closed the connection, or if unexpected bytes are waiting on it. */
+    /**
+     * Returns false if the peer has closed the connection, or if unexpected bytes are waiting on
+     * it.
+     */
     boolean isReusable(long idleNanos) {
       try {
         if (in.available() > 0) {
@@ -106,7 +123,12 @@
     private Socket socket;
     private boolean isCancelled;
 
-    Call(String reference, byte[] body, long timeoutMillis, boolean isIdempotent, DependencyCallListener listener) {
+    Call(
+        String reference,
+        byte[] body,
+        long timeoutMillis,
+        boolean isIdempotent,
+        DependencyCallListener listener) {
       this.reference = reference;
       this.body = body;
       this.isIdempotent = isIdempotent;
@@ -137,7 +159,8 @@
       try {
         response = exchange();
       } catch (RuntimeException | Error fault) {
-        // After an internal error the execution must not stay blocked on its call until its deadline.
+        // After an internal error the execution must not stay blocked on its call until its
+        // deadline.
         Logger.error(fault, "store call failed with an internal error");
         response = new Response(Outcome.BROKEN, null, false);
       }
@@ -148,9 +171,12 @@
 
     private Response exchange() {
       if (System.nanoTime() >= deadlineNanos) {
-        return new Response(Outcome.TIMED_OUT, null, false); // timed out while it waited for a thread
+        return new Response(
+            Outcome.TIMED_OUT, null, false); // timed out while it waited for a thread
       }
-      // A connection may have ended, or been dropped by a device in between, while it was idle. That cannot be detected before the call, and a reset does not prove that the call never ran, so calls that must not be repeated use a new connection.
+      // A connection may have ended, or been dropped by a device in between, while it was idle.
+      // That cannot be detected before the call, and a reset does not prove that the call never
+      // ran, so calls that must not be repeated use a new connection.
       PooledConnection connection = isIdempotent ? takeIdle() : null;
       try {
         if (connection == null) {
@@ -168,7 +194,8 @@
           attach(connection.socket);
         }
       } catch (IOException e) {
-        // Nothing was sent: the connection was refused or not established in time, so the call never ran.
+        // Nothing was sent: the connection was refused or not established in time, so the call
+        // never ran.
         closeIdle();
         BoundedReader.closeQuietly(socket);
         return new Response(Outcome.UNREACHABLE, null, false);
@@ -176,7 +203,8 @@
       Response response;
       try {
         connection.deadlineInput.setDeadlineNanos(deadlineNanos + RESPONSE_GRACE_MS * 1_000_000L);
-        connection.socket
+        connection
+            .socket
             .getOutputStream()
             .write(
                 BoundedReader.join(
@@ -236,7 +264,11 @@
 
   @Override
   public DependencyCall call(
-      String reference, byte[] body, long timeoutMillis, boolean isIdempotent, DependencyCallListener listener) {
+      String reference,
+      byte[] body,
+      long timeoutMillis,
+      boolean isIdempotent,
+      DependencyCallListener listener) {
     Call call = new Call(reference, body, timeoutMillis, isIdempotent, listener);
     threads.execute(call::run);
     return call;
@@ -256,14 +288,18 @@
         return null;
       }
       long idleNanos = System.nanoTime() - connection.lastUsedNanos;
-      if (idleNanos < MAX_IDLE_NANOS && connection.target.equals(address) && connection.isReusable(idleNanos)) {
+      if (idleNanos < MAX_IDLE_NANOS
+          && connection.target.equals(address)
+          && connection.isReusable(idleNanos)) {
         return connection;
       }
       BoundedReader.closeQuietly(connection.socket);
     }
   }
 
-  /** Keeps a connection for the next call; false if the address has changed and it must be closed. */
+  /**
+   * Keeps a connection for the next call; false if the address has changed and it must be closed.
+   */
   private boolean returnToPool(PooledConnection connection) {
     connection.lastUsedNanos = System.nanoTime();
     synchronized (idle) {
@@ -271,7 +307,8 @@
         return false;
       }
       idle.push(connection);
-      while (idle.size() > MAX_IDLE_CONNECTIONS || connection.lastUsedNanos - idle.peekLast().lastUsedNanos > MAX_IDLE_NANOS) {
+      while (idle.size() > MAX_IDLE_CONNECTIONS
+          || connection.lastUsedNanos - idle.peekLast().lastUsedNanos > MAX_IDLE_NANOS) {
         BoundedReader.closeQuietly(idle.pollLast().socket);
       }
     }
@@ -294,7 +331,11 @@
     }
   }
 
-  /** Reads one response. A head that is not fully understood, or a length that is missing, repeated or contradicted, says nothing reliable about the body; the call then fails, so that an execution never gets bytes that no call returned. */
+  /**
+   * Reads one response. A head that is not fully understood, or a length that is missing, repeated
+   * or contradicted, says nothing reliable about the body; the call then fails, so that an
+   * execution never gets bytes that no call returned.
+   */
   private static Response readResponse(InputStream in) throws IOException {
     int[] remainingHeadBytes = {MAX_HEAD_BYTES};
     for (int interim = 0; interim <= MAX_INTERIM_RESPONSES; interim++) {
@@ -312,7 +353,8 @@
       if (length == null
           || headers.containsKey("transfer-encoding")
           || (!neverStartedField.equals("0") && !neverStartedField.equals("1"))) {
-        throw new Server.MalformedException("store response without a plain Content-Length, or with an invalid Never-Started");
+        throw new Server.MalformedException(
+            "store response without a plain Content-Length, or with an invalid Never-Started");
       }
       byte[] body = BoundedReader.exactly(in, (int) BoundedReader.number(length, MAX_BODY_BYTES));
       boolean keep =
@@ -328,9 +370,12 @@
     return line;
   }
 
-  private static Map<String, String> readHeaders(InputStream in, int[] remainingHeadBytes) throws IOException {
+  private static Map<String, String> readHeaders(InputStream in, int[] remainingHeadBytes)
+      throws IOException {
     Map<String, String> headers = new HashMap<>();
-    for (String line = readLine(in, remainingHeadBytes); !line.isEmpty(); line = readLine(in, remainingHeadBytes)) {
+    for (String line = readLine(in, remainingHeadBytes);
+        !line.isEmpty();
+        line = readLine(in, remainingHeadBytes)) {
       int colon = line.indexOf(':');
       if (colon < 1
           || headers.size() >= MAX_HEADERS
--- a/src/main/java/wharftrestle/upstream/WorkerPoolClient.java
+++ b/src/main/java/wharftrestle/upstream/WorkerPoolClient.java
@@ -27,23 +27,38 @@
 import wharftrestle.transport.LogRateLimiter;
 import wharftrestle.transport.Server;
 
-/** The link to the worker pool: one socket, and a thread that reads announcements. A command is written by the thread that sends it, or by one that is writing already; polls, which must not block the caller, are written by a thread of their own. When the link breaks, falls silent or moves, it is established again and bound with the number of the last announcement read; commands that may have been lost are then sent again. Each announcement is passed on once, and the coordinator's lock never waits for a socket. Thread-safe. */
+/**
+ * The link to the worker pool: one socket, and a thread that reads announcements. A command is
+ * written by the thread that sends it, or by one that is writing already; polls, which must not
+ * block the caller, are written by a thread of their own. When the link breaks, falls silent or
+ * moves, it is established again and bound with the number of the last announcement read; commands
+ * that may have been lost are then sent again. Each announcement is passed on once, and the
+ * coordinator's lock never waits for a socket. Thread-safe.
+ */
 public final class WorkerPoolClient implements WorkerPool {
   private static final int MAX_LINE_BYTES = 16 * 1024;
   private static final int MAX_BODY_BYTES = 64 * 1024;
   private static final int RECONNECT_DELAY_MS = 50;
   private static final int CONNECT_TIMEOUT_MS = 2000;
 
-  /** Maximum milliseconds between two polls, whose answers prove that the link is alive and read. */
+  /**
+   * Maximum milliseconds between two polls, whose answers prove that the link is alive and read.
+   */
   private static final int POLL_INTERVAL_MS = 250;
 
   /** Milliseconds without a message from the polled worker pool after which the link is closed. */
   private static final int SILENCE_TIMEOUT_MS = 2000;
 
-  /** A break may lose what was sent up to 50 ms before it; commands sent this long before an answered poll have arrived. */
+  /**
+   * A break may lose what was sent up to 50 ms before it; commands sent this long before an
+   * answered poll have arrived.
+   */
   private static final long LOSS_WINDOW_NANOS = 150_000_000L;
 
-  /** A start counts as later than the last announcement read only by this margin in seconds, as clocks and links are late. */
+  /**
+   * A start counts as later than the last announcement read only by this margin in seconds, as
+   * clocks and links are late.
+   */
   private static final double RESTART_MARGIN_SECONDS = 1;
 
   private static final byte[] CRLF = {'\r', '\n'};
@@ -52,7 +67,10 @@
   private final RequestCoordinator core;
   private final Counters counters;
 
-  /** Commands by request not followed by an announcement; its monitor guards it and the fields below. */
+  /**
+   * Commands by request not followed by an announcement; its monitor guards it and the fields
+   * below.
+   */
   private final Map<String, List<SentCommand>> unacknowledged = new LinkedHashMap<>();
 
   private Session session;
@@ -97,7 +115,10 @@
       return isBound && System.nanoTime() - lastPollNanos > POLL_INTERVAL_MS * 1_000_000L;
     }
 
-    /** Writes the queued commands, unless another thread is writing, which then writes these too. Without a separate writer thread, the several commands of each request need no thread switch. */
+    /**
+     * Writes the queued commands, unless another thread is writing, which then writes these too.
+     * Without a separate writer thread, the several commands of each request need no thread switch.
+     */
     void flush() {
       while (!commands.isEmpty() && !isClosed && writeLock.tryLock()) {
         try {
@@ -181,7 +202,10 @@
         newSocket.connect(target, CONNECT_TIMEOUT_MS);
         isOutageLogged = false;
         counters.add(Count.WORKER_POOL_CONNECTS);
-        newSocket.setSoTimeout(hasBoundBefore ? SILENCE_TIMEOUT_MS : 0); // the first bind waits until the worker pool starts
+        newSocket.setSoTimeout(
+            hasBoundBefore
+                ? SILENCE_TIMEOUT_MS
+                : 0); // the first bind waits until the worker pool starts
         Session current = new Session(newSocket);
         current.commands.add(encodeLine("bind " + lastAnnouncement));
         synchronized (unacknowledged) {
@@ -199,7 +223,7 @@
         }
       } catch (IOException | RuntimeException | Error e) {
         // Neither malformed input nor a temporary shortage of memory may end the link for good.
-        if (!isOutageLogged && logLimiter.may(System.nanoTime())) {
+        if (!isOutageLogged && logLimiter.tryAcquire(System.nanoTime())) {
           Logger.warn("worker pool link: {}", e.toString());
           isOutageLogged = true;
         }
@@ -225,8 +249,11 @@
         case "bound" -> {
           requireFields(fields, 3);
           double secondsAgo = BoundedReader.parseMillisAsSeconds(fields[2]);
-          if (lastAnnouncement > 0 && secondsAgo + RESTART_MARGIN_SECONDS < (System.nanoTime() - lastAnnouncementNanos) / 1e9) {
-            // The worker pool has restarted: it does not know the executions, and numbers its announcements from 1 again, which would be ignored as old.
+          if (lastAnnouncement > 0
+              && secondsAgo + RESTART_MARGIN_SECONDS
+                  < (System.nanoTime() - lastAnnouncementNanos) / 1e9) {
+            // The worker pool has restarted: it does not know the executions, and numbers its
+            // announcements from 1 again, which would be ignored as old.
             lastAnnouncement = 0;
             synchronized (unacknowledged) {
               unacknowledged.clear();
@@ -249,7 +276,10 @@
           if (acceptAnnouncement(fields[1])) {
             acknowledge(fields[2]);
             core.executionCompleted(
-                fields[2], parseOutcome(fields[3]), BoundedReader.parseMillisAsSeconds(fields[4]), result);
+                fields[2],
+                parseOutcome(fields[3]),
+                BoundedReader.parseMillisAsSeconds(fields[4]),
+                result);
           }
         }
         case "blocked" -> {
@@ -284,7 +314,9 @@
           requireFields(fields, 2);
           acceptAnnouncement(fields[1]);
         }
-        default -> throw new Server.MalformedException("unknown message of the worker pool: '" + fields[0] + "'");
+        default ->
+            throw new Server.MalformedException(
+                "unknown message of the worker pool: '" + fields[0] + "'");
       }
     }
   }
@@ -295,12 +327,17 @@
     }
   }
 
-  /** Forgets the commands sent on this link well before an answered poll; they have been read and cannot be lost. */
+  /**
+   * Forgets the commands sent on this link well before an answered poll; they have been read and
+   * cannot be lost.
+   */
   private void acknowledgeSentBefore(Session current, long pollNanos) {
     synchronized (unacknowledged) {
-      for (Iterator<List<SentCommand>> iterator = unacknowledged.values().iterator(); iterator.hasNext(); ) {
+      for (Iterator<List<SentCommand>> iterator = unacknowledged.values().iterator();
+          iterator.hasNext(); ) {
         List<SentCommand> commands = iterator.next();
-        commands.removeIf(sent -> sent.session() == current && sent.sentNanos() < pollNanos - LOSS_WINDOW_NANOS);
+        commands.removeIf(
+            sent -> sent.session() == current && sent.sentNanos() < pollNanos - LOSS_WINDOW_NANOS);
         if (commands.isEmpty()) {
           iterator.remove();
         }
@@ -308,13 +345,19 @@
     }
   }
 
-  /** Sends the commands again that may have been lost with the old link: those sent shortly before its end, or while there was no link, and not followed by an announcement. Called when all announcements up to the bind have been read; keeps the order. An execution in progress ignores a second spawn. */
+  /**
+   * Sends the commands again that may have been lost with the old link: those sent shortly before
+   * its end, or while there was no link, and not followed by an announcement. Called when all
+   * announcements up to the bind have been read; keeps the order. An execution in progress ignores
+   * a second spawn.
+   */
   private void resendUnacknowledged(Session current) {
     synchronized (unacknowledged) {
       for (List<SentCommand> commands : unacknowledged.values()) {
         for (int i = 0; i < commands.size(); i++) {
           if (commands.get(i).session() != current) {
-            SentCommand resent = new SentCommand(commands.get(i).command(), System.nanoTime(), current);
+            SentCommand resent =
+                new SentCommand(commands.get(i).command(), System.nanoTime(), current);
             commands.set(i, resent);
             current.commands.add(resent.command());
           }
@@ -340,7 +383,8 @@
       case "bad" -> Outcome.FAILURE;
       case "cut" -> Outcome.WITHDRAWN;
       case "gone" -> Outcome.VOID;
-      default -> throw new Server.MalformedException("unknown outcome of an execution: '" + result + "'");
+      default ->
+          throw new Server.MalformedException("unknown outcome of an execution: '" + result + "'");
     };
   }
 
--- a/src/test/java/wharftrestle/UwsgiTest.java
+++ b/src/test/java/wharftrestle/UwsgiTest.java
@@ -24,7 +24,7 @@
 import wharftrestle.metrics.Counters.Count;
 import wharftrestle.testbed.RespPeer;
 
-/** Stories of the uwsgi front: a stand-in gateway before it, a stand-in worker pool behind. */
+/** Tests of the uwsgi front end between a fake gateway and a fake worker pool. */
 class UwsgiTest {
   private static Loopback site(Sites.Builder site) throws Exception {
     return new Loopback(site, new DaemonConfig.Appliance(Loopback.any(), null, null, "public", 24));
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void anAnswerIsHttp() throws Exception {
+  void answersAreHttpResponsesAndReplayedAcrossFrontEnds() throws Exception {
     try (Loopback site = site(Sites.site());
         Socket gateway = site.post("/keyed", "k1", "a\r\n\0b")) {
       Command spawn = site.command();
@@ -48,18 +48,18 @@
       assertTrue(
           response.contains("\r\nContent-Length: 5\r\n") && response.endsWith("\r\n\r\nsaved"),
           response);
-      try (Socket again = site.post("/keyed", "k1", "a\r\n\0b");
+      try (Socket retry = site.post("/keyed", "k1", "a\r\n\0b");
           Caller resp = site.new Caller()) {
-        assertTrue(Loopback.response(again).endsWith("\r\n\r\nsaved"), "replayed");
+        assertTrue(Loopback.response(retry).endsWith("\r\n\r\nsaved"), "replayed");
         resp.ask(1, "keyed", "k1", "a\r\n\0b");
-        assertEquals("saved", resp.reply().body(), "one key whatever the front");
+        assertEquals("saved", resp.reply().body(), "one key across both front ends");
       }
-      assertEquals(0, site.commands.size(), "one run");
+      assertEquals(0, site.commands.size(), "one execution");
     }
   }
 
   @Test
-  void whatCannotBeTakenIsSaid() throws Exception {
+  void invalidRequestsGetAnErrorStatus() throws Exception {
     try (Loopback site = site(Sites.site())) {
       assertEquals("404", status(site.post("/no-such-class", "k", "x")));
       assertEquals("400", status(site.post("/keyed", "", "x")));
@@ -76,9 +76,9 @@
   }
 
   @Test
-  void refusalsAndFailuresAreTold() throws Exception {
+  void rejectionsAndFailuresGetTheirStatus() throws Exception {
     Sites.Builder small = Sites.site();
-    small.memory = 10; // nothing fits: refused at once
+    small.memory = 10; // no request fits: rejected at once
     try (Loopback site = site(small)) {
       String refused = Loopback.response(site.post("/read", "", "x"));
       assertTrue(
@@ -86,74 +86,78 @@
           refused);
     }
     try (Loopback site = site(Sites.site())) {
-      Socket fails = site.post("/keyed", "k1", "x");
+      Socket failing = site.post("/keyed", "k1", "x");
       site.finish(site.command().ref(), "bad", 4, "");
-      assertEquals("502", status(fails));
+      assertEquals("502", status(failing));
       long before = System.nanoTime();
-      Socket hangs = site.post("/keyed", "k2", "x");
-      assertEquals("504", status(hangs));
-      double took = (System.nanoTime() - before) / 1e9;
-      assertTrue(took > 1.5 && took < 6.2, took + " s for an aim of 2 s and a wait of 6 s");
+      Socket hanging = site.post("/keyed", "k2", "x");
+      assertEquals("504", status(hanging));
+      double elapsedSeconds = (System.nanoTime() - before) / 1e9;
+      assertTrue(
+          elapsedSeconds > 1.5 && elapsedSeconds < 6.2,
+          elapsedSeconds + " s with a latency objective of 2 s and a deadline of 6 s");
     }
   }
 
   @Test
-  void aCallerThatVanishesIsGone() throws Exception {
+  void disconnectedCallerCancelsItsExecutionUnlessKeyed() throws Exception {
     try (Loopback site = site(Sites.site())) {
-      byte[] whole = Loopback.packet("half a body", "PATH_INFO", "/read", "CONTENT_LENGTH", "22");
-      site.gateway(whole).close(); // within its body: no request came to be
-      Socket runs = site.post("/read", "", "x");
+      byte[] packet = Loopback.packet("half a body", "PATH_INFO", "/read", "CONTENT_LENGTH", "22");
+      site.gateway(packet).close(); // disconnected within the body: not a complete request
+      Socket disconnecting = site.post("/read", "", "x");
       Command spawn = site.command();
       assertEquals("x", spawn.body());
-      runs.close();
+      disconnecting.close();
       assertEquals(new Command("suspend", spawn.ref(), "", ""), site.command());
       site.finish(spawn.ref(), "cut", 2, "");
       Socket keyed = site.post("/keyed", "k", "note");
-      Command run = site.command();
-      keyed.close(); // its run goes on, for the next try to have its result
+      Command keyedRun = site.command();
+      keyed.close(); // the execution continues, so that a retry gets its result
       while (site.life.counters().get(Count.CALLERS_DISCONNECTED) < 3) {
-        Thread.onSpinWait(); // its end is read before the run's, or it would be served
+        Thread.onSpinWait(); // the disconnect must be read before the completion, or the request
+        // would count as served
       }
-      Socket again = site.post("/keyed", "k", "note");
-      site.finish(run.ref(), "good", 9, "saved");
-      assertTrue(Loopback.response(again).endsWith("saved"));
+      Socket retry = site.post("/keyed", "k", "note");
+      site.finish(keyedRun.ref(), "good", 9, "saved");
+      assertTrue(Loopback.response(retry).endsWith("saved"));
       assertEquals(0, site.commands.size());
       assertEquals(1, site.life.counters().get(Count.SERVED));
     }
   }
 
-  // ---- Both fronts at 110% of the cores ----
+  // ---- Both front ends at 110% of the cores ----
 
   private static final double WORK_MS = 20;
   private static final int CORES = 2;
 
-  /** Requests at 60% of the cores, from which the module learns what a run takes. */
-  private static final int CALM = 100;
+  /** Requests at 60% of the cores, from which the admission controller estimates the run time. */
+  private static final int CALIBRATION_REQUESTS = 100;
 
-  /** Requests that then come at once, so that the hold is full from there on. */
-  private static final int AT_ONCE = 36;
+  /** Requests that then arrive at once, so that the queue is full from there on. */
+  private static final int BURST_REQUESTS = 36;
 
   private static final int REQUESTS = 500;
   private static final double TOLERANCE = 0.02;
-  private static final int MOST_PASSES = 5;
+  private static final int MAX_PASSES = 5;
 
   /**
-   * Worth served in time over worth asked for, where each request in {@code share} comes by uwsgi.
+   * Value served in time as a fraction of the offered value, with this fraction of requests sent
+   * over uwsgi.
    */
-  private static double service(double share) throws Exception {
-    Sites.Builder kind = Sites.site();
-    kind.memory = 100_000;
-    kind.haste = 4; // aims of 0.5 s
-    try (Loopback site = site(kind)) {
+  private static double servedValueFraction(double uwsgiFraction) throws Exception {
+    Sites.Builder builder = Sites.site();
+    builder.memory = 100_000;
+    builder.haste = 4; // latency objectives of 0.5 s
+    try (Loopback site = site(builder)) {
       site.autoMs = WORK_MS;
       Random random = new Random(42);
-      DoubleAdder served = new DoubleAdder();
-      double asked = 0;
-      Map<Integer, Double> worths = new ConcurrentHashMap<>();
-      Queue<String> broken = new ConcurrentLinkedQueue<>();
+      DoubleAdder servedValue = new DoubleAdder();
+      double offeredValue = 0;
+      Map<Integer, Double> pendingValues = new ConcurrentHashMap<>();
+      Queue<String> connectionErrors = new ConcurrentLinkedQueue<>();
       ExecutorService gateways = Executors.newCachedThreadPool();
       List<Caller> resp = new ArrayList<>();
-      for (int i = 0; i < 8; i++) { // a connection takes 32 open requests
+      for (int i = 0; i < 8; i++) { // a connection allows 32 open requests
         Caller caller = site.new Caller();
         resp.add(caller);
         new Thread(
@@ -161,101 +165,107 @@
                   try {
                     for (; ; ) {
                       RespPeer.Reply reply = caller.reply();
-                      double worth = worths.get(Integer.parseInt(reply.tag()));
-                      served.add(reply.word().equals("done") ? worth : 0);
-                      worths.remove(Integer.parseInt(reply.tag()));
+                      double value = pendingValues.get(Integer.parseInt(reply.tag()));
+                      servedValue.add(reply.word().equals("done") ? value : 0);
+                      pendingValues.remove(Integer.parseInt(reply.tag()));
                     }
                   } catch (IOException e) {
-                    return; // the end of the day
+                    return; // the connection is closed at the end of the test
                   }
                 })
             .start();
       }
       long start = System.nanoTime();
       for (int i = 1; i <= REQUESTS; i++) {
-        double work = Math.min(i, CALM) / 0.6 + Math.max(0, i - CALM - AT_ONCE) / 1.1;
+        double work =
+            Math.min(i, CALIBRATION_REQUESTS) / 0.6
+                + Math.max(0, i - CALIBRATION_REQUESTS - BURST_REQUESTS) / 1.1;
         long at = start + (long) (work * WORK_MS * 1e6 / CORES);
         for (long left = at - System.nanoTime(); left > 0; left = at - System.nanoTime()) {
-          LockSupport.parkNanos(left); // the schedule of arrivals
+          LockSupport.parkNanos(left); // wait for the scheduled arrival
         }
         boolean keyed = random.nextInt(4) == 0;
-        boolean uwsgi = random.nextDouble() < share;
-        double worth = keyed ? 3 : 1;
-        asked += worth;
+        boolean uwsgi = random.nextDouble() < uwsgiFraction;
+        double value = keyed ? 3 : 1;
+        offeredValue += value;
         String body = (keyed ? "outcome-" : "read-") + i;
         if (uwsgi) {
           String path = keyed ? "/keyed" : "/read";
           String key = keyed ? "key-" + i : "";
-          int tries = keyed && i % 3 == 0 ? 2 : 1; // some are sent twice, the second try over RESP
+          int attempts =
+              keyed && i % 3 == 0 ? 2 : 1; // some are sent twice, the second attempt over RESP
           gateways.execute(
               () -> {
                 try {
-                  served.add(status(site.post(path, key, body)).equals("200") ? worth : 0);
+                  servedValue.add(status(site.post(path, key, body)).equals("200") ? value : 0);
                 } catch (IOException e) {
-                  broken.add(e.toString());
+                  connectionErrors.add(e.toString());
                 }
               });
-          if (tries == 2) {
-            worths.put(i, 0.0);
+          if (attempts == 2) {
+            pendingValues.put(i, 0.0);
             resp.get(i % resp.size()).ask(i, "keyed", key, body);
           }
         } else {
-          worths.put(i, worth);
+          pendingValues.put(i, value);
           resp.get(i % resp.size())
               .ask(i, keyed ? "keyed" : "read", keyed ? "key-" + i : null, body);
         }
       }
       gateways.shutdown();
-      assertTrue(gateways.awaitTermination(Loopback.WAIT_S, TimeUnit.SECONDS), "an answer is owed");
+      assertTrue(
+          gateways.awaitTermination(Loopback.WAIT_S, TimeUnit.SECONDS),
+          "request without an answer");
       long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_S);
-      while (!worths.isEmpty() && System.nanoTime() < end) {
+      while (!pendingValues.isEmpty() && System.nanoTime() < end) {
         Thread.onSpinWait();
       }
-      assertEquals(List.of(), List.copyOf(broken), "connections broke");
-      assertEquals(Map.of(), worths, "an answer is owed");
+      assertEquals(List.of(), List.copyOf(connectionErrors), "connection errors");
+      assertEquals(Map.of(), pendingValues, "request without an answer");
       for (Caller caller : resp) {
         caller.close();
       }
-      List<String> twice =
+      List<String> executedTwice =
           site.runs.entrySet().stream()
               .filter(run -> run.getKey().startsWith("outcome") && run.getValue().get() > 1)
               .map(Map.Entry::getKey)
               .toList();
-      assertEquals(List.of(), twice, "ran twice");
-      return served.sum() / asked;
+      assertEquals(List.of(), executedTwice, "executed twice");
+      return servedValue.sum() / offeredValue;
     }
   }
 
   @Test
-  void aGatewayThatLeavesItsSideOpenIsCut() throws Exception {
+  void gatewayThatNeverClosesIsClosed() throws Exception {
     try (Loopback site = site(Sites.site());
         Socket gateway = site.post("/health", "", "")) {
       Loopback.response(gateway);
-      Socket asks = site.post("/read", "", "x");
+      Socket answered = site.post("/read", "", "x");
       site.finish(site.command().ref(), "good", 1, "fine");
-      Loopback.response(asks);
+      Loopback.response(answered);
       long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_S);
       while (site.life.gatewayConnections() > 0 && System.nanoTime() < end) {
         Thread.onSpinWait();
       }
       assertEquals(0, site.life.gatewayConnections());
-      asks.close();
+      answered.close();
     }
   }
 
   @Test
   void aMixOfFrontsServesAsMuchAsOne() throws Exception {
-    service(0.5); // warms the program up
-    double one = 0;
-    double mix = 0;
-    // A busy machine only takes service away, so the best of some passes of each side is compared.
+    servedValueFraction(0.5); // warm-up
+    double respOnly = 0;
+    double mixed = 0;
+    // Load on the machine only reduces the result, so the best of several passes is compared for
+    // each side.
     for (int pass = 0;
-        pass < MOST_PASSES && (pass == 0 || Math.abs(one - mix) > TOLERANCE);
+        pass < MAX_PASSES && (pass == 0 || Math.abs(respOnly - mixed) > TOLERANCE);
         pass++) {
-      one = Math.max(one, service(0));
-      mix = Math.max(mix, service(0.5));
+      respOnly = Math.max(respOnly, servedValueFraction(0));
+      mixed = Math.max(mixed, servedValueFraction(0.5));
     }
-    assertTrue(one > 0.85 && one <= 1, "service over RESP alone: " + one);
-    assertEquals(one, mix, TOLERANCE, "service by worth, RESP alone against a mix");
+    assertTrue(respOnly > 0.85 && respOnly <= 1, "value served over RESP alone: " + respOnly);
+    assertEquals(respOnly, mixed, TOLERANCE, "value served, RESP alone against a mix");
   }
 }
--- a/src/test/java/wharftrestle/config/DaemonConfigTest.java
+++ b/src/test/java/wharftrestle/config/DaemonConfigTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the platform's configuration may leave out, and what it may not. */
+/** Optional and required keys of the platform's configuration. */
 class DaemonConfigTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   @TempDir private Path folder;
 
-  private static ObjectNode whole() throws IOException {
-    try (InputStream told = DaemonConfig.class.getResourceAsStream("/rehearsal.json")) {
-      return (ObjectNode) MAPPER.readTree(told);
+  private static ObjectNode validConfig() throws IOException {
+    try (InputStream input = DaemonConfig.class.getResourceAsStream("/rehearsal.json")) {
+      return (ObjectNode) MAPPER.readTree(input);
     }
   }
 
@@ -34,12 +34,12 @@
   }
 
   /**
-   * A whole configuration whose runs call below as told, with what stands there for 'db'; null for
-   * nothing.
+   * Reads a valid configuration with this kind of dependency and this JSON value of 'db'; null for
+   * no 'db'.
    */
   private DaemonConfig read(String downstream, String db)
       throws IOException, DaemonConfig.BadConfigException {
-    ObjectNode root = whole();
+    ObjectNode root = validConfig();
     ((ObjectNode) root.at("/settings/specifics")).put("downstream", downstream);
     root.remove("db");
     if (db != null) {
@@ -48,43 +48,44 @@
     return read(root);
   }
 
-  private String refused(String downstream, String db) {
-    String why =
+  private String rejectionMessage(String downstream, String db) {
+    String message =
         assertThrows(DaemonConfig.BadConfigException.class, () -> read(downstream, db))
             .getMessage();
-    assertEquals(1, why.lines().count(), why);
-    return why;
+    assertEquals(1, message.lines().count(), message);
+    return message;
   }
 
   @Test
-  void aSiteWhoseRunsCallNothingNeedsNoStore() throws Exception {
-    for (String nothing : new String[] {null, "\"\"", "null", "\"  \""}) {
-      assertNull(read("none", nothing).db(), "db is " + nothing);
+  void siteWithoutDependencyCallsNeedsNoStore() throws Exception {
+    for (String absent : new String[] {null, "\"\"", "null", "\"  \""}) {
+      assertNull(read("none", absent).db(), "db is " + absent);
     }
     assertEquals(
-        9,
-        read("none", "\"127.0.0.1:9\"").db().getPort(),
-        "one that is told is taken all the same");
+        9, read("none", "\"127.0.0.1:9\"").db().getPort(), "a given address is used nevertheless");
   }
 
   @Test
-  void aStoreThatIsNeededOrMeantMustBeAnAddress() throws Exception {
-    for (String wrong : new String[] {null, "\"\"", "null", "\"nowhere\"", "7"}) {
-      assertTrue(refused("shared", wrong).startsWith("'db' is no address"), "db is " + wrong);
-      assertTrue(refused("tier", wrong).startsWith("'db' is no address"), "db is " + wrong);
+  void requiredOrGivenStoreMustBeAnAddress() throws Exception {
+    for (String invalid : new String[] {null, "\"\"", "null", "\"nowhere\"", "7"}) {
+      assertTrue(
+          rejectionMessage("shared", invalid).startsWith("'db' is no address"), "db is " + invalid);
+      assertTrue(
+          rejectionMessage("tier", invalid).startsWith("'db' is no address"), "db is " + invalid);
     }
     assertTrue(
-        refused("none", "\"nowhere\"").startsWith("'db' is no address"), "a slip is no absence");
+        rejectionMessage("none", "\"nowhere\"").startsWith("'db' is no address"),
+        "an invalid address is not treated as absent");
   }
 
   @Test
-  void thePoolAndTheNameServiceAreNeededEverywhere() throws Exception {
-    for (String needed : new String[] {"pool", "naming", "listen"}) {
-      ObjectNode root = whole();
-      root.put(needed, "");
-      String why =
+  void poolNameServiceAndListenAddressAreAlwaysRequired() throws Exception {
+    for (String key : new String[] {"pool", "naming", "listen"}) {
+      ObjectNode root = validConfig();
+      root.put(key, "");
+      String message =
           assertThrows(DaemonConfig.BadConfigException.class, () -> read(root)).getMessage();
-      assertEquals("'" + needed + "' is no address: ''", why);
+      assertEquals("'" + key + "' is no address: ''", message);
     }
   }
 }
--- a/src/test/java/wharftrestle/transport/ConnectionStateTest.java
+++ b/src/test/java/wharftrestle/transport/ConnectionStateTest.java
@@ -13,56 +13,58 @@
 import org.jetbrains.lincheck.datastructures.ModelCheckingOptions;
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
-import wharftrestle.transport.ConnectionState.Act;
+import wharftrestle.transport.ConnectionState.Action;
 import wharftrestle.transport.ConnectionState.Phase;
 
 /**
- * The state of a connection alone: whatever the interleaving, nothing owed is dropped, nothing sent
- * after its end.
+ * The state machine of a connection without sockets: in any interleaving, no accepted request loses
+ * its answer and nothing is sent after the close.
  */
 public class ConnectionStateTest {
   private static final byte[] ANSWER = {1};
-  private static final byte[] WORD = {0, 0};
+  private static final byte[] GO_AWAY = {0, 0};
 
-  /** What may go wrong on purpose, to see that the property finds it. */
+  /** Faults injected to verify that the property detects them. */
   private enum Mutant {
     NONE,
-    DROPS_AT_CLOSE,
+    DROPS_ANSWER_WHILE_CLOSING,
     ANSWERS_TWICE,
-    TAKES_AFTER_THE_END
+    ACCEPTS_AFTER_CLOSE
   }
 
   private final ConnectionState state = new ConnectionState();
 
   /**
-   * One reader, answers on threads of their own, a writer that is whoever was told to write, and a
-   * server that looks.
+   * A random sequence of the steps of a reader, answering threads, a writer (whoever got WRITE),
+   * and the server's polls.
    */
-  private static final class Play {
+  private static final class RandomRun {
     private final ConnectionState state = new ConnectionState();
     private final Random random;
     private final Mutant mutant;
-    private final List<Integer> inHand = new ArrayList<>(); // requests taken and not answered
-    private final List<byte[]> wire = new ArrayList<>(); // messages that the socket has
-    private final List<Integer> taken = new ArrayList<>();
+    private final List<Integer> unanswered =
+        new ArrayList<>(); // requests accepted and not answered
+    private final List<byte[]> writtenMessages =
+        new ArrayList<>(); // messages written to the socket
+    private final List<Integer> accepted = new ArrayList<>();
     private boolean writing;
-    private boolean shut;
-    private boolean peerGone;
-    private int asked;
+    private boolean isOutputShut;
+    private boolean isPeerDisconnected;
+    private int requestCount;
     private long now = 1;
 
-    Play(long seed, Mutant mutant) {
+    RandomRun(long seed, Mutant mutant) {
       random = new Random(seed);
       this.mutant = mutant;
     }
 
-    private void act(Act act) {
-      if (act == Act.WRITE) {
-        assertFalse(writing, "two write at once");
+    private void carryOut(Action action) {
+      if (action == Action.WRITE) {
+        assertFalse(writing, "two concurrent writers");
         writing = true;
-      } else if (act == Act.SHUT_OUTPUT) {
-        assertFalse(shut, "shut twice");
-        shut = true;
+      } else if (action == Action.SHUT_OUTPUT) {
+        assertFalse(isOutputShut, "output shut down twice");
+        isOutputShut = true;
       }
     }
 
@@ -70,33 +72,33 @@
       now += random.nextInt(3);
       switch (random.nextInt(12)) {
         case 0, 1, 2 -> {
-          boolean read = state.read();
-          boolean begun = read && state.begin();
-          if (begun || (mutant == Mutant.TAKES_AFTER_THE_END && !read)) {
-            inHand.add(++asked);
-            taken.add(asked);
+          boolean read = state.recordRead();
+          boolean isAccepted = read && state.beginRequest();
+          if (isAccepted || (mutant == Mutant.ACCEPTS_AFTER_CLOSE && !read)) {
+            unanswered.add(++requestCount);
+            accepted.add(requestCount);
           }
-          state.settled();
+          state.markInputHandled();
         }
         case 3, 4, 5 -> answer();
         case 6, 7, 8 -> write();
         case 9 -> {
-          if (state.goAway(now, now)) {
-            act(state.offer(WORD));
-            act(state.said(now));
+          if (state.beginGoAway(now, now)) {
+            carryOut(state.enqueue(GO_AWAY));
+            carryOut(state.goAwayQueued(now));
           }
-          if (state.quiet(random.nextInt(2))) {
-            act(state.finish(now));
+          if (state.isQuiet(random.nextInt(2))) {
+            carryOut(state.finish(now));
           }
         }
         case 10 -> {
           if (random.nextInt(10) == 0) {
-            act(state.finish(now));
+            carryOut(state.finish(now));
           }
         }
         default -> {
           if (random.nextInt(40) == 0) {
-            peerGone = true;
+            isPeerDisconnected = true;
             state.close(now);
           }
         }
@@ -104,21 +106,21 @@
     }
 
     private void answer() {
-      if (inHand.isEmpty()) {
+      if (unanswered.isEmpty()) {
         return;
       }
-      int tag = inHand.remove(random.nextInt(inHand.size()));
+      int tag = unanswered.remove(random.nextInt(unanswered.size()));
       byte[] message = {(byte) tag};
-      if (mutant == Mutant.DROPS_AT_CLOSE && state.phase() == Phase.CLOSING) {
-        act(state.end(now));
+      if (mutant == Mutant.DROPS_ANSWER_WHILE_CLOSING && state.phase() == Phase.CLOSING) {
+        carryOut(state.completeRequest(now));
         return;
       }
-      act(state.offer(message));
+      carryOut(state.enqueue(message));
       if (mutant == Mutant.ANSWERS_TWICE && tag % 3 == 0) {
-        act(state.offer(message));
+        carryOut(state.enqueue(message));
       }
-      if (state.owed() > 0) {
-        act(state.end(now));
+      if (state.inFlight() > 0) {
+        carryOut(state.completeRequest(now));
       }
     }
 
@@ -126,159 +128,164 @@
       if (!writing) {
         return;
       }
-      byte[] message = state.next(now);
+      byte[] message = state.nextMessage(now);
       if (message == null) {
         writing = false;
-        act(state.written(now));
+        carryOut(state.onQueueWritten(now));
       } else {
-        assertFalse(shut, "sent after the end of this side");
-        wire.add(message);
+        assertFalse(isOutputShut, "message written after the output was shut down");
+        writtenMessages.add(message);
       }
     }
 
-    private void check() {
+    private void runAndCheck() {
       for (int i = 0; i < 300; i++) {
         step();
       }
-      act(state.finish(now));
-      while (!inHand.isEmpty() || writing) {
+      carryOut(state.finish(now));
+      while (!unanswered.isEmpty() || writing) {
         answer();
         write();
       }
-      if (!peerGone) {
-        assertTrue(shut, "its end never came");
+      if (!isPeerDisconnected) {
+        assertTrue(isOutputShut, "output was never shut down");
         assertEquals(Phase.HALF_CLOSED, state.phase());
         List<Integer> answered =
-            wire.stream().filter(each -> each != WORD).map(each -> (int) each[0]).sorted().toList();
+            writtenMessages.stream()
+                .filter(each -> each != GO_AWAY)
+                .map(each -> (int) each[0])
+                .sorted()
+                .toList();
         assertEquals(
-            taken.stream().map(each -> (int) (byte) (int) each).sorted().toList(),
+            accepted.stream().map(each -> (int) (byte) (int) each).sorted().toList(),
             answered,
-            "each request that was taken has one answer");
+            "each accepted request has one answer");
       }
-      int sent = wire.size();
+      int sent = writtenMessages.size();
       state.close(now);
-      assertEquals(Act.NOTHING, state.offer(ANSWER));
-      assertEquals(null, state.next(now));
-      assertEquals(sent, wire.size());
-      assertFalse(state.begin(), "nothing is taken after its end");
+      assertEquals(Action.NOTHING, state.enqueue(ANSWER));
+      assertEquals(null, state.nextMessage(now));
+      assertEquals(sent, writtenMessages.size());
+      assertFalse(state.beginRequest(), "no request is accepted after the close");
     }
   }
 
   @Property(tries = 3000)
-  void eachRequestTakenHasOneAnswerOrItsPeerHasGone(@ForAll long seed) {
-    new Play(seed, Mutant.NONE).check();
+  void everyAcceptedRequestIsAnsweredOnceUnlessThePeerDisconnects(@ForAll long seed) {
+    new RandomRun(seed, Mutant.NONE).runAndCheck();
   }
 
   @Test
-  void aMutantOfEachRuleIsCaught() {
+  void eachMutantViolatesTheProperty() {
     for (Mutant mutant :
-        List.of(Mutant.DROPS_AT_CLOSE, Mutant.ANSWERS_TWICE, Mutant.TAKES_AFTER_THE_END)) {
+        List.of(
+            Mutant.DROPS_ANSWER_WHILE_CLOSING, Mutant.ANSWERS_TWICE, Mutant.ACCEPTS_AFTER_CLOSE)) {
       int caught = 0;
       for (long seed = 0; seed < 200; seed++) {
         try {
-          new Play(seed, mutant).check();
-        } catch (AssertionError | IllegalStateException found) {
+          new RandomRun(seed, mutant).runAndCheck();
+        } catch (AssertionError | IllegalStateException expected) {
           caught++;
         }
       }
-      assertTrue(caught > 20, mutant + " was caught in " + caught + " of 200 plays");
+      assertTrue(caught > 20, mutant + " was caught in " + caught + " of 200 runs");
     }
   }
 
   @Test
-  void onlyTheTableOfTransitionsHolds() {
-    assertTrue(state.goAway(1, 5));
-    assertFalse(state.goAway(2, 4), "told once");
-    assertFalse(state.goneBy(4));
-    assertTrue(state.goneBy(5), "the earlier of the two times holds");
-    assertTrue(state.begin(), "what crosses the word is taken");
-    assertEquals(Act.NOTHING, state.said(3));
-    assertEquals(Act.NOTHING, state.finish(3), "an answer is owed");
-    assertFalse(state.begin());
-    assertEquals(Act.WRITE, state.offer(ANSWER));
-    assertEquals(Act.NOTHING, state.end(4), "it is not written yet");
-    assertEquals(ANSWER, state.next(5));
-    assertEquals(null, state.next(6));
-    assertEquals(Act.SHUT_OUTPUT, state.written(6));
-    assertFalse(state.read(), "what comes now is dropped");
-    assertEquals(5, state.since(Phase.HALF_CLOSED, 11));
+  void onlyDocumentedTransitionsAreAllowed() {
+    assertTrue(state.beginGoAway(1, 5));
+    assertFalse(state.beginGoAway(2, 4), "the go-away message is sent once");
+    assertFalse(state.isGoAwayExpired(4));
+    assertTrue(state.isGoAwayExpired(5), "the earlier of the two deadlines applies");
+    assertTrue(state.beginRequest(), "a request that crosses the go-away message is accepted");
+    assertEquals(Action.NOTHING, state.goAwayQueued(3));
+    assertEquals(Action.NOTHING, state.finish(3), "a request is in flight");
+    assertFalse(state.beginRequest());
+    assertEquals(Action.WRITE, state.enqueue(ANSWER));
+    assertEquals(Action.NOTHING, state.completeRequest(4), "the answer is not written yet");
+    assertEquals(ANSWER, state.nextMessage(5));
+    assertEquals(null, state.nextMessage(6));
+    assertEquals(Action.SHUT_OUTPUT, state.onQueueWritten(6));
+    assertFalse(state.recordRead(), "further input is discarded");
+    assertEquals(5, state.nanosInPhase(Phase.HALF_CLOSED, 11));
     assertTrue(state.close(12));
-    assertFalse(state.close(13), "the socket is given back once");
-    assertThrows(IllegalStateException.class, () -> state.end(14));
+    assertFalse(state.close(13), "the socket is closed once");
+    assertThrows(IllegalStateException.class, () -> state.completeRequest(14));
   }
 
   @Test
-  void theWordToGoComesBeforeTheEnd() {
-    assertTrue(state.goAway(1, 1));
-    assertEquals(Act.NOTHING, state.finish(2), "the word is not said yet");
-    assertEquals(Act.WRITE, state.offer(WORD));
-    assertEquals(Act.NOTHING, state.said(3), "nor written");
-    assertEquals(WORD, state.next(4));
-    assertEquals(null, state.next(5));
-    assertEquals(Act.SHUT_OUTPUT, state.written(5));
+  void goAwayMessageIsWrittenBeforeOutputIsShutDown() {
+    assertTrue(state.beginGoAway(1, 1));
+    assertEquals(Action.NOTHING, state.finish(2), "the go-away message is not queued yet");
+    assertEquals(Action.WRITE, state.enqueue(GO_AWAY));
+    assertEquals(Action.NOTHING, state.goAwayQueued(3), "the go-away message is not written yet");
+    assertEquals(GO_AWAY, state.nextMessage(4));
+    assertEquals(null, state.nextMessage(5));
+    assertEquals(Action.SHUT_OUTPUT, state.onQueueWritten(5));
   }
 
   @Test
-  void oneLookAloneNeverFindsItQuiet() {
-    assertFalse(state.quiet(0));
-    state.read(); // between the two looks, in the instant guarded against
-    assertFalse(state.quiet(0));
-    state.settled();
-    assertFalse(state.quiet(0), "what it was before was busy");
-    assertFalse(state.quiet(1), "bytes wait");
-    assertFalse(state.quiet(0));
-    assertTrue(state.quiet(0));
-    state.begin();
-    assertFalse(state.quiet(0), "an answer is owed");
+  void quietNeedsTwoIdlePollsWithoutAReadInBetween() {
+    assertFalse(state.isQuiet(0));
+    state.recordRead(); // between the two polls, not yet handled
+    assertFalse(state.isQuiet(0));
+    state.markInputHandled();
+    assertFalse(state.isQuiet(0), "the previous poll found it busy");
+    assertFalse(state.isQuiet(1), "unread bytes");
+    assertFalse(state.isQuiet(0));
+    assertTrue(state.isQuiet(0));
+    state.beginRequest();
+    assertFalse(state.isQuiet(0), "a request is in flight");
   }
 
   @Test
-  void whoReadsNothingIsCut() {
-    assertEquals(Act.WRITE, state.offer(ANSWER));
-    state.next(1000);
-    assertFalse(state.stuck(1500, 500));
-    assertTrue(state.stuck(1501, 500), "a message that nobody takes");
+  void peerThatDoesNotReadIsAborted() {
+    assertEquals(Action.WRITE, state.enqueue(ANSWER));
+    state.nextMessage(1000);
+    assertFalse(state.isWriteStuck(1500, 500));
+    assertTrue(state.isWriteStuck(1501, 500), "a write that does not finish in time");
     byte[] large = new byte[4096];
-    Act act = Act.NOTHING;
+    Action action = Action.NOTHING;
     for (int i = 0;
-        i < ConnectionState.MOST_WAITING / large.length + 1 && act == Act.NOTHING;
+        i < ConnectionState.MAX_QUEUED_BYTES / large.length + 1 && action == Action.NOTHING;
         i++) {
-      act = state.offer(large);
+      action = state.enqueue(large);
     }
-    assertEquals(Act.CUT, act);
+    assertEquals(Action.ABORT, action);
     state.close(1);
-    assertFalse(state.begin());
+    assertFalse(state.beginRequest());
   }
 
   // ---- Lincheck: each operation is one step under the lock ----
 
   @Operation
   public boolean begin() {
-    return state.begin();
+    return state.beginRequest();
   }
 
   @Operation
-  public Act offer() {
-    return state.offer(ANSWER);
+  public Action offer() {
+    return state.enqueue(ANSWER);
   }
 
   @Operation
   public boolean next() {
-    return state.next(1) != null;
+    return state.nextMessage(1) != null;
   }
 
   @Operation
-  public Act written() {
-    return state.written(1);
+  public Action written() {
+    return state.onQueueWritten(1);
   }
 
   @Operation
   public boolean goAway() {
-    return state.goAway(1, 1);
+    return state.beginGoAway(1, 1);
   }
 
   @Operation
-  public Act finish() {
+  public Action finish() {
     return state.finish(1);
   }
 
@@ -293,7 +300,7 @@
   }
 
   @Test
-  void everyInterleavingIsAsOneAfterTheOther() {
+  void operationsAreLinearizable() {
     new ModelCheckingOptions()
         .threads(3)
         .actorsPerThread(3)
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
@@ -28,31 +28,34 @@
 
 /**
  * Writes the recorded messages of the link between the two processes of a host, which {@link
- * LinkFormatTest} reads: a line a message, bytes that do not print as {@code \xNN}. It was run
- * once; running it again records whatever the present build says.
+ * PeerLinkFormatTest} reads: one line for each message, non-printable bytes as {@code \xNN}. It was
+ * run once; running it again records the messages of the present build.
  */
 final class PeerLinkFormatFixtures {
   static final Path FOLDER = Path.of("src/test/resources/fixtures/link");
 
-  /** What this process says, each kind of message in every form that it has. */
+  /** Every kind of message that this process sends, in each of its forms. */
   static final Path SENT = FOLDER.resolve("sent.txt");
 
-  /** What another process asks of keys, each line with what it is answered. */
+  /** Requests of another process about keys, each with its answers. */
   static final Path ANSWERS = FOLDER.resolve("answers.txt");
 
   static final Path TERMS = FOLDER.resolve("terms.txt");
 
   /** The year 2100. */
-  private static final long STAMP = 4_102_444_800_000L;
+  private static final long ARRIVAL_UNIX_MILLIS = 4_102_444_800_000L;
 
-  /** Closes each exchange, so that a reader knows that nothing more comes. */
-  private static final String LAST = "freed 9/0/last\r\n";
+  /** Ends each exchange, so that a reader knows that nothing more follows. */
+  private static final String END_MARKER = "freed 9/0/last\r\n";
 
-  private static final int ANSWER_MS = 10_000;
+  private static final int ANSWER_TIMEOUT_MS = 10_000;
 
   private PeerLinkFormatFixtures() {}
 
-  /** Run from the project's folder; needs the classes of the tests and of the program. */
+  /**
+   * Run in the project's root directory, with the classes of the tests and the program on the class
+   * path.
+   */
   public static void main(String[] arguments) throws Exception {
     Files.createDirectories(FOLDER);
     Path sockets = Files.createTempDirectory("link");
@@ -77,25 +80,25 @@
         1_796_284_000_123L);
   }
 
-  /** Every message that a process can say, as it says it. */
+  /** Every message that a process can send, as it is sent. */
   static List<String> sentMessages(Path socket) throws Exception {
     try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
       server.bind(UnixDomainSocketAddress.of(socket));
-      try (PeerLink link = PeerLink.connect(socket, null, (from, word, detail) -> {});
+      try (PeerLink link = PeerLink.connect(socket, null, (from, message, detail) -> {});
           SocketChannel reader = server.accept()) {
         link.start();
-        sayEverything(link);
+        sendEveryMessage(link);
         link.sendRelease("9/0/last");
-        return messages(readToLast(reader));
+        return messages(readToEndMarker(reader));
       }
     }
   }
 
-  private static void sayEverything(PeerLink link) {
+  private static void sendEveryMessage(PeerLink link) {
     link.sendTakeoverRequest("n1/left box", new VersionRange(1, 2));
     link.sendPredecessorCapabilities(terms().encode());
     link.sendSuccessorCapabilities(terms().encode());
-    for (Message word :
+    for (Message message :
         List.of(
             Message.ACCEPTANCE,
             Message.REJECTION,
@@ -105,7 +108,7 @@
             Message.KEYS_ACKNOWLEDGED,
             Message.LISTENING,
             Message.RELINQUISHED)) {
-      link.send(word, "");
+      link.send(message, "");
     }
     link.send(Message.REJECTION, "classes differ: 'save' is 50% longer\u20ac");
     link.send(Message.RETRY_LATER, "busy");
@@ -114,48 +117,53 @@
     link.sendKeysComplete(3);
     link.sendOwnership(2);
     link.sendLegacyOwnership(5);
-    link.sendClaim("1/0/a key/\u00fc", STAMP, bytes("body"));
+    link.sendClaim("1/0/a key/\u00fc", ARRIVAL_UNIX_MILLIS, bytes("body"));
     link.sendGrant("1/0/granted");
     link.sendKey(
-        new PeerProcess.KeyUpdate("1/0/open", false, STAMP + 1, 22.5, bytes("asked"), null));
-    link.sendKey(new PeerProcess.KeyUpdate("1/0/failed", true, STAMP + 2, 1.25, bytes(""), null));
+        new PeerProcess.KeyUpdate(
+            "1/0/open", false, ARRIVAL_UNIX_MILLIS + 1, 22.5, bytes("asked"), null));
+    link.sendKey(
+        new PeerProcess.KeyUpdate(
+            "1/0/failed", true, ARRIVAL_UNIX_MILLIS + 2, 1.25, bytes(""), null));
     link.sendKeyAndAwaitWrite(
         new PeerProcess.KeyUpdate(
-            "1/0/over", true, STAMP + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
+            "1/0/over", true, ARRIVAL_UNIX_MILLIS + 3, 0.0004, bytes("a\r\nb\0"), bytes("result")));
     link.sendCompletedKey(
-        new PeerProcess.CompletedKey(new KeyDigest(-1, 2), STAMP + 4, 30, -77, null));
+        new PeerProcess.CompletedKey(new KeyDigest(-1, 2), ARRIVAL_UNIX_MILLIS + 4, 30, -77, null));
     link.forwardCompletedKey(
         new PeerProcess.CompletedKey(
-            new KeyDigest(3, -4), STAMP + 5, 7.5, 88, bytes("kept result")));
+            new KeyDigest(3, -4), ARRIVAL_UNIX_MILLIS + 5, 7.5, 88, bytes("kept result")));
     link.sendCompletion("1/0/ended", bytes("good"));
     link.sendCompletion("1/0/failed", null);
     link.sendRelease("1/0/freed");
-    link.sendIntentRequest("1/0/intend", STAMP + 6, bytes("asked"));
+    link.sendIntentRequest("1/0/intend", ARRIVAL_UNIX_MILLIS + 6, bytes("asked"));
     link.sendIntentOutcome("1/0/intend", true);
     link.sendIntentOutcome("1/0/not", false);
     link.sendResultWritten("1/0/saved");
   }
 
-  /** What another process asks, in an order in which most questions have an answer. */
+  /** Requests of another process, in an order in which most of them have an answer. */
   static List<String> questions() {
     KeyDigest settled = KeyDigest.of("1/0/settled");
     return List.of(
-        "claim 1%2F0%2Fnew " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "claim 1%2F0%2Fnew " + ARRIVAL_UNIX_MILLIS + " 4\\x0d\\x0abody\\x0d\\x0a",
         "ended 1%2F0%2Fnew 4\\x0d\\x0agood\\x0d\\x0a",
-        "claim 1%2F0%2Fnew " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
-        "claim 1%2F0%2Fnew " + STAMP + " 5\\x0d\\x0aother\\x0d\\x0a",
-        "key 1%2F0%2Ftold over " + STAMP + " 20000 4 6\\x0d\\x0abody\\x0d\\x0aresult\\x0d\\x0a",
-        "claim 1%2F0%2Ftold " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
-        "key 1%2F0%2Fopen open " + STAMP + " 20000 4 -\\x0d\\x0abody\\x0d\\x0a",
+        "claim 1%2F0%2Fnew " + ARRIVAL_UNIX_MILLIS + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "claim 1%2F0%2Fnew " + ARRIVAL_UNIX_MILLIS + " 5\\x0d\\x0aother\\x0d\\x0a",
+        "key 1%2F0%2Ftold over "
+            + ARRIVAL_UNIX_MILLIS
+            + " 20000 4 6\\x0d\\x0abody\\x0d\\x0aresult\\x0d\\x0a",
+        "claim 1%2F0%2Ftold " + ARRIVAL_UNIX_MILLIS + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "key 1%2F0%2Fopen open " + ARRIVAL_UNIX_MILLIS + " 20000 4 -\\x0d\\x0abody\\x0d\\x0a",
         "ended 1%2F0%2Fopen -\\x0d\\x0a",
-        "claim 1%2F0%2Fopen " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "claim 1%2F0%2Fopen " + ARRIVAL_UNIX_MILLIS + " 4\\x0d\\x0abody\\x0d\\x0a",
         String.format(
             "over %d %d %d 20000 %d 3\\x0d\\x0aold\\x0d\\x0a",
-            settled.high(), settled.low(), STAMP, KeyDigest.checksum(bytes("body"))),
-        "claim 1%2F0%2Fsettled " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
-        "claim 1%2F0%2Ffreed " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
+            settled.high(), settled.low(), ARRIVAL_UNIX_MILLIS, KeyDigest.checksum(bytes("body"))),
+        "claim 1%2F0%2Fsettled " + ARRIVAL_UNIX_MILLIS + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "claim 1%2F0%2Ffreed " + ARRIVAL_UNIX_MILLIS + " 4\\x0d\\x0abody\\x0d\\x0a",
         "freed 1%2F0%2Ffreed\\x0d\\x0a",
-        "intend 1%2F0%2Ffreed " + STAMP + " 4\\x0d\\x0abody\\x0d\\x0a",
+        "intend 1%2F0%2Ffreed " + ARRIVAL_UNIX_MILLIS + " 4\\x0d\\x0abody\\x0d\\x0a",
         "granted 1%2F0%2Fnew\\x0d\\x0a",
         "intended 1%2F0%2Fnew yes\\x0d\\x0a",
         "intended 1%2F0%2Fnew no\\x0d\\x0a",
@@ -163,31 +171,32 @@
   }
 
   /**
-   * Asks a core each question in turn: a line the question, then a line an answer. Behind each
-   * question the core's side says a last word, which comes only where the question was understood.
+   * Sends a coordinator each question in turn and returns a line for the question, then one for
+   * each answer. After each question the coordinator's end sends an end marker, which arrives only
+   * if the question was understood.
    */
   static List<String> exchange(Path socket, List<String> questions) throws Exception {
     RequestCoordinator core = core();
     List<String> lines = new ArrayList<>();
-    PeerLink.MessageHandler side =
-        (link, word, detail) -> {
-          if (word == Message.TAKEOVER_REQUEST) {
+    PeerLink.MessageHandler handler =
+        (link, message, detail) -> {
+          if (message == Message.TAKEOVER_REQUEST) {
             core.peer().joinPeer(link, 0);
           }
-          if (word != Message.LINK_LOST) {
+          if (message != Message.LINK_LOST) {
             link.sendRelease("9/0/last");
           }
         };
-    try (ServerSocketChannel server = PeerLink.listen(socket, core.peer(), side);
+    try (ServerSocketChannel server = PeerLink.listen(socket, core.peer(), handler);
         SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
       write(other, "take n2 over 1-2\\x0d\\x0a");
-      readToLast(other);
+      readToEndMarker(other);
       for (String question : questions) {
         lines.add("> " + question);
         write(other, question);
         write(other, "taken\\x0d\\x0a");
-        for (String answer : messages(readToLast(other))) {
-          // The time that is left of a key depends on the moment.
+        for (String answer : messages(readToEndMarker(other))) {
+          // The remaining time of a key depends on the moment.
           lines.add("< " + answer.replaceFirst("^(key \\S+ \\S+ [0-9]+) [0-9]+ ", "$1 MS "));
         }
       }
@@ -236,11 +245,11 @@
     }
   }
 
-  /** All that comes up to the last word, which is left out. */
-  private static byte[] readToLast(SocketChannel from) throws IOException {
-    byte[] last = LAST.replace("/", "%2F").getBytes(StandardCharsets.ISO_8859_1);
+  /** Reads up to the end marker, which is left out. */
+  private static byte[] readToEndMarker(SocketChannel from) throws IOException {
+    byte[] marker = END_MARKER.replace("/", "%2F").getBytes(StandardCharsets.ISO_8859_1);
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    long end = System.nanoTime() + ANSWER_MS * 1_000_000L;
+    long end = System.nanoTime() + ANSWER_TIMEOUT_MS * 1_000_000L;
     from.configureBlocking(false);
     try {
       while (System.nanoTime() < end) {
@@ -255,14 +264,15 @@
         }
         all.write(some.get(0));
         byte[] bytes = all.toByteArray();
-        if (endsWith(bytes, last)) {
-          return Arrays.copyOf(bytes, bytes.length - last.length);
+        if (endsWith(bytes, marker)) {
+          return Arrays.copyOf(bytes, bytes.length - marker.length);
         }
       }
     } finally {
       from.configureBlocking(true);
     }
-    throw new IOException("not understood; up to here it said: " + escape(all.toByteArray()));
+    throw new IOException(
+        "no end marker within the timeout; received: " + escape(all.toByteArray()));
   }
 
   private static boolean endsWith(byte[] bytes, byte[] end) {
@@ -270,14 +280,14 @@
         && Arrays.equals(bytes, bytes.length - end.length, bytes.length, end, 0, end.length);
   }
 
-  /** A line a message: its first line with the bodies that it announces. */
+  /** One line for each message: its first line with the bodies that it announces. */
   private static List<String> messages(byte[] bytes) {
     List<String> all = new ArrayList<>();
     for (int at = 0; at < bytes.length; ) {
       int next = lineEnd(bytes, at);
-      String[] words =
+      String[] fields =
           new String(bytes, at, next - at - 2, StandardCharsets.ISO_8859_1).split(" ", -1);
-      for (int length : bodies(words)) {
+      for (int length : bodies(fields)) {
         next += length + 2;
       }
       all.add(escape(Arrays.copyOfRange(bytes, at, next)));
@@ -294,14 +304,14 @@
     return at + 1;
   }
 
-  private static List<Integer> bodies(String... words) {
+  private static List<Integer> bodies(String... fields) {
     List<String> lengths =
-        switch (words[0]) {
-          case "who", "terms" -> List.of(words[1]);
-          case "claim", "intend" -> List.of(words[3]);
-          case "key" -> List.of(words[5], words[6]);
-          case "over" -> List.of(words[6]);
-          case "ended" -> List.of(words[2]);
+        switch (fields[0]) {
+          case "who", "terms" -> List.of(fields[1]);
+          case "claim", "intend" -> List.of(fields[3]);
+          case "key" -> List.of(fields[5], fields[6]);
+          case "over" -> List.of(fields[6]);
+          case "ended" -> List.of(fields[2]);
           default -> List.of();
         };
     return lengths.stream().filter(length -> !length.equals("-")).map(Integer::valueOf).toList();
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatTest.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatTest.java
@@ -22,20 +22,20 @@
 import wharftrestle.transport.PeerLink.Message;
 
 /**
- * Holds the messages between the two processes of a host against those that an earlier build said:
- * while one build takes over from another, both speak.
+ * Compares the messages between the two processes of a host with those recorded from an earlier
+ * build, as both builds exchange them during a handover.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class PeerLinkFormatTest {
-  private static final Heard END = new Heard(Message.LINK_LOST, "");
+  private static final Received LINK_LOST_MESSAGE = new Received(Message.LINK_LOST, "");
 
   @TempDir private Path folder;
 
-  /** A step as the other side is told of it. */
-  private record Heard(Message word, String detail) {}
+  /** A handover message as the handler receives it. */
+  private record Received(Message message, String detail) {}
 
   @Test
-  void everyMessageIsSaidInTheRecordedBytes() throws Exception {
+  void everyMessageIsSentInTheRecordedBytes() throws Exception {
     List<String> expected = Files.readAllLines(SENT);
 
     List<String> actual = PeerLinkFormatFixtures.sentMessages(folder.resolve("n1"));
@@ -44,56 +44,57 @@
   }
 
   @Test
-  void everyRecordedMessageIsHeardAsTheStepItWas() throws Exception {
+  void everyRecordedMessageIsParsedAsItsHandoverStep() throws Exception {
     List<String> recorded = Files.readAllLines(SENT);
     String terms = PeerLinkFormatFixtures.terms().encode();
-    List<Heard> expected =
+    List<Received> expected =
         List.of(
-            new Heard(Message.TAKEOVER_REQUEST, "1-2"),
-            new Heard(Message.PREDECESSOR_CAPABILITIES, terms),
-            new Heard(Message.SUCCESSOR_CAPABILITIES, terms),
-            new Heard(Message.ACCEPTANCE, ""),
-            new Heard(Message.REJECTION, ""),
-            new Heard(Message.RETRY_LATER, ""),
-            new Heard(Message.WITHDRAWAL, ""),
-            new Heard(Message.OWNERSHIP_RETURNED, ""),
-            new Heard(Message.KEYS_ACKNOWLEDGED, ""),
-            new Heard(Message.LISTENING, ""),
-            new Heard(Message.RELINQUISHED, ""),
-            new Heard(Message.REJECTION, "classes differ: 'save' is 50% longer\u20ac"),
-            new Heard(Message.RETRY_LATER, "busy"),
-            new Heard(Message.WITHDRAWAL, "no class 'read'"),
-            new Heard(Message.OWNERSHIP_RETURNED, "the folder is held"),
-            new Heard(Message.KEYS_COMPLETE, ""),
-            new Heard(Message.OWNERSHIP, ""),
-            new Heard(Message.LEGACY_OWNERSHIP, ""),
-            // Heard only where all messages of keys between it and the one before were understood.
-            new Heard(Message.RELINQUISHED, ""),
-            END);
-
-    List<Heard> actual = heardOf(recorded, "ceded\\x0d\\x0a");
+            new Received(Message.TAKEOVER_REQUEST, "1-2"),
+            new Received(Message.PREDECESSOR_CAPABILITIES, terms),
+            new Received(Message.SUCCESSOR_CAPABILITIES, terms),
+            new Received(Message.ACCEPTANCE, ""),
+            new Received(Message.REJECTION, ""),
+            new Received(Message.RETRY_LATER, ""),
+            new Received(Message.WITHDRAWAL, ""),
+            new Received(Message.OWNERSHIP_RETURNED, ""),
+            new Received(Message.KEYS_ACKNOWLEDGED, ""),
+            new Received(Message.LISTENING, ""),
+            new Received(Message.RELINQUISHED, ""),
+            new Received(Message.REJECTION, "classes differ: 'save' is 50% longer\u20ac"),
+            new Received(Message.RETRY_LATER, "busy"),
+            new Received(Message.WITHDRAWAL, "no class 'read'"),
+            new Received(Message.OWNERSHIP_RETURNED, "the folder is held"),
+            new Received(Message.KEYS_COMPLETE, ""),
+            new Received(Message.OWNERSHIP, ""),
+            new Received(Message.LEGACY_OWNERSHIP, ""),
+            // Received only if all messages of keys between this one and the one before were
+            // parsed.
+            new Received(Message.RELINQUISHED, ""),
+            LINK_LOST_MESSAGE);
+
+    List<Received> actual = receivedFrom(recorded, "ceded\\x0d\\x0a");
 
     assertEquals(expected, actual);
   }
 
   @Test
-  void theWishesOfEarlierBuildsAreHeardWithTheFormatThatTheyImply() throws Exception {
+  void takeoverRequestsOfEarlierBuildsImplyTheirFormat() throws Exception {
     List<String> recorded =
         List.of("take n1\\x0d\\x0a", "take n1 over\\x0d\\x0a", "take n1 over 2-3 more\\x0d\\x0a");
 
-    List<Heard> actual = heardOf(recorded, "");
+    List<Received> actual = receivedFrom(recorded, "");
 
     assertEquals(
         List.of(
-            new Heard(Message.TAKEOVER_REQUEST, "0"),
-            new Heard(Message.TAKEOVER_REQUEST, "1"),
-            new Heard(Message.TAKEOVER_REQUEST, "2-3"),
-            END),
+            new Received(Message.TAKEOVER_REQUEST, "0"),
+            new Received(Message.TAKEOVER_REQUEST, "1"),
+            new Received(Message.TAKEOVER_REQUEST, "2-3"),
+            LINK_LOST_MESSAGE),
         actual);
   }
 
   @Test
-  void theRecordedQuestionsAboutKeysHaveTheRecordedAnswers() throws Exception {
+  void recordedKeyMessagesGetTheRecordedAnswers() throws Exception {
     List<String> expected = Files.readAllLines(ANSWERS);
     List<String> questions =
         expected.stream()
@@ -107,7 +108,7 @@
   }
 
   @Test
-  void termsAreSaidInTheRecordedLines() throws Exception {
+  void capabilitiesAreEncodedInTheRecordedLines() throws Exception {
     String expected = Files.readString(TERMS);
 
     String actual = PeerLinkFormatFixtures.terms().encode();
@@ -116,7 +117,7 @@
   }
 
   @Test
-  void theRecordedTermsAreReadWithEachOfTheirFields() throws Exception {
+  void recordedCapabilitiesAreDecodedWithAllFields() throws Exception {
     String recorded = Files.readString(TERMS);
 
     Capabilities actual = Capabilities.decode(recorded);
@@ -125,7 +126,7 @@
   }
 
   @Test
-  void termsWithALineThatIsNotKnownAndWithoutAScaleAreRead() throws Exception {
+  void capabilitiesWithAnUnknownLineAndWithoutAScaleAreDecoded() throws Exception {
     String recorded = Files.readString(TERMS).replaceFirst("scale .*\n", "later some thing\n");
 
     Capabilities actual = Capabilities.decode(recorded);
@@ -134,26 +135,27 @@
     assertEquals(PeerLinkFormatFixtures.terms().keyCapacity(), actual.keyCapacity());
   }
 
-  /** Says all this on one link, and gives what its other side is told, the end included. */
-  private List<Heard> heardOf(List<String> messages, String last) throws Exception {
-    BlockingQueue<Heard> heard = new LinkedBlockingQueue<>();
-    PeerLink.MessageHandler side = (link, word, detail) -> heard.add(new Heard(word, detail));
+  /** Sends the messages on one link and returns what the handler receives, LINK_LOST included. */
+  private List<Received> receivedFrom(List<String> messages, String lastMessage) throws Exception {
+    BlockingQueue<Received> received = new LinkedBlockingQueue<>();
+    PeerLink.MessageHandler handler =
+        (link, message, detail) -> received.add(new Received(message, detail));
     Path socket = folder.resolve("n1");
     try (ServerSocketChannel server =
-            PeerLink.listen(socket, PeerLinkFormatFixtures.core().peer(), side);
-        SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
+            PeerLink.listen(socket, PeerLinkFormatFixtures.core().peer(), handler);
+        SocketChannel peer = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
       for (String message : messages) {
-        PeerLinkFormatFixtures.write(other, message);
+        PeerLinkFormatFixtures.write(peer, message);
       }
-      PeerLinkFormatFixtures.write(other, last);
-      other.shutdownOutput();
-      List<Heard> all = new ArrayList<>();
-      for (Heard next = heard.poll(10, TimeUnit.SECONDS);
+      PeerLinkFormatFixtures.write(peer, lastMessage);
+      peer.shutdownOutput();
+      List<Received> result = new ArrayList<>();
+      for (Received next = received.poll(10, TimeUnit.SECONDS);
           next != null;
-          next = next.equals(END) ? null : heard.poll(10, TimeUnit.SECONDS)) {
-        all.add(next);
+          next = next.equals(LINK_LOST_MESSAGE) ? null : received.poll(10, TimeUnit.SECONDS)) {
+        result.add(next);
       }
-      return all;
+      return result;
     }
   }
 }
--- a/src/test/java/wharftrestle/transport/PeerLinkTest.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkTest.java
@@ -16,44 +16,44 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharftrestle.transport.PeerLink.Message;
 
-/** The link between two processes of a box, where one of them has a fault of its own. */
+/** The link between the two processes of a host, with an internal error in one of them. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class PeerLinkTest {
-  /** More than the system holds for one connection. */
-  private static final int MUCH = 4 << 20;
+  /** More bytes than the kernel buffers for one connection. */
+  private static final int MORE_THAN_SOCKET_BUFFER = 4 << 20;
 
-  /** More links, one after the other, than there may be at once. */
+  /** Links opened one after the other; more than the limit of concurrent links. */
   private static final int LINKS = 6;
 
   @TempDir private Path folder;
-  private final BlockingQueue<Message> heard = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
 
   private Message next() throws InterruptedException {
-    return heard.poll(10, TimeUnit.SECONDS);
+    return received.poll(10, TimeUnit.SECONDS);
   }
 
   @Test
-  void anErrorWhileHearingMakesDeafButNeitherEndsTheLinkNorKeepsItsPlace() throws Exception {
-    Path at = folder.resolve("n1");
-    PeerLink.MessageHandler side =
-        (link, word, detail) -> {
-          heard.add(word);
-          throw new OutOfMemoryError("made up");
+  void errorInTheHandlerMutesTheLinkWithoutClosingItOrLeakingItsPermit() throws Exception {
+    Path path = folder.resolve("n1");
+    PeerLink.MessageHandler handler =
+        (link, message, detail) -> {
+          received.add(message);
+          throw new OutOfMemoryError("injected");
         };
-    try (ServerSocketChannel server = PeerLink.listen(at, null, side)) {
+    try (ServerSocketChannel server = PeerLink.listen(path, null, handler)) {
       assertTrue(server.isOpen());
       for (int i = 0; i < LINKS; i++) {
-        try (SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(at))) {
-          other.write(ByteBuffer.wrap(BoundedReader.ascii("taken\r\n")));
+        try (SocketChannel peer = SocketChannel.open(UnixDomainSocketAddress.of(path))) {
+          peer.write(ByteBuffer.wrap(BoundedReader.ascii("taken\r\n")));
           assertEquals(Message.KEYS_ACKNOWLEDGED, next(), "link " + i);
-          ByteBuffer more = ByteBuffer.allocate(MUCH);
+          ByteBuffer more = ByteBuffer.allocate(MORE_THAN_SOCKET_BUFFER);
           while (more.hasRemaining()) {
-            other.write(
-                more); // would break off at a closed link: its end says that a process has ended
+            peer.write(
+                more); // would fail on a closed link, whose end means that a process has ended
           }
-          assertTrue(heard.isEmpty());
+          assertTrue(received.isEmpty());
         }
-        assertEquals(Message.LINK_LOST, next(), "the end of the other side alone");
+        assertEquals(Message.LINK_LOST, next(), "only the peer's close ends the link");
       }
     }
   }
