--- a/src/test/java/wharftrestle/transport/ServerTest.java
+++ b/src/test/java/wharftrestle/transport/ServerTest.java
@@ -21,77 +21,77 @@
 import wharftrestle.transport.Connection.Merit;
 
 /**
- * How connections end, on real sockets: a gate in the front or in the peer says which side goes
- * first.
+ * How connections end, on real sockets. A latch in the front end or in the peer determines which
+ * side acts first.
  */
-@Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // a story may spin
+@Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // a test may spin
 class ServerTest {
   private static final int WAIT_MS = 10_000;
-  private static final String BYE = "bye";
+  private static final String GO_AWAY = "bye";
 
   private final Counters counters = new Counters(List.of());
   private final BlockingQueue<Connection> served = new LinkedBlockingQueue<>();
 
-  /** Opened by the story: until then a front has not gone on. */
+  /** Opened by the test; front ends wait for it. */
   private final CountDownLatch gate = new CountDownLatch(1);
 
   /**
-   * Reads bytes, each of them a request: 'x' is malformed, 'w' waits at the gate and is answered,
-   * any other at once.
+   * Each byte is a request: 'x' is malformed, 'w' is answered once the gate is open, any other at
+   * once.
    */
-  private class Bytewise implements Server.Front {
+  private class ByteFrontend implements Server.Front {
     @Override
     public void serve(Connection connection) throws IOException {
       served.add(connection);
-      connection.settled();
+      connection.markInputHandled();
       for (int c = connection.in().read(); c >= 0; c = connection.in().read()) {
         if (c == 'x') {
           throw new Server.MalformedException("x");
         }
         connection.heard(Merit.HEARD);
-        if (connection.begin()) {
+        if (connection.beginRequest()) {
           byte[] answer = {(byte) Character.toUpperCase(c)};
-          Runnable end =
+          Runnable finish =
               () -> {
                 connection.send(answer);
-                connection.end();
+                connection.completeRequest();
               };
           if (c == 'w') {
             new Thread(
                     () -> {
                       awaitGate();
-                      end.run();
+                      finish.run();
                     })
                 .start();
           } else {
-            end.run();
+            finish.run();
           }
         }
         if (connection.in().available() == 0) {
-          connection.settled();
+          connection.markInputHandled();
         }
       }
     }
 
     @Override
-    public boolean sayClosing(Connection connection) {
-      connection.send(BoundedReader.ascii(BYE));
+    public boolean notifyClosing(Connection connection) {
+      connection.send(BoundedReader.ascii(GO_AWAY));
       return true;
     }
   }
 
   /**
-   * Whose word to go takes as long as the gate is shut, as a write to a peer that reads nothing;
-   * not to silent peers.
+   * A front end whose go-away message blocks until the gate is open, like a write to a peer that
+   * does not read; messages to silent peers do not block.
    */
-  private Server.Front deaf() {
-    return new Bytewise() {
+  private Server.Front blockingGoAway() {
+    return new ByteFrontend() {
       @Override
-      public boolean sayClosing(Connection connection) {
+      public boolean notifyClosing(Connection connection) {
         if (connection.merit() != Merit.SILENT) {
           awaitGate();
         }
-        return super.sayClosing(connection);
+        return super.notifyClosing(connection);
       }
     };
   }
@@ -104,22 +104,23 @@
     }
   }
 
-  private Server server(int most) throws IOException {
-    return server(most, new Bytewise());
+  private Server server(int maxConnections) throws IOException {
+    return server(maxConnections, new ByteFrontend());
   }
 
-  private Server server(int most, Server.Front front) throws IOException {
-    return server(most, 16, front);
+  private Server server(int maxConnections, Server.Front frontend) throws IOException {
+    return server(maxConnections, 16, frontend);
   }
 
-  private Server server(int most, int leaving, Server.Front front) throws IOException {
+  private Server server(int maxConnections, int maxClosing, Server.Front frontend)
+      throws IOException {
     Server server =
         new Server(
             "test",
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            most,
-            leaving,
-            front,
+            maxConnections,
+            maxClosing,
+            frontend,
             counters);
     server.listen(false, true);
     return server;
@@ -137,7 +138,7 @@
     return new String(socket.getInputStream().readNBytes(bytes), StandardCharsets.ISO_8859_1);
   }
 
-  private static String rest(Socket socket) throws IOException {
+  private static String readRemaining(Socket socket) throws IOException {
     return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
   }
 
@@ -146,23 +147,23 @@
   }
 
   /**
-   * Waits until so many requests are owed their answers: one is still for an instant after its peer
-   * has it.
+   * Waits until this number of requests is in flight; a request still counts for an instant after
+   * its peer has the answer.
    */
-  private static void awaitOwed(Server server, int requests) {
-    while (server.connections().stream().mapToInt(Connection::owed).sum() != requests) {
+  private static void awaitInFlight(Server server, int requests) {
+    while (server.connections().stream().mapToInt(Connection::inFlight).sum() != requests) {
       Thread.onSpinWait();
     }
   }
 
-  private static void awaitNone(Server server) {
+  private static void awaitNoConnections(Server server) {
     while (!server.connections().isEmpty()) {
       Thread.onSpinWait();
     }
   }
 
   @Test
-  void whatWasReadBeforeNonsenseIsAnsweredBeforeTheClose() throws Exception {
+  void requestsBeforeMalformedInputAreAnsweredBeforeTheClose() throws Exception {
     try (Server server = server(8);
         Socket peer = peer(server)) {
       server.start();
@@ -170,20 +171,24 @@
       assertEquals("A", read(peer, 1));
       write(
           peer,
-          "x" + "z".repeat(20_000)); // and more behind it, which a bare close would reset over
+          "x"
+              + "z"
+                  .repeat(
+                      20_000)); // and more input after it, over which a plain close would reset the
+      // connection
       while (counters.get(Count.MALFORMED) == 0) {
         Thread.onSpinWait();
       }
       gate.countDown();
-      assertEquals("W", rest(peer), "its answer, then an end and no reset");
+      assertEquals("W", readRemaining(peer), "the answer, then a close without a reset");
     }
   }
 
   @Test
-  void aLongAnswerIsReadWholeThoughItsPeerWritesBehindTheEnd() throws Exception {
+  void longAnswerArrivesWholeThoughThePeerWritesAfterTheShutdown() throws Exception {
     byte[] answer = new byte[400_000];
     CountDownLatch returned = new CountDownLatch(1);
-    Server.Front front =
+    Server.Front frontend =
         connection -> {
           connection.in().read();
           for (int sent = 0; sent < answer.length; sent += 4000) {
@@ -191,121 +196,125 @@
           }
           returned.countDown();
         };
-    try (Server server = server(8, front);
+    try (Server server = server(8, frontend);
         Socket peer = peer(server)) {
       server.start();
       write(peer, "a" + "z".repeat(3000));
       returned.await();
-      write(peer, "z"); // crosses the end of the other side
+      write(peer, "z"); // crosses the shutdown of the server's output
       assertEquals(answer.length, peer.getInputStream().readAllBytes().length);
     }
   }
 
   @Test
-  void whoRestsIsToldThenHalfClosedAndItsLateWordIsDroppedWithoutAReset() throws Exception {
+  void goAwayIsFollowedByHalfCloseAndLateInputIsDiscardedWithoutAReset() throws Exception {
     try (Server server = server(8);
         Socket peer = peer(server)) {
       server.start();
       write(peer, "w");
-      awaitOwed(server, 1);
+      awaitInFlight(server, 1);
       server.goAway();
-      assertEquals(BYE, read(peer, 3));
-      write(peer, "b"); // crosses the word: it is taken, as an answer is owed still
+      assertEquals(GO_AWAY, read(peer, 3));
+      write(peer, "b"); // crosses the go-away message: accepted, as a request is still in flight
       assertEquals("B", read(peer, 1));
       gate.countDown();
       assertEquals("W", read(peer, 1));
-      assertEquals(-1, peer.getInputStream().read(), "its end");
-      write(peer, "c"); // crosses the end: it is not taken, and not reset either
+      assertEquals(-1, peer.getInputStream().read(), "end of stream");
+      write(peer, "c"); // crosses the shutdown: neither accepted nor reset
       write(peer, "d");
       assertEquals(-1, peer.getInputStream().read());
       peer.close();
-      awaitNone(server);
+      awaitNoConnections(server);
     }
   }
 
   @Test
-  void anEndWaitsForTheAnswerThatIsOwed() throws Exception {
+  void closeWaitsForRequestsInFlight() throws Exception {
     try (Server server = server(8);
         Socket peer = peer(server)) {
       server.start();
       write(peer, "w");
       Connection connection = served.take();
-      while (connection.owed() == 0) {
+      while (connection.inFlight() == 0) {
         Thread.onSpinWait();
       }
       server.finish();
-      assertEquals(BYE, read(peer, 3));
+      assertEquals(GO_AWAY, read(peer, 3));
       assertEquals(ConnectionState.Phase.CLOSING, connection.phase());
-      write(peer, "b"); // after the end was decided: nothing is taken
+      write(peer, "b"); // after finish(): not accepted
       gate.countDown();
-      assertEquals("W", rest(peer));
+      assertEquals("W", readRemaining(peer));
     }
   }
 
   @Test
-  void aPeerThatHasEndedItsSideHasItsAnswersThenTheEnd() throws Exception {
+  void peerThatShutDownItsOutputGetsItsAnswersBeforeTheClose() throws Exception {
     try (Server server = server(8);
         Socket peer = peer(server)) {
       server.start();
       write(peer, "ww");
-      awaitOwed(server, 2);
+      awaitInFlight(server, 2);
       peer.shutdownOutput();
-      assertEquals(BYE, read(peer, 3), "its end was read");
+      assertEquals(GO_AWAY, read(peer, 3), "the server has read the end of the input");
       gate.countDown();
-      String rest = rest(peer);
-      assertEquals("WW", rest.replace(BYE, ""), "whatever is said to see whether it is there");
-      awaitNone(server);
+      String received = readRemaining(peer);
+      assertEquals(
+          "WW", received.replace(GO_AWAY, ""), "apart from go-away messages that probe the peer");
+      awaitNoConnections(server);
     }
   }
 
   @Test
-  void aPeerThatIsGoneIsKnownToBeSoByTheWordToGo() throws Exception {
-    CountDownLatch gone = new CountDownLatch(1);
-    Server.Front front =
-        new Bytewise() {
+  void goAwayMessageDetectsADisconnectedPeer() throws Exception {
+    CountDownLatch disconnected = new CountDownLatch(1);
+    Server.Front frontend =
+        new ByteFrontend() {
           @Override
           public void serve(Connection connection) throws IOException {
-            connection.whenGone(gone::countDown);
+            connection.onDisconnect(disconnected::countDown);
             super.serve(connection);
           }
         };
-    try (Server server = server(8, front);
+    try (Server server = server(8, frontend);
         Socket peer = peer(server)) {
       server.start();
       write(peer, "w");
-      awaitOwed(server, 1);
+      awaitInFlight(server, 1);
       peer.close();
       assertTrue(
-          gone.await(WAIT_MS, TimeUnit.MILLISECONDS), "long before its answer, which never comes");
+          disconnected.await(WAIT_MS, TimeUnit.MILLISECONDS),
+          "long before its answer, which is never sent");
     }
   }
 
   @Test
-  void aPeerThatNeverEndsItsSideIsClosedInTheEnd() throws Exception {
+  void peerThatNeverClosesIsClosedAfterTheDeadline() throws Exception {
     try (Server server = server(8);
         Socket peer = peer(server)) {
       server.start();
       write(peer, "a");
       assertEquals("A", read(peer, 1));
       server.finish();
-      assertEquals(BYE, rest(peer));
-      awaitNone(server);
+      assertEquals(GO_AWAY, readRemaining(peer));
+      awaitNoConnections(server);
     }
   }
 
   @Test
-  void aNewcomerWithoutRoomHearsItsEndThoughItHasWritten() throws Exception {
+  void peerRejectedAtTheLimitGetsAGoAwayThoughItHasWritten() throws Exception {
     try (Server server = server(1);
         Socket first = peer(server);
         Socket second = peer(server)) {
       write(first, "w");
-      write(second, "never read"); // both wait, with their bytes, before the first is accepted
+      write(
+          second, "never read"); // both are queued, with their bytes, before the first is accepted
       server.start();
       Connection busy = served.take();
-      while (busy.owed() == 0) {
+      while (busy.inFlight() == 0) {
         Thread.onSpinWait();
       }
-      assertEquals(BYE, rest(second), "no room, as the first is owed its answer");
+      assertEquals(
+          GO_AWAY, readRemaining(second), "rejected, as the first has a request in flight");
       assertEquals(1, counters.get(Count.CONNECTIONS_REJECTED));
       gate.countDown();
       assertEquals("W", read(first, 1));
@@ -313,22 +322,22 @@
   }
 
   @Test
-  void aThreadThatCannotBeHadTurnsItsConnectionAwayAndTheNextIsServed() throws Exception {
-    CountDownLatch once = new CountDownLatch(1);
-    Bytewise bytewise = new Bytewise();
-    Server.Front front =
+  void errorInAConnectionThreadClosesItsConnectionAndTheNextIsServed() throws Exception {
+    CountDownLatch firstCall = new CountDownLatch(1);
+    ByteFrontend byteFrontend = new ByteFrontend();
+    Server.Front frontend =
         connection -> {
-          if (once.getCount() > 0) {
-            once.countDown();
-            throw new OutOfMemoryError("made up");
+          if (firstCall.getCount() > 0) {
+            firstCall.countDown();
+            throw new OutOfMemoryError("injected");
           }
-          bytewise.serve(connection);
+          byteFrontend.serve(connection);
         };
-    try (Server server = server(8, front);
+    try (Server server = server(8, frontend);
         Socket first = peer(server)) {
       server.start();
       write(first, "a");
-      assertEquals("", rest(first), "an orderly end");
+      assertEquals("", readRemaining(first), "closed without a reset");
       try (Socket second = peer(server)) {
         write(second, "a");
         assertEquals("A", read(second, 1));
@@ -337,65 +346,69 @@
   }
 
   @Test
-  void roomIsMadeByWhoOwesNothing() throws Exception {
+  void connectionWithoutRequestsInFlightIsEvicted() throws Exception {
     try (Server server = server(2);
-        Socket rests = peer(server);
-        Socket works = peer(server)) {
+        Socket idlePeer = peer(server);
+        Socket busyPeer = peer(server)) {
       server.start();
-      write(rests, "a");
-      assertEquals("A", read(rests, 1));
-      awaitOwed(server, 0);
-      write(works, "w");
-      awaitOwed(server, 1);
-      try (Socket comes = peer(server)) {
-        write(comes, "c");
-        assertEquals("C", read(comes, 1), "who comes with work gets in");
-        assertEquals(BYE, rest(rests), "who rests is told, and ends");
+      write(idlePeer, "a");
+      assertEquals("A", read(idlePeer, 1));
+      awaitInFlight(server, 0);
+      write(busyPeer, "w");
+      awaitInFlight(server, 1);
+      try (Socket newPeer = peer(server)) {
+        write(newPeer, "c");
+        assertEquals("C", read(newPeer, 1), "a new peer with a request is served");
+        assertEquals(
+            GO_AWAY, readRemaining(idlePeer), "the idle peer is sent a go-away and closed");
         gate.countDown();
-        assertEquals("W", read(works, 1));
+        assertEquals("W", read(busyPeer, 1));
       }
     }
   }
 
   @Test
-  void whoCannotBeToldToGoHoldsUpNeitherNewcomersNorTheEnd() throws Exception {
-    Server.Front deaf = deaf();
-    try (Server server = server(1, deaf);
-        Socket rests = peer(server)) {
+  void blockedGoAwayDelaysNeitherNewConnectionsNorTheShutdown() throws Exception {
+    Server.Front blockingGoAway = blockingGoAway();
+    try (Server server = server(1, blockingGoAway);
+        Socket idlePeer = peer(server)) {
       server.start();
-      write(rests, "a");
-      assertEquals("A", read(rests, 1));
-      awaitOwed(server, 0);
-      try (Socket comes = peer(server)) {
-        write(comes, "c");
-        assertEquals("C", read(comes, 1), "room was made");
-        server.goAway(); // comes back at once
+      write(idlePeer, "a");
+      assertEquals("A", read(idlePeer, 1));
+      awaitInFlight(server, 0);
+      try (Socket newPeer = peer(server)) {
+        write(newPeer, "c");
+        assertEquals("C", read(newPeer, 1), "an idle peer was evicted");
+        server.goAway(); // returns at once
         gate.countDown();
-        assertEquals(BYE, rest(comes));
-        assertEquals(BYE, rest(rests));
+        assertEquals(GO_AWAY, readRemaining(newPeer));
+        assertEquals(GO_AWAY, readRemaining(idlePeer));
       }
     }
   }
 
   @Test
-  void silentPeersMakeRoomForWorkThoughAllWhoSayTheWordAreHeldUp() throws Exception {
-    int words = 4; // threads that say it
+  void silentPeersAreEvictedThoughAllGoAwayThreadsAreBlocked() throws Exception {
+    int goAwayThreads = 4; // threads that send it
     List<Socket> peers = new ArrayList<>();
-    try (Server server = server(words + 1, words + 1, deaf())) {
+    try (Server server = server(goAwayThreads + 1, goAwayThreads + 1, blockingGoAway())) {
       server.start();
-      for (int i = 0; i < words; i++) {
+      for (int i = 0; i < goAwayThreads; i++) {
         peers.add(peer(server));
-        write(peers.get(i), "w"); // owed an answer: not to be closed for others
+        write(peers.get(i), "w"); // in flight: must not be evicted
       }
-      awaitOwed(server, words);
+      awaitInFlight(server, goAwayThreads);
       server.goAway();
-      for (int i = 0; i < words + 2; i++) {
-        peers.add(peer(server)); // silent ones, one more than there is room for
+      for (int i = 0; i < goAwayThreads + 2; i++) {
+        peers.add(peer(server)); // silent peers, one more than the limit
       }
-      try (Socket comes = peer(server)) {
-        write(comes, "c");
-        assertEquals("C", read(comes, 1), "who comes with work gets in");
-        assertEquals(BYE, rest(peers.get(words)), "the first silent one is told, and ends");
+      try (Socket newPeer = peer(server)) {
+        write(newPeer, "c");
+        assertEquals("C", read(newPeer, 1), "a new peer with a request is served");
+        assertEquals(
+            GO_AWAY,
+            readRemaining(peers.get(goAwayThreads)),
+            "the first silent peer is sent a go-away and closed");
         assertEquals(0, counters.get(Count.CONNECTIONS_REJECTED));
       }
       gate.countDown();
@@ -407,25 +420,25 @@
   }
 
   @Test
-  void allThatWaitsAtAListenerThatEndsIsTaken() throws Exception {
+  void connectionsQueuedAtAClosingListenerAreAccepted() throws Exception {
     try (Server server = server(8);
-        Socket one = peer(server);
-        Socket two = peer(server)) {
-      write(one, "a");
-      write(two, "b");
+        Socket first = peer(server);
+        Socket second = peer(server)) {
+      write(first, "a");
+      write(second, "b");
       server.start();
       server.stopListening();
-      server.goAway(); // those that came just before
-      for (Socket each : List.of(one, two)) {
-        String all = rest(each);
-        assertTrue(all.contains(BYE) && all.length() == 4, all);
+      server.goAway(); // includes the two accepted last
+      for (Socket each : List.of(first, second)) {
+        String received = readRemaining(each);
+        assertTrue(received.contains(GO_AWAY) && received.length() == 4, received);
       }
     }
   }
 
   @Test
-  void aPeerThatReadsNothingIsCutAndItsThreadsComeBack() throws Exception {
-    Server.Front flood =
+  void peerThatReadsNothingIsClosedAndItsThreadsEnd() throws Exception {
+    Server.Front floodingFrontend =
         connection -> {
           connection.in().read();
           new Thread(
@@ -437,14 +450,14 @@
               .start();
           connection.in().read();
         };
-    try (Server server = server(8, flood);
+    try (Server server = server(8, floodingFrontend);
         Socket peer = peer(server)) {
       server.start();
       write(peer, "a");
       while (counters.get(Count.CONNECTIONS_UNREAD) == 0) {
         Thread.onSpinWait();
       }
-      awaitNone(server);
+      awaitNoConnections(server);
     }
   }
 }
