--- a/src/main/java/wharftrestle/transport/Connection.java
+++ b/src/main/java/wharftrestle/transport/Connection.java
@@ -77,7 +77,7 @@
   /**
    * The input of the front end: ends when the peer closes, or when no request is accepted any more.
    */
-  private final class Input extends BoundedReader.Timed {
+  private final class Input extends BoundedReader.DeadlineInputStream {
     private volatile boolean isAtEnd;
     private volatile boolean isReset;
 
