--- a/src/main/java/wharftrestle/config/DaemonConfig.java
+++ b/src/main/java/wharftrestle/config/DaemonConfig.java
@@ -92,7 +92,7 @@
   public String canonical(Appliance appliance) {
     StringBuilder text = new StringBuilder(1024);
     AdmissionSettings s = settings;
-    put(
+    appendValues(
         text,
         stopSeconds,
         cores,
@@ -118,7 +118,7 @@
         s.weighting().overQuota(),
         s.timing().tickSeconds());
     text.append(s.capacity().preemption()).append(' ').append(s.calls().dependency()).append(' ');
-    put(
+    appendValues(
         text,
         s.fleet().notifiesCallerGone(),
         s.fleet().healthChecksExecute(),
@@ -131,8 +131,8 @@
           .append(' ')
           .append(idempotencyName(each.idempotency()))
           .append(' ');
-      put(text, each.callsDependency());
-      put(
+      appendValues(text, each.callsDependency());
+      appendValues(
           text,
           each.latencyObjectiveSeconds(),
           each.latencyObjectiveStretch(),
@@ -144,7 +144,7 @@
     }
     for (Admission.Tenant each : s.tenants()) {
       text.append('\n').append(each.name()).append(' ');
-      put(text, each.quotaPerSecond(), each.serviceFraction());
+      appendValues(text, each.quotaPerSecond(), each.serviceFraction());
     }
     text.append('\n').append(s.gauges());
     text.append('\n')
@@ -160,7 +160,8 @@
     Durable durable = appliance.durable();
     if (durable != null) {
       text.append('\n').append(durable.folder()).append(' ').append(durable.sync()).append(' ');
-      put(text, (double) durable.most(), durable.keys(), durable.queue(), durable.patience());
+      appendValues(
+          text, (double) durable.most(), durable.keys(), durable.queue(), durable.patience());
     }
     return text.toString();
   }
@@ -176,13 +177,13 @@
     };
   }
 
-  private static void put(StringBuilder text, double... numbers) {
+  private static void appendValues(StringBuilder text, double... numbers) {
     for (double number : numbers) {
       text.append(number).append(' ');
     }
   }
 
-  private static void put(StringBuilder text, boolean... flags) {
+  private static void appendValues(StringBuilder text, boolean... flags) {
     for (boolean flag : flags) {
       text.append(flag).append(' ');
     }
--- a/src/main/java/wharftrestle/frontend/RespFrontend.java
+++ b/src/main/java/wharftrestle/frontend/RespFrontend.java
@@ -86,20 +86,20 @@
   private static final Pattern REFERENCE = Pattern.compile("[0-9a-f]{16}");
   private static final byte[] CLOSING = array("0", "closing", "", new byte[0]);
 
-  private final RequestCoordinator core;
+  private final RequestCoordinator coordinator;
   private final Counters counters;
   private final Map<String, Integer> classes = new HashMap<>();
   private final Map<String, Integer> tenants = new HashMap<>();
 
-  public RespFrontend(RequestCoordinator core, Counters counters) {
-    this.core = core;
+  public RespFrontend(RequestCoordinator coordinator, Counters counters) {
+    this.coordinator = coordinator;
     this.counters = counters;
-    List<Admission.RequestClass> requestClasses = core.settings().classes();
+    List<Admission.RequestClass> requestClasses = coordinator.settings().classes();
     for (int i = 0; i < requestClasses.size(); i++) {
       classes.put(requestClasses.get(i).name(), i);
     }
-    for (int i = 0; i < core.settings().tenants().size(); i++) {
-      tenants.put(core.settings().tenants().get(i).name(), i);
+    for (int i = 0; i < coordinator.settings().tenants().size(); i++) {
+      tenants.put(coordinator.settings().tenants().get(i).name(), i);
     }
   }
 
@@ -114,7 +114,7 @@
     Map<String, Acceptance.InFlight> openRequests = new ConcurrentHashMap<>();
     int invalidCount = 0;
     int messageCount = 0;
-    connection.onDisconnect(() -> openRequests.values().forEach(core::callerDisconnected));
+    connection.onDisconnect(() -> openRequests.values().forEach(coordinator::callerDisconnected));
     // Announces that this front end reports handled input. A peer whose next message always arrives
     // in time would otherwise never cause such a report, and could be closed while a message is
     // half read.
@@ -162,13 +162,13 @@
         Acceptance.InFlight abandoned = openRequests.remove(tag);
         if (abandoned != null) {
           connection.completeRequest();
-          core.callerDisconnected(abandoned);
+          coordinator.callerDisconnected(abandoned);
         }
       }
       case "STATUS" -> {
         counters.add(Count.HEALTH_CHECKS);
         connection.heard(Connection.Merit.HEARD);
-        connection.send(array(tag, core.isHealthy() ? "healthy" : "sick", "", new byte[0]));
+        connection.send(array(tag, coordinator.isHealthy() ? "healthy" : "sick", "", new byte[0]));
       }
       default -> throw new MalformedException("unknown command");
     }
@@ -197,12 +197,11 @@
     IncomingRequest request = parseRequest(parts);
     connection.heard(Connection.Merit.HEARD);
     if (!connection.beginRequest()) {
-      return; // the connection is closing and nothing was executed: the front end sends the request
-      // again
+      return; // closing, nothing was executed: the front end sends the request again
     }
     AnswerWriter answerWriter = new AnswerWriter(connection, openRequests, tag);
     synchronized (answerWriter) {
-      if (core.accept(request, answerWriter) instanceof Acceptance.InFlight inFlight) {
+      if (coordinator.accept(request, answerWriter) instanceof Acceptance.InFlight inFlight) {
         openRequests.put(tag, inFlight);
       } else {
         connection.completeRequest();
@@ -226,7 +225,7 @@
       throw new InvalidException("unknown class or tenant, or no valid reference");
     }
     boolean isKeyed =
-        core.settings().classes().get(classIndex).idempotency()
+        coordinator.settings().classes().get(classIndex).idempotency()
             == Admission.Idempotency.IDEMPOTENCY_KEY;
     String idempotencyKey = isKeyed ? fields.getOrDefault("unique", "") : null;
     String subject = fields.get("item");
@@ -362,7 +361,7 @@
       connection.markInputHandled();
     }
     for (; ; ) {
-      double idleTimeout = core.idleTimeoutSeconds();
+      double idleTimeout = coordinator.idleTimeoutSeconds();
       long pollMillis =
           idleTimeout > 0
               ? Math.max(MIN_IDLE_POLL_MS, Math.min(MAX_IDLE_POLL_MS, (long) (idleTimeout * 1000)))
@@ -374,7 +373,7 @@
             isSilent ? firstDeadline : System.nanoTime() + MESSAGE_TIMEOUT_MS * 1_000_000L);
         return firstByte;
       } catch (SocketTimeoutException timeout) {
-        double timeoutSeconds = core.idleTimeoutSeconds();
+        double timeoutSeconds = coordinator.idleTimeoutSeconds();
         boolean isIdle =
             timeoutSeconds > 0
                 && System.nanoTime() - connection.lastMessageNanos() > timeoutSeconds * 1e9;
--- a/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
+++ b/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
@@ -55,21 +55,22 @@
     }
   }
 
-  private final RequestCoordinator core;
+  private final RequestCoordinator coordinator;
   private final Counters counters;
-  private final double heldKb;
+  private final double memoryKb;
   private final Map<String, Integer> classes = new HashMap<>();
   private final Map<String, Integer> tenants = new HashMap<>();
   private final double[] classRanks;
   private final AtomicLong references;
 
-  public UwsgiFrontend(RequestCoordinator core, Counters counters, long seed, double heldKb) {
-    this.core = core;
+  public UwsgiFrontend(
+      RequestCoordinator coordinator, Counters counters, long seed, double memoryKb) {
+    this.coordinator = coordinator;
     this.counters = counters;
-    this.heldKb = heldKb;
+    this.memoryKb = memoryKb;
     // References share the worker pool's name space with the random ones of the platform.
     references = new AtomicLong(seed * 0x9E3779B97F4A7C15L ^ System.nanoTime());
-    List<Admission.RequestClass> requestClasses = core.settings().classes();
+    List<Admission.RequestClass> requestClasses = coordinator.settings().classes();
     classRanks = new double[requestClasses.size()];
     for (int i = 0; i < requestClasses.size(); i++) {
       classes.put(requestClasses.get(i).name(), i);
@@ -78,8 +79,8 @@
             other.weight() < requestClasses.get(i).weight() ? 1.0 / requestClasses.size() : 0;
       }
     }
-    for (int i = 0; i < core.settings().tenants().size(); i++) {
-      tenants.put(core.settings().tenants().get(i).name(), i);
+    for (int i = 0; i < coordinator.settings().tenants().size(); i++) {
+      tenants.put(coordinator.settings().tenants().get(i).name(), i);
     }
   }
 
@@ -105,7 +106,7 @@
     if (request == null) {
       counters.add(Count.HEALTH_CHECKS);
       connection.send(
-          core.isHealthy()
+          coordinator.isHealthy()
               ? response("200 OK", "", BoundedReader.ascii("healthy\n"))
               : response("503 Service Unavailable", "", BoundedReader.ascii("sick\n")));
       return;
@@ -115,9 +116,9 @@
     }
     AtomicReference<Acceptance> acceptance = new AtomicReference<>();
     connection.onDisconnect(
-        () -> core.callerDisconnected(acceptance.get())); // has no effect after the answer
+        () -> coordinator.callerDisconnected(acceptance.get())); // has no effect after the answer
     acceptance.set(
-        core.accept(
+        coordinator.accept(
             request,
             answer -> {
               connection.send(response(answer));
@@ -129,10 +130,9 @@
       connection.readUntil(System.nanoTime() + DISCONNECT_POLL_MS * 1_000_000L);
       try {
         if (connection.in().read() < 0) {
-          return; // closed by the gateway or after the answer; further bytes on the connection are
-          // not a request
+          return; // closed by the gateway or after the answer
         }
-        extraBytes++;
+        extraBytes++; // not a request, as a connection carries only one
       } catch (SocketTimeoutException timeout) {
         continue;
       }
@@ -175,7 +175,7 @@
           "400 Bad Request", "TENANT or X-Tenant names no tenant of this site");
     }
     boolean isKeyed =
-        core.settings().classes().get(classIndex).idempotency()
+        coordinator.settings().classes().get(classIndex).idempotency()
             == Admission.Idempotency.IDEMPOTENCY_KEY;
     String key = vars.getOrDefault("HTTP_IDEMPOTENCY_KEY", "");
     if (isKeyed && (key.isEmpty() || key.length() > MAX_KEY_CHARS)) {
@@ -188,7 +188,7 @@
         false,
         classIndex,
         tenantIndex,
-        heldKb,
+        memoryKb,
         -1,
         classRanks[classIndex],
         0,
--- a/src/main/java/wharftrestle/transport/Connection.java
+++ b/src/main/java/wharftrestle/transport/Connection.java
@@ -22,8 +22,7 @@
 public final class Connection {
 
   /**
-   * How far a peer has used its connection; lower values are evicted first when connections run
-   * out.
+   * How far a peer has used its connection; lower values are evicted first at the connection limit.
    */
   public enum Merit {
     SILENT,
--- a/src/main/java/wharftrestle/transport/ConnectionState.java
+++ b/src/main/java/wharftrestle/transport/ConnectionState.java
@@ -15,11 +15,13 @@
  * <table>
  * <caption>Phases; any other transition throws IllegalStateException</caption>
  * <tr><td>OPEN</td><td>requests are accepted</td><td>to GOING_AWAY, CLOSING, CLOSED</td></tr>
- * <tr><td>GOING_AWAY</td><td>the peer was sent a go-away message; requests that cross it are still accepted</td>
+ * <tr><td>GOING_AWAY</td><td>the peer was sent a go-away message;
+ *     requests that cross it are still accepted</td>
  *     <td>to CLOSING, CLOSED</td></tr>
  * <tr><td>CLOSING</td><td>no request is accepted; those in flight are still answered</td>
  *     <td>to HALF_CLOSED, CLOSED</td></tr>
- * <tr><td>HALF_CLOSED</td><td>all answers are written and the output is shut down; input is discarded until the peer closes</td>
+ * <tr><td>HALF_CLOSED</td><td>all answers are written and the output is shut down;
+ *     input is discarded until the peer closes</td>
  *     <td>to CLOSED</td></tr>
  * <tr><td>CLOSED</td><td>nothing is sent or read</td><td></td></tr>
  * </table>
@@ -243,10 +245,11 @@
   }
 
   /**
-   * Polled by another thread than the reader, at intervals of some ten milliseconds. Returns true
+   * Polled by a thread other than the reader, at intervals of some ten milliseconds. Returns true
    * if the connection was idle at the previous poll too and nothing was read in between. A single
    * poll is not enough: bytes may have left the kernel's buffer before the reading thread has
-   * recorded them. At the second poll it has, or the read falls between the two.
+   * recorded them. By the second poll the read has been recorded, or it falls between the two
+   * polls.
    *
    * @param unreadBytes bytes in the kernel's receive buffer
    */
--- a/src/main/java/wharftrestle/transport/PeerLink.java
+++ b/src/main/java/wharftrestle/transport/PeerLink.java
@@ -30,8 +30,8 @@
  * the two {@link PeerCoordinator}s and the steps of the handover, in order. Key ownership and the
  * time to listen are decided elsewhere. Senders return at once, except where {@link PeerProcess}
  * says that they wait. The link stays open while both processes live, because its end means that a
- * process has ended; after a message that cannot be parsed, the link stays open but is no longer
- * read or written.
+ * process has ended; after a message that cannot be handled, the link stays open, but further input
+ * is discarded and nothing more is written.
  */
 public final class PeerLink implements PeerProcess, Closeable {
 
@@ -104,7 +104,7 @@
   private static final int MAX_LINKS = 4;
 
   private final SocketChannel channel;
-  private final PeerCoordinator core;
+  private final PeerCoordinator coordinator;
   private final MessageHandler handler;
   private final LinkedBlockingQueue<byte[]> outgoing = new LinkedBlockingQueue<>();
   private long queuedCount;
@@ -112,9 +112,9 @@
   private boolean isClosed;
   private volatile boolean isMuted;
 
-  private PeerLink(SocketChannel channel, PeerCoordinator core, MessageHandler handler) {
+  private PeerLink(SocketChannel channel, PeerCoordinator coordinator, MessageHandler handler) {
     this.channel = channel;
-    this.core = core;
+    this.coordinator = coordinator;
     this.handler = handler;
   }
 
@@ -122,9 +122,10 @@
    * Connects to a process that is already serving; null if there is none. Messages are read from
    * {@link #start} on.
    */
-  public static PeerLink connect(Path path, PeerCoordinator core, MessageHandler handler) {
+  public static PeerLink connect(Path path, PeerCoordinator coordinator, MessageHandler handler) {
     try {
-      return new PeerLink(SocketChannel.open(UnixDomainSocketAddress.of(path)), core, handler);
+      return new PeerLink(
+          SocketChannel.open(UnixDomainSocketAddress.of(path)), coordinator, handler);
     } catch (IOException | RuntimeException e) {
       return null; // no such socket file, or a stale one
     }
@@ -134,7 +135,7 @@
    * Listens for further processes on this socket file, replacing a stale one; null if that fails.
    */
   public static ServerSocketChannel listen(
-      Path path, PeerCoordinator core, MessageHandler handler) {
+      Path path, PeerCoordinator coordinator, MessageHandler handler) {
     ServerSocketChannel server;
     try {
       Files.deleteIfExists(path);
@@ -153,7 +154,7 @@
                   linkPermits.acquire();
                   SocketChannel channel = server.accept();
                   try {
-                    PeerLink link = new PeerLink(channel, core, handler);
+                    PeerLink link = new PeerLink(channel, coordinator, handler);
                     PlatformThreads.thread(
                             "box",
                             () -> {
@@ -262,8 +263,7 @@
       InputStream in =
           new BufferedInputStream(
               new BoundedReader.BlockInputStream() {
-                // The channel's own stream holds its lock during a read, which would block all
-                // writes.
+                // The channel's own stream would block all writes during a read.
                 @Override
                 public int read(byte[] buffer, int offset, int length) throws IOException {
                   return channel.read(ByteBuffer.wrap(buffer, offset, Math.min(length, 4096)));
@@ -276,7 +276,7 @@
         }
       } catch (Server.MalformedException | RuntimeException | Error e) {
         Logger.error(
-            "peer process link: message cannot be handled, link unused until the peer process ends: {}",
+            "peer process link: message not handled, link unused until the peer process ends: {}",
             e.toString());
         mute();
         for (byte[] discarded = new byte[4096]; in.read(discarded) >= 0; ) {
@@ -319,7 +319,7 @@
       case "ceded" -> deliver(Message.RELINQUISHED, "");
       case "over" -> {
         requireFields(fields, 7);
-        core.keySettled(
+        coordinator.keySettled(
             new CompletedKey(
                 new KeyDigest(Long.parseLong(fields[1]), Long.parseLong(fields[2])),
                 Long.parseLong(fields[3]),
@@ -331,7 +331,7 @@
         requireFields(fields, 7);
         byte[] body = readBody(in, fields[5]);
         byte[] result = fields[6].equals("-") ? null : readBody(in, fields[6]);
-        core.keyUpdated(
+        coordinator.keyUpdated(
             new KeyUpdate(
                 decodeKey(fields[1]),
                 fields[2].equals("over"),
@@ -342,25 +342,26 @@
       }
       case "claim" -> {
         requireFields(fields, 4);
-        core.keyClaimed(decodeKey(fields[1]), Long.parseLong(fields[2]), readBody(in, fields[3]));
+        coordinator.keyClaimed(
+            decodeKey(fields[1]), Long.parseLong(fields[2]), readBody(in, fields[3]));
       }
-      case "granted" -> core.keyGranted(decodeKey(fields[1]));
+      case "granted" -> coordinator.keyGranted(decodeKey(fields[1]));
       case "ended" -> {
         requireFields(fields, 3);
-        core.executionCompleted(
+        coordinator.executionCompleted(
             decodeKey(fields[1]), fields[2].equals("-") ? null : readBody(in, fields[2]));
       }
-      case "freed" -> core.keyReleased(decodeKey(fields[1]));
+      case "freed" -> coordinator.keyReleased(decodeKey(fields[1]));
       case "intend" -> {
         requireFields(fields, 4);
         readBody(in, fields[3]);
-        core.intentRequested(decodeKey(fields[1]));
+        coordinator.intentRequested(decodeKey(fields[1]));
       }
       case "intended" -> {
         requireFields(fields, 3);
-        core.intentWritten(decodeKey(fields[1]), fields[2].equals("yes"));
+        coordinator.intentWritten(decodeKey(fields[1]), fields[2].equals("yes"));
       }
-      case "saved" -> core.resultSaved(decodeKey(fields[1]));
+      case "saved" -> coordinator.resultSaved(decodeKey(fields[1]));
       default ->
           throw new Server.MalformedException(
               "unknown message of the peer process: '" + fields[0] + "'");
@@ -416,8 +417,7 @@
       }
     } catch (IOException | RuntimeException | Error e) {
       Logger.debug("handover: cannot write a message: {}", e.toString());
-      mute(); // the reading thread sees the end of the link; nothing may follow a message written
-      // in part
+      mute(); // a message may be written in part; the reading thread sees the end of the link
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/wharftrestle/transport/Server.java
+++ b/src/main/java/wharftrestle/transport/Server.java
@@ -342,8 +342,7 @@
    * Rank of a connection for eviction; the lowest is evicted first, among equals the one idle
    * longest.
    */
-  @SuppressWarnings(
-      "EnumOrdinal") // ranks within this process only; Merit is declared in ascending order
+  @SuppressWarnings("EnumOrdinal") // a rank; Merit is declared in ascending order
   private static int evictionRank(Connection each, long now) {
     long idleNanos = now - each.lastMessageNanos();
     boolean isSilent = each.merit() == Merit.SILENT;
--- a/src/main/java/wharftrestle/upstream/WorkerPoolClient.java
+++ b/src/main/java/wharftrestle/upstream/WorkerPoolClient.java
@@ -50,8 +50,8 @@
   private static final int SILENCE_TIMEOUT_MS = 2000;
 
   /**
-   * A break may lose what was sent up to 50 ms before it; commands sent this long before an
-   * answered poll have arrived.
+   * A break may lose what was sent up to 50 ms before it; a command sent this long before an
+   * answered poll counts as received.
    */
   private static final long LOSS_WINDOW_NANOS = 150_000_000L;
 
@@ -64,7 +64,7 @@
   private static final byte[] CRLF = {'\r', '\n'};
 
   private volatile InetSocketAddress address;
-  private final RequestCoordinator core;
+  private final RequestCoordinator coordinator;
   private final Counters counters;
 
   /**
@@ -160,9 +160,10 @@
     }
   }
 
-  public WorkerPoolClient(InetSocketAddress address, RequestCoordinator core, Counters counters) {
+  public WorkerPoolClient(
+      InetSocketAddress address, RequestCoordinator coordinator, Counters counters) {
     this.address = address;
-    this.core = core;
+    this.coordinator = coordinator;
     this.counters = counters;
   }
 
@@ -258,12 +259,12 @@
             synchronized (unacknowledged) {
               unacknowledged.clear();
             }
-            core.workerPoolRestarted();
+            coordinator.workerPoolRestarted();
             throw new IOException("the worker pool has restarted since its last announcement");
           }
           current.socket.setSoTimeout(SILENCE_TIMEOUT_MS);
           current.isBound = true;
-          core.workerPoolStarted(fields[1].equals("new"), secondsAgo);
+          coordinator.workerPoolStarted(fields[1].equals("new"), secondsAgo);
           if (hasBoundBefore) {
             current.commands.add(encodeLine("poll " + barrierTag));
             current.flush();
@@ -275,7 +276,7 @@
           byte[] result = fields.length > 5 ? readBody(fields[5], in) : new byte[0];
           if (acceptAnnouncement(fields[1])) {
             acknowledge(fields[2]);
-            core.executionCompleted(
+            coordinator.executionCompleted(
                 fields[2],
                 parseOutcome(fields[3]),
                 BoundedReader.parseMillisAsSeconds(fields[4]),
@@ -287,7 +288,7 @@
           byte[] call = readBody(fields[3], in);
           if (acceptAnnouncement(fields[1])) {
             acknowledge(fields[2]);
-            core.executionBlocked(fields[2], lastAnnouncement, call);
+            coordinator.executionBlocked(fields[2], lastAnnouncement, call);
           }
         }
         case "polled" -> {
@@ -295,7 +296,7 @@
           Long pollTime = current.takePollTime(fields[1]);
           if (pollTime != null) {
             acknowledgeSentBefore(current, pollTime);
-            core.gaugesReceived(parseGauges(fields));
+            coordinator.gaugesReceived(parseGauges(fields));
           } else if (fields[1].equals(barrierTag)) {
             resendUnacknowledged(current);
             current.flush();
@@ -307,7 +308,7 @@
           counters.add(Count.UNKNOWN_COMMANDS);
           acknowledge(fields[2]);
           // No command reaches this execution: it never began, or its end was lost.
-          core.executionCompleted(
+          coordinator.executionCompleted(
               fields[2], fields[1].equals("spawn") ? Outcome.VOID : Outcome.FAILURE, 0, null);
         }
         case "chatter" -> {
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatFixtures.java
@@ -176,18 +176,18 @@
    * if the question was understood.
    */
   static List<String> exchange(Path socket, List<String> questions) throws Exception {
-    RequestCoordinator core = core();
+    RequestCoordinator coordinator = coordinator();
     List<String> lines = new ArrayList<>();
     PeerLink.MessageHandler handler =
         (link, message, detail) -> {
           if (message == Message.TAKEOVER_REQUEST) {
-            core.peer().joinPeer(link, 0);
+            coordinator.peer().joinPeer(link, 0);
           }
           if (message != Message.LINK_LOST) {
             link.sendRelease("9/0/last");
           }
         };
-    try (ServerSocketChannel server = PeerLink.listen(socket, core.peer(), handler);
+    try (ServerSocketChannel server = PeerLink.listen(socket, coordinator.peer(), handler);
         SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
       write(other, "take n2 over 1-2\\x0d\\x0a");
       readToEndMarker(other);
@@ -204,8 +204,8 @@
     return lines;
   }
 
-  static RequestCoordinator core() {
-    RequestCoordinator core =
+  static RequestCoordinator coordinator() {
+    RequestCoordinator coordinator =
         new RequestCoordinator(
             settings(),
             7,
@@ -213,9 +213,9 @@
             KeyMemoryBudget.of(1 << 20),
             AdmissionController::new,
             new Counters(List.of("read", "keyed")));
-    core.start(new SilentPool(), null, good -> {});
-    core.workerPoolStarted(false, 100);
-    return core;
+    coordinator.start(new SilentPool(), null, good -> {});
+    coordinator.workerPoolStarted(false, 100);
+    return coordinator;
   }
 
   private static AdmissionSettings settings() {
--- a/src/test/java/wharftrestle/transport/PeerLinkFormatTest.java
+++ b/src/test/java/wharftrestle/transport/PeerLinkFormatTest.java
@@ -142,7 +142,7 @@
         (link, message, detail) -> received.add(new Received(message, detail));
     Path socket = folder.resolve("n1");
     try (ServerSocketChannel server =
-            PeerLink.listen(socket, PeerLinkFormatFixtures.core().peer(), handler);
+            PeerLink.listen(socket, PeerLinkFormatFixtures.coordinator().peer(), handler);
         SocketChannel peer = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
       for (String message : messages) {
         PeerLinkFormatFixtures.write(peer, message);
