--- a/src/main/java/wharftrestle/frontend/RespFrontend.java
+++ b/src/main/java/wharftrestle/frontend/RespFrontend.java
@@ -77,10 +77,10 @@
    */
   private static final int MIN_IDLE_POLL_MS = 200;
 
-  /** Milliseconds from the opening of a connection for its first message. */
+  /** Milliseconds from the opening of a connection to the completion of its first message. */
   private static final int FIRST_MESSAGE_MS = 2500;
 
-  /** Milliseconds for any other message; longer than a machine is paused. */
+  /** Milliseconds to complete any other message; longer than a machine may be paused. */
   private static final int MESSAGE_TIMEOUT_MS = 10_000;
 
   private static final Pattern REFERENCE = Pattern.compile("[0-9a-f]{16}");
--- a/src/main/java/wharftrestle/transport/Connection.java
+++ b/src/main/java/wharftrestle/transport/Connection.java
@@ -269,8 +269,8 @@
   }
 
   /**
-   * Enforces the deadlines of the connection; nothing else does. Called by the server's accept
-   * thread every some ten milliseconds.
+   * Enforces all deadlines of the connection. Called by the server's accept thread at intervals of
+   * tens of milliseconds, and while input is discarded.
    *
    * @param isShuttingDown true while the server stops: a peer that does not read is closed sooner
    */
@@ -295,8 +295,8 @@
 
   /**
    * Returns true if closing the socket now loses nothing: all answers are written and no input is
-   * unread, or the peer never sent a complete message. Clients treat a first request on a
-   * connection closed by the server as failed.
+   * unread, or the peer never sent a complete message. In the latter case the client treats a
+   * request that it sent first on the connection as failed.
    */
   boolean isSafeToClose() {
     try {
--- a/src/main/java/wharftrestle/transport/ConnectionState.java
+++ b/src/main/java/wharftrestle/transport/ConnectionState.java
@@ -245,11 +245,10 @@
   }
 
   /**
-   * Polled by a thread other than the reader, at intervals of some ten milliseconds. Returns true
-   * if the connection was idle at the previous poll too and nothing was read in between. A single
-   * poll is not enough: bytes may have left the kernel's buffer before the reading thread has
-   * recorded them. By the second poll the read has been recorded, or it falls between the two
-   * polls.
+   * Polled by a thread other than the reader, at intervals of tens of milliseconds. Returns true if
+   * the connection was idle at the previous poll too and nothing was read in between. A single poll
+   * is not enough: bytes may have left the kernel's buffer before the reading thread has recorded
+   * them. By the second poll the read has been recorded, or it falls between the two polls.
    *
    * @param unreadBytes bytes in the kernel's receive buffer
    */
--- a/src/main/java/wharftrestle/transport/Server.java
+++ b/src/main/java/wharftrestle/transport/Server.java
@@ -393,7 +393,7 @@
           // the socket's send buffer. Otherwise new connections with requests would be rejected
           // while the go-away messages to silent peers are still queued.
           candidate.goAway();
-          candidate.finish(); // clients treat a first request on a closed connection as failed
+          candidate.finish(); // the client treats a first request sent meanwhile as failed
         } else {
           requestGoAway(candidate, Connection.UNHURRIED_GO_AWAY_MS);
         }
