--- a/src/main/java/wharftrestle/upstream/WorkerPoolClient.java
+++ b/src/main/java/wharftrestle/upstream/WorkerPoolClient.java
@@ -385,7 +385,7 @@
       case "cut" -> Outcome.WITHDRAWN;
       case "gone" -> Outcome.VOID;
       default ->
-          throw new Server.MalformedException("unknown outcome of an execution: '" + result + "'");
+          throw new Server.MalformedException("unknown result of an execution: '" + result + "'");
     };
   }
 
