--- a/src/main/java/wharftrestle/admin/AdminConsole.java
+++ b/src/main/java/wharftrestle/admin/AdminConsole.java
@@ -13,36 +13,36 @@
 import wharftrestle.transport.BoundedReader;
 
 /**
- * The operator's end of the door, on a terminal or in a script. It owns the prompt and the names of
- * the commands, and nothing of the daemon; the daemon goes on whatever happens here.
+ * The admin console: a client of the admin endpoint for a terminal or a script. It maps command
+ * names to HTTP requests. Leaving or killing the console does not affect the daemon.
  */
 public final class AdminConsole {
-  private static final int CONNECT_MS = 3000;
-  private static final int ANSWER_MS = 10_000;
-  private static final int LONGEST_ANSWER = 256 * 1024;
-  private static final String HELP =
+  private static final int CONNECT_TIMEOUT_MS = 3000;
+  private static final int READ_TIMEOUT_MS = 10_000;
+  private static final int MAX_RESPONSE_BYTES = 256 * 1024;
+  private static final String HELP_TEXT =
       """
-            ready         whether this process takes clients
-            vars          the figures: requests by class and result, runs, requests outstanding
-            status        state, worker pool link, health, requests in hand
-            version       build, settings and formats of the running process
-            results       the figures of results kept over restarts
-            counters      all that was taken in, sent and answered since the start
-            lameduck on   health checks and reports turn bad; what arrives is served
-            lameduck off  take clients again
-            drain         answer what is in hand, take nothing more, exit
-            help          this list
-            quit          leave the console; the daemon goes on
+            ready         whether this process accepts clients
+            vars          metrics: requests by class and result, executions, requests in flight
+            status        state, worker pool connection, health, requests in flight
+            version       build, settings and format versions of the running process
+            results       metrics of the results stored across restarts
+            counters      all counters since the process started
+            lameduck on   report unhealthy to health checks and in load reports; still serve
+            lameduck off  accept clients again
+            drain         finish the requests in flight, accept no more, exit
+            help          show this list
+            quit          leave the console; the daemon keeps running
             """;
-  private static final Map<String, String> CALLS = new LinkedHashMap<>();
+  private static final Map<String, String> REQUEST_LINES = new LinkedHashMap<>();
 
   static {
-    for (String read : new String[] {"ready", "vars", "status", "version", "results", "counters"}) {
-      CALLS.put(read, "GET /_" + read);
+    for (String command : new String[] {"ready", "vars", "status", "version", "results", "counters"}) {
+      REQUEST_LINES.put(command, "GET /_" + command);
     }
-    CALLS.put("lameduck on", "POST /_lameduck/on");
-    CALLS.put("lameduck off", "POST /_lameduck/off");
-    CALLS.put("drain", "POST /_drain");
+    REQUEST_LINES.put("lameduck on", "POST /_lameduck/on");
+    REQUEST_LINES.put("lameduck off", "POST /_lameduck/off");
+    REQUEST_LINES.put("drain", "POST /_drain");
   }
 
   private final BufferedReader in;
@@ -56,13 +56,13 @@
   }
 
   /**
-   * Sends one command, or asks for commands until the end; the exit code is 1 where the answer was
-   * no.
+   * Sends one command, or reads commands until the end of the input if it is null. Returns the exit
+   * code: 1 if the command or the connection failed.
    */
   public int attach(InetSocketAddress address, String command) {
     try {
       if (command != null) {
-        return ask(address, command) ? 0 : 1;
+        return execute(address, command) ? 0 : 1;
       }
       out.println(
           "attached to "
@@ -70,8 +70,8 @@
               + ":"
               + address.getPort()
               + "; 'help' lists the commands");
-      for (String word = prompt(); word != null && !word.equals("quit"); word = prompt()) {
-        ask(address, word);
+      for (String input = readCommand(); input != null && !input.equals("quit"); input = readCommand()) {
+        execute(address, input);
       }
       return 0;
     } catch (IOException e) {
@@ -86,42 +86,42 @@
     }
   }
 
-  private String prompt() throws IOException {
+  private String readCommand() throws IOException {
     out.print("wharftrestle> ");
     out.flush();
     String line = in.readLine();
     return line == null ? null : line.trim();
   }
 
-  private boolean ask(InetSocketAddress address, String word) throws IOException {
-    String name = word.trim().replaceAll("\\s+", " ");
-    String call = CALLS.get(name);
-    if (call == null) {
+  private boolean execute(InetSocketAddress address, String input) throws IOException {
+    String name = input.trim().replaceAll("\\s+", " ");
+    String requestLine = REQUEST_LINES.get(name);
+    if (requestLine == null) {
       out.print(
-          name.isEmpty() || name.equals("help") ? HELP : "no such command; 'help' lists them\n");
+          name.isEmpty() || name.equals("help") ? HELP_TEXT : "no such command; 'help' lists them\n");
       return name.isEmpty() || name.equals("help");
     }
     try (Socket socket = new Socket()) {
-      socket.connect(address, CONNECT_MS);
-      socket.setSoTimeout(ANSWER_MS);
+      socket.connect(address, CONNECT_TIMEOUT_MS);
+      socket.setSoTimeout(READ_TIMEOUT_MS);
       socket
           .getOutputStream()
           .write(
               BoundedReader.ascii(
-                  call
+                  requestLine
                       + " HTTP/1.1\r\nHost: "
                       + address.getHostString()
                       + ":"
                       + address.getPort()
                       + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"));
-      String answer =
-          new String(socket.getInputStream().readNBytes(LONGEST_ANSWER), StandardCharsets.UTF_8);
-      int body = answer.indexOf("\r\n\r\n");
-      if (body < 0 || !answer.matches("(?s)HTTP/1\\.[01] [1-5][0-9][0-9] .*")) {
-        throw new IOException("no answer of a daemon");
+      String response =
+          new String(socket.getInputStream().readNBytes(MAX_RESPONSE_BYTES), StandardCharsets.UTF_8);
+      int headerEnd = response.indexOf("\r\n\r\n");
+      if (headerEnd < 0 || !response.matches("(?s)HTTP/1\\.[01] [1-5][0-9][0-9] .*")) {
+        throw new IOException("invalid HTTP response from the admin endpoint");
       }
-      out.print(answer.substring(body + 4));
-      return answer.charAt(9) == '2';
+      out.print(response.substring(headerEnd + 4));
+      return response.charAt(9) == '2';
     }
   }
 }
--- a/src/main/java/wharftrestle/admin/AdminServer.java
+++ b/src/main/java/wharftrestle/admin/AdminServer.java
@@ -19,23 +19,23 @@
 import wharftrestle.version.Version;
 
 /**
- * The operators' door: HTTP/1.1, one call a connection. It shows what the daemon counts and passes
- * on what operators ask for. It must never touch a request, wait for the core's lock to show a
- * figure, or let a call that never comes whole hold up one that does.
+ * Serves the admin endpoint: HTTP/1.1, one call per connection. It reports the metrics and state of
+ * the daemon and forwards operator commands to it. It does not touch client requests, reads metrics
+ * without the lock of the core, and lets no incomplete call delay a complete one.
  */
 public final class AdminServer implements Server.Front {
 
-  /** What the operator's tools may see and ask of the daemon. */
+  /** The daemon's state and commands available to the admin endpoint and the SNMP agent. */
   public interface Daemon {
     String name();
 
-    /** The named state of the program. */
+    /** The name of the current state of the process. */
     String phase();
 
-    /** Its place among the states, from 1. */
+    /** The number of the current state, from 1. */
     int phaseNumber();
 
-    /** True while this process takes clients. */
+    /** Returns whether this process accepts clients. */
     boolean ready();
 
     boolean linked();
@@ -46,191 +46,187 @@
 
     Counters counters();
 
-    /** The figures of kept results; empty where none are kept. */
+    /** The metrics of result storage; empty if results are not stored. */
     Map<ResultMetric, Long> results();
 
-    /** What this process is. */
+    /** The build, settings and format versions of this process. */
     Version version();
 
-    /**
-     * How far the hand-over between the processes of this box is, and why it waits where it does.
-     */
+    /** The progress of the handover between the processes of this host, and what it waits for. */
     String handover();
 
-    /** The classes of requests, in the order of the settings. */
+    /** The request classes, in the order of the settings. */
     List<Admission.RequestClass> classes();
 
-    /** Where a rolling change of the fleet stands, as the keeper said last. */
+    /** The rollout status last reported by the supervisor. */
     RolloutStatus fleet();
 
-    void fleet(RolloutStatus said);
+    void fleet(RolloutStatus status);
 
-    /** Sends callers away, or takes them again; false where the daemon leaves for good. */
+    /** Turns lame duck mode on or off; returns false if the daemon is shutting down. */
     boolean lameDuck(boolean on);
 
-    /** Gives the notice to leave. */
+    /** Starts a graceful shutdown. */
     void leave();
   }
 
   /**
-   * Milliseconds in which a call is whole: an answer is due within a second, that to half a call
-   * too.
+   * Time limit for receiving a call: every call, also an incomplete one, is answered within a
+   * second.
    */
-  private static final int CALL_MS = 700;
+  private static final int REQUEST_TIMEOUT_MS = 700;
 
-  private static final int LONGEST_LINE = 1024;
-  private static final int LONGEST_HEAD = 4096;
-  private static final int LONGEST_BODY = 1024;
+  private static final int MAX_LINE_BYTES = 1024;
+  private static final int MAX_HEAD_BYTES = 4096;
+  private static final int MAX_BODY_BYTES = 1024;
 
-  /** An answer: the status line's end, further header lines, and the text. */
-  private record Answer(String status, String fields, String text) {
-    static Answer ok(String text) {
-      return new Answer("200 OK", "", text);
+  /** A response: status code and reason, additional header lines, and the body. */
+  private record Response(String status, String headers, String text) {
+    static Response ok(String text) {
+      return new Response("200 OK", "", text);
     }
 
-    static Answer error(String status) {
-      return new Answer(status, "", status.substring(4).toLowerCase(Locale.ROOT) + "\n");
+    static Response error(String status) {
+      return new Response(status, "", status.substring(4).toLowerCase(Locale.ROOT) + "\n");
     }
   }
 
-  /**
-   * What is done at one path, and by which method; told what stands behind the question mark, empty
-   * for nothing.
-   */
-  private record Call(String method, Function<String, Answer> act) {}
+  /** The method and handler of one path. The handler receives the query string, empty if absent. */
+  private record Endpoint(String method, Function<String, Response> handler) {}
 
   private final Daemon daemon;
-  private final Map<String, Call> calls;
+  private final Map<String, Endpoint> endpoints;
 
   public AdminServer(Daemon daemon) {
     this.daemon = daemon;
-    calls =
+    endpoints =
         Map.ofEntries(
-            call(
+            endpoint(
                 "/_ready",
                 "GET",
                 query ->
                     daemon.ready()
-                        ? Answer.ok("yes\n")
-                        : new Answer(
+                        ? Response.ok("yes\n")
+                        : new Response(
                             "503 Service Unavailable", "", "no: " + daemon.phase() + "\n")),
-            call("/_vars", "GET", query -> Answer.ok(daemon.counters().statsdLines())),
-            call("/_status", "GET", query -> Answer.ok(status())),
-            call("/_version", "GET", query -> Answer.ok(daemon.version().table())),
-            call("/_results", "GET", query -> Answer.ok(results())),
-            call("/_counters", "GET", query -> Answer.ok(daemon.counters().table())),
-            call("/_figures", "GET", query -> Answer.ok(figures())),
-            call("/_fleet", "POST", this::fleet),
-            call("/_lameduck/on", "POST", query -> lameDuck(true)),
-            call("/_lameduck/off", "POST", query -> lameDuck(false)),
-            call(
+            endpoint("/_vars", "GET", query -> Response.ok(daemon.counters().statsdLines())),
+            endpoint("/_status", "GET", query -> Response.ok(status())),
+            endpoint("/_version", "GET", query -> Response.ok(daemon.version().table())),
+            endpoint("/_results", "GET", query -> Response.ok(results())),
+            endpoint("/_counters", "GET", query -> Response.ok(daemon.counters().table())),
+            endpoint("/_figures", "GET", query -> Response.ok(figures())),
+            endpoint("/_fleet", "POST", this::fleet),
+            endpoint("/_lameduck/on", "POST", query -> lameDuck(true)),
+            endpoint("/_lameduck/off", "POST", query -> lameDuck(false)),
+            endpoint(
                 "/_drain",
                 "POST",
                 query -> {
                   daemon.leave();
-                  return new Answer(
+                  return new Response(
                       "202 Accepted",
                       "",
                       "leaving: what is in hand is answered, then the program ends\n");
                 }));
   }
 
-  private static Map.Entry<String, Call> call(
-      String path, String method, Function<String, Answer> act) {
-    return Map.entry(path, new Call(method, act));
+  private static Map.Entry<String, Endpoint> endpoint(
+      String path, String method, Function<String, Response> handler) {
+    return Map.entry(path, new Endpoint(method, handler));
   }
 
   @Override
   public void serve(Connection connection) throws IOException {
-    connection.readUntil(connection.openedAt() + CALL_MS * 1_000_000L);
-    Answer answer;
+    connection.readUntil(connection.openedAt() + REQUEST_TIMEOUT_MS * 1_000_000L);
+    Response response;
     boolean head = false;
     try {
       InputStream in = connection.in();
-      String[] request = BoundedReader.line(in, LONGEST_LINE).split(" ", -1);
-      Answer wrong = rest(request, in);
+      String[] request = BoundedReader.line(in, MAX_LINE_BYTES).split(" ", -1);
+      Response rejection = readHeadersAndBody(request, in);
       connection.heard(Connection.Merit.HEARD);
       head = request[0].equals("HEAD");
-      answer = wrong != null ? wrong : answer(head ? "GET" : request[0], request[1]);
-    } catch (SocketTimeoutException half) {
-      // Guards against callers that say nothing, or half a call, and stay.
-      answer = Answer.error("408 Request Timeout");
+      response = rejection != null ? rejection : dispatch(head ? "GET" : request[0], request[1]);
+    } catch (SocketTimeoutException e) {
+      // A client that sends nothing or an incomplete call must not keep the connection open.
+      response = Response.error("408 Request Timeout");
     } catch (MalformedException e) {
-      answer = Answer.error("400 Bad Request");
-    } catch (EOFException end) {
+      response = Response.error("400 Bad Request");
+    } catch (EOFException e) {
       return;
     }
-    byte[] text = answer.text().getBytes(StandardCharsets.UTF_8);
-    String top =
+    byte[] text = response.text().getBytes(StandardCharsets.UTF_8);
+    String header =
         "HTTP/1.1 "
-            + answer.status()
+            + response.status()
             + "\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: "
             + text.length
             + "\r\n"
-            + answer.fields()
+            + response.headers()
             + "Cache-Control: no-store\r\nConnection: close\r\n\r\n";
-    connection.send(BoundedReader.join(BoundedReader.ascii(top), head ? new byte[0] : text));
+    connection.send(BoundedReader.join(BoundedReader.ascii(header), head ? new byte[0] : text));
   }
 
   /**
-   * The head's other lines and the body, which no call here needs; what is wrong with them, or
-   * null.
+   * Reads and discards the headers and the body, which no call here needs: closing with unread
+   * bytes would reset the connection before the client reads the response. Returns an error
+   * response, or null if the request is valid.
    */
-  private static Answer rest(String[] request, InputStream in) throws IOException {
+  private static Response readHeadersAndBody(String[] request, InputStream in) throws IOException {
     if (request.length != 3 || !request[1].startsWith("/")) {
-      throw new MalformedException("no request line");
+      throw new MalformedException("invalid request line");
     }
     if (!request[2].matches("HTTP/1\\.[01]")) {
       return request[2].matches("HTTP/[0-9](\\.[0-9])?")
-          ? Answer.error("505 HTTP Version Not Supported")
-          : Answer.error("400 Bad Request");
+          ? Response.error("505 HTTP Version Not Supported")
+          : Response.error("400 Bad Request");
     }
-    int room = LONGEST_HEAD;
+    int remainingBytes = MAX_HEAD_BYTES;
     long length = 0;
-    for (String line = BoundedReader.line(in, LONGEST_LINE);
+    for (String line = BoundedReader.line(in, MAX_LINE_BYTES);
         !line.isEmpty();
-        line = BoundedReader.line(in, LONGEST_LINE)) {
-      room -= line.length() + 2;
+        line = BoundedReader.line(in, MAX_LINE_BYTES)) {
+      remainingBytes -= line.length() + 2;
       int colon = line.indexOf(':');
       if (colon < 1) {
-        throw new MalformedException("no header");
+        throw new MalformedException("invalid header line");
       }
-      if (room < 0) {
-        return Answer.error("431 Request Header Fields Too Large");
+      if (remainingBytes < 0) {
+        return Response.error("431 Request Header Fields Too Large");
       }
       String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
       if (name.equals("transfer-encoding")) {
-        return Answer.error("411 Length Required");
+        return Response.error("411 Length Required");
       }
       if (name.equals("content-length")) {
         length = BoundedReader.number(line.substring(colon + 1).trim(), Long.MAX_VALUE);
       }
     }
-    if (length > LONGEST_BODY) {
-      return Answer.error("413 Content Too Large");
+    if (length > MAX_BODY_BYTES) {
+      return Response.error("413 Content Too Large");
     }
     BoundedReader.exactly(in, (int) length);
     return null;
   }
 
-  private Answer answer(String method, String target) {
+  private Response dispatch(String method, String target) {
     int query = target.indexOf('?');
-    Call call = calls.get(query < 0 ? target : target.substring(0, query));
-    if (call == null) {
-      return Answer.error("404 Not Found");
+    Endpoint endpoint = endpoints.get(query < 0 ? target : target.substring(0, query));
+    if (endpoint == null) {
+      return Response.error("404 Not Found");
     }
-    if (!call.method().equals(method)) {
-      return new Answer(
+    if (!endpoint.method().equals(method)) {
+      return new Response(
           "405 Method Not Allowed",
-          "Allow: " + (call.method().equals("GET") ? "GET, HEAD" : "POST") + "\r\n",
+          "Allow: " + (endpoint.method().equals("GET") ? "GET, HEAD" : "POST") + "\r\n",
           "method not allowed\n");
     }
-    return call.act().apply(query < 0 ? "" : target.substring(query + 1));
+    return endpoint.handler().apply(query < 0 ? "" : target.substring(query + 1));
   }
 
   /**
-   * All that a keeper looks at, in one call: a line a part, {@code name value}; a class's name
-   * stands last on its line.
+   * Everything that a supervisor polls, in one response: lines of {@code name value}. The name of a
+   * request class is the last field of its line.
    */
   private String figures() {
     Counters counters = daemon.counters();
@@ -257,16 +253,16 @@
     List<Admission.RequestClass> classes = daemon.classes();
     for (int i = 0; i < classes.size(); i++) {
       long served = counters.get(i, Counters.Result.SERVED);
-      long refused = counters.get(i, Counters.Result.REJECTED);
+      long rejected = counters.get(i, Counters.Result.REJECTED);
       long failed = counters.get(i, Counters.Result.FAILED);
       lines.append(
           String.format(
               Locale.ROOT,
               "class %d %d %d %d %d %s %s %s%n",
-              served + refused + failed,
+              served + rejected + failed,
               served,
               counters.servedAfterObjectiveCount(i),
-              refused,
+              rejected,
               failed,
               classes.get(i).weight(),
               classes.get(i).weightAfterObjective(),
@@ -275,56 +271,53 @@
     return lines.toString();
   }
 
-  private Answer fleet(String query) {
-    RolloutStatus said = RolloutStatus.read(query);
-    if (said == null) {
-      return new Answer("400 Bad Request", "", "expected epoch=N&stage=N&verdict=WORD\n");
+  private Response fleet(String query) {
+    RolloutStatus status = RolloutStatus.read(query);
+    if (status == null) {
+      return new Response("400 Bad Request", "", "expected epoch=N&stage=N&verdict=WORD\n");
     }
-    daemon.fleet(said);
-    return Answer.ok(said.line() + "\n");
+    daemon.fleet(status);
+    return Response.ok(status.line() + "\n");
   }
 
-  private Answer lameDuck(boolean on) {
+  private Response lameDuck(boolean on) {
     return daemon.lameDuck(on)
-        ? Answer.ok("lame duck " + (on ? "on" : "off") + "\n")
-        : new Answer("409 Conflict", "", "the daemon is " + daemon.phase() + "\n");
+        ? Response.ok("lame duck " + (on ? "on" : "off") + "\n")
+        : new Response("409 Conflict", "", "the daemon is " + daemon.phase() + "\n");
   }
 
-  /**
-   * Guards against a reset that overtakes the answer: what a caller still sends is read before the
-   * close.
-   */
+  /** The metrics of result storage, one per line. */
   private String results() {
-    Map<ResultMetric, Long> figures = daemon.results();
-    if (figures.isEmpty()) {
+    Map<ResultMetric, Long> metrics = daemon.results();
+    if (metrics.isEmpty()) {
       return "off\n";
     }
     StringBuilder lines = new StringBuilder();
-    figures.forEach(
-        (figure, value) ->
+    metrics.forEach(
+        (metric, value) ->
             lines.append(
                 String.format(
                     Locale.ROOT,
                     "%-21s %12d  %s%n",
-                    figure.publishedName(),
+                    metric.publishedName(),
                     value,
-                    figure.description())));
+                    metric.description())));
     return lines.toString();
   }
 
-  /** One line: what matters most of kept results. */
+  /** Summarizes the state of result storage in one line. */
   private String resultsLine() {
-    Map<ResultMetric, Long> f = daemon.results();
-    if (f.isEmpty()) {
+    Map<ResultMetric, Long> metrics = daemon.results();
+    if (metrics.isEmpty()) {
       return "off";
     }
-    long refused =
-        f.entrySet().stream()
+    long rejected =
+        metrics.entrySet().stream()
             .filter(each -> each.getKey().isRejection())
             .mapToLong(Map.Entry::getValue)
             .sum();
     String state =
-        switch (f.get(ResultMetric.STATE).intValue()) {
+        switch (metrics.get(ResultMetric.STATE).intValue()) {
           case 1 -> "not held here";
           case 2 -> "open";
           default -> "THE DISK FAILS";
@@ -333,26 +326,26 @@
         Locale.ROOT,
         "%s, %d kB, sync %.1f ms (99 in 100: %.1f), %d refused, %d unsaved%s",
         state,
-        f.get(ResultMetric.SIZE_KB),
-        f.get(ResultMetric.SYNC_P50_US) / 1000.0,
-        f.get(ResultMetric.SYNC_P99_US) / 1000.0,
-        refused,
-        f.get(ResultMetric.UNSAVED_RESULTS),
-        f.get(ResultMetric.DAMAGED) > 0 ? ", FOUND DAMAGED" : "");
+        metrics.get(ResultMetric.SIZE_KB),
+        metrics.get(ResultMetric.SYNC_P50_US) / 1000.0,
+        metrics.get(ResultMetric.SYNC_P99_US) / 1000.0,
+        rejected,
+        metrics.get(ResultMetric.UNSAVED_RESULTS),
+        metrics.get(ResultMetric.DAMAGED) > 0 ? ", FOUND DAMAGED" : "");
   }
 
-  /** What is known of keys, beside its bound. */
-  private static String keptLine(Counters counters) {
-    Counters.KeyUsage kept = counters.keyUsage();
-    long refused = counters.get(Counters.Count.KEY_MEMORY_FULL);
+  /** Summarizes the idempotency keys and their memory, each with its limit, in one line. */
+  private static String keyUsageLine(Counters counters) {
+    Counters.KeyUsage usage = counters.keyUsage();
+    long rejected = counters.get(Counters.Count.KEY_MEMORY_FULL);
     return String.format(
         Locale.ROOT,
         "%d of %d keys, %d of %d kB%s",
-        kept.keys(),
-        kept.maxKeys(),
-        kept.bytes() >> 10,
-        kept.maxBytes() >> 10,
-        refused > 0 ? ", " + refused + " refused for want of room" : "");
+        usage.keys(),
+        usage.maxKeys(),
+        usage.bytes() >> 10,
+        usage.maxBytes() >> 10,
+        rejected > 0 ? ", " + rejected + " refused for want of room" : "");
   }
 
   private String status() {
@@ -368,7 +361,7 @@
         daemon.linked() ? "linked" : "not linked",
         daemon.healthy() ? "good" : "bad",
         counters.inFlight(),
-        keptLine(counters),
+        keyUsageLine(counters),
         resultsLine(),
         daemon.version().summaryLine(),
         daemon.handover(),
--- a/src/main/java/wharftrestle/admin/RolloutStatus.java
+++ b/src/main/java/wharftrestle/admin/RolloutStatus.java
@@ -1,18 +1,18 @@
 package wharftrestle.admin;
 
 /**
- * Where a rolling change of the fleet stands, as this box's keeper was last told; for people alone,
- * nothing is decided by it.
+ * The status of a rollout as last reported by the supervisor of this host. It is shown to operators
+ * only; no decision depends on it.
  *
- * @param epoch of the driver that steers; 0 where no keeper of a fleet has said anything
- * @param stage from 1; 0 for none
- * @param verdict a word: same, worse, cannot-tell, or none
+ * @param epoch epoch of the controller; 0 if no status has been reported
+ * @param stage stage number from 1; 0 for none
+ * @param verdict verdict of the canary analysis: same, worse, cannot-tell, or none
  */
 public record RolloutStatus(long epoch, int stage, String verdict) {
-  /** Nobody has said anything. */
+  /** No status has been reported. */
   public static final RolloutStatus NONE = new RolloutStatus(0, 0, "none");
 
-  /** Reads {@code epoch=4&stage=2&verdict=same}; null where it is not that. */
+  /** Parses {@code epoch=4&stage=2&verdict=same}; returns null for any other form. */
   public static RolloutStatus read(String query) {
     long epoch = -1;
     int stage = -1;
@@ -37,7 +37,7 @@
         : new RolloutStatus(epoch, stage, verdict);
   }
 
-  /** One line. */
+  /** Formats the status for the admin endpoint. */
   public String line() {
     return epoch == 0 ? "none" : "epoch " + epoch + ", stage " + stage + ", verdict " + verdict;
   }
--- a/src/main/java/wharftrestle/settings/Arithmetic.java
+++ b/src/main/java/wharftrestle/settings/Arithmetic.java
@@ -4,20 +4,22 @@
 import java.util.List;
 
 /**
- * The sums and comparisons of the settings' language. Whole numbers stay whole but under '/'; what
- * overflows, divides by nothing or mixes kinds is a fault, never a wrong value.
+ * Evaluates the binary arithmetic and comparison operators of the settings language. Operators on
+ * integers return an integer, except '/', which returns a floating-point number. Integer overflow,
+ * division by 0 and operands of incompatible types are reported as errors at the operator.
  */
 final class Arithmetic {
-  private static final int MOST_REPEATS = 10_000;
+  /** Also bounds the repeat count of an empty text. */
+  private static final int MAX_REPEATED_LENGTH = 10_000;
 
   private Arithmetic() {}
 
-  static Object of(Place at, String op, Object left, Object right) throws Script.Fault {
+  static Object evaluate(Place at, String op, Object left, Object right) throws Script.ScriptException {
     if (left instanceof Long a && right instanceof Long b && !op.equals("/")) {
-      return whole(at, op, a, b);
+      return evaluateLong(at, op, a, b);
     }
     if (left instanceof Number a && right instanceof Number b) {
-      return real(at, op, a.doubleValue(), b.doubleValue());
+      return evaluateDouble(at, op, a.doubleValue(), b.doubleValue());
     }
     if (op.equals("+") && left instanceof String a && right instanceof String b) {
       return a + b;
@@ -28,16 +30,16 @@
       return all;
     }
     if (op.equals("*") && left instanceof String text && right instanceof Long times) {
-      if ((times > 0 && times * (long) text.length() > MOST_REPEATS) || times > MOST_REPEATS) {
-        throw new Script.Fault(at, "this grows beyond " + MOST_REPEATS + " characters");
+      if ((times > 0 && times * (long) text.length() > MAX_REPEATED_LENGTH) || times > MAX_REPEATED_LENGTH) {
+        throw new Script.ScriptException(at, "this exceeds " + MAX_REPEATED_LENGTH + " characters");
       }
       return text.repeat((int) Math.max(0, times));
     }
-    throw new Script.Fault(
-        at, "'" + op + "' does not go with " + Script.shown(left) + " and " + Script.shown(right));
+    throw new Script.ScriptException(
+        at, "'" + op + "' is not defined for " + Script.format(left) + " and " + Script.format(right));
   }
 
-  private static Object whole(Place at, String op, long a, long b) throws Script.Fault {
+  private static Object evaluateLong(Place at, String op, long a, long b) throws Script.ScriptException {
     try {
       return switch (op) {
         case "+" -> Math.addExact(a, b);
@@ -47,14 +49,14 @@
         default -> Math.floorMod(a, b);
       };
     } catch (ArithmeticException e) {
-      throw new Script.Fault(
-          at, b == 0 && !op.equals("*") ? "a division by 0" : "this number is too large");
+      throw new Script.ScriptException(
+          at, b == 0 && !op.equals("*") ? "division by 0" : "this number is too large");
     }
   }
 
-  private static Object real(Place at, String op, double a, double b) throws Script.Fault {
+  private static Object evaluateDouble(Place at, String op, double a, double b) throws Script.ScriptException {
     if (b == 0 && (op.equals("/") || op.equals("//") || op.equals("%"))) {
-      throw new Script.Fault(at, "a division by 0");
+      throw new Script.ScriptException(at, "division by 0");
     }
     return switch (op) {
       case "+" -> a + b;
@@ -66,15 +68,15 @@
     };
   }
 
-  static boolean same(Object left, Object right) {
+  static boolean areEqual(Object left, Object right) {
     return (left instanceof Number a && right instanceof Number b)
         ? a.doubleValue() == b.doubleValue()
         : left.equals(right);
   }
 
-  static Object compare(Place at, String op, Object left, Object right) throws Script.Fault {
+  static Object compare(Place at, String op, Object left, Object right) throws Script.ScriptException {
     if (op.equals("==") || op.equals("!=")) {
-      return same(left, right) == op.equals("==");
+      return areEqual(left, right) == op.equals("==");
     }
     int order;
     if (left instanceof Number a && right instanceof Number b) {
@@ -82,8 +84,8 @@
     } else if (left instanceof String a && right instanceof String b) {
       order = a.compareTo(b);
     } else {
-      throw new Script.Fault(
-          at, Script.shown(left) + " and " + Script.shown(right) + " have no order");
+      throw new Script.ScriptException(
+          at, Script.format(left) + " and " + Script.format(right) + " cannot be ordered");
     }
     return switch (op) {
       case "<" -> order < 0;
--- a/src/main/java/wharftrestle/settings/BadSettingsException.java
+++ b/src/main/java/wharftrestle/settings/BadSettingsException.java
@@ -1,8 +1,8 @@
 package wharftrestle.settings;
 
 /**
- * A script that cannot be used, and where: one plain line of file, line, column and what was
- * expected.
+ * Thrown for a script that cannot be used. The message is a single line: file, line, column and
+ * what was expected.
  */
 public final class BadSettingsException extends Exception {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/wharftrestle/settings/Builtin.java
+++ b/src/main/java/wharftrestle/settings/Builtin.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The functions that every script has. None of them reads or writes anything, and each is bounded
- * in what it makes.
+ * The built-in functions of the settings language. They do no I/O, and the size of each result is
+ * bounded.
  */
 enum Builtin {
   LEN,
@@ -19,92 +19,92 @@
   SORTED,
   FAIL;
 
-  private static final long MOST = 10_000;
+  private static final long MAX_RANGE_SIZE = 10_000;
 
   static Builtin of(String name) {
-    for (Builtin each : values()) {
-      if (each.word().equals(name)) {
-        return each;
+    for (Builtin builtin : values()) {
+      if (builtin.functionName().equals(name)) {
+        return builtin;
       }
     }
     return null;
   }
 
-  private String word() {
+  private String functionName() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 
-  Object call(Place at, List<Object> given) throws Script.Fault {
-    Object first = given.isEmpty() ? Script.NONE : given.get(0);
+  Object call(Place at, List<Object> arguments) throws Script.ScriptException {
+    Object first = arguments.isEmpty() ? Script.NONE : arguments.get(0);
     return switch (this) {
       case LEN -> {
-        if (given.size() == 1 && first instanceof List<?> list) {
+        if (arguments.size() == 1 && first instanceof List<?> list) {
           yield (long) list.size();
         }
-        if (given.size() == 1 && first instanceof Map<?, ?> map) {
+        if (arguments.size() == 1 && first instanceof Map<?, ?> map) {
           yield (long) map.size();
         }
-        if (given.size() == 1 && first instanceof String text) {
+        if (arguments.size() == 1 && first instanceof String text) {
           yield (long) text.length();
         }
-        throw wrong(at, "one list, dict or text");
+        throw invalidArguments(at, "one list, dict or text");
       }
-      case RANGE -> range(at, given);
+      case RANGE -> range(at, arguments);
       case STR -> {
-        if (given.size() != 1) {
-          throw wrong(at, "one value");
+        if (arguments.size() != 1) {
+          throw invalidArguments(at, "one value");
         }
-        yield first instanceof String ? first : Script.shown(first);
+        yield first instanceof String ? first : Script.format(first);
       }
-      case INT, FLOAT -> number(at, given, first);
+      case INT, FLOAT -> number(at, arguments, first);
       case MIN, MAX, SORTED -> {
         List<Object> all =
-            new ArrayList<>(given.size() == 1 && first instanceof List<?> list ? list : given);
+            new ArrayList<>(arguments.size() == 1 && first instanceof List<?> list ? list : arguments);
         if (all.isEmpty() && this != SORTED) {
-          throw wrong(at, "at least one value");
+          throw invalidArguments(at, "at least one value");
         }
         sort(at, all);
         yield this == SORTED ? all : all.get(this == MIN ? 0 : all.size() - 1);
       }
       case FAIL ->
-          throw new Script.Fault(
+          throw new Script.ScriptException(
               at,
-              given.size() == 1 && first instanceof String text
+              arguments.size() == 1 && first instanceof String text
                   ? text
-                  : "the script fails by its own word");
+                  : "the script called fail()");
     };
   }
 
-  private Script.Fault wrong(Place at, String wanted) {
-    return new Script.Fault(at, word() + " takes " + wanted);
+  private Script.ScriptException invalidArguments(Place at, String expected) {
+    return new Script.ScriptException(at, functionName() + " takes " + expected);
   }
 
-  private Object range(Place at, List<Object> given) throws Script.Fault {
-    long[] bounds = new long[given.size()];
+  private Object range(Place at, List<Object> arguments) throws Script.ScriptException {
+    long[] bounds = new long[arguments.size()];
     for (int i = 0; i < bounds.length; i++) {
-      if (!(given.get(i) instanceof Long number)) {
-        throw wrong(at, "whole numbers");
+      if (!(arguments.get(i) instanceof Long number)) {
+        throw invalidArguments(at, "whole numbers");
       }
       bounds[i] = number;
     }
     if (bounds.length < 1 || bounds.length > 3) {
-      throw wrong(at, "one to three whole numbers");
+      throw invalidArguments(at, "one to three whole numbers");
     }
-    long from = bounds.length == 1 ? 0 : bounds[0];
-    long to = bounds[bounds.length == 1 ? 0 : 1];
-    long by = bounds.length < 3 ? 1 : bounds[2];
-    if (by == 0 || Math.abs((double) to - from) / Math.abs((double) by) > MOST) {
-      throw wrong(at, "a step that is not 0, and makes " + MOST + " numbers at most");
+    long start = bounds.length == 1 ? 0 : bounds[0];
+    long end = bounds[bounds.length == 1 ? 0 : 1];
+    long step = bounds.length < 3 ? 1 : bounds[2];
+    if (step == 0 || Math.abs((double) end - start) / Math.abs((double) step) > MAX_RANGE_SIZE) {
+      throw invalidArguments(at, "a nonzero step and yields at most " + MAX_RANGE_SIZE + " numbers");
     }
     List<Object> all = new ArrayList<>();
-    for (long at1 = from; by > 0 ? at1 < to : at1 > to; at1 += by) {
-      all.add(at1);
+    for (long next = start; step > 0 ? next < end : next > end; next += step) {
+      all.add(next);
     }
     return all;
   }
 
-  private Object number(Place at, List<Object> given, Object first) throws Script.Fault {
-    if (given.size() == 1) {
+  private Object number(Place at, List<Object> arguments, Object first) throws Script.ScriptException {
+    if (arguments.size() == 1) {
       try {
         if (first instanceof Number number) {
           return this == INT ? (Object) number.longValue() : (Object) number.doubleValue();
@@ -115,15 +115,15 @@
               : (Object) Double.parseDouble(text.trim());
         }
       } catch (NumberFormatException e) {
-        throw new Script.Fault(at, Script.shown(first) + " is no number");
+        throw new Script.ScriptException(at, Script.format(first) + " is not a number");
       }
     }
-    throw wrong(at, "one number or text");
+    throw invalidArguments(at, "one number or text");
   }
 
-  private static void sort(Place at, List<Object> all) throws Script.Fault {
+  private static void sort(Place at, List<Object> all) throws Script.ScriptException {
     for (int i = 1; i < all.size(); i++) {
-      Arithmetic.compare(at, "<", all.get(0), all.get(i)); // all of one kind, or a fault
+      Arithmetic.compare(at, "<", all.get(0), all.get(i)); // throws if the types are mixed
     }
     all.sort(
         (a, b) ->
--- a/src/main/java/wharftrestle/settings/Lines.java
+++ b/src/main/java/wharftrestle/settings/Lines.java
@@ -10,76 +10,76 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Makes blocks of lines: it drops the ends of lines within brackets and of empty lines, and puts
- * INDENT and DEDENT where the first word of a line stands further in or out. It must never change
- * any other word.
+ * Converts line layout into block tokens for the parser: drops the line ends of empty lines and
+ * within brackets, and inserts INDENT and DEDENT tokens where the indentation of a line changes.
+ * All other tokens pass through unchanged.
  */
 final class Lines {
-  private final List<Token> words = new ArrayList<>();
-  private final Deque<Integer> indents = new ArrayDeque<>(List.of(0));
-  private boolean fresh = true; // nothing of this line was seen
-  private int depth; // of brackets
+  private final List<Token> tokens = new ArrayList<>();
+  private final Deque<Integer> indentColumns = new ArrayDeque<>(List.of(0));
+  private boolean atLineStart = true; // no token of this line has been added
+  private int bracketDepth;
 
   private Lines() {}
 
-  static ListTokenSource of(Lexer lexer) throws Script.Fault {
+  static ListTokenSource tokenSource(Lexer lexer) throws Script.ScriptException {
     Lines lines = new Lines();
-    for (Token word = lexer.nextToken(); ; word = lexer.nextToken()) {
-      lines.take(word);
-      if (word.getType() == Token.EOF) {
-        return new ListTokenSource(lines.words);
+    for (Token token = lexer.nextToken(); ; token = lexer.nextToken()) {
+      lines.add(token);
+      if (token.getType() == Token.EOF) {
+        return new ListTokenSource(lines.tokens);
       }
     }
   }
 
-  private void take(Token word) throws Script.Fault {
-    if (word.getType() == StarLexer.NEWLINE) {
-      if (depth == 0 && !fresh) {
-        words.add(word);
-        fresh = true;
+  private void add(Token token) throws Script.ScriptException {
+    if (token.getType() == StarLexer.NEWLINE) {
+      if (bracketDepth == 0 && !atLineStart) {
+        tokens.add(token);
+        atLineStart = true;
       }
       return;
     }
-    if (word.getType() == Token.EOF) {
-      if (!fresh) {
-        words.add(made(StarLexer.NEWLINE, "end of line", word));
+    if (token.getType() == Token.EOF) {
+      if (!atLineStart) {
+        tokens.add(insertedToken(StarLexer.NEWLINE, "end of line", token));
       }
-      while (indents.size() > 1) {
-        indents.pop();
-        words.add(made(StarParser.DEDENT, "end of block", word));
+      while (indentColumns.size() > 1) {
+        indentColumns.pop();
+        tokens.add(insertedToken(StarParser.DEDENT, "end of block", token));
       }
-    } else if (fresh && depth == 0) {
-      indent(word);
+    } else if (atLineStart && bracketDepth == 0) {
+      updateIndentation(token);
     }
-    fresh = fresh && word.getType() == Token.EOF;
-    depth +=
-        switch (word.getText()) {
+    atLineStart = atLineStart && token.getType() == Token.EOF;
+    bracketDepth +=
+        switch (token.getText()) {
           case "(", "[", "{" -> 1;
-          case ")", "]", "}" -> depth > 0 ? -1 : 0;
+          case ")", "]", "}" -> bracketDepth > 0 ? -1 : 0;
           default -> 0;
         };
-    words.add(word);
+    tokens.add(token);
   }
 
-  private void indent(Token word) throws Script.Fault {
-    int column = word.getCharPositionInLine();
-    if (column > indents.peek()) {
-      indents.push(column);
-      words.add(made(StarParser.INDENT, "indentation", word));
+  private void updateIndentation(Token token) throws Script.ScriptException {
+    int column = token.getCharPositionInLine();
+    if (column > indentColumns.peek()) {
+      indentColumns.push(column);
+      tokens.add(insertedToken(StarParser.INDENT, "indentation", token));
     }
-    while (column < indents.peek()) {
-      indents.pop();
-      words.add(made(StarParser.DEDENT, "end of block", word));
+    while (column < indentColumns.peek()) {
+      indentColumns.pop();
+      tokens.add(insertedToken(StarParser.DEDENT, "end of block", token));
     }
-    if (column != indents.peek()) {
-      throw new Script.Fault(Script.place(word), "this indentation matches no block above it");
+    if (column != indentColumns.peek()) {
+      throw new Script.ScriptException(Script.place(token), "this indentation matches no block above it");
     }
   }
 
-  private static Token made(int type, String text, Token at) {
-    CommonToken token = new CommonToken(at);
-    token.setType(type);
-    token.setText(text);
-    return token;
+  private static Token insertedToken(int type, String text, Token position) {
+    CommonToken inserted = new CommonToken(position);
+    inserted.setType(type);
+    inserted.setText(text);
+    return inserted;
   }
 }
--- a/src/main/java/wharftrestle/settings/Place.java
+++ b/src/main/java/wharftrestle/settings/Place.java
@@ -1,6 +1,6 @@
 package wharftrestle.settings;
 
-/** Where in a script something stands; both counted from 1. */
+/** A position in a script; line and column are counted from 1. */
 public record Place(int line, int column) {
   @Override
   public String toString() {
--- a/src/main/java/wharftrestle/settings/Script.java
+++ b/src/main/java/wharftrestle/settings/Script.java
@@ -24,26 +24,28 @@
 import wharftrestle.settings.StarParser.StatementContext;
 
 /**
- * Runs one script of the settings' language over its parse tree and gathers what it declares. It
- * owns the names and the bounds: steps, sizes, no recursion. It must never read or write anything,
- * know what can be declared (the {@link Schema} does), or go on after a fault.
+ * Interprets one script of the settings language by walking its parse tree, and passes the calls of
+ * declarations to a {@link DeclarationHandler}, which defines what can be declared. Scripts do no
+ * I/O; the number of steps and the size of values are bounded, and recursion is rejected. The first
+ * error ends the run.
  *
- * <p>Values are Long, Double, String, Boolean, None, List and Map, with Starlark's meaning; whole
- * numbers that overflow 64 bits are a fault.
+ * <p>Values are Long, Double, String, Boolean, None, List and Map, with Starlark's meaning; integer
+ * overflow beyond 64 bits is an error.
  */
 final class Script {
-  /** Steps of one script: a choice, a thousand times what a long file takes. */
-  private static final int MOST_STEPS = 100_000;
+  /** Statements and expressions evaluated per script; a long file takes about a thousandth. */
+  private static final int MAX_STEPS = 100_000;
 
-  /** Elements of a list or dict, and characters of a text. */
-  private static final int MOST_SIZE = 10_000;
+  /** Maximum elements of a list or dict, and characters of a text. */
+  private static final int MAX_SIZE = 10_000;
 
   /**
-   * Calls within calls, and brackets within brackets: deeper ones would end in the JVM's own words.
+   * Maximum nesting of calls and of brackets. Deeper nesting could overflow the JVM stack, an error
+   * without a position in the script.
    */
-  private static final int MOST_DEPTH = 40;
+  private static final int MAX_DEPTH = 40;
 
-  /** The value of nothing. */
+  /** The None value of the language. */
   static final Object NONE =
       new Object() {
         @Override
@@ -52,12 +54,12 @@
         }
       };
 
-  /** What is wrong with a script, and where. */
-  static final class Fault extends Exception {
+  /** Thrown for an error in a script, with its position. */
+  static final class ScriptException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient Place place;
 
-    Fault(Place place, String message) {
+    ScriptException(Place place, String message) {
       super(message, null, false, false);
       this.place = place;
     }
@@ -67,26 +69,26 @@
     }
   }
 
-  /** A value with the place that it was given at. */
-  record Given(Object value, Place place) {}
+  /** An argument value and its position in the script. */
+  record Argument(Object value, Place place) {}
 
-  /** One declaration as it was called. */
-  record Declared(String name, Map<String, Given> arguments, Place place) {}
+  /** A call of a declaration. */
+  record DeclarationCall(String name, Map<String, Argument> arguments, Place place) {}
 
-  /** Takes what a script declares. */
-  interface Declarations {
-    boolean knows(String name);
+  /** Defines the declarations of a script and handles their calls. */
+  interface DeclarationHandler {
+    boolean isDeclarable(String name);
 
-    /** Takes a call; its value is what the call is worth within the script. */
-    Object declare(Declared declared) throws Fault;
+    /** Handles a call and returns its result within the script. */
+    Object declare(DeclarationCall call) throws ScriptException;
 
-    /** The names of values that may be given by their place; none where all are given by name. */
-    default List<String> order(String name) {
+    /** Names of the parameters that can be passed by position; empty if only by name. */
+    default List<String> positionalParameters(String name) {
       return List.of();
     }
   }
 
-  /** A function of the script. */
+  /** A function defined by the script. */
   private record Function(
       String name, List<String> names, Map<String, Object> defaults, BlockContext body) {
     @Override
@@ -95,37 +97,38 @@
     }
   }
 
-  private enum Way {
+  /** How a statement ended; ON means that the next statement follows. */
+  private enum ControlFlow {
     ON,
     BREAK,
     CONTINUE,
     RETURN
   }
 
-  private final Declarations declarations;
+  private final DeclarationHandler handler;
   private final Map<String, Object> globals = new HashMap<>();
   private final Deque<Function> calls = new ArrayDeque<>();
   private Map<String, Object> locals = globals;
-  private Object returned = NONE;
+  private Object returnValue = NONE;
   private int steps;
   private int depth;
 
-  private Script(Declarations declarations) {
-    this.declarations = declarations;
+  private Script(DeclarationHandler handler) {
+    this.handler = handler;
   }
 
-  /** Runs the script; declarations are told in the order in which they are called. */
-  static void run(String text, Declarations declarations) throws Fault {
+  /** Runs the script; the handler receives the declarations in the order of their calls. */
+  static void run(String text, DeclarationHandler handler) throws ScriptException {
     StarParser.FileContext file = parse(text);
-    Script script = new Script(declarations);
+    Script script = new Script(handler);
     for (StatementContext statement : file.statement()) {
-      Way way = script.run(statement);
-      if (way != Way.ON) {
-        throw new Fault(
+      ControlFlow flow = script.run(statement);
+      if (flow != ControlFlow.ON) {
+        throw new ScriptException(
             place(statement.start),
-            way == Way.RETURN
+            flow == ControlFlow.RETURN
                 ? "'return' outside a function"
-                : "'" + way.name().toLowerCase(java.util.Locale.ROOT) + "' outside a loop");
+                : "'" + flow.name().toLowerCase(java.util.Locale.ROOT) + "' outside a loop");
       }
     }
   }
@@ -140,18 +143,18 @@
 
   // ---- Parsing ----
 
-  /** Carries the first fault out of ANTLR, whose listeners cannot throw a checked one. */
-  private static final class Stop extends RuntimeException {
+  /** Carries the first error out of ANTLR, whose listeners cannot throw checked exceptions. */
+  private static final class ParseAbortedException extends RuntimeException {
     private static final long serialVersionUID = 1L;
-    private final transient Fault fault;
+    private final transient ScriptException error;
 
-    Stop(Fault fault) {
+    ParseAbortedException(ScriptException error) {
       super(null, null, false, false);
-      this.fault = fault;
+      this.error = error;
     }
   }
 
-  private static final class FirstFault extends BaseErrorListener {
+  private static final class ThrowingErrorListener extends BaseErrorListener {
     @Override
     public void syntaxError(
         Recognizer<?, ?> recognizer,
@@ -162,14 +165,14 @@
         RecognitionException e) {
       Place at = new Place(line, column + 1);
       if (!(recognizer instanceof StarParser parser)) {
-        throw new Stop(
-            new Fault(
+        throw new ParseAbortedException(
+            new ScriptException(
                 at,
-                "this character has no meaning here: "
+                "unrecognized text: "
                     + message.replaceFirst("token recognition error at: ", "")));
       }
-      String found = symbol instanceof Token token ? named(token) : "this";
-      String wanted =
+      String found = symbol instanceof Token token ? describe(token) : "this";
+      String expected =
           parser.getExpectedTokens().size() > 4
               ? ""
               : ", expected "
@@ -181,10 +184,10 @@
                       .replace("NAME", "a name")
                       .replace("<EOF>", "the end")
                       .replaceAll("[{}]", "");
-      throw new Stop(new Fault(at, "unexpected " + found + wanted));
+      throw new ParseAbortedException(new ScriptException(at, "unexpected " + found + expected));
     }
 
-    private static String named(Token token) {
+    private static String describe(Token token) {
       return switch (token.getType()) {
         case Token.EOF -> "end of the file";
         case StarLexer.NEWLINE -> "end of line";
@@ -195,141 +198,141 @@
     }
   }
 
-  private static StarParser.FileContext parse(String text) throws Fault {
+  private static StarParser.FileContext parse(String text) throws ScriptException {
     int line = 0;
     for (String each : text.split("\n", -1)) {
       line++;
       int indent = each.length() - each.stripLeading().length();
       if (each.substring(0, indent).indexOf('\t') >= 0 && !each.isBlank()) {
-        throw new Fault(
+        throw new ScriptException(
             new Place(line, each.indexOf('\t') + 1), "a tab in the indentation, expected spaces");
       }
     }
-    int open = 0;
+    int openBrackets = 0;
     for (int i = 0; i < text.length(); i++) {
-      // Guards the parser's own depth: no settings need this, and a stack that overflows has no
-      // line to show.
+      // Limits the recursion depth of the parser: a stack overflow has no line to report, and no
+      // settings need such nesting.
       char c = text.charAt(i);
-      open = Math.max(0, open + ("([{".indexOf(c) >= 0 ? 1 : ")]}".indexOf(c) >= 0 ? -1 : 0));
-      if (open > MOST_DEPTH) {
-        throw new Fault(
+      openBrackets = Math.max(0, openBrackets + ("([{".indexOf(c) >= 0 ? 1 : ")]}".indexOf(c) >= 0 ? -1 : 0));
+      if (openBrackets > MAX_DEPTH) {
+        throw new ScriptException(
             new Place((int) text.substring(0, i).lines().count(), 1),
-            "more than " + MOST_DEPTH + " brackets within each other");
+            "brackets are nested deeper than " + MAX_DEPTH + " levels");
       }
     }
     try {
       StarLexer lexer = new StarLexer(CharStreams.fromString(text));
       lexer.removeErrorListeners();
-      lexer.addErrorListener(new FirstFault());
-      StarParser parser = new StarParser(new CommonTokenStream(Lines.of(lexer)));
+      lexer.addErrorListener(new ThrowingErrorListener());
+      StarParser parser = new StarParser(new CommonTokenStream(Lines.tokenSource(lexer)));
       parser.removeErrorListeners();
-      parser.addErrorListener(new FirstFault());
+      parser.addErrorListener(new ThrowingErrorListener());
       return parser.file();
-    } catch (Stop stop) {
-      throw stop.fault;
-    } catch (StackOverflowError deep) {
-      throw new Fault(new Place(1, 1), "the script is nested too deep");
+    } catch (ParseAbortedException aborted) {
+      throw aborted.error;
+    } catch (StackOverflowError e) {
+      throw new ScriptException(new Place(1, 1), "the script is nested too deep");
     }
   }
 
   // ---- Statements ----
 
-  private void step(ParserRuleContext at) throws Fault {
-    if (++steps > MOST_STEPS) {
-      throw new Fault(place(at), "the script takes more than " + MOST_STEPS + " steps");
+  private void step(ParserRuleContext at) throws ScriptException {
+    if (++steps > MAX_STEPS) {
+      throw new ScriptException(place(at), "the script takes more than " + MAX_STEPS + " steps");
     }
   }
 
-  private Way run(StatementContext statement) throws Fault {
+  private ControlFlow run(StatementContext statement) throws ScriptException {
     step(statement);
     if (statement instanceof StarParser.LineContext line) {
       for (SmallContext small : line.simple().small()) {
-        Way way = run(small);
-        if (way != Way.ON) {
-          return way;
+        ControlFlow flow = run(small);
+        if (flow != ControlFlow.ON) {
+          return flow;
         }
       }
-      return Way.ON;
+      return ControlFlow.ON;
     }
     if (statement instanceof StarParser.DefContext def) {
       define(def);
-      return Way.ON;
+      return ControlFlow.ON;
     }
     if (statement instanceof StarParser.ChooseContext choose) {
       for (int i = 0; i < choose.expr().size(); i++) {
-        if (truth(value(choose.expr(i)))) {
+        if (isTruthy(value(choose.expr(i)))) {
           return run(choose.block(i));
         }
       }
-      return choose.other == null ? Way.ON : run(choose.other);
+      return choose.other == null ? ControlFlow.ON : run(choose.other);
     }
     StarParser.LoopContext loop = (StarParser.LoopContext) statement;
     for (Object each : elements(loop.expr())) {
       bind(loop.names(), each);
-      Way way = run(loop.block());
-      if (way == Way.BREAK) {
+      ControlFlow flow = run(loop.block());
+      if (flow == ControlFlow.BREAK) {
         break;
       }
-      if (way == Way.RETURN) {
-        return way;
+      if (flow == ControlFlow.RETURN) {
+        return flow;
       }
     }
-    return Way.ON;
+    return ControlFlow.ON;
   }
 
-  private Way run(BlockContext block) throws Fault {
+  private ControlFlow run(BlockContext block) throws ScriptException {
     if (block.simple() != null) {
       for (SmallContext small : block.simple().small()) {
-        Way way = run(small);
-        if (way != Way.ON) {
-          return way;
+        ControlFlow flow = run(small);
+        if (flow != ControlFlow.ON) {
+          return flow;
         }
       }
-      return Way.ON;
+      return ControlFlow.ON;
     }
     for (StatementContext statement : block.statement()) {
-      Way way = run(statement);
-      if (way != Way.ON) {
-        return way;
+      ControlFlow flow = run(statement);
+      if (flow != ControlFlow.ON) {
+        return flow;
       }
     }
-    return Way.ON;
+    return ControlFlow.ON;
   }
 
-  private Way run(SmallContext small) throws Fault {
+  private ControlFlow run(SmallContext small) throws ScriptException {
     if (small instanceof StarParser.AssignContext assign) {
-      name(assign.NAME());
+      checkNotReserved(assign.NAME());
       locals.put(assign.NAME().getText(), value(assign.expr()));
     } else if (small instanceof StarParser.GiveBackContext back) {
-      returned = back.expr() == null ? NONE : value(back.expr());
-      return Way.RETURN;
+      returnValue = back.expr() == null ? NONE : value(back.expr());
+      return ControlFlow.RETURN;
     } else if (small instanceof StarParser.SayContext say) {
       value(say.expr());
     } else if (small instanceof StarParser.BreakOffContext) {
-      return Way.BREAK;
+      return ControlFlow.BREAK;
     } else if (small instanceof StarParser.GoOnContext) {
-      return Way.CONTINUE;
+      return ControlFlow.CONTINUE;
     }
-    return Way.ON;
+    return ControlFlow.ON;
   }
 
-  /** Guards against a name that hides what can be declared. */
-  private void name(TerminalNode node) throws Fault {
-    if (declarations.knows(node.getText()) || Builtin.of(node.getText()) != null) {
-      throw new Fault(
+  /** Rejects a name that would hide a declaration or a built-in function. */
+  private void checkNotReserved(TerminalNode node) throws ScriptException {
+    if (handler.isDeclarable(node.getText()) || Builtin.of(node.getText()) != null) {
+      throw new ScriptException(
           place(node.getSymbol()),
-          "'" + node.getText() + "' has a meaning already, choose another name");
+          "'" + node.getText() + "' is reserved, choose another name");
     }
   }
 
-  private void define(StarParser.DefContext def) throws Fault {
-    name(def.NAME());
+  private void define(StarParser.DefContext def) throws ScriptException {
+    checkNotReserved(def.NAME());
     List<String> names = new ArrayList<>();
     Map<String, Object> defaults = new HashMap<>();
     for (StarParser.ParamContext param : def.param()) {
       String name = param.NAME().getText();
       if (names.contains(name)) {
-        throw new Fault(place(param), "'" + name + "' stands twice");
+        throw new ScriptException(place(param), "'" + name + "' is given twice");
       }
       names.add(name);
       if (param.expr() != null) {
@@ -340,24 +343,24 @@
         def.NAME().getText(), new Function(def.NAME().getText(), names, defaults, def.block()));
   }
 
-  private void bind(StarParser.NamesContext names, Object value) throws Fault {
+  private void bind(StarParser.NamesContext names, Object value) throws ScriptException {
     for (TerminalNode node : names.NAME()) {
-      name(node);
+      checkNotReserved(node);
     }
     if (names.NAME().size() == 1) {
       locals.put(names.NAME(0).getText(), value);
       return;
     }
     if (!(value instanceof List<?> parts) || parts.size() != names.NAME().size()) {
-      throw new Fault(
-          place(names), "expected " + names.NAME().size() + " values, got " + shown(value));
+      throw new ScriptException(
+          place(names), "expected " + names.NAME().size() + " values, got " + format(value));
     }
     for (int i = 0; i < parts.size(); i++) {
       locals.put(names.NAME(i).getText(), parts.get(i));
     }
   }
 
-  private List<Object> elements(ExprContext expr) throws Fault {
+  private List<Object> elements(ExprContext expr) throws ScriptException {
     Object all = value(expr);
     if (all instanceof List<?> list) {
       return new ArrayList<>(list);
@@ -365,15 +368,15 @@
     if (all instanceof Map<?, ?> map) {
       return new ArrayList<>(map.keySet());
     }
-    throw new Fault(place(expr), "expected a list or a dict to go through, got " + shown(all));
+    throw new ScriptException(place(expr), "expected a list or a dict to iterate over, got " + format(all));
   }
 
   // ---- Expressions ----
 
-  private Object value(ExprContext expr) throws Fault {
+  private Object value(ExprContext expr) throws ScriptException {
     step(expr);
-    if (++depth > 8 * MOST_DEPTH) {
-      throw new Fault(place(expr), "the expression is nested too deep");
+    if (++depth > 8 * MAX_DEPTH) {
+      throw new ScriptException(place(expr), "the expression is nested too deep");
     }
     try {
       return evaluate(expr);
@@ -382,7 +385,7 @@
     }
   }
 
-  private Object evaluate(ExprContext expr) throws Fault {
+  private Object evaluate(ExprContext expr) throws ScriptException {
     if (expr instanceof StarParser.PlainContext plain) {
       return value(plain.atom());
     }
@@ -396,21 +399,21 @@
       Object number = value(sign.expr());
       boolean minus = sign.getStart().getText().equals("-");
       if (number instanceof Long whole) {
-        return minus ? exact(sign, () -> Math.negateExact(whole)) : whole;
+        return minus ? checkOverflow(sign, () -> Math.negateExact(whole)) : whole;
       }
       if (number instanceof Double real) {
         return minus ? -real : real;
       }
-      throw new Fault(place(sign), "expected a number, got " + shown(number));
+      throw new ScriptException(place(sign), "expected a number, got " + format(number));
     }
     if (expr instanceof StarParser.ProductContext product) {
-      return Arithmetic.of(
+      return Arithmetic.evaluate(
           place(product.op), product.op.getText(), value(product.expr(0)), value(product.expr(1)));
     }
     if (expr instanceof StarParser.SumContext sum) {
-      return sized(
+      return checkSize(
           sum,
-          Arithmetic.of(place(sum.op), sum.op.getText(), value(sum.expr(0)), value(sum.expr(1))));
+          Arithmetic.evaluate(place(sum.op), sum.op.getText(), value(sum.expr(0)), value(sum.expr(1))));
     }
     if (expr instanceof StarParser.CompareContext compare) {
       return Arithmetic.compare(
@@ -425,34 +428,34 @@
       } else if (whole instanceof Map<?, ?> map) {
         in = map.containsKey(part);
       } else if (whole instanceof List<?> list) {
-        in = list.stream().anyMatch(each -> Arithmetic.same(each, part));
+        in = list.stream().anyMatch(each -> Arithmetic.areEqual(each, part));
       } else {
-        throw new Fault(
-            place(within.expr(1)), "expected a list, a dict or a text, got " + shown(whole));
+        throw new ScriptException(
+            place(within.expr(1)), "expected a list, a dict or a text, got " + format(whole));
       }
       return in != (within.neg != null);
     }
     if (expr instanceof StarParser.NegateContext negate) {
-      return !truth(value(negate.expr()));
+      return !isTruthy(value(negate.expr()));
     }
     if (expr instanceof StarParser.BothContext both) {
       Object left = value(both.expr(0));
-      return truth(left) ? value(both.expr(1)) : left;
+      return isTruthy(left) ? value(both.expr(1)) : left;
     }
     if (expr instanceof StarParser.EitherContext either) {
       Object left = value(either.expr(0));
-      return truth(left) ? left : value(either.expr(1));
+      return isTruthy(left) ? left : value(either.expr(1));
     }
     StarParser.TernaryContext ternary = (StarParser.TernaryContext) expr;
-    return value(ternary.expr(truth(value(ternary.expr(1))) ? 0 : 2));
+    return value(ternary.expr(isTruthy(value(ternary.expr(1))) ? 0 : 2));
   }
 
-  private Object value(AtomContext atom) throws Fault {
+  private Object value(AtomContext atom) throws ScriptException {
     if (atom instanceof StarParser.WholeContext whole) {
       try {
         return Long.parseLong(whole.INT().getText());
       } catch (NumberFormatException e) {
-        throw new Fault(place(whole), "this number is too large");
+        throw new ScriptException(place(whole), "this number is too large");
       }
     }
     if (atom instanceof StarParser.RealContext real) {
@@ -460,46 +463,46 @@
     }
     if (atom instanceof StarParser.TextContext text) {
       StringBuilder all = new StringBuilder();
-      text.STRING().forEach(node -> all.append(unescaped(node.getText())));
+      text.STRING().forEach(node -> all.append(unescape(node.getText())));
       return all.toString();
     }
     if (atom instanceof StarParser.NameContext name) {
-      return named(name);
+      return lookUp(name);
     }
     if (atom instanceof StarParser.GatherContext gather) {
       List<Object> all = new ArrayList<>();
       for (Object each : elements(gather.expr(1))) {
         bind(gather.names(), each);
-        if (gather.expr().size() < 3 || truth(value(gather.expr(2)))) {
+        if (gather.expr().size() < 3 || isTruthy(value(gather.expr(2)))) {
           all.add(value(gather.expr(0)));
         }
       }
-      return sized(gather, all);
+      return checkSize(gather, all);
     }
     if (atom instanceof StarParser.ListContext list) {
       List<Object> all = new ArrayList<>();
       for (ExprContext each : list.expr()) {
         all.add(value(each));
       }
-      return sized(list, all);
+      return checkSize(list, all);
     }
     if (atom instanceof StarParser.DictContext dict) {
       Map<Object, Object> all = new LinkedHashMap<>();
       for (StarParser.PairContext pair : dict.pair()) {
         Object key = value(pair.expr(0));
         if (key instanceof List || key instanceof Map) {
-          throw new Fault(place(pair), "a list or a dict cannot be a key");
+          throw new ScriptException(place(pair), "a list or a dict cannot be a key");
         }
         if (all.put(key, value(pair.expr(1))) != null) {
-          throw new Fault(place(pair), "the key " + shown(key) + " stands twice");
+          throw new ScriptException(place(pair), "the key " + format(key) + " is given twice");
         }
       }
-      return sized(dict, all);
+      return checkSize(dict, all);
     }
     return value(((StarParser.GroupContext) atom).expr());
   }
 
-  private Object named(StarParser.NameContext name) throws Fault {
+  private Object lookUp(StarParser.NameContext name) throws ScriptException {
     String text = name.NAME().getText();
     switch (text) {
       case "True":
@@ -511,9 +514,9 @@
       default:
         Object value = locals.containsKey(text) ? locals.get(text) : globals.get(text);
         if (value == null) {
-          throw new Fault(
+          throw new ScriptException(
               place(name),
-              declarations.knows(text) || Builtin.of(text) != null
+              handler.isDeclarable(text) || Builtin.of(text) != null
                   ? "'" + text + "' must be called: " + text + "(...)"
                   : "nothing is named '" + text + "'");
         }
@@ -521,81 +524,81 @@
     }
   }
 
-  private Object index(StarParser.IndexContext index) throws Fault {
-    Object whole = value(index.expr(0));
-    Object at = value(index.expr(1));
-    if (whole instanceof Map<?, ?> map) {
-      Object found = map.get(at);
+  private Object index(StarParser.IndexContext index) throws ScriptException {
+    Object container = value(index.expr(0));
+    Object key = value(index.expr(1));
+    if (container instanceof Map<?, ?> map) {
+      Object found = map.get(key);
       if (found == null) {
-        throw new Fault(place(index.expr(1)), "the dict has no key " + shown(at));
+        throw new ScriptException(place(index.expr(1)), "the dict has no key " + format(key));
       }
       return found;
     }
-    if (whole instanceof List<?> list && at instanceof Long number) {
-      long place = number < 0 ? number + list.size() : number;
-      if (place < 0 || place >= list.size()) {
-        throw new Fault(
-            place(index.expr(1)), "the list has " + list.size() + " elements, none at " + number);
+    if (container instanceof List<?> list && key instanceof Long number) {
+      long position = number < 0 ? number + list.size() : number;
+      if (position < 0 || position >= list.size()) {
+        throw new ScriptException(
+            place(index.expr(1)), "the list has " + list.size() + " elements, no index " + number);
       }
-      return list.get((int) place);
+      return list.get((int) position);
     }
-    throw new Fault(
-        place(index), "expected a dict, or a list with a whole number, got " + shown(whole));
+    throw new ScriptException(
+        place(index), "expected a dict, or a list with a whole number, got " + format(container));
   }
 
-  private Object call(StarParser.CallContext call) throws Fault {
+  private Object call(StarParser.CallContext call) throws ScriptException {
     String name =
         call.expr() instanceof StarParser.PlainContext plain
                 && plain.atom() instanceof StarParser.NameContext named
             ? named.NAME().getText()
             : "";
-    boolean hidden = locals.containsKey(name) || globals.containsKey(name);
-    if (!hidden && declarations.knows(name)) {
-      Map<String, Given> given = new LinkedHashMap<>();
-      List<String> order = declarations.order(name);
-      int placed = 0;
+    boolean shadowed = locals.containsKey(name) || globals.containsKey(name);
+    if (!shadowed && handler.isDeclarable(name)) {
+      Map<String, Argument> arguments = new LinkedHashMap<>();
+      List<String> order = handler.positionalParameters(name);
+      int positionalCount = 0;
       for (ArgumentContext argument : call.argument()) {
-        if (argument.NAME() == null && placed >= order.size()) {
-          throw new Fault(
+        if (argument.NAME() == null && positionalCount >= order.size()) {
+          throw new ScriptException(
               place(argument),
               order.isEmpty()
-                  ? name + " takes its values by name: " + name + "(name = value)"
+                  ? name + " takes arguments by name only: " + name + "(name = value)"
                   : name + " takes " + order.size() + " values: " + String.join(", ", order));
         }
-        String to = argument.NAME() == null ? order.get(placed++) : argument.NAME().getText();
-        Given one = new Given(value(argument.expr()), place(argument.expr()));
-        if (given.put(to, one) != null) {
-          throw new Fault(place(argument), "'" + to + "' stands twice");
+        String parameter = argument.NAME() == null ? order.get(positionalCount++) : argument.NAME().getText();
+        Argument passed = new Argument(value(argument.expr()), place(argument.expr()));
+        if (arguments.put(parameter, passed) != null) {
+          throw new ScriptException(place(argument), "'" + parameter + "' is given twice");
         }
       }
-      return declarations.declare(new Declared(name, given, place(call)));
+      return handler.declare(new DeclarationCall(name, arguments, place(call)));
     }
-    Builtin builtin = hidden ? null : Builtin.of(name);
+    Builtin builtin = shadowed ? null : Builtin.of(name);
     if (builtin != null) {
       List<Object> values = new ArrayList<>();
       for (ArgumentContext argument : call.argument()) {
         if (argument.NAME() != null) {
-          throw new Fault(place(argument), name + " takes its values by position");
+          throw new ScriptException(place(argument), name + " takes arguments by position only");
         }
         values.add(value(argument.expr()));
       }
-      return sized(call, builtin.call(place(call), values));
+      return checkSize(call, builtin.call(place(call), values));
     }
-    if (!hidden && !name.isEmpty()) {
-      throw new Fault(place(call), "nothing is named '" + name + "'");
+    if (!shadowed && !name.isEmpty()) {
+      throw new ScriptException(place(call), "nothing is named '" + name + "'");
     }
     if (!(value(call.expr()) instanceof Function function)) {
-      throw new Fault(place(call), "this cannot be called");
+      throw new ScriptException(place(call), "this cannot be called");
     }
     return call(call, function);
   }
 
-  private Object call(StarParser.CallContext call, Function function) throws Fault {
-    if (calls.contains(function) || calls.size() >= MOST_DEPTH) {
-      throw new Fault(
-          place(call), "'" + function.name() + "' would call itself: there is no recursion");
+  private Object call(StarParser.CallContext call, Function function) throws ScriptException {
+    if (calls.contains(function) || calls.size() >= MAX_DEPTH) {
+      throw new ScriptException(
+          place(call), "'" + function.name() + "' would call itself: recursion is not supported");
     }
-    Map<String, Object> given = new HashMap<>();
+    Map<String, Object> arguments = new HashMap<>();
     int position = 0;
     for (ArgumentContext argument : call.argument()) {
       String name =
@@ -603,65 +606,65 @@
               ? argument.NAME().getText()
               : position < function.names().size() ? function.names().get(position++) : null;
       if (name == null || !function.names().contains(name)) {
-        throw new Fault(place(argument), "'" + function.name() + "' takes " + function.names());
+        throw new ScriptException(place(argument), "'" + function.name() + "' takes " + function.names());
       }
-      if (given.put(name, value(argument.expr())) != null) {
-        throw new Fault(place(argument), "'" + name + "' stands twice");
+      if (arguments.put(name, value(argument.expr())) != null) {
+        throw new ScriptException(place(argument), "'" + name + "' is given twice");
       }
     }
     for (String name : function.names()) {
       Object other = function.defaults().get(name);
-      if (!given.containsKey(name) && other == null) {
-        throw new Fault(place(call), "'" + function.name() + "' needs '" + name + "'");
+      if (!arguments.containsKey(name) && defaultValue == null) {
+        throw new ScriptException(place(call), "'" + function.name() + "' needs '" + name + "'");
       }
-      given.putIfAbsent(name, other);
+      arguments.putIfAbsent(name, defaultValue);
     }
-    Map<String, Object> outer = locals;
-    locals = given;
+    Map<String, Object> callerLocals = locals;
+    locals = arguments;
     calls.push(function);
-    returned = NONE;
+    returnValue = NONE;
     try {
-      Way way = run(function.body());
-      if (way == Way.BREAK || way == Way.CONTINUE) {
-        throw new Fault(place(call), "'" + function.name() + "' leaves a loop that it is not in");
+      ControlFlow flow = run(function.body());
+      if (flow == ControlFlow.BREAK || flow == ControlFlow.CONTINUE) {
+        throw new ScriptException(place(call), "'" + function.name() + "' has a 'break' or 'continue' outside a loop");
       }
-      Object result = returned;
-      returned = NONE;
+      Object result = returnValue;
+      returnValue = NONE;
       return result;
     } finally {
       calls.pop();
-      locals = outer;
+      locals = callerLocals;
     }
   }
 
   // ---- Values ----
 
-  private Object sized(ParserRuleContext at, Object value) throws Fault {
+  private Object checkSize(ParserRuleContext at, Object value) throws ScriptException {
     int size =
         value instanceof List<?> list
             ? list.size()
             : value instanceof Map<?, ?> map
                 ? map.size()
                 : value instanceof String text ? text.length() : 0;
-    if (size > MOST_SIZE) {
-      throw new Fault(place(at), "this grows beyond " + MOST_SIZE + " elements");
+    if (size > MAX_SIZE) {
+      throw new ScriptException(place(at), "this exceeds " + MAX_SIZE + " elements");
     }
     return value;
   }
 
-  private interface Exact {
+  private interface ExactOperation {
     Object get();
   }
 
-  private static Object exact(ParserRuleContext at, Exact sum) throws Fault {
+  private static Object checkOverflow(ParserRuleContext at, ExactOperation operation) throws ScriptException {
     try {
-      return sum.get();
+      return operation.get();
     } catch (ArithmeticException e) {
-      throw new Fault(place(at), "this number is too large");
+      throw new ScriptException(place(at), "this number is too large");
     }
   }
 
-  static boolean truth(Object value) {
+  static boolean isTruthy(Object value) {
     return !(value == NONE
         || Objects.equals(value, false)
         || Objects.equals(value, 0L)
@@ -671,8 +674,8 @@
         || (value instanceof Map<?, ?> map && map.isEmpty()));
   }
 
-  /** A value as a fault names it. */
-  static String shown(Object value) {
+  /** Formats a value for an error message. */
+  static String format(Object value) {
     String text =
         value instanceof String
             ? "\"" + value + "\""
@@ -680,7 +683,7 @@
     return text.length() > 60 ? text.substring(0, 57) + "..." : text;
   }
 
-  private static String unescaped(String quoted) {
+  private static String unescape(String quoted) {
     StringBuilder text = new StringBuilder();
     for (int i = 1; i < quoted.length() - 1; i++) {
       char c = quoted.charAt(i);
--- a/src/main/java/wharftrestle/settings/Scripts.java
+++ b/src/main/java/wharftrestle/settings/Scripts.java
@@ -5,22 +5,21 @@
 import java.util.Map;
 
 /**
- * Runs a script of the settings' language with words of the caller's own, such as a script of
- * faults. It owns the way from a fault to file, line and column; it must never know what a word
- * means.
+ * Runs a script of the settings language with declarations defined by the caller, such as a fault
+ * script or a rollout plan. Errors are reported with file, line and column.
  */
 public final class Scripts {
 
-  /** A value as it was given, and where. */
+  /** An argument value and its position in the script. */
   public record Value(Object value, Place place) {}
 
   /**
-   * One call of a word; values are Long, Double, String, Boolean, List, Map, or what another word
-   * was worth.
+   * A call of one of the caller's declarations. The values are Long, Double, String, Boolean, List,
+   * Map, or the result of another such call.
    */
   public record Call(String word, Map<String, Value> values, Place place) {
 
-    /** A value that has to be there. */
+    /** Returns a required value. */
     public Value need(String name) throws RefusedException {
       Value value = values.get(name);
       if (value == null) {
@@ -29,54 +28,54 @@
       return value;
     }
 
-    /** What is wrong with a value, at its place. */
-    private RefusedException wrong(String name, Value value, String expected) {
+    /** Builds the error for a value that is not acceptable, at the position of the value. */
+    private RefusedException invalidValue(String name, Value value, String expected) {
       return new RefusedException(
           value.place(), word + "." + name + ": expected " + expected + ", got " + value.value());
     }
 
-    /** A number within bounds; where it is absent the initial one, or a fault where that is NaN. */
-    public double number(String name, double initial, double least, double most)
+    /** Returns a number within bounds. It is required if the default is NaN. */
+    public double number(String name, double defaultValue, double min, double max)
         throws RefusedException {
-      if (!values.containsKey(name) && !Double.isNaN(initial)) {
-        return initial;
+      if (!values.containsKey(name) && !Double.isNaN(defaultValue)) {
+        return defaultValue;
       }
       Value value = need(name);
       if (value.value() instanceof Number number
-          && number.doubleValue() >= least
-          && number.doubleValue() <= most) {
+          && number.doubleValue() >= min
+          && number.doubleValue() <= max) {
         return number.doubleValue();
       }
-      throw wrong(name, value, "a number from " + least + " to " + most);
+      throw invalidValue(name, value, "a number from " + min + " to " + max);
     }
 
-    /** A text that matches; where it is absent the initial one, or a fault where that is null. */
-    public String text(String name, String initial, String pattern, String expected)
+    /** Returns a text that matches the pattern. It is required if the default is null. */
+    public String text(String name, String defaultValue, String pattern, String expected)
         throws RefusedException {
-      if (!values.containsKey(name) && initial != null) {
-        return initial;
+      if (!values.containsKey(name) && defaultValue != null) {
+        return defaultValue;
       }
       Value value = need(name);
       if (value.value() instanceof String text && text.matches(pattern)) {
         return text;
       }
-      throw wrong(name, value, expected);
+      throw invalidValue(name, value, expected);
     }
 
-    /** A list; where it is absent the initial one, or a fault where that is null. */
-    public List<?> list(String name, List<?> initial) throws RefusedException {
-      if (!values.containsKey(name) && initial != null) {
-        return initial;
+    /** Returns a list. It is required if the default is null. */
+    public List<?> list(String name, List<?> defaultValue) throws RefusedException {
+      if (!values.containsKey(name) && defaultValue != null) {
+        return defaultValue;
       }
       Value value = need(name);
-      if (value.value() instanceof List<?> all) {
-        return all;
+      if (value.value() instanceof List<?> list) {
+        return list;
       }
-      throw wrong(name, value, "a list");
+      throw invalidValue(name, value, "a list");
     }
   }
 
-  /** What is wrong with a call. */
+  /** Thrown for an invalid call of a declaration. */
   public static final class RefusedException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient Place place;
@@ -86,25 +85,25 @@
       this.place = place;
     }
 
-    /** Where it stands. */
+    /** The position of the error in the script. */
     public Place place() {
       return place;
     }
   }
 
-  /** The caller's words. */
+  /** The declarations that a script can call. */
   public interface Words {
-    /** The values of a word, in their order; null where there is no such word. */
+    /** Returns the parameter names in positional order; null if there is no such declaration. */
     List<String> values(String word);
 
-    /** What a call is worth in the script; null for nothing. */
+    /** Handles a call and returns its result within the script; null stands for None. */
     Object called(Call call) throws RefusedException;
   }
 
   private Scripts() {}
 
   /**
-   * Runs a script; the name is for faults.
+   * Runs a script; the name stands for the file in error messages.
    *
    * @throws BadSettingsException in one line: file, line, column, what was expected
    */
@@ -112,44 +111,44 @@
     try {
       Script.run(
           text,
-          new Script.Declarations() {
+          new Script.DeclarationHandler() {
             @Override
-            public boolean knows(String word) {
+            public boolean isDeclarable(String word) {
               return words.values(word) != null;
             }
 
             @Override
-            public List<String> order(String word) {
+            public List<String> positionalParameters(String word) {
               return words.values(word);
             }
 
             @Override
-            public Object declare(Script.Declared declared) throws Script.Fault {
+            public Object declare(Script.DeclarationCall call) throws Script.ScriptException {
               Map<String, Value> values = new LinkedHashMap<>();
-              List<String> known = words.values(declared.name());
-              for (Map.Entry<String, Script.Given> each : declared.arguments().entrySet()) {
-                if (!known.contains(each.getKey())) {
-                  throw new Script.Fault(
-                      each.getValue().place(),
-                      declared.name()
+              List<String> parameters = words.values(call.name());
+              for (Map.Entry<String, Script.Argument> argument : call.arguments().entrySet()) {
+                if (!parameters.contains(argument.getKey())) {
+                  throw new Script.ScriptException(
+                      argument.getValue().place(),
+                      call.name()
                           + " has no '"
-                          + each.getKey()
+                          + argument.getKey()
                           + "', expected one of "
-                          + String.join(", ", known));
+                          + String.join(", ", parameters));
                 }
                 values.put(
-                    each.getKey(), new Value(each.getValue().value(), each.getValue().place()));
+                    argument.getKey(), new Value(argument.getValue().value(), argument.getValue().place()));
               }
               try {
-                Object worth = words.called(new Call(declared.name(), values, declared.place()));
-                return worth == null ? Script.NONE : worth;
+                Object result = words.called(new Call(call.name(), values, call.place()));
+                return result == null ? Script.NONE : result;
               } catch (RefusedException refused) {
-                throw new Script.Fault(refused.place, refused.getMessage());
+                throw new Script.ScriptException(refused.place, refused.getMessage());
               }
             }
           });
-    } catch (Script.Fault fault) {
-      throw new BadSettingsException(name, fault.place(), fault.getMessage());
+    } catch (Script.ScriptException error) {
+      throw new BadSettingsException(name, error.place(), error.getMessage());
     }
   }
 }
--- a/src/main/java/wharftrestle/settings/Settings.java
+++ b/src/main/java/wharftrestle/settings/Settings.java
@@ -11,12 +11,11 @@
 import wharftrestle.config.DaemonConfig;
 
 /**
- * What a script sets, checked: each field's value and where it comes from. It must never hold a
- * value that the schema did not take, or fill in a needed one.
+ * The validated settings of a script: the value and the origin of each field. Every value has passed
+ * the {@link Schema}; required fields have no default.
  */
 public final class Settings {
-  /** A longer script is none of ours. */
-  private static final long LONGEST = 256 * 1024;
+  private static final long MAX_SCRIPT_BYTES = 256 * 1024;
 
   /** A value with its origin: FILE:LINE:COLUMN, or "default". */
   public record Value(Object value, String origin) {}
@@ -25,7 +24,7 @@
 
   private Settings() {}
 
-  /** Nothing set: all is off. */
+  /** Returns settings without any declaration: every optional feature is off. */
   public static Settings none() {
     return new Settings();
   }
@@ -39,17 +38,17 @@
     if (file.toString().endsWith(".properties")) {
       throw new BadSettingsException(
           file
-              + ": settings are a script now, e.g. appliance.star with the line: "
+              + ": properties files are not supported; write a script, e.g. appliance.star with the line: "
               + "uwsgi(listen = \"127.0.0.1:3031\")");
     }
     String text;
     try {
-      if (Files.size(file) > LONGEST) {
-        throw new BadSettingsException(file + ": longer than " + LONGEST + " bytes");
+      if (Files.size(file) > MAX_SCRIPT_BYTES) {
+        throw new BadSettingsException(file + ": longer than " + MAX_SCRIPT_BYTES + " bytes");
       }
       text = Files.readString(file);
     } catch (CharacterCodingException e) {
-      throw new BadSettingsException(file + ": is no UTF-8 text");
+      throw new BadSettingsException(file + ": is not UTF-8 text");
     } catch (IOException e) {
       throw new BadSettingsException(
           file + ": cannot be read (" + e.getClass().getSimpleName() + ")");
@@ -57,78 +56,78 @@
     return parse(file.toString(), text);
   }
 
-  /** Checks a script given as text; the name is for faults and origins. */
+  /** Checks the text of a script; the name stands for the file in errors and origins. */
   public static Settings parse(String name, String text) throws BadSettingsException {
     Settings settings = new Settings();
     try {
       Script.run(
           text,
-          new Script.Declarations() {
+          new Script.DeclarationHandler() {
             @Override
-            public boolean knows(String word) {
-              return Schema.ALL.containsKey(word);
+            public boolean isDeclarable(String declaration) {
+              return Schema.ALL.containsKey(declaration);
             }
 
             @Override
-            public Object declare(Script.Declared given) throws Script.Fault {
-              settings.take(name, given);
+            public Object declare(Script.DeclarationCall call) throws Script.ScriptException {
+              settings.validateAndAdd(name, call);
               return Script.NONE;
             }
           });
-    } catch (Script.Fault fault) {
-      throw new BadSettingsException(name, fault.place(), fault.getMessage());
+    } catch (Script.ScriptException error) {
+      throw new BadSettingsException(name, error.place(), error.getMessage());
     }
     return settings;
   }
 
-  private void take(String file, Script.Declared given) throws Script.Fault {
-    Schema.Declaration known = Schema.ALL.get(given.name());
-    if (declared.containsKey(given.name())) {
-      throw new Script.Fault(given.place(), given.name() + " is declared twice");
+  private void validateAndAdd(String file, Script.DeclarationCall call) throws Script.ScriptException {
+    Schema.Declaration declaration = Schema.ALL.get(call.name());
+    if (declared.containsKey(call.name())) {
+      throw new Script.ScriptException(call.place(), call.name() + " is declared twice");
     }
     Map<String, Value> values = new LinkedHashMap<>();
-    for (Map.Entry<String, Script.Given> argument : given.arguments().entrySet()) {
-      if (!known.fields().containsKey(argument.getKey())) {
-        throw new Script.Fault(
+    for (Map.Entry<String, Script.Argument> argument : call.arguments().entrySet()) {
+      if (!declaration.fields().containsKey(argument.getKey())) {
+        throw new Script.ScriptException(
             argument.getValue().place(),
-            given.name()
+            call.name()
                 + " has no '"
                 + argument.getKey()
                 + "', expected one of "
-                + String.join(", ", known.fields().keySet()));
+                + String.join(", ", declaration.fields().keySet()));
       }
     }
-    for (Schema.Field field : known.fields().values()) {
-      Script.Given argument = given.arguments().get(field.name());
+    for (Schema.Field field : declaration.fields().values()) {
+      Script.Argument argument = call.arguments().get(field.name());
       if (argument == null) {
         if (field.required()) {
-          throw new Script.Fault(
-              given.place(),
-              given.name() + " needs " + field.name() + ": " + field.type().expected());
+          throw new Script.ScriptException(
+              call.place(),
+              call.name() + " needs " + field.name() + ": " + field.type().expected());
         }
-        values.put(field.name(), new Value(field.initial(), "default"));
+        values.put(field.name(), new Value(field.defaultValue(), "default"));
         continue;
       }
       try {
         values.put(
             field.name(),
             new Value(field.type().check(argument.value()), file + ":" + argument.place()));
-      } catch (Schema.Wrong wrong) {
-        throw new Script.Fault(
+      } catch (Schema.InvalidValueException e) {
+        throw new Script.ScriptException(
             argument.place(),
-            given.name()
+            call.name()
                 + "."
                 + field.name()
                 + ": expected "
                 + field.type().expected()
                 + ", got "
-                + Script.shown(argument.value()));
+                + Script.format(argument.value()));
       }
     }
-    declared.put(given.name(), values);
+    declared.put(call.name(), values);
   }
 
-  /** True where the script declares this. */
+  /** Returns whether the script makes this declaration. */
   public boolean declares(String name) {
     return declared.containsKey(name);
   }
@@ -138,7 +137,7 @@
     return values == null ? null : values.get(field).value();
   }
 
-  /** All that can be set, one line each: the effective value and its origin. */
+  /** Returns a line for each setting: its name, effective value and origin. */
   public String table() {
     StringBuilder lines = new StringBuilder();
     for (Schema.Declaration declaration : Schema.ALL.values()) {
@@ -157,24 +156,24 @@
                       Locale.ROOT,
                       "%-22s %-28s %s%n",
                       declaration.name() + "." + field,
-                      shown(value.value()),
+                      format(value.value()),
                       value.origin())));
     }
     return lines.toString();
   }
 
-  private static String shown(Object value) {
+  private static String format(Object value) {
     return value instanceof InetSocketAddress address
         ? address.getAddress().getHostAddress() + ":" + address.getPort()
         : String.valueOf(value);
   }
 
-  /** One value, as the script or the schema has it. */
+  /** Returns the value of a field: that of the script, else the default of the schema. */
   public Object value(String name, String field) {
-    return declares(name) ? get(name, field) : Schema.ALL.get(name).fields().get(field).initial();
+    return declares(name) ? get(name, field) : Schema.ALL.get(name).fields().get(field).defaultValue();
   }
 
-  /** What the daemon opens and keeps besides the platform's front. */
+  /** Returns the configuration of the optional front ends, endpoints and result storage. */
   public DaemonConfig.Appliance appliance() {
     DaemonConfig.Durable durable =
         !declares("durable")
--- a/src/main/java/wharftrestle/snmp/SnmpAgent.java
+++ b/src/main/java/wharftrestle/snmp/SnmpAgent.java
@@ -35,17 +35,17 @@
 import wharftrestle.metrics.ResultMetric;
 
 /**
- * The SNMP agent: version 2c, read-only, for one community. It serves what mib/WHARFTRESTLE-MIB.txt
- * describes and the few objects of the system group that managers ask for first. It must never
- * change anything, nor answer anybody who does not name the community.
+ * The SNMP agent: version 2c, read-only, for one community. It serves the objects of
+ * mib/WHARFTRESTLE-MIB.txt and the few objects of the system group that managers request first.
+ * Requests for another community get no response.
  */
 public final class SnmpAgent implements CommandResponder, AutoCloseable {
-  /** The MIB's root; experimental, as no enterprise number is registered. */
+  /** Root OID of the MIB, in the experimental subtree as no enterprise number is registered. */
   public static final OID ROOT = new OID("1.3.6.1.3.29421");
 
   private static final OID SYSTEM = new OID("1.3.6.1.2.1.1");
-  private static final long MOST_GAUGE = 0xffff_ffffL;
-  private static final int MOST_BINDINGS = 100;
+  private static final long MAX_GAUGE = 0xffff_ffffL;
+  private static final int MAX_BINDINGS = 100;
 
   private final AdminServer.Daemon daemon;
   private final OctetString community;
@@ -70,7 +70,7 @@
     return new InetSocketAddress(address.getInetAddress(), address.getPort());
   }
 
-  /** All that is served now, in the order of the MIB. */
+  /** Returns the current value of each served object, ordered by OID. */
   private NavigableMap<OID, Variable> objects() {
     NavigableMap<OID, Variable> objects = new TreeMap<>();
     TimeTicks up = new TimeTicks((long) (daemon.upSeconds() * 100));
@@ -79,62 +79,62 @@
     put(objects, SYSTEM, 2, ROOT);
     put(objects, SYSTEM, 3, up);
     put(objects, SYSTEM, 5, text(daemon.name()));
-    OID state = below(ROOT, 1, 1);
+    OID state = child(ROOT, 1, 1);
     put(objects, state, 1, text(daemon.name()));
     put(objects, state, 2, new Integer32(daemon.phaseNumber()));
     put(objects, state, 3, up);
-    put(objects, state, 4, truth(daemon.linked()));
-    put(objects, state, 5, truth(daemon.healthy()));
+    put(objects, state, 4, truthValue(daemon.linked()));
+    put(objects, state, 5, truthValue(daemon.healthy()));
     put(objects, state, 6, new Gauge32(Math.max(0, counters.inFlight())));
-    Counters.KeyUsage kept = counters.keyUsage();
-    put(objects, state, 7, new Gauge32(kept.keys()));
-    put(objects, state, 8, new Gauge32(kept.maxKeys()));
-    put(objects, state, 9, new Gauge32(Math.min(kept.bytes() >> 10, MOST_GAUGE)));
-    put(objects, state, 10, new Gauge32(Math.min(kept.maxBytes() >> 10, MOST_GAUGE)));
+    Counters.KeyUsage keyUsage = counters.keyUsage();
+    put(objects, state, 7, new Gauge32(keyUsage.keys()));
+    put(objects, state, 8, new Gauge32(keyUsage.maxKeys()));
+    put(objects, state, 9, new Gauge32(Math.min(keyUsage.bytes() >> 10, MAX_GAUGE)));
+    put(objects, state, 10, new Gauge32(Math.min(keyUsage.maxBytes() >> 10, MAX_GAUGE)));
     for (Count count : Count.values()) {
-      put(objects, below(ROOT, 1, 2), number(count), new Counter64(counters.get(count)));
+      put(objects, child(ROOT, 1, 2), mibNumber(count), new Counter64(counters.get(count)));
     }
     Map<ResultMetric, Long> results = daemon.results();
-    for (ResultMetric figure : ResultMetric.values()) {
-      long value = results.getOrDefault(figure, figure == ResultMetric.STATE ? 1L : 0L);
+    for (ResultMetric metric : ResultMetric.values()) {
+      long value = results.getOrDefault(metric, metric == ResultMetric.STATE ? 1L : 0L);
       put(
           objects,
-          below(ROOT, 1, 4),
-          number(figure),
-          figure.isCounter() ? new Counter64(value) : new Gauge32(Math.min(value, MOST_GAUGE)));
+          child(ROOT, 1, 4),
+          mibNumber(metric),
+          metric.isCounter() ? new Counter64(value) : new Gauge32(Math.min(value, MAX_GAUGE)));
     }
-    int part = 0;
-    for (String said : daemon.version().publishedFields().values()) {
-      put(objects, below(ROOT, 1, 5), ++part, text(said));
+    int index = 0;
+    for (String field : daemon.version().publishedFields().values()) {
+      put(objects, child(ROOT, 1, 5), ++index, text(field));
     }
-    put(objects, below(ROOT, 1, 5), ++part, text(daemon.handover()));
+    put(objects, child(ROOT, 1, 5), ++index, text(daemon.handover()));
     RolloutStatus fleet = daemon.fleet();
-    put(objects, below(ROOT, 1, 6), 1, new Counter64(fleet.epoch()));
-    put(objects, below(ROOT, 1, 6), 2, new Gauge32(fleet.stage()));
-    put(objects, below(ROOT, 1, 6), 3, text(fleet.verdict()));
-    OID row = below(ROOT, 1, 3, 1);
+    put(objects, child(ROOT, 1, 6), 1, new Counter64(fleet.epoch()));
+    put(objects, child(ROOT, 1, 6), 2, new Gauge32(fleet.stage()));
+    put(objects, child(ROOT, 1, 6), 3, text(fleet.verdict()));
+    OID row = child(ROOT, 1, 3, 1);
     for (int i = 0; i < counters.classes().size(); i++) {
-      objects.put(below(row, 2, i + 1), text(counters.classes().get(i)));
+      objects.put(child(row, 2, i + 1), text(counters.classes().get(i)));
       for (Counters.Result result : Counters.Result.values()) {
-        objects.put(below(row, 2 + number(result), i + 1), new Counter64(counters.get(i, result)));
+        objects.put(child(row, 2 + mibNumber(result), i + 1), new Counter64(counters.get(i, result)));
       }
     }
     return objects;
   }
 
   @SuppressWarnings("EnumOrdinal") // the MIB counts from 1 in the order of declaration
-  private static int number(Enum<?> value) {
+  private static int mibNumber(Enum<?> value) {
     return value.ordinal() + 1;
   }
 
   private static void put(Map<OID, Variable> objects, OID group, int number, Variable value) {
-    objects.put(below(group, number, 0), value);
+    objects.put(child(group, number, 0), value);
   }
 
-  private static OID below(OID root, int... more) {
+  private static OID child(OID root, int... subIds) {
     int[] base = root.getValue();
-    int[] all = Arrays.copyOf(base, base.length + more.length);
-    System.arraycopy(more, 0, all, base.length, more.length);
+    int[] all = Arrays.copyOf(base, base.length + subIds.length);
+    System.arraycopy(subIds, 0, all, base.length, subIds.length);
     return new OID(all);
   }
 
@@ -142,7 +142,7 @@
     return new OctetString(value.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static Integer32 truth(boolean value) {
+  private static Integer32 truthValue(boolean value) {
     return new Integer32(value ? 1 : 2);
   }
 
@@ -157,7 +157,7 @@
     response.setType(PDU.RESPONSE);
     response.clear();
     response.setRequestID(request.getRequestID());
-    answer(request, response);
+    fillResponse(request, response);
     try {
       event
           .getMessageDispatcher()
@@ -171,25 +171,25 @@
               event.getStateReference(),
               new StatusInformation());
     } catch (MessageException e) {
-      Logger.warn("SNMP answer: {}", e.getMessage());
+      Logger.warn("cannot send the SNMP response: error={}", e.getMessage());
     }
   }
 
-  private void answer(PDU request, PDU response) {
+  private void fillResponse(PDU request, PDU response) {
     NavigableMap<OID, Variable> objects = objects();
     switch (request.getType()) {
       case PDU.GET -> {
-        for (VariableBinding asked : request.getVariableBindings()) {
-          Variable value = objects.get(asked.getOid());
+        for (VariableBinding requested : request.getVariableBindings()) {
+          Variable value = objects.get(requested.getOid());
           response.add(
-              new VariableBinding(asked.getOid(), value == null ? Null.noSuchObject : value));
+              new VariableBinding(requested.getOid(), value == null ? Null.noSuchObject : value));
         }
       }
       case PDU.GETNEXT ->
           request
               .getVariableBindings()
-              .forEach(asked -> response.add(next(objects, asked.getOid())));
-      case PDU.GETBULK -> bulk(objects, request, response);
+              .forEach(requested -> response.add(next(objects, requested.getOid())));
+      case PDU.GETBULK -> getBulk(objects, request, response);
       default -> {
         response.setErrorStatus(PDU.notWritable);
         response.setErrorIndex(1);
@@ -198,20 +198,20 @@
     }
   }
 
-  private static void bulk(NavigableMap<OID, Variable> objects, PDU request, PDU response) {
-    int single = Math.max(0, Math.min(request.getNonRepeaters(), request.size()));
-    OID[] at = new OID[request.size()];
-    for (int i = 0; i < at.length; i++) {
-      at[i] = request.get(i).getOid();
+  private static void getBulk(NavigableMap<OID, Variable> objects, PDU request, PDU response) {
+    int nonRepeaters = Math.max(0, Math.min(request.getNonRepeaters(), request.size()));
+    OID[] positions = new OID[request.size()];
+    for (int i = 0; i < positions.length; i++) {
+      positions[i] = request.get(i).getOid();
     }
-    int rounds = Math.max(1, Math.min(MOST_BINDINGS, request.getMaxRepetitions()));
-    for (int round = 0; round < rounds; round++) {
-      for (int i = round == 0 ? 0 : single; i < at.length; i++) {
-        boolean wanted = i < single || request.getMaxRepetitions() > 0;
-        if (wanted && response.size() < MOST_BINDINGS) {
-          VariableBinding next = next(objects, at[i]);
+    int repetitions = Math.max(1, Math.min(MAX_BINDINGS, request.getMaxRepetitions()));
+    for (int repetition = 0; repetition < repetitions; repetition++) {
+      for (int i = repetition == 0 ? 0 : nonRepeaters; i < positions.length; i++) {
+        boolean included = i < nonRepeaters || request.getMaxRepetitions() > 0;
+        if (included && response.size() < MAX_BINDINGS) {
+          VariableBinding next = next(objects, positions[i]);
           response.add(next);
-          at[i] = next.getOid();
+          positions[i] = next.getOid();
         }
       }
     }
@@ -229,7 +229,7 @@
     try {
       snmp.close();
     } catch (IOException e) {
-      Logger.debug(e, "closing");
+      Logger.debug(e, "cannot close the SNMP transport");
     }
   }
 }
--- a/src/test/java/wharftrestle/admin/AdminFormatFixtures.java
+++ b/src/test/java/wharftrestle/admin/AdminFormatFixtures.java
@@ -32,18 +32,19 @@
 import wharftrestle.version.VersionRange;
 
 /**
- * Writes what the operators' tools were answered, which {@link AdminFormatTest} reads: every path
- * of the admin port for a daemon that never changes by itself, a walk of the SNMP agent, and the
- * names in the MIB. It was run once; running it again records whatever the present build answers.
+ * Records the fixtures of {@link AdminFormatTest}: the responses of every path of the admin endpoint
+ * for a daemon with fixed metrics, a walk of the SNMP agent, and the names in the MIB. The checked-in
+ * fixtures come from an earlier build; running this class overwrites them with the responses of the
+ * current build.
  */
 final class AdminFormatFixtures {
-  static final Path FOLDER = Path.of("src/test/resources/fixtures/admin");
-  static final Path ANSWERS = FOLDER.resolve("answers.txt");
-  static final Path WALK = FOLDER.resolve("walk.txt");
-  static final Path MIB_NAMES = FOLDER.resolve("mib-names.txt");
+  static final Path DIRECTORY = Path.of("src/test/resources/fixtures/admin");
+  static final Path ANSWERS = DIRECTORY.resolve("answers.txt");
+  static final Path WALK = DIRECTORY.resolve("walk.txt");
+  static final Path MIB_NAMES = DIRECTORY.resolve("mib-names.txt");
   private static final Path MIB = Path.of("mib/WHARFTRESTLE-MIB.txt");
 
-  /** In the order of a tour: what is asked, and of a daemon with or without kept results. */
+  /** The requests in the order in which they are sent; some change the state of the daemon. */
   private static final List<String> CALLS =
       List.of(
           "GET /_ready",
@@ -66,20 +67,20 @@
           "POST /_vars",
           "GET /vars");
 
-  private static final int ANSWER_MS = 10_000;
+  private static final int TIMEOUT_MS = 10_000;
 
   private AdminFormatFixtures() {}
 
-  /** Run from the project's folder; needs the classes of the tests and of the program. */
+  /** Run it from the project directory with the main and test classes on the class path. */
   public static void main(String[] arguments) throws Exception {
-    Files.createDirectories(FOLDER);
+    Files.createDirectories(DIRECTORY);
     Files.writeString(ANSWERS, answers());
     Files.write(WALK, walk());
     Files.write(MIB_NAMES, mibNames());
     System.exit(0);
   }
 
-  /** Each call with its whole answer. */
+  /** Returns each request with its complete response. */
   static String answers() throws IOException {
     FixedDaemon daemon = new FixedDaemon();
     Server server =
@@ -93,30 +94,30 @@
     try {
       server.listen(false, true);
       server.start();
-      StringBuilder all = new StringBuilder();
+      StringBuilder transcript = new StringBuilder();
       for (String call : CALLS) {
-        all.append("> ").append(call).append('\n');
-        ask(server.address(), call)
+        transcript.append("> ").append(call).append('\n');
+        send(server.address(), call)
             .lines()
-            .forEach(line -> all.append("< ").append(line).append('\n'));
+            .forEach(line -> transcript.append("< ").append(line).append('\n'));
       }
       daemon.results.clear();
-      all.append("> without kept results\n");
+      transcript.append("> without kept results\n");
       for (String call : List.of("GET /_results", "GET /_status")) {
-        ask(server.address(), call)
+        send(server.address(), call)
             .lines()
             .filter(line -> line.startsWith("off") || line.startsWith("results"))
-            .forEach(line -> all.append("< ").append(line).append('\n'));
+            .forEach(line -> transcript.append("< ").append(line).append('\n'));
       }
-      return all.toString();
+      return transcript.toString();
     } finally {
       server.close();
     }
   }
 
-  private static String ask(InetSocketAddress at, String call) throws IOException {
-    try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
-      socket.setSoTimeout(ANSWER_MS);
+  private static String send(InetSocketAddress address, String call) throws IOException {
+    try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+      socket.setSoTimeout(TIMEOUT_MS);
       socket
           .getOutputStream()
           .write((call + " HTTP/1.1\r\nHost: n\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -124,7 +125,7 @@
     }
   }
 
-  /** A line an object that the agent serves: its OID, its syntax and its value. */
+  /** Returns a line for each object served by the agent: its OID, syntax and value. */
   static List<String> walk() throws IOException {
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     try (SnmpAgent agent = new SnmpAgent(new FixedDaemon(), any, "public");
@@ -132,13 +133,13 @@
         Snmp manager = new Snmp(udp)) {
       manager.listen();
       List<String> lines = new ArrayList<>();
-      for (OID at = new OID("1.3.6.1"); ; ) {
-        VariableBinding next = next(manager, agent.address(), at);
+      for (OID position = new OID("1.3.6.1"); ; ) {
+        VariableBinding next = next(manager, agent.address(), position);
         if (next.isException()) {
           return lines;
         }
-        at = next.getOid();
-        lines.add(at + " " + next.getVariable().getSyntaxString() + " " + next.getVariable());
+        position = next.getOid();
+        lines.add(position + " " + next.getVariable().getSyntaxString() + " " + next.getVariable());
       }
     }
   }
@@ -152,49 +153,49 @@
         new CommunityTarget<>(
             new UdpAddress(agent.getAddress(), agent.getPort()), new OctetString("public"));
     target.setVersion(SnmpConstants.version2c);
-    target.setTimeout(ANSWER_MS);
+    target.setTimeout(TIMEOUT_MS);
     PDU response = manager.send(request, target).getResponse();
     if (response == null) {
-      throw new IOException("the agent does not answer after " + after);
+      throw new IOException("no response from the SNMP agent for the object after " + after);
     }
     return response.get(0);
   }
 
-  /** A line a name of the MIB, in its order: OID, name, kind and syntax. */
+  /** Returns a line for each name in the MIB, in file order: OID, name, kind and syntax. */
   static List<String> mibNames() throws IOException {
-    Map<String, OID> places = new LinkedHashMap<>(Map.of("experimental", new OID("1.3.6.1.3")));
+    Map<String, OID> oids = new LinkedHashMap<>(Map.of("experimental", new OID("1.3.6.1.3")));
     List<String> lines = new ArrayList<>();
-    Matcher all =
+    Matcher definitions =
         Pattern.compile(
                 "^(\\w+) +(MODULE-IDENTITY|OBJECT IDENTIFIER|OBJECT-TYPE|OBJECT-GROUP"
                     + "|MODULE-COMPLIANCE)(?:\\s+SYNTAX\\s+(\\w+))?.*?::= \\{ (\\w+) (\\d+) }",
                 Pattern.MULTILINE | Pattern.DOTALL)
             .matcher(Files.readString(MIB));
-    while (all.find()) {
-      OID place = new OID(places.get(all.group(4)) + "." + all.group(5));
-      places.put(all.group(1), place);
+    while (definitions.find()) {
+      OID oid = new OID(oids.get(definitions.group(4)) + "." + definitions.group(5));
+      oids.put(definitions.group(1), oid);
       lines.add(
-          place
+          oid
               + " "
-              + all.group(1)
+              + definitions.group(1)
               + " "
-              + all.group(2)
-              + (all.group(3) == null ? "" : " " + all.group(3)));
+              + definitions.group(2)
+              + (definitions.group(3) == null ? "" : " " + definitions.group(3)));
     }
     return lines;
   }
 
-  /** A daemon that never changes by itself, each of whose counts is another. */
+  /** A daemon with fixed metrics, in which every counter has a different value. */
   private static final class FixedDaemon implements AdminServer.Daemon {
     private final Map<ResultMetric, Long> results = new EnumMap<>(ResultMetric.class);
     private final Counters counters = new Counters(List.of("read", "save all"));
-    private RolloutStatus stand = RolloutStatus.NONE;
-    private boolean leaving;
+    private RolloutStatus rolloutStatus = RolloutStatus.NONE;
+    private boolean draining;
 
-    @SuppressWarnings("EnumOrdinal") // a value that differs by figure, in the order of the MIB
+    @SuppressWarnings("EnumOrdinal") // a different value for each metric, in the order of the MIB
     FixedDaemon() {
-      for (ResultMetric figure : ResultMetric.values()) {
-        results.put(figure, figure == ResultMetric.STATE ? 2 : 1000L * (figure.ordinal() + 1) + 1);
+      for (ResultMetric metric : ResultMetric.values()) {
+        results.put(metric, metric == ResultMetric.STATE ? 2 : 1000L * (metric.ordinal() + 1) + 1);
       }
       for (Counters.Count count : Counters.Count.values()) {
         for (int i = 0; i < 100 * (count.ordinal() + 1); i++) {
@@ -204,15 +205,15 @@
       for (int i = 0; i < 20; i++) {
         counters.requestReceived();
       }
-      answered(0, Counters.Result.SERVED, 5);
-      answered(0, Counters.Result.REJECTED, 1);
-      answered(1, Counters.Result.SERVED, 2);
-      answered(1, Counters.Result.FAILED, 3);
+      recordResults(0, Counters.Result.SERVED, 5);
+      recordResults(0, Counters.Result.REJECTED, 1);
+      recordResults(1, Counters.Result.SERVED, 2);
+      recordResults(1, Counters.Result.FAILED, 3);
       counters.servedAfterObjective(1);
       counters.updateKeyUsage(new Counters.KeyUsage(11, 1200, 13 << 10, 14 << 20));
     }
 
-    private void answered(int classIndex, Counters.Result result, int times) {
+    private void recordResults(int classIndex, Counters.Result result, int times) {
       for (int i = 0; i < times; i++) {
         counters.answered(classIndex, result);
       }
@@ -225,7 +226,7 @@
 
     @Override
     public String phase() {
-      return leaving ? "leaving" : "serving";
+      return draining ? "leaving" : "serving";
     }
 
     @Override
@@ -235,7 +236,7 @@
 
     @Override
     public boolean ready() {
-      return !leaving;
+      return !draining;
     }
 
     @Override
@@ -291,22 +292,22 @@
 
     @Override
     public RolloutStatus fleet() {
-      return stand;
+      return rolloutStatus;
     }
 
     @Override
-    public void fleet(RolloutStatus said) {
-      stand = said;
+    public void fleet(RolloutStatus status) {
+      rolloutStatus = status;
     }
 
     @Override
     public boolean lameDuck(boolean on) {
-      return !leaving;
+      return !draining;
     }
 
     @Override
     public void leave() {
-      leaving = true;
+      draining = true;
     }
   }
 }
--- a/src/test/java/wharftrestle/admin/AdminFormatTest.java
+++ b/src/test/java/wharftrestle/admin/AdminFormatTest.java
@@ -7,12 +7,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Holds what operators' tools are answered against what an earlier build answered. */
+/**
+ * Compares the responses of the admin endpoint, an SNMP walk and the names of the MIB with fixtures
+ * recorded by an earlier build, so that operators' tools keep working.
+ */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class AdminFormatTest {
 
   @Test
-  void everyPathOfTheAdminPortIsAnsweredAsRecorded() throws Exception {
+  void adminEndpointResponsesMatchTheFixture() throws Exception {
     String expected = Files.readString(AdminFormatFixtures.ANSWERS);
 
     String actual = AdminFormatFixtures.answers();
@@ -21,7 +24,7 @@
   }
 
   @Test
-  void aWalkOfTheAgentFindsTheRecordedObjectsSyntaxesAndValues() throws Exception {
+  void snmpWalkMatchesTheFixture() throws Exception {
     List<String> expected = Files.readAllLines(AdminFormatFixtures.WALK);
 
     List<String> actual = AdminFormatFixtures.walk();
@@ -30,7 +33,7 @@
   }
 
   @Test
-  void theMibHasTheRecordedNamesAtTheRecordedPlaces() throws Exception {
+  void mibNamesAndOidsMatchTheFixture() throws Exception {
     List<String> expected = Files.readAllLines(AdminFormatFixtures.MIB_NAMES);
 
     List<String> actual = AdminFormatFixtures.mibNames();
--- a/src/test/java/wharftrestle/settings/SettingsTest.java
+++ b/src/test/java/wharftrestle/settings/SettingsTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.Provide;
 import wharftrestle.config.DaemonConfig;
 
-/** The settings' language: what it computes, and where it says what is wrong. */
+/** Evaluation of settings scripts, and the position and text of their errors. */
 class SettingsTest {
 
   private static DaemonConfig.Appliance read(String text) throws BadSettingsException {
@@ -27,22 +27,22 @@
   }
 
   @Example
-  void theFileOfTheRepositoryTurnsNothingOn() throws Exception {
+  void repositoryScriptDeclaresNothingAndItsExamplesAreValid() throws Exception {
     assertEquals(
         DaemonConfig.Appliance.none(), Settings.read(Path.of("deploy/appliance.star")).appliance());
-    String run =
+    String runCommand =
         Files.readString(Path.of("deploy/balancer.toml"))
             + Files.readString(Path.of("deploy/run.sh"));
-    assertFalse(run.contains("--appliance"), "the platform's run line loads no script");
-    String shown =
+    assertFalse(runCommand.contains("--appliance"), "the platform's run command loads no script");
+    String examples =
         Files.readString(Path.of("deploy/appliance.star")).replaceAll("(?m)^# (?=\\w+\\()", "");
     assertEquals(
-        64L << 20, read(shown).durable().most(), "and its examples can be used as they stand");
+        64L << 20, read(examples).durable().most(), "the commented examples are valid");
   }
 
   @Example
-  void aScriptComputesWhatItDeclares() throws Exception {
-    DaemonConfig.Appliance set =
+  void scriptComputesDeclaredValues() throws Exception {
+    DaemonConfig.Appliance appliance =
         read(
             """
                 base = 7000
@@ -64,17 +64,17 @@
                 sizes = [n * n for n in range(1, 10) if n % 2 == 0]
                 durable(dir = "/tmp/x", max_mb = max(sizes) * 2, max_keys = total + 1000 // 3 - 1 * 2, patience_ms = 250)
                 """);
-    assertEquals(7401, set.control().getPort());
-    assertEquals(7161, set.snmp().getPort());
-    assertEquals("deskdesk", set.community());
-    assertEquals(128L << 20, set.durable().most());
-    assertEquals(62 + 333 - 2, set.durable().keys());
-    assertEquals(0.25, set.durable().patience());
-    assertEquals("group", set.durable().sync());
+    assertEquals(7401, appliance.control().getPort());
+    assertEquals(7161, appliance.snmp().getPort());
+    assertEquals("deskdesk", appliance.community());
+    assertEquals(128L << 20, appliance.durable().most());
+    assertEquals(62 + 333 - 2, appliance.durable().keys());
+    assertEquals(0.25, appliance.durable().patience());
+    assertEquals("group", appliance.durable().sync());
   }
 
-  /** A script, and the one line that says what is wrong with it. */
-  private static final String[][] FAULTS = {
+  /** Invalid scripts, each with its error message after the file name. */
+  private static final String[][] INVALID_SCRIPTS = {
     {"uwsgi()", "1:1: uwsgi needs listen: an address as \"HOST:PORT\", with a numeric host"},
     {
       "uwsgi(listen = \"somewhere\")",
@@ -103,78 +103,78 @@
       "1:28: durable has no 'size', expected one of dir, max_mb, max_keys, "
           + "queue_kb, patience_ms, sync"
     },
-    {"durable(\"/x\")", "1:9: durable takes its values by name: durable(name = value)"},
-    {"durable(dir = \"a\", dir = \"b\")", "1:20: 'dir' stands twice"},
+    {"durable(\"/x\")", "1:9: durable takes arguments by name only: durable(name = value)"},
+    {"durable(dir = \"a\", dir = \"b\")", "1:20: 'dir' is given twice"},
     {"\ndurable(dir = \"a\")\ndurable(dir = \"b\")", "3:1: durable is declared twice"},
     {"pool = durable", "1:8: 'durable' must be called: durable(...)"},
-    {"durable = 1", "1:1: 'durable' has a meaning already, choose another name"},
-    {"for snmp in [1]:\n  pass", "1:5: 'snmp' has a meaning already, choose another name"},
+    {"durable = 1", "1:1: 'durable' is reserved, choose another name"},
+    {"for snmp in [1]:\n  pass", "1:5: 'snmp' is reserved, choose another name"},
     {"x = y", "1:5: nothing is named 'y'"},
     {"x = f(1)", "1:5: nothing is named 'f'"},
     {"x = 1 +", "1:8: unexpected end of line"},
     {"x = [1, 2", "1:10: unexpected end of line, expected ',', ']'"},
-    {"x = 1 ?", "1:7: this character has no meaning here: '?'"},
-    {"x = \"open", "1:5: this character has no meaning here: '\"open'"},
+    {"x = 1 ?", "1:7: unrecognized text: '?'"},
+    {"x = \"open", "1:5: unrecognized text: '\"open'"},
     {"if True:\nx = 1", "2:1: unexpected 'x', expected an indented block"},
     {"  x = 1", "1:3: unexpected indentation"},
     {"if True:\n    x = 1\n  y = 2", "3:3: this indentation matches no block above it"},
     {"if True:\n\tx = 1", "2:1: a tab in the indentation, expected spaces"},
-    {"def f(n):\n  return f(n - 1)\nf(3)", "2:10: 'f' would call itself: there is no recursion"},
-    {"def f(g):\n  return g(g)\nf(f)", "2:10: 'f' would call itself: there is no recursion"},
+    {"def f(n):\n  return f(n - 1)\nf(3)", "2:10: 'f' would call itself: recursion is not supported"},
+    {"def f(g):\n  return g(g)\nf(f)", "2:10: 'f' would call itself: recursion is not supported"},
     {"def f(a): return a\nf()", "2:1: 'f' needs 'a'"},
     {"def f(a): return a\nf(1, 2)", "2:6: 'f' takes [a]"},
     {"return 1", "1:1: 'return' outside a function"},
     {"break", "1:1: 'break' outside a loop"},
-    {"x = 1 / 0", "1:7: a division by 0"},
+    {"x = 1 / 0", "1:7: division by 0"},
     {"x = 9223372036854775807 + 1", "1:25: this number is too large"},
     {"x = 99999999999999999999", "1:5: this number is too large"},
-    {"x = 1 + \"a\"", "1:7: '+' does not go with 1 and \"a\""},
-    {"x = 1 < \"a\"", "1:7: 1 and \"a\" have no order"},
-    {"x = [1][3]", "1:9: the list has 1 elements, none at 3"},
+    {"x = 1 + \"a\"", "1:7: '+' is not defined for 1 and \"a\""},
+    {"x = 1 < \"a\"", "1:7: 1 and \"a\" cannot be ordered"},
+    {"x = [1][3]", "1:9: the list has 1 elements, no index 3"},
     {"x = {\"a\": 1}[\"b\"]", "1:14: the dict has no key \"b\""},
-    {"x = {\"a\": 1, \"a\": 2}", "1:14: the key \"a\" stands twice"},
+    {"x = {\"a\": 1, \"a\": 2}", "1:14: the key \"a\" is given twice"},
     {"x = {[1]: 2}", "1:6: a list or a dict cannot be a key"},
-    {"for x in 5:\n  pass", "1:10: expected a list or a dict to go through, got 5"},
+    {"for x in 5:\n  pass", "1:10: expected a list or a dict to iterate over, got 5"},
     {"for a, b in [[1]]:\n  pass", "1:5: expected 2 values, got [1]"},
     {
       "x = range(99999999)",
-      "1:5: range takes a step that is not 0, and makes 10000 numbers at most"
+      "1:5: range takes a nonzero step and yields at most 10000 numbers"
     },
-    {"x = \"ab\" * 99999", "1:10: this grows beyond 10000 characters"},
-    {"x = [0]\nfor i in range(30):\n  x = x + x", "3:7: this grows beyond 10000 elements"},
+    {"x = \"ab\" * 99999", "1:10: this exceeds 10000 characters"},
+    {"x = [0]\nfor i in range(30):\n  x = x + x", "3:7: this exceeds 10000 elements"},
     {
       "for i in range(9999):\n  for j in range(9999):\n    pass",
       "3:5: the script takes more than 100000 steps"
     },
     {"fail(\"no such site\")", "1:1: no such site"},
-    {"x = int(\"a\")", "1:5: \"a\" is no number"},
+    {"x = int(\"a\")", "1:5: \"a\" is not a number"},
     {
-      "x = " + "(".repeat(50) + "1" + ")".repeat(50), "1:1: more than 40 brackets within each other"
+      "x = " + "(".repeat(50) + "1" + ")".repeat(50), "1:1: brackets are nested deeper than 40 levels"
     },
   };
 
   @Example
-  void eachFaultSaysWhereAndWhatWasExpected() {
-    List<String> wrong = new ArrayList<>();
-    for (String[] fault : FAULTS) {
-      String said =
-          assertThrows(BadSettingsException.class, () -> read(fault[0]), fault[0]).getMessage();
-      if (!said.equals("a.star:" + fault[1])) {
-        wrong.add(fault[0] + " -> " + said);
+  void invalidScriptIsReportedWithPositionAndExpectation() {
+    List<String> mismatches = new ArrayList<>();
+    for (String[] invalid : INVALID_SCRIPTS) {
+      String message =
+          assertThrows(BadSettingsException.class, () -> read(invalid[0]), invalid[0]).getMessage();
+      if (!message.equals("a.star:" + invalid[1])) {
+        mismatches.add(invalid[0] + " -> " + message);
       }
     }
-    assertEquals(List.of(), wrong);
+    assertEquals(List.of(), mismatches);
   }
 
   @Example
-  void anOldFileOfPropertiesSaysWhatToWrite() {
+  void propertiesFileIsRejectedWithTheReplacement() {
     BadSettingsException e =
         assertThrows(BadSettingsException.class, () -> Settings.read(Path.of("x.properties")));
     assertTrue(e.getMessage().contains("appliance.star") && e.getMessage().lines().count() == 1);
   }
 
   @Example
-  void whatIsShownHasItsOrigin() throws Exception {
+  void tableListsTheOriginOfEachValue() throws Exception {
     String table = Settings.parse("a.star", "durable(dir = \"/x\",\n  max_mb = 8)").table();
     assertTrue(
         table.lines().anyMatch(line -> line.matches("durable\\.max_mb +8 +a\\.star:2:12")), table);
@@ -184,7 +184,7 @@
   }
 
   @Provide
-  Arbitrary<String> scraps() {
+  Arbitrary<String> scriptFragments() {
     return Arbitraries.of(
             List.of(
                 "x", "=", "1", "(", ")", "[", "]", "{", "}", ":", "\n", "\n  ", "\n    ", "if ",
@@ -197,7 +197,7 @@
   }
 
   @Property(tries = 3000, seed = "29421")
-  void noTextEndsInAnythingButSettingsOrOneLine(@ForAll("scraps") String text) {
+  void anyTextIsParsedOrRejectedWithASettingsError(@ForAll("scriptFragments") String text) {
     assertTimeoutPreemptively(
         Duration.ofSeconds(10),
         () -> {
