--- a/src/main/java/wharftrestle/admin/AdminServer.java
+++ b/src/main/java/wharftrestle/admin/AdminServer.java
@@ -272,12 +272,12 @@
   }
 
   private Response fleet(String query) {
-    RolloutStatus status = RolloutStatus.read(query);
+    RolloutStatus status = RolloutStatus.parse(query);
     if (status == null) {
       return new Response("400 Bad Request", "", "expected epoch=N&stage=N&verdict=WORD\n");
     }
     daemon.fleet(status);
-    return Response.ok(status.line() + "\n");
+    return Response.ok(status.summary() + "\n");
   }
 
   private Response lameDuck(boolean on) {
@@ -365,6 +365,6 @@
         resultsLine(),
         daemon.version().summaryLine(),
         daemon.handover(),
-        daemon.fleet().line());
+        daemon.fleet().summary());
   }
 }
--- a/src/main/java/wharftrestle/admin/RolloutStatus.java
+++ b/src/main/java/wharftrestle/admin/RolloutStatus.java
@@ -13,7 +13,7 @@
   public static final RolloutStatus NONE = new RolloutStatus(0, 0, "none");
 
   /** Parses {@code epoch=4&stage=2&verdict=same}; returns null for any other form. */
-  public static RolloutStatus read(String query) {
+  public static RolloutStatus parse(String query) {
     long epoch = -1;
     int stage = -1;
     String verdict = "";
@@ -22,11 +22,11 @@
       if (pair.length < 2 || !pair[1].matches("[a-z-]{1,20}|[0-9]{1,9}")) {
         return null;
       }
-      boolean number = Character.isDigit(pair[1].charAt(0));
+      boolean numeric = Character.isDigit(pair[1].charAt(0));
       switch (pair[0]) {
-        case "epoch" -> epoch = number ? Long.parseLong(pair[1]) : -1;
-        case "stage" -> stage = number ? Integer.parseInt(pair[1]) : -1;
-        case "verdict" -> verdict = number ? "" : pair[1];
+        case "epoch" -> epoch = numeric ? Long.parseLong(pair[1]) : -1;
+        case "stage" -> stage = numeric ? Integer.parseInt(pair[1]) : -1;
+        case "verdict" -> verdict = numeric ? "" : pair[1];
         default -> {
           return null;
         }
@@ -38,7 +38,7 @@
   }
 
   /** Formats the status for the admin endpoint. */
-  public String line() {
+  public String summary() {
     return epoch == 0 ? "none" : "epoch " + epoch + ", stage " + stage + ", verdict " + verdict;
   }
 }
--- a/src/main/java/wharftrestle/settings/Schema.java
+++ b/src/main/java/wharftrestle/settings/Schema.java
@@ -68,7 +68,7 @@
     declare(
         "durable",
         "results stored across restarts",
-        required("dir", text("(?s).{1,1000}", "a directory path"), "directory, on a disk that survives restarts"),
+        required("dir", text("(?s).{1,1000}", "a directory path"), "directory, on persistent storage"),
         field("max_mb", whole(4, 65_536), 64L, "maximum MB on disk"),
         field(
             "max_keys",
--- a/src/main/java/wharftrestle/settings/Script.java
+++ b/src/main/java/wharftrestle/settings/Script.java
@@ -40,7 +40,7 @@
   private static final int MAX_SIZE = 10_000;
 
   /**
-   * Maximum nesting of calls and of brackets. Deeper nesting could overflow the JVM stack, an error
+   * Maximum nesting of callStack and of brackets. Deeper nesting could overflow the JVM stack, an error
    * without a position in the script.
    */
   private static final int MAX_DEPTH = 40;
@@ -75,7 +75,7 @@
   /** A call of a declaration. */
   record DeclarationCall(String name, Map<String, Argument> arguments, Place place) {}
 
-  /** Defines the declarations of a script and handles their calls. */
+  /** Defines the declarations of a script and handles their callStack. */
   interface DeclarationHandler {
     boolean isDeclarable(String name);
 
@@ -90,7 +90,7 @@
 
   /** A function defined by the script. */
   private record Function(
-      String name, List<String> names, Map<String, Object> defaults, BlockContext body) {
+      String name, List<String> parameters, Map<String, Object> defaults, BlockContext body) {
     @Override
     public String toString() {
       return "function " + name;
@@ -107,17 +107,17 @@
 
   private final DeclarationHandler handler;
   private final Map<String, Object> globals = new HashMap<>();
-  private final Deque<Function> calls = new ArrayDeque<>();
+  private final Deque<Function> callStack = new ArrayDeque<>();
   private Map<String, Object> locals = globals;
   private Object returnValue = NONE;
   private int steps;
-  private int depth;
+  private int expressionDepth;
 
   private Script(DeclarationHandler handler) {
     this.handler = handler;
   }
 
-  /** Runs the script; the handler receives the declarations in the order of their calls. */
+  /** Runs the script; the handler receives the declarations in the order of their callStack. */
   static void run(String text, DeclarationHandler handler) throws ScriptException {
     StarParser.FileContext file = parse(text);
     Script script = new Script(handler);
@@ -137,8 +137,8 @@
     return new Place(token.getLine(), token.getCharPositionInLine() + 1);
   }
 
-  private static Place place(ParserRuleContext part) {
-    return place(part.getStart());
+  private static Place place(ParserRuleContext node) {
+    return place(node.getStart());
   }
 
   // ---- Parsing ----
@@ -327,20 +327,20 @@
 
   private void define(StarParser.DefContext def) throws ScriptException {
     checkNotReserved(def.NAME());
-    List<String> names = new ArrayList<>();
+    List<String> parameters = new ArrayList<>();
     Map<String, Object> defaults = new HashMap<>();
     for (StarParser.ParamContext param : def.param()) {
       String name = param.NAME().getText();
-      if (names.contains(name)) {
+      if (parameters.contains(name)) {
         throw new ScriptException(place(param), "'" + name + "' is given twice");
       }
-      names.add(name);
+      parameters.add(name);
       if (param.expr() != null) {
         defaults.put(name, value(param.expr()));
       }
     }
     locals.put(
-        def.NAME().getText(), new Function(def.NAME().getText(), names, defaults, def.block()));
+        def.NAME().getText(), new Function(def.NAME().getText(), parameters, defaults, def.block()));
   }
 
   private void bind(StarParser.NamesContext names, Object value) throws ScriptException {
@@ -375,13 +375,13 @@
 
   private Object value(ExprContext expr) throws ScriptException {
     step(expr);
-    if (++depth > 8 * MAX_DEPTH) {
+    if (++expressionDepth > 8 * MAX_DEPTH) {
       throw new ScriptException(place(expr), "the expression is nested too deep");
     }
     try {
       return evaluate(expr);
     } finally {
-      depth--;
+      expressionDepth--;
     }
   }
 
@@ -420,18 +420,18 @@
           place(compare.op), compare.op.getText(), value(compare.expr(0)), value(compare.expr(1)));
     }
     if (expr instanceof StarParser.WithinContext within) {
-      Object part = value(within.expr(0));
-      Object whole = value(within.expr(1));
+      Object element = value(within.expr(0));
+      Object container = value(within.expr(1));
       boolean in;
-      if (whole instanceof String text && part instanceof String piece) {
-        in = text.contains(piece);
-      } else if (whole instanceof Map<?, ?> map) {
-        in = map.containsKey(part);
-      } else if (whole instanceof List<?> list) {
-        in = list.stream().anyMatch(each -> Arithmetic.areEqual(each, part));
+      if (container instanceof String text && element instanceof String substring) {
+        in = text.contains(substring);
+      } else if (container instanceof Map<?, ?> map) {
+        in = map.containsKey(element);
+      } else if (container instanceof List<?> list) {
+        in = list.stream().anyMatch(each -> Arithmetic.areEqual(each, element));
       } else {
         throw new ScriptException(
-            place(within.expr(1)), "expected a list, a dict or a text, got " + format(whole));
+            place(within.expr(1)), "expected a list, a dict or a text, got " + format(container));
       }
       return in != (within.neg != null);
     }
@@ -594,7 +594,7 @@
   }
 
   private Object call(StarParser.CallContext call, Function function) throws ScriptException {
-    if (calls.contains(function) || calls.size() >= MAX_DEPTH) {
+    if (callStack.contains(function) || callStack.size() >= MAX_DEPTH) {
       throw new ScriptException(
           place(call), "'" + function.name() + "' would call itself: recursion is not supported");
     }
@@ -604,15 +604,15 @@
       String name =
           argument.NAME() != null
               ? argument.NAME().getText()
-              : position < function.names().size() ? function.names().get(position++) : null;
-      if (name == null || !function.names().contains(name)) {
-        throw new ScriptException(place(argument), "'" + function.name() + "' takes " + function.names());
+              : position < function.parameters().size() ? function.parameters().get(position++) : null;
+      if (name == null || !function.parameters().contains(name)) {
+        throw new ScriptException(place(argument), "'" + function.name() + "' takes " + function.parameters());
       }
       if (arguments.put(name, value(argument.expr())) != null) {
         throw new ScriptException(place(argument), "'" + name + "' is given twice");
       }
     }
-    for (String name : function.names()) {
+    for (String name : function.parameters()) {
       Object other = function.defaults().get(name);
       if (!arguments.containsKey(name) && defaultValue == null) {
         throw new ScriptException(place(call), "'" + function.name() + "' needs '" + name + "'");
@@ -621,7 +621,7 @@
     }
     Map<String, Object> callerLocals = locals;
     locals = arguments;
-    calls.push(function);
+    callStack.push(function);
     returnValue = NONE;
     try {
       ControlFlow flow = run(function.body());
@@ -632,7 +632,7 @@
       returnValue = NONE;
       return result;
     } finally {
-      calls.pop();
+      callStack.pop();
       locals = callerLocals;
     }
   }
