--- a/src/main/java/wharftrestle/admin/AdminConsole.java
+++ b/src/main/java/wharftrestle/admin/AdminConsole.java
@@ -37,7 +37,8 @@
   private static final Map<String, String> REQUEST_LINES = new LinkedHashMap<>();
 
   static {
-    for (String command : new String[] {"ready", "vars", "status", "version", "results", "counters"}) {
+    for (String command :
+        new String[] {"ready", "vars", "status", "version", "results", "counters"}) {
       REQUEST_LINES.put(command, "GET /_" + command);
     }
     REQUEST_LINES.put("lameduck on", "POST /_lameduck/on");
@@ -70,7 +71,9 @@
               + ":"
               + address.getPort()
               + "; 'help' lists the commands");
-      for (String input = readCommand(); input != null && !input.equals("quit"); input = readCommand()) {
+      for (String input = readCommand();
+          input != null && !input.equals("quit");
+          input = readCommand()) {
         execute(address, input);
       }
       return 0;
@@ -98,7 +101,9 @@
     String requestLine = REQUEST_LINES.get(name);
     if (requestLine == null) {
       out.print(
-          name.isEmpty() || name.equals("help") ? HELP_TEXT : "no such command; 'help' lists them\n");
+          name.isEmpty() || name.equals("help")
+              ? HELP_TEXT
+              : "no such command; 'help' lists them\n");
       return name.isEmpty() || name.equals("help");
     }
     try (Socket socket = new Socket()) {
@@ -115,7 +120,8 @@
                       + address.getPort()
                       + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"));
       String response =
-          new String(socket.getInputStream().readNBytes(MAX_RESPONSE_BYTES), StandardCharsets.UTF_8);
+          new String(
+              socket.getInputStream().readNBytes(MAX_RESPONSE_BYTES), StandardCharsets.UTF_8);
       int headerEnd = response.indexOf("\r\n\r\n");
       if (headerEnd < 0 || !response.matches("(?s)HTTP/1\\.[01] [1-5][0-9][0-9] .*")) {
         throw new IOException("invalid HTTP response from the admin endpoint");
--- a/src/main/java/wharftrestle/settings/Arithmetic.java
+++ b/src/main/java/wharftrestle/settings/Arithmetic.java
@@ -14,7 +14,8 @@
 
   private Arithmetic() {}
 
-  static Object evaluate(Place at, String op, Object left, Object right) throws Script.ScriptException {
+  static Object evaluate(Place at, String op, Object left, Object right)
+      throws Script.ScriptException {
     if (left instanceof Long a && right instanceof Long b && !op.equals("/")) {
       return evaluateLong(at, op, a, b);
     }
@@ -30,16 +31,19 @@
       return all;
     }
     if (op.equals("*") && left instanceof String text && right instanceof Long times) {
-      if ((times > 0 && times * (long) text.length() > MAX_REPEATED_LENGTH) || times > MAX_REPEATED_LENGTH) {
+      if ((times > 0 && times * (long) text.length() > MAX_REPEATED_LENGTH)
+          || times > MAX_REPEATED_LENGTH) {
         throw new Script.ScriptException(at, "this exceeds " + MAX_REPEATED_LENGTH + " characters");
       }
       return text.repeat((int) Math.max(0, times));
     }
     throw new Script.ScriptException(
-        at, "'" + op + "' is not defined for " + Script.format(left) + " and " + Script.format(right));
+        at,
+        "'" + op + "' is not defined for " + Script.format(left) + " and " + Script.format(right));
   }
 
-  private static Object evaluateLong(Place at, String op, long a, long b) throws Script.ScriptException {
+  private static Object evaluateLong(Place at, String op, long a, long b)
+      throws Script.ScriptException {
     try {
       return switch (op) {
         case "+" -> Math.addExact(a, b);
@@ -54,7 +58,8 @@
     }
   }
 
-  private static Object evaluateDouble(Place at, String op, double a, double b) throws Script.ScriptException {
+  private static Object evaluateDouble(Place at, String op, double a, double b)
+      throws Script.ScriptException {
     if (b == 0 && (op.equals("/") || op.equals("//") || op.equals("%"))) {
       throw new Script.ScriptException(at, "division by 0");
     }
@@ -74,7 +79,8 @@
         : left.equals(right);
   }
 
-  static Object compare(Place at, String op, Object left, Object right) throws Script.ScriptException {
+  static Object compare(Place at, String op, Object left, Object right)
+      throws Script.ScriptException {
     if (op.equals("==") || op.equals("!=")) {
       return areEqual(left, right) == op.equals("==");
     }
--- a/src/main/java/wharftrestle/settings/Builtin.java
+++ b/src/main/java/wharftrestle/settings/Builtin.java
@@ -59,7 +59,8 @@
       case INT, FLOAT -> number(at, arguments, first);
       case MIN, MAX, SORTED -> {
         List<Object> all =
-            new ArrayList<>(arguments.size() == 1 && first instanceof List<?> list ? list : arguments);
+            new ArrayList<>(
+                arguments.size() == 1 && first instanceof List<?> list ? list : arguments);
         if (all.isEmpty() && this != SORTED) {
           throw invalidArguments(at, "at least one value");
         }
@@ -94,7 +95,8 @@
     long end = bounds[bounds.length == 1 ? 0 : 1];
     long step = bounds.length < 3 ? 1 : bounds[2];
     if (step == 0 || Math.abs((double) end - start) / Math.abs((double) step) > MAX_RANGE_SIZE) {
-      throw invalidArguments(at, "a nonzero step and yields at most " + MAX_RANGE_SIZE + " numbers");
+      throw invalidArguments(
+          at, "a nonzero step and yields at most " + MAX_RANGE_SIZE + " numbers");
     }
     List<Object> all = new ArrayList<>();
     for (long next = start; step > 0 ? next < end : next > end; next += step) {
@@ -103,7 +105,8 @@
     return all;
   }
 
-  private Object number(Place at, List<Object> arguments, Object first) throws Script.ScriptException {
+  private Object number(Place at, List<Object> arguments, Object first)
+      throws Script.ScriptException {
     if (arguments.size() == 1) {
       try {
         if (first instanceof Number number) {
--- a/src/main/java/wharftrestle/settings/Lines.java
+++ b/src/main/java/wharftrestle/settings/Lines.java
@@ -72,7 +72,8 @@
       tokens.add(insertedToken(StarParser.DEDENT, "end of block", token));
     }
     if (column != indentColumns.peek()) {
-      throw new Script.ScriptException(Script.place(token), "this indentation matches no block above it");
+      throw new Script.ScriptException(
+          Script.place(token), "this indentation matches no block above it");
     }
   }
 
--- a/src/main/java/wharftrestle/settings/Schema.java
+++ b/src/main/java/wharftrestle/settings/Schema.java
@@ -68,7 +68,8 @@
     declare(
         "durable",
         "results stored across restarts",
-        required("dir", text("(?s).{1,1000}", "a directory path"), "directory, on persistent storage"),
+        required(
+            "dir", text("(?s).{1,1000}", "a directory path"), "directory, on persistent storage"),
         field("max_mb", whole(4, 65_536), 64L, "maximum MB on disk"),
         field(
             "max_keys",
@@ -96,7 +97,11 @@
             number(0, 1),
             0.02,
             "fraction of answers by which failures may rise with a new release"),
-        field("worse_refused", number(0, 1), 0.05, "fraction of answers by which rejections may rise"),
+        field(
+            "worse_refused",
+            number(0, 1),
+            0.05,
+            "fraction of answers by which rejections may rise"),
         field(
             "least_answers",
             whole(1, 1_000_000),
--- a/src/main/java/wharftrestle/settings/Script.java
+++ b/src/main/java/wharftrestle/settings/Script.java
@@ -40,7 +40,7 @@
   private static final int MAX_SIZE = 10_000;
 
   /**
-   * Maximum nesting of callStack and of brackets. Deeper nesting could overflow the JVM stack, an error
+   * Maximum nesting of calls and of brackets. Deeper nesting could overflow the JVM stack, an error
    * without a position in the script.
    */
   private static final int MAX_DEPTH = 40;
@@ -75,7 +75,7 @@
   /** A call of a declaration. */
   record DeclarationCall(String name, Map<String, Argument> arguments, Place place) {}
 
-  /** Defines the declarations of a script and handles their callStack. */
+  /** Defines the declarations of a script and handles their calls. */
   interface DeclarationHandler {
     boolean isDeclarable(String name);
 
@@ -117,7 +117,7 @@
     this.handler = handler;
   }
 
-  /** Runs the script; the handler receives the declarations in the order of their callStack. */
+  /** Runs the script; the handler receives the declarations in the order of their calls. */
   static void run(String text, DeclarationHandler handler) throws ScriptException {
     StarParser.FileContext file = parse(text);
     Script script = new Script(handler);
@@ -168,8 +168,7 @@
         throw new ParseAbortedException(
             new ScriptException(
                 at,
-                "unrecognized text: "
-                    + message.replaceFirst("token recognition error at: ", "")));
+                "unrecognized text: " + message.replaceFirst("token recognition error at: ", "")));
       }
       String found = symbol instanceof Token token ? describe(token) : "this";
       String expected =
@@ -213,7 +212,8 @@
       // Limits the recursion depth of the parser: a stack overflow has no line to report, and no
       // settings need such nesting.
       char c = text.charAt(i);
-      openBrackets = Math.max(0, openBrackets + ("([{".indexOf(c) >= 0 ? 1 : ")]}".indexOf(c) >= 0 ? -1 : 0));
+      openBrackets =
+          Math.max(0, openBrackets + ("([{".indexOf(c) >= 0 ? 1 : ")]}".indexOf(c) >= 0 ? -1 : 0));
       if (openBrackets > MAX_DEPTH) {
         throw new ScriptException(
             new Place((int) text.substring(0, i).lines().count(), 1),
@@ -320,8 +320,7 @@
   private void checkNotReserved(TerminalNode node) throws ScriptException {
     if (handler.isDeclarable(node.getText()) || Builtin.of(node.getText()) != null) {
       throw new ScriptException(
-          place(node.getSymbol()),
-          "'" + node.getText() + "' is reserved, choose another name");
+          place(node.getSymbol()), "'" + node.getText() + "' is reserved, choose another name");
     }
   }
 
@@ -340,7 +339,8 @@
       }
     }
     locals.put(
-        def.NAME().getText(), new Function(def.NAME().getText(), parameters, defaults, def.block()));
+        def.NAME().getText(),
+        new Function(def.NAME().getText(), parameters, defaults, def.block()));
   }
 
   private void bind(StarParser.NamesContext names, Object value) throws ScriptException {
@@ -368,7 +368,8 @@
     if (all instanceof Map<?, ?> map) {
       return new ArrayList<>(map.keySet());
     }
-    throw new ScriptException(place(expr), "expected a list or a dict to iterate over, got " + format(all));
+    throw new ScriptException(
+        place(expr), "expected a list or a dict to iterate over, got " + format(all));
   }
 
   // ---- Expressions ----
@@ -413,7 +414,8 @@
     if (expr instanceof StarParser.SumContext sum) {
       return checkSize(
           sum,
-          Arithmetic.evaluate(place(sum.op), sum.op.getText(), value(sum.expr(0)), value(sum.expr(1))));
+          Arithmetic.evaluate(
+              place(sum.op), sum.op.getText(), value(sum.expr(0)), value(sum.expr(1))));
     }
     if (expr instanceof StarParser.CompareContext compare) {
       return Arithmetic.compare(
@@ -565,7 +567,8 @@
                   ? name + " takes arguments by name only: " + name + "(name = value)"
                   : name + " takes " + order.size() + " values: " + String.join(", ", order));
         }
-        String parameter = argument.NAME() == null ? order.get(positionalCount++) : argument.NAME().getText();
+        String parameter =
+            argument.NAME() == null ? order.get(positionalCount++) : argument.NAME().getText();
         Argument passed = new Argument(value(argument.expr()), place(argument.expr()));
         if (arguments.put(parameter, passed) != null) {
           throw new ScriptException(place(argument), "'" + parameter + "' is given twice");
@@ -604,16 +607,19 @@
       String name =
           argument.NAME() != null
               ? argument.NAME().getText()
-              : position < function.parameters().size() ? function.parameters().get(position++) : null;
+              : position < function.parameters().size()
+                  ? function.parameters().get(position++)
+                  : null;
       if (name == null || !function.parameters().contains(name)) {
-        throw new ScriptException(place(argument), "'" + function.name() + "' takes " + function.parameters());
+        throw new ScriptException(
+            place(argument), "'" + function.name() + "' takes " + function.parameters());
       }
       if (arguments.put(name, value(argument.expr())) != null) {
         throw new ScriptException(place(argument), "'" + name + "' is given twice");
       }
     }
     for (String name : function.parameters()) {
-      Object other = function.defaults().get(name);
+      Object defaultValue = function.defaults().get(name);
       if (!arguments.containsKey(name) && defaultValue == null) {
         throw new ScriptException(place(call), "'" + function.name() + "' needs '" + name + "'");
       }
@@ -626,7 +632,8 @@
     try {
       ControlFlow flow = run(function.body());
       if (flow == ControlFlow.BREAK || flow == ControlFlow.CONTINUE) {
-        throw new ScriptException(place(call), "'" + function.name() + "' has a 'break' or 'continue' outside a loop");
+        throw new ScriptException(
+            place(call), "'" + function.name() + "' has a 'break' or 'continue' outside a loop");
       }
       Object result = returnValue;
       returnValue = NONE;
@@ -656,7 +663,8 @@
     Object get();
   }
 
-  private static Object checkOverflow(ParserRuleContext at, ExactOperation operation) throws ScriptException {
+  private static Object checkOverflow(ParserRuleContext at, ExactOperation operation)
+      throws ScriptException {
     try {
       return operation.get();
     } catch (ArithmeticException e) {
--- a/src/main/java/wharftrestle/settings/Scripts.java
+++ b/src/main/java/wharftrestle/settings/Scripts.java
@@ -137,7 +137,8 @@
                           + String.join(", ", parameters));
                 }
                 values.put(
-                    argument.getKey(), new Value(argument.getValue().value(), argument.getValue().place()));
+                    argument.getKey(),
+                    new Value(argument.getValue().value(), argument.getValue().place()));
               }
               try {
                 Object result = words.called(new Call(call.name(), values, call.place()));
--- a/src/main/java/wharftrestle/settings/Settings.java
+++ b/src/main/java/wharftrestle/settings/Settings.java
@@ -11,8 +11,8 @@
 import wharftrestle.config.DaemonConfig;
 
 /**
- * The validated settings of a script: the value and the origin of each field. Every value has passed
- * the {@link Schema}; required fields have no default.
+ * The validated settings of a script: the value and the origin of each field. Every value has
+ * passed the {@link Schema}; required fields have no default.
  */
 public final class Settings {
   private static final long MAX_SCRIPT_BYTES = 256 * 1024;
@@ -80,7 +80,8 @@
     return settings;
   }
 
-  private void validateAndAdd(String file, Script.DeclarationCall call) throws Script.ScriptException {
+  private void validateAndAdd(String file, Script.DeclarationCall call)
+      throws Script.ScriptException {
     Schema.Declaration declaration = Schema.ALL.get(call.name());
     if (declared.containsKey(call.name())) {
       throw new Script.ScriptException(call.place(), call.name() + " is declared twice");
@@ -170,7 +171,9 @@
 
   /** Returns the value of a field: that of the script, else the default of the schema. */
   public Object value(String name, String field) {
-    return declares(name) ? get(name, field) : Schema.ALL.get(name).fields().get(field).defaultValue();
+    return declares(name)
+        ? get(name, field)
+        : Schema.ALL.get(name).fields().get(field).defaultValue();
   }
 
   /** Returns the configuration of the optional front ends, endpoints and result storage. */
--- a/src/main/java/wharftrestle/snmp/SnmpAgent.java
+++ b/src/main/java/wharftrestle/snmp/SnmpAgent.java
@@ -116,7 +116,8 @@
     for (int i = 0; i < counters.classes().size(); i++) {
       objects.put(child(row, 2, i + 1), text(counters.classes().get(i)));
       for (Counters.Result result : Counters.Result.values()) {
-        objects.put(child(row, 2 + mibNumber(result), i + 1), new Counter64(counters.get(i, result)));
+        objects.put(
+            child(row, 2 + mibNumber(result), i + 1), new Counter64(counters.get(i, result)));
       }
     }
     return objects;
--- a/src/test/java/wharftrestle/admin/AdminFormatFixtures.java
+++ b/src/test/java/wharftrestle/admin/AdminFormatFixtures.java
@@ -32,10 +32,10 @@
 import wharftrestle.version.VersionRange;
 
 /**
- * Records the fixtures of {@link AdminFormatTest}: the responses of every path of the admin endpoint
- * for a daemon with fixed metrics, a walk of the SNMP agent, and the names in the MIB. The checked-in
- * fixtures come from an earlier build; running this class overwrites them with the responses of the
- * current build.
+ * Records the fixtures of {@link AdminFormatTest}: the responses of every path of the admin
+ * endpoint for a daemon with fixed metrics, a walk of the SNMP agent, and the names in the MIB. The
+ * checked-in fixtures come from an earlier build; running this class overwrites them with the
+ * responses of the current build.
  */
 final class AdminFormatFixtures {
   static final Path DIRECTORY = Path.of("src/test/resources/fixtures/admin");
--- a/src/test/java/wharftrestle/settings/SettingsTest.java
+++ b/src/test/java/wharftrestle/settings/SettingsTest.java
@@ -36,8 +36,7 @@
     assertFalse(runCommand.contains("--appliance"), "the platform's run command loads no script");
     String examples =
         Files.readString(Path.of("deploy/appliance.star")).replaceAll("(?m)^# (?=\\w+\\()", "");
-    assertEquals(
-        64L << 20, read(examples).durable().most(), "the commented examples are valid");
+    assertEquals(64L << 20, read(examples).durable().most(), "the commented examples are valid");
   }
 
   @Example
@@ -119,7 +118,10 @@
     {"  x = 1", "1:3: unexpected indentation"},
     {"if True:\n    x = 1\n  y = 2", "3:3: this indentation matches no block above it"},
     {"if True:\n\tx = 1", "2:1: a tab in the indentation, expected spaces"},
-    {"def f(n):\n  return f(n - 1)\nf(3)", "2:10: 'f' would call itself: recursion is not supported"},
+    {
+      "def f(n):\n  return f(n - 1)\nf(3)",
+      "2:10: 'f' would call itself: recursion is not supported"
+    },
     {"def f(g):\n  return g(g)\nf(f)", "2:10: 'f' would call itself: recursion is not supported"},
     {"def f(a): return a\nf()", "2:1: 'f' needs 'a'"},
     {"def f(a): return a\nf(1, 2)", "2:6: 'f' takes [a]"},
@@ -136,10 +138,7 @@
     {"x = {[1]: 2}", "1:6: a list or a dict cannot be a key"},
     {"for x in 5:\n  pass", "1:10: expected a list or a dict to iterate over, got 5"},
     {"for a, b in [[1]]:\n  pass", "1:5: expected 2 values, got [1]"},
-    {
-      "x = range(99999999)",
-      "1:5: range takes a nonzero step and yields at most 10000 numbers"
-    },
+    {"x = range(99999999)", "1:5: range takes a nonzero step and yields at most 10000 numbers"},
     {"x = \"ab\" * 99999", "1:10: this exceeds 10000 characters"},
     {"x = [0]\nfor i in range(30):\n  x = x + x", "3:7: this exceeds 10000 elements"},
     {
@@ -149,7 +148,8 @@
     {"fail(\"no such site\")", "1:1: no such site"},
     {"x = int(\"a\")", "1:5: \"a\" is not a number"},
     {
-      "x = " + "(".repeat(50) + "1" + ")".repeat(50), "1:1: brackets are nested deeper than 40 levels"
+      "x = " + "(".repeat(50) + "1" + ")".repeat(50),
+      "1:1: brackets are nested deeper than 40 levels"
     },
   };
 
