--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -39,7 +39,7 @@
 import wharftrestle.daemon.ClassDataTrainingRun;
 import wharftrestle.daemon.Lifecycle;
 
-/** Stories of the operator: the console, the SNMP agent, and the file that turns them on. */
+/** Tests of the operators' interfaces: console, admin endpoint, SNMP agent and start script. */
 class ApplianceTest {
   @TempDir private Path folder;
 
@@ -48,18 +48,18 @@
         Sites.site(), new DaemonConfig.Appliance(null, Loopback.any(), Loopback.any(), "desk", 24));
   }
 
-  private static String console(InetSocketAddress address, String typed, String command)
+  private static String console(InetSocketAddress address, String input, String command)
       throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     PrintStream print = new PrintStream(out, true, StandardCharsets.UTF_8);
     int code =
         new AdminConsole(
-                new ByteArrayInputStream(typed.getBytes(StandardCharsets.UTF_8)), print, print)
+                new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), print, print)
             .attach(address, command);
     return code + "\n" + out.toString(StandardCharsets.UTF_8);
   }
 
-  private static void serveOne(Loopback site) throws Exception {
+  private static void serveOneRequest(Loopback site) throws Exception {
     try (Caller caller = site.new Caller()) {
       caller.ask(1, "read", null, "x");
       site.finish(site.command().ref(), "good", 1, "fine");
@@ -68,25 +68,25 @@
   }
 
   @Test
-  void theHeapFollowsTheMemoryLimitOfTheConfiguration() throws Exception {
+  void startScriptSizesTheHeapFromTheMemoryLimit() throws Exception {
     Path java = Files.writeString(folder.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
     assertTrue(java.toFile().setExecutable(true));
-    String spread = "{\"limits\": {\"cores\": 0.5,\n \"memory_mb\" : 64, \"sockets\":256}}";
-    assertTrue(started(spread).contains(" -Xmx19m "));
-    assertTrue(started("{\"limits\":{\"memory_mb\":32}}").contains(" -Xmx16m "));
-    assertTrue(started("{\"limits\":{\"memory_mb\":192.0}}").contains(" -Xmx40m "));
+    String multiLineConfig = "{\"limits\": {\"cores\": 0.5,\n \"memory_mb\" : 64, \"sockets\":256}}";
+    assertTrue(startedCommand(multiLineConfig).contains(" -Xmx19m "));
+    assertTrue(startedCommand("{\"limits\":{\"memory_mb\":32}}").contains(" -Xmx16m "));
+    assertTrue(startedCommand("{\"limits\":{\"memory_mb\":192.0}}").contains(" -Xmx40m "));
     assertTrue(
-        started("no configuration").endsWith(" serve --help"),
-        "the program itself says what is wrong");
+        startedCommand("no configuration").endsWith(" serve --help"),
+        "the program itself reports the configuration error");
   }
 
-  /** What deploy/run.sh would start. */
-  private String started(String config) throws Exception {
-    ProcessBuilder run = new ProcessBuilder("sh", "deploy/run.sh", "--help");
-    run.environment().put("PATH", folder + ":" + run.environment().get("PATH"));
-    run.environment()
+  /** Returns the command line that deploy/run.sh starts. */
+  private String startedCommand(String config) throws Exception {
+    ProcessBuilder builder = new ProcessBuilder("sh", "deploy/run.sh", "--help");
+    builder.environment().put("PATH", folder + ":" + builder.environment().get("PATH"));
+    builder.environment()
         .put("EDGE_CONFIG", Files.writeString(folder.resolve("config"), config).toString());
-    Process process = run.start();
+    Process process = builder.start();
     String line =
         new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
     assertEquals(0, process.waitFor());
@@ -94,12 +94,12 @@
   }
 
   @Test
-  void theConsoleShowsAndDrains() throws Exception {
+  void consoleShowsTheStateAndDrainsTheDaemon() throws Exception {
     try (Loopback site = site()) {
-      serveOne(site);
+      serveOneRequest(site);
       InetSocketAddress control = site.life.adminAddress();
-      String shown = console(control, "help\nstatus\nnonsense\nquit\n", null);
-      assertTrue(shown.startsWith("0\n"), shown);
+      String output = console(control, "help\nstatus\nnonsense\nquit\n", null);
+      assertTrue(output.startsWith("0\n"), output);
       for (String part :
           new String[] {
             "drain",
@@ -108,46 +108,46 @@
             "health        good",
             "no such command"
           }) {
-        assertTrue(shown.contains(part), part + " in " + shown);
+        assertTrue(output.contains(part), part + " in " + output);
       }
       assertTrue(console(control, "", "counters").matches("(?s).* 1  answered: served\\R.*"));
       assertEquals("0\nyes\n", console(control, "", "ready"));
       assertTrue(console(control, "", "vars").contains("daemon.results.read.succeeded:1|c\n"));
       assertEquals("0\nlame duck on\n", console(control, "", "lameduck on"));
       assertTrue(console(control, "", "drain").contains("leaving"));
-      site.life.serveUntilStopped(); // would wait for ever without the notice
+      site.life.serveUntilStopped(); // returns only after the drain command
       assertEquals(Lifecycle.State.STOPPED, site.life.state());
       assertEquals("1\nno: stopped\n", console(control, "", "ready"));
       assertEquals("1\nthe daemon is stopped\n", console(control, "", "lameduck off"));
     }
-    try (ServerSocket gone = new ServerSocket(0)) {
-      InetSocketAddress nobody =
+    try (ServerSocket closedPort = new ServerSocket(0)) {
+      InetSocketAddress unusedAddress =
           new InetSocketAddress(
-              InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), gone.getLocalPort());
-      gone.close();
-      assertTrue(console(nobody, "", "status").startsWith("1\nwharftrestle: console at "));
+              InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), closedPort.getLocalPort());
+      closedPort.close();
+      assertTrue(console(unusedAddress, "", "status").startsWith("1\nwharftrestle: console at "));
     }
   }
 
   @Test
-  void halfCallsHoldUpNoTrueOneAndErrorsAreAsHttpHasThem() throws Exception {
+  void incompleteHttpRequestsDelayNoOtherAndInvalidOnesGetTheHttpStatus() throws Exception {
     try (Loopback site = site()) {
-      List<Socket> half = new ArrayList<>();
+      List<Socket> incomplete = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
         Socket socket = new Socket();
-        half.add(socket);
+        incomplete.add(socket);
         socket.connect(site.life.adminAddress());
         socket.setSoTimeout(2000);
         socket
             .getOutputStream()
-            .write("GET /_rea".getBytes(StandardCharsets.UTF_8), 0, i % 2 * 9); // nothing, or half
+            .write("GET /_rea".getBytes(StandardCharsets.UTF_8), 0, i % 2 * 9); // no bytes, or half of a request
       }
-      long began = System.nanoTime();
+      long startedAt = System.nanoTime();
       assertTrue(site.get("/_ready").startsWith("HTTP/1.1 200 OK\r\n"));
-      assertTrue(System.nanoTime() - began < 600_000_000L, "before the half ones end");
-      assertTrue(Loopback.response(half.get(39)).startsWith("HTTP/1.1 408 "));
-      assertTrue(System.nanoTime() - began < 1_500_000_000L, "and these are not kept");
-      for (Socket each : half) {
+      assertTrue(System.nanoTime() - startedAt < 600_000_000L, "answered before the incomplete requests time out");
+      assertTrue(Loopback.response(incomplete.get(39)).startsWith("HTTP/1.1 408 "));
+      assertTrue(System.nanoTime() - startedAt < 1_500_000_000L, "the incomplete requests time out");
+      for (Socket each : incomplete) {
         each.close();
       }
       Map<String, String> wrong =
@@ -175,51 +175,51 @@
             site.call(call.getKey()).startsWith("HTTP/1.1 " + call.getValue() + " "),
             call.getKey());
       }
-      assertTrue(site.life.healthy(), "none of these was carried out");
+      assertTrue(site.life.healthy(), "no invalid request switched on lame duck");
     }
   }
 
-  /** The figures at the door, by name. */
-  private static Map<String, Integer> figures(Loopback site) throws Exception {
-    Map<String, Integer> figures = new TreeMap<>();
+  /** Returns the metrics of the admin endpoint by name. */
+  private static Map<String, Integer> metrics(Loopback site) throws Exception {
+    Map<String, Integer> metrics = new TreeMap<>();
     site.get("/_vars")
         .lines()
         .filter(line -> line.startsWith("daemon."))
         .forEach(
             line ->
-                figures.put(
+                metrics.put(
                     line.replaceAll("^daemon\\.|:.*", ""),
                     Integer.valueOf(line.replaceAll(".*:|\\|[cg]$", ""))));
-    return figures;
+    return metrics;
   }
 
   @Test
-  void eachRequestIsCountedOnceWhateverItsEnd() throws Exception {
+  void eachRequestIsCountedOnceWhateverItsOutcome() throws Exception {
     try (Loopback site = site();
         Caller caller = site.new Caller();
         Caller other = site.new Caller()) {
-      Map<String, Integer> seen = figures(site);
+      Map<String, Integer> seen = metrics(site);
       assertEquals(17, seen.size(), "all classes from the start: " + seen);
       assertTrue(seen.values().stream().allMatch(count -> count == 0), seen.toString());
       caller.ask(1, "keyed", "k", "x");
-      String run = site.command().ref();
-      other.ask(2, "keyed", "k", "x"); // rides on the first
+      String reference = site.command().ref();
+      other.ask(2, "keyed", "k", "x"); // attaches to the first
       other.send("STATUS", "3", "");
       other.reply();
-      assertEquals(2, figures(site).get("outstanding"));
-      site.finish(run, "good", 1, "fine");
+      assertEquals(2, metrics(site).get("outstanding"));
+      site.finish(reference, "good", 1, "fine");
       caller.reply();
       other.reply();
-      caller.ask(4, "keyed", "k", "y"); // another body: failed
+      caller.ask(4, "keyed", "k", "y"); // another body for the key: fails
       caller.reply();
       caller.ask(5, "read", null, "x");
       site.finish(site.command().ref(), "bad", 1, "");
       caller.reply();
       caller.ask(6, "read", null, "x");
       site.command();
-      caller.send("NEVERMIND", "6"); // given up: no answer, no figure, not outstanding
+      caller.send("NEVERMIND", "6"); // cancelled: no answer, not counted, not outstanding
       assertEquals("suspend", site.command().verb());
-      seen = figures(site);
+      seen = metrics(site);
       assertEquals(
           List.of(2, 0, 1, 0, 1, 3, 0),
           List.of(
@@ -235,13 +235,13 @@
   }
 
   @Test
-  void aLameDuckLooksBadServesOnAndComesBack() throws Exception {
+  void lameDuckReportsUnhealthyKeepsServingAndCanBeSwitchedOff() throws Exception {
     try (Loopback site =
             new Loopback(
                 Sites.site(), new DaemonConfig.Appliance(Loopback.any(), null, null, "x", 24));
         Caller caller = site.new Caller();
         Caller check = site.new Caller()) {
-      for (int i = 1; i <= 2; i++) { // twice is harmless
+      for (int i = 1; i <= 2; i++) { // the switch is idempotent
         assertTrue(site.post("/_lameduck/on").startsWith("HTTP/1.1 200 "));
         check.send("STATUS", Integer.toString(i), "");
         assertEquals("sick", check.reply().word());
@@ -250,7 +250,7 @@
       for (String report = site.report(); !report.equals("renew n1 no"); report = site.report()) {
         assertEquals("renew n1 yes", report);
       }
-      caller.ask(1, "read", null, "x"); // whatever arrives is served as usual
+      caller.ask(1, "read", null, "x"); // requests are served as usual
       site.finish(site.command().ref(), "good", 1, "fine");
       assertEquals("fine", caller.reply().body());
       assertTrue(site.post("/_lameduck/off").startsWith("HTTP/1.1 200 "));
@@ -260,14 +260,14 @@
         assertEquals("renew n1 no", report);
       }
       site.post(
-          "/_lameduck/on"); // the notice to leave while it is on: no more and no less than without
+          "/_lameduck/on"); // lame duck changes nothing about a graceful shutdown
       caller.ask(2, "read", null, "x");
-      String run = site.command().ref();
+      String reference = site.command().ref();
       site.life.leave();
       var unused =
           site.cores.schedule(
               () -> {
-                site.finish(run, "good", 1, "in time");
+                site.finish(reference, "good", 1, "in time");
                 return null;
               },
               100,
@@ -308,17 +308,17 @@
         if (next.isException() || !next.getOid().startsWith(root)) {
           return seen;
         }
-        assertTrue(next.getOid().compareTo(at) > 0, "a walk goes on");
+        assertTrue(next.getOid().compareTo(at) > 0, "object identifiers of a walk must increase");
         at = next.getOid();
         seen.put(at, next.getVariable());
       }
     }
   }
 
-  /** The readable objects of the MIB file: their place and syntax. */
-  private static Map<OID, String> described() throws Exception {
+  /** Returns the object identifier and syntax of each readable object of the MIB file. */
+  private static Map<OID, String> mibObjects() throws Exception {
     String mib = Files.readString(Path.of("mib/WHARFTRESTLE-MIB.txt"));
-    Map<String, OID> places = new LinkedHashMap<>(Map.of("experimental", new OID("1.3.6.1.3")));
+    Map<String, OID> identifiers = new LinkedHashMap<>(Map.of("experimental", new OID("1.3.6.1.3")));
     Map<OID, String> objects = new TreeMap<>();
     Matcher all =
         Pattern.compile(
@@ -327,14 +327,14 @@
                 Pattern.MULTILINE | Pattern.DOTALL)
             .matcher(mib);
     while (all.find()) {
-      OID place = new OID(places.get(all.group(4)).toString() + "." + all.group(5));
-      places.put(all.group(1), place);
-      if (place.startsWith(new OID("1.3.6.1.3.29421.1.3.1"))) {
-        for (int row = 1; all.group(3) != null && place.last() > 1 && row <= 5; row++) {
-          objects.put(new OID(place + "." + row), all.group(3)); // a class of the site each
+      OID identifier = new OID(identifiers.get(all.group(4)).toString() + "." + all.group(5));
+      identifiers.put(all.group(1), identifier);
+      if (identifier.startsWith(new OID("1.3.6.1.3.29421.1.3.1"))) {
+        for (int row = 1; all.group(3) != null && identifier.last() > 1 && row <= 5; row++) {
+          objects.put(new OID(identifier + "." + row), all.group(3)); // one row for each request class
         }
       } else if (all.group(3) != null && !all.group(3).matches("SEQUENCE|Wt\\w+")) {
-        objects.put(new OID(place + ".0"), all.group(3));
+        objects.put(new OID(identifier + ".0"), all.group(3));
       }
     }
     return objects;
@@ -351,35 +351,35 @@
   }
 
   @Test
-  void aWalkFindsWhatTheMibDescribes() throws Exception {
+  void snmpWalkFindsExactlyTheObjectsOfTheMib() throws Exception {
     try (Loopback site = site();
         DefaultUdpTransportMapping udp = new DefaultUdpTransportMapping();
         Snmp manager = new Snmp(udp)) {
       manager.listen();
-      serveOne(site);
+      serveOneRequest(site);
       InetSocketAddress agent = site.life.snmpAddress();
       OID root = new OID("1.3.6.1.3.29421");
-      Map<OID, Variable> walked = walk(manager, agent, PDU.GETNEXT, root);
-      Map<OID, String> described = described();
-      assertEquals(List.copyOf(described.keySet()), List.copyOf(walked.keySet()));
+      Map<OID, Variable> walkedObjects = walk(manager, agent, PDU.GETNEXT, root);
+      Map<OID, String> mibObjects = mibObjects();
+      assertEquals(List.copyOf(mibObjects.keySet()), List.copyOf(walkedObjects.keySet()));
       List<String> wrong = new ArrayList<>();
-      described.forEach(
+      mibObjects.forEach(
           (oid, type) -> {
-            String known =
+            String expected =
                 type.equals("TruthValue")
                     ? "INTEGER"
                     : type.equals("DisplayString") ? "OCTET STRING" : type;
-            if (!known.equals(syntax(walked.get(oid)))) {
-              wrong.add(oid + " " + type + " " + syntax(walked.get(oid)));
+            if (!expected.equals(syntax(walkedObjects.get(oid)))) {
+              wrong.add(oid + " " + type + " " + syntax(walkedObjects.get(oid)));
             }
           });
       assertEquals(List.of(), wrong);
-      assertEquals(walked.keySet(), walk(manager, agent, PDU.GETBULK, root).keySet());
-      assertEquals("n1", walked.get(new OID(root + ".1.1.1.0")).toString());
-      assertEquals(2, walked.get(new OID(root + ".1.1.2.0")).toInt(), "serving");
-      assertEquals(1, walked.get(new OID(root + ".1.2.2.0")).toLong(), "one request served");
-      assertEquals("read", walked.get(new OID(root + ".1.3.1.2.1")).toString());
-      assertEquals(1, walked.get(new OID(root + ".1.3.1.3.1")).toLong(), "one of its class");
+      assertEquals(walkedObjects.keySet(), walk(manager, agent, PDU.GETBULK, root).keySet());
+      assertEquals("n1", walkedObjects.get(new OID(root + ".1.1.1.0")).toString());
+      assertEquals(2, walkedObjects.get(new OID(root + ".1.1.2.0")).toInt(), "serving");
+      assertEquals(1, walkedObjects.get(new OID(root + ".1.2.2.0")).toLong(), "one request served");
+      assertEquals("read", walkedObjects.get(new OID(root + ".1.3.1.2.1")).toString());
+      assertEquals(1, walkedObjects.get(new OID(root + ".1.3.1.3.1")).toLong(), "one of its class");
       assertEquals(
           PDU.notWritable,
           ask(manager, agent, "desk", PDU.SET, new OID(root + ".1.1.1.0")).getErrorStatus());
@@ -394,8 +394,8 @@
   }
 
   @Test
-  void theBuildsRehearsalGoesFromEndToEnd() throws Exception {
-    ClassDataTrainingRun.run(); // throws where any of its requests has no answer
+  void classDataTrainingRunOfTheBuildCompletes() throws Exception {
+    ClassDataTrainingRun.run(); // throws if one of its requests has no answer
     assertTrue(
         Files.readString(Path.of("deploy/balancer.toml"))
             .lines()
--- a/src/test/java/wharftrestle/BordersTest.java
+++ b/src/test/java/wharftrestle/BordersTest.java
@@ -10,10 +10,10 @@
 import com.tngtech.archunit.lang.ArchRule;
 import java.util.concurrent.locks.ReentrantLock;
 
-/** Decisions stand apart from sockets, files, threads and clocks. */
+/** Architecture rules: code that decides does not depend on sockets, files, threads or clocks. */
 @AnalyzeClasses(packages = "wharftrestle", importOptions = ImportOption.DoNotIncludeTests.class)
 class BordersTest {
-  private static final String[] DECISIONS = {
+  private static final String[] DECISION_PACKAGES = {
     "wharftrestle.admission..",
     "wharftrestle.idempotency..",
     "wharftrestle.handover..",
@@ -22,10 +22,10 @@
   };
 
   @ArchTest
-  static final ArchRule decisionsTouchNoOutsideWorld =
+  static final ArchRule decisionPackagesUseNoIoClockOrConcurrency =
       noClasses()
           .that()
-          .resideInAnyPackage(DECISIONS)
+          .resideInAnyPackage(DECISION_PACKAGES)
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
@@ -38,10 +38,10 @@
               "org.tinylog..");
 
   @ArchTest
-  static final ArchRule decisionsReadNoClock =
+  static final ArchRule decisionPackagesReadNoClock =
       noClasses()
           .that()
-          .resideInAnyPackage(DECISIONS)
+          .resideInAnyPackage(DECISION_PACKAGES)
           .should()
           .callMethod(System.class, "nanoTime")
           .orShould()
@@ -50,7 +50,7 @@
           .callMethod(Thread.class, "sleep", long.class);
 
   @ArchTest
-  static final ArchRule onlyTheJournalMeetsTheDisk =
+  static final ArchRule storageDecisionsUseNoFilesThreadsOrOtherPackages =
       noClasses()
           .that()
           .resideInAPackage("wharftrestle.storage..")
@@ -74,7 +74,7 @@
               "wharftrestle.request..");
 
   @ArchTest
-  static final ArchRule theCoreKnowsNoDisk =
+  static final ArchRule requestPackageUsesNoStorageSettingsOrSockets =
       noClasses()
           .that()
           .resideInAPackage("wharftrestle.request..")
@@ -88,7 +88,7 @@
               "java.net..");
 
   @ArchTest
-  static final ArchRule thePolicyKnowsNobody =
+  static final ArchRule admissionPackageUsesNoOtherDaemonPackage =
       noClasses()
           .that()
           .resideInAPackage("wharftrestle.admission..")
@@ -107,7 +107,7 @@
               "wharftrestle.snmp..");
 
   @ArchTest
-  static final ArchRule theServingPathKnowsNoRigAndNoKeeper =
+  static final ArchRule daemonDoesNotDependOnTestbedSimulationSupervisorOrRollout =
       noClasses()
           .that()
           .resideOutsideOfPackages(
@@ -126,7 +126,7 @@
               "wharftrestle.rollout..");
 
   @ArchTest
-  static final ArchRule theKeeperDecidesWithoutIo =
+  static final ArchRule supervisorDecisionsUseNoIoClockOrConcurrency =
       noClasses()
           .that()
           .haveFullyQualifiedName("wharftrestle.supervisor.SupervisorStateMachine")
@@ -142,8 +142,9 @@
               "java.util.concurrent..",
               "org.tinylog..");
 
+  // One lock, created by RequestParts, guards all decisions of the request package.
   @ArchTest
-  static final ArchRule oneLockGuardsAllDecisions =
+  static final ArchRule onlyRequestPartsCreatesLocks =
       noClasses()
           .that()
           .resideInAPackage("wharftrestle.request..")
@@ -159,7 +160,7 @@
               "java\\.util\\.concurrent\\.(Semaphore|locks\\.(ReentrantReadWriteLock|StampedLock)).*");
 
   @ArchTest
-  static final ArchRule noMonitorStandsBesideTheOneLock =
+  static final ArchRule requestPackageHasNoSynchronizedMethods =
       noMethods()
           .that()
           .areDeclaredInClassesThat()
@@ -167,8 +168,9 @@
           .should()
           .haveModifier(JavaModifier.SYNCHRONIZED);
 
+  // Code that runs under the lock must not block.
   @ArchTest
-  static final ArchRule whatIsDecidedUnderTheLockReachesNoSocketAndNoFile =
+  static final ArchRule requestPackageUsesNoSocketsFilesOrSleep =
       noClasses()
           .that()
           .resideInAPackage("wharftrestle.request..")
--- a/src/test/java/wharftrestle/ChangeTest.java
+++ b/src/test/java/wharftrestle/ChangeTest.java
@@ -21,8 +21,8 @@
 import wharftrestle.handover.HandoverStateMachine;
 
 /**
- * Stories of a process that serves and is asked by others that cannot take over, stall, or talk
- * nonsense.
+ * Tests of a serving process that is asked for a takeover by peers that are incompatible, stall, or
+ * send malformed input.
  */
 @Timeout(60)
 class ChangeTest {
@@ -31,11 +31,11 @@
 
   @TempDir private Path folder;
 
-  private Loopback first() throws Exception {
+  private Loopback startPredecessor() throws Exception {
     return new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), null);
   }
 
-  /** A scripted peer at the place where processes of the box meet. */
+  /** A scripted peer process at the handover socket of the host. */
   private final class Peer implements AutoCloseable {
     private final SocketChannel channel =
         SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve("n1.sock")));
@@ -45,30 +45,30 @@
 
     Peer() throws IOException {}
 
-    void say(String text) throws IOException {
+    void send(String text) throws IOException {
       channel.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    /** Reads to the line that begins so, and gives it back. */
-    String until(String start) throws IOException {
+    /** Reads up to the line with this prefix and returns that line. */
+    String readUntil(String prefix) throws IOException {
       for (String line = in.readLine(); line != null; line = in.readLine()) {
-        if (line.startsWith(start)) {
+        if (line.startsWith(prefix)) {
           return line;
         }
       }
-      throw new IOException("ended before '" + start + "'");
+      throw new IOException("the connection ended before a line that begins with '" + prefix + "'");
     }
 
-    /** Asks, and agrees with the terms of the one that serves, which it says again. */
-    void asksAndAgrees() throws IOException {
-      say("take n1 over 1-2\r\n");
-      int length = Integer.parseInt(until("who ").split(" ", 0)[1]);
-      char[] terms = new char[length];
+    /** Asks for a takeover and returns the serving process's capabilities as its own. */
+    void requestTakeover() throws IOException {
+      send("take n1 over 1-2\r\n");
+      int length = Integer.parseInt(readUntil("who ").split(" ", 0)[1]);
+      char[] capabilities = new char[length];
       for (int read = 0; read < length; ) {
-        read += in.read(terms, read, length - read);
+        read += in.read(capabilities, read, length - read);
       }
-      say("terms " + length + "\r\n" + new String(terms) + "\r\n");
-      until("agreed");
+      send("terms " + length + "\r\n" + new String(capabilities) + "\r\n");
+      readUntil("agreed");
     }
 
     @Override
@@ -77,131 +77,131 @@
     }
   }
 
-  private static void awaitStep(Loopback site, HandoverStateMachine.State wanted) {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-    while (!site.life.handover().startsWith(wanted.publishedName())) {
-      assertTrue(System.nanoTime() < until, "it is " + site.life.handover());
+  private static void awaitState(Loopback site, HandoverStateMachine.State expected) {
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+    while (!site.life.handover().startsWith(expected.publishedName())) {
+      assertTrue(System.nanoTime() < deadline, "state of the handover: " + site.life.handover());
       Thread.onSpinWait();
     }
   }
 
-  private static void serves(Loopback site, Caller caller, int tag, String key) throws Exception {
+  private static void assertServed(Loopback site, Caller caller, int tag, String key) throws Exception {
     caller.ask(tag, "keyed", key, "x");
     site.finish(site.command().ref(), "good", 1, "fine " + tag);
     assertEquals("fine " + tag, caller.reply().body());
   }
 
   @Test
-  void whoHasNoCommonGroundIsToldWhyAndTheOneThatServesGoesOnAsIfNeverAsked() throws Exception {
-    try (Loopback old = first();
-        Caller caller = old.new Caller()) {
-      serves(old, caller, 1, "before");
-      try (Loopback next =
-          new Loopback(Sites.swapped(), NONE, 1024, folder.resolve("n1.sock"), old)) {
-        awaitStep(next, HandoverStateMachine.State.AWAITING_PREDECESSOR_EXIT);
+  void incompatibleSuccessorLearnsTheReasonAndTheServingProcessContinues() throws Exception {
+    try (Loopback predecessor = startPredecessor();
+        Caller caller = predecessor.new Caller()) {
+      assertServed(predecessor, caller, 1, "before");
+      try (Loopback successor =
+          new Loopback(Sites.swapped(), NONE, 1024, folder.resolve("n1.sock"), predecessor)) {
+        awaitState(successor, HandoverStateMachine.State.AWAITING_PREDECESSOR_EXIT);
         assertTrue(
-            next.life.handover().contains("keys are known by their class's place"),
-            next.life.handover());
-        assertTrue(next.get("/_status").contains("class 1 is"), "the door says why");
-        assertTrue(next.get("/_ready").startsWith("HTTP/1.1 503 "));
-        awaitStep(old, HandoverStateMachine.State.ACTIVE);
-        serves(old, caller, 2, "meanwhile");
+            successor.life.handover().contains("keys are known by their class's place"),
+            successor.life.handover());
+        assertTrue(successor.get("/_status").contains("class 1 is"), "the admin endpoint shows the reason");
+        assertTrue(successor.get("/_ready").startsWith("HTTP/1.1 503 "));
+        awaitState(predecessor, HandoverStateMachine.State.ACTIVE);
+        assertServed(predecessor, caller, 2, "meanwhile");
         caller.ask(3, "keyed", "before", "x");
         assertEquals("fine 1", caller.reply().body());
-        old.life.close(); // as by a kill: what it knew was not carried along
-        awaitStep(next, HandoverStateMachine.State.ACTIVE);
-        next.awaitTaking();
-        try (Caller after = next.new Caller()) {
+        predecessor.life.close(); // as by a kill: its keys were not handed over
+        awaitState(successor, HandoverStateMachine.State.ACTIVE);
+        successor.awaitTaking();
+        try (Caller after = successor.new Caller()) {
           after.ask(1, "keyed", "before", "x");
-          assertEquals("error", after.reply().word(), "it may have run");
+          assertEquals("error", after.reply().word(), "it may have been executed");
         }
       }
     }
   }
 
   @Test
-  void anAskerThatStallsAfterAllWasToldOwnsNothingAndCostsNothing() throws Exception {
-    try (Loopback old = first();
-        Caller caller = old.new Caller();
-        Peer asker = new Peer()) {
-      serves(old, caller, 1, "before");
-      asker.asksAndAgrees();
-      assertTrue(asker.until("over ").contains(" "), "the settled key is told");
-      asker.until("told 1");
-      serves(old, caller, 2, "meanwhile");
-      asker.until("over "); // what settles follows
-      assertTrue(old.get("/_ready").startsWith("HTTP/1.1 200 "));
+  void successorThatStallsAfterAllKeysWereSentOwnsNothingAndDelaysNothing() throws Exception {
+    try (Loopback predecessor = startPredecessor();
+        Caller caller = predecessor.new Caller();
+        Peer peer = new Peer()) {
+      assertServed(predecessor, caller, 1, "before");
+      peer.requestTakeover();
+      assertTrue(peer.readUntil("over ").contains(" "), "the completed key is sent");
+      peer.readUntil("told 1");
+      assertServed(predecessor, caller, 2, "meanwhile");
+      peer.readUntil("over "); // keys completed later follow
+      assertTrue(predecessor.get("/_ready").startsWith("HTTP/1.1 200 "));
     }
   }
 
   @Test
-  void ownershipPassesOnlyAfterTheAskerSaidThatItHasAll() throws Exception {
-    try (Loopback old = first();
-        Caller caller = old.new Caller()) {
+  void ownershipIsTransferredOnlyAfterTheSuccessorAcknowledgedAllKeys() throws Exception {
+    try (Loopback predecessor = startPredecessor();
+        Caller caller = predecessor.new Caller()) {
       caller.ask(1, "keyed", "open", "x");
-      Loopback.Command run = old.command();
-      try (Peer asker = new Peer()) {
-        asker.asksAndAgrees();
-        asker.until("told 0");
-        assertEquals("offered", old.life.handover());
-        asker.say("taken\r\n");
-        assertTrue(asker.until("key ").contains(" open "), "with what is open");
-        asker.until("yours 1");
-        assertEquals("given", old.life.handover());
+      Loopback.Command execution = predecessor.command();
+      try (Peer peer = new Peer()) {
+        peer.requestTakeover();
+        peer.readUntil("told 0");
+        assertEquals("offered", predecessor.life.handover());
+        peer.send("taken\r\n");
+        assertTrue(peer.readUntil("key ").contains(" open "), "keys in flight are included");
+        peer.readUntil("yours 1");
+        assertEquals("given", predecessor.life.handover());
       }
-      awaitStep(old, HandoverStateMachine.State.ACTIVE); // it died before it listened
-      old.finish(run.ref(), "good", 1, "fine");
+      awaitState(predecessor, HandoverStateMachine.State.ACTIVE); // the successor died before it listened
+      predecessor.finish(execution.ref(), "good", 1, "fine");
       assertEquals("fine", caller.reply().body());
-      serves(old, caller, 2, "after");
+      assertServed(predecessor, caller, 2, "after");
     }
   }
 
   @Test
-  void aBuildThatKnowsNoWordForSettledKeysWaitsAndIsNeverAnswered() throws Exception {
-    try (Loopback old = first();
-        Caller caller = old.new Caller();
-        Peer older = new Peer()) {
-      older.say("take n1\r\n");
-      serves(old, caller, 1, "k");
-      try (Loopback next = new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), old)) {
-        next.awaitTaking(); // and holds up nobody else
+  void buildWithoutCompletedKeyTransferIsNeverAnsweredAndBlocksNoOther() throws Exception {
+    try (Loopback predecessor = startPredecessor();
+        Caller caller = predecessor.new Caller();
+        Peer olderPeer = new Peer()) {
+      olderPeer.send("take n1\r\n");
+      assertServed(predecessor, caller, 1, "k");
+      try (Loopback successor = new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), predecessor)) {
+        successor.awaitTaking(); // the unanswered peer delays no other successor
         assertEquals("closing", caller.reply().word());
       }
     }
   }
 
   @Test
-  void nonsenseMakesThisSideDeafAndEndsNoLink() throws Exception {
-    try (Loopback old = first();
-        Caller caller = old.new Caller();
-        Peer asker = new Peer()) {
-      asker.asksAndAgrees();
-      asker.until("told 0");
-      asker.say("taken\r\n");
-      asker.until("yours");
-      asker.say("gibberish\r\nlistens\r\n");
-      // It is given and stays so: the other may own the keys, and a closed link would say that this
-      // one is gone.
-      assertEquals("given", old.life.handover());
+  void malformedInputIsIgnoredAndClosesNoLink() throws Exception {
+    try (Loopback predecessor = startPredecessor();
+        Caller caller = predecessor.new Caller();
+        Peer peer = new Peer()) {
+      peer.requestTakeover();
+      peer.readUntil("told 0");
+      peer.send("taken\r\n");
+      peer.readUntil("yours");
+      peer.send("gibberish\r\nlistens\r\n");
+      // The state remains "given": the peer may own the keys, and a closed link would mean that this
+      // process has ended.
+      assertEquals("given", predecessor.life.handover());
       caller.ask(1, "read", null, "x");
-      old.finish(old.command().ref(), "good", 1, "fine");
-      assertEquals("fine", caller.reply().body(), "what needs no key is served on");
-      assertEquals("given", old.life.handover());
+      predecessor.finish(predecessor.command().ref(), "good", 1, "fine");
+      assertEquals("fine", caller.reply().body(), "requests without a key are still served");
+      assertEquals("given", predecessor.life.handover());
     }
   }
 
   @Test
-  void aBuildOfTheFormerFormatIsHandedOverInItsOwnWords() throws Exception {
-    try (Loopback old = first();
-        Caller caller = old.new Caller();
-        Peer former = new Peer()) {
-      serves(old, caller, 1, "k");
-      former.say("take n1 over\r\n");
-      former.until("over ");
-      former.until("handed 1");
-      former.say("listens\r\n");
-      former.until("ceded");
-      assertEquals("ceded", old.life.handover());
+  void buildWithTheFormerFormatIsHandedOverInThatFormat() throws Exception {
+    try (Loopback predecessor = startPredecessor();
+        Caller caller = predecessor.new Caller();
+        Peer formerPeer = new Peer()) {
+      assertServed(predecessor, caller, 1, "k");
+      formerPeer.send("take n1 over\r\n");
+      formerPeer.readUntil("over ");
+      formerPeer.readUntil("handed 1");
+      formerPeer.send("listens\r\n");
+      formerPeer.readUntil("ceded");
+      assertEquals("ceded", predecessor.life.handover());
     }
   }
 }
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
+import java.listenAddress.InetAddress;
+import java.listenAddress.InetSocketAddress;
+import java.listenAddress.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,9 +24,9 @@
 import wharftrestle.testbed.RespPeer.Reply;
 import wharftrestle.transport.BoundedReader;
 
-/** Stories of the daemon over the platform's wire, one for each failure met or guarded against. */
+/** Tests of the daemon over its network protocols, one for each failure observed or anticipated. */
 class DaemonTest {
-  private static Sites.Builder calling() {
+  private static Sites.Builder siteWithStore() {
     Sites.Builder site = Sites.site();
     site.calls = true;
     return site;
@@ -37,8 +37,8 @@
   }
 
   @Test
-  void aRequestGoesThroughPoolAndStoreUnchanged() throws Exception {
-    try (Loopback site = new Loopback(calling());
+  void requestPassesThroughWorkerPoolAndStoreUnchanged() throws Exception {
+    try (Loopback site = new Loopback(siteWithStore());
         Caller caller = site.new Caller()) {
       caller.ask(7, "read", null, "a\r\n\0b");
       assertEquals(new Command("spawn", ref(7), "read", "a\r\n\0b"), site.command());
@@ -55,24 +55,24 @@
   }
 
   @Test
-  void onlyProofLetsAnEffectfulCallBeMadeAgain() throws Exception {
-    try (Loopback site = new Loopback(calling());
+  void dependencyCallIsRetriedOnlyIfItProvablyNeverStarted() throws Exception {
+    try (Loopback site = new Loopback(siteWithStore());
         Caller caller = site.new Caller()) {
       caller.ask(1, "keyed", "k1", "x");
       site.command();
       site.block(ref(1), "insert");
       site.storeReplies.add(
-          Loopback.http("503 Busy", "Never-Started: 1\r\n", "")); // proof: made again
+          Loopback.http("503 Busy", "Never-Started: 1\r\n", "")); // never started: retried
       site.storeReplies.add(Loopback.http("409 Conflict", "Never-Started: 1\r\n", ""));
-      site.storeReplies.add(""); // a connection that breaks proves nothing
+      site.storeReplies.add(""); // a broken connection proves nothing: not retried
       assertEquals("error", caller.reply().word());
       assertEquals(3, site.calls.size());
     }
   }
 
   @Test
-  void commandsLostWithALinkAreSentAgain() throws Exception {
-    try (Loopback site = new Loopback(calling());
+  void commandsLostWithABrokenLinkAreResent() throws Exception {
+    try (Loopback site = new Loopback(siteWithStore());
         Caller caller = site.new Caller()) {
       caller.ask(1, "keyed", "k1", "first");
       site.command();
@@ -81,9 +81,8 @@
       caller.ask(2, "read", null, "second");
       assertEquals("spawn", site.command().verb());
       site.breakLink();
-      assertEquals("1", site.command().rest(), "bound with the last notice read");
-      // The worker pool has said nothing of 2 since, so that spawn may be lost; 1 is known to be
-      // over.
+      assertEquals("1", site.command().rest(), "the bind states the last notice read");
+      // No notice about request 2 has come since, so its spawn may be lost; request 1 has finished.
       assertEquals(new Command("spawn", ref(2), "read", "second"), site.command());
       site.breakLink();
       site.finish(ref(2), "good", 9, "heard after the bind");
@@ -91,13 +90,13 @@
       assertEquals("heard after the bind", caller.reply().body());
       assertNull(
           site.commands.poll(100, TimeUnit.MILLISECONDS),
-          "nothing is sent again of what has ended");
+          "commands of finished executions are not resent");
     }
   }
 
   @Test
-  void allThatABrokenOrSilentLinkLostIsSentAgainInItsOrder() throws Exception {
-    try (Loopback site = new Loopback(calling());
+  void commandsLostWithASilentLinkAreResentInOrder() throws Exception {
+    try (Loopback site = new Loopback(siteWithStore());
         Caller caller = site.new Caller()) {
       caller.ask(1, "read", null, "x");
       site.command();
@@ -106,20 +105,20 @@
       assertEquals("supply", site.command().verb());
       caller.send("NEVERMIND", "1");
       assertEquals("suspend", site.command().verb());
-      site.mute = true; // stays open, says nothing more
-      assertEquals("bind", site.command().verb(), "a silent link is made anew");
+      site.silent = true; // the link stays open
+      assertEquals("bind", site.command().verb(), "a silent link is replaced");
       assertEquals(new Command("supply", ref(1), "", "row"), site.command());
       assertEquals("suspend", site.command().verb());
       caller.ask(2, "read", null, "y");
       assertEquals("spawn", site.command().verb());
-      site.raw("unknown spawn " + ref(2) + "\r\n");
+      site.sendRaw("unknown spawn " + ref(2) + "\r\n");
       assertEquals("error", caller.reply().word());
     }
   }
 
   @Test
-  void aReloadMovesAllLinksAndABadFileChangesNothing() throws Exception {
-    try (Loopback site = new Loopback(calling());
+  void reloadMovesAllLinksAndAnInvalidConfigurationChangesNothing() throws Exception {
+    try (Loopback site = new Loopback(siteWithStore());
         Caller caller = site.new Caller()) {
       caller.ask(1, "keyed", "k1", "x");
       site.command();
@@ -129,13 +128,13 @@
           () -> {
             throw new DaemonConfig.BadConfigException("half a file");
           });
-      DaemonConfig next = site.move(calling());
+      DaemonConfig next = site.movePeers(siteWithStore());
       new SignalHandlers(() -> next).attach(site.life);
       Signal.raise(new Signal("HUP"));
-      assertEquals(new Command("bind", "", "1", ""), site.command(), "numbers of notices go on");
+      assertEquals(new Command("bind", "", "1", ""), site.command(), "the numbering of notices continues");
       assertTrue(site.report().startsWith("renew n1 yes"));
       site.storeReplies.add(
-          Loopback.http("200 OK", "", "row")); // the call under way ends where it is
+          Loopback.http("200 OK", "", "row")); // the call in flight completes on its old connection
       assertEquals(new Command("supply", ref(1), "", "row"), site.command());
       site.block(ref(1), "insert more");
       site.storeReplies.add(Loopback.http("200 OK", "", "row 2"));
@@ -147,10 +146,10 @@
   }
 
   @Test
-  void noReplyIsPassedOnThatIsNotWhollyUnderstood() throws Exception {
-    try (Loopback site = new Loopback(calling());
+  void invalidStoreResponsesAreNotForwarded() throws Exception {
+    try (Loopback site = new Loopback(siteWithStore());
         Caller caller = site.new Caller()) {
-      String[] spoilt = {
+      String[] invalid = {
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nrow",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nrow!",
@@ -158,19 +157,19 @@
         "\0\1\2\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nrow"
       };
-      for (int i = 0; i < spoilt.length; i++) {
+      for (int i = 0; i < invalid.length; i++) {
         caller.ask(i + 1, "keyed", "k" + i, "x");
         site.command();
         site.block(ref(i + 1), "insert");
-        site.storeReplies.add(spoilt[i]);
-        assertEquals("error", caller.reply().word(), spoilt[i]);
+        site.storeReplies.add(invalid[i]);
+        assertEquals("error", caller.reply().word(), invalid[i]);
         site.finish(ref(i + 1), "cut", 9, "");
       }
-      assertEquals(spoilt.length, site.life.counters().get(Count.UNREADABLE_RESPONSES));
+      assertEquals(invalid.length, site.life.counters().get(Count.UNREADABLE_RESPONSES));
       caller.ask(9, "read", null, "x");
       site.command();
       site.block(
-          ref(9), "select"); // 1xx ahead, a second copy behind: neither is the next call's reply
+          ref(9), "select"); // neither the interim 1xx nor the duplicate answers the next call
       site.storeReplies.add(
           "HTTP/1.1 102 Processing\r\n\r\n"
               + Loopback.http("200 OK", "", "one")
@@ -183,49 +182,49 @@
   }
 
   @Test
-  void aKeyRunsOnceAndItsTriesShareTheResult() throws Exception {
-    Sites.Builder kind = Sites.site();
-    kind.window = 0.1;
-    try (Loopback site = new Loopback(kind);
+  void idempotencyKeyIsExecutedOnceAndItsAttemptsShareTheResult() throws Exception {
+    Sites.Builder builder = Sites.site();
+    builder.window = 0.1;
+    try (Loopback site = new Loopback(builder);
         Caller one = site.new Caller();
         Caller two = site.new Caller()) {
-      long door = System.currentTimeMillis() - 1200;
-      one.ask(1, 1, door, "keyed", "k", "note");
+      long timestampMs = System.currentTimeMillis() - 1200;
+      one.ask(1, 1, timestampMs, "keyed", "k", "note");
       assertEquals("spawn", site.command().verb());
-      two.ask(1, 2, door + 5, "keyed", "k", "note"); // joins the run
+      two.ask(1, 2, timestampMs + 5, "keyed", "k", "note"); // attaches to the execution
       two.send("STATUS", "9", "");
       assertEquals("healthy", two.reply().word());
       site.finish(ref(1), "good", 20, "saved");
       assertEquals("saved", one.reply().body());
       assertEquals("saved", two.reply().body());
-      two.ask(2, 3, door + 100, "keyed", "k", "note"); // stamped at the window's end: replayed
+      two.ask(2, 3, timestampMs + 100, "keyed", "k", "note"); // timestamp at the window's end: replayed
       assertEquals(new Reply("2", "done", "", "saved"), two.reply());
-      two.ask(3, 4, door + 700, "keyed", "k", "note"); // past it: new work
+      two.ask(3, 4, timestampMs + 700, "keyed", "k", "note"); // past the window: a new request
       assertEquals(new Command("spawn", ref(4), "keyed", "note"), site.command());
       site.finish(ref(4), "bad", 20, "");
       assertEquals("error", two.reply().word());
       two.ask(
-          4, 5, door + 705, "keyed", "k", "note"); // a failed run is a run: no refusal, no second
+          4, 5, timestampMs + 705, "keyed", "k", "note"); // a failed execution is neither rejected nor repeated
       assertEquals("error", two.reply().word());
-      assertNull(site.commands.poll(), "no other run");
+      assertNull(site.commands.poll(), "no other execution");
     }
   }
 
   @Test
-  void aRunThatHangsIsAnsweredWhenItIsDue() throws Exception {
+  void hangingExecutionIsAnsweredAtItsDeadline() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
-      long door = System.currentTimeMillis() - 5700; // read late: 300 ms are left
-      caller.ask(1, 1, door, "keyed", "k", "x");
+      long timestampMs = System.currentTimeMillis() - 5700; // read late: 300 ms remain until the deadline
+      caller.ask(1, 1, timestampMs, "keyed", "k", "x");
       Reply reply = caller.reply();
-      long late = System.currentTimeMillis() - door - 6000;
+      long late = System.currentTimeMillis() - timestampMs - 6000;
       assertTrue(reply.word().equals("later") || reply.word().equals("error"), reply.word());
-      assertTrue(late <= 110, late + " ms past the due time");
+      assertTrue(late <= 110, late + " ms past the deadline");
     }
   }
 
   @Test
-  void aCallerThatLeavesIsNotAnsweredAndItsWorkStops() throws Exception {
+  void cancelledRequestIsNotAnsweredAndItsExecutionIsSuspended() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
       caller.ask(1, "read", null, "x");
@@ -234,16 +233,16 @@
       assertEquals(new Command("suspend", ref(1), "", ""), site.command());
       site.finish(ref(1), "cut", 5, "");
       caller.send("STATUS", "2", "");
-      assertEquals("2", caller.reply().tag(), "no answer is owed to 1");
+      assertEquals("2", caller.reply().tag(), "cancelled request 1 has no answer");
       caller.ask(3, "read", null, "y");
       assertEquals("spawn", site.command().verb());
-      caller.close(); // the end of a connection says the same of all that is open on it
+      caller.close(); // closing a connection cancels all its open requests
       assertEquals(new Command("suspend", ref(3), "", ""), site.command());
     }
   }
 
   @Test
-  void nonsenseClosesItsConnectionOnly() throws Exception {
+  void malformedInputClosesOnlyItsOwnConnection() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller good = site.new Caller()) {
       for (String bad :
@@ -254,10 +253,10 @@
             "*1\r\n$-1\r\n",
             "*3\r\n$3\r\nASK\r\n$2\r\n+1\r\n$4\r\nread\r\n"
           }) {
-        site.endsWhoSays(bad);
+        site.assertClosedAfter(bad);
       }
       assertEquals(5, site.life.counters().get(Count.MALFORMED));
-      site.raw("what is this\r\n"); // the worker pool's link too: it is made anew
+      site.sendRaw("what is this\r\n"); // a malformed notice: the link is replaced
       assertEquals("bind", site.command().verb());
       good.ask(1, "read", null, "x");
       site.finish(site.command().ref(), "good", 1, "fine");
@@ -266,33 +265,33 @@
   }
 
   @Test
-  void whatCannotRunIsAnErrorAndItsSenderIsClosedInTheEnd() throws Exception {
+  void invalidRequestsFailAndTheirConnectionIsFinallyClosed() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller bad = site.new Caller()) {
-      String fine =
+      String validFields =
           "txn=00000000000000aa,door=" + System.currentTimeMillis() + ",lb=1,ram=24.5,standing=0.5";
       String[] fields = {
-        fine.replace("ram=24.5", "ram=-1"),
-        fine.replace("ram=24.5", "ram=2000"),
-        fine.replace("standing=0.5", "standing=1"),
-        fine.replace("lb=1", "lb=x"),
-        fine + ",lb=1",
-        fine.replaceAll("door=\\d+", "door=9999999999999"),
-        fine.replace("txn=00000000000000aa,", "")
+        validFields.replace("ram=24.5", "ram=-1"),
+        validFields.replace("ram=24.5", "ram=2000"),
+        validFields.replace("standing=0.5", "standing=1"),
+        validFields.replace("lb=1", "lb=x"),
+        validFields + ",lb=1",
+        validFields.replaceAll("door=\\d+", "door=9999999999999"),
+        validFields.replace("txn=00000000000000aa,", "")
       };
       for (int i = 0; i < fields.length; i++) {
         bad.send("ASK", Integer.toString(i + 1), "read", fields[i], "x");
         assertEquals("error", bad.reply().word(), fields[i]);
       }
-      bad.send("ASK", "9", "none", fine, "x");
+      bad.send("ASK", "9", "none", validFields, "x");
       assertEquals("error", bad.reply().word());
       assertEquals(
-          -1, bad.socket.getInputStream().read(), "nothing but nonsense, and as fast as can be");
+          -1, bad.socket.getInputStream().read(), "closed after only invalid requests in quick succession");
       try (Caller twice = site.new Caller()) {
         twice.ask(1, 1, System.currentTimeMillis(), "read", null, "x");
         assertEquals("spawn", site.command().verb());
         twice.ask(
-            1, 2, System.currentTimeMillis(), "read", null, "y"); // answers could not be told apart
+            1, 2, System.currentTimeMillis(), "read", null, "y"); // answers with one tag would be ambiguous
         while (site.life.counters().get(Count.MALFORMED) < 2) {
           Thread.onSpinWait();
         }
@@ -300,34 +299,34 @@
         assertEquals(
             new Reply("1", "done", "", "of the first"),
             twice.reply(),
-            "what was read has its answer");
-        assertEquals(-1, twice.socket.getInputStream().read(), "and nothing else comes");
-        assertNull(site.commands.poll(), "the second never ran");
+            "the first request has its answer");
+        assertEquals(-1, twice.socket.getInputStream().read(), "then the connection is closed");
+        assertNull(site.commands.poll(), "the second request was not dispatched");
       }
     }
   }
 
   @Test
-  void silentPeersMakeRoomAndDoNotStay() throws Exception {
+  void silentConnectionsAreEvictedForNewOnes() throws Exception {
     List<Caller> silent = new ArrayList<>();
     try (Loopback site = new Loopback(Sites.site(), 82);
         Caller first = site.new Caller()) {
       first.ask(1, "read", null, "x");
       site.finish(site.command().ref(), "good", 1, "fine");
       assertEquals("fine", first.reply().body());
-      long began = System.nanoTime();
+      long startedAt = System.nanoTime();
       for (int i = 0; i < 100; i++) {
         silent.add(site.new Caller());
       }
       silent.get(99).send("STATUS", "1", "");
-      assertEquals("healthy", silent.get(99).reply().word(), "there is room for who comes last");
+      assertEquals("healthy", silent.get(99).reply().word(), "the last connection is accepted");
       first.ask(2, "read", null, "x");
       site.finish(site.command().ref(), "good", 1, "fine");
-      assertEquals("fine", first.reply().body(), "who was served stays");
-      silent.get(98).send("ASK"); // begun, never ended
+      assertEquals("fine", first.reply().body(), "a connection with a served request is kept");
+      silent.get(98).send("ASK"); // begun, never completed
       assertEquals("closing", silent.get(97).reply().word());
       assertEquals(-1, silent.get(98).socket.getInputStream().read());
-      assertTrue(System.nanoTime() - began < 3_000_000_000L, "within 3 s");
+      assertTrue(System.nanoTime() - startedAt < 3_000_000_000L, "within 3 s");
     } finally {
       for (Caller each : silent) {
         each.close();
@@ -336,83 +335,83 @@
   }
 
   @Test
-  void aRequestThatCrossesTheWordToGoIsServed() throws Exception {
-    List<Caller> more = new ArrayList<>();
+  void requestThatCrossesTheClosingNoticeIsServed() throws Exception {
+    List<Caller> others = new ArrayList<>();
     try (Loopback site = new Loopback(Sites.site(), 82);
         Caller first = site.new Caller()) {
       first.send("STATUS", "1", "");
       assertEquals("healthy", first.reply().word());
-      for (int i = 0; i < 38; i++) { // the most that 82 descriptors allow: the first one has to go
-        more.add(site.new Caller());
-        more.get(i).send("STATUS", "1", "");
-        assertEquals("healthy", more.get(i).reply().word());
+      for (int i = 0; i < 38; i++) { // 82 descriptors allow no more: the first connection is evicted
+        others.add(site.new Caller());
+        others.get(i).send("STATUS", "1", "");
+        assertEquals("healthy", others.get(i).reply().word());
       }
       assertEquals("closing", first.reply().word());
       first.ask(2, "read", null, "x");
       site.finish(site.command().ref(), "good", 1, "fine");
       assertEquals(new Reply("2", "done", "", "fine"), first.reply());
     } finally {
-      for (Caller each : more) {
+      for (Caller each : others) {
         each.close();
       }
     }
   }
 
-  @RepeatedTest(20) // the race it guards against is met in one of ten
-  void whoWasHeardAndWritesIsNotCutForOthers() throws Exception {
-    List<Caller> more = new ArrayList<>();
+  @RepeatedTest(20) // the race occurs in about one of 10 repetitions
+  void evictedConnectionMayCompleteARequestItHasBegun() throws Exception {
+    List<Caller> others = new ArrayList<>();
     try (Loopback site = new Loopback(Sites.site(), 82);
         Caller first = site.new Caller()) {
       first.send("STATUS", "1", "");
       assertEquals("healthy", first.reply().word());
       String fields =
           "txn=00000000000000aa,door=" + System.currentTimeMillis() + ",lb=1,ram=24.5,standing=0.5";
-      byte[] begun =
+      byte[] firstHalf =
           BoundedReader.ascii(
               "*5\r\n$3\r\nASK\r\n$1\r\n7\r\n$4\r\nread\r\n$" + fields.length() + "\r\n");
-      first.socket.getOutputStream().write(begun);
+      first.socket.getOutputStream().write(firstHalf);
       for (int i = 0;
           i < 60;
-          i++) { // the table is full, and more than may be on their way out are told to go
-        more.add(site.new Caller());
-        more.get(i).send("STATUS", "1", "");
-        assertEquals("healthy", more.get(i).reply().word());
+          i++) { // the table is full, and more connections are asked to close than may be closing at once
+        others.add(site.new Caller());
+        others.get(i).send("STATUS", "1", "");
+        assertEquals("healthy", others.get(i).reply().word());
       }
       assertEquals("closing", first.reply().word());
       first.socket.getOutputStream().write(BoundedReader.ascii(fields + "\r\n$1\r\nx\r\n"));
       site.finish(site.command().ref(), "good", 1, "fine");
       assertEquals("fine", first.reply().body());
     } finally {
-      for (Caller each : more) {
+      for (Caller each : others) {
         each.close();
       }
     }
   }
 
   @Test
-  void whoWritesItsFirstRequestSlowlyIsNotCutForThoseThatHaveTheirAnswer() throws Exception {
-    List<Caller> stay = new ArrayList<>();
+  void connectionWithASlowFirstRequestIsNotEvictedBeforeAnsweredOnes() throws Exception {
+    List<Caller> connections = new ArrayList<>();
     try (Loopback site = new Loopback(Sites.site(), 82)) {
-      long began = System.nanoTime();
-      for (int i = 0; i < 38; i++) { // ask once and keep their connection for good
-        stay.add(site.new Caller());
-        stay.get(i).send("STATUS", "1", "");
-        assertEquals("healthy", stay.get(i).reply().word());
+      long startedAt = System.nanoTime();
+      for (int i = 0; i < 38; i++) { // one request each, then idle
+        connections.add(site.new Caller());
+        connections.get(i).send("STATUS", "1", "");
+        assertEquals("healthy", connections.get(i).reply().word());
       }
-      Caller pacer = stay.get(37);
-      while (System.nanoTime() - began < 1_200_000_000L) { // a second goes by on the wire
-        pacer.send("STATUS", "2", "");
-        pacer.reply();
+      Caller active = connections.get(37);
+      while (System.nanoTime() - startedAt < 1_200_000_000L) { // traffic for more than a second
+        active.send("STATUS", "2", "");
+        active.reply();
       }
       Caller slow = site.new Caller();
-      stay.add(slow);
+      connections.add(slow);
       slow.socket
           .getOutputStream()
           .write("*5\r\n$3\r\nASK\r\n".getBytes(StandardCharsets.ISO_8859_1));
       for (int i = 0; i < 30; i++) {
-        stay.add(site.new Caller());
-        stay.get(stay.size() - 1).send("STATUS", "1", "");
-        assertEquals("healthy", stay.get(stay.size() - 1).reply().word());
+        connections.add(site.new Caller());
+        connections.get(connections.size() - 1).send("STATUS", "1", "");
+        assertEquals("healthy", connections.get(connections.size() - 1).reply().word());
       }
       String fields =
           "txn=00000000000000aa,door=" + System.currentTimeMillis() + ",lb=1,ram=24.5,standing=0.5";
@@ -424,19 +423,19 @@
       site.finish(site.command().ref(), "good", 1, "fine");
       assertEquals("fine", slow.reply().body());
     } finally {
-      for (Caller each : stay) {
+      for (Caller each : connections) {
         each.close();
       }
     }
   }
 
   @Test
-  void aKnownKeyWithAnotherBodyHasNoResultAndNoRun() throws Exception {
+  void knownKeyWithAnotherBodyFailsWithoutExecution() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
       caller.ask(1, "keyed", "k", "its body");
-      Command run = site.command();
-      site.finish(run.ref(), "good", 1, "fine");
+      Command execution = site.command();
+      site.finish(execution.ref(), "good", 1, "fine");
       assertEquals("done", caller.reply().word());
       caller.ask(2, "keyed", "k", "another");
       assertEquals("error", caller.reply().word());
@@ -444,22 +443,22 @@
       assertEquals("fine", caller.reply().body());
       caller.ask(4, "keyed", "k4", "of no request");
       assertEquals("spawn", site.command().verb());
-      site.raw("unknown spawn " + ref(4) + "\r\n");
+      site.sendRaw("unknown spawn " + ref(4) + "\r\n");
       assertEquals("error", caller.reply().word());
       caller.ask(5, "keyed", "k4", "the true one");
       assertEquals(
           new Command("spawn", ref(5), "keyed", "the true one"),
           site.command(),
-          "nothing ran before");
+          "the unknown spawn left no execution");
     }
   }
 
   @Test
-  void aPeerThatDoesNotReadHoldsUpNobody() throws Exception {
+  void peerThatDoesNotReadDelaysNoOtherPeer() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller slow = site.new Caller();
         Caller good = site.new Caller()) {
-      Thread flood =
+      Thread sender =
           new Thread(
               () -> {
                 try {
@@ -467,11 +466,11 @@
                     slow.send("STATUS", Integer.toString(i), "");
                   }
                 } catch (IOException e) {
-                  return; // cut, or the story is over
+                  return; // the connection was closed, or the test has ended
                 }
               });
-      flood.setDaemon(true);
-      flood.start();
+      sender.setDaemon(true);
+      sender.start();
       for (int i = 1; i <= 20; i++) {
         good.ask(i, "read", null, "x");
         site.finish(site.command().ref(), "good", 1, "fine");
@@ -481,7 +480,7 @@
   }
 
   @Test
-  void onNoticeAllThatWasReadIsAnsweredAndNothingLateRuns() throws Exception {
+  void gracefulShutdownAnswersRequestsInFlightAndRejectsLaterOnes() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
       assertEquals("renew n1 yes", site.report());
@@ -489,7 +488,7 @@
       assertEquals("spawn", site.command().verb());
       caller.ask(2, "long", null, "hangs");
       assertEquals("spawn", site.command().verb());
-      Thread stopping = site.stopping();
+      Thread server = site.serveUntilStopped();
       site.life.leave();
       for (String report = site.report(); !report.equals("renew n1 no"); report = site.report()) {
         assertEquals("renew n1 yes", report);
@@ -498,27 +497,27 @@
       assertEquals("sick", caller.reply().word());
       site.finish(ref(1), "good", 30, "in time");
       assertEquals("in time", caller.reply().body());
-      assertEquals("closing", caller.reply().word()); // once the grace is over
+      assertEquals("closing", caller.reply().word()); // after the grace period
       caller.ask(4, "read", null, "late");
       Reply late = caller.reply();
       assertEquals("4 later", late.tag() + " " + late.word());
-      Reply last = caller.reply(); // hangs to the end: failed before the process is stopped
+      Reply last = caller.reply(); // its execution hangs: it fails before the process stops
       assertEquals("2 error", last.tag() + " " + last.word());
       caller.close();
-      stopping.join(TimeUnit.SECONDS.toMillis(Loopback.WAIT_S));
+      server.join(TimeUnit.SECONDS.toMillis(Loopback.WAIT_S));
       assertEquals(Lifecycle.State.STOPPED, site.life.state());
       assertTrue(
           site.commands.stream().noneMatch(c -> c.verb().equals("spawn")),
-          "nothing ran that came late");
+          "late requests were not dispatched");
     }
   }
 
   @Test
-  void badConfigurationIsOneLine() throws Exception {
+  void invalidAddressIsReportedInOneLine() throws Exception {
     for (String listen : new String[] {"nowhere", "127.0.0.1:99999", "example.org:80"}) {
       try {
-        net(listen);
-        throw new AssertionError(listen + " was taken");
+        listenAddress(listen);
+        throw new AssertionError(listen + " was accepted");
       } catch (wharftrestle.config.DaemonConfig.BadConfigException e) {
         assertEquals(1, e.getMessage().lines().count());
       }
@@ -527,11 +526,11 @@
       assertEquals(
           new InetSocketAddress(
               InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), taken.getLocalPort()),
-          net("127.0.0.1:" + taken.getLocalPort()));
+          listenAddress("127.0.0.1:" + taken.getLocalPort()));
     }
   }
 
-  private static InetSocketAddress net(String text)
+  private static InetSocketAddress listenAddress(String text)
       throws wharftrestle.config.DaemonConfig.BadConfigException {
     return wharftrestle.config.DaemonConfig.address("listen", text);
   }
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -38,10 +38,10 @@
 import wharftrestle.testbed.RespPeer.Reply;
 
 /**
- * Stories of the instant in which something ends and something else crosses it;
- * docs/design/endings.md names each.
+ * Tests of races between the end of a request, an execution, a link or the process and an event that
+ * crosses it; docs/design/endings.md lists them.
  */
-@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // a story may spin
+@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // a failing test may busy-wait without end
 class EndingsTest {
   private static final int STOP_MS = 10_000;
 
@@ -49,7 +49,7 @@
     return String.format("%016x", number);
   }
 
-  private static Sites.Builder calling() {
+  private static Sites.Builder siteWithStore() {
     Sites.Builder site = Sites.site();
     site.calls = true;
     return site;
@@ -58,7 +58,7 @@
   // ---- Requests and their answers ----
 
   @Test
-  void aCallerThatLeavesAfterItsAnswerChangesNothing() throws Exception {
+  void cancellationAfterTheAnswerHasNoEffect() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
       caller.ask(1, "read", null, "x");
@@ -66,31 +66,31 @@
       assertEquals(new Reply("1", "done", "", "fine"), caller.reply());
       caller.send("NEVERMIND", "1"); // crossed the answer
       caller.send("STATUS", "2", "");
-      assertEquals("2", caller.reply().tag(), "one answer, and no more");
+      assertEquals("2", caller.reply().tag(), "exactly one answer");
       assertEquals(0, site.life.counters().get(Count.CALLERS_DISCONNECTED));
       assertEquals(0, site.life.counters().inFlight());
     }
   }
 
   @Test
-  void aResultThatBreaksOffIsToldAgainAndAnsweredOnce() throws Exception {
+  void truncatedResultIsResentAndAnsweredOnce() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
       caller.ask(1, "keyed", "k", "x");
       assertEquals("spawn", site.command().verb());
-      site.raw("finished 1 " + ref(1) + " good 5 100\r\nhalf of it");
+      site.sendRaw("finished 1 " + ref(1) + " good 5 100\r\nhalf of it");
       site.breakLink();
-      site.finish(ref(1), "good", 5, "whole"); // told by the next link's bind
-      assertEquals(new Command("bind", "", "0", ""), site.command(), "half a notice is none");
+      site.finish(ref(1), "good", 5, "whole"); // sent when the next link binds
+      assertEquals(new Command("bind", "", "0", ""), site.command(), "the truncated notice does not count as read");
       assertEquals(new Reply("1", "done", "", "whole"), caller.reply());
-      site.raw("finished 1 " + ref(1) + " good 5 5\r\nagain\r\n"); // and once more under its number
+      site.sendRaw("finished 1 " + ref(1) + " good 5 5\r\nagain\r\n"); // a duplicate with the same notice number
       caller.send("STATUS", "2", "");
-      assertEquals("2", caller.reply().tag(), "one answer");
+      assertEquals("2", caller.reply().tag(), "exactly one answer");
     }
   }
 
   @Test
-  void aWorkerPoolThatStartsAnewEndsItsRunsAndIsHeard() throws Exception {
+  void workerPoolRestartFailsItsExecutionsAndResetsItsNotices() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
       caller.ask(1, "keyed", "k1", "x");
@@ -98,8 +98,8 @@
       assertEquals("before", caller.reply().body());
       caller.ask(2, "keyed", "k2", "y");
       assertEquals("spawn", site.command().verb());
-      long heard = System.nanoTime();
-      while (System.nanoTime() - heard < 1_100_000_000L) { // a second goes by on the wire
+      long startedAt = System.nanoTime();
+      while (System.nanoTime() - startedAt < 1_100_000_000L) { // traffic for more than a second
         caller.send("STATUS", "3", "");
         assertEquals("healthy", caller.reply().word());
       }
@@ -107,30 +107,30 @@
       assertEquals(
           new Reply("2", "error", "", ""),
           caller.reply(),
-          "its run is lost, long before it is due");
-      assertEquals("1", site.command().rest(), "it was bound with the last notice read");
-      assertEquals("0", site.command().rest(), "and then from the start");
+          "its execution is lost: it fails long before its deadline");
+      assertEquals("1", site.command().rest(), "the first bind states the last notice read");
+      assertEquals("0", site.command().rest(), "the second bind starts again at 0");
       caller.ask(4, "read", null, "z");
       assertEquals(new Command("spawn", ref(4), "read", "z"), site.command());
       site.finish(ref(4), "good", 1, "after");
-      assertEquals("after", caller.reply().body(), "its notices begin at 1 again");
+      assertEquals("after", caller.reply().body(), "the notices of the new worker pool are numbered from 1");
       caller.ask(5, "keyed", "k2", "y");
       assertEquals(
-          "error", caller.reply().word(), "what may have run is neither run again nor refused");
+          "error", caller.reply().word(), "a request that may have been executed is neither executed again nor rejected");
       assertNull(site.commands.poll());
     }
   }
 
   @Test
-  void anAnswerForcedAtItsDueTimeIsTheOnlyOne() throws Exception {
+  void answerAtTheDeadlineIsTheOnlyOne() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
-      caller.ask(1, 1, System.currentTimeMillis() - 5700, "keyed", "k", "x"); // 300 ms are left
+      caller.ask(1, 1, System.currentTimeMillis() - 5700, "keyed", "k", "x"); // 300 ms remain until the deadline
       Reply late = caller.reply();
       assertEquals("1", late.tag());
       Command next = site.commands.poll(0, TimeUnit.MILLISECONDS);
       if (next != null && next.verb().equals("spawn")) {
-        site.finish(ref(1), "good", 300, "too late"); // the run's end crosses it
+        site.finish(ref(1), "good", 300, "too late"); // the completion crosses the answer
       }
       caller.send("STATUS", "2", "");
       assertEquals("2", caller.reply().tag(), "no second answer");
@@ -140,135 +140,135 @@
   // ---- The process ----
 
   @Test
-  void whoRestsUntilItIsEndedIsEndedWithoutAResetAndItsLastWordIsNotRun() throws Exception {
+  void shutdownClosesIdleConnectionsWithoutResetAndDropsTheirLateRequests() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
-        Caller rests = site.new Caller();
-        Caller works = site.new Caller()) {
-      rests.ask(1, "read", null, "x");
+        Caller idle = site.new Caller();
+        Caller working = site.new Caller()) {
+      idle.ask(1, "read", null, "x");
       site.finish(site.command().ref(), "good", 1, "fine");
-      assertEquals("fine", rests.reply().body());
-      works.ask(1, 2, System.currentTimeMillis(), "long", null, "hangs");
+      assertEquals("fine", idle.reply().body());
+      working.ask(1, 2, System.currentTimeMillis(), "long", null, "hangs");
       assertEquals("spawn", site.command().verb());
-      Thread stopping = site.stopping();
+      Thread server = site.serveUntilStopped();
       site.life.leave();
-      assertEquals("closing", rests.reply().word());
-      assertEquals(-1, rests.socket.getInputStream().read(), "an end");
-      rests.ask(2, "read", null, "crosses the end"); // no reset: it is read and dropped
-      rests.send("NEVERMIND", "2");
-      assertEquals(-1, rests.socket.getInputStream().read());
-      assertEquals("closing", works.reply().word());
+      assertEquals("closing", idle.reply().word());
+      assertEquals(-1, idle.socket.getInputStream().read(), "end of stream");
+      idle.ask(2, "read", null, "crosses the end"); // read and dropped, with no reset
+      idle.send("NEVERMIND", "2");
+      assertEquals(-1, idle.socket.getInputStream().read());
+      assertEquals("closing", working.reply().word());
       site.finish(ref(2), "good", 30, "in time");
-      assertEquals("in time", works.reply().body(), "whoever is owed an answer stays for it");
-      assertEquals(-1, works.socket.getInputStream().read());
-      rests.close();
-      works.close();
-      stopping.join(STOP_MS);
+      assertEquals("in time", working.reply().body(), "the connection stays open until its answer");
+      assertEquals(-1, working.socket.getInputStream().read());
+      idle.close();
+      working.close();
+      server.join(STOP_MS);
       assertEquals(Lifecycle.State.STOPPED, site.life.state());
       assertTrue(
           site.commands.stream().noneMatch(c -> c.verb().equals("spawn")),
-          "nothing ran that came late");
+          "late requests were not dispatched");
     }
   }
 
   @Test
-  void whatWaitsInTheBacklogAtTheEndIsAnswered() throws Exception {
+  void connectionsInTheAcceptBacklogAtShutdownAreAnswered() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller busy = site.new Caller()) {
-      Thread stopping = site.stopping();
+      Thread server = site.serveUntilStopped();
       site.life.leave();
-      site.life.leave(); // a second notice is none
+      site.life.leave(); // a second notice to leave has no effect
       do {
         busy.send("STATUS", "1", "");
       } while (!busy.reply().word().equals("sick"));
       while (site.life.state() != Lifecycle.State.CLOSING) {
-        try (Caller comes = site.new Caller()) {
-          comes.send("STATUS", "1", "");
-          Reply reply = comes.reply();
+        try (Caller latecomer = site.new Caller()) {
+          latecomer.send("STATUS", "1", "");
+          Reply reply = latecomer.reply();
           assertEquals(
               "0 closing".equals(reply.tag() + " " + reply.word()) ? "closing" : "sick",
               reply.word());
         } catch (java.net.ConnectException refused) {
-          break; // proves that nothing ran
+          break; // a refused connection proves that nothing was executed
         }
       }
       busy.close();
-      stopping.join(STOP_MS);
+      server.join(STOP_MS);
       assertEquals(Lifecycle.State.STOPPED, site.life.state());
     }
   }
 
   @Test
-  void aReloadWhileItLeavesIsTakenAndWhatIsOwedStillComes() throws Exception {
-    try (Loopback site = new Loopback(calling());
+  void reloadDuringShutdownIsAppliedAndRequestsInFlightAreAnswered() throws Exception {
+    try (Loopback site = new Loopback(siteWithStore());
         Caller caller = site.new Caller()) {
       caller.ask(1, "keyed", "k", "x");
       site.command();
-      Thread stopping = site.stopping();
+      Thread server = site.serveUntilStopped();
       site.life.leave();
       while (site.life.state() == Lifecycle.State.SERVING) {
         Thread.onSpinWait();
       }
-      wharftrestle.config.DaemonConfig next = site.move(calling());
+      wharftrestle.config.DaemonConfig next = site.movePeers(siteWithStore());
       site.life.reload(() -> next);
       assertEquals(
           new Command("bind", "", "0", ""),
           site.command(),
-          "the worker pool moved while it leaves");
-      assertEquals("spawn", site.command().verb(), "what may be lost with the link is sent again");
+          "the daemon binds to the moved worker pool while it drains");
+      assertEquals("spawn", site.command().verb(), "commands that may be lost with the link are resent");
       site.finish(ref(1), "good", 9, "done");
       assertEquals("done", caller.reply().body());
       caller.close();
-      stopping.join(STOP_MS);
+      server.join(STOP_MS);
       assertEquals(Lifecycle.State.STOPPED, site.life.state());
     }
   }
 
   @Test
-  void signalsAreHeardBeforeThereIsAnythingToTell() throws Exception {
-    AtomicInteger read = new AtomicInteger();
+  void signalsBeforeTheDaemonIsAttachedAreDeliveredOnAttach() throws Exception {
+    AtomicInteger reloads = new AtomicInteger();
     try (Loopback site = new Loopback(Sites.site())) {
-      wharftrestle.config.DaemonConfig config = site.move(Sites.site());
-      CountDownLatch heard = new CountDownLatch(2);
+      wharftrestle.config.DaemonConfig config = site.movePeers(Sites.site());
+      CountDownLatch handled = new CountDownLatch(2);
       SignalHandlers early =
           new SignalHandlers(
               () -> {
-                read.incrementAndGet();
+                reloads.incrementAndGet();
                 return config;
               }) {
             @Override
             public void onHandled() {
-              heard.countDown();
+              handled.countDown();
             }
           };
       Signal.raise(new Signal("HUP"));
       Signal.raise(new Signal("TERM"));
-      assertTrue(heard.await(STOP_MS, TimeUnit.MILLISECONDS));
+      assertTrue(handled.await(STOP_MS, TimeUnit.MILLISECONDS));
       assertEquals(Lifecycle.State.SERVING, site.life.state());
       early.attach(site.life);
-      assertEquals(1, read.get(), "the hangup is made up for");
-      Thread stopping = site.stopping();
-      stopping.join(STOP_MS);
-      assertEquals(Lifecycle.State.STOPPED, site.life.state(), "and so is the notice to leave");
+      assertEquals(1, reloads.get(), "the early SIGHUP reloads on attach");
+      Thread server = site.serveUntilStopped();
+      server.join(STOP_MS);
+      assertEquals(Lifecycle.State.STOPPED, site.life.state(), "the early SIGTERM stops the daemon on attach");
     }
   }
 
-  // ---- Parts of the process that fail ----
+  // ---- Failures within the process ----
 
-  /** A core with the shipped policy, a worker pool that does as told, and no sockets. */
-  private static RequestCoordinator core(SilentPool pool, AdmissionFactory factory) {
-    RequestCoordinator core =
+  /** Returns a started request coordinator with this worker pool and no sockets. */
+  private static RequestCoordinator coordinator(SilentPool workerPool, AdmissionFactory admissionFactory) {
+    RequestCoordinator coordinator =
         new RequestCoordinator(
             Sites.site().build(),
             7,
             64,
             KeyMemoryBudget.of(1 << 20),
-            factory,
+            admissionFactory,
             new Counters(List.of("read", "save", "keyed", "unsafe", "long")));
-    core.start(pool, null, good -> {});
-    return core;
+    coordinator.start(workerPool, null, good -> {});
+    return coordinator;
   }
 
-  private static IncomingRequest arrival(int number) {
+  private static IncomingRequest request(int number) {
     return new IncomingRequest(
         ref(number),
         false,
@@ -285,10 +285,10 @@
   }
 
   @Test
-  void aProcessToldToLeaveBeforeItsWorkerPoolIsUpRunsNothing() throws Exception {
+  void shutdownBeforeTheWorkerPoolIsUpDispatchesNothing() throws Exception {
     AtomicInteger spawned = new AtomicInteger();
-    RequestCoordinator core =
-        core(
+    RequestCoordinator coordinator =
+        coordinator(
             new SilentPool() {
               @Override
               public void dispatch(String ref, String className, byte[] body) {
@@ -296,18 +296,18 @@
               }
             },
             AdmissionController::new);
-    core.beginShutdown(5);
-    core.workerPoolStarted(true, 0); // the worker pool comes up in the grace
+    coordinator.beginShutdown(5);
+    coordinator.workerPoolStarted(true, 0); // the worker pool comes up in the grace period
     BlockingQueue<Answer> answers = new LinkedBlockingQueue<>();
-    core.accept(arrival(1), answers::add);
+    coordinator.accept(request(1), answers::add);
     assertEquals(Answer.Kind.REJECTED, answers.take().kind());
     assertEquals(0, spawned.get());
   }
 
   @Test
-  void aFaultOfAnyKindStillGivesTheAnswer() throws Exception {
-    RequestCoordinator core =
-        core(
+  void errorInDispatchStillYieldsAnAnswer() throws Exception {
+    RequestCoordinator coordinator =
+        coordinator(
             new SilentPool() {
               @Override
               public void dispatch(String ref, String className, byte[] body) {
@@ -315,68 +315,68 @@
               }
             },
             AdmissionController::new);
-    core.workerPoolStarted(false, 100);
+    coordinator.workerPoolStarted(false, 100);
     BlockingQueue<Answer> answers = new LinkedBlockingQueue<>();
-    core.accept(arrival(1), answers::add);
+    coordinator.accept(request(1), answers::add);
     Answer answer = answers.poll(2, TimeUnit.SECONDS);
     assertEquals(
-        Answer.Kind.FAILED, answer == null ? null : answer.kind(), "at once, not when it is due");
-    assertTrue(core.awaitDrained(2), "and nothing of it stays in hand");
+        Answer.Kind.FAILED, answer == null ? null : answer.kind(), "answered at once, not at the deadline");
+    assertTrue(coordinator.awaitDrained(2), "no request remains in flight");
   }
 
   @Test
-  void theTimerGoesOnAfterAnErrorAndForgetsNoWake() throws Exception {
-    CountDownLatch twice = new CountDownLatch(2);
-    RequestCoordinator core =
-        core(
+  void timerContinuesAfterAnErrorAndRepeatsTheFailedEvent() throws Exception {
+    CountDownLatch firings = new CountDownLatch(2);
+    RequestCoordinator coordinator =
+        coordinator(
             new SilentPool(),
             (now, seed, settings, actions) -> {
               actions.setTimer(77, 0);
-              Admission.Events policy = new AdmissionController(now, seed, settings, actions);
+              Admission.Events admission = new AdmissionController(now, seed, settings, actions);
               return (Admission.Events)
                   Proxy.newProxyInstance(
                       EndingsTest.class.getClassLoader(),
                       new Class<?>[] {Admission.Events.class},
-                      (self, method, words) -> {
-                        if (method.getName().equals("timerFired") && words[1].equals(77L)) {
-                          twice.countDown();
-                          if (twice.getCount() == 1) {
+                      (self, method, arguments) -> {
+                        if (method.getName().equals("timerFired") && arguments[1].equals(77L)) {
+                          firings.countDown();
+                          if (firings.getCount() == 1) {
                             throw new StackOverflowError("made up");
                           }
                           return null;
                         }
-                        return method.invoke(policy, words);
+                        return method.invoke(admission, arguments);
                       });
             });
-    core.workerPoolStarted(false, 100);
-    assertTrue(twice.await(5, TimeUnit.SECONDS), "what was due came again");
+    coordinator.workerPoolStarted(false, 100);
+    assertTrue(firings.await(5, TimeUnit.SECONDS), "the timer event whose handler failed fired again");
   }
 
   @Test
-  void aThreadThatIsReliedOnBeginsAgain() throws Exception {
-    CountDownLatch times = new CountDownLatch(3);
-    Thread lasting =
+  void restartingThreadRestartsAfterErrorsOnly() throws Exception {
+    CountDownLatch starts = new CountDownLatch(3);
+    Thread restarting =
         PlatformThreads.restartingThread(
             "made up",
             () -> {
-              times.countDown();
-              if (times.getCount() > 0) {
+              starts.countDown();
+              if (starts.getCount() > 0) {
                 throw new StackOverflowError("made up");
               }
             });
-    lasting.start();
-    assertTrue(times.await(5, TimeUnit.SECONDS));
-    lasting.join(5000);
-    assertTrue(!lasting.isAlive(), "and ends where it means to");
+    restarting.start();
+    assertTrue(starts.await(5, TimeUnit.SECONDS));
+    restarting.join(5000);
+    assertTrue(!restarting.isAlive(), "a normal return ends the thread");
   }
 
   @Test
-  void aNameServiceThatIsGoneForGoodStopsNobodyAndIsReportedToWhenItIsBack() throws Exception {
+  void unreachableNameServiceDelaysNoRequestAndGetsReportsWhenItIsBack() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
-      int port = site.naming.getLocalPort();
+      int port = site.nameService.getLocalPort();
       assertEquals("renew n1 yes", site.report());
-      site.naming.close(); // unreachable: the system says so of each report
+      site.nameService.close(); // unreachable: the system returns an error for each report
       long reports = site.life.counters().get(Count.LOAD_REPORTS);
       while (site.life.counters().get(Count.LOAD_REPORTS) < reports + 3) {
         caller.ask((int) site.life.counters().get(Count.REQUESTS) + 1, "read", null, "x");
@@ -396,23 +396,23 @@
   // ---- Calls ----
 
   @Test
-  void aCallGivenUpInTheInstantOfItsReplyIsToldToNobodyAndItsConnectionIsNotUsedAgain()
+  void responseToACancelledCallIsDroppedAndItsConnectionIsNotReused()
       throws Exception {
-    try (Loopback site = new Loopback(calling());
+    try (Loopback site = new Loopback(siteWithStore());
         Caller caller = site.new Caller()) {
       caller.ask(1, "read", null, "x");
       site.command();
       site.block(ref(1), "select");
       assertTrue(site.calls.poll(Loopback.WAIT_S, TimeUnit.SECONDS).endsWith("select"));
-      caller.send("NEVERMIND", "1"); // the call is under way, its reply held back by the story
+      caller.send("NEVERMIND", "1"); // the call is in flight, the test holds its response back
       while (site.life.counters().get(Count.CALLERS_DISCONNECTED) == 0) {
         Thread.onSpinWait();
       }
-      site.finish(ref(1), "cut", 5, ""); // at its call, as its caller is gone
+      site.finish(ref(1), "cut", 5, ""); // ended at its call, as its caller has cancelled
       assertTrue(site.life.requestCoordinator().awaitDrained(5));
       site.storeReplies.add(Loopback.http("200 OK", "", "of the first"));
       while (!site.storeReplies.isEmpty()) {
-        Thread.onSpinWait(); // the store gives it, to a connection that was given up
+        Thread.onSpinWait(); // the store sends it on the abandoned connection
       }
       caller.ask(2, "read", null, "y");
       assertEquals("spawn", site.command().verb());
@@ -424,12 +424,13 @@
     }
   }
 
-  // ---- Half a close ----
+  // ---- Half-close ----
 
   /**
-   * The answers to requests in hand, in any order, up to the end; the word to go may come between.
+   * Reads the answers up to the end of the connection, sorted by tag. Closing notices, which have
+   * tag 0, are skipped.
    */
-  private static List<Reply> answersToItsEnd(Caller caller) throws IOException {
+  private static List<Reply> answersUntilClosed(Caller caller) throws IOException {
     List<Reply> answers = new ArrayList<>();
     try {
       for (; ; ) {
@@ -445,32 +446,32 @@
   }
 
   @Test
-  void aFrontEndThatHasEndedItsSideHasTheAnswersToAllThatWasRead() throws Exception {
+  void frontEndThatHasHalfClosedGetsTheAnswersToAllRequestsRead() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
       caller.ask(1, "keyed", "k", "x");
       caller.ask(2, "read", null, "y");
-      List<String> refs = List.of(site.command().ref(), site.command().ref());
-      caller.write("*5\r\n$3\r\nAS"); // half a message behind them
+      List<String> references = List.of(site.command().ref(), site.command().ref());
+      caller.write("*5\r\n$3\r\nAS"); // a truncated message after them
       caller.socket.shutdownOutput();
-      assertEquals("closing", caller.reply().word(), "its end was read");
-      for (String each : refs) {
+      assertEquals("closing", caller.reply().word(), "the half-close was read");
+      for (String each : references) {
         site.finish(each, "good", 1, "of " + each);
       }
       assertEquals(
           List.of(
               new Reply("1", "done", "", "of " + ref(1)),
               new Reply("2", "done", "", "of " + ref(2))),
-          answersToItsEnd(caller));
+          answersUntilClosed(caller));
       assertEquals(0, site.life.counters().get(Count.CALLERS_DISCONNECTED));
-      assertNull(site.commands.poll(), "nothing was stopped");
+      assertNull(site.commands.poll(), "no execution was suspended");
     }
   }
 
   // ---- Slow peers ----
 
-  /** A request of class read as it is written. */
-  private static String written(int tag, String body) {
+  /** Returns the bytes of a request of class {@code read}. */
+  private static String requestBytes(int tag, String body) {
     String fields =
         "txn=" + ref(tag) + ",door=" + System.currentTimeMillis() + ",lb=1,ram=24.5,standing=0.5";
     return "*5\r\n$3\r\nASK\r\n$1\r\n"
@@ -486,24 +487,24 @@
         + "\r\n";
   }
 
-  private static void check(Caller caller) throws IOException {
+  private static void assertHealthy(Caller caller) throws IOException {
     caller.send("STATUS", "99", "");
     assertEquals("healthy", caller.reply().word());
   }
 
   @Test
-  void aByteAtATimeBothWaysAndFromAllSidesIsServedAndHoldsUpNobody() throws Exception {
-    try (Loopback site = new Loopback(calling());
+  void bytewiseTrafficOfAllPeersIsServedAndDelaysNoOtherConnection() throws Exception {
+    try (Loopback site = new Loopback(siteWithStore());
         Caller slow = site.new Caller();
         Caller other = site.new Caller()) {
-      other.ask(2, "read", null, "quick"); // whoever was served is read as fast as it asks
+      other.ask(2, "read", null, "quick"); // a connection with a served request is read without delay
       site.finish(site.command().ref(), "good", 1, "");
       assertEquals("done", other.reply().word());
-      site.drips = true;
+      site.sendsByteByByte = true;
       String answer = "*4\r\n$1\r\n1\r\n$4\r\ndone\r\n$0\r\n\r\n$4\r\nfine\r\n";
-      for (char each : written(1, "slow").toCharArray()) {
+      for (char each : requestBytes(1, "slow").toCharArray()) {
         slow.write(String.valueOf(each));
-        check(other); // between any two bytes others are answered
+        assertHealthy(other); // other connections are answered between any two bytes
       }
       assertEquals(new Command("spawn", ref(1), "read", "slow"), site.command());
       site.block(ref(1), "select");
@@ -511,12 +512,12 @@
       site.storeReplies.add(Loopback.http("200 OK", "", "rows"));
       assertEquals(new Command("supply", ref(1), "", "rows"), site.command());
       site.finish(ref(1), "good", 5, "fine");
-      StringBuilder read = new StringBuilder();
+      StringBuilder received = new StringBuilder();
       for (int i = 0; i < answer.length(); i++) {
-        read.append((char) slow.socket.getInputStream().read());
-        check(other);
+        received.append((char) slow.socket.getInputStream().read());
+        assertHealthy(other);
       }
-      assertEquals(answer, read.toString());
+      assertEquals(answer, received.toString());
       assertEquals(
           0,
           site.life.counters().get(Count.CONNECTIONS_STALLED)
@@ -525,22 +526,22 @@
   }
 
   @Test
-  void aMessageThatIsWholeOnlyAfterTheNoticeIsAnsweredAndOneThatNeverIsHoldsUpNobody()
+  void messageCompletedAfterShutdownBeganIsAnsweredAndATruncatedOneDelaysNothing()
       throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller slow = site.new Caller();
-        Caller never = site.new Caller()) {
+        Caller truncated = site.new Caller()) {
       site.autoMs = 1;
-      for (Caller each : List.of(slow, never)) {
-        check(each);
-        each.write("*5\r\n"); // begun while it serves
+      for (Caller each : List.of(slow, truncated)) {
+        assertHealthy(each);
+        each.write("*5\r\n"); // begun while the daemon serves
       }
-      Thread stopping = site.stopping();
+      Thread server = site.serveUntilStopped();
       site.life.leave();
       while (site.life.state() == Lifecycle.State.SERVING) {
         Thread.onSpinWait();
       }
-      slow.write(written(1, "slow").substring("*5\r\n".length()));
+      slow.write(requestBytes(1, "slow").substring("*5\r\n".length()));
       Reply reply = slow.reply();
       for (; reply.tag().equals("0"); reply = slow.reply()) {
         assertEquals("closing", reply.word());
@@ -548,10 +549,10 @@
       assertEquals("1", reply.tag());
       assertTrue(List.of("done", "later").contains(reply.word()), reply.word());
       slow.close();
-      assertEquals("closing", never.reply().word());
-      assertEquals(-1, never.socket.getInputStream().read(), "an end, and no reset");
-      never.close();
-      stopping.join(STOP_MS);
+      assertEquals("closing", truncated.reply().word());
+      assertEquals(-1, truncated.socket.getInputStream().read(), "end of stream, no reset");
+      truncated.close();
+      server.join(STOP_MS);
       assertEquals(Lifecycle.State.STOPPED, site.life.state());
     }
   }
@@ -559,11 +560,11 @@
   // ---- Bad input ----
 
   @Test
-  void aFloodOfNonsenseIsOneLineASecondAndIsCountedByReason() throws Exception {
+  void floodOfMalformedInputIsCountedAndDelaysNoOtherConnection() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller good = site.new Caller()) {
       for (int i = 0; i < 200; i++) {
-        site.endsWhoSays("*9\r\n");
+        site.assertClosedAfter("*9\r\n");
       }
       assertEquals(200, site.life.counters().get(Count.MALFORMED));
       good.ask(1, "read", null, "x");
@@ -573,12 +574,12 @@
   }
 
   @Test
-  void halfAMessageBehindAnOpenRequestDoesNotCostItsAnswer() throws Exception {
+  void truncatedMessageAfterAnOpenRequestDoesNotLoseItsAnswer() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
       caller.ask(1, "read", null, "x");
       assertEquals("spawn", site.command().verb());
-      caller.write("*5\r\n$3\r\nAS"); // and stands still
+      caller.write("*5\r\n$3\r\nAS"); // and then nothing more
       site.finish(ref(1), "good", 1, "fine");
       assertEquals("fine", caller.reply().body());
       caller.socket.shutdownOutput();
--- a/src/test/java/wharftrestle/Fixtures.java
+++ b/src/test/java/wharftrestle/Fixtures.java
@@ -18,26 +18,26 @@
 
   private Fixtures() {}
 
-  /** Path of a recorded file. */
+  /** Returns the path of a recorded file. */
   public static Path path(String name) {
     return Path.of("src/test/resources/fixtures").resolve(name);
   }
 
-  /** A recorded JSON document. */
+  /** Reads a recorded JSON document. */
   public static JsonNode json(String name) throws IOException {
     return JSON.readTree(Files.readString(path(name)));
   }
 
-  /** The JSON documents of a file that holds one per line. */
+  /** Reads the JSON documents of a file that holds one per line. */
   public static List<JsonNode> jsonLines(Path file) throws IOException {
-    List<JsonNode> all = new ArrayList<>();
+    List<JsonNode> documents = new ArrayList<>();
     for (String line : Files.readAllLines(file)) {
-      all.add(JSON.readTree(line));
+      documents.add(JSON.readTree(line));
     }
-    return all;
+    return documents;
   }
 
-  /** Writes a JSON document for review by people: indented, with a final newline. */
+  /** Writes a JSON document in a reviewable form: indented, with a final newline. */
   public static void writeJson(Path file, Object document) throws IOException {
     Files.createDirectories(file.getParent());
     Files.write(
@@ -47,27 +47,27 @@
   }
 
   /**
-   * Path and type of each value of a document, such as {@code box.classes[].asked number}. Values
-   * do not matter.
+   * Returns the path and type of each value of a document, such as {@code box.classes[].asked
+   * number}, without the values.
    */
   public static SortedSet<String> fields(JsonNode document) {
-    SortedSet<String> all = new TreeSet<>();
-    collect("", document, all);
-    return all;
+    SortedSet<String> fields = new TreeSet<>();
+    collect("", document, fields);
+    return fields;
   }
 
-  private static void collect(String at, JsonNode node, SortedSet<String> into) {
+  private static void collect(String parent, JsonNode node, SortedSet<String> fields) {
     if (node.isObject()) {
       node.fields()
           .forEachRemaining(
               each ->
                   collect(
-                      at.isEmpty() ? each.getKey() : at + "." + each.getKey(),
+                      parent.isEmpty() ? each.getKey() : parent + "." + each.getKey(),
                       each.getValue(),
-                      into));
+                      fields));
     } else if (node.isArray()) {
-      node.forEach(each -> collect(at + "[]", each, into));
+      node.forEach(each -> collect(parent + "[]", each, fields));
     }
-    into.add((at + " " + node.getNodeType().name().toLowerCase(Locale.ROOT)).trim());
+    fields.add((parent + " " + node.getNodeType().name().toLowerCase(Locale.ROOT)).trim());
   }
 }
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -37,18 +37,18 @@
 import wharftrestle.transport.BoundedReader;
 
 /**
- * The one helper of the daemon's stories: a daemon on loopback with scripted peers all round it.
+ * Test fixture that runs a daemon on loopback with a scripted worker pool, store and name service.
  */
 final class Loopback implements Closeable {
   static final long WAIT_S = 10;
-  private static final double KB = 24.5;
+  private static final double MEMORY_KB = 24.5;
   private static final InetAddress HOST = InetAddress.getLoopbackAddress();
 
   /** A command that the worker pool read, with its body. */
   record Command(String verb, String ref, String rest, String body) {}
 
   ServerSocket store = new ServerSocket(0, 50, HOST);
-  DatagramSocket naming = new DatagramSocket(0, HOST);
+  DatagramSocket nameService = new DatagramSocket(0, HOST);
   final BlockingQueue<Command> commands = new LinkedBlockingQueue<>();
   final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
   final BlockingQueue<String> storeReplies = new LinkedBlockingQueue<>();
@@ -59,40 +59,41 @@
   final Lifecycle life;
 
   /**
-   * Where set, each spawn takes a core for this many ms, when one is free, and ends well with its
-   * body.
+   * If not negative, each spawn occupies a core for this many ms as soon as one is free, and
+   * succeeds with its body as the result.
    */
   volatile double autoMs = -1;
 
-  /** Where set, the share of busy cores that the gauges say, whatever is executing. */
+  /** If not negative, the fraction of busy cores that the gauges report, whatever executes. */
   volatile double reportedCpuBusy = -1;
 
-  private final long[] coreFree = {System.nanoTime(), System.nanoTime()};
-  private final List<long[]> work = new ArrayList<>();
+  private final long[] coreFreeAt = {System.nanoTime(), System.nanoTime()};
+  private final List<long[]> busyIntervals = new ArrayList<>();
   WorkerPoolPeer pool = new WorkerPoolPeer(new Workers()).start();
 
-  /** Where set, what the worker pool and the store say comes a byte at a time. */
-  volatile boolean drips;
+  /** If set, the worker pool and the store send their output one byte at a time. */
+  volatile boolean sendsByteByByte;
 
   /**
-   * Where set, the worker pool reads the present link and says nothing on it; a new one is served.
+   * If set, the worker pool reads the current link but sends nothing on it; a new link is served.
    */
-  volatile boolean mute;
+  volatile boolean silent;
 
-  /** Worker pools of stories that are over, with their ports, so that these are nobody else's. */
-  private static final List<WorkerPoolPeer> KEPT = new CopyOnWriteArrayList<>();
+  /** Worker pools of finished tests; they keep their ports so that no later test gets them. */
+  private static final List<WorkerPoolPeer> RETIRED_POOLS = new CopyOnWriteArrayList<>();
 
   private volatile WorkerPoolPeer.Link link;
-  private volatile long poolUpAt = System.nanoTime();
-  private volatile boolean anew;
+  private volatile long poolStartedAt = System.nanoTime();
+  private volatile boolean isPoolRestarted;
 
-  /** Descriptors that the daemon is told it may have. */
+  /** Limit of file descriptors in the daemon's configuration. */
   private final int sockets;
 
-  /** Where the processes of an upgrade meet, and the one to take over from; null for none. */
-  private final Path meeting;
+  /** Unix socket of the handover; null for none. */
+  private final Path handoverSocket;
 
-  private final Loopback elder;
+  /** The daemon to take over from; null for none. */
+  private final Loopback predecessor;
 
   Loopback(Sites.Builder site) throws Exception {
     this(site, 1024);
@@ -112,32 +113,32 @@
   }
 
   /**
-   * A daemon that meets others at this file; with an elder, one at the same addresses that takes
-   * over from it.
+   * Starts a daemon that hands over at this Unix socket. With a predecessor, it listens at the same
+   * addresses and takes over from it.
    */
   Loopback(
       Sites.Builder site,
       DaemonConfig.Appliance appliance,
       int sockets,
-      Path meeting,
-      Loopback elder)
+      Path handoverSocket,
+      Loopback predecessor)
       throws Exception {
-    this(site, appliance, sockets, meeting, elder, KeyMemoryBudget.of(64 << 20));
+    this(site, appliance, sockets, handoverSocket, predecessor, KeyMemoryBudget.of(64 << 20));
   }
 
-  /** A daemon with so much room for what it knows of keys. */
+  /** Starts a daemon with this memory budget for idempotency keys. */
   Loopback(
       Sites.Builder site,
       DaemonConfig.Appliance appliance,
       int sockets,
-      Path meeting,
-      Loopback elder,
-      KeyMemoryBudget room)
+      Path handoverSocket,
+      Loopback predecessor,
+      KeyMemoryBudget keyMemory)
       throws Exception {
     this.sockets = sockets;
-    this.meeting = meeting;
-    this.elder = elder;
-    life = new Lifecycle(config(site), appliance, room);
+    this.handoverSocket = handoverSocket;
+    this.predecessor = predecessor;
+    life = new Lifecycle(config(site), appliance, keyMemory);
     servePeers();
     life.start();
     awaitBound();
@@ -146,27 +147,27 @@
   private DaemonConfig config(Sites.Builder site) {
     return new DaemonConfig(
         "n1",
-        elder == null ? any() : elder.life.respAddress(),
+        predecessor == null ? any() : predecessor.life.respAddress(),
         pool.address(),
-        site.calls ? at(store) : null,
-        new InetSocketAddress(HOST, naming.getLocalPort()),
+        site.calls ? addressOf(store) : null,
+        new InetSocketAddress(HOST, nameService.getLocalPort()),
         any(),
         7,
         3.2,
         site.share,
         sockets,
         192,
-        meeting,
+        handoverSocket,
         site.build());
   }
 
-  /** The same addresses with another meeting place. */
-  DaemonConfig stranger(Path elsewhere) {
+  /** Returns a configuration with the same addresses and another handover socket. */
+  DaemonConfig configWithHandoverSocket(Path otherHandoverSocket) {
     return new DaemonConfig(
         "n1",
         life.respAddress(),
         pool.address(),
-        at(store),
+        addressOf(store),
         any(),
         any(),
         7,
@@ -174,23 +175,23 @@
         1,
         sockets,
         192,
-        elsewhere,
+        otherHandoverSocket,
         life.requestCoordinator().settings());
   }
 
   private void servePeers() {
-    ServerSocket rows = store;
-    thread(() -> serveStore(rows));
+    ServerSocket storeSocket = store;
+    startThread(() -> serveStore(storeSocket));
   }
 
-  /** Moves all parties but the callers to new addresses, which the daemon finds by a reload. */
-  DaemonConfig move(Sites.Builder site) throws IOException {
+  /** Moves all peers but the callers to new addresses, which the daemon learns by a reload. */
+  DaemonConfig movePeers(Sites.Builder site) throws IOException {
     pool.close();
     store.close();
-    naming.close();
+    nameService.close();
     pool = new WorkerPoolPeer(new Workers()).start();
     store = new ServerSocket(0, 50, HOST);
-    naming = new DatagramSocket(0, HOST);
+    nameService = new DatagramSocket(0, HOST);
     servePeers();
     return config(site);
   }
@@ -199,31 +200,31 @@
     return new InetSocketAddress(HOST, 0);
   }
 
-  private static InetSocketAddress at(ServerSocket socket) {
+  private static InetSocketAddress addressOf(ServerSocket socket) {
     return (InetSocketAddress) socket.getLocalSocketAddress();
   }
 
-  private interface Body {
+  private interface IoTask {
     void run() throws Exception;
   }
 
-  private static void thread(Body body) {
+  private static void startThread(IoTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                body.run();
+                task.run();
               } catch (Exception e) {
-                return; // its socket was closed: the story is over
+                return; // its socket was closed: the test has ended
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Waits for the notice on a thread that ends when the process may. */
-  Thread stopping() {
-    Thread stopping =
+  /** Starts a thread that serves until the daemon is shut down and drained. */
+  Thread serveUntilStopped() {
+    Thread server =
         new Thread(
             () -> {
               try {
@@ -232,70 +233,69 @@
                 Thread.currentThread().interrupt();
               }
             });
-    stopping.start();
-    return stopping;
+    server.start();
+    return server;
   }
 
-  /** A peer that says this is ended in order: nothing comes but an end, and no reset. */
-  void endsWhoSays(String nonsense) throws IOException {
+  /** Asserts that malformed input closes its connection with an end of stream and no reset. */
+  void assertClosedAfter(String malformed) throws IOException {
     try (Caller peer = new Caller()) {
-      peer.write(nonsense);
-      assertEquals(-1, peer.socket.getInputStream().read(), nonsense);
+      peer.write(malformed);
+      assertEquals(-1, peer.socket.getInputStream().read(), malformed);
     }
   }
 
   // ---- Worker pool ----
 
   /**
-   * What the worker pool does: it takes a core for a while, or the story says what comes of each
-   * command.
+   * The worker pool: with {@link #autoMs} it executes each spawn by itself, otherwise it queues the
+   * commands and the test answers them.
    */
   private final class Workers implements WorkerPoolPeer.Script {
     @Override
-    public boolean binds(WorkerPoolPeer.Link bound, int read) throws IOException {
+    public boolean binds(WorkerPoolPeer.Link newLink, int noticesRead) throws IOException {
       synchronized (notices) {
-        if (read > notices.size() && !anew) {
-          // Of a daemon of an earlier story, whose worker pool had this port: it looks for it for
-          // ever.
+        if (noticesRead > notices.size() && !isPoolRestarted) {
+          // A daemon of an earlier test, whose worker pool had this port, still reconnects to it.
           return false;
         }
-        link = bound;
-        mute = false;
-        bound.say(
+        link = newLink;
+        silent = false;
+        newLink.say(
             String.format(
-                    Locale.ROOT, "bound old %.3f%n", 12.75 + (System.nanoTime() - poolUpAt) / 1e6)
+                    Locale.ROOT, "bound old %.3f%n", 12.75 + (System.nanoTime() - poolStartedAt) / 1e6)
                 .replace("\n", "\r\n"));
-        for (String notice : notices.subList(Math.min(read, notices.size()), notices.size())) {
-          bound.say(notice);
+        for (String notice : notices.subList(Math.min(noticesRead, notices.size()), notices.size())) {
+          newLink.say(notice);
         }
       }
-      commands.add(new Command("bind", "", Integer.toString(read), ""));
+      commands.add(new Command("bind", "", Integer.toString(noticesRead), ""));
       return true;
     }
 
     @Override
-    public void command(WorkerPoolPeer.Link from, String[] w, String body) throws IOException {
-      if (mute && from == link) {
+    public void command(WorkerPoolPeer.Link from, String[] words, String body) throws IOException {
+      if (silent && from == link) {
         return;
       }
-      if (w[0].equals("poll")) {
-        from.say("polled " + w[1] + " " + busy() + " " + running.get() + "\r\n");
-      } else if (w[0].equals("spawn") && autoMs >= 0) {
-        takeCore(w[1], body);
+      if (words[0].equals("poll")) {
+        from.say("polled " + words[1] + " " + cpuBusy() + " " + running.get() + "\r\n");
+      } else if (words[0].equals("spawn") && autoMs >= 0) {
+        executeOnCore(words[1], body);
       } else {
-        commands.add(new Command(w[0], w[1], w[0].equals("spawn") ? w[2] : "", body));
+        commands.add(new Command(words[0], words[1], words[0].equals("spawn") ? words[2] : "", body));
       }
     }
   }
 
-  private synchronized void takeCore(String ref, String body) {
+  private synchronized void executeOnCore(String ref, String body) {
     runs.computeIfAbsent(body, key -> new AtomicInteger()).incrementAndGet();
     running.incrementAndGet();
     long now = System.nanoTime();
-    int core = coreFree[0] <= coreFree[1] ? 0 : 1;
-    long from = Math.max(now, coreFree[core]);
-    coreFree[core] = from + (long) (autoMs * 1e6);
-    work.add(new long[] {from, coreFree[core]});
+    int core = coreFreeAt[0] <= coreFreeAt[1] ? 0 : 1;
+    long from = Math.max(now, coreFreeAt[core]);
+    coreFreeAt[core] = from + (long) (autoMs * 1e6);
+    busyIntervals.add(new long[] {from, coreFreeAt[core]});
     var unused =
         cores.schedule(
             () -> {
@@ -303,28 +303,28 @@
               finish(ref, "good", (System.nanoTime() - now) / 1e6, body);
               return null;
             },
-            coreFree[core] - now,
+            coreFreeAt[core] - now,
             TimeUnit.NANOSECONDS);
   }
 
-  /** Share of the two cores' time of the last half second that was spent on runs. */
-  private synchronized double busy() {
+  /** Returns the fraction of the two cores' time in the last 500 ms that was spent on executions. */
+  private synchronized double cpuBusy() {
     if (reportedCpuBusy >= 0) {
       return reportedCpuBusy;
     }
     long now = System.nanoTime();
     long span = 500_000_000;
-    work.removeIf(run -> run[1] < now - span);
-    return work.stream()
-            .mapToLong(run -> Math.max(0, Math.min(run[1], now) - Math.max(run[0], now - span)))
+    busyIntervals.removeIf(interval -> interval[1] < now - span);
+    return busyIntervals.stream()
+            .mapToLong(interval -> Math.max(0, Math.min(interval[1], now) - Math.max(interval[0], now - span)))
             .sum()
         / (2.0 * span);
   }
 
-  /** The next command that is no poll. */
+  /** Waits for the next command that is not a poll. */
   Command command() throws InterruptedException {
     Command next = commands.poll(WAIT_S, TimeUnit.SECONDS);
-    assertNotNull(next, "the worker pool was sent nothing");
+    assertNotNull(next, "the worker pool received no command");
     return next;
   }
 
@@ -354,24 +354,24 @@
     notice("blocked %d " + ref + " " + call.length() + "\r\n" + call + "\r\n");
   }
 
-  private String[] pieces(String text) {
-    return drips ? text.split("") : new String[] {text};
+  private String[] fragments(String text) {
+    return sendsByteByByte ? text.split("") : new String[] {text};
   }
 
-  /** Numbers a notice and sends it; without a link it waits for the next bind. */
+  /** Numbers a notice and sends it; without an open link it is sent at the next bind. */
   private void notice(String text) throws IOException {
     synchronized (notices) {
-      String numbered = text.replaceFirst("%d", Integer.toString(notices.size() + 1));
-      notices.add(numbered);
+      String numberedNotice = text.replaceFirst("%d", Integer.toString(notices.size() + 1));
+      notices.add(numberedNotice);
       if (link.open()) {
-        for (String piece : pieces(numbered)) {
-          link.say(piece);
+        for (String fragment : fragments(numberedNotice)) {
+          link.say(fragment);
         }
       }
     }
   }
 
-  void raw(String text) throws IOException {
+  void sendRaw(String text) throws IOException {
     link.say(text);
   }
 
@@ -381,12 +381,12 @@
     }
   }
 
-  /** The worker pool starts anew: it knows no run, and its notices begin at 1. */
+  /** Restarts the worker pool: it has no executions, and its notices are numbered from 1. */
   void restartPool() throws IOException {
     synchronized (notices) {
       notices.clear();
-      anew = true;
-      poolUpAt = System.nanoTime();
+      isPoolRestarted = true;
+      poolStartedAt = System.nanoTime();
       link.cut();
     }
   }
@@ -397,13 +397,13 @@
     }
   }
 
-  // ---- Store: replies as scripted, one for each call; an empty reply breaks the connection ----
+  // ---- Store: one scripted reply for each call; an empty reply closes the connection ----
 
   private void serveStore(ServerSocket store) throws Exception {
     for (; ; ) {
       Socket socket = store.accept();
       socket.setTcpNoDelay(true);
-      thread(
+      startThread(
           () -> {
             InputStream in = new BufferedInputStream(socket.getInputStream());
             for (; ; ) {
@@ -426,8 +426,8 @@
                 socket.close();
                 return;
               }
-              for (String piece : pieces(reply)) {
-                write(socket, piece);
+              for (String fragment : fragments(reply)) {
+                write(socket, fragment);
               }
             }
           });
@@ -445,7 +445,7 @@
         + body;
   }
 
-  /** One call at the operators' door, as it is written; the whole answer. */
+  /** Sends these bytes to the admin endpoint and returns the whole HTTP response. */
   String call(String text) throws IOException {
     try (Socket socket = new Socket()) {
       socket.connect(life.adminAddress());
@@ -459,12 +459,12 @@
     return call("GET " + path + " HTTP/1.1\r\nHost: n1\r\n\r\n");
   }
 
-  /** Waits until this process takes clients. */
+  /** Waits until this process is ready to accept clients. */
   void awaitTaking() throws IOException {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * WAIT_S);
     while (!get("/_ready").startsWith("HTTP/1.1 200 ")) {
       if (System.nanoTime() > until) {
-        throw new IOException("it takes no clients: " + get("/_status"));
+        throw new IOException("the daemon is not ready to accept clients: " + get("/_status"));
       }
       Thread.onSpinWait();
     }
@@ -474,27 +474,27 @@
     return call("POST " + path + " HTTP/1.1\r\nHost: n1\r\nContent-Length: 0\r\n\r\n");
   }
 
-  /** How many of the reports that lie unread say no. */
-  int saidNo() throws IOException {
-    int no = 0;
-    naming.setSoTimeout(1);
+  /** Counts the unread load reports that say {@code no}. */
+  int unhealthyReportCount() throws IOException {
+    int count = 0;
+    nameService.setSoTimeout(1);
     try {
       for (DatagramPacket packet = new DatagramPacket(new byte[100], 100);
           ;
           packet.setLength(100)) {
-        naming.receive(packet);
-        no += packet.getLength() == "renew n1 no".length() ? 1 : 0;
+        nameService.receive(packet);
+        count += packet.getLength() == "renew n1 no".length() ? 1 : 0;
       }
-    } catch (SocketTimeoutException none) {
-      return no;
+    } catch (SocketTimeoutException noMoreReports) {
+      return count;
     }
   }
 
-  /** The next report at the name service. */
+  /** Waits for the next load report at the name service. */
   String report() throws IOException {
     DatagramPacket packet = new DatagramPacket(new byte[100], 100);
-    naming.setSoTimeout((int) WAIT_S * 1000);
-    naming.receive(packet);
+    nameService.setSoTimeout((int) WAIT_S * 1000);
+    nameService.receive(packet);
     return new String(packet.getData(), 0, packet.getLength(), StandardCharsets.ISO_8859_1);
   }
 
@@ -508,23 +508,23 @@
       super(life.respAddress(), (int) WAIT_S * 1000);
     }
 
-    /** Asks; the reference is the tag in hex, the key null where the class has none. */
+    /** Sends a request; the reference is the tag in hex, the key is null if the class has none. */
     void ask(int tag, String type, String key, String body) throws IOException {
       ask(tag, tag, System.currentTimeMillis(), type, key, body);
     }
 
-    /** Writes these bytes and no message. */
+    /** Writes raw bytes. */
     void write(String bytes) throws IOException {
       socket.getOutputStream().write(BoundedReader.ascii(bytes));
     }
 
-    void ask(int tag, long ref, long door, String type, String key, String body)
+    void ask(int tag, long ref, long timestampMs, String type, String key, String body)
         throws IOException {
-      ask(Integer.toString(tag), ref, door, type, KB, key, body);
+      ask(Integer.toString(tag), ref, timestampMs, type, MEMORY_KB, key, body);
     }
   }
 
-  /** A uwsgi packet: variables in pairs, then the body. */
+  /** Returns a uwsgi packet: names and values of the variables in turn, then the body. */
   static byte[] packet(String body, String... vars) {
     byte[] block = new byte[0];
     for (String word : vars) {
@@ -540,7 +540,7 @@
         BoundedReader.ascii(body));
   }
 
-  /** A stand-in gateway's connection with a request on its way. */
+  /** Connects as a gateway and sends this request. */
   Socket gateway(byte[] packet) throws IOException {
     Socket socket = new Socket();
     socket.connect(life.uwsgiAddress());
@@ -564,7 +564,7 @@
             key));
   }
 
-  /** The whole HTTP response, to the end of the connection. */
+  /** Reads the whole HTTP response, to the end of the connection. */
   static String response(Socket socket) throws IOException {
     return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
   }
@@ -573,12 +573,11 @@
   public void close() throws IOException {
     life.close();
     cores.shutdownNow();
-    // Guards against another story having this port: the daemon of this one looks for its worker
-    // pool for ever, and
-    // would be taken for that story's own.
+    // Another test must not get this port: the daemon of this test reconnects to its worker pool
+    // without end, and would be taken for the daemon of that test.
     pool.retire();
-    KEPT.add(pool);
+    RETIRED_POOLS.add(pool);
     store.close();
-    naming.close();
+    nameService.close();
   }
 }
--- a/src/test/java/wharftrestle/OtherSitesTest.java
+++ b/src/test/java/wharftrestle/OtherSitesTest.java
@@ -15,34 +15,34 @@
 import wharftrestle.testbed.RespPeer.Reply;
 
 /**
- * Stories of sites unlike the first: no store below, hints of work, marked tries, runs that are
- * stopped for good.
+ * Tests of sites with other settings: no store, work hints, marked retries, and executions that are
+ * stopped past their latency objective.
  */
 class OtherSitesTest {
   private static String ref(long number) {
     return String.format("%016x", number);
   }
 
-  private static void ask(Caller caller, int tag, String type, String more, String body)
+  private static void ask(Caller caller, int tag, String type, String extraFields, String body)
       throws Exception {
-    ask(caller, System.currentTimeMillis(), tag, type, more, body);
+    ask(caller, System.currentTimeMillis(), tag, type, extraFields, body);
   }
 
-  private static void ask(Caller caller, long door, int tag, String type, String more, String body)
+  private static void ask(Caller caller, long timestampMs, int tag, String type, String extraFields, String body)
       throws Exception {
     caller.send(
         "ASK",
         Integer.toString(tag),
         type,
-        String.format("txn=%s,door=%d,lb=1,ram=24.5,standing=0.5%s", ref(tag), door, more),
+        String.format("txn=%s,door=%d,lb=1,ram=24.5,standing=0.5%s", ref(tag), timestampMs, extraFields),
         body);
   }
 
   @Test
-  void withoutAStoreRequestsAreServedAndACallAllTheSameFails() throws Exception {
-    Sites.Builder alone = Sites.site();
-    assertFalse(alone.calls);
-    try (Loopback site = new Loopback(alone);
+  void siteWithoutAStoreServesRequestsAndFailsDependencyCalls() throws Exception {
+    Sites.Builder withoutStore = Sites.site();
+    assertFalse(withoutStore.calls);
+    try (Loopback site = new Loopback(withoutStore);
         Caller caller = site.new Caller()) {
       ask(caller, 1, "read", "", "a");
       assertEquals(new Command("spawn", ref(1), "read", "a"), site.command());
@@ -51,18 +51,18 @@
       ask(caller, 2, "unsafe", "", "b");
       site.command();
       site.block(ref(2), "insert");
-      assertEquals("error", caller.reply().word(), "no store is no reason to hang");
+      assertEquals("error", caller.reply().word(), "a call without a store fails at once");
       assertTrue(site.calls.isEmpty());
     }
   }
 
   @Test
-  void aReloadThatNamesNoStoreIsTakenOnlyWhereNoneIsNeeded() throws Exception {
-    Sites.Builder calling = Sites.site();
-    calling.calls = true;
-    try (Loopback site = new Loopback(calling);
+  void reloadWithoutAStoreIsAppliedOnlyIfTheSettingsNeedNone() throws Exception {
+    Sites.Builder withStore = Sites.site();
+    withStore.calls = true;
+    try (Loopback site = new Loopback(withStore);
         Loopback other = new Loopback(Sites.site())) {
-      DaemonConfig storeless = other.move(Sites.site());
+      DaemonConfig storeless = other.movePeers(Sites.site());
       site.life.reload(() -> storeless);
       assertEquals(0, site.life.counters().get(Count.RELOADS));
       other.life.reload(() -> storeless);
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void theHintOfItsWorkDecidesWhoIsNext() throws Exception {
+  void workHintDecidesWhichRequestIsDispatchedNext() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
       // Idle cores would raise the concurrency limit and start the third before the fourth arrives.
@@ -80,64 +80,67 @@
         ask(caller, i, "read", ",cpu=100.00", "busy " + i);
         assertEquals(ref(i), site.command().ref());
       }
-      long door = System.currentTimeMillis(); // as urgent, whenever they are read
-      ask(caller, door, 3, "read", ",cpu=140.00", "large");
-      ask(caller, door, 4, "read", ",cpu=101.50", "small");
+      long timestampMs = System.currentTimeMillis(); // equal deadlines, whenever they are read
+      ask(caller, timestampMs, 3, "read", ",cpu=140.00", "large");
+      ask(caller, timestampMs, 4, "read", ",cpu=101.50", "small");
       caller.send("STATUS", "9", "");
-      assertEquals("healthy", caller.reply().word()); // all that was sent before it has arrived
+      assertEquals("healthy", caller.reply().word()); // all requests sent before it have arrived
       assertEquals(4, site.life.counters().inFlight());
-      assertTrue(site.commands.isEmpty(), "both wait: " + site.commands);
+      assertTrue(site.commands.isEmpty(), "both are queued: " + site.commands);
       site.finish(ref(1), "good", 20, "");
-      assertEquals("small", site.command().body(), "the shorter of two that are about as urgent");
+      assertEquals("small", site.command().body(), "the shorter of two requests with about the same deadline");
     }
   }
 
   @Test
-  void aHintTooLargeForItsAimIsTurnedAwayUnrun() throws Exception {
+  void requestWhoseWorkHintExceedsItsLatencyObjectiveIsRejected() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
       ask(caller, 1, "read", ",cpu=60000", "a minute of work");
       assertEquals("later", caller.reply().word());
       assertTrue(site.commands.isEmpty());
-      for (String wrong :
+      for (String invalidField :
           new String[] {
             ",cpu=-1", ",cpu=NaN", ",cpu=1e99", ",cpu=much", ",second=-1", ",second=x"
           }) {
-        ask(caller, 2, "read", wrong, "");
-        assertEquals("error", caller.reply().word(), wrong);
+        ask(caller, 2, "read", invalidField, "");
+        assertEquals("error", caller.reply().word(), invalidField);
       }
     }
   }
 
-  /** Eight runs of 0.6 s at two cores: the last can not end within the 2 s of their aim. */
-  private static Reply crowdedOut(boolean marked) throws Exception {
+  /**
+   * Sends 8 requests of 0.6 s each to two cores and returns the first answer. The last of them cannot
+   * complete within the latency objective of 2 s.
+   */
+  private static Reply firstAnswerUnderOverload(boolean markedAsRetry) throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
       for (int i = 1; i <= 8; i++) {
-        ask(caller, i, "read", ",cpu=600" + (marked ? ",second=1" : ""), "x");
+        ask(caller, i, "read", ",cpu=600" + (markedAsRetry ? ",second=1" : ""), "x");
       }
       return caller.reply();
     }
   }
 
   @Test
-  void markedTriesAreSeenAsAStorm() throws Exception {
-    Reply first = crowdedOut(false);
+  void markedRetriesAreDetectedAsARetryStorm() throws Exception {
+    Reply first = firstAnswerUnderOverload(false);
     assertEquals("later", first.word());
-    assertFalse(first.fields().contains("giveup"), "others may have room: " + first.fields());
-    Reply further = crowdedOut(true);
-    assertEquals("later", further.word());
+    assertFalse(first.fields().contains("giveup"), "other hosts may have capacity: " + first.fields());
+    Reply retry = firstAnswerUnderOverload(true);
+    assertEquals("later", retry.word());
     assertTrue(
-        further.fields().contains("giveup=1"),
-        "most are on their way from a refusal: " + further.fields());
+        retry.fields().contains("giveup=1"),
+        "most requests are retries of rejected ones: " + retry.fields());
   }
 
   @Test
-  void withASmallShareOfACoreIdleConnectionsGoBeforeTheirThreadsTakeIt() throws Exception {
-    Sites.Builder small = Sites.site();
-    small.share = 0.1; // 32 connections, each with its thread
+  void smallShareOfACoreEvictsIdleConnectionsToLimitThreads() throws Exception {
+    Sites.Builder smallShare = Sites.site();
+    smallShare.share = 0.1; // 32 connections, each with its thread
     List<Caller> idle = new ArrayList<>();
-    try (Loopback site = new Loopback(small);
+    try (Loopback site = new Loopback(smallShare);
         Caller busy = site.new Caller()) {
       ask(busy, 1, "read", "", "x");
       assertEquals("spawn", site.command().verb());
@@ -146,13 +149,13 @@
         idle.get(i).send("STATUS", "1", "");
         assertEquals("healthy", idle.get(i).reply().word());
       }
-      // Beyond the most are those that were told to go and have a moment to hear of it.
+      // Connections above the limit of 32 have been asked to close and have a short time to do so.
       assertTrue(
           site.life.connections() <= 32 + 16 + 1,
-          site.life.connections() + " connections are held");
-      assertEquals("closing", idle.get(0).reply().word(), "the first that came has been told");
+          site.life.connections() + " connections are open");
+      assertEquals("closing", idle.get(0).reply().word(), "the oldest connection has been asked to close");
       site.finish(ref(1), "good", 1, "fine");
-      assertEquals("fine", busy.reply().body(), "whoever is owed an answer stays");
+      assertEquals("fine", busy.reply().body(), "a connection that awaits an answer stays open");
     } finally {
       for (Caller each : idle) {
         each.close();
@@ -161,19 +164,19 @@
   }
 
   @Test
-  void aRunThatLostItsAimIsStoppedAndItsKeyRunsNoMore() throws Exception {
-    Sites.Builder hasty = Sites.site();
-    hasty.haste = 4; // the aim is 0.5 s
-    try (Loopback site = new Loopback(hasty);
+  void executionPastItsLatencyObjectiveIsStoppedAndItsKeyNotExecutedAgain() throws Exception {
+    Sites.Builder shortObjectives = Sites.site();
+    shortObjectives.haste = 4; // the latency objective is 0.5 s
+    try (Loopback site = new Loopback(shortObjectives);
         Caller caller = site.new Caller()) {
       ask(caller, 1, "keyed", ",unique=k", "x");
       assertEquals("spawn", site.command().verb());
-      assertEquals("error", caller.reply().word(), "at its aim; no refusal, as it ran");
+      assertEquals("error", caller.reply().word(), "fails at the latency objective; not rejected, as it was executed");
       assertEquals(new Command("suspend", ref(1), "", ""), site.command());
       site.finish(ref(1), "cut", 500, "");
       ask(caller, 2, "keyed", ",unique=k,second=1", "x");
       assertEquals("error", caller.reply().word());
-      assertEquals(null, site.commands.poll(50, TimeUnit.MILLISECONDS), "and not a second run");
+      assertEquals(null, site.commands.poll(50, TimeUnit.MILLISECONDS), "no second execution");
     }
   }
 }
--- a/src/test/java/wharftrestle/ResultsTest.java
+++ b/src/test/java/wharftrestle/ResultsTest.java
@@ -27,28 +27,28 @@
 import wharftrestle.testbed.RespPeer.Reply;
 
 /**
- * Stories of results kept over restarts: a daemon is killed where its folder is copied as it
- * stands.
+ * Tests of results that survive restarts. A kill is simulated by a copy of the daemon's folder, taken
+ * while it runs.
  */
 class ResultsTest {
   @TempDir private Path folder;
   private int copies;
 
-  private static DaemonConfig.Appliance keeping(Path at) {
+  private static DaemonConfig.Appliance applianceWithResults(Path resultFolder) {
     return new DaemonConfig.Appliance(
         null,
         null,
         null,
         "x",
         24,
-        new DaemonConfig.Durable(at, 4 << 20, 1000, 1 << 20, 0.3, "group"));
+        new DaemonConfig.Durable(resultFolder, 4 << 20, 1000, 1 << 20, 0.3, "group"));
   }
 
-  /** What the next process finds, were this one killed now. */
-  private Path killed(Path from) throws IOException {
+  /** Copies the folder as a process that is started after a kill at this moment finds it. */
+  private Path copyAsAfterKill(Path from) throws IOException {
     Path to = folder.resolve("copy" + ++copies);
     Files.createDirectories(to);
-    Files.copy(from.resolve("list"), to.resolve("list")); // first: what it names is there by then
+    Files.copy(from.resolve("list"), to.resolve("list")); // first: the segments it names exist by then
     try (Stream<Path> all = Files.list(from)) {
       for (Path each :
           (Iterable<Path>) all.filter(file -> file.toString().endsWith(".log"))::iterator) {
@@ -64,70 +64,70 @@
   }
 
   @Test
-  void aRestartedDaemonKnowsWhatItsDeadOneRan() throws Exception {
+  void restartedDaemonRecoversExecutionsOfTheKilledOne() throws Exception {
     Path first = folder.resolve("first");
     Path atSpawn;
     Path atEnd;
-    try (Loopback site = new Loopback(Sites.site(), keeping(first));
+    try (Loopback site = new Loopback(Sites.site(), applianceWithResults(first));
         Caller caller = site.new Caller()) {
       ask(caller, 1, 1, "done", "a");
       Command spawn = site.command();
-      atSpawn = killed(first);
+      atSpawn = copyAsAfterKill(first);
       site.finish(spawn.ref(), "good", 1, "saved \u00ff\r\n twice");
       assertEquals("saved \u00ff\r\n twice", caller.reply().body());
       ask(caller, 2, 2, "open", "b");
       assertEquals("spawn", site.command().verb());
-      atEnd = killed(first);
+      atEnd = copyAsAfterKill(first);
       ask(caller, 3, 3, "done", "a");
       assertEquals(
           new Reply("3", "done", "", "saved \u00ff\r\n twice"),
           caller.reply(),
-          "from disk, while it lives");
+          "replayed from disk by the running daemon");
       ask(caller, 4, 4, "done", "other");
       assertEquals("error", caller.reply().word());
     }
-    try (Loopback next = new Loopback(Sites.site(), keeping(atEnd));
+    try (Loopback next = new Loopback(Sites.site(), applianceWithResults(atEnd));
         Caller caller = next.new Caller()) {
       ask(caller, 1, 11, "done", "a");
       assertEquals(
           new Reply("1", "done", "", "saved \u00ff\r\n twice"), caller.reply(), "byte for byte");
       ask(caller, 2, 12, "open", "b");
       assertEquals(
-          "error", caller.reply().word(), "its end is unknown: it fails, and is not refused");
+          "error", caller.reply().word(), "the outcome is unknown: it fails, and is not rejected");
       ask(caller, 3, 13, "done", "other");
-      assertEquals("error", caller.reply().word(), "its body was kept");
+      assertEquals("error", caller.reply().word(), "the body is compared after recovery");
       caller.ask(4, 14, System.currentTimeMillis() - 4000, "keyed", "done", "a");
-      assertEquals("done", caller.reply().word(), "stamped before the crash, read after it");
+      assertEquals("done", caller.reply().word(), "timestamp before the crash, read after it");
       ask(caller, 5, 15, "new", "c");
       assertEquals(
           new Command("spawn", String.format("%016x", 15), "keyed", "c"),
           next.command(),
-          "and nothing else ran");
+          "no other request was executed");
     }
-    try (Loopback next = new Loopback(Sites.site(), keeping(atSpawn));
+    try (Loopback next = new Loopback(Sites.site(), applianceWithResults(atSpawn));
         Caller caller = next.new Caller()) {
       ask(caller, 1, 21, "done", "a");
-      assertEquals("error", caller.reply().word(), "its intent was on disk before its run");
+      assertEquals("error", caller.reply().word(), "the intent record was on disk before the execution");
       assertNull(next.commands.poll());
     }
   }
 
   @Test
-  void theLastResultIsOnDiskWhenADrainEnds() throws Exception {
+  void lastResultIsOnDiskWhenDrainingEnds() throws Exception {
     Path first = folder.resolve("first");
-    try (Loopback site = new Loopback(Sites.site(), keeping(first));
+    try (Loopback site = new Loopback(Sites.site(), applianceWithResults(first));
         Caller caller = site.new Caller()) {
       ask(caller, 1, 1, "k", "a");
       Command spawn = site.command();
-      Thread end = site.stopping();
+      Thread server = site.serveUntilStopped();
       site.life.leave();
       site.finish(spawn.ref(), "good", 1, "last");
       Reply reply = caller.reply();
       assertEquals("last", (reply.word().equals("closing") ? caller.reply() : reply).body());
       caller.close();
-      end.join();
-      Path left = killed(first);
-      try (Loopback next = new Loopback(Sites.site(), keeping(left));
+      server.join();
+      Path copy = copyAsAfterKill(first);
+      try (Loopback next = new Loopback(Sites.site(), applianceWithResults(copy));
           Caller again = next.new Caller()) {
         ask(again, 1, 11, "k", "a");
         assertEquals("last", again.reply().body());
@@ -136,29 +136,29 @@
   }
 
   @Test
-  void aFolderThatCannotBeHadEndsTheStartInOneLine() throws Exception {
+  void unusableFolderFailsTheStartWithOneMessage() throws Exception {
     Path first = folder.resolve("first");
-    try (Loopback site = new Loopback(Sites.site(), keeping(first))) {
+    try (Loopback site = new Loopback(Sites.site(), applianceWithResults(first))) {
       assertTrue(site.life.requestCoordinator().isReady());
       UnusableStorageException held =
           assertThrows(
-              UnusableStorageException.class, () -> new Loopback(Sites.site(), keeping(first)));
+              UnusableStorageException.class, () -> new Loopback(Sites.site(), applianceWithResults(first)));
       assertTrue(held.getMessage().endsWith("is held by another process"), held.getMessage());
     }
     Path file = Files.createFile(folder.resolve("file"));
     assertTrue(
         assertThrows(
-                UnusableStorageException.class, () -> new Loopback(Sites.site(), keeping(file)))
+                UnusableStorageException.class, () -> new Loopback(Sites.site(), applianceWithResults(file)))
             .getMessage()
             .contains("cannot be written"));
   }
 
-  private Loopback upgrade(Loopback old, Path at) throws Exception {
-    return upgrade(Sites.site(), old, at);
+  private Loopback start(Loopback old, Path resultFolder) throws Exception {
+    return start(Sites.site(), old, resultFolder);
   }
 
-  private Loopback upgrade(Sites.Builder site, Loopback old, Path at) throws Exception {
-    Loopback next = new Loopback(site, keeping(at), 1024, folder.resolve("n1.sock"), old);
+  private Loopback start(Sites.Builder site, Loopback old, Path resultFolder) throws Exception {
+    Loopback next = new Loopback(site, applianceWithResults(resultFolder), 1024, folder.resolve("n1.sock"), old);
     if (old != null) {
       next.awaitTaking();
     }
@@ -166,31 +166,31 @@
   }
 
   /**
-   * A folder as a kill at that moment leaves it, and the keys whose runs had been asked for by
-   * then.
+   * The folder as a kill at one moment leaves it, and the keys whose executions had been dispatched
+   * by then.
    */
-  private record Moment(Path left, Set<String> ran) {}
+  private record KillCopy(Path copy, Set<String> dispatched) {}
 
   @Test
-  void aKillAtAnyStepOfAnUpgradeLeavesEveryRunOnDisk() throws Exception {
+  void killAtAnyStepOfAnUpgradeLeavesEveryExecutionOnDisk() throws Exception {
     Path log = folder.resolve("log");
-    List<Moment> moments = new ArrayList<>();
-    AtomicBoolean over = new AtomicBoolean();
-    Sites.Builder wide = Sites.site();
-    wide.window = 600; // no key is over before its moment is looked at, however many there are
-    try (Loopback old = upgrade(wide, null, log)) {
+    List<KillCopy> killCopies = new ArrayList<>();
+    AtomicBoolean isStopping = new AtomicBoolean();
+    Sites.Builder longWindow = Sites.site();
+    longWindow.window = 600; // no key expires before its copy is checked, however many copies there are
+    try (Loopback old = start(longWindow, null, log)) {
       old.autoMs = 3;
       List<Loopback> sites = new CopyOnWriteArrayList<>(List.of(old));
-      Thread desk = new Thread(() -> keepAsking(old, "old", over));
-      desk.start();
+      Thread oldClient = new Thread(() -> sendUntilStopped(old, "old", isStopping));
+      oldClient.start();
       Thread copier =
           new Thread(
               () -> {
-                while (!over.get()) {
-                  Set<String> ran = new HashSet<>();
-                  sites.forEach(site -> ran.addAll(site.runs.keySet()));
+                while (!isStopping.get()) {
+                  Set<String> dispatched = new HashSet<>();
+                  sites.forEach(site -> dispatched.addAll(site.runs.keySet()));
                   try {
-                    moments.add(new Moment(killed(log), ran));
+                    killCopies.add(new KillCopy(copyAsAfterKill(log), dispatched));
                   } catch (IOException e) {
                     throw new UncheckedIOException(e);
                   }
@@ -200,74 +200,74 @@
       while (old.runs.size() < 20) {
         Thread.onSpinWait();
       }
-      try (Loopback next = new Loopback(wide, keeping(log), 1024, folder.resolve("n1.sock"), old)) {
+      try (Loopback next = new Loopback(longWindow, applianceWithResults(log), 1024, folder.resolve("n1.sock"), old)) {
         next.autoMs = 3;
         sites.add(next);
         next.awaitTaking();
-        Thread other = new Thread(() -> keepAsking(next, "new", over));
-        other.start();
+        Thread newClient = new Thread(() -> sendUntilStopped(next, "new", isStopping));
+        newClient.start();
         while (next.runs.size() < 20) {
           Thread.onSpinWait();
         }
-        over.set(true);
-        other.join();
+        isStopping.set(true);
+        newClient.join();
         copier.join();
-        desk.join();
+        oldClient.join();
       }
     }
-    assertTrue(moments.size() > 5, moments.size() + " moments");
-    for (Moment moment : moments) {
-      try (WriteAheadLog journal = new WriteAheadLog(keeping(moment.left()).durable())) {
-        ResultStore.RecoveredKeys recovered = journal.open(wide.window);
+    assertTrue(killCopies.size() > 5, killCopies.size() + " copies");
+    for (KillCopy killCopy : killCopies) {
+      try (WriteAheadLog journal = new WriteAheadLog(applianceWithResults(killCopy.copy()).durable())) {
+        ResultStore.RecoveredKeys recovered = journal.open(longWindow.window);
         Set<String> known = new HashSet<>();
         recovered.keys().forEach(key -> known.add(key.key().replaceFirst("2/0/", "")));
-        assertTrue(known.containsAll(moment.ran()), "ran and not on disk in " + moment.left());
+        assertTrue(known.containsAll(killCopy.dispatched()), "executed but not on disk in " + killCopy.copy());
       }
     }
   }
 
-  private static void keepAsking(Loopback site, String name, AtomicBoolean over) {
+  private static void sendUntilStopped(Loopback site, String name, AtomicBoolean isStopping) {
     try (Caller caller = site.new Caller()) {
-      for (int i = 1; !over.get(); i++) {
+      for (int i = 1; !isStopping.get(); i++) {
         ask(caller, i, name.hashCode() * 100_000L + i & Long.MAX_VALUE, name + i, name + i);
         while (caller.reply().word().equals("closing")) {
           continue;
         }
       }
     } catch (IOException gone) {
-      return; // sent away: others come to the new process
+      return; // the old process closed the connection; new ones reach the new process
     }
   }
 
   @Test
-  void twoProcessesOfOneBoxShareOneLog() throws Exception {
+  void twoProcessesOfOneHostShareOneLog() throws Exception {
     Path log = folder.resolve("log");
-    try (Loopback old = upgrade(null, log);
+    try (Loopback old = start(null, log);
         Caller before = old.new Caller()) {
       ask(before, 1, 1, "over", "a");
       old.finish(old.command().ref(), "good", 1, "by the old");
       assertEquals("by the old", before.reply().body());
       ask(before, 2, 2, "runs", "b");
       Command runs = old.command();
-      try (Loopback next = upgrade(old, log);
+      try (Loopback next = start(old, log);
           Caller after = next.new Caller()) {
         assertEquals("closing", before.reply().word());
         ask(after, 1, 11, "over", "a");
-        assertEquals("by the old", after.reply().body(), "read from the log that was handed over");
+        assertEquals("by the old", after.reply().body(), "read from the log received in the handover");
         old.finish(runs.ref(), "good", 1, "late");
-        assertEquals("late", before.reply().body(), "once the new one has it on disk");
-        ask(before, 3, 3, "claimed", "c"); // read late: its intent is written by the new one
+        assertEquals("late", before.reply().body(), "answered once the new process has it on disk");
+        ask(before, 3, 3, "claimed", "c"); // read after the handover: the new process writes its intent
         Command claimed = old.command();
         ask(after, 2, 12, "new", "d");
-        Command fresh = next.command();
-        Path killed = killed(log); // both at once
-        next.finish(fresh.ref(), "good", 1, "by the new");
+        Command newSpawn = next.command();
+        Path copy = copyAsAfterKill(log); // both processes are killed at once
+        next.finish(newSpawn.ref(), "good", 1, "by the new");
         assertEquals("by the new", after.reply().body());
         old.finish(claimed.ref(), "good", 1, "claimed too");
         assertEquals("claimed too", before.reply().body());
-        try (Loopback third = new Loopback(Sites.site(), keeping(killed));
+        try (Loopback third = new Loopback(Sites.site(), applianceWithResults(copy));
             Caller last = third.new Caller()) {
-          int tries = 0;
+          int attempts = 0;
           for (String[] each :
               new String[][] {
                 {"over", "a", "done"},
@@ -275,16 +275,16 @@
                 {"claimed", "c", "error"},
                 {"new", "d", "error"}
               }) {
-            // A reference of its own, as each try has: the last one's is in use until its thread
-            // has ended.
-            ask(last, ++tries, 30 + tries, each[0], each[1]);
+            // Each attempt has its own reference: that of the previous attempt is in use until its
+            // thread has ended.
+            ask(last, ++attempts, 30 + attempts, each[0], each[1]);
             assertEquals(each[2], last.reply().word(), each[0]);
           }
-          assertNull(third.commands.poll(), "nothing ran again");
+          assertNull(third.commands.poll(), "nothing was executed again");
         }
       }
-      old.awaitTaking(); // the new one died: the old one has the log again, and what was written
-      // to it
+      // The new process has died: the old one owns the log again, with the records of both.
+      old.awaitTaking();
       try (Caller again = old.new Caller()) {
         ask(again, 1, 41, "new", "d");
         assertEquals("by the new", again.reply().body());
@@ -292,7 +292,7 @@
         assertEquals("claimed too", again.reply().body());
         ask(again, 3, 43, "further", "e");
         old.finish(old.command().ref(), "good", 1, "on");
-        assertEquals("on", again.reply().body(), "it records again");
+        assertEquals("on", again.reply().body(), "the old process records results again");
       }
     }
   }
--- a/src/test/java/wharftrestle/SilentPool.java
+++ b/src/test/java/wharftrestle/SilentPool.java
@@ -3,8 +3,8 @@
 import wharftrestle.request.WorkerPool;
 
 /**
- * A worker pool that takes every command and says nothing; stories of the core alone speak its
- * words themselves.
+ * A worker pool that accepts every command and sends nothing. Tests of the request coordinator alone
+ * deliver the pool's notices themselves.
  */
 public class SilentPool implements WorkerPool {
   @Override
--- a/src/test/java/wharftrestle/UpgradeTest.java
+++ b/src/test/java/wharftrestle/UpgradeTest.java
@@ -18,7 +18,7 @@
 import wharftrestle.daemon.Lifecycle;
 import wharftrestle.testbed.RespPeer.Reply;
 
-/** Stories of two processes that serve one box while the new one takes over. */
+/** Tests of two daemon processes on one host while the new one takes over. */
 class UpgradeTest {
   private static final DaemonConfig.Appliance NONE =
       new DaemonConfig.Appliance(null, null, null, "x", 24);
@@ -29,19 +29,19 @@
     return String.format("%016x", number);
   }
 
-  private Loopback first(DaemonConfig.Appliance appliance) throws Exception {
-    Files.writeString(folder.resolve("n1.sock"), "stale"); // as a process that was killed leaves it
+  private Loopback startPredecessor(DaemonConfig.Appliance appliance) throws Exception {
+    Files.writeString(folder.resolve("n1.sock"), "stale"); // left behind by a killed process
     return new Loopback(Sites.site(), appliance, 1024, folder.resolve("n1.sock"), null);
   }
 
-  private Loopback second(Loopback first, DaemonConfig.Appliance appliance) throws Exception {
-    Loopback next = new Loopback(Sites.site(), appliance, 1024, folder.resolve("n1.sock"), first);
-    next.awaitTaking();
-    return next;
+  private Loopback startSuccessor(Loopback predecessor, DaemonConfig.Appliance appliance) throws Exception {
+    Loopback successor = new Loopback(Sites.site(), appliance, 1024, folder.resolve("n1.sock"), predecessor);
+    successor.awaitTaking();
+    return successor;
   }
 
-  private static Thread end(Loopback site) {
-    Thread ending =
+  private static Thread startShutdown(Loopback site) {
+    Thread server =
         new Thread(
             () -> {
               try {
@@ -51,118 +51,118 @@
                 Thread.currentThread().interrupt();
               }
             });
-    ending.start();
+    server.start();
     site.life.leave();
-    return ending;
+    return server;
   }
 
   @Test
-  void theNewProcessOwnsAllKeysAndTheOldOneEndsWhatItHas() throws Exception {
-    try (Loopback old = first(NONE);
-        Caller before = old.new Caller()) {
+  void successorOwnsAllKeysAndPredecessorAnswersRequestsInFlight() throws Exception {
+    try (Loopback predecessor = startPredecessor(NONE);
+        Caller before = predecessor.new Caller()) {
       before.ask(1, "keyed", "over", "a");
-      old.finish(old.command().ref(), "good", 1, "saved");
+      predecessor.finish(predecessor.command().ref(), "good", 1, "saved");
       assertEquals("saved", before.reply().body());
       before.ask(2, "keyed", "runs", "b");
-      assertEquals("spawn", old.command().verb());
-      try (Loopback next = second(old, NONE);
-          Caller after = next.new Caller()) {
+      assertEquals("spawn", predecessor.command().verb());
+      try (Loopback successor = startSuccessor(predecessor, NONE);
+          Caller after = successor.new Caller()) {
         assertEquals("closing", before.reply().word());
-        assertTrue(old.get("/_ready").startsWith("HTTP/1.1 503 "));
+        assertTrue(predecessor.get("/_ready").startsWith("HTTP/1.1 503 "));
         after.ask(1, 11, System.currentTimeMillis(), "keyed", "over", "a");
-        assertEquals(new Reply("1", "done", "", "saved"), after.reply(), "ended before: replayed");
+        assertEquals(new Reply("1", "done", "", "saved"), after.reply(), "completed before the handover: replayed");
         after.ask(2, 12, System.currentTimeMillis(), "keyed", "over", "other");
-        assertEquals("error", after.reply().word(), "its body came along");
+        assertEquals("error", after.reply().word(), "the body was handed over with the key");
         after.ask(
-            3, 13, System.currentTimeMillis(), "keyed", "runs", "b"); // waits for the old one's end
+            3, 13, System.currentTimeMillis(), "keyed", "runs", "b"); // waits for the predecessor's completion
         after.ask(4, 14, System.currentTimeMillis(), "keyed", "new", "c");
         assertEquals(
-            new Command("spawn", ref(14), "keyed", "c"), next.command(), "and nothing of 13 runs");
-        before.ask(3, "keyed", "new", "c"); // read late: waits for the new one's end
-        before.ask(4, "keyed", "late", "d"); // read late, and of no other try: granted
+            new Command("spawn", ref(14), "keyed", "c"), successor.command(), "and request 13 is not dispatched");
+        before.ask(3, "keyed", "new", "c"); // read after the handover: waits for the successor's completion
+        before.ask(4, "keyed", "late", "d"); // read after the handover, no other attempt: the claim is granted
         assertEquals(
-            new Command("spawn", ref(4), "keyed", "d"), old.command(), "and nothing of 3 runs");
+            new Command("spawn", ref(4), "keyed", "d"), predecessor.command(), "and request 3 is not dispatched");
         after.ask(5, 15, System.currentTimeMillis(), "keyed", "late", "d");
-        next.finish(ref(14), "good", 1, "by the new");
+        successor.finish(ref(14), "good", 1, "by the new");
         assertEquals("4 by the new", tagAndBody(after.reply()));
         assertEquals("3 by the new", tagAndBody(before.reply()));
-        old.finish(ref(2), "good", 1, "by the old");
+        predecessor.finish(ref(2), "good", 1, "by the old");
         assertEquals("2 by the old", tagAndBody(before.reply()));
         assertEquals("3 by the old", tagAndBody(after.reply()));
-        Thread ending = end(old); // SIGTERM: no notice to the box
+        Thread shutdown = startShutdown(predecessor); // as by SIGTERM: no report to the name service says no
         before.send("STATUS", "5", "");
         assertEquals("healthy", before.reply().word());
-        old.finish(ref(4), "good", 1, "late");
+        predecessor.finish(ref(4), "good", 1, "late");
         assertEquals("4 late", tagAndBody(before.reply()));
         assertEquals("5 late", tagAndBody(after.reply()));
         before.close();
-        ending.join();
-        assertTrue(old.saidNo() == 0 && next.report().equals("renew n1 yes"), "the box goes on");
+        shutdown.join();
+        assertTrue(predecessor.unhealthyReportCount() == 0 && successor.report().equals("renew n1 yes"), "the host stays in service");
         after.ask(6, 16, System.currentTimeMillis(), "keyed", "late", "d");
         assertEquals("6 late", tagAndBody(after.reply()));
-        assertNull(next.commands.poll());
+        assertNull(successor.commands.poll());
       }
     }
   }
 
   @Test
-  void aThirdProcessHasItsTurnWhenTheFirstHasEnded() throws Exception {
-    try (Loopback old = first(NONE);
-        Loopback next = second(old, NONE);
-        Loopback third = new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), old);
-        Caller caller = next.new Caller()) {
+  void thirdProcessTakesOverOnlyAfterTheFirstHasExited() throws Exception {
+    try (Loopback predecessor = startPredecessor(NONE);
+        Loopback successor = startSuccessor(predecessor, NONE);
+        Loopback third = new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), predecessor);
+        Caller caller = successor.new Caller()) {
       caller.ask(1, "read", null, "x");
-      next.finish(next.command().ref(), "good", 1, "fine");
-      assertEquals("fine", caller.reply().body(), "the second serves");
+      successor.finish(successor.command().ref(), "good", 1, "fine");
+      assertEquals("fine", caller.reply().body(), "the second process serves");
       assertTrue(third.get("/_ready").startsWith("HTTP/1.1 503 "));
-      end(old).join();
+      startShutdown(predecessor).join();
       third.awaitTaking();
       assertEquals("closing", caller.reply().word());
     }
   }
 
   @Test
-  void whoWaitsAtTheFirstProcessTakesOverFromTheSecond() throws Exception {
-    Path early = folder.resolve("early.sock");
-    try (Loopback old = first(NONE)) {
+  void processThatWaitsForTheFirstTakesOverFromTheSecond() throws Exception {
+    Path earlySocket = folder.resolve("early.sock");
+    try (Loopback predecessor = startPredecessor(NONE)) {
       Files.createLink(
-          early, folder.resolve("n1.sock")); // the first one, met before the second took its name
-      try (Loopback next = second(old, NONE);
-          Loopback third = new Loopback(Sites.site(), NONE, 1024, early, old);
-          Caller caller = next.new Caller()) {
-        Files.delete(early);
-        Files.createSymbolicLink(early, folder.resolve("n1.sock"));
+          earlySocket, folder.resolve("n1.sock")); // still the first process's socket after the second replaces the name
+      try (Loopback successor = startSuccessor(predecessor, NONE);
+          Loopback third = new Loopback(Sites.site(), NONE, 1024, earlySocket, predecessor);
+          Caller caller = successor.new Caller()) {
+        Files.delete(earlySocket);
+        Files.createSymbolicLink(earlySocket, folder.resolve("n1.sock"));
         caller.ask(1, "keyed", "k", "x");
-        next.finish(next.command().ref(), "good", 1, "fine");
-        assertEquals("fine", caller.reply().body(), "the second serves");
-        end(old).join();
+        successor.finish(successor.command().ref(), "good", 1, "fine");
+        assertEquals("fine", caller.reply().body(), "the second process serves");
+        startShutdown(predecessor).join();
         third.awaitTaking();
-        assertEquals("closing", caller.reply().word(), "and not both");
+        assertEquals("closing", caller.reply().word(), "the second process no longer serves");
         try (Caller again = third.new Caller()) {
           again.ask(1, 2, System.currentTimeMillis(), "keyed", "k", "x");
-          assertEquals("fine", again.reply().body(), "all keys came along");
+          assertEquals("fine", again.reply().body(), "all keys were handed over");
         }
       }
     }
   }
 
   @Test
-  void whoStaysAtTheOldProcessIsSentAwayOnceItOwesNothing() throws Exception {
-    try (Loopback old = first(NONE);
-        Caller stays = old.new Caller();
-        Caller waits = old.new Caller()) {
-      stays.send("STATUS", "1", "");
-      assertEquals("healthy", stays.reply().word());
-      waits.ask(1, "read", null, "x");
-      Command run = old.command();
-      try (Loopback next = second(old, NONE)) {
-        assertEquals("closing", stays.reply().word());
+  void predecessorClosesEachConnectionOnceItsAnswersAreSent() throws Exception {
+    try (Loopback predecessor = startPredecessor(NONE);
+        Caller idle = predecessor.new Caller();
+        Caller waiting = predecessor.new Caller()) {
+      idle.send("STATUS", "1", "");
+      assertEquals("healthy", idle.reply().word());
+      waiting.ask(1, "read", null, "x");
+      Command execution = predecessor.command();
+      try (Loopback successor = startSuccessor(predecessor, NONE)) {
+        assertEquals("closing", idle.reply().word());
         assertEquals(
-            -1, stays.socket.getInputStream().read(), "its descriptor is the new one's by now");
-        assertEquals("closing", waits.reply().word());
-        old.finish(run.ref(), "good", 1, "fine");
-        assertEquals("fine", waits.reply().body());
-        assertTrue(next.life.respAddress().equals(old.life.respAddress()));
+            -1, idle.socket.getInputStream().read(), "its descriptor belongs to the successor by now");
+        assertEquals("closing", waiting.reply().word());
+        predecessor.finish(execution.ref(), "good", 1, "fine");
+        assertEquals("fine", waiting.reply().body());
+        assertTrue(successor.life.respAddress().equals(predecessor.life.respAddress()));
       }
     }
   }
@@ -172,82 +172,82 @@
   }
 
   @Test
-  void anUnknownEndFailsItsKeyAndNothingOfItRuns() throws Exception {
-    try (Loopback old = first(NONE);
-        Caller before = old.new Caller()) {
+  void executionWithUnknownOutcomeFailsItsKeyAndIsNotRepeated() throws Exception {
+    try (Loopback predecessor = startPredecessor(NONE);
+        Caller before = predecessor.new Caller()) {
       before.ask(1, "keyed", "k", "x");
-      assertEquals("spawn", old.command().verb());
-      try (Loopback next = second(old, NONE);
-          Caller after = next.new Caller()) {
+      assertEquals("spawn", predecessor.command().verb());
+      try (Loopback successor = startSuccessor(predecessor, NONE);
+          Caller after = successor.new Caller()) {
         after.ask(1, 11, System.currentTimeMillis(), "keyed", "k", "x");
         after.send("STATUS", "2", "");
-        assertEquals("2", after.reply().tag(), "it waits");
-        old.life.close(); // as by a kill: no word of the run any more
+        assertEquals("2", after.reply().tag(), "the duplicate waits");
+        predecessor.life.close(); // as by a kill: the outcome never arrives
         assertEquals(new Reply("1", "error", "", ""), after.reply());
         after.ask(3, 13, System.currentTimeMillis(), "keyed", "k", "x");
         assertEquals("error", after.reply().word());
-        assertNull(next.commands.poll(), "no run");
+        assertNull(successor.commands.poll(), "no execution");
       }
     }
   }
 
   @Test
-  void whereTheNewProcessDiesTheOldOneServesOnAndKnowsWhatRan() throws Exception {
-    try (Loopback old = first(NONE);
-        Caller before = old.new Caller()) {
-      try (Loopback next = second(old, NONE);
-          Caller after = next.new Caller()) {
+  void predecessorResumesWithAllKeysWhenTheSuccessorDies() throws Exception {
+    try (Loopback predecessor = startPredecessor(NONE);
+        Caller before = predecessor.new Caller()) {
+      try (Loopback successor = startSuccessor(predecessor, NONE);
+          Caller after = successor.new Caller()) {
         assertEquals("closing", before.reply().word());
         after.ask(1, 11, System.currentTimeMillis(), "keyed", "ran", "x");
-        assertEquals("spawn", next.command().verb());
+        assertEquals("spawn", successor.command().verb());
         after.ask(2, 12, System.currentTimeMillis(), "keyed", "ended", "y");
-        next.finish(next.command().ref(), "good", 1, "fine");
+        successor.finish(successor.command().ref(), "good", 1, "fine");
         assertEquals("fine", after.reply().body());
-        // A run is spawned once the old process can know of it, and of all told before: so also of
-        // that end.
+        // An execution is dispatched only after its key and all earlier messages have been sent to
+        // the predecessor, so the completion above has been sent as well.
         after.ask(3, 13, System.currentTimeMillis(), "keyed", "last", "w");
-        assertEquals(new Command("spawn", ref(13), "keyed", "w"), next.command());
+        assertEquals(new Command("spawn", ref(13), "keyed", "w"), successor.command());
       }
-      old.awaitTaking();
-      try (Caller again = old.new Caller()) {
+      predecessor.awaitTaking();
+      try (Caller again = predecessor.new Caller()) {
         again.ask(1, 21, System.currentTimeMillis(), "keyed", "ran", "x");
-        assertEquals("error", again.reply().word(), "its end is unknown");
+        assertEquals("error", again.reply().word(), "the outcome is unknown");
         again.ask(2, 22, System.currentTimeMillis(), "keyed", "ended", "y");
         assertEquals("fine", again.reply().body());
         again.ask(3, 23, System.currentTimeMillis(), "keyed", "other", "z");
         assertEquals(
-            new Command("spawn", ref(23), "keyed", "z"), old.command(), "all else goes on");
+            new Command("spawn", ref(23), "keyed", "z"), predecessor.command(), "new keys are executed");
       }
-      try (Loopback third = second(old, NONE)) { // and the next one finds it
+      try (Loopback third = startSuccessor(predecessor, NONE)) { // the next successor finds the predecessor
         assertFalse(third.commands.contains(new Command("spawn", ref(23), "keyed", "z")));
       }
     }
   }
 
   @Test
-  void takenAddressesOfOperatorsWaitForTheOldProcess() throws Exception {
-    try (Loopback old =
-        first(new DaemonConfig.Appliance(Loopback.any(), null, Loopback.any(), "x", 24))) {
-      InetSocketAddress agent = old.life.snmpAddress();
-      DaemonConfig.Appliance same =
-          new DaemonConfig.Appliance(old.life.uwsgiAddress(), null, agent, "x", 24);
-      try (Loopback next = second(old, same)) {
-        assertNull(next.life.snmpAddress());
-        end(old).join();
-        while (next.life.snmpAddress() == null) {
+  void operatorAddressesInUseAreBoundAfterThePredecessorExits() throws Exception {
+    try (Loopback predecessor =
+        startPredecessor(new DaemonConfig.Appliance(Loopback.any(), null, Loopback.any(), "x", 24))) {
+      InetSocketAddress agent = predecessor.life.snmpAddress();
+      DaemonConfig.Appliance sameAddresses =
+          new DaemonConfig.Appliance(predecessor.life.uwsgiAddress(), null, agent, "x", 24);
+      try (Loopback successor = startSuccessor(predecessor, sameAddresses)) {
+        assertNull(successor.life.snmpAddress());
+        startShutdown(predecessor).join();
+        while (successor.life.snmpAddress() == null) {
           Thread.onSpinWait();
         }
-        assertEquals(agent, next.life.snmpAddress());
-        Socket gateway = next.post("/read", "", "x");
-        next.finish(next.command().ref(), "good", 1, "fine");
+        assertEquals(agent, successor.life.snmpAddress());
+        Socket gateway = successor.post("/read", "", "x");
+        successor.finish(successor.command().ref(), "good", 1, "fine");
         assertTrue(Loopback.response(gateway).endsWith("fine"));
-        BindException taken = null;
+        BindException bindException = null;
         try {
-          new Lifecycle(next.stranger(folder.resolve("other.sock")), NONE).close();
+          new Lifecycle(successor.configWithHandoverSocket(folder.resolve("other.sock")), NONE).close();
         } catch (BindException e) {
-          taken = e;
+          bindException = e;
         }
-        assertTrue(taken != null, "who does not meet the one that serves shares nothing with it");
+        assertTrue(bindException != null, "a process with another handover socket cannot share the addresses");
       }
     }
   }
