--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -138,9 +138,10 @@
         incomplete.add(socket);
         socket.connect(site.life.adminAddress());
         socket.setSoTimeout(2000);
+        // No bytes, or half of a request.
         socket
             .getOutputStream()
-            .write("GET /_rea".getBytes(StandardCharsets.UTF_8), 0, i % 2 * 9); // no bytes, or half of a request
+            .write("GET /_rea".getBytes(StandardCharsets.UTF_8), 0, i % 2 * 9);
       }
       long startedAt = System.nanoTime();
       assertTrue(site.get("/_ready").startsWith("HTTP/1.1 200 OK\r\n"));
@@ -331,7 +332,8 @@
       identifiers.put(all.group(1), identifier);
       if (identifier.startsWith(new OID("1.3.6.1.3.29421.1.3.1"))) {
         for (int row = 1; all.group(3) != null && identifier.last() > 1 && row <= 5; row++) {
-          objects.put(new OID(identifier + "." + row), all.group(3)); // one row for each request class
+          // One row for each request class.
+          objects.put(new OID(identifier + "." + row), all.group(3));
         }
       } else if (all.group(3) != null && !all.group(3).matches("SEQUENCE|Wt\\w+")) {
         objects.put(new OID(identifier + ".0"), all.group(3));
--- a/src/test/java/wharftrestle/ChangeTest.java
+++ b/src/test/java/wharftrestle/ChangeTest.java
@@ -149,7 +149,8 @@
         peer.readUntil("yours 1");
         assertEquals("given", predecessor.life.handover());
       }
-      awaitState(predecessor, HandoverStateMachine.State.ACTIVE); // the successor died before it listened
+      // The successor died before it listened.
+      awaitState(predecessor, HandoverStateMachine.State.ACTIVE);
       predecessor.finish(execution.ref(), "good", 1, "fine");
       assertEquals("fine", caller.reply().body());
       assertServed(predecessor, caller, 2, "after");
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -105,7 +105,7 @@
       assertEquals("supply", site.command().verb());
       caller.send("NEVERMIND", "1");
       assertEquals("suspend", site.command().verb());
-      site.silent = true; // the link stays open
+      site.isLinkSilent = true; // the link stays open
       assertEquals("bind", site.command().verb(), "a silent link is replaced");
       assertEquals(new Command("supply", ref(1), "", "row"), site.command());
       assertEquals("suspend", site.command().verb());
@@ -197,14 +197,16 @@
       site.finish(ref(1), "good", 20, "saved");
       assertEquals("saved", one.reply().body());
       assertEquals("saved", two.reply().body());
-      two.ask(2, 3, timestampMs + 100, "keyed", "k", "note"); // timestamp at the window's end: replayed
+      // Timestamp at the window's end: replayed.
+      two.ask(2, 3, timestampMs + 100, "keyed", "k", "note");
       assertEquals(new Reply("2", "done", "", "saved"), two.reply());
       two.ask(3, 4, timestampMs + 700, "keyed", "k", "note"); // past the window: a new request
       assertEquals(new Command("spawn", ref(4), "keyed", "note"), site.command());
       site.finish(ref(4), "bad", 20, "");
       assertEquals("error", two.reply().word());
+      // A failed execution is neither rejected nor repeated.
       two.ask(
-          4, 5, timestampMs + 705, "keyed", "k", "note"); // a failed execution is neither rejected nor repeated
+          4, 5, timestampMs + 705, "keyed", "k", "note");
       assertEquals("error", two.reply().word());
       assertNull(site.commands.poll(), "no other execution");
     }
@@ -214,7 +216,8 @@
   void hangingExecutionIsAnsweredAtItsDeadline() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
-      long timestampMs = System.currentTimeMillis() - 5700; // read late: 300 ms remain until the deadline
+      // Read late: 300 ms remain until the deadline.
+      long timestampMs = System.currentTimeMillis() - 5700;
       caller.ask(1, 1, timestampMs, "keyed", "k", "x");
       Reply reply = caller.reply();
       long late = System.currentTimeMillis() - timestampMs - 6000;
@@ -290,8 +293,9 @@
       try (Caller twice = site.new Caller()) {
         twice.ask(1, 1, System.currentTimeMillis(), "read", null, "x");
         assertEquals("spawn", site.command().verb());
+        // Answers with one tag would be ambiguous.
         twice.ask(
-            1, 2, System.currentTimeMillis(), "read", null, "y"); // answers with one tag would be ambiguous
+            1, 2, System.currentTimeMillis(), "read", null, "y");
         while (site.life.counters().get(Count.MALFORMED) < 2) {
           Thread.onSpinWait();
         }
@@ -341,7 +345,8 @@
         Caller first = site.new Caller()) {
       first.send("STATUS", "1", "");
       assertEquals("healthy", first.reply().word());
-      for (int i = 0; i < 38; i++) { // 82 descriptors allow no more: the first connection is evicted
+      // 82 descriptors allow no more: the first connection is evicted.
+      for (int i = 0; i < 38; i++) {
         others.add(site.new Caller());
         others.get(i).send("STATUS", "1", "");
         assertEquals("healthy", others.get(i).reply().word());
@@ -370,9 +375,10 @@
           BoundedReader.ascii(
               "*5\r\n$3\r\nASK\r\n$1\r\n7\r\n$4\r\nread\r\n$" + fields.length() + "\r\n");
       first.socket.getOutputStream().write(firstHalf);
+      // The table is full, and more connections are asked to close than may be closing at once.
       for (int i = 0;
           i < 60;
-          i++) { // the table is full, and more connections are asked to close than may be closing at once
+          i++) {
         others.add(site.new Caller());
         others.get(i).send("STATUS", "1", "");
         assertEquals("healthy", others.get(i).reply().word());
@@ -488,7 +494,7 @@
       assertEquals("spawn", site.command().verb());
       caller.ask(2, "long", null, "hangs");
       assertEquals("spawn", site.command().verb());
-      Thread server = site.serveUntilStopped();
+      Thread server = site.startServing();
       site.life.leave();
       for (String report = site.report(); !report.equals("renew n1 no"); report = site.report()) {
         assertEquals("renew n1 yes", report);
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -41,7 +41,8 @@
  * Tests of races between the end of a request, an execution, a link or the process and an event that
  * crosses it; docs/design/endings.md lists them.
  */
-@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // a failing test may busy-wait without end
+// A failing test may busy-wait without end.
+@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class EndingsTest {
   private static final int STOP_MS = 10_000;
 
@@ -83,7 +84,8 @@
       site.finish(ref(1), "good", 5, "whole"); // sent when the next link binds
       assertEquals(new Command("bind", "", "0", ""), site.command(), "the truncated notice does not count as read");
       assertEquals(new Reply("1", "done", "", "whole"), caller.reply());
-      site.sendRaw("finished 1 " + ref(1) + " good 5 5\r\nagain\r\n"); // a duplicate with the same notice number
+      // A duplicate with the same notice number.
+      site.sendRaw("finished 1 " + ref(1) + " good 5 5\r\nagain\r\n");
       caller.send("STATUS", "2", "");
       assertEquals("2", caller.reply().tag(), "exactly one answer");
     }
@@ -125,7 +127,8 @@
   void answerAtTheDeadlineIsTheOnlyOne() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller caller = site.new Caller()) {
-      caller.ask(1, 1, System.currentTimeMillis() - 5700, "keyed", "k", "x"); // 300 ms remain until the deadline
+      // 300 ms remain until the deadline.
+      caller.ask(1, 1, System.currentTimeMillis() - 5700, "keyed", "k", "x");
       Reply late = caller.reply();
       assertEquals("1", late.tag());
       Command next = site.commands.poll(0, TimeUnit.MILLISECONDS);
@@ -149,7 +152,7 @@
       assertEquals("fine", idle.reply().body());
       working.ask(1, 2, System.currentTimeMillis(), "long", null, "hangs");
       assertEquals("spawn", site.command().verb());
-      Thread server = site.serveUntilStopped();
+      Thread server = site.startServing();
       site.life.leave();
       assertEquals("closing", idle.reply().word());
       assertEquals(-1, idle.socket.getInputStream().read(), "end of stream");
@@ -174,7 +177,7 @@
   void connectionsInTheAcceptBacklogAtShutdownAreAnswered() throws Exception {
     try (Loopback site = new Loopback(Sites.site());
         Caller busy = site.new Caller()) {
-      Thread server = site.serveUntilStopped();
+      Thread server = site.startServing();
       site.life.leave();
       site.life.leave(); // a second notice to leave has no effect
       do {
@@ -203,7 +206,7 @@
         Caller caller = site.new Caller()) {
       caller.ask(1, "keyed", "k", "x");
       site.command();
-      Thread server = site.serveUntilStopped();
+      Thread server = site.startServing();
       site.life.leave();
       while (site.life.state() == Lifecycle.State.SERVING) {
         Thread.onSpinWait();
@@ -246,7 +249,7 @@
       assertEquals(Lifecycle.State.SERVING, site.life.state());
       early.attach(site.life);
       assertEquals(1, reloads.get(), "the early SIGHUP reloads on attach");
-      Thread server = site.serveUntilStopped();
+      Thread server = site.startServing();
       server.join(STOP_MS);
       assertEquals(Lifecycle.State.STOPPED, site.life.state(), "the early SIGTERM stops the daemon on attach");
     }
@@ -497,7 +500,8 @@
     try (Loopback site = new Loopback(siteWithStore());
         Caller slow = site.new Caller();
         Caller other = site.new Caller()) {
-      other.ask(2, "read", null, "quick"); // a connection with a served request is read without delay
+      // A connection with a served request is read without delay.
+      other.ask(2, "read", null, "quick");
       site.finish(site.command().ref(), "good", 1, "");
       assertEquals("done", other.reply().word());
       site.sendsByteByByte = true;
@@ -536,7 +540,7 @@
         assertHealthy(each);
         each.write("*5\r\n"); // begun while the daemon serves
       }
-      Thread server = site.serveUntilStopped();
+      Thread server = site.startServing();
       site.life.leave();
       while (site.life.state() == Lifecycle.State.SERVING) {
         Thread.onSpinWait();
--- a/src/test/java/wharftrestle/Fixtures.java
+++ b/src/test/java/wharftrestle/Fixtures.java
@@ -51,12 +51,12 @@
    * number}, without the values.
    */
   public static SortedSet<String> fields(JsonNode document) {
-    SortedSet<String> fields = new TreeSet<>();
-    collect("", document, fields);
-    return fields;
+    SortedSet<String> collected = new TreeSet<>();
+    collect("", document, collected);
+    return collected;
   }
 
-  private static void collect(String parent, JsonNode node, SortedSet<String> fields) {
+  private static void collect(String parent, JsonNode node, SortedSet<String> collected) {
     if (node.isObject()) {
       node.fields()
           .forEachRemaining(
@@ -64,10 +64,10 @@
                   collect(
                       parent.isEmpty() ? each.getKey() : parent + "." + each.getKey(),
                       each.getValue(),
-                      fields));
+                      collected));
     } else if (node.isArray()) {
-      node.forEach(each -> collect(parent + "[]", each, fields));
+      node.forEach(each -> collect(parent + "[]", each, collected));
     }
-    fields.add((parent + " " + node.getNodeType().name().toLowerCase(Locale.ROOT)).trim());
+    collected.add((parent + " " + node.getNodeType().name().toLowerCase(Locale.ROOT)).trim());
   }
 }
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -77,7 +77,7 @@
   /**
    * If set, the worker pool reads the current link but sends nothing on it; a new link is served.
    */
-  volatile boolean silent;
+  volatile boolean isLinkSilent;
 
   /** Worker pools of finished tests; they keep their ports so that no later test gets them. */
   private static final List<WorkerPoolPeer> RETIRED_POOLS = new CopyOnWriteArrayList<>();
@@ -223,7 +223,7 @@
   }
 
   /** Starts a thread that serves until the daemon is shut down and drained. */
-  Thread serveUntilStopped() {
+  Thread startServing() {
     Thread server =
         new Thread(
             () -> {
@@ -260,7 +260,7 @@
           return false;
         }
         link = newLink;
-        silent = false;
+        isLinkSilent = false;
         newLink.say(
             String.format(
                     Locale.ROOT, "bound old %.3f%n", 12.75 + (System.nanoTime() - poolStartedAt) / 1e6)
@@ -275,7 +275,7 @@
 
     @Override
     public void command(WorkerPoolPeer.Link from, String[] words, String body) throws IOException {
-      if (silent && from == link) {
+      if (isLinkSilent && from == link) {
         return;
       }
       if (words[0].equals("poll")) {
--- a/src/test/java/wharftrestle/ResultsTest.java
+++ b/src/test/java/wharftrestle/ResultsTest.java
@@ -48,7 +48,8 @@
   private Path copyAsAfterKill(Path from) throws IOException {
     Path to = folder.resolve("copy" + ++copies);
     Files.createDirectories(to);
-    Files.copy(from.resolve("list"), to.resolve("list")); // first: the segments it names exist by then
+    // Copied first: the segments that the manifest names exist by then.
+    Files.copy(from.resolve("list"), to.resolve("list"));
     try (Stream<Path> all = Files.list(from)) {
       for (Path each :
           (Iterable<Path>) all.filter(file -> file.toString().endsWith(".log"))::iterator) {
@@ -119,15 +120,15 @@
         Caller caller = site.new Caller()) {
       ask(caller, 1, 1, "k", "a");
       Command spawn = site.command();
-      Thread server = site.serveUntilStopped();
+      Thread server = site.startServing();
       site.life.leave();
       site.finish(spawn.ref(), "good", 1, "last");
       Reply reply = caller.reply();
       assertEquals("last", (reply.word().equals("closing") ? caller.reply() : reply).body());
       caller.close();
       server.join();
-      Path copy = copyAsAfterKill(first);
-      try (Loopback next = new Loopback(Sites.site(), applianceWithResults(copy));
+      Path copiedFolder = copyAsAfterKill(first);
+      try (Loopback next = new Loopback(Sites.site(), applianceWithResults(copiedFolder));
           Caller again = next.new Caller()) {
         ask(again, 1, 11, "k", "a");
         assertEquals("last", again.reply().body());
@@ -153,11 +154,11 @@
             .contains("cannot be written"));
   }
 
-  private Loopback start(Loopback old, Path resultFolder) throws Exception {
-    return start(Sites.site(), old, resultFolder);
+  private Loopback startDaemon(Loopback old, Path resultFolder) throws Exception {
+    return startDaemon(Sites.site(), old, resultFolder);
   }
 
-  private Loopback start(Sites.Builder site, Loopback old, Path resultFolder) throws Exception {
+  private Loopback startDaemon(Sites.Builder site, Loopback old, Path resultFolder) throws Exception {
     Loopback next = new Loopback(site, applianceWithResults(resultFolder), 1024, folder.resolve("n1.sock"), old);
     if (old != null) {
       next.awaitTaking();
@@ -169,7 +170,7 @@
    * The folder as a kill at one moment leaves it, and the keys whose executions had been dispatched
    * by then.
    */
-  private record KillCopy(Path copy, Set<String> dispatched) {}
+  private record KillCopy(Path copiedFolder, Set<String> dispatched) {}
 
   @Test
   void killAtAnyStepOfAnUpgradeLeavesEveryExecutionOnDisk() throws Exception {
@@ -177,8 +178,9 @@
     List<KillCopy> killCopies = new ArrayList<>();
     AtomicBoolean isStopping = new AtomicBoolean();
     Sites.Builder longWindow = Sites.site();
-    longWindow.window = 600; // no key expires before its copy is checked, however many copies there are
-    try (Loopback old = start(longWindow, null, log)) {
+    // No key expires before its copy is checked, however many copies there are.
+    longWindow.window = 600;
+    try (Loopback old = startDaemon(longWindow, null, log)) {
       old.autoMs = 3;
       List<Loopback> sites = new CopyOnWriteArrayList<>(List.of(old));
       Thread oldClient = new Thread(() -> sendUntilStopped(old, "old", isStopping));
@@ -217,11 +219,11 @@
     }
     assertTrue(killCopies.size() > 5, killCopies.size() + " copies");
     for (KillCopy killCopy : killCopies) {
-      try (WriteAheadLog journal = new WriteAheadLog(applianceWithResults(killCopy.copy()).durable())) {
+      try (WriteAheadLog journal = new WriteAheadLog(applianceWithResults(killCopy.copiedFolder()).durable())) {
         ResultStore.RecoveredKeys recovered = journal.open(longWindow.window);
         Set<String> known = new HashSet<>();
         recovered.keys().forEach(key -> known.add(key.key().replaceFirst("2/0/", "")));
-        assertTrue(known.containsAll(killCopy.dispatched()), "executed but not on disk in " + killCopy.copy());
+        assertTrue(known.containsAll(killCopy.dispatched()), "executed but not on disk in " + killCopy.copiedFolder());
       }
     }
   }
@@ -242,30 +244,31 @@
   @Test
   void twoProcessesOfOneHostShareOneLog() throws Exception {
     Path log = folder.resolve("log");
-    try (Loopback old = start(null, log);
+    try (Loopback old = startDaemon(null, log);
         Caller before = old.new Caller()) {
       ask(before, 1, 1, "over", "a");
       old.finish(old.command().ref(), "good", 1, "by the old");
       assertEquals("by the old", before.reply().body());
       ask(before, 2, 2, "runs", "b");
       Command runs = old.command();
-      try (Loopback next = start(old, log);
+      try (Loopback next = startDaemon(old, log);
           Caller after = next.new Caller()) {
         assertEquals("closing", before.reply().word());
         ask(after, 1, 11, "over", "a");
         assertEquals("by the old", after.reply().body(), "read from the log received in the handover");
         old.finish(runs.ref(), "good", 1, "late");
         assertEquals("late", before.reply().body(), "answered once the new process has it on disk");
-        ask(before, 3, 3, "claimed", "c"); // read after the handover: the new process writes its intent
+        // Read after the handover: the new process writes its intent.
+        ask(before, 3, 3, "claimed", "c");
         Command claimed = old.command();
         ask(after, 2, 12, "new", "d");
         Command newSpawn = next.command();
-        Path copy = copyAsAfterKill(log); // both processes are killed at once
+        Path copiedFolder = copyAsAfterKill(log); // both processes are killed at once
         next.finish(newSpawn.ref(), "good", 1, "by the new");
         assertEquals("by the new", after.reply().body());
         old.finish(claimed.ref(), "good", 1, "claimed too");
         assertEquals("claimed too", before.reply().body());
-        try (Loopback third = new Loopback(Sites.site(), applianceWithResults(copy));
+        try (Loopback third = new Loopback(Sites.site(), applianceWithResults(copiedFolder));
             Caller last = third.new Caller()) {
           int attempts = 0;
           for (String[] each :
--- a/src/test/java/wharftrestle/UpgradeTest.java
+++ b/src/test/java/wharftrestle/UpgradeTest.java
@@ -73,13 +73,16 @@
         assertEquals(new Reply("1", "done", "", "saved"), after.reply(), "completed before the handover: replayed");
         after.ask(2, 12, System.currentTimeMillis(), "keyed", "over", "other");
         assertEquals("error", after.reply().word(), "the body was handed over with the key");
+        // Waits for the predecessor's completion.
         after.ask(
-            3, 13, System.currentTimeMillis(), "keyed", "runs", "b"); // waits for the predecessor's completion
+            3, 13, System.currentTimeMillis(), "keyed", "runs", "b");
         after.ask(4, 14, System.currentTimeMillis(), "keyed", "new", "c");
         assertEquals(
             new Command("spawn", ref(14), "keyed", "c"), successor.command(), "and request 13 is not dispatched");
-        before.ask(3, "keyed", "new", "c"); // read after the handover: waits for the successor's completion
-        before.ask(4, "keyed", "late", "d"); // read after the handover, no other attempt: the claim is granted
+        // Read after the handover: waits for the successor's completion.
+        before.ask(3, "keyed", "new", "c");
+        // Read after the handover, no other attempt: the claim is granted.
+        before.ask(4, "keyed", "late", "d");
         assertEquals(
             new Command("spawn", ref(4), "keyed", "d"), predecessor.command(), "and request 3 is not dispatched");
         after.ask(5, 15, System.currentTimeMillis(), "keyed", "late", "d");
@@ -89,7 +92,8 @@
         predecessor.finish(ref(2), "good", 1, "by the old");
         assertEquals("2 by the old", tagAndBody(before.reply()));
         assertEquals("3 by the old", tagAndBody(after.reply()));
-        Thread shutdown = startShutdown(predecessor); // as by SIGTERM: no report to the name service says no
+        // As by SIGTERM: no report to the name service says no.
+        Thread shutdown = startShutdown(predecessor);
         before.send("STATUS", "5", "");
         assertEquals("healthy", before.reply().word());
         predecessor.finish(ref(4), "good", 1, "late");
@@ -125,8 +129,9 @@
   void processThatWaitsForTheFirstTakesOverFromTheSecond() throws Exception {
     Path earlySocket = folder.resolve("early.sock");
     try (Loopback predecessor = startPredecessor(NONE)) {
+      // Still the first process's socket after the second replaces the name.
       Files.createLink(
-          earlySocket, folder.resolve("n1.sock")); // still the first process's socket after the second replaces the name
+          earlySocket, folder.resolve("n1.sock"));
       try (Loopback successor = startSuccessor(predecessor, NONE);
           Loopback third = new Loopback(Sites.site(), NONE, 1024, earlySocket, predecessor);
           Caller caller = successor.new Caller()) {
@@ -218,7 +223,8 @@
         assertEquals(
             new Command("spawn", ref(23), "keyed", "z"), predecessor.command(), "new keys are executed");
       }
-      try (Loopback third = startSuccessor(predecessor, NONE)) { // the next successor finds the predecessor
+      // The next successor finds the predecessor.
+      try (Loopback third = startSuccessor(predecessor, NONE)) {
         assertFalse(third.commands.contains(new Command("spawn", ref(23), "keyed", "z")));
       }
     }
