--- a/src/test/java/wharftrestle/ApplianceTest.java
+++ b/src/test/java/wharftrestle/ApplianceTest.java
@@ -71,7 +71,8 @@
   void startScriptSizesTheHeapFromTheMemoryLimit() throws Exception {
     Path java = Files.writeString(folder.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
     assertTrue(java.toFile().setExecutable(true));
-    String multiLineConfig = "{\"limits\": {\"cores\": 0.5,\n \"memory_mb\" : 64, \"sockets\":256}}";
+    String multiLineConfig =
+        "{\"limits\": {\"cores\": 0.5,\n \"memory_mb\" : 64, \"sockets\":256}}";
     assertTrue(startedCommand(multiLineConfig).contains(" -Xmx19m "));
     assertTrue(startedCommand("{\"limits\":{\"memory_mb\":32}}").contains(" -Xmx16m "));
     assertTrue(startedCommand("{\"limits\":{\"memory_mb\":192.0}}").contains(" -Xmx40m "));
@@ -84,7 +85,8 @@
   private String startedCommand(String config) throws Exception {
     ProcessBuilder builder = new ProcessBuilder("sh", "deploy/run.sh", "--help");
     builder.environment().put("PATH", folder + ":" + builder.environment().get("PATH"));
-    builder.environment()
+    builder
+        .environment()
         .put("EDGE_CONFIG", Files.writeString(folder.resolve("config"), config).toString());
     Process process = builder.start();
     String line =
@@ -139,15 +141,16 @@
         socket.connect(site.life.adminAddress());
         socket.setSoTimeout(2000);
         // No bytes, or half of a request.
-        socket
-            .getOutputStream()
-            .write("GET /_rea".getBytes(StandardCharsets.UTF_8), 0, i % 2 * 9);
+        socket.getOutputStream().write("GET /_rea".getBytes(StandardCharsets.UTF_8), 0, i % 2 * 9);
       }
       long startedAt = System.nanoTime();
       assertTrue(site.get("/_ready").startsWith("HTTP/1.1 200 OK\r\n"));
-      assertTrue(System.nanoTime() - startedAt < 600_000_000L, "answered before the incomplete requests time out");
+      assertTrue(
+          System.nanoTime() - startedAt < 600_000_000L,
+          "answered before the incomplete requests time out");
       assertTrue(Loopback.response(incomplete.get(39)).startsWith("HTTP/1.1 408 "));
-      assertTrue(System.nanoTime() - startedAt < 1_500_000_000L, "the incomplete requests time out");
+      assertTrue(
+          System.nanoTime() - startedAt < 1_500_000_000L, "the incomplete requests time out");
       for (Socket each : incomplete) {
         each.close();
       }
@@ -260,8 +263,7 @@
       for (String report = site.report(); !report.equals("renew n1 yes"); report = site.report()) {
         assertEquals("renew n1 no", report);
       }
-      site.post(
-          "/_lameduck/on"); // lame duck changes nothing about a graceful shutdown
+      site.post("/_lameduck/on"); // lame duck changes nothing about a graceful shutdown
       caller.ask(2, "read", null, "x");
       String reference = site.command().ref();
       site.life.leave();
@@ -319,7 +321,8 @@
   /** Returns the object identifier and syntax of each readable object of the MIB file. */
   private static Map<OID, String> mibObjects() throws Exception {
     String mib = Files.readString(Path.of("mib/WHARFTRESTLE-MIB.txt"));
-    Map<String, OID> identifiers = new LinkedHashMap<>(Map.of("experimental", new OID("1.3.6.1.3")));
+    Map<String, OID> identifiers =
+        new LinkedHashMap<>(Map.of("experimental", new OID("1.3.6.1.3")));
     Map<OID, String> objects = new TreeMap<>();
     Matcher all =
         Pattern.compile(
--- a/src/test/java/wharftrestle/ChangeTest.java
+++ b/src/test/java/wharftrestle/ChangeTest.java
@@ -85,7 +85,8 @@
     }
   }
 
-  private static void assertServed(Loopback site, Caller caller, int tag, String key) throws Exception {
+  private static void assertServed(Loopback site, Caller caller, int tag, String key)
+      throws Exception {
     caller.ask(tag, "keyed", key, "x");
     site.finish(site.command().ref(), "good", 1, "fine " + tag);
     assertEquals("fine " + tag, caller.reply().body());
@@ -102,7 +103,9 @@
         assertTrue(
             successor.life.handover().contains("keys are known by their class's place"),
             successor.life.handover());
-        assertTrue(successor.get("/_status").contains("class 1 is"), "the admin endpoint shows the reason");
+        assertTrue(
+            successor.get("/_status").contains("class 1 is"),
+            "the admin endpoint shows the reason");
         assertTrue(successor.get("/_ready").startsWith("HTTP/1.1 503 "));
         awaitState(predecessor, HandoverStateMachine.State.ACTIVE);
         assertServed(predecessor, caller, 2, "meanwhile");
@@ -164,7 +167,8 @@
         Peer olderPeer = new Peer()) {
       olderPeer.send("take n1\r\n");
       assertServed(predecessor, caller, 1, "k");
-      try (Loopback successor = new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), predecessor)) {
+      try (Loopback successor =
+          new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), predecessor)) {
         successor.awaitTaking(); // the unanswered peer delays no other successor
         assertEquals("closing", caller.reply().word());
       }
@@ -181,8 +185,8 @@
       peer.send("taken\r\n");
       peer.readUntil("yours");
       peer.send("gibberish\r\nlistens\r\n");
-      // The state remains "given": the peer may own the keys, and a closed link would mean that this
-      // process has ended.
+      // The state remains "given": the peer may own the keys, and a closed link would mean that
+      // this process has ended.
       assertEquals("given", predecessor.life.handover());
       caller.ask(1, "read", null, "x");
       predecessor.finish(predecessor.command().ref(), "good", 1, "fine");
--- a/src/test/java/wharftrestle/DaemonTest.java
+++ b/src/test/java/wharftrestle/DaemonTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.listenAddress.InetAddress;
-import java.listenAddress.InetSocketAddress;
-import java.listenAddress.ServerSocket;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -131,7 +131,8 @@
       DaemonConfig next = site.movePeers(siteWithStore());
       new SignalHandlers(() -> next).attach(site.life);
       Signal.raise(new Signal("HUP"));
-      assertEquals(new Command("bind", "", "1", ""), site.command(), "the numbering of notices continues");
+      assertEquals(
+          new Command("bind", "", "1", ""), site.command(), "the numbering of notices continues");
       assertTrue(site.report().startsWith("renew n1 yes"));
       site.storeReplies.add(
           Loopback.http("200 OK", "", "row")); // the call in flight completes on its old connection
@@ -205,8 +206,7 @@
       site.finish(ref(4), "bad", 20, "");
       assertEquals("error", two.reply().word());
       // A failed execution is neither rejected nor repeated.
-      two.ask(
-          4, 5, timestampMs + 705, "keyed", "k", "note");
+      two.ask(4, 5, timestampMs + 705, "keyed", "k", "note");
       assertEquals("error", two.reply().word());
       assertNull(site.commands.poll(), "no other execution");
     }
@@ -289,13 +289,14 @@
       bad.send("ASK", "9", "none", validFields, "x");
       assertEquals("error", bad.reply().word());
       assertEquals(
-          -1, bad.socket.getInputStream().read(), "closed after only invalid requests in quick succession");
+          -1,
+          bad.socket.getInputStream().read(),
+          "closed after only invalid requests in quick succession");
       try (Caller twice = site.new Caller()) {
         twice.ask(1, 1, System.currentTimeMillis(), "read", null, "x");
         assertEquals("spawn", site.command().verb());
         // Answers with one tag would be ambiguous.
-        twice.ask(
-            1, 2, System.currentTimeMillis(), "read", null, "y");
+        twice.ask(1, 2, System.currentTimeMillis(), "read", null, "y");
         while (site.life.counters().get(Count.MALFORMED) < 2) {
           Thread.onSpinWait();
         }
@@ -376,9 +377,7 @@
               "*5\r\n$3\r\nASK\r\n$1\r\n7\r\n$4\r\nread\r\n$" + fields.length() + "\r\n");
       first.socket.getOutputStream().write(firstHalf);
       // The table is full, and more connections are asked to close than may be closing at once.
-      for (int i = 0;
-          i < 60;
-          i++) {
+      for (int i = 0; i < 60; i++) {
         others.add(site.new Caller());
         others.get(i).send("STATUS", "1", "");
         assertEquals("healthy", others.get(i).reply().word());
--- a/src/test/java/wharftrestle/EndingsTest.java
+++ b/src/test/java/wharftrestle/EndingsTest.java
@@ -38,8 +38,8 @@
 import wharftrestle.testbed.RespPeer.Reply;
 
 /**
- * Tests of races between the end of a request, an execution, a link or the process and an event that
- * crosses it; docs/design/endings.md lists them.
+ * Tests of races between the end of a request, an execution, a link or the process and an event
+ * that crosses it; docs/design/endings.md lists them.
  */
 // A failing test may busy-wait without end.
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
@@ -82,7 +82,10 @@
       site.sendRaw("finished 1 " + ref(1) + " good 5 100\r\nhalf of it");
       site.breakLink();
       site.finish(ref(1), "good", 5, "whole"); // sent when the next link binds
-      assertEquals(new Command("bind", "", "0", ""), site.command(), "the truncated notice does not count as read");
+      assertEquals(
+          new Command("bind", "", "0", ""),
+          site.command(),
+          "the truncated notice does not count as read");
       assertEquals(new Reply("1", "done", "", "whole"), caller.reply());
       // A duplicate with the same notice number.
       site.sendRaw("finished 1 " + ref(1) + " good 5 5\r\nagain\r\n");
@@ -115,10 +118,13 @@
       caller.ask(4, "read", null, "z");
       assertEquals(new Command("spawn", ref(4), "read", "z"), site.command());
       site.finish(ref(4), "good", 1, "after");
-      assertEquals("after", caller.reply().body(), "the notices of the new worker pool are numbered from 1");
+      assertEquals(
+          "after", caller.reply().body(), "the notices of the new worker pool are numbered from 1");
       caller.ask(5, "keyed", "k2", "y");
       assertEquals(
-          "error", caller.reply().word(), "a request that may have been executed is neither executed again nor rejected");
+          "error",
+          caller.reply().word(),
+          "a request that may have been executed is neither executed again nor rejected");
       assertNull(site.commands.poll());
     }
   }
@@ -217,7 +223,8 @@
           new Command("bind", "", "0", ""),
           site.command(),
           "the daemon binds to the moved worker pool while it drains");
-      assertEquals("spawn", site.command().verb(), "commands that may be lost with the link are resent");
+      assertEquals(
+          "spawn", site.command().verb(), "commands that may be lost with the link are resent");
       site.finish(ref(1), "good", 9, "done");
       assertEquals("done", caller.reply().body());
       caller.close();
@@ -251,14 +258,18 @@
       assertEquals(1, reloads.get(), "the early SIGHUP reloads on attach");
       Thread server = site.startServing();
       server.join(STOP_MS);
-      assertEquals(Lifecycle.State.STOPPED, site.life.state(), "the early SIGTERM stops the daemon on attach");
+      assertEquals(
+          Lifecycle.State.STOPPED,
+          site.life.state(),
+          "the early SIGTERM stops the daemon on attach");
     }
   }
 
   // ---- Failures within the process ----
 
   /** Returns a started request coordinator with this worker pool and no sockets. */
-  private static RequestCoordinator coordinator(SilentPool workerPool, AdmissionFactory admissionFactory) {
+  private static RequestCoordinator coordinator(
+      SilentPool workerPool, AdmissionFactory admissionFactory) {
     RequestCoordinator coordinator =
         new RequestCoordinator(
             Sites.site().build(),
@@ -323,7 +334,9 @@
     coordinator.accept(request(1), answers::add);
     Answer answer = answers.poll(2, TimeUnit.SECONDS);
     assertEquals(
-        Answer.Kind.FAILED, answer == null ? null : answer.kind(), "answered at once, not at the deadline");
+        Answer.Kind.FAILED,
+        answer == null ? null : answer.kind(),
+        "answered at once, not at the deadline");
     assertTrue(coordinator.awaitDrained(2), "no request remains in flight");
   }
 
@@ -352,7 +365,8 @@
                       });
             });
     coordinator.workerPoolStarted(false, 100);
-    assertTrue(firings.await(5, TimeUnit.SECONDS), "the timer event whose handler failed fired again");
+    assertTrue(
+        firings.await(5, TimeUnit.SECONDS), "the timer event whose handler failed fired again");
   }
 
   @Test
@@ -399,8 +413,7 @@
   // ---- Calls ----
 
   @Test
-  void responseToACancelledCallIsDroppedAndItsConnectionIsNotReused()
-      throws Exception {
+  void responseToACancelledCallIsDroppedAndItsConnectionIsNotReused() throws Exception {
     try (Loopback site = new Loopback(siteWithStore());
         Caller caller = site.new Caller()) {
       caller.ask(1, "read", null, "x");
--- a/src/test/java/wharftrestle/Loopback.java
+++ b/src/test/java/wharftrestle/Loopback.java
@@ -263,9 +263,12 @@
         isLinkSilent = false;
         newLink.say(
             String.format(
-                    Locale.ROOT, "bound old %.3f%n", 12.75 + (System.nanoTime() - poolStartedAt) / 1e6)
+                    Locale.ROOT,
+                    "bound old %.3f%n",
+                    12.75 + (System.nanoTime() - poolStartedAt) / 1e6)
                 .replace("\n", "\r\n"));
-        for (String notice : notices.subList(Math.min(noticesRead, notices.size()), notices.size())) {
+        for (String notice :
+            notices.subList(Math.min(noticesRead, notices.size()), notices.size())) {
           newLink.say(notice);
         }
       }
@@ -283,7 +286,8 @@
       } else if (words[0].equals("spawn") && autoMs >= 0) {
         executeOnCore(words[1], body);
       } else {
-        commands.add(new Command(words[0], words[1], words[0].equals("spawn") ? words[2] : "", body));
+        commands.add(
+            new Command(words[0], words[1], words[0].equals("spawn") ? words[2] : "", body));
       }
     }
   }
@@ -307,7 +311,9 @@
             TimeUnit.NANOSECONDS);
   }
 
-  /** Returns the fraction of the two cores' time in the last 500 ms that was spent on executions. */
+  /**
+   * Returns the fraction of the two cores' time in the last 500 ms that was spent on executions.
+   */
   private synchronized double cpuBusy() {
     if (reportedCpuBusy >= 0) {
       return reportedCpuBusy;
@@ -316,7 +322,9 @@
     long span = 500_000_000;
     busyIntervals.removeIf(interval -> interval[1] < now - span);
     return busyIntervals.stream()
-            .mapToLong(interval -> Math.max(0, Math.min(interval[1], now) - Math.max(interval[0], now - span)))
+            .mapToLong(
+                interval ->
+                    Math.max(0, Math.min(interval[1], now) - Math.max(interval[0], now - span)))
             .sum()
         / (2.0 * span);
   }
--- a/src/test/java/wharftrestle/OtherSitesTest.java
+++ b/src/test/java/wharftrestle/OtherSitesTest.java
@@ -28,13 +28,15 @@
     ask(caller, System.currentTimeMillis(), tag, type, extraFields, body);
   }
 
-  private static void ask(Caller caller, long timestampMs, int tag, String type, String extraFields, String body)
+  private static void ask(
+      Caller caller, long timestampMs, int tag, String type, String extraFields, String body)
       throws Exception {
     caller.send(
         "ASK",
         Integer.toString(tag),
         type,
-        String.format("txn=%s,door=%d,lb=1,ram=24.5,standing=0.5%s", ref(tag), timestampMs, extraFields),
+        String.format(
+            "txn=%s,door=%d,lb=1,ram=24.5,standing=0.5%s", ref(tag), timestampMs, extraFields),
         body);
   }
 
@@ -88,7 +90,10 @@
       assertEquals(4, site.life.counters().inFlight());
       assertTrue(site.commands.isEmpty(), "both are queued: " + site.commands);
       site.finish(ref(1), "good", 20, "");
-      assertEquals("small", site.command().body(), "the shorter of two requests with about the same deadline");
+      assertEquals(
+          "small",
+          site.command().body(),
+          "the shorter of two requests with about the same deadline");
     }
   }
 
@@ -110,8 +115,8 @@
   }
 
   /**
-   * Sends 8 requests of 0.6 s each to two cores and returns the first answer. The last of them cannot
-   * complete within the latency objective of 2 s.
+   * Sends 8 requests of 0.6 s each to two cores and returns the first answer. The last of them
+   * cannot complete within the latency objective of 2 s.
    */
   private static Reply firstAnswerUnderOverload(boolean markedAsRetry) throws Exception {
     try (Loopback site = new Loopback(Sites.site());
@@ -127,7 +132,8 @@
   void markedRetriesAreDetectedAsARetryStorm() throws Exception {
     Reply first = firstAnswerUnderOverload(false);
     assertEquals("later", first.word());
-    assertFalse(first.fields().contains("giveup"), "other hosts may have capacity: " + first.fields());
+    assertFalse(
+        first.fields().contains("giveup"), "other hosts may have capacity: " + first.fields());
     Reply retry = firstAnswerUnderOverload(true);
     assertEquals("later", retry.word());
     assertTrue(
@@ -153,7 +159,8 @@
       assertTrue(
           site.life.connections() <= 32 + 16 + 1,
           site.life.connections() + " connections are open");
-      assertEquals("closing", idle.get(0).reply().word(), "the oldest connection has been asked to close");
+      assertEquals(
+          "closing", idle.get(0).reply().word(), "the oldest connection has been asked to close");
       site.finish(ref(1), "good", 1, "fine");
       assertEquals("fine", busy.reply().body(), "a connection that awaits an answer stays open");
     } finally {
@@ -171,7 +178,10 @@
         Caller caller = site.new Caller()) {
       ask(caller, 1, "keyed", ",unique=k", "x");
       assertEquals("spawn", site.command().verb());
-      assertEquals("error", caller.reply().word(), "fails at the latency objective; not rejected, as it was executed");
+      assertEquals(
+          "error",
+          caller.reply().word(),
+          "fails at the latency objective; not rejected, as it was executed");
       assertEquals(new Command("suspend", ref(1), "", ""), site.command());
       site.finish(ref(1), "cut", 500, "");
       ask(caller, 2, "keyed", ",unique=k,second=1", "x");
--- a/src/test/java/wharftrestle/ResultsTest.java
+++ b/src/test/java/wharftrestle/ResultsTest.java
@@ -27,8 +27,8 @@
 import wharftrestle.testbed.RespPeer.Reply;
 
 /**
- * Tests of results that survive restarts. A kill is simulated by a copy of the daemon's folder, taken
- * while it runs.
+ * Tests of results that survive restarts. A kill is simulated by a copy of the daemon's folder,
+ * taken while it runs.
  */
 class ResultsTest {
   @TempDir private Path folder;
@@ -108,7 +108,8 @@
     try (Loopback next = new Loopback(Sites.site(), applianceWithResults(atSpawn));
         Caller caller = next.new Caller()) {
       ask(caller, 1, 21, "done", "a");
-      assertEquals("error", caller.reply().word(), "the intent record was on disk before the execution");
+      assertEquals(
+          "error", caller.reply().word(), "the intent record was on disk before the execution");
       assertNull(next.commands.poll());
     }
   }
@@ -143,13 +144,15 @@
       assertTrue(site.life.requestCoordinator().isReady());
       UnusableStorageException held =
           assertThrows(
-              UnusableStorageException.class, () -> new Loopback(Sites.site(), applianceWithResults(first)));
+              UnusableStorageException.class,
+              () -> new Loopback(Sites.site(), applianceWithResults(first)));
       assertTrue(held.getMessage().endsWith("is held by another process"), held.getMessage());
     }
     Path file = Files.createFile(folder.resolve("file"));
     assertTrue(
         assertThrows(
-                UnusableStorageException.class, () -> new Loopback(Sites.site(), applianceWithResults(file)))
+                UnusableStorageException.class,
+                () -> new Loopback(Sites.site(), applianceWithResults(file)))
             .getMessage()
             .contains("cannot be written"));
   }
@@ -158,8 +161,11 @@
     return startDaemon(Sites.site(), old, resultFolder);
   }
 
-  private Loopback startDaemon(Sites.Builder site, Loopback old, Path resultFolder) throws Exception {
-    Loopback next = new Loopback(site, applianceWithResults(resultFolder), 1024, folder.resolve("n1.sock"), old);
+  private Loopback startDaemon(Sites.Builder site, Loopback old, Path resultFolder)
+      throws Exception {
+    Loopback next =
+        new Loopback(
+            site, applianceWithResults(resultFolder), 1024, folder.resolve("n1.sock"), old);
     if (old != null) {
       next.awaitTaking();
     }
@@ -202,7 +208,9 @@
       while (old.runs.size() < 20) {
         Thread.onSpinWait();
       }
-      try (Loopback next = new Loopback(longWindow, applianceWithResults(log), 1024, folder.resolve("n1.sock"), old)) {
+      try (Loopback next =
+          new Loopback(
+              longWindow, applianceWithResults(log), 1024, folder.resolve("n1.sock"), old)) {
         next.autoMs = 3;
         sites.add(next);
         next.awaitTaking();
@@ -219,11 +227,14 @@
     }
     assertTrue(killCopies.size() > 5, killCopies.size() + " copies");
     for (KillCopy killCopy : killCopies) {
-      try (WriteAheadLog journal = new WriteAheadLog(applianceWithResults(killCopy.copiedFolder()).durable())) {
+      try (WriteAheadLog journal =
+          new WriteAheadLog(applianceWithResults(killCopy.copiedFolder()).durable())) {
         ResultStore.RecoveredKeys recovered = journal.open(longWindow.window);
         Set<String> known = new HashSet<>();
         recovered.keys().forEach(key -> known.add(key.key().replaceFirst("2/0/", "")));
-        assertTrue(known.containsAll(killCopy.dispatched()), "executed but not on disk in " + killCopy.copiedFolder());
+        assertTrue(
+            known.containsAll(killCopy.dispatched()),
+            "executed but not on disk in " + killCopy.copiedFolder());
       }
     }
   }
@@ -255,7 +266,8 @@
           Caller after = next.new Caller()) {
         assertEquals("closing", before.reply().word());
         ask(after, 1, 11, "over", "a");
-        assertEquals("by the old", after.reply().body(), "read from the log received in the handover");
+        assertEquals(
+            "by the old", after.reply().body(), "read from the log received in the handover");
         old.finish(runs.ref(), "good", 1, "late");
         assertEquals("late", before.reply().body(), "answered once the new process has it on disk");
         // Read after the handover: the new process writes its intent.
--- a/src/test/java/wharftrestle/SilentPool.java
+++ b/src/test/java/wharftrestle/SilentPool.java
@@ -3,8 +3,8 @@
 import wharftrestle.request.WorkerPool;
 
 /**
- * A worker pool that accepts every command and sends nothing. Tests of the request coordinator alone
- * deliver the pool's notices themselves.
+ * A worker pool that accepts every command and sends nothing. Tests of the request coordinator
+ * alone deliver the pool's notices themselves.
  */
 public class SilentPool implements WorkerPool {
   @Override
--- a/src/test/java/wharftrestle/UpgradeTest.java
+++ b/src/test/java/wharftrestle/UpgradeTest.java
@@ -34,8 +34,10 @@
     return new Loopback(Sites.site(), appliance, 1024, folder.resolve("n1.sock"), null);
   }
 
-  private Loopback startSuccessor(Loopback predecessor, DaemonConfig.Appliance appliance) throws Exception {
-    Loopback successor = new Loopback(Sites.site(), appliance, 1024, folder.resolve("n1.sock"), predecessor);
+  private Loopback startSuccessor(Loopback predecessor, DaemonConfig.Appliance appliance)
+      throws Exception {
+    Loopback successor =
+        new Loopback(Sites.site(), appliance, 1024, folder.resolve("n1.sock"), predecessor);
     successor.awaitTaking();
     return successor;
   }
@@ -70,21 +72,27 @@
         assertEquals("closing", before.reply().word());
         assertTrue(predecessor.get("/_ready").startsWith("HTTP/1.1 503 "));
         after.ask(1, 11, System.currentTimeMillis(), "keyed", "over", "a");
-        assertEquals(new Reply("1", "done", "", "saved"), after.reply(), "completed before the handover: replayed");
+        assertEquals(
+            new Reply("1", "done", "", "saved"),
+            after.reply(),
+            "completed before the handover: replayed");
         after.ask(2, 12, System.currentTimeMillis(), "keyed", "over", "other");
         assertEquals("error", after.reply().word(), "the body was handed over with the key");
         // Waits for the predecessor's completion.
-        after.ask(
-            3, 13, System.currentTimeMillis(), "keyed", "runs", "b");
+        after.ask(3, 13, System.currentTimeMillis(), "keyed", "runs", "b");
         after.ask(4, 14, System.currentTimeMillis(), "keyed", "new", "c");
         assertEquals(
-            new Command("spawn", ref(14), "keyed", "c"), successor.command(), "and request 13 is not dispatched");
+            new Command("spawn", ref(14), "keyed", "c"),
+            successor.command(),
+            "and request 13 is not dispatched");
         // Read after the handover: waits for the successor's completion.
         before.ask(3, "keyed", "new", "c");
         // Read after the handover, no other attempt: the claim is granted.
         before.ask(4, "keyed", "late", "d");
         assertEquals(
-            new Command("spawn", ref(4), "keyed", "d"), predecessor.command(), "and request 3 is not dispatched");
+            new Command("spawn", ref(4), "keyed", "d"),
+            predecessor.command(),
+            "and request 3 is not dispatched");
         after.ask(5, 15, System.currentTimeMillis(), "keyed", "late", "d");
         successor.finish(ref(14), "good", 1, "by the new");
         assertEquals("4 by the new", tagAndBody(after.reply()));
@@ -101,7 +109,9 @@
         assertEquals("5 late", tagAndBody(after.reply()));
         before.close();
         shutdown.join();
-        assertTrue(predecessor.unhealthyReportCount() == 0 && successor.report().equals("renew n1 yes"), "the host stays in service");
+        assertTrue(
+            predecessor.unhealthyReportCount() == 0 && successor.report().equals("renew n1 yes"),
+            "the host stays in service");
         after.ask(6, 16, System.currentTimeMillis(), "keyed", "late", "d");
         assertEquals("6 late", tagAndBody(after.reply()));
         assertNull(successor.commands.poll());
@@ -113,7 +123,8 @@
   void thirdProcessTakesOverOnlyAfterTheFirstHasExited() throws Exception {
     try (Loopback predecessor = startPredecessor(NONE);
         Loopback successor = startSuccessor(predecessor, NONE);
-        Loopback third = new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), predecessor);
+        Loopback third =
+            new Loopback(Sites.site(), NONE, 1024, folder.resolve("n1.sock"), predecessor);
         Caller caller = successor.new Caller()) {
       caller.ask(1, "read", null, "x");
       successor.finish(successor.command().ref(), "good", 1, "fine");
@@ -130,8 +141,7 @@
     Path earlySocket = folder.resolve("early.sock");
     try (Loopback predecessor = startPredecessor(NONE)) {
       // Still the first process's socket after the second replaces the name.
-      Files.createLink(
-          earlySocket, folder.resolve("n1.sock"));
+      Files.createLink(earlySocket, folder.resolve("n1.sock"));
       try (Loopback successor = startSuccessor(predecessor, NONE);
           Loopback third = new Loopback(Sites.site(), NONE, 1024, earlySocket, predecessor);
           Caller caller = successor.new Caller()) {
@@ -163,7 +173,9 @@
       try (Loopback successor = startSuccessor(predecessor, NONE)) {
         assertEquals("closing", idle.reply().word());
         assertEquals(
-            -1, idle.socket.getInputStream().read(), "its descriptor belongs to the successor by now");
+            -1,
+            idle.socket.getInputStream().read(),
+            "its descriptor belongs to the successor by now");
         assertEquals("closing", waiting.reply().word());
         predecessor.finish(execution.ref(), "good", 1, "fine");
         assertEquals("fine", waiting.reply().body());
@@ -221,7 +233,9 @@
         assertEquals("fine", again.reply().body());
         again.ask(3, 23, System.currentTimeMillis(), "keyed", "other", "z");
         assertEquals(
-            new Command("spawn", ref(23), "keyed", "z"), predecessor.command(), "new keys are executed");
+            new Command("spawn", ref(23), "keyed", "z"),
+            predecessor.command(),
+            "new keys are executed");
       }
       // The next successor finds the predecessor.
       try (Loopback third = startSuccessor(predecessor, NONE)) {
@@ -233,7 +247,8 @@
   @Test
   void operatorAddressesInUseAreBoundAfterThePredecessorExits() throws Exception {
     try (Loopback predecessor =
-        startPredecessor(new DaemonConfig.Appliance(Loopback.any(), null, Loopback.any(), "x", 24))) {
+        startPredecessor(
+            new DaemonConfig.Appliance(Loopback.any(), null, Loopback.any(), "x", 24))) {
       InetSocketAddress agent = predecessor.life.snmpAddress();
       DaemonConfig.Appliance sameAddresses =
           new DaemonConfig.Appliance(predecessor.life.uwsgiAddress(), null, agent, "x", 24);
@@ -249,11 +264,14 @@
         assertTrue(Loopback.response(gateway).endsWith("fine"));
         BindException bindException = null;
         try {
-          new Lifecycle(successor.configWithHandoverSocket(folder.resolve("other.sock")), NONE).close();
+          new Lifecycle(successor.configWithHandoverSocket(folder.resolve("other.sock")), NONE)
+              .close();
         } catch (BindException e) {
           bindException = e;
         }
-        assertTrue(bindException != null, "a process with another handover socket cannot share the addresses");
+        assertTrue(
+            bindException != null,
+            "a process with another handover socket cannot share the addresses");
       }
     }
   }
