--- a/src/main/java/wharftrestle/simulation/ColdStartSimulation.java
+++ b/src/main/java/wharftrestle/simulation/ColdStartSimulation.java
@@ -7,106 +7,125 @@
 import wharftrestle.admission.AdmissionSettings;
 
 /**
- * Boxes that share nothing but a store, all of them started cold at once, each with the shipped
- * policy: cold ones call more, and the store is slow. It owns the play and what the store holds; it
- * must never look into a policy.
+ * Simulates hosts that share only a store and all start cold at once, each with the real admission
+ * controller. Cold hosts make more dependency calls, and the store is slow. Measures the calls in
+ * flight in the store, without the state of any controller.
  */
 public final class ColdStartSimulation {
 
   /**
-   * What came of a play.
+   * Result of a simulation.
    *
-   * @param worst most calls in the store's hands, in the mean of the time that the settings name
-   * @param bound what it survives: the shares of all boxes
-   * @param calls that were made
+   * @param worstMeanCalls largest mean number of calls in flight in the store over a quota window
+   * @param allowedCalls number of calls that the store survives: the sum of the quotas of all hosts
+   * @param calls number of calls made
    */
-  public record Result(double worst, double bound, long calls) {
+  public record Result(double worstMeanCalls, double allowedCalls, long calls) {
     public boolean holds() {
-      return worst <= bound;
+      return worstMeanCalls <= allowedCalls;
     }
   }
 
-  private static final double RATE = 12;
-  private static final double SECONDS = 25;
-  private static final double LOOK = 0.05;
+  private static final double REQUESTS_PER_SECOND = 12;
+  private static final double DURATION_SECONDS = 25;
+  private static final double SAMPLE_SECONDS = 0.05;
 
-  /** Calls in the store's hands that each box is allowed: under what its load would hold there. */
-  private static final double SHARE = 3;
+  /** Dependency call quota of each host, below the number that its load would have in flight. */
+  private static final double CALLS_PER_HOST = 3;
 
-  /** The store is so much slower than usual: a call takes 0.5 s in the mean. */
-  private static final double SLOW = 25;
+  /** Slowdown of the store: a call takes 0.5 s on average. */
+  private static final double STORE_SLOWDOWN = 25;
 
   private ColdStartSimulation() {}
 
   /**
-   * Plays so many boxes.
+   * Runs a simulation.
    *
-   * @param alone each of them is told the share of all, as if it were the only one: what must not
-   *     hold
+   * @param eachTakesWholeQuota whether each host uses the quota of all hosts, as if it were the
+   *     only one, with which the result must not hold
    */
-  public static Result play(int boxes, boolean alone, long seed) {
+  public static Result play(int hosts, boolean eachTakesWholeQuota, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    EventQueue agenda = new EventQueue();
-    SimulatedStore store = new SimulatedStore(agenda);
-    store.slow(SLOW);
-    SimulatedFleet.Site site = new SimulatedFleet.Site(boxes, 1, RATE, 0.85, 0, 0);
-    AdmissionSettings settings = SimulatedFleet.settings(site, alone ? SHARE * boxes : SHARE, true);
-    double unit = site.load() * settings.capacity().cores() / site.rate();
-    List<SimulatedHost> all = new ArrayList<>();
-    for (int i = 0; i < boxes; i++) {
-      SimulatedHost box =
+    EventQueue eventQueue = new EventQueue();
+    SimulatedStore store = new SimulatedStore(eventQueue);
+    store.setSlowdown(STORE_SLOWDOWN);
+    SimulatedFleet.Site site = new SimulatedFleet.Site(hosts, 1, REQUESTS_PER_SECOND, 0.85, 0, 0);
+    AdmissionSettings settings =
+        SimulatedFleet.settings(
+            site, eachTakesWholeQuota ? CALLS_PER_HOST * hosts : CALLS_PER_HOST, true);
+    double meanWorkSeconds =
+        site.utilization() * settings.capacity().cores() / site.requestsPerSecond();
+    List<SimulatedHost> hostList = new ArrayList<>();
+    for (int i = 0; i < hosts; i++) {
+      SimulatedHost host =
           new SimulatedHost(
               "b" + i,
               "z",
-              agenda,
+              eventQueue,
               settings,
               store,
               0.92 + 0.16 * random.nextDouble(),
               random.nextLong());
-      box.start(SimulatedHost.Flaw.none(settings.classes().size()), false);
-      all.add(box);
-      ask(box, agenda, random.split(), settings.classes().size(), unit);
+      host.start(SimulatedHost.Defects.none(settings.classes().size()), false);
+      hostList.add(host);
+      scheduleRequest(host, eventQueue, random.split(), settings.classes().size(), meanWorkSeconds);
     }
-    ArrayDeque<Integer> span = new ArrayDeque<>();
-    double[] worst = {0};
-    look(
-        agenda, store, span, (int) Math.round(settings.calls().quotaWindowSeconds() / LOOK), worst);
-    agenda.runTo(SECONDS);
+    ArrayDeque<Integer> samples = new ArrayDeque<>();
+    double[] worstMeanCalls = {0};
+    scheduleSample(
+        eventQueue,
+        store,
+        samples,
+        (int) Math.round(settings.calls().quotaWindowSeconds() / SAMPLE_SECONDS),
+        worstMeanCalls);
+    eventQueue.runTo(DURATION_SECONDS);
     return new Result(
-        worst[0], SHARE * boxes, all.stream().mapToLong(each -> each.tally().calls).sum());
+        worstMeanCalls[0],
+        CALLS_PER_HOST * hosts,
+        hostList.stream().mapToLong(each -> each.tally().calls).sum());
   }
 
   /**
-   * Its callers ask on, whatever it says: the half that heeds nobody. Each request calls once, as
-   * cold ones call more.
+   * Clients keep sending whatever the host replies: this models the half of the clients that ignore
+   * refusals. Each request makes one call, since cold hosts call more.
    */
-  private static void ask(
-      SimulatedHost box, EventQueue agenda, SplittableRandom random, int classes, double unit) {
-    agenda.at(
-        agenda.now() - Math.log(1 - random.nextDouble()) / RATE,
+  private static void scheduleRequest(
+      SimulatedHost host,
+      EventQueue eventQueue,
+      SplittableRandom random,
+      int classes,
+      double meanWorkSeconds) {
+    eventQueue.schedule(
+        eventQueue.now() - Math.log(1 - random.nextDouble()) / REQUESTS_PER_SECOND,
         now -> {
-          box.ask(
+          host.send(
               random.nextInt(classes),
-              unit * (0.4 + 1.2 * random.nextDouble()),
+              meanWorkSeconds * (0.4 + 1.2 * random.nextDouble()),
               0.5,
-              (then, outcome, again) -> {});
-          ask(box, agenda, random, classes, unit);
+              (replyTime, outcome, retryAfter) -> {});
+          scheduleRequest(host, eventQueue, random, classes, meanWorkSeconds);
         });
   }
 
-  private static void look(
-      EventQueue agenda, SimulatedStore store, ArrayDeque<Integer> span, int most, double[] worst) {
-    agenda.at(
-        agenda.now() + LOOK,
+  private static void scheduleSample(
+      EventQueue eventQueue,
+      SimulatedStore store,
+      ArrayDeque<Integer> samples,
+      int maxSamples,
+      double[] worstMeanCalls) {
+    eventQueue.schedule(
+        eventQueue.now() + SAMPLE_SECONDS,
         now -> {
-          span.add(store.inHand());
-          if (span.size() > most) {
-            span.remove();
+          samples.add(store.inFlight());
+          if (samples.size() > maxSamples) {
+            samples.remove();
           }
-          if (span.size() == most) {
-            worst[0] = Math.max(worst[0], span.stream().mapToInt(each -> each).average().orElse(0));
+          if (samples.size() == maxSamples) {
+            worstMeanCalls[0] =
+                Math.max(
+                    worstMeanCalls[0], samples.stream().mapToInt(each -> each).average().orElse(0));
           }
-          look(agenda, store, span, most, worst);
+          scheduleSample(eventQueue, store, samples, maxSamples, worstMeanCalls);
         });
   }
 }
--- a/src/main/java/wharftrestle/simulation/ColdTrafficSimulation.java
+++ b/src/main/java/wharftrestle/simulation/ColdTrafficSimulation.java
@@ -7,204 +7,215 @@
 import wharftrestle.admission.AdmissionSettings;
 
 /**
- * Boxes that start cold together, and callers that share nothing: what reaches a box is the sum of
- * what all of them send. It owns the play and looks at two things over the time that the settings
- * name: what reaches a cold box, which is the callers', and what that box lets onto its cores,
- * which is its own. It must never look into a policy.
+ * Simulates hosts that start cold together, and client processes that share no state: the traffic
+ * of a host is the sum of what all of them send. Measures two figures over the concurrency window:
+ * the requests that reach a cold host, which the clients decide, and the executions on its cores,
+ * which the host decides. The state of the admission controllers is not used.
  */
 public final class ColdTrafficSimulation {
 
   /**
-   * What came of a play, each against its bound: 1 is the bound.
+   * Result of a simulation; both figures relative to their bounds, so 1 is the bound.
    *
-   * @param reached most requests that reached a cold box, against N + 2 root of N + 2, N being what
-   *     its share of speed does in that time
-   * @param crowd most requests on the cores of a cold box, in the mean of that time, against what
-   *     it survives
+   * @param trafficRatio most requests that reached a cold host in a window, relative to N + 2
+   *     sqrt(N) + 2, where N is what it can serve at its reduced speed in that window
+   * @param contentionRatio largest mean number of executions on the cores of a cold host over a
+   *     window, relative to what it survives
    */
-  public record Result(double reached, double crowd) {}
+  public record Result(double trafficRatio, double contentionRatio) {}
 
-  /** How the boxes take what comes. */
+  /** How the hosts admit requests. */
   public enum Start {
-    /** With the shipped policy. */
+    /** With the real admission controller. */
     COLD,
-    /** All that comes is run at once, as by one that never meets a crowd. */
+    /** Dispatches all requests at once, without admission control. */
     OPEN
   }
 
-  /** What callers do about a cold box. */
+  /** How clients treat a cold host. */
   public enum Ramp {
-    /** They send it what they send a warm one. */
+    /** They send it as much as a warm one. */
     NONE,
-    /** Each passes it by, by chance, for the part of its speed that it lacks. */
+    /** Each skips it with a probability equal to the missing part of its speed. */
     SHARE,
-    /** Each sends as much as the box can do, as if it were the only one. */
+    /** Each sends as much as the host can serve, as if it were the only client. */
     EACH_ALONE
   }
 
   /**
-   * Who calls.
+   * The clients.
    *
-   * @param many processes of theirs
-   * @param deaf part of requests of callers that follow no ramp
+   * @param processes number of client processes
+   * @param ignoringShare part of requests from clients that follow no ramp
    */
-  public record Callers(int many, Ramp ramp, double deaf) {}
+  public record Clients(int processes, Ramp ramp, double ignoringShare) {}
 
-  private static final double RATE = 12;
-  private static final double LOAD = 0.85;
-  private static final double LOOK = 0.05;
+  private static final double REQUESTS_PER_SECOND = 12;
+  private static final double UTILIZATION = 0.85;
+  private static final double SAMPLE_SECONDS = 0.05;
 
-  /** Calls in the store's hands that a box may have: the store is not what is played. */
-  private static final double ROOM_FOR_CALLS = 64;
+  /** Dependency call quota of a host that is large enough not to matter. */
+  private static final double AMPLE_CALL_QUOTA = 64;
 
-  /** One box, and what was seen of it over the last span. */
-  private static final class Watched {
-    private final SimulatedHost box;
-    private final ArrayDeque<double[]> span =
-        new ArrayDeque<>(); // asked so far, on the cores, share of its speed
-    private double reached;
-    private double crowd;
+  /** One host and its samples over the last window. */
+  private static final class MonitoredHost {
+    private final SimulatedHost host;
+    private final ArrayDeque<double[]> samples =
+        new ArrayDeque<>(); // requests received so far, executions, allowed speed fraction
+    private double trafficRatio;
+    private double contentionRatio;
 
-    Watched(SimulatedHost box) {
-      this.box = box;
+    MonitoredHost(SimulatedHost host) {
+      this.host = host;
     }
 
-    private long asked() {
-      long all = 0;
-      for (long each : box.tally().asked) {
-        all += each;
+    private long received() {
+      long total = 0;
+      for (long count : host.tally().received) {
+        total += count;
       }
-      return all;
+      return total;
     }
 
-    void look(AdmissionSettings settings, double share, int most) {
-      span.add(new double[] {asked(), box.running(), share});
-      if (span.size() <= most) {
+    void sample(AdmissionSettings settings, double allowedSpeedFraction, int maxSamples) {
+      samples.add(new double[] {received(), host.running(), allowedSpeedFraction});
+      if (samples.size() <= maxSamples) {
         return;
       }
-      double came = span.peekLast()[0] - span.poll()[0];
-      double shares = span.stream().mapToDouble(each -> each[2]).average().orElse(1);
-      double budget = RATE / LOAD * settings.capacity().concurrencyWindowSeconds() * shares;
-      reached = Math.max(reached, came / (budget + 2 * Math.sqrt(budget) + 2));
-      crowd =
+      double arrivals = samples.peekLast()[0] - samples.poll()[0];
+      double meanShare = samples.stream().mapToDouble(each -> each[2]).average().orElse(1);
+      double budget =
+          REQUESTS_PER_SECOND
+              / UTILIZATION
+              * settings.capacity().concurrencyWindowSeconds()
+              * meanShare;
+      trafficRatio = Math.max(trafficRatio, arrivals / (budget + 2 * Math.sqrt(budget) + 2));
+      contentionRatio =
           Math.max(
-              crowd,
-              span.stream().mapToDouble(each -> each[1]).average().orElse(0)
+              contentionRatio,
+              samples.stream().mapToDouble(each -> each[1]).average().orElse(0)
                   / (settings.capacity().cores()
-                      * (1 + (settings.capacity().survivableConcurrencyPerCore() - 1) * shares)));
+                      * (1
+                          + (settings.capacity().survivableConcurrencyPerCore() - 1) * meanShare)));
     }
   }
 
   private ColdTrafficSimulation() {}
 
-  /**
-   * Plays so many boxes that start cold at once, each with a stream of requests from all callers.
-   */
-  public static Result play(int boxes, Callers callers, Start start, long seed) {
+  /** Simulates hosts that start cold at once, each with a stream of requests from all clients. */
+  public static Result play(int hosts, Clients clients, Start start, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    EventQueue agenda = new EventQueue();
-    SimulatedStore store = new SimulatedStore(agenda);
-    SimulatedFleet.Site site = new SimulatedFleet.Site(boxes, 1, RATE, LOAD, 0, 0);
-    AdmissionSettings settings = SimulatedFleet.settings(site, ROOM_FOR_CALLS, true);
-    double unit = LOAD * settings.capacity().cores() / RATE;
-    List<Watched> all = new ArrayList<>();
-    for (int i = 0; i < boxes; i++) {
-      SimulatedHost box =
+    EventQueue eventQueue = new EventQueue();
+    SimulatedStore store = new SimulatedStore(eventQueue);
+    SimulatedFleet.Site site =
+        new SimulatedFleet.Site(hosts, 1, REQUESTS_PER_SECOND, UTILIZATION, 0, 0);
+    AdmissionSettings settings = SimulatedFleet.settings(site, AMPLE_CALL_QUOTA, true);
+    double meanWorkSeconds = UTILIZATION * settings.capacity().cores() / REQUESTS_PER_SECOND;
+    List<MonitoredHost> monitoredHosts = new ArrayList<>();
+    for (int i = 0; i < hosts; i++) {
+      SimulatedHost host =
           new SimulatedHost(
               "b" + i,
               "z",
-              agenda,
+              eventQueue,
               settings,
               store,
               0.92 + 0.16 * random.nextDouble(),
               random.nextLong());
-      box.start(SimulatedHost.Flaw.none(settings.classes().size()), false);
-      box.open(start == Start.OPEN);
-      all.add(new Watched(box));
-      arrive(box, new Sent(callers), agenda, settings, random.split(), unit);
+      host.start(SimulatedHost.Defects.none(settings.classes().size()), false);
+      host.setUncontrolled(start == Start.OPEN);
+      monitoredHosts.add(new MonitoredHost(host));
+      scheduleArrival(
+          host, new ClientHistory(clients), eventQueue, settings, random.split(), meanWorkSeconds);
     }
-    look(all, agenda, settings);
-    agenda.runTo(settings.warmUp().seconds() + settings.capacity().concurrencyWindowSeconds());
+    scheduleSample(monitoredHosts, eventQueue, settings);
+    eventQueue.runTo(settings.warmUp().seconds() + settings.capacity().concurrencyWindowSeconds());
     return new Result(
-        all.stream().mapToDouble(each -> each.reached).max().orElse(0),
-        all.stream().mapToDouble(each -> each.crowd).max().orElse(0));
+        monitoredHosts.stream().mapToDouble(each -> each.trafficRatio).max().orElse(0),
+        monitoredHosts.stream().mapToDouble(each -> each.contentionRatio).max().orElse(0));
   }
 
-  /** What the settings allow a box now, as a part of its speed. */
-  private static double share(AdmissionSettings settings, double now) {
+  /** Part of the full speed that the warm-up settings allow a host now. */
+  private static double allowedSpeedFraction(AdmissionSettings settings, double now) {
     return Math.min(
         1,
         settings.warmUp().coldSpeedFraction()
             + (1 - settings.warmUp().coldSpeedFraction()) * now / settings.warmUp().seconds());
   }
 
-  /** What each caller has sent one box of late. */
-  private static final class Sent {
-    private final Callers callers;
+  /** Times of the requests that each client recently sent to one host. */
+  private static final class ClientHistory {
+    private final Clients clients;
     private final List<ArrayDeque<Double>> times = new ArrayList<>();
 
-    Sent(Callers callers) {
-      this.callers = callers;
-      for (int i = 0; i < callers.many(); i++) {
+    ClientHistory(Clients clients) {
+      this.clients = clients;
+      for (int i = 0; i < clients.processes(); i++) {
         times.add(new ArrayDeque<>());
       }
     }
 
-    /** True where a caller that has a request for this box sends it there. */
-    boolean sends(double now, AdmissionSettings settings, SplittableRandom random) {
-      ArrayDeque<Double> mine = times.get(random.nextInt(callers.many()));
-      if (callers.ramp() == Ramp.NONE || random.nextDouble() < callers.deaf()) {
+    /** Whether a client with a request for this host sends it there. */
+    boolean shouldSend(double now, AdmissionSettings settings, SplittableRandom random) {
+      ArrayDeque<Double> recent = times.get(random.nextInt(clients.processes()));
+      if (clients.ramp() == Ramp.NONE || random.nextDouble() < clients.ignoringShare()) {
         return true;
       }
-      if (callers.ramp() == Ramp.SHARE) {
-        return random.nextDouble() < share(settings, now);
+      if (clients.ramp() == Ramp.SHARE) {
+        return random.nextDouble() < allowedSpeedFraction(settings, now);
       }
-      while (!mine.isEmpty()
-          && mine.peek() < now - settings.capacity().concurrencyWindowSeconds()) {
-        mine.remove();
+      while (!recent.isEmpty()
+          && recent.peek() < now - settings.capacity().concurrencyWindowSeconds()) {
+        recent.remove();
       }
       boolean fits =
-          mine.size()
-              < share(settings, now) * settings.capacity().concurrencyWindowSeconds() * RATE / LOAD;
+          recent.size()
+              < allowedSpeedFraction(settings, now)
+                  * settings.capacity().concurrencyWindowSeconds()
+                  * REQUESTS_PER_SECOND
+                  / UTILIZATION;
       if (fits) {
-        mine.add(now);
+        recent.add(now);
       }
       return fits;
     }
   }
 
-  private static void arrive(
-      SimulatedHost box,
-      Sent sent,
-      EventQueue agenda,
+  private static void scheduleArrival(
+      SimulatedHost host,
+      ClientHistory history,
+      EventQueue eventQueue,
       AdmissionSettings settings,
       SplittableRandom random,
-      double unit) {
-    agenda.at(
-        agenda.now() - Math.log(1 - random.nextDouble()) / RATE,
+      double meanWorkSeconds) {
+    eventQueue.schedule(
+        eventQueue.now() - Math.log(1 - random.nextDouble()) / REQUESTS_PER_SECOND,
         now -> {
-          if (sent.sends(now, settings, random)) {
-            box.ask(
+          if (history.shouldSend(now, settings, random)) {
+            host.send(
                 random.nextInt(settings.classes().size()),
-                unit * (0.4 + 1.2 * random.nextDouble()),
+                meanWorkSeconds * (0.4 + 1.2 * random.nextDouble()),
                 0,
-                (then, outcome, again) -> {});
+                (replyTime, outcome, retryAfter) -> {});
           }
-          arrive(box, sent, agenda, settings, random, unit);
+          scheduleArrival(host, history, eventQueue, settings, random, meanWorkSeconds);
         });
   }
 
-  private static void look(List<Watched> all, EventQueue agenda, AdmissionSettings settings) {
-    agenda.at(
-        agenda.now() + LOOK,
+  private static void scheduleSample(
+      List<MonitoredHost> monitoredHosts, EventQueue eventQueue, AdmissionSettings settings) {
+    eventQueue.schedule(
+        eventQueue.now() + SAMPLE_SECONDS,
         now -> {
-          all.forEach(
+          monitoredHosts.forEach(
               each ->
-                  each.look(
+                  each.sample(
                       settings,
-                      share(settings, now),
-                      (int) Math.round(settings.capacity().concurrencyWindowSeconds() / LOOK)));
-          look(all, agenda, settings);
+                      allowedSpeedFraction(settings, now),
+                      (int)
+                          Math.round(
+                              settings.capacity().concurrencyWindowSeconds() / SAMPLE_SECONDS)));
+          scheduleSample(monitoredHosts, eventQueue, settings);
         });
   }
 }
--- a/src/main/java/wharftrestle/simulation/EventQueue.java
+++ b/src/main/java/wharftrestle/simulation/EventQueue.java
@@ -3,43 +3,44 @@
 import java.util.PriorityQueue;
 
 /**
- * What happens when, in virtual time. Of two things at one moment the one that was put down first
- * goes first.
+ * Event queue of a simulation in virtual time. Events of the same time run in the order in which
+ * they were scheduled. Not thread-safe.
  */
 final class EventQueue {
 
-  /** One thing that happens. */
-  interface Happening {
-    void at(double now);
+  /** An action at a time. */
+  interface Event {
+    void run(double now);
   }
 
-  private record Due(double at, long order, Happening what) implements Comparable<Due> {
+  private record ScheduledEvent(double time, long sequence, Event event)
+      implements Comparable<ScheduledEvent> {
     @Override
-    public int compareTo(Due other) {
-      int first = Double.compare(at, other.at);
-      return first != 0 ? first : Long.compare(order, other.order);
+    public int compareTo(ScheduledEvent other) {
+      int byTime = Double.compare(time, other.time);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
   }
 
-  private final PriorityQueue<Due> dues = new PriorityQueue<>();
-  private long order;
+  private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>();
+  private long nextSequence;
   private double now;
 
   double now() {
     return now;
   }
 
-  void at(double when, Happening what) {
-    dues.add(new Due(Math.max(now, when), order++, what));
+  void schedule(double time, Event event) {
+    events.add(new ScheduledEvent(Math.max(now, time), nextSequence++, event));
   }
 
-  /** Goes on until that moment. */
-  void runTo(double until) {
-    while (!dues.isEmpty() && dues.peek().at <= until) {
-      Due due = dues.poll();
-      now = due.at;
-      due.what.at(now);
+  /** Runs all events up to that time, inclusive. */
+  void runTo(double endTime) {
+    while (!events.isEmpty() && events.peek().time <= endTime) {
+      ScheduledEvent next = events.poll();
+      now = next.time;
+      next.event.run(now);
     }
-    now = until;
+    now = endTime;
   }
 }
--- a/src/main/java/wharftrestle/simulation/RolloutSimulation.java
+++ b/src/main/java/wharftrestle/simulation/RolloutSimulation.java
@@ -16,120 +16,122 @@
 import wharftrestle.rollout.RolloutPlan;
 
 /**
- * One rolling change in virtual time: the shipped roll, judge and policy over a made-up fleet. The
- * truth is known here: whether the new release does worse, and what else goes wrong meanwhile.
+ * Simulates one rollout with the real rollout logic, canary analysis and admission control on a
+ * simulated fleet. Whether the new release is worse, and which fault occurs meanwhile, is known, so
+ * the verdict can be checked.
  */
 public final class RolloutSimulation {
 
-  /** What the new release is. */
+  /** The new release. */
   public enum Release {
-    /** No worse. */
+    /** Not worse than the old release. */
     GOOD,
-    /** Fails three of a hundred requests, of every class. */
+    /** Fails 3% of requests of every class. */
     LOSES_3,
-    /** Fails five, and ten. */
+    /** Fails 5%, and 10%. */
     LOSES_5,
     LOSES_10,
-    /** Fails three in ten of the dearest class alone. */
+    /** Fails 30% of the class with the largest weight. */
     FAILS_A_CLASS,
-    /** Loses two of a hundred of the dearest class, and takes a tenth less work. */
+    /** Fails 2% of the class with the largest weight, and needs 10% less work. */
     MIXED,
-    /** Needs half as much work again. */
+    /** Needs 50% more work. */
     SLOWER,
-    /** Turns a tenth away. */
+    /** Refuses 10% of requests. */
     REFUSES,
-    /** Loses ten of a hundred, from two minutes after its start on. */
+    /** Fails 10%, from two minutes after its start. */
     LATE_FAULT,
     /**
-     * Loses ten of a hundred once more than half of the boxes have it; its plan has a stage just
-     * beyond that.
+     * Fails 10% once more than half of the hosts have it; its plan has a stage just beyond that.
      */
     OVER_HALF,
-    /** Dies nine seconds after each start. */
+    /** Crashes nine seconds after each start. */
     CRASHES,
-    /** Grows by 20 MB a minute. */
+    /** Leaks 20 MB a minute. */
     LEAKS
   }
 
-  /** What else happens, while the first stage is watched. */
+  /** A fault that is not caused by the release, during the first stage. */
   public enum Trouble {
     NONE,
-    /** The first box has a machine three tenths slower than the others. */
+    /** The machine of the first host is 30% slower throughout. */
     SLOW_MACHINE,
-    /** The first box's machine becomes slower for a minute. */
+    /** The machine of the first host is slower for a minute. */
     SLOWED,
-    /** A zone is lost for 20 s, and its boxes come back cold. */
+    /** A zone is unreachable for 20 s, and its hosts restart cold. */
     ZONE_LOST,
-    /** The store takes five times as long for a minute. */
+    /** The store is five times slower for a minute. */
     STORE_SLOW,
-    /** Three tenths more requests for 40 s. */
+    /** 30% more requests for 40 s. */
     BURST,
-    /** Callers prefer boxes with room, and so the new ones as they come up idle. */
+    /** Clients prefer less loaded hosts, and so restarted ones, which are idle at first. */
     SHIFT,
-    /** All who are turned away go on to another box. */
+    /** All refused requests are retried on another host. */
     RETRIES,
-    /** Half of the fleet comes back cold, with the old release. */
+    /** Half of the fleet restarts cold with the old release. */
     HALF_COLD
   }
 
-  /** How it is judged. */
+  /** How the new release is compared with the old one. */
   public enum Judging {
-    /** As the program does. */
+    /** The canary analysis of the daemon: sequential. */
     SEQUENTIAL,
-    /** Means of new and old since the stage began, against a fixed bound at the end of the hold. */
+    /**
+     * Difference of the means since the stage began, against a fixed bound at the end of the hold.
+     */
     PLAIN
   }
 
   /**
-   * How it ended.
+   * Result of a simulation.
    *
-   * @param most boxes that had the new release at once
-   * @param verdictAt seconds after the first box had it, at which it was stopped; negative for
+   * @param most largest number of hosts that had the new release at once
+   * @param verdictAt seconds from the first host with the new release to the rollback; negative for
    *     never
    */
   public record Result(
       Rollout.State state, String why, int most, double verdictAt, double minutes) {
-    /** True where the change was stopped as worse. */
+    /** Whether the rollout was stopped because the new release is worse. */
     public boolean stopped() {
       return why.matches("stage [0-9]+ does worse: .*");
     }
   }
 
-  private static final double WINDOW = 10;
-  private static final double BEFORE = 300;
-  private static final double MOST = 3 * 3600;
-  private static final double CHANGE_S = 2;
-  private static final double WARM = 25;
+  private static final double WINDOW_SECONDS = 10;
+  private static final double BASELINE_SECONDS = 300;
+  private static final double MAX_SECONDS = 3 * 3600;
+  private static final double CHANGE_SECONDS = 2;
+  private static final double WARM_UP_SECONDS = 25;
 
-  /** Of the plain comparison: half way between nothing and a loss of 3%. */
-  private static final double PLAIN_BOUND = 0.015;
+  /** Bound of the plain comparison: half way between no loss and a loss of 3%. */
+  private static final double PLAIN_LOSS_BOUND = 0.015;
 
-  private static final double NOT_YET = 1e9;
-  private static final String OLD = "old";
-  private static final String NEW = "new";
+  private static final double NEVER_SECONDS = 1e9;
+  private static final String OLD_RELEASE = "old";
+  private static final String NEW_RELEASE = "new";
 
   private final SimulatedFleet fleet;
   private final RolloutPlan plan;
   private final Release release;
   private final Trouble trouble;
   private final Judging judging;
-  private final Map<String, String> acts = new HashMap<>();
-  private final Map<String, String> target = new HashMap<>();
-  private final Map<String, Integer> attempt = new HashMap<>();
-  private final Map<String, String> failed = new HashMap<>();
+  private final Map<String, String> activeReleases = new HashMap<>();
+  private final Map<String, String> targetReleases = new HashMap<>();
+  private final Map<String, Integer> attempts = new HashMap<>();
+  private final Map<String, String> failureReasons = new HashMap<>();
   private final Map<String, Double> changingUntil = new HashMap<>();
   private final Map<String, Double> changedAt = new HashMap<>();
-  private final Map<String, Integer> seenProcess = new HashMap<>();
-  private final Map<String, double[]> before = new HashMap<>();
-  private final Map<String, Double> processAt = new HashMap<>();
+  private final Map<String, Integer> previousGenerations = new HashMap<>();
+  private final Map<String, double[]> previousCounts = new HashMap<>();
+  private final Map<String, Double> generationSeenAt = new HashMap<>();
   private final SplittableRandom random;
   private double plainLoss;
   private long plainWindows;
-  private CanaryAnalysis judge;
-  private Rollout roll;
-  private double firstNew = -1;
-  private double troubledAt = -1;
-  private int most;
+  private CanaryAnalysis analysis;
+  private Rollout rollout;
+  private double firstNewAt = -1;
+  private double troubleStartedAt = -1;
+  private int maxNewHosts;
 
   private RolloutSimulation(Release release, Trouble trouble, Judging judging, long seed) {
     this.release = release;
@@ -140,20 +142,20 @@
     fleet =
         new SimulatedFleet(
             new SimulatedFleet.Site(
-                usual.boxes(),
+                usual.hosts(),
                 usual.zones(),
-                usual.rate(),
-                usual.load(),
-                trouble == Trouble.RETRIES ? 1 : usual.retry(),
+                usual.requestsPerSecond(),
+                usual.utilization(),
+                trouble == Trouble.RETRIES ? 1 : usual.retryProbability(),
                 trouble == Trouble.SHIFT ? 0.7 : 0),
             seed);
     Map<CanaryMetric, Double> limits = new LinkedHashMap<>();
     for (CanaryMetric measure : CanaryMetric.values()) {
       limits.put(measure, measure.defaultLimit());
     }
-    List<RolloutPlan.Host> boxes =
-        fleet.boxes.stream()
-            .map(box -> new RolloutPlan.Host(box.name, box.zone, "", List.of()))
+    List<RolloutPlan.Host> hosts =
+        fleet.hosts.stream()
+            .map(host -> new RolloutPlan.Host(host.name, host.zone, "", List.of()))
             .toList();
     List<RolloutPlan.Stage> stages =
         new ArrayList<>(
@@ -166,181 +168,188 @@
     }
     plan =
         new RolloutPlan(
-            NEW,
-            boxes,
+            NEW_RELEASE,
+            hosts,
             stages,
-            new CanaryCriteria(limits, 0.05, WARM),
+            new CanaryCriteria(limits, 0.05, WARM_UP_SECONDS),
             2,
             2,
             1800,
             RolloutPlan.UnreachablePolicy.HOLD,
             RolloutPlan.RegressionPolicy.ROLL_BACK);
-    boxes.forEach(box -> acts.put(box.name(), OLD));
+    hosts.forEach(host -> activeReleases.put(host.name(), OLD_RELEASE));
   }
 
-  /** Plays one change to its end. */
+  /** Simulates one rollout to its end. */
   public static Result play(Release release, Trouble trouble, Judging judging, long seed) {
     return new RolloutSimulation(release, trouble, judging, seed).play();
   }
 
-  private SimulatedHost.Flaw flaw(String of) {
+  private SimulatedHost.Defects defects(String releaseName) {
     int classes = fleet.settings.classes().size();
-    double[] fails = new double[classes];
-    SimulatedHost.Flaw none = SimulatedHost.Flaw.none(classes);
-    if (of.equals(OLD)) {
+    double[] failureProbabilities = new double[classes];
+    SimulatedHost.Defects none = SimulatedHost.Defects.none(classes);
+    if (releaseName.equals(OLD_RELEASE)) {
       return none;
     }
     switch (release) {
-      case LOSES_3 -> Arrays.fill(fails, 0.03);
-      case LOSES_5 -> Arrays.fill(fails, 0.05);
-      case LOSES_10, LATE_FAULT, OVER_HALF -> Arrays.fill(fails, 0.1);
-      case FAILS_A_CLASS -> fails[classes - 1] = 0.3;
-      case MIXED -> fails[classes - 1] = 0.02;
+      case LOSES_3 -> Arrays.fill(failureProbabilities, 0.03);
+      case LOSES_5 -> Arrays.fill(failureProbabilities, 0.05);
+      case LOSES_10, LATE_FAULT, OVER_HALF -> Arrays.fill(failureProbabilities, 0.1);
+      case FAILS_A_CLASS -> failureProbabilities[classes - 1] = 0.3;
+      case MIXED -> failureProbabilities[classes - 1] = 0.02;
       default -> {}
     }
     return switch (release) {
       case GOOD -> none;
-      case MIXED -> new SimulatedHost.Flaw(-0.1, fails, 0, 0, 0, 0);
-      case SLOWER -> new SimulatedHost.Flaw(0.5, fails, 0, 0, 0, 0);
-      case REFUSES -> new SimulatedHost.Flaw(0, fails, 0.1, 0, 0, 0);
-      case LATE_FAULT -> new SimulatedHost.Flaw(0, fails, 0, 0, 0, 120);
-      case OVER_HALF -> new SimulatedHost.Flaw(0, fails, 0, 0, 0, NOT_YET);
-      case CRASHES -> new SimulatedHost.Flaw(0, fails, 0, 9, 0, 0);
-      case LEAKS -> new SimulatedHost.Flaw(0, fails, 0, 0, 20, 0);
-      default -> new SimulatedHost.Flaw(0, fails, 0, 0, 0, 0);
+      case MIXED -> new SimulatedHost.Defects(-0.1, failureProbabilities, 0, 0, 0, 0);
+      case SLOWER -> new SimulatedHost.Defects(0.5, failureProbabilities, 0, 0, 0, 0);
+      case REFUSES -> new SimulatedHost.Defects(0, failureProbabilities, 0.1, 0, 0, 0);
+      case LATE_FAULT -> new SimulatedHost.Defects(0, failureProbabilities, 0, 0, 0, 120);
+      case OVER_HALF -> new SimulatedHost.Defects(0, failureProbabilities, 0, 0, 0, NEVER_SECONDS);
+      case CRASHES -> new SimulatedHost.Defects(0, failureProbabilities, 0, 9, 0, 0);
+      case LEAKS -> new SimulatedHost.Defects(0, failureProbabilities, 0, 0, 20, 0);
+      default -> new SimulatedHost.Defects(0, failureProbabilities, 0, 0, 0, 0);
     };
   }
 
   private Result play() {
-    judge =
+    analysis =
         new CanaryAnalysis(
             plan.criteria().limits(),
             fleet.settings.classes().stream().map(Admission.RequestClass::name).toList(),
             plan.stages().size(),
             plan.criteria().errorProbability());
     if (trouble == Trouble.SLOW_MACHINE) {
-      fleet.boxes.get(0).slow(0.7);
+      fleet.hosts.get(0).setSpeedFactor(0.7);
     }
     double now = 0;
     double windowAt = 0;
     double verdictAt = -1;
-    while (now < MOST
-        && (roll == null || (!roll.state().isFinal() && roll.state() != Rollout.State.HELD))) {
+    while (now < MAX_SECONDS
+        && (rollout == null
+            || (!rollout.state().isFinal() && rollout.state() != Rollout.State.HELD))) {
       now += 1;
-      fleet.agenda.runTo(now);
-      keepers(now);
-      if (now - windowAt >= WINDOW) {
+      fleet.eventQueue.runTo(now);
+      runSupervisors(now);
+      if (now - windowAt >= WINDOW_SECONDS) {
         windowAt = now;
-        window(now);
+        addWindow(now);
       }
-      if (now >= BEFORE) {
-        if (roll == null) {
-          roll = new Rollout(plan, now);
+      if (now >= BASELINE_SECONDS) {
+        if (rollout == null) {
+          rollout = new Rollout(plan, now);
         }
-        trouble(now);
-        carryOut(roll.tick(shows(), verdict(now), true, now), now);
+        injectTrouble(now);
+        apply(rollout.tick(reportedStates(), verdict(now), true, now), now);
       }
-      long have = acts.values().stream().filter(NEW::equals).count();
-      if (release == Release.OVER_HALF && have * 2 > fleet.boxes.size()) {
-        fleet.boxes.stream()
-            .filter(box -> acts.get(box.name).equals(NEW))
-            .forEach(SimulatedHost::show);
+      long have = activeReleases.values().stream().filter(NEW_RELEASE::equals).count();
+      if (release == Release.OVER_HALF && have * 2 > fleet.hosts.size()) {
+        fleet.hosts.stream()
+            .filter(host -> activeReleases.get(host.name).equals(NEW_RELEASE))
+            .forEach(SimulatedHost::showDefects);
       }
-      most = Math.max(most, (int) acts.values().stream().filter(NEW::equals).count());
-      if (verdictAt < 0 && roll != null && roll.state() == Rollout.State.ROLLING_BACK) {
-        verdictAt = now - firstNew;
+      maxNewHosts =
+          Math.max(
+              maxNewHosts,
+              (int) activeReleases.values().stream().filter(NEW_RELEASE::equals).count());
+      if (verdictAt < 0 && rollout != null && rollout.state() == Rollout.State.ROLLING_BACK) {
+        verdictAt = now - firstNewAt;
       }
     }
-    return new Result(roll.state(), roll.reason(), most, verdictAt, now / 60);
+    return new Result(rollout.state(), rollout.reason(), maxNewHosts, verdictAt, now / 60);
   }
 
   private CanaryAnalysis.Verdict verdict(double now) {
-    CanaryAnalysis.Verdict sequential = judge.verdict();
+    CanaryAnalysis.Verdict sequential = analysis.verdict();
     if (judging == Judging.SEQUENTIAL) {
       return sequential;
     }
     boolean held =
-        roll.state() == Rollout.State.OBSERVING
-            && roll.secondsInState(now) >= plan.stages().get(roll.stage()).holdSeconds() - 1;
+        rollout.state() == Rollout.State.OBSERVING
+            && rollout.secondsInState(now) >= plan.stages().get(rollout.stage()).holdSeconds() - 1;
     if (!held || plainWindows == 0) {
       return new CanaryAnalysis.Verdict(
           CanaryAnalysis.Outcome.INCONCLUSIVE, "the hold is not over");
     }
     double loss = plainLoss / plainWindows;
-    return loss > PLAIN_BOUND
+    return loss > PLAIN_LOSS_BOUND
         ? new CanaryAnalysis.Verdict(CanaryAnalysis.Outcome.FAIL, "mean loss " + loss)
         : new CanaryAnalysis.Verdict(CanaryAnalysis.Outcome.PASS, "mean loss " + loss);
   }
 
-  // ---- Keepers, as far as a roll sees them ----
+  // ---- Supervisors, as far as a rollout sees them ----
 
-  private void keepers(double now) {
-    for (SimulatedHost box : fleet.boxes) {
-      Double until = changingUntil.get(box.name);
-      if (until != null && now >= until) {
-        changingUntil.remove(box.name);
-        String to = target.get(box.name);
-        acts.put(box.name, to);
-        changedAt.put(box.name, now);
-        box.start(flaw(to), false);
-        firstNew = firstNew < 0 && to.equals(NEW) ? now : firstNew;
+  private void runSupervisors(double now) {
+    for (SimulatedHost host : fleet.hosts) {
+      Double endsAt = changingUntil.get(host.name);
+      if (endsAt != null && now >= endsAt) {
+        changingUntil.remove(host.name);
+        String newRelease = targetReleases.get(host.name);
+        activeReleases.put(host.name, newRelease);
+        changedAt.put(host.name, now);
+        host.start(defects(newRelease), false);
+        firstNewAt = firstNewAt < 0 && newRelease.equals(NEW_RELEASE) ? now : firstNewAt;
       }
-      if (!box.up() && until == null && fleet.reached(box)) {
-        boolean young =
-            now - changedAt.getOrDefault(box.name, -1e9) < 60 && acts.get(box.name).equals(NEW);
-        judge.onDaemonDeath(box.name, acts.get(box.name).equals(NEW));
-        if (young) {
-          acts.put(box.name, OLD);
-          failed.put(box.name, "it died in its probation");
+      if (!host.alive() && endsAt == null && fleet.reachable(host)) {
+        boolean onProbation =
+            now - changedAt.getOrDefault(host.name, -1e9) < 60
+                && activeReleases.get(host.name).equals(NEW_RELEASE);
+        analysis.onDaemonDeath(host.name, activeReleases.get(host.name).equals(NEW_RELEASE));
+        if (onProbation) {
+          activeReleases.put(host.name, OLD_RELEASE);
+          failureReasons.put(host.name, "it died in its probation");
         }
-        box.start(flaw(acts.get(box.name)), false);
+        host.start(defects(activeReleases.get(host.name)), false);
       }
     }
   }
 
-  private Map<String, Rollout.ReportedState> shows() {
+  private Map<String, Rollout.ReportedState> reportedStates() {
     Map<String, Rollout.ReportedState> all = new LinkedHashMap<>();
-    for (SimulatedHost box : fleet.boxes) {
+    for (SimulatedHost host : fleet.hosts) {
       all.put(
-          box.name,
+          host.name,
           new Rollout.ReportedState(
-              fleet.reached(box),
-              acts.get(box.name),
-              !changingUntil.containsKey(box.name) && box.up(),
-              target.getOrDefault(box.name, ""),
-              attempt.getOrDefault(box.name, 0),
-              failed.getOrDefault(box.name, "")));
+              fleet.reachable(host),
+              activeReleases.get(host.name),
+              !changingUntil.containsKey(host.name) && host.alive(),
+              targetReleases.getOrDefault(host.name, ""),
+              attempts.getOrDefault(host.name, 0),
+              failureReasons.getOrDefault(host.name, "")));
     }
     return all;
   }
 
-  private void carryOut(List<Rollout.Action> todo, double now) {
-    for (Rollout.Action act : todo) {
-      if (act instanceof Rollout.Action.Order order) {
-        target.put(order.host(), order.release());
-        attempt.merge(order.host(), 1, Integer::sum);
-        failed.remove(order.host());
-        changingUntil.put(order.host(), now + CHANGE_S * (0.5 + random.nextDouble()));
-      } else if (act instanceof Rollout.Action.BeginStage) {
-        judge.beginStage();
+  private void apply(List<Rollout.Action> actions, double now) {
+    for (Rollout.Action action : actions) {
+      if (action instanceof Rollout.Action.Order order) {
+        targetReleases.put(order.host(), order.release());
+        attempts.merge(order.host(), 1, Integer::sum);
+        failureReasons.remove(order.host());
+        changingUntil.put(order.host(), now + CHANGE_SECONDS * (0.5 + random.nextDouble()));
+      } else if (action instanceof Rollout.Action.BeginStage) {
+        analysis.beginStage();
         plainLoss = 0;
         plainWindows = 0;
-      } else if (act instanceof Rollout.Action.ClaimEpoch) {
-        roll.onEpochClaimed();
-        target.clear();
-        attempt.clear();
+      } else if (action instanceof Rollout.Action.ClaimEpoch) {
+        rollout.onEpochClaimed();
+        targetReleases.clear();
+        attempts.clear();
       }
     }
   }
 
-  // ---- What is seen ----
+  // ---- Samples of the canary analysis ----
 
-  private void window(double now) {
+  private void addWindow(double now) {
     List<HostSample> samples = new ArrayList<>();
-    double[] worth = new double[4]; // lost and asked by the new, lost and asked by the old
-    for (SimulatedHost box : fleet.boxes) {
-      SimulatedHost.Tally tally = box.tally();
-      int classes = tally.asked.length;
+    double[] weightedLoss =
+        new double
+            [4]; // weighted loss and weighted requests of the new release, then of the old one
+    for (SimulatedHost host : fleet.hosts) {
+      SimulatedHost.Tally tally = host.tally();
+      int classes = tally.received.length;
       double[] counts = new double[classes * 5 + 4];
       for (int i = 0; i < classes; i++) {
         counts[i * 5] = tally.served[i] + tally.refused[i] + tally.failed[i];
@@ -350,48 +359,50 @@
         counts[i * 5 + 4] = tally.failed[i];
       }
       counts[classes * 5] = tally.calls;
-      counts[classes * 5 + 1] = tally.badCalls;
+      counts[classes * 5 + 1] = tally.failedCalls;
       counts[classes * 5 + 2] = tally.cpu;
-      counts[classes * 5 + 3] = box.ownMb(now);
-      double[] last = before.put(box.name, counts);
-      Integer process = seenProcess.put(box.name, box.process());
-      if (last == null || process == null || process != box.process()) {
-        processAt.put(box.name, now);
+      counts[classes * 5 + 3] = host.memoryMb(now);
+      double[] last = previousCounts.put(host.name, counts);
+      Integer process = previousGenerations.put(host.name, host.generation());
+      if (last == null || process == null || process != host.generation()) {
+        generationSeenAt.put(host.name, now);
         continue;
       }
       boolean steady =
-          box.up()
-              && fleet.reached(box)
-              && now - WINDOW - processAt.getOrDefault(box.name, -1e9) >= WARM
-              && !changingUntil.containsKey(box.name);
-      boolean changed = acts.get(box.name).equals(NEW);
+          host.alive()
+              && fleet.reachable(host)
+              && now - WINDOW_SECONDS - generationSeenAt.getOrDefault(host.name, -1e9)
+                  >= WARM_UP_SECONDS
+              && !changingUntil.containsKey(host.name);
+      boolean changed = activeReleases.get(host.name).equals(NEW_RELEASE);
       List<HostSample.Counts> all = new ArrayList<>();
       for (int i = 0; i < classes; i++) {
-        Admission.RequestClass type = fleet.settings.classes().get(i);
-        long[] d = new long[5];
+        Admission.RequestClass requestClass = fleet.settings.classes().get(i);
+        long[] delta = new long[5];
         for (int k = 0; k < 5; k++) {
-          d[k] = Math.round(counts[i * 5 + k] - last[i * 5 + k]);
+          delta[k] = Math.round(counts[i * 5 + k] - last[i * 5 + k]);
         }
         all.add(
             new HostSample.Counts(
-                type.name(),
-                d[0],
-                d[1],
-                d[2],
-                d[3],
-                d[4],
-                type.weight(),
-                type.weightAfterObjective()));
+                requestClass.name(),
+                delta[0],
+                delta[1],
+                delta[2],
+                delta[3],
+                delta[4],
+                requestClass.weight(),
+                requestClass.weightAfterObjective()));
         if (steady) {
-          worth[changed ? 0 : 2] +=
-              type.weight() * (d[0] - d[1] + d[2] * (1 - type.weightAfterObjective()));
-          worth[changed ? 1 : 3] += type.weight() * d[0];
+          weightedLoss[changed ? 0 : 2] +=
+              requestClass.weight()
+                  * (delta[0] - delta[1] + delta[2] * (1 - requestClass.weightAfterObjective()));
+          weightedLoss[changed ? 1 : 3] += requestClass.weight() * delta[0];
         }
       }
       samples.add(
           new HostSample(
-              box.name,
-              box.zone,
+              host.name,
+              host.zone,
               changed,
               steady,
               all,
@@ -399,57 +410,57 @@
               Math.round(counts[classes * 5 + 1] - last[classes * 5 + 1]),
               counts[classes * 5 + 2] - last[classes * 5 + 2],
               counts[classes * 5 + 3],
-              (counts[classes * 5 + 3] - last[classes * 5 + 3]) * 60 / WINDOW));
+              (counts[classes * 5 + 3] - last[classes * 5 + 3]) * 60 / WINDOW_SECONDS));
     }
-    judge.addWindow(samples);
-    if (worth[1] > 0 && worth[3] > 0) {
-      plainLoss += worth[0] / worth[1] - worth[2] / worth[3];
+    analysis.addWindow(samples);
+    if (weightedLoss[1] > 0 && weightedLoss[3] > 0) {
+      plainLoss += weightedLoss[0] / weightedLoss[1] - weightedLoss[2] / weightedLoss[3];
       plainWindows++;
     }
   }
 
-  private void trouble(double now) {
-    if (troubledAt < 0 && firstNew >= 0 && now > firstNew + 60) {
-      troubledAt = now;
-      begin();
+  private void injectTrouble(double now) {
+    if (troubleStartedAt < 0 && firstNewAt >= 0 && now > firstNewAt + 60) {
+      troubleStartedAt = now;
+      startTrouble();
     }
-    double gone = now - troubledAt;
-    if (troubledAt > 0
-        && ((trouble == Trouble.ZONE_LOST && gone == 20)
-            || (trouble == Trouble.SLOWED && gone == 60)
-            || (trouble == Trouble.STORE_SLOW && gone == 60)
-            || (trouble == Trouble.BURST && gone == 40))) {
-      end();
+    double elapsed = now - troubleStartedAt;
+    if (troubleStartedAt > 0
+        && ((trouble == Trouble.ZONE_LOST && elapsed == 20)
+            || (trouble == Trouble.SLOWED && elapsed == 60)
+            || (trouble == Trouble.STORE_SLOW && elapsed == 60)
+            || (trouble == Trouble.BURST && elapsed == 40))) {
+      endTrouble();
     }
   }
 
-  private void begin() {
+  private void startTrouble() {
     switch (trouble) {
-      case SLOWED -> fleet.boxes.get(0).slow(0.5);
-      case ZONE_LOST -> fleet.lose("z2");
-      case STORE_SLOW -> fleet.store.slow(5);
-      case BURST -> fleet.burst(1.3);
+      case SLOWED -> fleet.hosts.get(0).setSpeedFactor(0.5);
+      case ZONE_LOST -> fleet.setUnreachableZone("z2");
+      case STORE_SLOW -> fleet.store.setSlowdown(5);
+      case BURST -> fleet.setLoadFactor(1.3);
       case HALF_COLD -> {
-        for (int i = 0; i < fleet.boxes.size(); i += 2) {
-          acts.put(fleet.boxes.get(i).name, OLD);
-          fleet.boxes.get(i).start(flaw(OLD), false);
+        for (int i = 0; i < fleet.hosts.size(); i += 2) {
+          activeReleases.put(fleet.hosts.get(i).name, OLD_RELEASE);
+          fleet.hosts.get(i).start(defects(OLD_RELEASE), false);
         }
       }
       default -> {}
     }
   }
 
-  private void end() {
+  private void endTrouble() {
     switch (trouble) {
-      case SLOWED -> fleet.boxes.get(0).slow(1);
+      case SLOWED -> fleet.hosts.get(0).setSpeedFactor(1);
       case ZONE_LOST -> {
-        fleet.lose("");
-        fleet.boxes.stream()
-            .filter(box -> box.zone.equals("z2"))
-            .forEach(box -> box.start(flaw(acts.get(box.name)), false));
+        fleet.setUnreachableZone("");
+        fleet.hosts.stream()
+            .filter(host -> host.zone.equals("z2"))
+            .forEach(host -> host.start(defects(activeReleases.get(host.name)), false));
       }
-      case STORE_SLOW -> fleet.store.slow(1);
-      default -> fleet.burst(1);
+      case STORE_SLOW -> fleet.store.setSlowdown(1);
+      default -> fleet.setLoadFactor(1);
     }
   }
 }
--- a/src/main/java/wharftrestle/simulation/SimulatedFleet.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedFleet.java
@@ -7,24 +7,30 @@
 import wharftrestle.admission.AdmissionSettings;
 
 /**
- * Boxes, their callers and what troubles them, in virtual time. Requests come as a Poisson stream;
- * whoever is turned away tries a few other boxes. It owns who asks whom; it must never look into a
- * policy.
+ * Simulated hosts, their clients and the faults of the fleet. Requests arrive as a Poisson process;
+ * a client whose request is refused retries on a few other hosts. Hosts are chosen only by what a
+ * client can see, never by the state of an admission controller.
  */
 final class SimulatedFleet {
 
   /**
-   * What is played.
+   * Size and load of the fleet.
    *
-   * @param boxes in so many zones
-   * @param rate requests a second for each box
-   * @param load part of the cores that they need
-   * @param retry part of refused requests that are tried at another box
-   * @param shift by how much more callers prefer boxes that refused nothing of late; 0 for not at
-   *     all
+   * @param hosts number of hosts
+   * @param zones number of zones, to which hosts are assigned in turn
+   * @param requestsPerSecond arrival rate for each host
+   * @param utilization part of the cores that the requests need
+   * @param retryProbability part of refused requests that are retried on another host
+   * @param shiftProbability part of requests that go to the less loaded of two hosts
    */
-  record Site(int boxes, int zones, double rate, double load, double retry, double shift) {
-    /** 14 boxes, as the first site has at least, near what their cores can do. */
+  record Site(
+      int hosts,
+      int zones,
+      double requestsPerSecond,
+      double utilization,
+      double retryProbability,
+      double shiftProbability) {
+    /** 14 hosts, the minimum of the first site, near the capacity of their cores. */
     static Site usual() {
       return new Site(14, 3, 12, 0.85, 0.5, 0);
     }
@@ -32,59 +38,60 @@
 
   private static final int CORES = 4;
 
-  /** Of the requests, by class. */
+  /** Shares of the request classes. */
   static final double[] SHARES = {0.35, 0.3, 0.2, 0.15};
 
-  private static final int MOST_TRIES = 3;
-  private static final double CALLING_PART = 0.5;
+  private static final int MAX_ATTEMPTS = 3;
+  private static final double CALLING_SHARE = 0.5;
 
-  /** Calls in the store's hands that a box may have, where the store is not what is played. */
-  private static final double ROOM_FOR_CALLS = 64;
+  /** Dependency call quota of a host that is large enough not to matter. */
+  private static final double AMPLE_CALL_QUOTA = 64;
 
-  final EventQueue agenda = new EventQueue();
+  final EventQueue eventQueue = new EventQueue();
   final AdmissionSettings settings;
-  final SimulatedStore store = new SimulatedStore(agenda);
-  final List<SimulatedHost> boxes = new ArrayList<>();
+  final SimulatedStore store = new SimulatedStore(eventQueue);
+  final List<SimulatedHost> hosts = new ArrayList<>();
   private final Site site;
   private final SplittableRandom random;
-  private final double meanWork;
-  private double burst = 1;
-  private String lost = ""; // a zone whose boxes nobody reaches
-  private int turn;
+  private final double meanWorkSeconds;
+  private double loadFactor = 1;
+  private String unreachableZone = ""; // empty for none
+  private int nextHost;
 
   SimulatedFleet(Site site, long seed) {
     this.site = site;
     random = new SplittableRandom(seed);
-    settings = settings(site, ROOM_FOR_CALLS, false);
-    meanWork = site.load() * CORES / site.rate();
-    for (int i = 0; i < site.boxes(); i++) {
-      SimulatedHost box =
+    settings = settings(site, AMPLE_CALL_QUOTA, false);
+    meanWorkSeconds = site.utilization() * CORES / site.requestsPerSecond();
+    for (int i = 0; i < site.hosts(); i++) {
+      SimulatedHost host =
           new SimulatedHost(
               "b" + (i + 1),
               "z" + (i % site.zones() + 1),
-              agenda,
+              eventQueue,
               settings,
               store,
               0.92 + 0.16 * random.nextDouble(),
               random.nextLong());
-      box.start(SimulatedHost.Flaw.none(SHARES.length), true);
-      boxes.add(box);
+      host.start(SimulatedHost.Defects.none(SHARES.length), true);
+      hosts.add(host);
     }
-    agenda.at(0, this::arrive);
+    eventQueue.schedule(0, this::scheduleArrival);
   }
 
   static AdmissionSettings settings(Site site, double callShare, boolean cold) {
-    double unit = site.load() * CORES / site.rate(); // mean work, seconds
+    double unitWorkSeconds =
+        site.utilization() * CORES / site.requestsPerSecond(); // mean work of a request
     List<Admission.RequestClass> classes =
         List.of(
-            type("next-step", unit, 1, Admission.Idempotency.IDEMPOTENT),
-                type("prefill", unit, 2, Admission.Idempotency.IDEMPOTENT),
-            type("history", unit, 2, Admission.Idempotency.IDEMPOTENT),
-                type("outcome", unit, 5, Admission.Idempotency.NON_IDEMPOTENT));
+            requestClass("next-step", unitWorkSeconds, 1, Admission.Idempotency.IDEMPOTENT),
+                requestClass("prefill", unitWorkSeconds, 2, Admission.Idempotency.IDEMPOTENT),
+            requestClass("history", unitWorkSeconds, 2, Admission.Idempotency.IDEMPOTENT),
+                requestClass("outcome", unitWorkSeconds, 5, Admission.Idempotency.NON_IDEMPOTENT));
     return new AdmissionSettings(
         classes,
         List.of(),
-        new AdmissionSettings.Fleet(site.boxes(), 8, true, false, true),
+        new AdmissionSettings.Fleet(site.hosts(), 8, true, false, true),
         new AdmissionSettings.Capacity(CORES, 720_000, 4, 1, Admission.Preemption.NONE, 8, 3),
         new AdmissionSettings.WarmUp(cold, 0.3, 15),
         new AdmissionSettings.DependencyCalls(Admission.Dependency.SHARED, callShare, 5, 0.2),
@@ -94,73 +101,78 @@
         List.of("cpu_busy", "runnable"));
   }
 
-  private static Admission.RequestClass type(
-      String name, double unit, double worth, Admission.Idempotency repeat) {
-    return new Admission.RequestClass(name, 6 * unit, 0, 16 * unit, worth, 0.2, repeat, 0, true, 0);
+  private static Admission.RequestClass requestClass(
+      String name, double unitWorkSeconds, double weight, Admission.Idempotency idempotency) {
+    return new Admission.RequestClass(
+        name, 6 * unitWorkSeconds, 0, 16 * unitWorkSeconds, weight, 0.2, idempotency, 0, true, 0);
   }
 
-  /** So many times the usual requests from now on. */
-  void burst(double factor) {
-    burst = factor;
+  /** Multiplies the arrival rate by this factor from now on. */
+  void setLoadFactor(double factor) {
+    loadFactor = factor;
   }
 
-  /** Nobody reaches the boxes of this zone from now on; empty for none. */
-  void lose(String zone) {
-    lost = zone;
+  /** Makes the hosts of this zone unreachable for clients; empty for none. */
+  void setUnreachableZone(String zone) {
+    unreachableZone = zone;
   }
 
-  boolean reached(SimulatedHost box) {
-    return !box.zone.equals(lost);
+  boolean reachable(SimulatedHost host) {
+    return !host.zone.equals(unreachableZone);
   }
 
-  private void arrive(double now) {
-    agenda.at(
-        now - Math.log(1 - random.nextDouble()) / (site.rate() * site.boxes() * burst),
-        this::arrive);
+  private void scheduleArrival(double now) {
+    eventQueue.schedule(
+        now
+            - Math.log(1 - random.nextDouble())
+                / (site.requestsPerSecond() * site.hosts() * loadFactor),
+        this::scheduleArrival);
     double draw = random.nextDouble();
-    int type = 0;
-    while (type < SHARES.length - 1 && draw >= SHARES[type]) {
-      draw -= SHARES[type++];
+    int classIndex = 0;
+    while (classIndex < SHARES.length - 1 && draw >= SHARES[classIndex]) {
+      draw -= SHARES[classIndex++];
     }
-    double work = meanWork * (0.4 + 1.2 * random.nextDouble());
-    ask(type, work, random.nextDouble() < CALLING_PART ? 0.5 : 0, 1, null);
+    double work = meanWorkSeconds * (0.4 + 1.2 * random.nextDouble());
+    send(classIndex, work, random.nextDouble() < CALLING_SHARE ? 0.5 : 0, 1, null);
   }
 
-  private void ask(int type, double work, double call, int tries, SimulatedHost not) {
-    SimulatedHost to = choose(not);
-    if (to == null) {
+  private void send(
+      int classIndex, double work, double callFraction, int attempt, SimulatedHost excluded) {
+    SimulatedHost host = choose(excluded);
+    if (host == null) {
       return;
     }
-    to.ask(
-        type,
+    host.send(
+        classIndex,
         work,
-        call,
-        (then, outcome, retryAfter) -> {
+        callFraction,
+        (now, outcome, retryAfter) -> {
           if (outcome == SimulatedHost.Outcome.REFUSED
-              && tries < MOST_TRIES
-              && random.nextDouble() < site.retry()) {
-            agenda.at(then + 0.01, later -> ask(type, work, call, tries + 1, to));
+              && attempt < MAX_ATTEMPTS
+              && random.nextDouble() < site.retryProbability()) {
+            eventQueue.schedule(
+                now + 0.01, retryTime -> send(classIndex, work, callFraction, attempt + 1, host));
           }
         });
   }
 
   /**
-   * In turn, of those that are reached and healthy; with a shift, the one with more room of two.
+   * Chooses reachable, healthy hosts in turn; with the shift probability, the less loaded of two.
    */
-  private SimulatedHost choose(SimulatedHost not) {
-    SimulatedHost first = next(not);
-    if (first == null || random.nextDouble() >= site.shift()) {
+  private SimulatedHost choose(SimulatedHost excluded) {
+    SimulatedHost first = nextReachable(excluded);
+    if (first == null || random.nextDouble() >= site.shiftProbability()) {
       return first;
     }
-    SimulatedHost second = next(not);
-    return second != null && second.inHand() < first.inHand() ? second : first;
+    SimulatedHost second = nextReachable(excluded);
+    return second != null && second.inFlight() < first.inFlight() ? second : first;
   }
 
-  private SimulatedHost next(SimulatedHost not) {
-    for (int i = 0; i < boxes.size(); i++) {
-      SimulatedHost box = boxes.get(turn++ % boxes.size());
-      if (box != not && box.healthy() && reached(box)) {
-        return box;
+  private SimulatedHost nextReachable(SimulatedHost excluded) {
+    for (int i = 0; i < hosts.size(); i++) {
+      SimulatedHost host = hosts.get(nextHost++ % hosts.size());
+      if (host != excluded && host.healthy() && reachable(host)) {
+        return host;
       }
     }
     return null;
--- a/src/main/java/wharftrestle/simulation/SimulatedHost.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedHost.java
@@ -10,32 +10,38 @@
 import wharftrestle.admission.AdmissionSettings;
 
 /**
- * One box in virtual time: the shipped policy on cores that all runs share, cold after a start,
- * crowded past a point that the policy is not told. It owns what runs, and counts what became of
- * each request. A release may do worse by {@link Flaw}.
+ * One simulated host: the real admission controller on cores that all executions share. After a
+ * start the host is cold and slower. Past a number of executions that the controller does not know,
+ * contention lowers its total throughput. {@link Defects} describes what a bad release does worse.
+ * Not thread-safe.
  */
 final class SimulatedHost implements Admission.Actions {
 
   /**
-   * What a release does worse; all 0 for nothing.
+   * What a release does worse; all 0 for a good release.
    *
-   * @param slower part of its work that each request takes more
-   * @param fails part of requests that fail, by class
-   * @param refuses part of requests that are turned away unread
-   * @param dies seconds after its start at which its daemon dies; 0 for never
-   * @param leaks MB a minute
-   * @param after seconds after its start before any of it shows
+   * @param extraWork additional work of each request, as a part of its work
+   * @param failureProbabilities part of requests that fail, by class
+   * @param rejectProbability part of requests that are rejected before admission
+   * @param crashAfterSeconds seconds after its start at which the daemon crashes; 0 for never
+   * @param leakMbPerMinute memory leak
+   * @param visibleAfterSeconds seconds after its start before the other defects take effect
    */
-  record Flaw(
-      double slower, double[] fails, double refuses, double dies, double leaks, double after) {
-    static Flaw none(int classes) {
-      return new Flaw(0, new double[classes], 0, 0, 0, 0);
+  record Defects(
+      double extraWork,
+      double[] failureProbabilities,
+      double rejectProbability,
+      double crashAfterSeconds,
+      double leakMbPerMinute,
+      double visibleAfterSeconds) {
+    static Defects none(int classes) {
+      return new Defects(0, new double[classes], 0, 0, 0, 0);
     }
   }
 
-  /** What became of a request. */
-  interface Caller {
-    void answered(double now, Outcome outcome, double retryAfter);
+  /** Receives the reply to a request. */
+  interface Client {
+    void replied(double now, Outcome outcome, double retryAfter);
   }
 
   /** How a request ended. */
@@ -46,19 +52,19 @@
     FAILED
   }
 
-  /** Counts since the box's daemon began, by class. */
+  /** Counts of requests by class, of calls and of CPU seconds. */
   static final class Tally {
-    final long[] asked;
+    final long[] received;
     final long[] served;
     final long[] late;
     final long[] refused;
     final long[] failed;
     long calls;
-    long badCalls;
+    long failedCalls;
     double cpu;
 
     Tally(int classes) {
-      asked = new long[classes];
+      received = new long[classes];
       served = new long[classes];
       late = new long[classes];
       refused = new long[classes];
@@ -67,238 +73,249 @@
   }
 
   private enum Phase {
-    HELD,
+    QUEUED,
     RUNNING,
     CALLING,
-    OVER
+    FINISHED
   }
 
-  private static final class Live {
+  private static final class LiveRequest {
     private final Admission.Request request;
-    private final Caller caller;
-    private final double arrived;
+    private final Client client;
+    private final double arrivedAt;
     private final boolean fails;
-    private double work; // left, seconds of a standard core
-    private double callAt; // work left at which it calls; negative for never
-    private double since;
-    private Phase phase = Phase.HELD;
-    private boolean answered;
+    private double work; // remaining, seconds of a standard core
+    private double callAt; // remaining work at which it calls; negative for never
+    private double dispatchedAt;
+    private Phase phase = Phase.QUEUED;
+    private boolean replied;
 
-    Live(
+    LiveRequest(
         Admission.Request request,
-        Caller caller,
-        double arrived,
+        Client client,
+        double arrivedAt,
         boolean fails,
         double work,
         double callAt) {
       this.request = request;
-      this.caller = caller;
-      this.arrived = arrived;
+      this.client = client;
+      this.arrivedAt = arrivedAt;
       this.fails = fails;
       this.work = work;
       this.callAt = callAt;
     }
   }
 
-  /** Requests on a core past which a machine gets less done in all. */
-  private static final double CROWD = 3;
+  /** Executions per core past which contention lowers the total throughput. */
+  private static final double CONTENTION_THRESHOLD = 3;
 
-  private static final double SPAN = 0.5; // of the gauge of the cores
+  private static final double BUSY_GAUGE_SECONDS = 0.5; // time constant of the cpuBusy gauge
   private static final double BASE_MB = 50;
-  private static final double MOST_LOOKS = 1e-9;
+  private static final double MIN_STEP_SECONDS = 1e-9;
 
   final String name;
   final String zone;
-  private final EventQueue agenda;
+  private final EventQueue eventQueue;
   private final AdmissionSettings settings;
   private final SimulatedStore store;
-  private final double machine; // its speed, 1 for a standard core
+  private final double machineSpeed; // 1 for a standard core
   private final SplittableRandom random;
-  private final Map<Long, Live> live = new HashMap<>();
-  private final List<Live> onCores = new ArrayList<>();
+  private final Map<Long, LiveRequest> requests = new HashMap<>();
+  private final List<LiveRequest> runningRequests = new ArrayList<>();
   private Tally tally;
-  private AdmissionController policy;
-  private Flaw flaw;
+  private AdmissionController controller;
+  private Defects defects;
   private double startedAt;
-  private double trouble = 1; // factor on its speed
-  private boolean up;
-  private boolean open;
+  private double speedFactor = 1; // 1 unless a fault slows the machine
+  private boolean alive;
+  private boolean uncontrolled;
   private boolean healthy = true;
-  private boolean shown;
-  private long ids;
-  private long epoch; // of plans made for the next end of work
-  private double lastAt;
-  private double busy;
-  private int process;
+  private boolean defectsShown;
+  private long lastId;
+  private long planVersion; // invalidates scheduled steps that are out of date
+  private double lastAdvancedAt;
+  private double cpuBusy;
+  private int generation;
 
   SimulatedHost(
       String name,
       String zone,
-      EventQueue agenda,
+      EventQueue eventQueue,
       AdmissionSettings settings,
       SimulatedStore store,
-      double machine,
+      double machineSpeed,
       long seed) {
     this.name = name;
     this.zone = zone;
-    this.agenda = agenda;
+    this.eventQueue = eventQueue;
     this.settings = settings;
     this.store = store;
-    this.machine = machine;
+    this.machineSpeed = machineSpeed;
     random = new SplittableRandom(seed);
     tally = new Tally(settings.classes().size());
   }
 
-  /** A daemon starts; what the one before had in hand is ended by it first, as in a hand-over. */
-  void start(Flaw of, boolean warm) {
-    double now = agenda.now();
-    process++;
-    flaw = of;
-    shown = false;
-    startedAt = warm ? agenda.now() - 10 * settings.warmUp().seconds() : agenda.now();
-    up = true;
+  /** Starts a daemon; as in a handover, its predecessor completes what it executes. */
+  void start(Defects releaseDefects, boolean warm) {
+    double now = eventQueue.now();
+    generation++;
+    defects = releaseDefects;
+    defectsShown = false;
+    startedAt = warm ? eventQueue.now() - 10 * settings.warmUp().seconds() : eventQueue.now();
+    alive = true;
     healthy = true;
-    policy = new AdmissionController(agenda.now(), random.nextLong(), settings, this);
-    // In a hand-over the daemon before ends what it runs; what it held is held on here.
-    live.values().stream()
-        .filter(each -> each.phase == Phase.HELD && !each.answered)
-        .map(each -> each.request)
+    controller = new AdmissionController(eventQueue.now(), random.nextLong(), settings, this);
+    // The predecessor completes what it executes; the new daemon queues what it had queued.
+    requests.values().stream()
+        .filter(entry -> entry.phase == Phase.QUEUED && !entry.replied)
+        .map(entry -> entry.request)
         .sorted((a, b) -> Long.compare(a.id(), b.id()))
         .toList()
         .forEach(
-            each ->
-                policy.arrived(
+            request ->
+                controller.arrived(
                     now,
                     new Admission.Request(
-                        each.id(),
+                        request.id(),
                         false,
-                        now - live.get(each.id()).arrived,
-                        each.classIndex(),
+                        now - requests.get(request.id()).arrivedAt,
+                        request.classIndex(),
                         0,
-                        each.memoryKb(),
+                        request.memoryKb(),
                         1,
-                        each.costHintSeconds(),
+                        request.costHintSeconds(),
                         null,
                         0,
                         0,
-                        each.priority())));
-    policy.batchCompleted(now);
-    if (of.dies() > 0) {
-      int mine = process;
-      agenda.at(
-          now + of.dies(),
-          then -> {
-            if (process == mine) {
-              die();
+                        request.priority())));
+    controller.batchCompleted(now);
+    if (releaseDefects.crashAfterSeconds() > 0) {
+      int startedGeneration = generation;
+      eventQueue.schedule(
+          now + releaseDefects.crashAfterSeconds(),
+          later -> {
+            if (generation == startedGeneration) {
+              crash();
             }
           });
     }
   }
 
-  /** All that is in hand is lost; nobody answers until the next start. */
-  void die() {
-    process++;
-    up = false;
-    live.values().forEach(each -> each.phase = Phase.OVER);
-    List<Live> lost = new ArrayList<>(live.values());
-    live.clear();
-    onCores.clear();
-    epoch++;
+  /**
+   * Crashes the daemon: requests in flight fail, and later ones are refused until the next start.
+   */
+  void crash() {
+    generation++;
+    alive = false;
+    requests.values().forEach(each -> each.phase = Phase.FINISHED);
+    List<LiveRequest> lost = new ArrayList<>(requests.values());
+    requests.clear();
+    runningRequests.clear();
+    planVersion++;
     lost.stream()
-        .filter(each -> !each.answered)
-        .forEach(each -> each.caller.answered(agenda.now(), Outcome.FAILED, 0));
+        .filter(each -> !each.replied)
+        .forEach(each -> each.client.replied(eventQueue.now(), Outcome.FAILED, 0));
   }
 
-  boolean up() {
-    return up;
+  boolean alive() {
+    return alive;
   }
 
   boolean healthy() {
-    return up && healthy;
+    return alive && healthy;
   }
 
-  int process() {
-    return process;
+  int generation() {
+    return generation;
   }
 
-  /** Its machine is so much slower from now on; 1 for as it is. */
-  void slow(double factor) {
-    progress(agenda.now());
-    trouble = factor;
-    plan(agenda.now());
+  /** Multiplies the speed of the machine by this factor from now on; 1 for the normal speed. */
+  void setSpeedFactor(double factor) {
+    advance(eventQueue.now());
+    speedFactor = factor;
+    scheduleNextStep(eventQueue.now());
   }
 
-  /** Requests on the cores. */
+  /** Executions on the cores. */
   int running() {
-    return onCores.size();
+    return runningRequests.size();
   }
 
-  /** From now on all that comes is run at once, with no policy. */
-  void open(boolean now) {
-    open = now;
+  /** If true, dispatches each arriving request at once, without admission control. */
+  void setUncontrolled(boolean now) {
+    uncontrolled = now;
   }
 
-  /** Requests in hand. */
-  int inHand() {
-    return live.size();
+  /** Requests in flight, queued or executing. */
+  int inFlight() {
+    return requests.size();
   }
 
   Tally tally() {
     return tally;
   }
 
-  double ownMb(double now) {
-    double old = now - startedAt;
-    double shows = Math.max(0, old - flaw.after());
-    return BASE_MB * (1 - Math.exp(-old / 20)) + flaw.leaks() * shows / 60 + random.nextDouble();
+  double memoryMb(double now) {
+    double age = now - startedAt;
+    double visibleSeconds = Math.max(0, age - defects.visibleAfterSeconds());
+    return BASE_MB * (1 - Math.exp(-age / 20))
+        + defects.leakMbPerMinute() * visibleSeconds / 60
+        + random.nextDouble();
   }
 
-  private boolean shows(double now) {
-    return shown || now - startedAt >= flaw.after();
+  private boolean defectsVisible(double now) {
+    return defectsShown || now - startedAt >= defects.visibleAfterSeconds();
   }
 
-  /** What its release does worse shows from now on. */
-  void show() {
-    shown = true;
+  /** Lets the defects take effect from now on. */
+  void showDefects() {
+    defectsShown = true;
   }
 
   // ---- Requests ----
 
-  /** A request reaches the box. */
-  void ask(int type, double work, double callPart, Caller caller) {
-    double now = agenda.now();
-    if (!up) {
-      caller.answered(now, Outcome.REFUSED, 0);
+  /** Delivers a request to the host. */
+  void send(int type, double work, double callFraction, Client client) {
+    double now = eventQueue.now();
+    if (!alive) {
+      client.replied(now, Outcome.REFUSED, 0);
       return;
     }
-    tally.asked[type]++;
-    if (shows(now) && random.nextDouble() < flaw.refuses()) {
+    tally.received[type]++;
+    if (defectsVisible(now) && random.nextDouble() < defects.rejectProbability()) {
       tally.refused[type]++;
-      caller.answered(now, Outcome.REFUSED, 0);
+      client.replied(now, Outcome.REFUSED, 0);
       return;
     }
-    boolean fails = shows(now) && random.nextDouble() < flaw.fails()[type];
-    double needs = work * (1 + (shows(now) ? flaw.slower() : 0));
-    long id = ++ids;
+    boolean fails =
+        defectsVisible(now) && random.nextDouble() < defects.failureProbabilities()[type];
+    double totalWork = work * (1 + (defectsVisible(now) ? defects.extraWork() : 0));
+    long id = ++lastId;
     Admission.Request request =
         new Admission.Request(id, false, 0, type, 0, 20, 1, work, null, 0, 0, random.nextDouble());
-    live.put(
+    requests.put(
         id,
-        new Live(request, caller, now, fails, needs, callPart > 0 ? needs * (1 - callPart) : -1));
-    if (open) {
+        new LiveRequest(
+            request,
+            client,
+            now,
+            fails,
+            totalWork,
+            callFraction > 0 ? totalWork * (1 - callFraction) : -1));
+    if (uncontrolled) {
       dispatch(id);
       return;
     }
-    policy.arrived(now, request);
-    policy.batchCompleted(now);
+    controller.arrived(now, request);
+    controller.batchCompleted(now);
   }
 
-  private void answer(Live of, Outcome outcome, double retryAfter) {
-    if (of.answered) {
+  private void reply(LiveRequest request, Outcome outcome, double retryAfter) {
+    if (request.replied) {
       return;
     }
-    of.answered = true;
-    int type = of.request.classIndex();
+    request.replied = true;
+    int type = request.request.classIndex();
     switch (outcome) {
       case SERVED -> tally.served[type]++;
       case LATE -> {
@@ -308,181 +325,186 @@
       case REFUSED -> tally.refused[type]++;
       default -> tally.failed[type]++;
     }
-    of.caller.answered(agenda.now(), outcome, retryAfter);
+    request.client.replied(eventQueue.now(), outcome, retryAfter);
   }
 
-  private void over(Live of) {
-    of.phase = Phase.OVER;
-    live.remove(of.request.id());
+  private void finish(LiveRequest request) {
+    request.phase = Phase.FINISHED;
+    requests.remove(request.request.id());
   }
 
   // ---- Cores ----
 
-  private double rate(double now) {
-    int many = onCores.size();
-    if (many == 0) {
+  private double workRate(double now) {
+    int count = runningRequests.size();
+    if (count == 0) {
       return 0;
     }
-    double age = (now - startedAt) / settings.warmUp().seconds();
-    double warm =
-        age >= 1
+    double warmUpProgress = (now - startedAt) / settings.warmUp().seconds();
+    double warmUpFactor =
+        warmUpProgress >= 1
             ? 1
             : settings.warmUp().coldSpeedFraction()
-                + (1 - settings.warmUp().coldSpeedFraction()) * Math.max(0, age);
-    double crowd = Math.min(1, CROWD * settings.capacity().cores() / many);
-    return machine
-        * trouble
-        * warm
-        * crowd
-        * Math.min(1, (double) settings.capacity().cores() / many);
-  }
-
-  private void progress(double now) {
-    double span = now - lastAt;
-    if (span > 0) {
-      double done = span * rate(lastAt);
-      for (Live each : onCores) {
+                + (1 - settings.warmUp().coldSpeedFraction()) * Math.max(0, warmUpProgress);
+    double contentionFactor =
+        Math.min(1, CONTENTION_THRESHOLD * settings.capacity().cores() / count);
+    return machineSpeed
+        * speedFactor
+        * warmUpFactor
+        * contentionFactor
+        * Math.min(1, (double) settings.capacity().cores() / count);
+  }
+
+  private void advance(double now) {
+    double elapsed = now - lastAdvancedAt;
+    if (elapsed > 0) {
+      double done = elapsed * workRate(lastAdvancedAt);
+      for (LiveRequest each : runningRequests) {
         each.work -= done;
       }
-      double cores = Math.min(onCores.size(), settings.capacity().cores());
-      tally.cpu += span * cores;
-      double fade = Math.exp(-span / SPAN);
-      busy = busy * fade + cores / settings.capacity().cores() * (1 - fade);
+      double usedCores = Math.min(runningRequests.size(), settings.capacity().cores());
+      tally.cpu += elapsed * usedCores;
+      double decay = Math.exp(-elapsed / BUSY_GAUGE_SECONDS);
+      cpuBusy = cpuBusy * decay + usedCores / settings.capacity().cores() * (1 - decay);
     }
-    lastAt = now;
+    lastAdvancedAt = now;
   }
 
-  /** The next moment at which some run comes to its call or its end. */
-  private void plan(double now) {
-    long mine = ++epoch;
-    double rate = rate(now);
-    if (rate <= 0) {
+  /** Schedules the next time at which an execution reaches its call or its end. */
+  private void scheduleNextStep(double now) {
+    long version = ++planVersion;
+    double currentRate = workRate(now);
+    if (currentRate <= 0) {
       return;
     }
-    double least = Double.POSITIVE_INFINITY;
-    for (Live each : onCores) {
-      least = Math.min(least, each.work - Math.max(0, each.callAt));
+    double nextWork = Double.POSITIVE_INFINITY;
+    for (LiveRequest each : runningRequests) {
+      nextWork = Math.min(nextWork, each.work - Math.max(0, each.callAt));
     }
-    // While it warms the rate rises: looked at again often enough.
-    double in =
+    // While the host warms up its rate rises, so the step is recomputed at least every 0.05 s.
+    double delay =
         Math.max(
-            MOST_LOOKS,
-            Math.min(least / rate, now - startedAt < settings.warmUp().seconds() ? 0.05 : 1));
-    agenda.at(
-        now + in,
-        then -> {
-          if (mine == epoch) {
-            work(then);
+            MIN_STEP_SECONDS,
+            Math.min(
+                nextWork / currentRate, now - startedAt < settings.warmUp().seconds() ? 0.05 : 1));
+    eventQueue.schedule(
+        now + delay,
+        later -> {
+          if (version == planVersion) {
+            completeWork(later);
           }
         });
   }
 
-  private void work(double now) {
-    progress(now);
-    List<Live> there = new ArrayList<>();
-    for (Live each : onCores) {
+  private void completeWork(double now) {
+    advance(now);
+    List<LiveRequest> reached = new ArrayList<>();
+    for (LiveRequest each : runningRequests) {
       if (each.work - Math.max(0, each.callAt) <= 1e-9) {
-        there.add(each);
+        reached.add(each);
       }
     }
-    onCores.removeAll(there);
-    for (Live each : there) {
+    runningRequests.removeAll(reached);
+    for (LiveRequest each : reached) {
       if (each.callAt >= 0) {
         each.callAt = -1;
         each.phase = Phase.CALLING;
-        policy.blockedOnCall(now, each.request.id());
+        controller.blockedOnCall(now, each.request.id());
       } else {
         boolean late =
-            now - each.arrived
+            now - each.arrivedAt
                 > settings.classes().get(each.request.classIndex()).latencyObjectiveSeconds();
-        answer(each, each.fails ? Outcome.FAILED : late ? Outcome.LATE : Outcome.SERVED, 0);
-        over(each);
-        if (open) {
+        reply(each, each.fails ? Outcome.FAILED : late ? Outcome.LATE : Outcome.SERVED, 0);
+        finish(each);
+        if (uncontrolled) {
           continue;
         }
-        policy.completed(
+        controller.completed(
             now,
             each.request.id(),
             each.fails ? Admission.Outcome.FAILURE : Admission.Outcome.SUCCESS,
-            now - each.since);
+            now - each.dispatchedAt);
       }
     }
-    if (!there.isEmpty()) {
-      policy.batchCompleted(now);
+    if (!reached.isEmpty()) {
+      controller.batchCompleted(now);
     }
-    plan(now);
+    scheduleNextStep(now);
   }
 
-  private void onto(Live of) {
-    double now = agenda.now();
-    progress(now);
-    of.phase = Phase.RUNNING;
-    onCores.add(of);
-    plan(now);
+  private void putOnCores(LiveRequest request) {
+    double now = eventQueue.now();
+    advance(now);
+    request.phase = Phase.RUNNING;
+    runningRequests.add(request);
+    scheduleNextStep(now);
   }
 
-  // ---- What the policy asks for ----
+  // ---- Actions of the admission controller ----
 
   @Override
   public void dispatch(long id) {
-    Live of = live.get(id);
-    of.since = agenda.now();
-    onto(of);
+    LiveRequest request = requests.get(id);
+    request.dispatchedAt = eventQueue.now();
+    putOnCores(request);
   }
 
   @Override
   public void reject(long id, boolean nowhereElse, double retryAfter) {
-    ended(id, Outcome.REFUSED, retryAfter);
+    endRequest(id, Outcome.REFUSED, retryAfter);
   }
 
   @Override
   public void fail(long id) {
-    ended(id, Outcome.FAILED, 0);
+    endRequest(id, Outcome.FAILED, 0);
   }
 
-  private void ended(long id, Outcome outcome, double retryAfter) {
-    Live of = live.get(id);
-    if (of != null) {
-      answer(of, outcome, retryAfter);
-      if (of.phase == Phase.HELD) {
-        over(of);
+  private void endRequest(long id, Outcome outcome, double retryAfter) {
+    LiveRequest request = requests.get(id);
+    if (request != null) {
+      reply(request, outcome, retryAfter);
+      if (request.phase == Phase.QUEUED) {
+        finish(request);
       }
     }
   }
 
   @Override
   public void preempt(long id) {
-    throw new IllegalStateException("these machines cannot stop work");
+    throw new IllegalStateException("simulated hosts cannot preempt");
   }
 
   @Override
-  public void callDependency(long id, double notPast) {
-    Live of = live.get(id);
-    double began = agenda.now();
+  public void callDependency(long id, double deadline) {
+    LiveRequest request = requests.get(id);
+    double callStartedAt = eventQueue.now();
     tally.calls++;
-    int mine = process;
+    int startedGeneration = generation;
     store.call(
-        began,
+        callStartedAt,
         random,
         (now, good) -> {
-          if (process != mine || !live.containsKey(id)) {
+          if (generation != startedGeneration || !requests.containsKey(id)) {
             return;
           }
           if (good) {
-            onto(of);
+            putOnCores(request);
           } else {
-            tally.badCalls++;
+            tally.failedCalls++;
           }
-          policy.callCompleted(
-              now, id, good ? Admission.Outcome.SUCCESS : Admission.Outcome.FAILURE, now - began);
-          policy.batchCompleted(now);
+          controller.callCompleted(
+              now,
+              id,
+              good ? Admission.Outcome.SUCCESS : Admission.Outcome.FAILURE,
+              now - callStartedAt);
+          controller.batchCompleted(now);
         },
-        notPast);
+        deadline);
   }
 
   @Override
   public void skipCall(long id) {
-    onto(live.get(id));
+    putOnCores(requests.get(id));
   }
 
   @Override
@@ -493,7 +515,7 @@
 
   @Override
   public void attach(long id) {
-    throw new IllegalStateException("nobody repeats here");
+    throw new IllegalStateException("simulated clients send no duplicates");
   }
 
   @Override
@@ -506,14 +528,14 @@
 
   @Override
   public void setTimer(long label, double in) {
-    int mine = process;
-    agenda.at(
-        agenda.now() + in,
+    int startedGeneration = generation;
+    eventQueue.schedule(
+        eventQueue.now() + in,
         now -> {
-          if (process == mine) {
-            progress(now);
-            policy.timerFired(now, label, new double[] {busy, onCores.size()});
-            policy.batchCompleted(now);
+          if (generation == startedGeneration) {
+            advance(now);
+            controller.timerFired(now, label, new double[] {cpuBusy, runningRequests.size()});
+            controller.batchCompleted(now);
           }
         });
   }
--- a/src/main/java/wharftrestle/simulation/SimulatedStore.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedStore.java
@@ -3,46 +3,49 @@
 import java.util.SplittableRandom;
 
 /**
- * The store that all boxes call, in virtual time: it takes a while, and a trouble makes it slower
- * for all.
+ * Simulated store that all hosts call. Calls take an exponentially distributed time, which a
+ * slowdown multiplies for all hosts.
  */
 final class SimulatedStore {
 
-  /** Hears how a call ended. */
-  interface Ended {
-    void at(double now, boolean good);
+  /** Is called when a call ends. */
+  interface CallListener {
+    void ended(double now, boolean succeeded);
   }
 
-  private static final double MEAN = 0.02;
+  private static final double MEAN_CALL_SECONDS = 0.02;
 
-  /** Seconds that a call which was given up may stay in the store's hands. */
-  private static final double LINGER = 0.2;
+  /** Time for which the store still works on a call that the caller gave up. */
+  private static final double ABANDONED_CALL_SECONDS = 0.2;
 
-  private final EventQueue agenda;
-  private double slower = 1;
-  private int inHand;
+  private final EventQueue eventQueue;
+  private double slowdown = 1;
+  private int inFlight;
 
-  SimulatedStore(EventQueue agenda) {
-    this.agenda = agenda;
+  SimulatedStore(EventQueue eventQueue) {
+    this.eventQueue = eventQueue;
   }
 
-  void slow(double factor) {
-    slower = factor;
+  void setSlowdown(double factor) {
+    slowdown = factor;
   }
 
-  /** Calls in its hands now, with those that were given up a moment ago. */
-  int inHand() {
-    return inHand;
+  /** Calls in flight in the store, including those given up shortly before. */
+  int inFlight() {
+    return inFlight;
   }
 
-  /** A call that is given up at {@code notPast}. */
-  void call(double now, SplittableRandom random, Ended told, double notPast) {
-    double takes = -Math.log(1 - random.nextDouble()) * MEAN * slower;
-    boolean good = notPast <= 0 || now + takes <= notPast;
-    inHand++;
-    agenda.at(
-        Math.min(now + takes, notPast <= 0 ? Double.POSITIVE_INFINITY : notPast + LINGER),
-        then -> inHand--);
-    agenda.at(good ? now + takes : notPast, then -> told.at(then, good));
+  /** Starts a call that the caller gives up at {@code deadline}; 0 for no deadline. */
+  void call(double now, SplittableRandom random, CallListener listener, double deadline) {
+    double duration = -Math.log(1 - random.nextDouble()) * MEAN_CALL_SECONDS * slowdown;
+    boolean succeeded = deadline <= 0 || now + duration <= deadline;
+    inFlight++;
+    eventQueue.schedule(
+        Math.min(
+            now + duration,
+            deadline <= 0 ? Double.POSITIVE_INFINITY : deadline + ABANDONED_CALL_SECONDS),
+        later -> inFlight--);
+    eventQueue.schedule(
+        succeeded ? now + duration : deadline, later -> listener.ended(later, succeeded));
   }
 }
--- a/src/main/java/wharftrestle/simulation/package-info.java
+++ b/src/main/java/wharftrestle/simulation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The shipped decisions in simulated time: hosts with cores, callers, a store and faults made up
- * for them. Equal seeds give equal runs; no class reads a clock or decides what the program decides
- * itself. Start with {@link wharftrestle.simulation.SimulatedHost}.
+ * Simulations in virtual time of the real admission and rollout decisions: hosts with cores,
+ * clients, a store and faults. Equal seeds give equal results; no class reads a clock or replaces a
+ * decision of the daemon. Start with {@link wharftrestle.simulation.SimulatedHost}.
  */
 package wharftrestle.simulation;
--- a/src/main/java/wharftrestle/testbed/CpuLimiter.java
+++ b/src/main/java/wharftrestle/testbed/CpuLimiter.java
@@ -13,33 +13,33 @@
 import java.util.function.Supplier;
 
 /**
- * Holds the processes of one box to a share of the cores, together, by stopping them and letting
- * them go: crowded cores, without a right to set limits. It owns a shell that sends the signals, as
- * one process for each would cost more than is measured, and lets all go when it is closed. It must
- * never leave a process stopped.
+ * Limits the CPU time of all processes of one host together with SIGSTOP and SIGCONT, which
+ * imitates contended cores without the privilege to set limits. One shell sends all signals, since
+ * starting a process for each signal would cost more than what is measured. On close every stopped
+ * process is continued. One thread of its own does the work.
  */
 public final class CpuLimiter implements Closeable {
-  private static final double TURN =
-      0.1; // seconds, as is usual; the kernel's figures come in hundredths
-  private static final long LOOK_NANOS = 1_000_000;
+  private static final double PERIOD_SECONDS =
+      0.1; // the usual CFS period; the kernel reports CPU time in hundredths of a second
+  private static final long CHECK_INTERVAL_NANOS = 1_000_000;
 
-  private final Supplier<List<DaemonProcess>> whom;
+  private final Supplier<List<DaemonProcess>> processes;
   private final Process shell;
   private final OutputStream signals;
-  private final Thread thread = new Thread(this::hold, "holder");
-  private final Map<Long, Double> seen = new HashMap<>();
+  private final Thread limiterThread = new Thread(this::limit, "cpu-limiter");
+  private final Map<Long, Double> cpuSecondsByPid = new HashMap<>();
   private final Set<DaemonProcess> stopped = new HashSet<>();
   private final double cores;
-  private volatile boolean over;
-  private volatile IOException fault;
-  private volatile int stops;
+  private volatile boolean closed;
+  private volatile IOException failure;
+  private volatile int stopCount;
 
   /**
-   * @param whom the processes of the box, which may change
-   * @param cores that they may use together
+   * @param processes supplies the processes of the host, which may change
+   * @param cores number of cores that they may use together
    */
-  public CpuLimiter(Supplier<List<DaemonProcess>> whom, double cores) throws IOException {
-    this.whom = whom;
+  public CpuLimiter(Supplier<List<DaemonProcess>> processes, double cores) throws IOException {
+    this.processes = processes;
     this.cores = cores;
     shell =
         new ProcessBuilder("/bin/sh", "-c", "while read signal id; do kill -$signal $id; done")
@@ -47,94 +47,94 @@
             .redirectOutput(ProcessBuilder.Redirect.DISCARD)
             .start();
     signals = shell.getOutputStream();
-    thread.setDaemon(true);
-    thread.start();
+    limiterThread.setDaemon(true);
+    limiterThread.start();
   }
 
-  /** How often they were stopped. */
+  /** Number of times that the processes were stopped. */
   public int stops() {
-    return stops;
+    return stopCount;
   }
 
-  @SuppressWarnings("NonAtomicVolatileUpdate") // stops: its thread alone counts them
-  private void hold() {
-    long began = System.nanoTime();
-    CpuQuota share = new CpuQuota(cores, TURN, 0, used());
-    boolean run = true;
+  @SuppressWarnings("NonAtomicVolatileUpdate") // stopCount is written by one thread
+  private void limit() {
+    long startedAt = System.nanoTime();
+    CpuQuota quota = new CpuQuota(cores, PERIOD_SECONDS, 0, usedSeconds());
+    boolean running = true;
     try {
-      while (!over) {
-        boolean next = share.runs((System.nanoTime() - began) / 1e9, used());
-        if (next != run) {
-          run = next;
-          if (run) {
-            goOn();
+      while (!closed) {
+        boolean mayRun = quota.mayRun((System.nanoTime() - startedAt) / 1e9, usedSeconds());
+        if (mayRun != running) {
+          running = mayRun;
+          if (running) {
+            resume();
           } else {
-            stops++;
-            stop();
+            stopCount++;
+            stopAll();
           }
         }
-        LockSupport.parkNanos(LOOK_NANOS);
+        LockSupport.parkNanos(CHECK_INTERVAL_NANOS);
       }
     } catch (IOException e) {
-      fault = e;
+      failure = e;
     } finally {
       try {
-        goOn();
+        resume();
       } catch (IOException e) {
-        fault = e;
+        failure = e;
       }
     }
   }
 
-  private void stop() throws IOException {
-    stopped.addAll(whom.get());
+  private void stopAll() throws IOException {
+    stopped.addAll(processes.get());
     signal("STOP");
   }
 
   /**
-   * Guards against a process that was stopped, and is none of the box's by the time that they may
-   * go on.
+   * Continues exactly the processes that were stopped: one of them may no longer belong to the host
+   * and would otherwise stay stopped.
    */
-  private void goOn() throws IOException {
+  private void resume() throws IOException {
     signal("CONT");
     stopped.clear();
   }
 
   private void signal(String name) throws IOException {
     StringBuilder text = new StringBuilder();
-    for (DaemonProcess each : stopped) {
-      if (each.alive()) {
-        text.append(name).append(' ').append(each.pid()).append('\n');
+    for (DaemonProcess process : stopped) {
+      if (process.alive()) {
+        text.append(name).append(' ').append(process.pid()).append('\n');
       }
     }
     signals.write(text.toString().getBytes(StandardCharsets.US_ASCII));
     signals.flush();
   }
 
-  /** Seconds of all cores that these processes used, with what those that ended had used. */
-  private double used() {
-    for (DaemonProcess each : whom.get()) {
+  /** CPU seconds used by these processes, including those that have ended. */
+  private double usedSeconds() {
+    for (DaemonProcess process : processes.get()) {
       try {
-        seen.put(each.pid(), each.cpuSeconds());
+        cpuSecondsByPid.put(process.pid(), process.cpuSeconds());
       } catch (IOException ended) {
-        continue; // what it had used stands
+        continue; // keep the last figure
       }
     }
-    return seen.values().stream().mapToDouble(Double::doubleValue).sum();
+    return cpuSecondsByPid.values().stream().mapToDouble(Double::doubleValue).sum();
   }
 
   @Override
   public void close() throws IOException {
-    over = true;
+    closed = true;
     try {
-      thread.join();
+      limiterThread.join();
       signals.close();
       shell.waitFor();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    if (fault != null) {
-      throw fault;
+    if (failure != null) {
+      throw failure;
     }
   }
 }
--- a/src/main/java/wharftrestle/testbed/CpuQuota.java
+++ b/src/main/java/wharftrestle/testbed/CpuQuota.java
@@ -1,43 +1,43 @@
 package wharftrestle.testbed;
 
 /**
- * Decides when processes that may use a part of the cores run and when they stand still, as a
- * scheduler's quota does: each turn has so much of the cores, who has used it up stands until the
- * next, and what was used beyond it is owed to the next ones. Pure: time and the work done are
- * told, in seconds.
+ * Decides when processes with a CPU quota may run, as the kernel's CFS bandwidth control does: each
+ * period has a budget of CPU time, processes that used it up stay stopped until the next period,
+ * and CPU time used beyond the budget is charged to the following periods. It has no clock: callers
+ * pass the time and the CPU time used, in seconds. Not thread-safe.
  */
 final class CpuQuota {
-  private final double turn;
-  private final double quota;
-  private double left;
-  private double used;
-  private double turnEnds;
+  private final double periodSeconds;
+  private final double quotaSeconds;
+  private double budgetSeconds;
+  private double usedSeconds;
+  private double periodEnd;
 
   /**
-   * @param cores that they may use together
-   * @param turn seconds of a turn
-   * @param now when they begin to be held to it
-   * @param used what they had used by then
+   * @param cores number of cores that the processes may use together
+   * @param periodSeconds length of a period
+   * @param now start of the first period
+   * @param usedSeconds CPU time that the processes had used by then
    */
-  CpuQuota(double cores, double turn, double now, double used) {
-    this.turn = turn;
-    this.used = used;
-    quota = cores * turn;
-    left = quota;
-    turnEnds = now + turn;
+  CpuQuota(double cores, double periodSeconds, double now, double usedSeconds) {
+    this.periodSeconds = periodSeconds;
+    this.usedSeconds = usedSeconds;
+    quotaSeconds = cores * periodSeconds;
+    budgetSeconds = quotaSeconds;
+    periodEnd = now + periodSeconds;
   }
 
   /**
-   * True where they may run now.
+   * Whether the processes may run now.
    *
-   * @param all what they have used by now, never less than before
+   * @param totalUsedSeconds CPU time used so far, never less than at the previous call
    */
-  boolean runs(double now, double all) {
-    left -= all - used;
-    used = all;
-    for (; now >= turnEnds; turnEnds += turn) {
-      left = Math.min(quota, left + quota);
+  boolean mayRun(double now, double totalUsedSeconds) {
+    budgetSeconds -= totalUsedSeconds - usedSeconds;
+    usedSeconds = totalUsedSeconds;
+    for (; now >= periodEnd; periodEnd += periodSeconds) {
+      budgetSeconds = Math.min(quotaSeconds, budgetSeconds + quotaSeconds);
     }
-    return left > 0;
+    return budgetSeconds > 0;
   }
 }
--- a/src/main/java/wharftrestle/testbed/DaemonProcess.java
+++ b/src/main/java/wharftrestle/testbed/DaemonProcess.java
@@ -16,41 +16,41 @@
 import wharftrestle.transport.BoundedReader;
 
 /**
- * One real process of the program, of any build: it can be started, asked at its door, stopped,
- * killed and measured. It owns the process and its log.
+ * One real process of any build of the daemon, which can be started, queried at its admin endpoint,
+ * paused, killed and measured. Output goes to a log file.
  */
 public final class DaemonProcess {
   private final Process process;
   private final Path log;
-  private final int door;
+  private final int adminPort;
 
   /**
-   * Starts a process; whether it serves is another question.
+   * Starts a process without waiting until it is ready.
    *
-   * @param command with its arguments
-   * @param environment on top of this one's
-   * @param door the port of its operators' door, on loopback
+   * @param command command line
+   * @param environment added to the environment of this process
+   * @param adminPort port of its admin endpoint, on loopback
    */
-  DaemonProcess(List<String> command, Map<String, String> environment, Path log, int door)
+  DaemonProcess(List<String> command, Map<String, String> environment, Path log, int adminPort)
       throws IOException {
     this.log = log;
-    this.door = door;
+    this.adminPort = adminPort;
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
-    for (String other : List.of("TMPDIR", "EDGE_NAME", "EDGE_LISTEN", "EDGE_CONSOLE")) {
-      builder.environment().remove(other);
+    for (String variable : List.of("TMPDIR", "EDGE_NAME", "EDGE_LISTEN", "EDGE_CONSOLE")) {
+      builder.environment().remove(variable);
     }
     builder.environment().putAll(environment);
     process = builder.start();
   }
 
-  /** Waits until it serves; false where it does not in so many ms, or has ended. */
-  public boolean awaitReady(long ms) {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+  /** Waits until it is ready; false if it is not in time or has ended. */
+  public boolean awaitReady(long timeoutMs) {
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     while (!ready()) {
-      if (!process.isAlive() || System.nanoTime() > until) {
+      if (!process.isAlive() || System.nanoTime() > deadline) {
         return false;
       }
       LockSupport.parkNanos(2_000_000);
@@ -58,19 +58,19 @@
     return true;
   }
 
-  /** True where its door says so now. */
+  /** Whether the admin endpoint reports that it is ready. */
   public boolean ready() {
     try {
       return get("/_ready").startsWith("HTTP/1.1 200 ");
-    } catch (IOException notYet) {
+    } catch (IOException notReady) {
       return false;
     }
   }
 
-  /** What the operators' door says. */
+  /** The HTTP response of the admin endpoint. */
   public String get(String path) throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), door), 200);
+      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), adminPort), 200);
       socket.setSoTimeout(2000);
       socket.getOutputStream().write(BoundedReader.ascii("GET " + path + " HTTP/1.1\r\n\r\n"));
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -85,76 +85,76 @@
     return process.pid();
   }
 
-  /** What it logged, whole. */
+  /** The whole log. */
   public String log() throws IOException {
     return Files.readString(log);
   }
 
-  /** SIGKILL, and no word before it; waits for the end. */
+  /** Sends SIGKILL and waits for the exit. */
   public void kill() throws InterruptedException {
     process.destroyForcibly().waitFor();
   }
 
-  /** SIGTERM; goes on at once. */
-  public void term() {
+  /** Sends SIGTERM and returns at once. */
+  public void terminate() {
     process.destroy();
   }
 
-  /** Waits for the end; its exit code, or -1 where it has not ended in so many ms. */
-  public int awaitEnd(long ms) throws InterruptedException {
-    return process.waitFor(ms, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
+  /** Waits for the exit; the exit code, or -1 if it has not exited in time. */
+  public int awaitExit(long timeoutMs) throws InterruptedException {
+    return process.waitFor(timeoutMs, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
   }
 
-  /** SIGSTOP, or SIGCONT. */
-  public void stopped(boolean stopped) throws IOException, InterruptedException {
-    new ProcessBuilder("kill", stopped ? "-STOP" : "-CONT", Long.toString(pid())).start().waitFor();
+  /** Sends SIGSTOP or SIGCONT. */
+  public void setPaused(boolean paused) throws IOException, InterruptedException {
+    new ProcessBuilder("kill", paused ? "-STOP" : "-CONT", Long.toString(pid())).start().waitFor();
   }
 
   /**
-   * Seconds of all cores that the process has used, by itself and in the system; in hundredths, as
-   * Linux counts them.
+   * User and system CPU seconds of the process, with a resolution of a hundredth, as Linux counts
+   * them.
    */
   public double cpuSeconds() throws IOException {
     return ProcessInfo.cpuSeconds(pid());
   }
 
   /**
-   * Memory of the process, kB: VmHWM is the most that was resident, RssAnon what can only be its
-   * own.
+   * Memory of the process in kB from /proc: VmHWM is the peak resident size, RssAnon the anonymous
+   * resident memory.
    */
   public long memoryKb(String name) throws IOException {
     return ProcessInfo.memoryKb(pid(), name);
   }
 
   /**
-   * The process's own memory in MB: pages of its heap that were ever touched, and all else that no
-   * file backs.
+   * Anonymous memory of the process: touched pages of the Java heap, and all other anonymous
+   * memory.
    */
-  public record Own(double heap, double outside) {}
+  public record PrivateMemory(double heapMb, double nonHeapMb) {}
 
   /**
-   * Reads what the kernel says of each mapping. A heap of some MB ends at 4 GB, as the JVM has its
-   * references in 32 bits; nothing else of it lies within 64 MB below that.
+   * Reads /proc/PID/smaps. A heap of some MB ends at address 4 GB, as the JVM uses 32-bit
+   * references; no other mapping of the JVM is within 64 MB below that.
    */
-  public Own own() throws IOException {
-    long heap = 0;
-    long all = 0;
+  public PrivateMemory privateMemory() throws IOException {
+    long heapKb = 0;
+    long totalKb = 0;
     boolean inHeap = false;
     for (String line : Files.readAllLines(Path.of("/proc/" + pid() + "/smaps"))) {
       int dash = line.indexOf('-');
       if (dash > 0 && line.substring(0, dash).matches("[0-9a-f]+")) {
-        long from = Long.parseUnsignedLong(line.substring(0, dash), 16);
-        inHeap = from >= (1L << 32) - (64L << 20) && from < 1L << 32;
+        long start = Long.parseUnsignedLong(line.substring(0, dash), 16);
+        inHeap = start >= (1L << 32) - (64L << 20) && start < 1L << 32;
       } else if (line.startsWith("Anonymous:")) {
         long kb = Long.parseLong(line.replaceAll("\\D", ""));
-        all += kb;
-        heap += inHeap ? kb : 0;
+        totalKb += kb;
+        heapKb += inHeap ? kb : 0;
       }
     }
-    return new Own(heap / 1024.0, (all - heap) / 1024.0);
+    return new PrivateMemory(heapKb / 1024.0, (totalKb - heapKb) / 1024.0);
   }
 
-  /** The command of a build: a jar, or the classes that this process has where it is null. */
+  /** Command line for a build; a null jar means the class path of this process. */
   static List<String> command(Path jar, String main, int memoryMb) {
     int heap = Math.max(16, Math.min(40, memoryMb * 3 / 10));
     List<String> command =
--- a/src/main/java/wharftrestle/testbed/FakeWorkerPool.java
+++ b/src/main/java/wharftrestle/testbed/FakeWorkerPool.java
@@ -16,88 +16,95 @@
 import wharftrestle.transport.BoundedReader;
 
 /**
- * A stand-in worker pool that outlives the daemons and serves any number of them: it runs what it
- * is told to, and knows of each body when it ran. What it counts is the truth that checkers hold
- * the daemons against; it must never ask one.
+ * A fake worker pool that serves any number of daemons and outlives them. It executes what the
+ * daemons spawn and records the start of each execution; checkers compare the daemons' replies with
+ * these records. Thread-safe.
  */
 public final class FakeWorkerPool implements Closeable {
 
-  /** What it hears of and tells, so that a fault can choose its moment. */
-  public interface Moments {
-    void spawned();
+  /**
+   * Is notified when executions start and end, so that a test can inject a fault at that moment.
+   */
+  public interface ExecutionListener {
+    void onStarted();
 
-    void finished();
+    void onFinished();
   }
 
-  /** One run, guarded by the lock of all: how it ended, and the link that asked for it last. */
-  private static final class Spawned {
+  /**
+   * One execution: its outcome and the link that spawned it last. Guarded by the lock of {@link
+   * #executionsByReference}.
+   */
+  private static final class Execution {
     private final String body;
     private WorkerPoolPeer.Link link;
     private AtomicInteger notices;
-    private byte[] end; // null while it runs
+    private byte[] outcome; // null while it is in flight
 
-    Spawned(String body) {
+    Execution(String body) {
       this.body = body;
     }
   }
 
-  /** Runs whose end can be told again, as the protocol has it of notices. */
-  private static final int MOST_KEPT = 4000;
+  /** Number of executions whose outcome can be sent again, as the protocol requires. */
+  private static final int MAX_KEPT_EXECUTIONS = 4000;
 
-  /** Nanoseconds for which it has been up already when a play begins. */
-  private static final long UP_NANOS = 60_000_000_000L;
+  /** Uptime that the pool reports at the start of a test. */
+  private static final long INITIAL_UPTIME_NANOS = 60_000_000_000L;
 
   private final WorkerPoolPeer peer;
-  private final ScheduledExecutorService cores =
+  private final ScheduledExecutorService executors =
       Executors.newScheduledThreadPool(
           4,
           task -> {
-            Thread thread = new Thread(task, "stand-in core");
+            Thread thread = new Thread(task, "fake-worker");
             thread.setDaemon(true);
             return thread;
           });
-  private final Map<String, List<Long>> runs = new ConcurrentHashMap<>();
-  private final Map<String, Spawned> spawned =
+  private final Map<String, List<Long>> startsByName = new ConcurrentHashMap<>();
+  private final Map<String, Execution> executionsByReference =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Spawned> eldest) {
-          return size() > MOST_KEPT;
+        protected boolean removeEldestEntry(Map.Entry<String, Execution> eldest) {
+          return size() > MAX_KEPT_EXECUTIONS;
         }
       };
 
-  /** Of each link, numbered anew for each start of a daemon, and on from what it has read. */
-  private final Map<WorkerPoolPeer.Link, AtomicInteger> links = new ConcurrentHashMap<>();
+  /** Number of the last notice of each link; a daemon that binds says how many it has read. */
+  private final Map<WorkerPoolPeer.Link, AtomicInteger> noticeCounters = new ConcurrentHashMap<>();
 
   private final Random random;
-  private final int longestRun;
-  private final int longestResult;
+  private final int maxExecutionMs;
+  private final int maxResultBytes;
   private final long startedAt;
-  private volatile Moments moments;
-  private boolean late;
+  private volatile ExecutionListener listener;
+  private boolean bindHeld;
 
   /**
-   * @param before an earlier stand-in at another address, whose runs go on; null for none
-   * @param longestRun milliseconds
-   * @param longestResult bytes that a run adds to its body's name
+   * @param predecessor an earlier fake at another address, whose records are taken over; null for
+   *     none
+   * @param maxExecutionMs upper bound of the duration of an execution
+   * @param maxResultBytes most bytes that an execution appends to the name of its body
    */
-  FakeWorkerPool(FakeWorkerPool before, Random random, int longestRun, int longestResult)
+  FakeWorkerPool(FakeWorkerPool predecessor, Random random, int maxExecutionMs, int maxResultBytes)
       throws IOException {
     this.random = random;
-    this.longestRun = longestRun;
-    this.longestResult = longestResult;
-    startedAt = before != null ? before.startedAt : System.nanoTime() - UP_NANOS;
-    if (before != null) {
-      runs.putAll(before.runs);
+    this.maxExecutionMs = maxExecutionMs;
+    this.maxResultBytes = maxResultBytes;
+    startedAt =
+        predecessor != null ? predecessor.startedAt : System.nanoTime() - INITIAL_UPTIME_NANOS;
+    if (predecessor != null) {
+      startsByName.putAll(predecessor.startsByName);
     }
     peer =
         new WorkerPoolPeer(
                 new WorkerPoolPeer.Script() {
                   @Override
                   public boolean binds(WorkerPoolPeer.Link link, int read) throws IOException {
-                    awaitUp();
-                    links.put(link, new AtomicInteger(read));
+                    awaitBindReleased();
+                    noticeCounters.put(link, new AtomicInteger(read));
                     link.say("bound old " + (System.nanoTime() - startedAt) / 1_000_000 + "\r\n");
                     return true;
                   }
@@ -108,24 +115,22 @@
                     if (words[0].equals("poll")) {
                       link.say("polled " + words[1] + " 0.2 1\r\n");
                     } else if (words[0].equals("spawn")) {
-                      run(link, words[1], body);
+                      execute(link, words[1], body);
                     }
                   }
                 })
             .start();
   }
 
-  /**
-   * Links are taken and 'bound' is not said until this is over, as while a worker pool comes up.
-   */
-  public synchronized void late(boolean now) {
-    late = now;
+  /** While true, accepts links but does not reply 'bound', as a worker pool that is starting. */
+  public synchronized void holdBind(boolean hold) {
+    bindHeld = hold;
     notifyAll();
   }
 
-  private synchronized void awaitUp() {
+  private synchronized void awaitBindReleased() {
     try {
-      while (late) {
+      while (bindHeld) {
         wait();
       }
     } catch (InterruptedException e) {
@@ -137,116 +142,118 @@
     return peer.address();
   }
 
-  /** Tells this one of each moment; null for nobody. */
-  public void watch(Moments told) {
-    moments = told;
+  /** Sets the listener; null for none. */
+  public void setExecutionListener(ExecutionListener newListener) {
+    listener = newListener;
   }
 
-  /** When each run of a body with this first line began, on the clock of System.nanoTime. */
-  public List<Long> begun(String name) {
-    List<Long> all = runs.get(name);
-    if (all == null) {
+  /** Start of each execution of a body with this first line, System.nanoTime. */
+  public List<Long> executionStarts(String name) {
+    List<Long> starts = startsByName.get(name);
+    if (starts == null) {
       return List.of();
     }
-    synchronized (all) {
-      return List.copyOf(all);
+    synchronized (starts) {
+      return List.copyOf(starts);
     }
   }
 
-  /** The first lines of all bodies that ran. */
-  public Iterable<String> names() {
-    return runs.keySet();
+  /** The first lines of all executed bodies. */
+  public Iterable<String> executedNames() {
+    return startsByName.keySet();
   }
 
-  int bodies() {
-    return runs.size();
+  int executedBodies() {
+    return startsByName.size();
   }
 
-  // A run ends by its notice; nobody waits for it here.
+  // The outcome is sent by a notice; nothing waits for the future.
   @SuppressWarnings("FutureReturnValueIgnored")
-  private void run(WorkerPoolPeer.Link link, String ref, String body) {
-    Spawned asked;
-    boolean again;
-    synchronized (spawned) {
-      Spawned known = spawned.get(ref);
-      again = known != null && known.body.equals(body);
-      asked = again ? known : new Spawned(body);
-      asked.link = link;
-      asked.notices = links.get(link);
-      spawned.put(ref, asked);
+  private void execute(WorkerPoolPeer.Link link, String ref, String body) {
+    Execution execution;
+    boolean repeated;
+    synchronized (executionsByReference) {
+      Execution earlier = executionsByReference.get(ref);
+      repeated = earlier != null && earlier.body.equals(body);
+      execution = repeated ? earlier : new Execution(body);
+      execution.link = link;
+      execution.notices = noticeCounters.get(link);
+      executionsByReference.put(ref, execution);
     }
-    if (again) {
-      tell(asked); // its link broke: what runs goes on, and what is over is told
+    if (repeated) {
+      sendOutcome(execution); // respawned after its link broke: send the outcome, if there is one
       return;
     }
     String name = body.substring(0, body.indexOf('\n') < 0 ? body.length() : body.indexOf('\n'));
-    List<Long> mine = runs.computeIfAbsent(name, key -> new ArrayList<>());
-    int run;
-    synchronized (mine) {
-      mine.add(System.nanoTime());
-      run = mine.size();
+    List<Long> starts = startsByName.computeIfAbsent(name, key -> new ArrayList<>());
+    int attempt;
+    synchronized (starts) {
+      starts.add(System.nanoTime());
+      attempt = starts.size();
     }
-    moment(true);
-    int took;
+    notifyListener(true);
+    int durationMs;
     byte[] result;
     synchronized (random) {
-      took = random.nextInt(longestRun);
-      result = new byte[random.nextInt(longestResult + 1)];
+      durationMs = random.nextInt(maxExecutionMs);
+      result = new byte[random.nextInt(maxResultBytes + 1)];
       random.nextBytes(result);
     }
-    byte[] whole = BoundedReader.join(BoundedReader.ascii(name + " run " + run + "\r\n"), result);
-    cores.schedule(
+    byte[] payload =
+        BoundedReader.join(BoundedReader.ascii(name + " run " + attempt + "\r\n"), result);
+    executors.schedule(
         () -> {
-          synchronized (spawned) {
-            asked.end =
+          synchronized (executionsByReference) {
+            execution.outcome =
                 BoundedReader.join(
-                    BoundedReader.ascii(ref + " good " + took + " " + whole.length + "\r\n"),
-                    whole,
+                    BoundedReader.ascii(
+                        ref + " good " + durationMs + " " + payload.length + "\r\n"),
+                    payload,
                     BoundedReader.ascii("\r\n"));
           }
-          tell(asked);
+          sendOutcome(execution);
         },
-        took,
+        durationMs,
         TimeUnit.MILLISECONDS);
   }
 
-  /** Says how a run ended over the link that asked for it last; nothing while it runs. */
-  private void tell(Spawned run) {
+  /** Sends the outcome over the link that spawned it last; does nothing while it is in flight. */
+  private void sendOutcome(Execution execution) {
     WorkerPoolPeer.Link link;
     AtomicInteger notices;
-    byte[] end;
-    synchronized (spawned) {
-      link = run.link;
-      notices = run.notices;
-      end = run.end;
+    byte[] outcome;
+    synchronized (executionsByReference) {
+      link = execution.link;
+      notices = execution.notices;
+      outcome = execution.outcome;
     }
-    if (end == null) {
+    if (outcome == null) {
       return;
     }
     try {
       synchronized (notices) {
         link.say(
             BoundedReader.join(
-                BoundedReader.ascii("finished " + notices.incrementAndGet() + " "), end));
+                BoundedReader.ascii("finished " + notices.incrementAndGet() + " "), outcome));
       }
-      moment(false);
-    } catch (IOException gone) {
-      return; // it is told once it is asked for again
+      notifyListener(false);
+    } catch (IOException linkClosed) {
+      return; // sent again after a respawn
     }
   }
 
-  private void moment(boolean spawn) {
-    Moments told = moments;
-    if (told != null && spawn) {
-      told.spawned();
-    } else if (told != null) {
-      told.finished();
+  private void notifyListener(boolean started) {
+    ExecutionListener target = listener;
+    if (target != null && started) {
+      target.onStarted();
+    } else if (target != null) {
+      target.onFinished();
     }
   }
 
   @Override
   public void close() throws IOException {
     peer.close();
-    cores.shutdownNow();
+    executors.shutdownNow();
   }
 }
--- a/src/main/java/wharftrestle/testbed/FaultProxy.java
+++ b/src/main/java/wharftrestle/testbed/FaultProxy.java
@@ -17,52 +17,53 @@
 import wharftrestle.transport.BoundedReader;
 
 /**
- * A path between two parties that can be made to fail: a proxy on loopback for TCP and for UDP at
- * one port each, whose {@link FaultRule}s decide what comes through. It owns the sockets. It must
- * never listen or send off loopback.
+ * A fault-injecting proxy for TCP and UDP at one port on loopback. A {@link FaultRule} for each
+ * direction decides what is delivered and when. It never listens on or sends to an address off
+ * loopback. Thread-safe; {@link #close} closes the sockets.
  */
 public final class FaultProxy implements Closeable {
-  private static final InetAddress HOST = InetAddress.getLoopbackAddress();
+  private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-  /** Tries for a port that is free for both kinds. */
-  private static final int MOST_TRIES = 20;
+  /** Attempts to find a port that is free for both TCP and UDP. */
+  private static final int MAX_PORT_ATTEMPTS = 20;
 
-  private static final int CONNECT_MS = 1000;
-  private static final int LARGEST = 65_000;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
+  private static final int MAX_DATAGRAM_BYTES = 65_000;
 
-  private final InetSocketAddress to;
+  private final InetSocketAddress target;
   private final ServerSocket streams;
   private final DatagramSocket datagrams;
-  private final DatagramSocket back;
-  private final FaultRule there;
-  private final FaultRule here;
+  private final DatagramSocket targetDatagrams;
+  private final FaultRule toTargetRule;
+  private final FaultRule toClientRule;
   private final List<Pair> pairs = new CopyOnWriteArrayList<>();
-  private final DelayQueue<Late> late = new DelayQueue<>();
-  private volatile boolean refuses;
+  private final DelayQueue<DelayedDatagram> delayedDatagrams = new DelayQueue<>();
+  private volatile boolean refusing;
   private volatile boolean cut;
-  private volatile InetSocketAddress caller;
+  private volatile InetSocketAddress datagramClient;
 
-  /** Two sockets whose bytes are passed on. */
-  private record Pair(Socket one, Socket other) {
-    /** Ends both at once, with what is under way. */
+  /** A proxied connection: the client's socket and the socket to the target. */
+  private record Pair(Socket client, Socket server) {
+    /** Resets both connections; bytes in flight are lost. */
     void reset() {
-      for (Socket each : List.of(one, other)) {
+      for (Socket socket : List.of(client, server)) {
         try {
-          each.setSoLinger(true, 0);
+          socket.setSoLinger(true, 0);
         } catch (IOException e) {
-          continue; // it has ended already
+          continue; // already closed
         } finally {
-          BoundedReader.closeQuietly(each);
+          BoundedReader.closeQuietly(socket);
         }
       }
     }
   }
 
-  /** A datagram on its way. */
-  private record Late(DatagramPacket packet, DatagramSocket by, long at) implements Delayed {
+  /** A datagram and the System.nanoTime of its delivery. */
+  private record DelayedDatagram(DatagramPacket packet, DatagramSocket via, long deliverAt)
+      implements Delayed {
     @Override
     public long getDelay(TimeUnit unit) {
-      return unit.convert(at - System.nanoTime(), TimeUnit.NANOSECONDS);
+      return unit.convert(deliverAt - System.nanoTime(), TimeUnit.NANOSECONDS);
     }
 
     @Override
@@ -72,115 +73,111 @@
   }
 
   /**
-   * @param to on loopback
-   * @param seed of all that is drawn
+   * @param target address on loopback
+   * @param seed seed of all random choices
    */
-  public FaultProxy(InetSocketAddress to, long seed) throws IOException {
-    if (!to.getAddress().isLoopbackAddress()) {
-      throw new IOException("a link leads to loopback alone, not to " + to);
+  public FaultProxy(InetSocketAddress target, long seed) throws IOException {
+    if (!target.getAddress().isLoopbackAddress()) {
+      throw new IOException("the target of a proxy has to be on loopback, got " + target);
     }
-    this.to = to;
-    there = new FaultRule(seed);
-    here = new FaultRule(seed + 1);
-    Ports mine = ports(0);
-    streams = mine.streams();
-    datagrams = mine.datagrams();
-    back = new DatagramSocket(0, HOST);
+    this.target = target;
+    toTargetRule = new FaultRule(seed);
+    toClientRule = new FaultRule(seed + 1);
+    Ports ports = ports(0);
+    streams = ports.streams();
+    datagrams = ports.datagrams();
+    targetDatagrams = new DatagramSocket(0, LOOPBACK);
     thread(this::accept);
-    thread(() -> pass(datagrams, back, there));
-    thread(() -> pass(back, datagrams, here));
-    thread(this::sendLate);
+    thread(() -> forwardDatagrams(datagrams, targetDatagrams, toTargetRule));
+    thread(() -> forwardDatagrams(targetDatagrams, datagrams, toClientRule));
+    thread(this::sendDelayed);
   }
 
-  /** One port, for connections and for datagrams. */
+  /** A TCP and a UDP socket with the same port number. */
   record Ports(ServerSocket streams, DatagramSocket datagrams) {}
 
   /**
-   * A port of both kinds, that one where it can be had and else any. Guards against a port that is
-   * free for one kind and held for the other by somebody else on this machine: the system chooses
-   * by one kind alone.
+   * Binds the same port for TCP and UDP: the preferred one if it is free, else any. The kernel
+   * chooses a free TCP port without regard to UDP, so another process may hold its UDP port; then
+   * the next port is tried.
    */
-  static Ports ports(int wanted) throws IOException {
-    int port = wanted;
-    for (int tries = 0; ; tries++) {
+  static Ports ports(int preferred) throws IOException {
+    int port = preferred;
+    for (int attempts = 0; ; attempts++) {
       ServerSocket streams = null;
       try {
-        streams = new ServerSocket(port, 100, HOST);
-        return new Ports(streams, new DatagramSocket(streams.getLocalPort(), HOST));
+        streams = new ServerSocket(port, 100, LOOPBACK);
+        return new Ports(streams, new DatagramSocket(streams.getLocalPort(), LOOPBACK));
       } catch (IOException taken) {
         BoundedReader.closeQuietly(streams);
         port = 0;
-        if (tries >= MOST_TRIES) {
+        if (attempts >= MAX_PORT_ATTEMPTS) {
           throw taken;
         }
       }
     }
   }
 
-  /** Where it is reached. */
+  /** Address at which the proxy listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) streams.getLocalSocketAddress();
   }
 
-  private interface Body {
+  private interface Task {
     void run() throws IOException, InterruptedException;
   }
 
-  private static void thread(Body body) {
+  private static void thread(Task task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                body.run();
+                task.run();
               } catch (IOException | InterruptedException closed) {
                 return;
               }
             },
-            "link");
+            "fault-proxy");
     thread.setDaemon(true);
     thread.start();
   }
 
-  // ---- What can go wrong ----
+  // ---- Faults ----
 
-  /** Something goes wrong on the way there, on the way back, or on both. */
-  public void trouble(
-      FaultRule.Trouble what,
-      double value,
-      double more,
-      boolean onTheWayThere,
-      boolean onTheWayBack) {
-    if (onTheWayThere) {
-      synchronized (there) {
-        there.trouble(what, value, more);
+  /** Applies an effect to the direction to the target, to the client, or to both. */
+  public void apply(
+      FaultRule.Effect effect, double value, double jitterMs, boolean toTarget, boolean toClient) {
+    if (toTarget) {
+      synchronized (toTargetRule) {
+        toTargetRule.apply(effect, value, jitterMs);
       }
     }
-    if (onTheWayBack) {
-      synchronized (here) {
-        here.trouble(what, value, more);
+    if (toClient) {
+      synchronized (toClientRule) {
+        toClientRule.apply(effect, value, jitterMs);
       }
     }
   }
 
-  /** All connections end at once, and none can be made until it is healed. */
+  /** Resets all connections and refuses new ones until {@link #heal}. */
   public void cut() {
     cut = true;
-    refuses = true;
+    refusing = true;
     pairs.forEach(Pair::reset);
     pairs.clear();
   }
 
-  /** No connection can be made from now on; those that are go on. */
+  /** Refuses new connections until {@link #heal}; existing ones stay open. */
   public void refuse() {
-    refuses = true;
+    refusing = true;
   }
 
-  /** Nothing more is sent on the way there, and that is said: the other way goes on. */
+  /** Shuts down the direction to the target of all connections; the other direction stays open. */
   public void halfClose() {
     pairs.forEach(
         pair -> {
           try {
-            pair.other().shutdownOutput();
+            pair.server().shutdownOutput();
           } catch (IOException ended) {
             return;
           }
@@ -189,11 +186,11 @@
 
   public void heal() {
     cut = false;
-    refuses = false;
-    for (FaultRule wire : List.of(there, here)) {
-      synchronized (wire) {
-        wire.heal();
-        wire.notifyAll();
+    refusing = false;
+    for (FaultRule rule : List.of(toTargetRule, toClientRule)) {
+      synchronized (rule) {
+        rule.heal();
+        rule.notifyAll();
       }
     }
   }
@@ -202,26 +199,26 @@
 
   private void accept() throws IOException {
     for (; ; ) {
-      Socket one = streams.accept();
-      if (refuses) {
-        new Pair(one, one).reset();
+      Socket client = streams.accept();
+      if (refusing) {
+        new Pair(client, client).reset();
         continue;
       }
       thread(
           () -> {
-            Socket other = new Socket();
+            Socket server = new Socket();
             try {
-              other.connect(to, CONNECT_MS);
-            } catch (IOException none) {
-              new Pair(one, other).reset();
+              server.connect(target, CONNECT_TIMEOUT_MS);
+            } catch (IOException unreachable) {
+              new Pair(client, server).reset();
               return;
             }
-            one.setTcpNoDelay(true);
-            other.setTcpNoDelay(true);
-            Pair pair = new Pair(one, other);
+            client.setTcpNoDelay(true);
+            server.setTcpNoDelay(true);
+            Pair pair = new Pair(client, server);
             pairs.add(pair);
-            thread(() -> pump(pair, one, other, there));
-            thread(() -> pump(pair, other, one, here));
+            thread(() -> pump(pair, client, server, toTargetRule));
+            thread(() -> pump(pair, server, client, toClientRule));
             if (cut) {
               pair.reset();
             }
@@ -229,32 +226,32 @@
     }
   }
 
-  private void pump(Pair pair, Socket from, Socket into, FaultRule wire)
+  private void pump(Pair pair, Socket from, Socket out, FaultRule rule)
       throws InterruptedException {
     byte[] bytes = new byte[16 * 1024];
     try {
       for (int read = from.getInputStream().read(bytes);
           read >= 0;
           read = from.getInputStream().read(bytes)) {
-        await(wire, read);
-        into.getOutputStream().write(bytes, 0, read);
+        await(rule, read);
+        out.getOutputStream().write(bytes, 0, read);
       }
-      into.shutdownOutput();
+      out.shutdownOutput();
     } catch (IOException ended) {
       pair.reset();
       pairs.remove(pair);
     }
   }
 
-  private static void await(FaultRule wire, int bytes) throws InterruptedException {
-    synchronized (wire) {
-      double at = wire.passes(bytes, System.nanoTime() / 1e6);
+  private static void await(FaultRule rule, int bytes) throws InterruptedException {
+    synchronized (rule) {
+      double deliverAt = rule.deliveryTime(bytes, System.nanoTime() / 1e6);
       for (; ; ) {
-        long left = (long) Math.ceil(at - System.nanoTime() / 1e6);
-        if (wire.hole()) {
-          wire.wait();
-        } else if (left > 0) {
-          wire.wait(left);
+        long remainingMs = (long) Math.ceil(deliverAt - System.nanoTime() / 1e6);
+        if (rule.blackholed()) {
+          rule.wait();
+        } else if (remainingMs > 0) {
+          rule.wait(remainingMs);
         } else {
           return;
         }
@@ -262,39 +259,40 @@
     }
   }
 
-  // ---- Datagrams: the last who sent one has the answers ----
+  // ---- Datagrams: replies go to the client that sent the last one ----
 
-  private void pass(DatagramSocket from, DatagramSocket by, FaultRule wire) throws IOException {
-    for (byte[] bytes = new byte[LARGEST]; ; ) {
+  private void forwardDatagrams(DatagramSocket from, DatagramSocket via, FaultRule rule)
+      throws IOException {
+    for (byte[] bytes = new byte[MAX_DATAGRAM_BYTES]; ; ) {
       DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
       from.receive(packet);
       if (from == datagrams) {
-        caller = (InetSocketAddress) packet.getSocketAddress();
+        datagramClient = (InetSocketAddress) packet.getSocketAddress();
       }
-      InetSocketAddress next = from == datagrams ? to : caller;
-      if (next == null || cut) {
+      InetSocketAddress destination = from == datagrams ? target : datagramClient;
+      if (destination == null || cut) {
         continue;
       }
       double[] times;
       long now = System.nanoTime();
-      synchronized (wire) {
-        times = wire.datagram(now / 1e6);
+      synchronized (rule) {
+        times = rule.datagramDeliveries(now / 1e6);
       }
-      for (double at : times) {
-        late.add(
-            new Late(
+      for (double deliverAt : times) {
+        delayedDatagrams.add(
+            new DelayedDatagram(
                 new DatagramPacket(
-                    Arrays.copyOf(bytes, packet.getLength()), packet.getLength(), next),
-                by,
-                now + (long) (at * 1e6 - now)));
+                    Arrays.copyOf(bytes, packet.getLength()), packet.getLength(), destination),
+                via,
+                now + (long) (deliverAt * 1e6 - now)));
       }
     }
   }
 
-  private void sendLate() throws IOException, InterruptedException {
+  private void sendDelayed() throws IOException, InterruptedException {
     for (; ; ) {
-      Late next = late.take();
-      next.by().send(next.packet());
+      DelayedDatagram next = delayedDatagrams.take();
+      next.via().send(next.packet());
     }
   }
 
@@ -302,7 +300,7 @@
   public void close() throws IOException {
     streams.close();
     datagrams.close();
-    back.close();
+    targetDatagrams.close();
     pairs.forEach(Pair::reset);
   }
 }
--- a/src/main/java/wharftrestle/testbed/FaultRule.java
+++ b/src/main/java/wharftrestle/testbed/FaultRule.java
@@ -3,99 +3,108 @@
 import java.util.Random;
 
 /**
- * What a link does now with what crosses it in one direction: the decisions of a proxy, without
- * sockets or clocks. It must never decide by anything but what it was told and its seed. Times are
- * in ms on the caller's clock.
+ * Decides when a proxy delivers the bytes or datagrams of one direction. It uses no sockets and no
+ * clock: the decisions depend on the applied effects, the seed and the times that callers pass, in
+ * ms. Not thread-safe.
  */
 public final class FaultRule {
 
-  /** One thing that is wrong, until it is healed. */
-  public enum Trouble {
-    /** Nothing comes through; what was sent waits, as after a lost packet. */
+  /** An injected fault, until {@link #heal}. */
+  public enum Effect {
+    /** Nothing is delivered; stream bytes wait, as after a lost packet, and datagrams are lost. */
     HOLE,
-    /** What crosses comes later, by so many ms and a jitter. */
+    /** Delivery is delayed by a number of ms and a random jitter. */
     DELAY,
-    /** So many kB a second at most. */
+    /** Streams are limited to a number of kB a second. */
     RATE,
-    /** So large a part of datagrams is lost, doubled, or comes after the next one. */
+    /** This part of datagrams, 0 to 1, is lost (and for the next two: duplicated, reordered). */
     DROP,
     DOUBLE,
     REORDER
   }
 
   private final Random random;
-  private boolean hole;
-  private double delay;
-  private double jitter;
-  private double rate = Double.POSITIVE_INFINITY;
-  private double drop;
-  private double twice;
-  private double reorder;
-  private double freeAt; // the rate lets the next bytes through
-  private double lastOut; // a stream keeps its order
+  private boolean blackholed;
+  private double delayMs;
+  private double jitterMs;
+  private double kbPerSecond = Double.POSITIVE_INFINITY;
+  private double dropShare;
+  private double duplicateShare;
+  private double reorderShare;
+  private double rateFreeAt; // time at which the rate limit allows the next bytes
+  private double lastDelivery; // a stream keeps its order
 
   public FaultRule(long seed) {
     random = new Random(seed);
   }
 
-  /** Something goes wrong, or more so; the second value is the jitter of a delay. */
-  public void trouble(Trouble what, double value, double more) {
-    switch (what) {
-      case HOLE -> hole = true;
+  /**
+   * Applies an effect, or changes its value.
+   *
+   * @param newJitterMs jitter of a delay
+   */
+  public void apply(Effect effect, double value, double newJitterMs) {
+    switch (effect) {
+      case HOLE -> blackholed = true;
       case DELAY -> {
-        delay = value;
-        jitter = more;
+        delayMs = value;
+        jitterMs = newJitterMs;
       }
-      case RATE -> rate = value;
-      case DROP -> drop = value;
-      case DOUBLE -> twice = value;
-      case REORDER -> reorder = value;
-      default -> throw new IllegalStateException("no trouble: " + what);
+      case RATE -> kbPerSecond = value;
+      case DROP -> dropShare = value;
+      case DOUBLE -> duplicateShare = value;
+      case REORDER -> reorderShare = value;
+      default -> throw new IllegalStateException("unknown effect: " + effect);
     }
   }
 
-  /** All is well again; what waits comes through. */
+  /** Removes all effects; waiting bytes are delivered. */
   public void heal() {
-    hole = false;
-    delay = 0;
-    jitter = 0;
-    rate = Double.POSITIVE_INFINITY;
-    drop = 0;
-    twice = 0;
-    reorder = 0;
+    blackholed = false;
+    delayMs = 0;
+    jitterMs = 0;
+    kbPerSecond = Double.POSITIVE_INFINITY;
+    dropShare = 0;
+    duplicateShare = 0;
+    reorderShare = 0;
   }
 
-  /** True while nothing comes through. */
-  public boolean hole() {
-    return hole;
+  /** Whether nothing is delivered now. */
+  public boolean blackholed() {
+    return blackholed;
   }
 
-  /** When bytes of a stream that came now go on: never before what came earlier. */
-  public double passes(int bytes, double now) {
-    double from = Math.max(now, freeAt);
-    freeAt =
-        rate == Double.POSITIVE_INFINITY ? now : from + bytes / rate; // kB a second is bytes a ms
-    double at = Math.max(now, freeAt) + delay + (jitter > 0 ? random.nextDouble() * jitter : 0);
-    lastOut = Math.max(lastOut, at);
-    return lastOut;
+  /** Delivery time of stream bytes that arrive now, never before that of earlier bytes. */
+  public double deliveryTime(int bytes, double now) {
+    double start = Math.max(now, rateFreeAt);
+    rateFreeAt =
+        kbPerSecond == Double.POSITIVE_INFINITY
+            ? now
+            : start + bytes / kbPerSecond; // kB a second is bytes a ms
+    double delivery =
+        Math.max(now, rateFreeAt) + delayMs + (jitterMs > 0 ? random.nextDouble() * jitterMs : 0);
+    lastDelivery = Math.max(lastDelivery, delivery);
+    return lastDelivery;
   }
 
   /**
-   * When copies of a datagram that came now go on: none where it is lost. One that is late may come
-   * after the next.
+   * Delivery times of the copies of a datagram that arrives now; none if it is lost. A delayed
+   * datagram can be delivered after the next one.
    */
-  public double[] datagram(double now) {
-    if (hole || random.nextDouble() < drop) {
+  public double[] datagramDeliveries(double now) {
+    if (blackholed || random.nextDouble() < dropShare) {
       return new double[0];
     }
-    double at =
+    double delivery =
         now
-            + delay
-            + (jitter > 0 ? random.nextDouble() * jitter : 0)
-            + (random.nextDouble() < reorder ? LATE : 0);
-    return random.nextDouble() < twice ? new double[] {at, at} : new double[] {at};
+            + delayMs
+            + (jitterMs > 0 ? random.nextDouble() * jitterMs : 0)
+            + (random.nextDouble() < reorderShare ? REORDER_DELAY_MS : 0);
+    return random.nextDouble() < duplicateShare
+        ? new double[] {delivery, delivery}
+        : new double[] {delivery};
   }
 
-  /** Milliseconds by which a datagram that is to come after the next one is held. */
-  private static final double LATE = 40;
+  /** Extra delay that lets a datagram arrive after the next one. */
+  private static final double REORDER_DELAY_MS = 40;
 }
--- a/src/main/java/wharftrestle/testbed/FaultScript.java
+++ b/src/main/java/wharftrestle/testbed/FaultScript.java
@@ -14,27 +14,26 @@
 import wharftrestle.settings.Scripts;
 
 /**
- * A script of failures, in the settings' language: {@code play(seconds = 20, boxes = 3)}, then
- * {@code at(4, cut("b2", "front"))}. It owns the words and their bounds; whatever is wrong is told
- * with line and column before anything starts.
+ * A fault script, in the language of the settings script: {@code play(seconds = 20, boxes = 3)},
+ * then {@code at(4, cut("b2", "front"))}. The whole script is checked before anything starts;
+ * errors name line and column.
  *
- * @param play what is played
- * @param steps in the order of their times
+ * @param run duration and size of the scenario
+ * @param steps faults, sorted by time
  */
-public record FaultScript(Play play, List<Step> steps) {
+public record FaultScript(Run run, List<Step> steps) {
 
   /**
-   * What is played.
+   * Duration and size of the scenario: the function {@code play} of a script.
    *
-   * @param seconds how long
-   * @param boxes b1, b2, ...
-   * @param callers of each box
-   * @param kept results are kept on disk
-   * @param seed of all that is drawn
+   * @param hosts number of hosts, named b1, b2, ...
+   * @param clients clients of each host
+   * @param durableResults whether results are kept on disk
+   * @param seed seed of all random choices
    */
-  public record Play(double seconds, int boxes, int callers, boolean kept, long seed) {}
+  public record Run(double seconds, int hosts, int clients, boolean durableResults, long seed) {}
 
-  /** What can be done: to a path of a box, or to its process. */
+  /** Kind of a fault, on a path of a host or on its process. */
   public enum Kind {
     CUT,
     HEAL,
@@ -58,45 +57,46 @@
   }
 
   /**
-   * One thing that goes wrong.
+   * One fault. The component names are written to the results as JSON.
    *
+   * @param box name of the host
    * @param path "front", "pool", "store" or "names"; empty for the process itself
-   * @param value ms of a delay, kB a second of a rate, part of datagrams, cores that a box is held
-   *     to, ms that a clock is off
+   * @param value ms of a delay, kB a second of a rate, part of datagrams, cores of a CPU limit, ms
+   *     of a clock offset
    * @param more ms of jitter
-   * @param way "both", "there" (to the box on its front, from it on the others) or "back"
+   * @param way "both", "there" (to the host on the path "front", from it on the others) or "back"
    */
   public record Fault(Kind kind, String box, String path, double value, double more, String way) {}
 
-  /** A fault and when it comes, in seconds from the start. */
+  /** A fault and the time at which it is injected, in seconds from the start. */
   public record Step(double at, Fault fault) {}
 
   private static final List<String> PATHS = List.of("front", "pool", "store", "names");
-  private static final Map<String, List<String>> WORDS = new LinkedHashMap<>();
+  private static final Map<String, List<String>> PARAMETERS = new LinkedHashMap<>();
 
   static {
-    WORDS.put("play", List.of("seconds", "boxes", "callers", "kept", "seed"));
-    WORDS.put("at", List.of("time", "fault"));
-    for (String word : List.of("cut", "heal", "refuse", "half_close")) {
-      WORDS.put(word, List.of("box", "path"));
+    PARAMETERS.put("play", List.of("seconds", "boxes", "callers", "kept", "seed"));
+    PARAMETERS.put("at", List.of("time", "fault"));
+    for (String function : List.of("cut", "heal", "refuse", "half_close")) {
+      PARAMETERS.put(function, List.of("box", "path"));
     }
-    WORDS.put("hole", List.of("box", "path", "way"));
-    WORDS.put("delay", List.of("box", "path", "ms", "jitter", "way"));
-    WORDS.put("rate", List.of("box", "path", "kb", "way"));
-    for (String word : List.of("drop", "double", "reorder")) {
-      WORDS.put(word, List.of("box", "path", "part", "way"));
+    PARAMETERS.put("hole", List.of("box", "path", "way"));
+    PARAMETERS.put("delay", List.of("box", "path", "ms", "jitter", "way"));
+    PARAMETERS.put("rate", List.of("box", "path", "kb", "way"));
+    for (String function : List.of("drop", "double", "reorder")) {
+      PARAMETERS.put(function, List.of("box", "path", "part", "way"));
     }
-    WORDS.put("hold", List.of("box", "cores"));
-    WORDS.put("clock", List.of("box", "ms"));
-    for (String word : List.of("stop", "go", "kill", "start", "change", "free", "leave")) {
-      WORDS.put(word, List.of("box"));
+    PARAMETERS.put("hold", List.of("box", "cores"));
+    PARAMETERS.put("clock", List.of("box", "ms"));
+    for (String function : List.of("stop", "go", "kill", "start", "change", "free", "leave")) {
+      PARAMETERS.put(function, List.of("box"));
     }
   }
 
   /**
-   * Reads a script.
+   * Reads a script from a file.
    *
-   * @throws BadSettingsException in one line
+   * @throws BadSettingsException with a message of one line
    */
   public static FaultScript read(Path file) throws BadSettingsException {
     try {
@@ -107,44 +107,44 @@
     }
   }
 
-  /** The same with a text; the name is for faults. */
+  /** Reads a script from a text; the name is used in error messages. */
   public static FaultScript parse(String name, String text) throws BadSettingsException {
     Reader reader = new Reader();
     Scripts.run(name, text, reader);
     List<Step> steps = new ArrayList<>();
-    for (Given each : reader.steps) {
-      String wrong = reader.wrong(each.step());
-      if (wrong != null) {
-        throw new BadSettingsException(name, each.place(), wrong);
+    for (PlacedStep placed : reader.steps) {
+      String error = reader.findError(placed.step());
+      if (error != null) {
+        throw new BadSettingsException(name, placed.place(), error);
       }
-      steps.add(each.step());
+      steps.add(placed.step());
     }
     steps.sort(Comparator.comparingDouble(Step::at));
-    return new FaultScript(reader.play, List.copyOf(steps));
+    return new FaultScript(reader.run, List.copyOf(steps));
   }
 
-  private record Given(Step step, Place place) {}
+  private record PlacedStep(Step step, Place place) {}
 
   private static final class Reader implements Scripts.Words {
-    private Play play = new Play(10, 1, 4, false, 1);
-    private boolean played;
-    private final List<Given> steps = new ArrayList<>();
+    private Run run = new Run(10, 1, 4, false, 1);
+    private boolean runSeen;
+    private final List<PlacedStep> steps = new ArrayList<>();
 
     @Override
-    public List<String> values(String word) {
-      return WORDS.get(word);
+    public List<String> values(String function) {
+      return PARAMETERS.get(function);
     }
 
     @Override
     public Object called(Scripts.Call call) throws Scripts.RefusedException {
       switch (call.word()) {
         case "play" -> {
-          if (played) {
+          if (runSeen) {
             throw new Scripts.RefusedException(call.place(), "play stands twice");
           }
-          played = true;
-          play =
-              new Play(
+          runSeen = true;
+          run =
+              new Run(
                   call.number("seconds", 10, 1, 3600),
                   (int) call.number("boxes", 1, 1, 50),
                   (int) call.number("callers", 4, 1, 64),
@@ -155,11 +155,11 @@
         case "at" -> {
           double time = call.number("time", Double.NaN, 0, 3600);
           Scripts.Value fault = call.need("fault");
-          if (!(fault.value() instanceof Fault what)) {
+          if (!(fault.value() instanceof Fault faultValue)) {
             throw new Scripts.RefusedException(
                 fault.place(), "at takes a fault, such as cut(\"b1\", \"front\")");
           }
-          steps.add(new Given(new Step(time, what), call.place()));
+          steps.add(new PlacedStep(new Step(time, faultValue), call.place()));
           return null;
         }
         default -> {
@@ -170,11 +170,11 @@
 
     private Fault fault(Scripts.Call call) throws Scripts.RefusedException {
       Kind kind = Kind.valueOf(call.word().toUpperCase(Locale.ROOT));
-      boolean path = values(call.word()).contains("path");
+      boolean hasPath = values(call.word()).contains("path");
       return new Fault(
           kind,
-          word(call, "box", null, "b[1-9][0-9]?"),
-          path ? word(call, "path", null, String.join("|", PATHS)) : "",
+          textValue(call, "box", null, "b[1-9][0-9]?"),
+          hasPath ? textValue(call, "path", null, String.join("|", PATHS)) : "",
           switch (kind) {
             case DELAY -> call.number("ms", Double.NaN, 0, 60_000);
             case RATE -> call.number("kb", Double.NaN, 0.1, 1e6);
@@ -184,20 +184,20 @@
             default -> 0;
           },
           kind == Kind.DELAY ? call.number("jitter", 0, 0, 60_000) : 0,
-          word(call, "way", "both", "both|there|back"));
+          textValue(call, "way", "both", "both|there|back"));
     }
 
-    private String wrong(Step step) {
-      int box = Integer.parseInt(step.fault().box().substring(1));
-      if (box > play.boxes()) {
-        return "there is no " + step.fault().box() + ": " + play.boxes() + " boxes are played";
+    private String findError(Step step) {
+      int host = Integer.parseInt(step.fault().box().substring(1));
+      if (host > run.hosts()) {
+        return "there is no " + step.fault().box() + ": " + run.hosts() + " boxes are played";
       }
-      if (step.at() > play.seconds()) {
-        return "nothing happens after " + play.seconds() + " s, which is when the play ends";
+      if (step.at() > run.seconds()) {
+        return "nothing happens after " + run.seconds() + " s, which is when the play ends";
       }
-      boolean datagrams =
+      boolean datagramsOnly =
           List.of(Kind.DROP, Kind.DOUBLE, Kind.REORDER).contains(step.fault().kind());
-      return datagrams && !step.fault().path().equals("names")
+      return datagramsOnly && !step.fault().path().equals("names")
           ? "datagrams cross the path \"names\" alone; use hole or delay"
           : null;
     }
@@ -214,7 +214,7 @@
           value.place(), call.word() + "." + name + ": expected True or False");
     }
 
-    private static String word(Scripts.Call call, String name, String initial, String pattern)
+    private static String textValue(Scripts.Call call, String name, String initial, String pattern)
         throws Scripts.RefusedException {
       return call.text(name, initial, pattern, "one of " + pattern.replace("|", ", "));
     }
--- a/src/main/java/wharftrestle/testbed/FleetTestbed.java
+++ b/src/main/java/wharftrestle/testbed/FleetTestbed.java
@@ -33,21 +33,22 @@
 import wharftrestle.version.BuildInfo;
 
 /**
- * A fleet on loopback: each box a real keeper with its real daemon, stand-ins and callers, and a
- * link that can fail between its keeper and whoever drives. It owns all of their processes and ends
- * them; what the boxes are is asked of their keepers.
+ * A fleet on loopback. Each host has a real supervisor with its real daemon, fakes, clients, and a
+ * fault-injecting proxy between its supervisor and the controllers. The state of a host is read
+ * from its supervisor. {@link #close} ends all processes. Not thread-safe.
  */
 public final class FleetTestbed implements Closeable {
-  private static final InetAddress HOST = InetAddress.getLoopbackAddress();
+  private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int PATIENCE_MS = 900;
-  private static final int LOG_END = 600;
-  private static final String BUILD = BuildInfo.class.getName().replace('.', '/') + ".class";
+  private static final int HTTP_TIMEOUT_MS = 900;
+  private static final int LOG_TAIL_CHARS = 600;
+  private static final String BUILD_INFO_ENTRY =
+      BuildInfo.class.getName().replace('.', '/') + ".class";
 
-  /** Milliseconds after a fault at a box in which a connection to it may end without its answer. */
+  /** Time after a fault on a host in which a connection to it may end without its reply. */
   private static final long EXCUSE_MS = 4000;
 
-  private static final List<String> JVM =
+  private static final List<String> JVM_OPTIONS =
       List.of(
           "-XX:+UseSerialGC",
           "-XX:TieredStopAtLevel=1",
@@ -58,25 +59,31 @@
           "-XX:ReservedCodeCacheSize=16m",
           "-Xshare:auto");
 
-  /** One box. */
-  public static final class Box {
+  /** One host of the fleet. */
+  public static final class Host {
     private final String name;
     private final String zone;
-    private final HostTestbed floor;
-    private final Path state;
+    private final HostTestbed testbed;
+    private final Path stateDirectory;
     private final int port;
-    private final FaultProxy link;
-    private TestClients callers;
-    private Process keeper;
-    private volatile long troubleAt = Long.MIN_VALUE / 2;
-
-    Box(String name, String zone, HostTestbed floor, Path state, int port, FaultProxy link) {
+    private final FaultProxy controllerProxy;
+    private TestClients clients;
+    private Process supervisor;
+    private volatile long lastFaultAt = Long.MIN_VALUE / 2;
+
+    Host(
+        String name,
+        String zone,
+        HostTestbed testbed,
+        Path stateDirectory,
+        int port,
+        FaultProxy controllerProxy) {
       this.name = name;
       this.zone = zone;
-      this.floor = floor;
-      this.state = state;
+      this.testbed = testbed;
+      this.stateDirectory = stateDirectory;
       this.port = port;
-      this.link = link;
+      this.controllerProxy = controllerProxy;
     }
 
     public String name() {
@@ -87,103 +94,103 @@
       return zone;
     }
 
-    /** Between the keeper and whoever drives. */
-    public FaultProxy link() {
-      return link;
+    /** The proxy between the supervisor and the controllers. */
+    public FaultProxy controllerProxy() {
+      return controllerProxy;
     }
 
-    /** A fault is put at this box now: what is on its way may be lost. */
-    public void trouble() {
-      troubleAt = System.nanoTime();
+    /** Records a fault on this host: requests in flight may be lost. */
+    public void recordFault() {
+      lastFaultAt = System.nanoTime();
     }
 
     private boolean excused() {
-      return System.nanoTime() - troubleAt < TimeUnit.MILLISECONDS.toNanos(EXCUSE_MS);
+      return System.nanoTime() - lastFaultAt < TimeUnit.MILLISECONDS.toNanos(EXCUSE_MS);
     }
 
-    public TestClients callers() {
-      return callers;
+    public TestClients clients() {
+      return clients;
     }
 
-    /** What the keeper shows to anybody, not through the link; missing where it does not answer. */
-    public JsonNode shows() {
+    /** Status of the supervisor, read without the proxy; a missing node if it does not reply. */
+    public JsonNode status() {
       try {
-        HttpURLConnection call =
+        HttpURLConnection connection =
             (HttpURLConnection)
                 URI.create("http://127.0.0.1:" + port + "/box").toURL().openConnection();
-        call.setConnectTimeout(PATIENCE_MS);
-        call.setReadTimeout(PATIENCE_MS);
+        connection.setConnectTimeout(HTTP_TIMEOUT_MS);
+        connection.setReadTimeout(HTTP_TIMEOUT_MS);
         try {
-          return JSON.readTree(call.getInputStream());
+          return JSON.readTree(connection.getInputStream());
         } finally {
-          call.disconnect();
+          connection.disconnect();
         }
-      } catch (IOException silent) {
+      } catch (IOException noReply) {
         return MissingNode.getInstance();
       }
     }
 
-    /** The release that its daemon is, by its own digest. */
-    public String acts() {
-      return shows().path("box").path("acts").asText();
+    /** The release of the active daemon, from its own digest. */
+    public String activeRelease() {
+      return status().path("box").path("acts").asText();
     }
 
     public boolean settled() {
-      return shows().path("box").path("settled").asBoolean();
+      return status().path("box").path("settled").asBoolean();
     }
 
-    /** The daemon that serves; 0 for none known. */
+    /** Process id of the serving daemon; 0 if unknown. */
     public long daemonPid() {
-      return shows().path("box").path("pid").asLong();
+      return status().path("box").path("pid").asLong();
     }
 
-    public Process keeper() {
-      return keeper;
+    public Process supervisor() {
+      return supervisor;
     }
   }
 
   private final Path folder;
   private final Path releases;
-  private final Map<String, Box> boxes = new LinkedHashMap<>();
-  private final List<Process> drivers = new ArrayList<>();
+  private final Map<String, Host> hosts = new LinkedHashMap<>();
+  private final List<Process> controllers = new ArrayList<>();
   private final long seed;
-  private final SkewedClock hourOff;
+  private final SkewedClock skewedClock;
 
   /**
-   * @param zones boxes lie in so many, in turn
+   * @param zones number of zones, to which hosts are assigned in turn
    */
-  public FleetTestbed(Path folder, int boxes, int zones, long seed) throws IOException {
+  public FleetTestbed(Path folder, int hosts, int zones, long seed) throws IOException {
     this.folder = folder;
     this.seed = seed;
     releases = folder.resolve("releases");
-    hourOff = new SkewedClock(folder.resolve("hour-off"));
-    hourOff.set(3_600_000);
-    for (int i = 1; i <= boxes; i++) {
-      Path own = Files.createDirectory(folder.resolve("b" + i));
+    skewedClock = new SkewedClock(folder.resolve("hour-off"));
+    skewedClock.setOffset(3_600_000);
+    for (int i = 1; i <= hosts; i++) {
+      Path hostDirectory = Files.createDirectory(folder.resolve("b" + i));
       int port = Address.freePort();
-      this.boxes.put(
+      this.hosts.put(
           "b" + i,
-          new Box(
+          new Host(
               "b" + i,
               "z" + (i - 1) % zones,
-              new HostTestbed(own, "", seed + i, HostTestbed.Play.of(192)),
-              Files.createDirectory(own.resolve("k")),
+              new HostTestbed(hostDirectory, "", seed + i, HostTestbed.Play.of(192)),
+              Files.createDirectory(hostDirectory.resolve("k")),
               port,
-              new FaultProxy(new InetSocketAddress(HOST, port), seed + i)));
+              new FaultProxy(new InetSocketAddress(LOOPBACK, port), seed + i)));
     }
   }
 
-  public Map<String, Box> boxes() {
-    return boxes;
+  public Map<String, Host> hosts() {
+    return hosts;
   }
 
   /**
-   * Makes a release of the classes that this process runs with: a jar that names their places, and
-   * a word for its main class.
+   * Packs a release from the class path of this process: a jar whose manifest refers to it, with a
+   * marker for the main class.
    *
-   * @param word what {@code /release.txt} in the jar says
+   * @param marker text after the name in {@code /release.txt} of the jar
    */
-  public void pack(String name, String main, String word) throws IOException {
+  public void pack(String name, String main, String marker) throws IOException {
     Path jar = folder.resolve(name + ".jar");
     Manifest manifest = new Manifest();
     manifest.getMainAttributes().put(Attributes.Name.MANIFEST_VERSION, "1.0");
@@ -192,27 +199,27 @@
         .getMainAttributes()
         .put(
             Attributes.Name.CLASS_PATH,
-            Arrays.stream(classes().split(File.pathSeparator))
+            Arrays.stream(classPath().split(File.pathSeparator))
                 .map(each -> Path.of(each).toUri().toString())
                 .collect(Collectors.joining(" ")));
     try (JarOutputStream out = new JarOutputStream(Files.newOutputStream(jar), manifest)) {
       out.putNextEntry(new JarEntry("release.txt"));
-      out.write((name + " " + word).getBytes(StandardCharsets.UTF_8));
+      out.write((name + " " + marker).getBytes(StandardCharsets.UTF_8));
       out.closeEntry();
-      // A build is known by the jar that this class is from.
-      out.putNextEntry(new JarEntry(BUILD));
-      try (InputStream in = BuildInfo.class.getResourceAsStream("/" + BUILD)) {
+      // A build is identified by the jar that contains this class.
+      out.putNextEntry(new JarEntry(BUILD_INFO_ENTRY));
+      try (InputStream in = BuildInfo.class.getResourceAsStream("/" + BUILD_INFO_ENTRY)) {
         in.transferTo(out);
       }
       out.closeEntry();
     }
-    // Results are kept on disk, each box in its own folder: so a daemon that dies costs no key.
+    // Results are kept on disk, in a folder of each host, so a daemon that dies loses no key.
     Path settings =
         Files.writeString(folder.resolve("kept.star"), "durable(dir = \"results\", max_mb = 16)\n");
     new ReleaseDirectory(releases).pack(jar, settings, name);
   }
 
-  private static String classes() {
+  private static String classPath() {
     String all =
         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
     return Arrays.stream(all.split(File.pathSeparator))
@@ -220,68 +227,70 @@
         .collect(Collectors.joining(File.pathSeparator));
   }
 
-  private static List<String> java() {
+  private static List<String> javaCommand() {
     List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java"));
-    command.addAll(JVM);
+    command.addAll(JVM_OPTIONS);
     return command;
   }
 
-  /** Starts the keeper of a box; the release counts where nothing runs there. */
-  public void keep(Box box, String release) throws IOException {
-    keep(box, release, "wharftrestle.Main");
+  /** Starts the supervisor of a host; the release applies if no daemon runs there yet. */
+  public void startSupervisor(Host host, String release) throws IOException {
+    startSupervisor(host, release, "wharftrestle.Main");
   }
 
-  /** The same with another main class, such as a keeper that is wrong on purpose. */
-  public void keep(Box box, String release, String main) throws IOException {
-    List<String> command = java();
-    if (box == boxes.values().iterator().next()) {
-      command.add(
-          hourOff
-              .option()); // one keeper's time of day is an hour off throughout: nothing may hang on
-      // it
+  /** Starts a supervisor with another main class, such as a deliberately faulty one. */
+  public void startSupervisor(Host host, String release, String main) throws IOException {
+    List<String> command = javaCommand();
+    if (host == hosts.values().iterator().next()) {
+      // The wall clock of one supervisor is an hour off: nothing may depend on it.
+      command.add(skewedClock.option());
     }
-    // The daemons' settings for the box: a short probation, as the fleet's judge watches longer.
-    Path settings = box.state.resolveSibling("box.star");
+    // Settings of the host: a short probation, since the canary analysis of the fleet watches
+    // longer.
+    Path settings = host.stateDirectory.resolveSibling("box.star");
     Files.writeString(
         settings,
         "box(ready_s = 20, probation_s = 3, pause_s = 0.3, most_pause_s = 2, deaths = 4)\n");
     command.addAll(
         List.of(
             "-cp",
-            classes(),
+            classPath(),
             main,
             "box",
             "run",
             "--releases",
             releases.toString(),
             "--dir",
-            box.state.toString(),
+            host.stateDirectory.toString(),
             "--settings",
             settings.toString(),
             "--fleet",
-            "127.0.0.1:" + box.port,
+            "127.0.0.1:" + host.port,
             "--name",
-            box.name,
+            host.name,
             "--java",
-            String.join(" ", java()),
+            String.join(" ", javaCommand()),
             release));
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .directory(box.state.toFile())
+            .directory(host.stateDirectory.toFile())
             .redirectOutput(
-                ProcessBuilder.Redirect.appendTo(box.state.resolveSibling("keeper.log").toFile()));
-    builder.environment().put("EDGE_CONFIG", box.floor.folder().resolve("config.json").toString());
+                ProcessBuilder.Redirect.appendTo(
+                    host.stateDirectory.resolveSibling("keeper.log").toFile()));
+    builder
+        .environment()
+        .put("EDGE_CONFIG", host.testbed.folder().resolve("config.json").toString());
     builder.environment().put("MALLOC_ARENA_MAX", "1");
-    box.keeper = builder.start();
+    host.supervisor = builder.start();
   }
 
-  /** Waits until every box serves this release; false where one does not in so many ms. */
+  /** Waits until every host serves this release; false if one does not in time. */
   public boolean awaitAll(String release, long ms) {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-    for (Box box : boxes.values()) {
-      while (!(box.settled() && box.acts().equals(release))) {
-        if (System.nanoTime() > until) {
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+    for (Host host : hosts.values()) {
+      while (!(host.settled() && host.activeRelease().equals(release))) {
+        if (System.nanoTime() > deadline) {
           return false;
         }
         LockSupport.parkNanos(50_000_000);
@@ -290,68 +299,70 @@
     return true;
   }
 
-  /** Callers begin at all boxes. */
-  public void call(int each, long keyMs) {
-    for (Box box : boxes.values()) {
-      box.callers =
+  /** Starts clients on all hosts. */
+  public void startClients(int clientsPerHost, long keyMs) {
+    for (Host host : hosts.values()) {
+      host.clients =
           new TestClients(
-              box.floor,
-              TestClients.Habit.of(each, keyMs),
-              seed * 31 + box.name.hashCode(),
-              box::excused);
-      box.callers.start();
+              host.testbed,
+              TestClients.Workload.of(clientsPerHost, keyMs),
+              seed * 31 + host.name.hashCode(),
+              host::excused);
+      host.clients.start();
     }
   }
 
-  /**
-   * A plan of all boxes, with the addresses of their links; {@code change} follows as it stands.
-   */
+  /** Writes a plan of all hosts with the addresses of their proxies, followed by {@code change}. */
   public Path plan(String name, String change) throws IOException {
     StringBuilder text = new StringBuilder();
-    for (Box box : boxes.values()) {
+    for (Host host : hosts.values()) {
       text.append(
           String.format(
               "box(\"%s\", zone = \"%s\", keeper = \"127.0.0.1:%d\", front = \"127.0.0.1:%d\")%n",
-              box.name, box.zone, box.link.address().getPort(), box.floor.address().getPort()));
+              host.name,
+              host.zone,
+              host.controllerProxy.address().getPort(),
+              host.testbed.address().getPort()));
     }
     return Files.writeString(folder.resolve(name), text + change + "\n");
   }
 
-  /** Starts a driver of a plan in a folder of its own; its events go to the folder's log. */
-  public Process drive(Path plan, String name, String... more) throws IOException {
-    Path own = Files.createDirectories(folder.resolve("d-" + name));
-    List<String> command = java();
+  /** Starts a controller of a plan in its own folder; its events go to the log in that folder. */
+  public Process startController(Path plan, String name, String... arguments) throws IOException {
+    Path controllerDirectory = Files.createDirectories(folder.resolve("d-" + name));
+    List<String> command = javaCommand();
     command.addAll(
         List.of(
             "-cp",
-            classes(),
+            classPath(),
             "wharftrestle.Main",
             "fleet",
             "roll",
             "start",
             plan.toString(),
             "--dir",
-            own.toString(),
+            controllerDirectory.toString(),
             "--json"));
-    command.addAll(List.of(more));
-    Process driver =
+    command.addAll(List.of(arguments));
+    Process controller =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(own.resolve("log").toFile()))
+            .redirectOutput(
+                ProcessBuilder.Redirect.appendTo(controllerDirectory.resolve("log").toFile()))
             .start();
-    drivers.add(driver);
-    return driver;
+    controllers.add(controller);
+    return controller;
   }
 
-  /** Where a driver's folder is. */
-  public Path driverFolder(String name) {
+  /** Folder of a controller. */
+  public Path controllerFolder(String name) {
     return folder.resolve("d-" + name);
   }
 
-  /** What a driver told, a JSON object a line; lines that are none are left out. */
-  public List<JsonNode> told(String name) throws IOException {
+  /** Events in the log of a controller, a JSON object a line; other lines are skipped. */
+  public List<JsonNode> events(String name) throws IOException {
     List<JsonNode> all = new ArrayList<>();
-    for (String line : Files.readAllLines(driverFolder(name).resolve("log"))) {
+    for (String line : Files.readAllLines(controllerFolder(name).resolve("log"))) {
       if (line.startsWith("{") && line.endsWith("}")) {
         all.add(JSON.readTree(line));
       }
@@ -359,87 +370,93 @@
     return all;
   }
 
-  /** What the boxes show, and the end of what their keepers and daemons logged. */
+  /** Status of the hosts, and the end of the logs of their supervisors and daemons. */
   public String logs() throws IOException {
-    StringBuilder all = new StringBuilder();
-    for (Box box : boxes.values()) {
-      all.append(box.name).append(' ').append(box.shows()).append('\n');
-      try (Stream<Path> files = Files.walk(box.state.getParent())) {
+    StringBuilder text = new StringBuilder();
+    for (Host host : hosts.values()) {
+      text.append(host.name).append(' ').append(host.status()).append('\n');
+      try (Stream<Path> files = Files.walk(host.stateDirectory.getParent())) {
         for (Path log :
             (Iterable<Path>)
                 files.filter(each -> each.toString().endsWith(".log")).sorted()::iterator) {
-          String text = Files.readString(log);
-          all.append("  ")
+          String content = Files.readString(log);
+          text.append("  ")
               .append(log.getFileName())
               .append(": ")
-              .append(text.substring(Math.max(0, text.length() - LOG_END)).replace("\n", "\n    "))
+              .append(
+                  content
+                      .substring(Math.max(0, content.length() - LOG_TAIL_CHARS))
+                      .replace("\n", "\n    "))
               .append('\n');
         }
       }
     }
-    return all.toString();
+    return text.toString();
   }
 
-  /** SIGSTOP, SIGCONT or another, to any process of this floor. */
-  public static void signal(long pid, String which) throws IOException, InterruptedException {
-    new ProcessBuilder("kill", "-" + which, Long.toString(pid)).start().waitFor();
+  /** Sends a signal, such as STOP or CONT, to a process of this fleet. */
+  public static void signal(long pid, String signal) throws IOException, InterruptedException {
+    new ProcessBuilder("kill", "-" + signal, Long.toString(pid)).start().waitFor();
   }
 
-  /** What all callers saw, summed: broken rules by name. */
-  public Map<String, Integer> broken() {
-    Map<String, Integer> all = new HashMap<>();
-    for (Box box : boxes.values()) {
-      TestClients.Tally tally = box.callers.tally();
-      all.merge("run twice", tally.runTwice(), Integer::sum);
-      all.merge("refused after a run", tally.refusedAfterRun(), Integer::sum);
-      all.merge("other bytes", tally.otherBytes(), Integer::sum);
-      all.merge("lost", tally.lost(), Integer::sum);
-      all.merge("unknown", tally.unknown(), Integer::sum);
-      all.merge("answered twice", tally.doubled(), Integer::sum);
+  /** Counts of broken rules of all clients, by name. */
+  public Map<String, Integer> brokenRules() {
+    Map<String, Integer> totals = new HashMap<>();
+    for (Host host : hosts.values()) {
+      TestClients.Tally tally = host.clients.tally();
+      totals.merge("run twice", tally.runTwice(), Integer::sum);
+      totals.merge("refused after a run", tally.refusedAfterRun(), Integer::sum);
+      totals.merge("other bytes", tally.otherBytes(), Integer::sum);
+      totals.merge("lost", tally.lost(), Integer::sum);
+      totals.merge("unknown", tally.unknown(), Integer::sum);
+      totals.merge("answered twice", tally.doubled(), Integer::sum);
     }
-    all.values().removeIf(many -> many == 0);
-    return all;
+    totals.values().removeIf(count -> count == 0);
+    return totals;
   }
 
-  /** Answers of all callers: results, refusals, failures. */
-  public int[] answers() {
-    int[] all = new int[3];
-    for (Box box : boxes.values()) {
-      all[0] += box.callers.served();
-      all[1] += box.callers.refused();
-      all[2] += box.callers.failed();
+  /** Replies to all clients: results, refusals, errors. */
+  public int[] replyCounts() {
+    int[] counts = new int[3];
+    for (Host host : hosts.values()) {
+      counts[0] += host.clients.served();
+      counts[1] += host.clients.refused();
+      counts[2] += host.clients.failed();
     }
-    return all;
+    return counts;
   }
 
-  /** Answers that were results, of all callers. */
+  /** Replies with a result to all clients. */
   public int served() {
-    return boxes.values().stream().mapToInt(box -> box.callers.served()).sum();
+    return hosts.values().stream().mapToInt(host -> host.clients.served()).sum();
   }
 
   @Override
   public void close() throws IOException {
-    List<Process> all = new ArrayList<>(drivers);
-    boxes.values().stream().map(Box::keeper).filter(each -> each != null).forEach(all::add);
-    for (Process each : all) {
-      each.destroyForcibly();
+    List<Process> processes = new ArrayList<>(controllers);
+    hosts.values().stream()
+        .map(Host::supervisor)
+        .filter(process -> process != null)
+        .forEach(processes::add);
+    for (Process process : processes) {
+      process.destroyForcibly();
     }
-    for (Box box : boxes.values()) {
-      // Daemons outlive their keepers: they are known by the folder in which they meet.
-      for (ProcessHandle each : ProcessHandle.allProcesses().toList()) {
+    for (Host host : hosts.values()) {
+      // Daemons outlive their supervisors; their TMPDIR identifies them.
+      for (ProcessHandle process : ProcessHandle.allProcesses().toList()) {
         try {
           if (Files.readString(
-                  Path.of("/proc/" + each.pid() + "/environ"), StandardCharsets.ISO_8859_1)
-              .contains("TMPDIR=" + box.state)) {
-            each.destroyForcibly();
+                  Path.of("/proc/" + process.pid() + "/environ"), StandardCharsets.ISO_8859_1)
+              .contains("TMPDIR=" + host.stateDirectory)) {
+            process.destroyForcibly();
           }
-        } catch (IOException gone) {
+        } catch (IOException processEnded) {
           continue;
         }
       }
-      box.link.close();
-      box.floor.close();
+      host.controllerProxy.close();
+      host.testbed.close();
     }
-    hourOff.close();
+    skewedClock.close();
   }
 }
