--- a/src/main/java/wharftrestle/testbed/HostTestbed.java
+++ b/src/main/java/wharftrestle/testbed/HostTestbed.java
@@ -22,207 +22,214 @@
 import wharftrestle.transport.Address;
 
 /**
- * The floor of a proof: one box with its daemons as processes of their own, and stand-ins for what
- * they talk to, which outlive them. It owns the addresses, the configurations and the processes.
- * What its worker pool counts is the proof; it must never ask a daemon.
+ * Test environment of one host: real daemon processes, and fakes of the worker pool, the store and
+ * the name service, which outlive the daemons. It allocates the addresses, writes the
+ * configurations and ends the processes on close. Tests check what the fake worker pool counted and
+ * never what a daemon reports about itself. Not thread-safe, except for {@link #pool}.
  */
 public final class HostTestbed implements Closeable {
-  private static final InetAddress HOST = InetAddress.getLoopbackAddress();
+  private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-  /** Milliseconds of a run at most. */
-  private static final int LONGEST_RUN = 25;
+  private static final int MAX_EXECUTION_MS = 25;
 
-  /** Milliseconds in which an answer is due, for each class. */
-  static final long DUE_MS = 6000;
+  /** Deadline of every request class. */
+  static final long DEADLINE_MS = 6000;
 
-  /** Milliseconds in which a daemon that is alone serves. */
-  private static final long READY_MS = 30_000;
+  /** Time in which a daemon without a predecessor becomes ready. */
+  private static final long READY_TIMEOUT_MS = 30_000;
 
   /**
-   * What is played.
+   * The daemon and the load of one test.
    *
    * @param main the daemon's main class
-   * @param memoryMb its limit
-   * @param window seconds in which a key may come again
-   * @param longestResult bytes that a run adds to its body's name at most
+   * @param memoryMb memory limit of the daemon
+   * @param keyWindowSeconds idempotency window
+   * @param maxResultBytes most bytes that an execution appends to the name of its body
    */
-  public record Play(String main, int memoryMb, int window, int longestResult) {
-    /** The daemon as it is, with the window of the first site and small results. */
+  public record Play(String main, int memoryMb, int keyWindowSeconds, int maxResultBytes) {
+    /** The unmodified daemon, with the idempotency window of the first site and small results. */
     public static Play of(int memoryMb) {
       return new Play("wharftrestle.Main", memoryMb, 24, 300);
     }
   }
 
   /**
-   * What one process is set to.
+   * Settings of one daemon process.
    *
-   * @param memoryMb its limit
-   * @param window seconds in which a key may come again
-   * @param moved its classes stand in another order
-   * @param more it has a class more
+   * @param memoryMb memory limit of the process
+   * @param keyWindowSeconds idempotency window
+   * @param classesReversed whether the request classes are listed in reverse order
+   * @param extraClass whether an additional request class is configured
    */
-  public record Settings(int memoryMb, int window, boolean moved, boolean more) {
+  public record Settings(
+      int memoryMb, int keyWindowSeconds, boolean classesReversed, boolean extraClass) {
     private List<String> classes() {
-      List<String> all =
+      List<String> classes =
           new ArrayList<>(
               List.of(
                   """
                     {"deadline": %s, "importance": 1, "lateWorth": 0, "memorySpan": %d, "name": "read",
                      "repeat": "read_like", "slo": 2}"""
-                      .formatted(DUE_MS / 1000.0, window),
+                      .formatted(DEADLINE_MS / 1000.0, keyWindowSeconds),
                   """
                     {"deadline": %s, "importance": 3, "lateWorth": 0.2, "memorySpan": %d, "name": "save",
                      "repeat": "idempotency_key", "slo": 2}"""
-                      .formatted(DUE_MS / 1000.0, window)));
-      if (moved) {
-        Collections.reverse(all);
+                      .formatted(DEADLINE_MS / 1000.0, keyWindowSeconds)));
+      if (classesReversed) {
+        Collections.reverse(classes);
       }
-      if (more) {
-        all.add(
+      if (extraClass) {
+        classes.add(
             """
                     {"deadline": %s, "importance": 2, "lateWorth": 0, "memorySpan": %d, "name": "extra",
                      "repeat": "idempotency_key", "slo": 2}"""
-                .formatted(DUE_MS / 1000.0, window));
+                .formatted(DEADLINE_MS / 1000.0, keyWindowSeconds));
       }
-      return all;
+      return classes;
     }
   }
 
   /**
-   * What one process is.
+   * Build and settings of one daemon process.
    *
-   * @param jar its build; null for the classes of this process
-   * @param main its main class
-   * @param settings what it is set to
-   * @param script the operators' settings; empty for none
+   * @param jar jar of the build; null for the classes of this process
+   * @param main main class
+   * @param settings settings of the process
+   * @param script text of the operators' settings script; empty for none
    */
   public record Version(Path jar, String main, Settings settings, String script) {}
 
   private volatile FakeWorkerPool pool;
-  private String shell = "";
-  private int sockets = 512;
-  private final ServerSocket idle = new ServerSocket(0, 50, HOST); // the script store: nobody calls
-  private final DatagramSocket naming = new DatagramSocket(0, HOST);
-  private final int names = naming.getLocalPort();
+  private String shellPrefix = "";
+  private int descriptorLimit = 512;
+  private final ServerSocket storeSocket =
+      new ServerSocket(0, 50, LOOPBACK); // fake store; it accepts no connection
+  private final DatagramSocket nameServiceSocket = new DatagramSocket(0, LOOPBACK);
+  private final int nameServicePort = nameServiceSocket.getLocalPort();
   private final Random random;
   private final Path folder;
-  private final int listen;
+  private final int listenPort;
   private final Version version;
   private final Play play;
-  private final List<DaemonProcess> all = new ArrayList<>();
-  private final Map<String, FaultProxy> links = new HashMap<>();
+  private final List<DaemonProcess> processes = new ArrayList<>();
+  private final Map<String, FaultProxy> proxies = new HashMap<>();
   private final SkewedClock clock;
-  private int started;
-  private int soleDoor;
+  private int processCount;
+  private int daemonAdminPort;
   private DaemonProcess daemon;
 
   /**
-   * @param script the operators' settings; empty for none
+   * @param script text of the operators' settings script; empty for none
    */
   public HostTestbed(Path folder, String script, long seed, Play play) throws IOException {
     this(folder, script, seed, play, false);
   }
 
   /**
-   * @param linked whether a link that can fail lies on each path
+   * @param proxied whether a fault-injecting proxy is placed on each path
    */
-  public HostTestbed(Path folder, String script, long seed, Play play, boolean linked)
+  public HostTestbed(Path folder, String script, long seed, Play play, boolean proxied)
       throws IOException {
     this.folder = folder;
     this.play = play;
     random = new Random(seed);
     clock = new SkewedClock(folder.resolve("clock"));
-    listen = Address.freePort();
-    pool = new FakeWorkerPool(null, random, LONGEST_RUN, play.longestResult());
-    if (linked) {
-      links.put("front", new FaultProxy(new InetSocketAddress(HOST, listen), seed));
-      links.put("pool", new FaultProxy(pool.address(), seed + 100));
-      links.put(
-          "store", new FaultProxy((InetSocketAddress) idle.getLocalSocketAddress(), seed + 200));
-      links.put(
-          "names", new FaultProxy((InetSocketAddress) naming.getLocalSocketAddress(), seed + 300));
+    listenPort = Address.freePort();
+    pool = new FakeWorkerPool(null, random, MAX_EXECUTION_MS, play.maxResultBytes());
+    if (proxied) {
+      proxies.put("front", new FaultProxy(new InetSocketAddress(LOOPBACK, listenPort), seed));
+      proxies.put("pool", new FaultProxy(pool.address(), seed + 100));
+      proxies.put(
+          "store",
+          new FaultProxy((InetSocketAddress) storeSocket.getLocalSocketAddress(), seed + 200));
+      proxies.put(
+          "names",
+          new FaultProxy(
+              (InetSocketAddress) nameServiceSocket.getLocalSocketAddress(), seed + 300));
     }
     version = new Version(null, play.main(), settings(), script);
-    soleDoor = Address.freePort();
-    Files.writeString(folder.resolve("config.json"), config(version.settings(), soleDoor));
+    daemonAdminPort = Address.freePort();
+    Files.writeString(folder.resolve("config.json"), config(version.settings(), daemonAdminPort));
   }
 
-  /** What is played, as one process is set to it. */
+  /** The default settings of a process in this test environment. */
   public Settings settings() {
-    return new Settings(play.memoryMb(), play.window(), false, false);
+    return new Settings(play.memoryMb(), play.keyWindowSeconds(), false, false);
   }
 
-  /** The daemon is started as by nohup. */
+  /** Starts the daemon with SIGHUP ignored, as nohup does. */
   public void ignoreHangups() {
-    shell += "trap '' HUP; ";
+    shellPrefix += "trap '' HUP; ";
   }
 
-  /** The daemon is told that it may hold so many descriptors; the system lets it have so many. */
-  public void limitDescriptors(int told, int most) throws IOException {
-    shell += "ulimit -n " + most + "; ";
-    sockets = told;
-    Files.writeString(folder.resolve("config.json"), config(version.settings(), soleDoor));
+  /** Sets the configured and the actual limit of open descriptors of the daemon. */
+  public void limitDescriptors(int configured, int actual) throws IOException {
+    shellPrefix += "ulimit -n " + actual + "; ";
+    descriptorLimit = configured;
+    Files.writeString(folder.resolve("config.json"), config(version.settings(), daemonAdminPort));
   }
 
-  /** The name service is gone for good. */
-  public void loseNames() {
-    naming.close();
+  /** Closes the fake name service permanently. */
+  public void closeNameService() {
+    nameServiceSocket.close();
   }
 
-  /** The worker pool goes to another address, which the daemon's configuration says from now on. */
-  public void movePool() throws IOException {
-    FakeWorkerPool old = pool;
-    pool = new FakeWorkerPool(old, random, LONGEST_RUN, play.longestResult());
-    Files.writeString(folder.resolve("config.json"), config(version.settings(), soleDoor));
-    old.close();
+  /**
+   * Moves the fake worker pool to another address and writes that to the daemon's configuration.
+   */
+  public void moveWorkerPool() throws IOException {
+    FakeWorkerPool previous = pool;
+    pool = new FakeWorkerPool(previous, random, MAX_EXECUTION_MS, play.maxResultBytes());
+    Files.writeString(folder.resolve("config.json"), config(version.settings(), daemonAdminPort));
+    previous.close();
   }
 
-  /** The stand-in worker pool. */
+  /** The fake worker pool. */
   public FakeWorkerPool pool() {
     return pool;
   }
 
-  public void watch(FakeWorkerPool.Moments told) {
-    pool.watch(told);
+  public void setExecutionListener(FakeWorkerPool.ExecutionListener listener) {
+    pool.setExecutionListener(listener);
   }
 
   public InetSocketAddress address() {
-    return new InetSocketAddress(HOST, through("front", listen));
+    return new InetSocketAddress(LOOPBACK, portFor("front", listenPort));
   }
 
-  /** The link on a path: "front", "pool", "store" or "names"; null where there is none. */
+  /** The proxy on a path ("front", "pool", "store" or "names"); null without proxies. */
   public FaultProxy link(String path) {
-    return links.get(path);
+    return proxies.get(path);
   }
 
-  /** The time of day of this floor's machine. */
+  /** The wall clock of this host. */
   SkewedClock clock() {
     return clock;
   }
 
   /**
-   * The time of day of this floor's machine is off by so many ms from now on; processes of {@link
-   * #begin} have it.
+   * Sets the offset of this host's wall clock; it applies to the processes that {@link #begin}
+   * started.
    */
-  public void clockOff(long ms) {
-    clock.set(ms);
+  public void setClockOffset(long ms) {
+    clock.setOffset(ms);
   }
 
-  /** Where this floor's files lie. */
+  /** Folder of the configurations and logs. */
   public Path folder() {
     return folder;
   }
 
-  private int through(String path, int port) {
-    FaultProxy link = links.get(path);
-    return link == null ? port : link.address().getPort();
+  private int portFor(String path, int port) {
+    FaultProxy proxy = proxies.get(path);
+    return proxy == null ? port : proxy.address().getPort();
   }
 
-  private static String none(String value, Settings set) {
-    return String.join(", ", Collections.nCopies(set.classes().size(), value));
+  private static String perClass(String value, Settings processSettings) {
+    return String.join(", ", Collections.nCopies(processSettings.classes().size(), value));
   }
 
-  private String config(Settings set, int door) {
+  private String config(Settings processSettings, int adminPort) {
     return """
                 {"name": "n1", "listen": "127.0.0.1:%d", "pool": "127.0.0.1:%d", "db": "127.0.0.1:%d",
                  "naming": "127.0.0.1:%d", "console": "127.0.0.1:%d", "seed": "7", "stop_ms": 3200,
@@ -241,84 +248,87 @@
                    "preemption": "pause", "runFactor": 2, "say": "weight", "shareFor": 0, "tellsGone": true}}}
                 """
         .formatted(
-            listen,
-            through("pool", pool.address().getPort()),
-            through("store", idle.getLocalPort()),
-            through("names", names),
-            door,
-            set.memoryMb(),
-            sockets,
-            String.join(",\n", set.classes()),
-            none("false", set),
-            none("0", set));
+            listenPort,
+            portFor("pool", pool.address().getPort()),
+            portFor("store", storeSocket.getLocalPort()),
+            portFor("names", nameServicePort),
+            adminPort,
+            processSettings.memoryMb(),
+            descriptorLimit,
+            String.join(",\n", processSettings.classes()),
+            perClass("false", processSettings),
+            perClass("0", processSettings));
   }
 
   // ---- The daemons ----
 
-  /** Starts the floor's one daemon and waits until it serves. */
+  /** Starts the single daemon and waits until it is ready. */
   public void start() throws IOException {
-    if (!launch().awaitReady(READY_MS)) {
-      throw new IOException("the daemon did not start:\n" + daemon.log());
+    if (!launch().awaitReady(READY_TIMEOUT_MS)) {
+      throw new IOException("the daemon was not ready in time; its log:\n" + daemon.log());
     }
   }
 
-  /** Starts the floor's one daemon; whether it serves is another question. */
+  /** Starts the single daemon without waiting until it is ready. */
   public DaemonProcess launch() throws IOException {
-    // Packaged is as it is deployed: so memory is measured.
+    // Memory is measured with the deployed start script (property "packaged").
     List<String> command =
         new ArrayList<>(
             Boolean.getBoolean("packaged") && version.main().equals("wharftrestle.Main")
                 ? List.of("sh", "deploy/run.sh")
                 : DaemonProcess.command(null, version.main(), play.memoryMb()));
-    if (!shell.isEmpty()) {
-      command.addAll(0, List.of("/bin/sh", "-c", shell + "exec \"$@\"", "sh"));
+    if (!shellPrefix.isEmpty()) {
+      command.addAll(0, List.of("/bin/sh", "-c", shellPrefix + "exec \"$@\"", "sh"));
     }
-    command.addAll(appliance(version.script(), "appliance.star"));
+    command.addAll(settingsArguments(version.script(), "appliance.star"));
     daemon =
         new DaemonProcess(
-            command, environment("config.json"), folder.resolve("daemon.log"), soleDoor);
-    all.add(daemon);
+            command, environment("config.json"), folder.resolve("daemon.log"), daemonAdminPort);
+    processes.add(daemon);
     return daemon;
   }
 
-  /** Waits, at most so many ms, for a report that this box takes work; false where none comes. */
-  public boolean awaitListed(int ms) throws IOException {
+  /**
+   * Waits up to {@code ms} for a load report that this host accepts work; false if none arrives.
+   */
+  public boolean awaitReportedReady(int ms) throws IOException {
     DatagramPacket report = new DatagramPacket(new byte[100], 100);
-    naming.setSoTimeout(ms);
+    nameServiceSocket.setSoTimeout(ms);
     try {
-      for (String said = ""; !said.endsWith(" yes"); ) {
-        naming.receive(report);
-        said = new String(report.getData(), 0, report.getLength(), StandardCharsets.ISO_8859_1);
+      for (String text = ""; !text.endsWith(" yes"); ) {
+        nameServiceSocket.receive(report);
+        text = new String(report.getData(), 0, report.getLength(), StandardCharsets.ISO_8859_1);
         report.setLength(100);
       }
       return true;
-    } catch (SocketTimeoutException none) {
+    } catch (SocketTimeoutException timeout) {
       return false;
     }
   }
 
   /**
-   * Starts one more process of the same box; it takes over from the one that serves, and is not
-   * waited for.
+   * Starts another process of this host, which takes over from the one that serves; does not wait
+   * until it is ready.
    */
   public DaemonProcess begin(Version next) throws IOException {
-    int number = ++started;
-    int door = Address.freePort();
+    int number = ++processCount;
+    int processAdminPort = Address.freePort();
     String config = "config-" + number + ".json";
-    Files.writeString(folder.resolve(config), config(next.settings(), door));
+    Files.writeString(folder.resolve(config), config(next.settings(), processAdminPort));
     List<String> command =
         new ArrayList<>(DaemonProcess.command(next.jar(), next.main(), next.settings().memoryMb()));
     command.add(1, clock.option());
-    command.addAll(appliance(next.script(), "appliance-" + number + ".star"));
+    command.addAll(settingsArguments(next.script(), "appliance-" + number + ".star"));
     Map<String, String> environment = environment(config);
     environment.put("TMPDIR", folder.toString());
-    DaemonProcess begun =
-        new DaemonProcess(command, environment, folder.resolve("daemon-" + number + ".log"), door);
-    all.add(begun);
-    return begun;
+    DaemonProcess process =
+        new DaemonProcess(
+            command, environment, folder.resolve("daemon-" + number + ".log"), processAdminPort);
+    processes.add(process);
+    return process;
   }
 
-  private List<String> appliance(String script, String name) throws IOException {
+  private List<String> settingsArguments(String script, String name) throws IOException {
     if (script.isEmpty()) {
       return List.of();
     }
@@ -332,57 +342,57 @@
         Map.of("EDGE_CONFIG", folder.resolve(config).toString(), "MALLOC_ARENA_MAX", "1"));
   }
 
-  /** The one that {@link #start} started last. */
+  /** The daemon that {@link #start} or {@link #launch} started last. */
   public DaemonProcess daemon() {
     return daemon;
   }
 
-  /** A folder that was made for one play goes with all in it. */
+  /** Deletes a folder with its contents. */
   public static void delete(Path folder) throws IOException {
-    try (Stream<Path> all = Files.walk(folder)) {
-      for (Path each : (Iterable<Path>) all.sorted(Comparator.reverseOrder())::iterator) {
-        Files.deleteIfExists(each);
+    try (Stream<Path> files = Files.walk(folder)) {
+      for (Path file : (Iterable<Path>) files.sorted(Comparator.reverseOrder())::iterator) {
+        Files.deleteIfExists(file);
       }
     }
   }
 
-  /** Runs beyond the first of a body. */
+  /** Executions beyond the first of each body. */
   public int doubleRuns() {
-    int more = 0;
-    for (String name : pool.names()) {
-      more += runs(name) - 1;
+    int duplicates = 0;
+    for (String name : pool.executedNames()) {
+      duplicates += executions(name) - 1;
     }
-    return more;
+    return duplicates;
   }
 
-  /** Bodies that ran. */
-  public int bodies() {
-    return pool.bodies();
+  /** Number of distinct bodies that were executed. */
+  public int executedBodies() {
+    return pool.executedBodies();
   }
 
-  /** Runs of a body whose first line is this. */
-  public int runs(String name) {
-    return pool.begun(name).size();
+  /** Number of executions of the body with this first line. */
+  public int executions(String name) {
+    return pool.executionStarts(name).size();
   }
 
   @Override
   public void close() throws IOException {
-    for (DaemonProcess each : all) {
+    for (DaemonProcess process : processes) {
       try {
-        if (each.alive()) {
-          each.stopped(false);
-          each.kill();
+        if (process.alive()) {
+          process.setPaused(false);
+          process.kill();
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
-    for (FaultProxy link : links.values()) {
-      link.close();
+    for (FaultProxy proxy : proxies.values()) {
+      proxy.close();
     }
     pool.close();
-    idle.close();
-    naming.close();
+    storeSocket.close();
+    nameServiceSocket.close();
     clock.close();
   }
 }
--- a/src/main/java/wharftrestle/testbed/RespPeer.java
+++ b/src/main/java/wharftrestle/testbed/RespPeer.java
@@ -10,8 +10,8 @@
 import wharftrestle.transport.BoundedReader;
 
 /**
- * A front end's connection as RESP has it: arrays of words go out, answers come in. It owns the
- * socket, and judges nothing.
+ * A front end's connection in RESP: sends arrays of strings and reads replies, without checking
+ * them. {@link #send} may be called by several threads, {@link #reply} by one.
  */
 public class RespPeer implements Closeable {
   private static final int CONNECT_MS = 1000;
@@ -19,30 +19,35 @@
   private final Socket socket = new Socket();
   private final InputStream in;
 
-  /** An answer: what it answers, its word, its fields, its body. */
+  /**
+   * A reply.
+   *
+   * @param tag tag of the request that it answers
+   * @param word kind of the reply
+   */
   public record Reply(String tag, String word, String fields, String body) {
-    /** Its body as bytes; a character of the text is one. */
+    /** The body as bytes, one for each character. */
     public byte[] bytes() {
       return body.getBytes(StandardCharsets.ISO_8859_1);
     }
   }
 
   /**
-   * @param patienceMs for which an answer is waited for
+   * @param replyTimeoutMs longest wait for a reply
    */
-  public RespPeer(InetSocketAddress to, int patienceMs) throws IOException {
+  public RespPeer(InetSocketAddress to, int replyTimeoutMs) throws IOException {
     socket.setTcpNoDelay(true);
     socket.connect(to, CONNECT_MS);
-    socket.setSoTimeout(patienceMs);
+    socket.setSoTimeout(replyTimeoutMs);
     in = new BufferedInputStream(socket.getInputStream());
   }
 
-  /** The socket itself, for what no front end of the protocol does. */
+  /** The socket, for tests that violate the protocol. */
   public Socket socket() {
     return socket;
   }
 
-  /** Sends one array. */
+  /** Sends one RESP array. */
   public void send(String... words) throws IOException {
     StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
     for (String word : words) {
@@ -53,25 +58,36 @@
     }
   }
 
-  /** Asks; the key is null where the class has none, the stamp is Unix ms. */
+  /**
+   * Sends a request.
+   *
+   * @param sentAtMs timestamp of the request, Unix ms
+   * @param key idempotency key; null where the class has none
+   */
   public void ask(
-      String tag, long reference, long door, String type, double kb, String key, String body)
+      String tag,
+      long reference,
+      long sentAtMs,
+      String type,
+      double memoryKb,
+      String key,
+      String body)
       throws IOException {
     send(
         "ASK",
         tag,
         type,
-        String.format("txn=%016x,door=%d,lb=1,ram=%s,standing=0.5", reference, door, kb)
+        String.format("txn=%016x,door=%d,lb=1,ram=%s,standing=0.5", reference, sentAtMs, memoryKb)
             + (key == null ? "" : ",unique=" + key),
         body);
   }
 
-  /** True where something has come that was not read yet. */
+  /** Whether unread bytes have arrived. */
   public boolean waiting() throws IOException {
     return in.available() > 0;
   }
 
-  /** The next answer. */
+  /** Reads the next reply. */
   public Reply reply() throws IOException {
     byte[][] words = new byte[Integer.parseInt(BoundedReader.line(in, 20).substring(1))][];
     for (int i = 0; i < words.length; i++) {
--- a/src/main/java/wharftrestle/testbed/Scenario.java
+++ b/src/main/java/wharftrestle/testbed/Scenario.java
@@ -18,50 +18,50 @@
 import wharftrestle.testbed.FaultScript.Step;
 
 /**
- * Plays a script of failures with real processes: each box a daemon with its stand-ins, each path a
- * {@link FaultProxy}, callers that ask and check. It owns the time of the play. It must never start
- * anything before the whole script was read.
+ * Runs a fault script with real processes: each host has a daemon with its fakes, a {@link
+ * FaultProxy} on each path, and clients that send requests and check the replies. One instance runs
+ * once, in the thread of the caller.
  */
 public final class Scenario {
-  private static final long READY_MS = 20_000;
+  private static final long READY_TIMEOUT_MS = 20_000;
 
-  /** Milliseconds after a kill, cut or stop in which a connection may end without its answer. */
+  /** Time after a kill, cut or stop in which a connection may end without its reply. */
   private static final long EXCUSE_MS = 2000;
 
-  private static final long KEY_MS = 9000;
+  private static final long KEY_REUSE_MS = 9000;
 
-  /** Milliseconds in which a process that was told to leave, or killed, has ended. */
-  private static final long LEAVE_MS = 8000;
+  /** Time in which a process exits after SIGTERM or a kill. */
+  private static final long EXIT_TIMEOUT_MS = 8000;
 
-  private static final class Box {
+  private static final class Host {
     private final String name;
-    private final HostTestbed floor;
-    private volatile DaemonProcess serves;
-    private volatile DaemonProcess comes;
-    private volatile DaemonProcess ends;
-    private CpuLimiter holder;
-    private TestClients callers;
-    private volatile long troubleAt = Long.MIN_VALUE / 2;
-    private volatile boolean troubled;
+    private final HostTestbed testbed;
+    private volatile DaemonProcess active;
+    private volatile DaemonProcess successor;
+    private volatile DaemonProcess predecessor;
+    private CpuLimiter cpuLimiter;
+    private TestClients clients;
+    private volatile long lastFaultAt = Long.MIN_VALUE / 2;
+    private volatile boolean faulty;
 
-    Box(String name, HostTestbed floor) {
+    Host(String name, HostTestbed testbed) {
       this.name = name;
-      this.floor = floor;
+      this.testbed = testbed;
     }
 
     synchronized List<DaemonProcess> processes() {
-      return Stream.of(serves, comes, ends).filter(Objects::nonNull).toList();
+      return Stream.of(active, successor, predecessor).filter(Objects::nonNull).toList();
     }
 
-    void free() throws IOException {
-      if (holder != null) {
-        holder.close();
-        holder = null;
+    void releaseCpu() throws IOException {
+      if (cpuLimiter != null) {
+        cpuLimiter.close();
+        cpuLimiter = null;
       }
     }
 
     boolean excused() {
-      return troubled || System.nanoTime() - troubleAt < TimeUnit.MILLISECONDS.toNanos(EXCUSE_MS);
+      return faulty || System.nanoTime() - lastFaultAt < TimeUnit.MILLISECONDS.toNanos(EXCUSE_MS);
     }
   }
 
@@ -71,9 +71,9 @@
   private final Path jar;
 
   /**
-   * @param jar the build to play; null for this program's own classes
-   * @param progress lines for people
-   * @param results a JSON object a line
+   * @param jar jar of the build to run; null for the classes of this process
+   * @param progress receives human-readable lines
+   * @param results receives one JSON object a line
    */
   public Scenario(FaultScript script, Path jar, PrintStream progress, PrintStream results) {
     this.script = script;
@@ -82,177 +82,179 @@
     this.results = results;
   }
 
-  /** Plays it; true where no rule was broken at any box. */
+  /** Runs the script; true if no rule was broken on any host. */
   public boolean play() throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("lab");
-    List<Box> boxes = new ArrayList<>();
+    List<Host> hosts = new ArrayList<>();
     try {
-      progress.println("seed " + script.play().seed());
-      for (int i = 1; i <= script.play().boxes(); i++) {
-        Path own = Files.createDirectory(folder.resolve("b" + i));
-        boxes.add(
-            new Box(
+      progress.println("seed " + script.run().seed());
+      for (int i = 1; i <= script.run().hosts(); i++) {
+        Path hostFolder = Files.createDirectory(folder.resolve("b" + i));
+        hosts.add(
+            new Host(
                 "b" + i,
                 new HostTestbed(
-                    own, "", script.play().seed() + i, HostTestbed.Play.of(192), true)));
+                    hostFolder, "", script.run().seed() + i, HostTestbed.Play.of(192), true)));
       }
-      for (Box box : boxes) {
-        box.serves = begin(box);
+      for (Host host : hosts) {
+        host.active = startProcess(host);
       }
-      for (Box box : boxes) {
-        if (!box.serves.awaitReady(READY_MS)) {
-          throw new IOException(box.name + " did not start:\n" + box.serves.log());
+      for (Host host : hosts) {
+        if (!host.active.awaitReady(READY_TIMEOUT_MS)) {
+          throw new IOException(
+              host.name + ": the daemon was not ready in time; its log:\n" + host.active.log());
         }
-        box.callers =
+        host.clients =
             new TestClients(
-                box.floor,
-                TestClients.Habit.of(script.play().callers(), KEY_MS),
-                script.play().seed() + box.name.hashCode(),
-                box::excused);
-        box.callers.start();
+                host.testbed,
+                TestClients.Workload.of(script.run().clients(), KEY_REUSE_MS),
+                script.run().seed() + host.name.hashCode(),
+                host::excused);
+        host.clients.start();
       }
-      return run(boxes);
+      return run(hosts);
     } finally {
-      for (Box box : boxes) {
-        box.free();
-        box.floor.close();
+      for (Host host : hosts) {
+        host.releaseCpu();
+        host.testbed.close();
       }
       HostTestbed.delete(folder);
     }
   }
 
-  private DaemonProcess begin(Box box) throws IOException {
-    String kept =
-        script.play().kept()
-            ? "durable(dir = \"" + box.floor.folder().resolve("results") + "\", max_mb = 16)\n"
+  private DaemonProcess startProcess(Host host) throws IOException {
+    String durability =
+        script.run().durableResults()
+            ? "durable(dir = \"" + host.testbed.folder().resolve("results") + "\", max_mb = 16)\n"
             : "";
-    return box.floor.begin(
-        new HostTestbed.Version(jar, "wharftrestle.Main", box.floor.settings(), kept));
+    return host.testbed.begin(
+        new HostTestbed.Version(jar, "wharftrestle.Main", host.testbed.settings(), durability));
   }
 
-  private boolean run(List<Box> boxes) throws IOException, InterruptedException {
-    long began = System.nanoTime();
-    long ends = began + (long) (script.play().seconds() * 1e9);
-    int next = 0;
-    while (System.nanoTime() < ends) {
-      double now = (System.nanoTime() - began) / 1e9;
-      while (next < script.steps().size() && script.steps().get(next).at() <= now) {
-        Step step = script.steps().get(next++);
+  private boolean run(List<Host> hosts) throws IOException, InterruptedException {
+    long startedAt = System.nanoTime();
+    long endsAt = startedAt + (long) (script.run().seconds() * 1e9);
+    int nextStep = 0;
+    while (System.nanoTime() < endsAt) {
+      double now = (System.nanoTime() - startedAt) / 1e9;
+      while (nextStep < script.steps().size() && script.steps().get(nextStep).at() <= now) {
+        Step step = script.steps().get(nextStep++);
         progress.println(String.format(Locale.ROOT, "%6.2f s  %s", now, step.fault()));
-        say(Map.of("t", now, "fault", step.fault()));
-        carryOut(boxes.get(Integer.parseInt(step.fault().box().substring(1)) - 1), step.fault());
+        writeResult(Map.of("t", now, "fault", step.fault()));
+        inject(hosts.get(Integer.parseInt(step.fault().box().substring(1)) - 1), step.fault());
       }
-      for (Box box : boxes) {
-        look(box);
+      for (Host host : hosts) {
+        completeHandover(host);
       }
       LockSupport.parkNanos(10_000_000);
     }
     boolean holds = true;
-    for (Box box : boxes) {
-      box.callers.stop();
-      TestClients.Tally tally = box.callers.tally();
+    for (Host host : hosts) {
+      host.clients.stop();
+      TestClients.Tally tally = host.clients.tally();
       holds &= tally.holds();
       Map<String, Object> line = new LinkedHashMap<>();
-      line.put("box", box.name);
+      line.put("box", host.name);
       line.put("holds", tally.holds());
       line.put("tally", tally);
-      say(line);
-      progress.println(box.name + ": " + tally);
+      writeResult(line);
+      progress.println(host.name + ": " + tally);
     }
-    say(Map.of("holds", holds, "seed", script.play().seed()));
+    writeResult(Map.of("holds", holds, "seed", script.run().seed()));
     return holds;
   }
 
-  private void say(Map<String, Object> line) throws IOException {
+  private void writeResult(Map<String, Object> line) throws IOException {
     results.println(new ObjectMapper().writeValueAsString(line));
   }
 
-  /**
-   * A second process that serves ends the first; one that was waited for is the box's own from then
-   * on.
-   */
-  private static void look(Box box) {
-    if (box.comes != null && box.comes.ready()) {
-      box.serves.term();
-      synchronized (box) {
-        box.ends = box.serves;
-        box.serves = box.comes;
-        box.comes = null;
+  /** Once the successor is ready, makes it the active process and terminates the predecessor. */
+  private static void completeHandover(Host host) {
+    if (host.successor != null && host.successor.ready()) {
+      host.active.terminate();
+      synchronized (host) {
+        host.predecessor = host.active;
+        host.active = host.successor;
+        host.successor = null;
       }
     }
   }
 
-  private void carryOut(Box box, Fault fault) throws IOException, InterruptedException {
-    FaultProxy link = fault.path().isEmpty() ? null : box.floor.link(fault.path());
-    boolean there = !fault.way().equals("back");
-    boolean back = !fault.way().equals("there");
+  private void inject(Host host, Fault fault) throws IOException, InterruptedException {
+    FaultProxy proxy = fault.path().isEmpty() ? null : host.testbed.link(fault.path());
+    boolean toTarget = !fault.way().equals("back");
+    boolean toClient = !fault.way().equals("there");
     if (fault.kind() != FaultScript.Kind.HOLD && fault.kind() != FaultScript.Kind.CLOCK) {
-      box.troubleAt = System.nanoTime();
+      host.lastFaultAt = System.nanoTime();
     }
     switch (fault.kind()) {
       case CUT -> {
-        box.troubled = fault.path().equals("front");
-        link.cut();
+        host.faulty = fault.path().equals("front");
+        proxy.cut();
       }
       case REFUSE -> {
-        box.troubled |= fault.path().equals("front");
-        link.refuse();
+        host.faulty |= fault.path().equals("front");
+        proxy.refuse();
       }
-      case HALF_CLOSE -> link.halfClose();
+      case HALF_CLOSE -> proxy.halfClose();
       case HEAL -> {
-        box.troubled = false;
-        link.heal();
+        host.faulty = false;
+        proxy.heal();
       }
       case HOLE, DELAY, RATE, DROP, DOUBLE, REORDER -> {
-        box.troubled |= fault.path().equals("front");
-        link.trouble(
-            FaultRule.Trouble.valueOf(fault.kind().name()),
+        host.faulty |= fault.path().equals("front");
+        proxy.apply(
+            FaultRule.Effect.valueOf(fault.kind().name()),
             fault.value(),
             fault.more(),
-            there,
-            back);
+            toTarget,
+            toClient);
       }
       case STOP, GO -> {
-        box.troubled = fault.kind() == FaultScript.Kind.STOP;
-        box.serves.stopped(box.troubled);
+        host.faulty = fault.kind() == FaultScript.Kind.STOP;
+        host.active.setPaused(host.faulty);
       }
       case KILL -> {
-        boolean alone = box.comes == null || !box.comes.alive();
-        box.troubled = alone;
-        box.serves.kill();
-        if (alone && !script.play().kept()) {
-          box.callers.forgotten(System.nanoTime());
+        boolean onlyProcess = host.successor == null || !host.successor.alive();
+        host.faulty = onlyProcess;
+        host.active.kill();
+        if (onlyProcess && !script.run().durableResults()) {
+          host.clients.recordKeysLost(System.nanoTime());
         }
       }
       case LEAVE -> {
-        // Nobody follows: its connections end with it, and what it knew ends as well.
-        box.troubled = true;
-        box.callers.noticed(System.nanoTime());
-        box.serves.term();
+        // No successor: its connections end with it, and its keys are lost.
+        host.faulty = true;
+        host.clients.recordLeaveNotice(System.nanoTime());
+        host.active.terminate();
       }
       case START -> {
-        if (box.serves.awaitEnd(LEAVE_MS) < 0) {
-          throw new IOException(box.name + " did not leave:\n" + box.serves.log());
+        if (host.active.awaitExit(EXIT_TIMEOUT_MS) < 0) {
+          throw new IOException(
+              host.name + ": the daemon did not exit in time; its log:\n" + host.active.log());
         }
-        box.callers.begins(System.nanoTime());
-        if (!script.play().kept()) {
-          box.callers.forgotten(System.nanoTime());
+        host.clients.recordRestart(System.nanoTime());
+        if (!script.run().durableResults()) {
+          host.clients.recordKeysLost(System.nanoTime());
         }
-        box.serves = begin(box);
-        if (!box.serves.awaitReady(READY_MS)) {
-          throw new IOException(box.name + " did not start again:\n" + box.serves.log());
+        host.active = startProcess(host);
+        if (!host.active.awaitReady(READY_TIMEOUT_MS)) {
+          throw new IOException(
+              host.name
+                  + ": the restarted daemon was not ready in time; its log:\n"
+                  + host.active.log());
         }
-        box.troubled = false;
-        box.troubleAt = System.nanoTime();
+        host.faulty = false;
+        host.lastFaultAt = System.nanoTime();
       }
-      case CHANGE -> box.comes = begin(box);
+      case CHANGE -> host.successor = startProcess(host);
       case HOLD -> {
-        box.free();
-        box.holder = new CpuLimiter(box::processes, fault.value());
+        host.releaseCpu();
+        host.cpuLimiter = new CpuLimiter(host::processes, fault.value());
       }
-      case FREE -> box.free();
-      case CLOCK -> box.floor.clockOff(Math.round(fault.value()));
-      default -> throw new IllegalStateException("nothing does " + fault);
+      case FREE -> host.releaseCpu();
+      case CLOCK -> host.testbed.setClockOffset(Math.round(fault.value()));
+      default -> throw new IllegalStateException("unsupported fault: " + fault);
     }
   }
 }
--- a/src/main/java/wharftrestle/testbed/SkewedClock.java
+++ b/src/main/java/wharftrestle/testbed/SkewedClock.java
@@ -9,34 +9,34 @@
 import wharftrestle.time.SteadyWallClock;
 
 /**
- * The time of day of one machine of the rig, which may be off and step. It owns a file that the
- * processes of that machine map; what stands in their requests' stamps is of this clock too. It
- * must never touch the steady clock, as no machine does.
+ * Wall clock of one simulated host, which can be off and step. The offset is in a file that the
+ * processes of that host map; test clients stamp their requests with the same clock. The monotonic
+ * clock is never changed, as on a real machine.
  */
 final class SkewedClock implements Closeable {
   private final Path file;
   private final FileChannel channel;
-  private final LongBuffer by;
+  private final LongBuffer offsetMs;
 
   SkewedClock(Path file) throws IOException {
     this.file = file;
     channel =
         FileChannel.open(
             file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-    by = channel.map(FileChannel.MapMode.READ_WRITE, 0, Long.BYTES).asLongBuffer();
+    offsetMs = channel.map(FileChannel.MapMode.READ_WRITE, 0, Long.BYTES).asLongBuffer();
   }
 
-  /** Off by so many ms from now on. */
-  void set(long ms) {
-    by.put(0, ms);
+  /** Sets the offset from the system clock. */
+  void setOffset(long ms) {
+    offsetMs.put(0, ms);
   }
 
-  /** What this machine takes for the time, Unix ms. */
+  /** Time of this clock, Unix ms. */
   long millis() {
-    return System.currentTimeMillis() + by.get(0);
+    return System.currentTimeMillis() + offsetMs.get(0);
   }
 
-  /** What a process of this machine is started with. */
+  /** The JVM option that makes a process use this clock. */
   String option() {
     return "-D" + SteadyWallClock.SKEW_FILE_PROPERTY + "=" + file;
   }
--- a/src/main/java/wharftrestle/testbed/TestClient.java
+++ b/src/main/java/wharftrestle/testbed/TestClient.java
@@ -4,41 +4,41 @@
 import java.net.InetSocketAddress;
 import java.util.function.LongSupplier;
 
-/** A stand-in front end's connection: one request at a time, with the whole answer as bytes. */
+/** A test front end's connection that sends one request at a time. Not thread-safe. */
 public final class TestClient extends RespPeer {
-  private static final int PATIENCE_MS = 8000;
-  private static final double KB = 1;
+  private static final int REPLY_TIMEOUT_MS = 8000;
+  private static final double DECLARED_KB = 1;
 
   private final LongSupplier clock;
   private int tag;
   private boolean closing;
 
-  /** Stamps by this machine's clock. */
+  /** Stamps requests with the system clock. */
   public TestClient(InetSocketAddress to) throws IOException {
     this(to, System::currentTimeMillis);
   }
 
   /**
-   * @param clock of the machine whose door is asked, Unix ms
+   * @param clock wall clock of the host that is asked, Unix ms
    */
   TestClient(InetSocketAddress to, LongSupplier clock) throws IOException {
-    super(to, PATIENCE_MS);
+    super(to, REPLY_TIMEOUT_MS);
     this.clock = clock;
   }
 
   public Reply ask(String type, long reference, String key, String body) throws IOException {
-    String mine = Integer.toString(++tag);
-    ask(mine, reference, clock.getAsLong(), type, KB, key, body);
+    String requestTag = Integer.toString(++tag);
+    ask(requestTag, reference, clock.getAsLong(), type, DECLARED_KB, key, body);
     for (; ; ) {
       Reply reply = reply();
-      if (reply.tag().equals(mine)) {
+      if (reply.tag().equals(requestTag)) {
         return reply;
       }
-      remark(reply);
+      handleUnsolicited(reply);
     }
   }
 
-  /** A request that had its answer has another one. */
+  /** A request was answered a second time. */
   static final class DoubledException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -47,23 +47,23 @@
     }
   }
 
-  private void remark(Reply reply) throws IOException {
+  private void handleUnsolicited(Reply reply) throws IOException {
     closing |= reply.tag().equals("0") && reply.word().equals("closing");
     if (reply.tag().matches("[1-9][0-9]{0,8}") && Integer.parseInt(reply.tag()) <= tag) {
-      throw new DoubledException("a second answer to " + reply.tag());
+      throw new DoubledException("duplicate reply to request " + reply.tag());
     }
     if (!reply.tag().equals("0")) {
-      throw new IOException("an answer to " + reply.tag() + ", which was not asked");
+      throw new IOException("reply to request " + reply.tag() + ", which was never sent");
     }
   }
 
   /**
-   * True where it was told to go elsewhere: the connection ends soon, or has. Hears what came while
-   * it was idle.
+   * Whether the daemon announced that it closes this connection; reads what arrived while the
+   * connection was idle.
    */
   public boolean closing() throws IOException {
     while (!closing && waiting()) {
-      remark(reply());
+      handleUnsolicited(reply());
     }
     return closing;
   }
--- a/src/main/java/wharftrestle/testbed/TestClients.java
+++ b/src/main/java/wharftrestle/testbed/TestClients.java
@@ -19,73 +19,72 @@
 import java.util.function.LongSupplier;
 
 /**
- * Stand-in front ends that ask keyed requests and repeat them, and the checker of what they are
- * told: lost, given other bytes, run twice, refused after a run, overdue. The worker pool knows
- * what ran; what they count is held against that, and never against what a daemon says of itself.
+ * Test front ends that send keyed requests and repeat them, and the checker of the replies: lost,
+ * with other bytes, executed twice, refused after an execution, overdue. The checker compares with
+ * what the fake worker pool executed and never with what a daemon reports about itself. Each client
+ * has a thread; the public methods may be called from any thread.
  */
 public final class TestClients {
   /**
-   * How callers ask.
+   * The load that the clients generate.
    *
-   * @param many callers
-   * @param keyMs for which a key is repeated; inside its window
-   * @param again part of requests that repeat a key, besides those whose answer was lost, which are
-   *     asked again at once
-   * @param thinkMs that a caller waits between two requests, at most
-   * @param everyMs at which a caller asks, however long its answers take, as long as it has the
-   *     last one; 0 for thinking
+   * @param clients number of clients
+   * @param keyReuseMs time for which a key is repeated; shorter than the idempotency window
+   * @param repeatShare part of requests that repeat a key, besides those whose reply was lost,
+   *     which are retried at once
+   * @param maxThinkMs longest pause of a client between two requests
+   * @param intervalMs interval between two requests of a client, however long replies take; the
+   *     next one is sent only after the reply to the last; 0 for random pauses
    */
-  public record Habit(int many, long keyMs, double again, int thinkMs, double everyMs) {
-    /** They think between two requests. */
-    public Habit(int many, long keyMs, double again, int thinkMs) {
-      this(many, keyMs, again, thinkMs, 0);
+  public record Workload(
+      int clients, long keyReuseMs, double repeatShare, int maxThinkMs, double intervalMs) {
+    /** Clients pause between two requests. */
+    public Workload(int clients, long keyReuseMs, double repeatShare, int maxThinkMs) {
+      this(clients, keyReuseMs, repeatShare, maxThinkMs, 0);
     }
 
     /**
-     * So many requests a second of all callers, however long answers take; enough callers that few
-     * wait.
+     * All clients together send {@code rate} requests a second, however long replies take; needs
+     * enough clients that few wait for a reply.
      */
-    public static Habit paced(int many, long keyMs, double rate) {
-      return new Habit(many, keyMs, 0.4, 1, many * 1000 / rate);
+    public static Workload paced(int clients, long keyReuseMs, double rate) {
+      return new Workload(clients, keyReuseMs, 0.4, 1, clients * 1000 / rate);
     }
 
-    /** Four in ten repeat a key. */
-    public static Habit of(int many, long keyMs) {
-      return new Habit(many, keyMs, 0.4, 30);
+    /** Four in ten requests repeat a key. */
+    public static Workload of(int clients, long keyReuseMs) {
+      return new Workload(clients, keyReuseMs, 0.4, 30);
     }
   }
 
-  /** Milliseconds of clocks' and threads' error between a kill and what was seen of it. */
-  private static final long BLUR_MS = 50;
+  /** Error of clocks and thread scheduling between a kill and its observation. */
+  private static final long TIMING_TOLERANCE_MS = 50;
 
   /**
-   * Milliseconds after a notice to leave in which what arrives may still run, as the rig's settings
-   * have it.
+   * Time after SIGTERM in which arriving requests may still be executed; the drainGrace of the test
+   * settings.
    */
-  private static final long GRACE_MS = 2000;
+  private static final long DRAIN_GRACE_MS = 2000;
 
   /**
-   * Milliseconds past its due time in which an answer may come: the rule's slack, and threads' and
-   * clocks' error.
+   * Time past its deadline in which a reply may arrive: the slack of the rule, and the error of
+   * clocks and thread scheduling.
    */
-  private static final long DUE_BLUR_MS = 500;
+  private static final long DEADLINE_TOLERANCE_MS = 500;
 
-  /** Nanoseconds by which a paced caller may be behind and still ask what it missed. */
-  private static final long PACE_BEHIND = 1_000_000_000L;
+  /** Longest lag that a paced client makes up by sending the missed requests. */
+  private static final long MAX_PACING_LAG_NANOS = 1_000_000_000L;
 
-  /**
-   * The box was told to leave, with nobody to follow, until another process of it began;
-   * System.nanoTime.
-   */
-  private record Notice(long at, long until) {}
+  /** The only process of the host got SIGTERM, and another one started later; System.nanoTime. */
+  private record Notice(long noticedAt, long restartedAt) {}
 
-  /** A refusal of what had begun to run before, on the clock of System.nanoTime. */
-  private record Refusal(String body, long begun, long at) {}
+  /** A refusal of a request whose execution had started before; System.nanoTime. */
+  private record Refusal(String body, long executionStart, long refusedAt) {}
 
   private static final class Key {
     private final String name;
     private final String body;
-    private final long since = System.currentTimeMillis();
+    private final long createdAtMs = System.currentTimeMillis();
     private byte[] result;
 
     Key(String name) {
@@ -95,8 +94,9 @@
   }
 
   /**
-   * What was seen; the rules are broken where the first eight are not 0. Failed after a result are
-   * keys that had theirs once. The slowest answer took so many ms.
+   * What the clients observed. A rule is broken if one of the first eight counts is not 0. {@code
+   * failedAfterResult} counts errors for keys that had a result before. {@code slowestMs} is the
+   * latency of the slowest reply.
    */
   public record Tally(
       int runTwice,
@@ -116,7 +116,7 @@
       int failedAfterResult,
       int refused,
       long slowestMs) {
-    /** True where no rule was broken. */
+    /** Whether no rule was broken. */
     public boolean holds() {
       return runTwice == 0
           && refusedAfterRun == 0
@@ -155,15 +155,15 @@
     }
   }
 
-  private final InetSocketAddress to;
+  private final InetSocketAddress address;
   private final FakeWorkerPool pool;
   private final BooleanSupplier excused;
   private final LongSupplier clock;
-  private final Habit habit;
-  private final long dueMs;
-  private final List<Thread> desks = new ArrayList<>();
-  private final List<Refusal> refusals = new CopyOnWriteArrayList<>();
-  private final List<Long> forgotten = new CopyOnWriteArrayList<>();
+  private final Workload workload;
+  private final long deadlineMs;
+  private final List<Thread> threads = new ArrayList<>();
+  private final List<Refusal> refusalsAfterExecution = new CopyOnWriteArrayList<>();
+  private final List<Long> keysLostAt = new CopyOnWriteArrayList<>();
   private final AtomicInteger served = new AtomicInteger();
   private final AtomicInteger again = new AtomicInteger();
   private final AtomicInteger repeats = new AtomicInteger();
@@ -178,171 +178,190 @@
   private final Map<String, Long> firstAsked = new ConcurrentHashMap<>();
   private final List<Notice> notices = new CopyOnWriteArrayList<>();
   private final AtomicInteger lostExcused = new AtomicInteger();
-  private final AtomicLong slowest = new AtomicLong();
-  private final AtomicLong paused = new AtomicLong(); // nanoseconds
+  private final AtomicLong slowestNanos = new AtomicLong();
+  private final AtomicLong pausedNanos = new AtomicLong();
   private final AtomicLong references;
-  private final AtomicReference<Throwable> fault = new AtomicReference<>();
-  private volatile boolean over;
+  private final AtomicReference<Throwable> failure = new AtomicReference<>();
+  private volatile boolean stopped;
 
   /**
-   * @param excused true while a connection may end without its answer, or one come late, as
-   *     something was killed, cut or stopped
+   * @param excused whether a connection may now end without its reply or a reply be late, since
+   *     something was killed, cut or paused
    */
-  public TestClients(HostTestbed floor, Habit habit, long seed, BooleanSupplier excused) {
+  public TestClients(HostTestbed testbed, Workload workload, long seed, BooleanSupplier excused) {
     this(
-        floor.address(),
-        floor.pool(),
-        floor.clock()::millis,
-        habit,
-        HostTestbed.DUE_MS,
+        testbed.address(),
+        testbed.pool(),
+        testbed.clock()::millis,
+        workload,
+        HostTestbed.DEADLINE_MS,
         seed,
         excused);
   }
 
   /**
-   * The same for any address, worker pool and clock of a machine, Unix ms, where an answer is due
-   * in so many ms.
+   * Clients of any address, worker pool and wall clock.
+   *
+   * @param clock wall clock of the host, Unix ms
+   * @param deadlineMs deadline of each request
    */
   TestClients(
-      InetSocketAddress to,
+      InetSocketAddress address,
       FakeWorkerPool pool,
       LongSupplier clock,
-      Habit habit,
-      long dueMs,
+      Workload workload,
+      long deadlineMs,
       long seed,
       BooleanSupplier excused) {
-    this.dueMs = dueMs;
-    this.to = to;
+    this.deadlineMs = deadlineMs;
+    this.address = address;
     this.pool = pool;
     this.clock = clock;
-    this.habit = habit;
+    this.workload = workload;
     this.excused = excused;
     Random random = new Random(seed);
     references = new AtomicLong((1 + (seed & 0xffff)) << 32);
-    for (int i = 0; i < habit.many(); i++) {
-      long mine = random.nextLong();
-      Thread desk =
+    for (int i = 0; i < workload.clients(); i++) {
+      long clientSeed = random.nextLong();
+      Thread thread =
           new Thread(
               () -> {
                 try {
-                  sit(new Random(mine));
+                  runClient(new Random(clientSeed));
                 } catch (RuntimeException | Error e) {
-                  fault.compareAndSet(null, e);
+                  failure.compareAndSet(null, e);
                 }
               },
-              "desk " + i);
-      desk.setDaemon(true);
-      desks.add(desk);
+              "test-client " + i);
+      thread.setDaemon(true);
+      threads.add(thread);
     }
   }
 
   public void start() {
-    desks.forEach(Thread::start);
+    threads.forEach(Thread::start);
   }
 
   /**
-   * The only process that held the keys was killed then: what ran before may run again. On
-   * System.nanoTime's clock.
+   * Records that the only process with the keys was killed: requests executed before may be
+   * executed again.
+   *
+   * @param at System.nanoTime
    */
-  public void forgotten(long at) {
-    forgotten.add(at);
+  public void recordKeysLost(long at) {
+    keysLostAt.add(at);
   }
 
-  /** Answers that were neither a result nor a refusal up to now. */
+  /** Error replies so far. */
   public int failed() {
     return failed.get();
   }
 
   /**
-   * The only process of the box was told to leave then; what is first asked over two seconds later
-   * may not run.
+   * Records that the only process of the host got SIGTERM: a request first sent more than two
+   * seconds later must not be executed.
+   *
+   * @param at System.nanoTime
    */
-  public void noticed(long at) {
+  public void recordLeaveNotice(long at) {
     notices.add(new Notice(at, Long.MAX_VALUE));
   }
 
-  /** Another process of the box begins after a notice. */
-  public void begins(long at) {
-    notices.replaceAll(each -> each.until() == Long.MAX_VALUE ? new Notice(each.at(), at) : each);
+  /** Records that another process of the host starts after SIGTERM; System.nanoTime. */
+  public void recordRestart(long restartedAt) {
+    notices.replaceAll(
+        notice ->
+            notice.restartedAt() == Long.MAX_VALUE
+                ? new Notice(notice.noticedAt(), restartedAt)
+                : notice);
   }
 
   private int ranLate() {
-    int late = 0;
-    for (String name : pool.names()) {
-      long asked = firstAsked.getOrDefault(name, Long.MIN_VALUE);
+    int lateExecutions = 0;
+    for (String name : pool.executedNames()) {
+      long askedAt = firstAsked.getOrDefault(name, Long.MIN_VALUE);
       for (Notice notice : notices) {
-        boolean after = asked > notice.at() + TimeUnit.MILLISECONDS.toNanos(GRACE_MS + BLUR_MS);
-        late += after && pool.begun(name).stream().anyMatch(at -> at < notice.until()) ? 1 : 0;
+        boolean askedAfterGrace =
+            askedAt
+                > notice.noticedAt()
+                    + TimeUnit.MILLISECONDS.toNanos(DRAIN_GRACE_MS + TIMING_TOLERANCE_MS);
+        lateExecutions +=
+            askedAfterGrace
+                    && pool.executionStarts(name).stream()
+                        .anyMatch(start -> start < notice.restartedAt())
+                ? 1
+                : 0;
       }
     }
-    return late;
+    return lateExecutions;
   }
 
-  /**
-   * A process that serves stands still for so many ms: answers may take so much longer, and no
-   * others.
-   */
-  public void paused(long ms) {
-    paused.addAndGet(TimeUnit.MILLISECONDS.toNanos(ms));
+  /** Records a pause of the serving process: replies may take that much longer. */
+  public void recordPause(long ms) {
+    pausedNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(ms));
   }
 
-  /** Requests that were refused up to now. */
+  /** Refused requests so far. */
   public int refused() {
     return refused.get();
   }
 
-  /** Requests that repeated a key, and were answered, up to now. */
+  /** Answered requests that repeated a key, so far. */
   public int repeats() {
     return repeats.get();
   }
 
-  /** Answers that were results up to now. */
+  /** Replies with a result so far. */
   public int served() {
     return served.get();
   }
 
-  /** Ends all callers. */
+  /** Stops all clients and waits for their threads. */
   public void stop() throws InterruptedException {
-    over = true;
-    for (Thread desk : desks) {
-      desk.join();
+    stopped = true;
+    for (Thread thread : threads) {
+      thread.join();
     }
-    if (fault.get() != null) {
-      throw new IllegalStateException("a caller failed", fault.get());
+    if (failure.get() != null) {
+      throw new IllegalStateException("a test client failed", failure.get());
     }
   }
 
-  private boolean forgottenBetween(long before, long after) {
-    return forgotten.stream()
-        .anyMatch(at -> before <= at + TimeUnit.MILLISECONDS.toNanos(BLUR_MS) && at <= after);
+  private boolean keysLostBetween(long before, long after) {
+    return keysLostAt.stream()
+        .anyMatch(
+            at -> before <= at + TimeUnit.MILLISECONDS.toNanos(TIMING_TOLERANCE_MS) && at <= after);
   }
 
-  /** What was seen; counted anew at each call. */
+  /** The counts so far, computed at each call. */
   public Tally tally() {
-    int twice = 0;
-    int twiceHolderKilled = 0;
-    for (String name : pool.names()) {
-      List<Long> begun = pool.begun(name);
-      for (int i = 1; i < begun.size(); i++) {
-        if (forgottenBetween(begun.get(i - 1), begun.get(i))) {
-          twiceHolderKilled++;
+    int executedTwice = 0;
+    int executedTwiceAfterKill = 0;
+    for (String name : pool.executedNames()) {
+      List<Long> starts = pool.executionStarts(name);
+      for (int i = 1; i < starts.size(); i++) {
+        if (keysLostBetween(starts.get(i - 1), starts.get(i))) {
+          executedTwiceAfterKill++;
         } else {
-          twice++;
+          executedTwice++;
         }
       }
     }
-    int afterRun =
-        (int) refusals.stream().filter(each -> !forgottenBetween(each.begun(), each.at())).count();
+    int refusedAfterExecution =
+        (int)
+            refusalsAfterExecution.stream()
+                .filter(refusal -> !keysLostBetween(refusal.executionStart(), refusal.refusedAt()))
+                .count();
     return new Tally(
-        twice,
-        afterRun,
+        executedTwice,
+        refusedAfterExecution,
         otherBytes.get(),
         lost.get(),
         unknown.get(),
         doubled.get(),
         ranLate(),
         overdue.get(),
-        twiceHolderKilled,
+        executedTwiceAfterKill,
         lostExcused.get(),
         served.get(),
         repeats.get(),
@@ -350,99 +369,108 @@
         failed.get(),
         failedAfterResult.get(),
         refused.get(),
-        TimeUnit.NANOSECONDS.toMillis(slowest.get()));
+        TimeUnit.NANOSECONDS.toMillis(slowestNanos.get()));
   }
 
-  private void sit(Random random) {
+  private void runClient(Random random) {
     List<Key> keys = new ArrayList<>();
-    TestClient desk = null;
-    Key lostKey = null; // asked and not answered: the first thing to ask again
-    long due = System.nanoTime() + (long) (random.nextDouble() * habit.everyMs() * 1e6);
-    while (!over) {
-      keys.removeIf(key -> System.currentTimeMillis() - key.since > habit.keyMs());
-      boolean repeat = lostKey != null || (!keys.isEmpty() && random.nextDouble() < habit.again());
+    TestClient client = null;
+    Key unansweredKey = null; // sent and not answered; it is retried first
+    long nextRequestAt =
+        System.nanoTime() + (long) (random.nextDouble() * workload.intervalMs() * 1e6);
+    while (!stopped) {
+      keys.removeIf(key -> System.currentTimeMillis() - key.createdAtMs > workload.keyReuseMs());
+      boolean repeat =
+          unansweredKey != null
+              || (!keys.isEmpty() && random.nextDouble() < workload.repeatShare());
       if (!repeat) {
         keys.add(
             new Key(Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong())));
       }
       Key key =
-          lostKey != null
-              ? lostKey
+          unansweredKey != null
+              ? unansweredKey
               : repeat ? keys.get(random.nextInt(keys.size())) : keys.get(keys.size() - 1);
-      lostKey = key;
-      if (habit.everyMs() > 0) {
-        LockSupport.parkNanos(due - System.nanoTime());
-        due = Math.max(due, System.nanoTime() - PACE_BEHIND) + (long) (habit.everyMs() * 1e6);
+      unansweredKey = key;
+      if (workload.intervalMs() > 0) {
+        LockSupport.parkNanos(nextRequestAt - System.nanoTime());
+        nextRequestAt =
+            Math.max(nextRequestAt, System.nanoTime() - MAX_PACING_LAG_NANOS)
+                + (long) (workload.intervalMs() * 1e6);
       }
       try {
-        if (desk != null && desk.closing()) {
-          desk.close();
-          desk = null;
+        if (client != null && client.closing()) {
+          client.close();
+          client = null;
         }
-        desk = desk != null ? desk : new TestClient(to, clock);
-        long asked = System.nanoTime();
-        long stood = paused.get();
-        firstAsked.putIfAbsent(key.body, asked);
-        RespPeer.Reply reply = desk.ask("save", references.incrementAndGet(), key.name, key.body);
-        long took = System.nanoTime() - asked;
-        slowest.accumulateAndGet(took, Math::max);
-        long most = TimeUnit.MILLISECONDS.toNanos(dueMs + DUE_BLUR_MS) + paused.get() - stood;
-        if (took > most && !excused.getAsBoolean()) {
+        client = client != null ? client : new TestClient(address, clock);
+        long askedAt = System.nanoTime();
+        long pausedBefore = pausedNanos.get();
+        firstAsked.putIfAbsent(key.body, askedAt);
+        RespPeer.Reply reply = client.ask("save", references.incrementAndGet(), key.name, key.body);
+        long latency = System.nanoTime() - askedAt;
+        slowestNanos.accumulateAndGet(latency, Math::max);
+        long allowedLatency =
+            TimeUnit.MILLISECONDS.toNanos(deadlineMs + DEADLINE_TOLERANCE_MS)
+                + pausedNanos.get()
+                - pausedBefore;
+        if (latency > allowedLatency && !excused.getAsBoolean()) {
           overdue.incrementAndGet();
         }
-        lostKey = null;
+        unansweredKey = null;
         repeats.addAndGet(repeat ? 1 : 0);
-        judge(key, reply);
-        if (habit.everyMs() <= 0) {
-          LockSupport.parkNanos(random.nextInt(habit.thinkMs()) * 1_000_000L);
+        checkReply(key, reply);
+        if (workload.intervalMs() <= 0) {
+          LockSupport.parkNanos(random.nextInt(workload.maxThinkMs()) * 1_000_000L);
         }
-      } catch (TestClient.DoubledException twice) {
+      } catch (TestClient.DoubledException duplicate) {
         doubled.incrementAndGet();
-        desk = null;
-      } catch (IOException ended) {
+        client = null;
+      } catch (IOException connectionEnded) {
         (excused.getAsBoolean() ? lostExcused : lost).incrementAndGet();
         try {
-          if (desk != null) {
-            desk.close();
+          if (client != null) {
+            client.close();
           }
         } catch (IOException e) {
-          fault.compareAndSet(null, e);
+          failure.compareAndSet(null, e);
         }
-        desk = null;
+        client = null;
         LockSupport.parkNanos(20_000_000);
       }
     }
-    if (desk != null) {
+    if (client != null) {
       try {
-        desk.close();
+        client.close();
       } catch (IOException e) {
-        fault.compareAndSet(null, e);
+        failure.compareAndSet(null, e);
       }
     }
   }
 
-  private void judge(Key key, RespPeer.Reply reply) {
-    List<Long> begun = pool.begun(key.body);
+  private void checkReply(Key key, RespPeer.Reply reply) {
+    List<Long> starts = pool.executionStarts(key.body);
     switch (reply.word()) {
       case "done" -> {
         served.incrementAndGet();
         if (key.result != null) {
           again.incrementAndGet();
         }
-        boolean own = reply.body().startsWith(key.body + " run ");
-        // Where it ran again, which is counted, the bytes are others.
-        if (!own
+        boolean matchesKey = reply.body().startsWith(key.body + " run ");
+        // After a second execution, which is counted separately, the bytes differ.
+        if (!matchesKey
             || (key.result != null
                 && !Arrays.equals(key.result, reply.bytes())
-                && begun.size() < 2)) {
+                && starts.size() < 2)) {
           otherBytes.incrementAndGet();
         }
         key.result = reply.bytes();
       }
       case "later" -> {
         refused.incrementAndGet();
-        if (!begun.isEmpty()) {
-          refusals.add(new Refusal(key.body, begun.get(begun.size() - 1), System.nanoTime()));
+        if (!starts.isEmpty()) {
+          refusalsAfterExecution.add(
+              new Refusal(key.body, starts.get(starts.size() - 1), System.nanoTime()));
         }
       }
       case "error" -> {
--- a/src/main/java/wharftrestle/testbed/TestbedCommand.java
+++ b/src/main/java/wharftrestle/testbed/TestbedCommand.java
@@ -12,10 +12,10 @@
 import picocli.CommandLine.Parameters;
 import wharftrestle.config.DaemonConfig;
 
-/** The command line of the rig. */
+/** The command line of the test environment. */
 @Command(
     name = "lab",
-    description = "real processes on loopback, with faults put between them",
+    description = "run real processes on loopback and inject faults",
     subcommands = {TestbedCommand.Faults.class, TestbedCommand.Proxy.class})
 public final class TestbedCommand implements Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -26,10 +26,8 @@
         spec.commandLine(), "name a command: lab faults or lab link");
   }
 
-  /** Plays a script. */
-  @Command(
-      name = "faults",
-      description = "play a script of failures; exit 1 where a rule is broken")
+  /** Runs a fault script. */
+  @Command(name = "faults", description = "run a fault script; exit 1 if a rule is broken")
   static final class Faults implements Callable<Integer> {
     @Parameters(paramLabel = "SCRIPT", description = "such as docs/examples/faults.star")
     private Path script;
@@ -37,46 +35,49 @@
     @Option(
         names = "--jar",
         paramLabel = "JAR",
-        description = "the build to play; default: this one")
+        description = "the build to run; default: this one")
     private Path jar;
 
     @Option(
         names = "--out",
         paramLabel = "FILE",
-        description = "a JSON object a line; default: standard output")
+        description = "results, one JSON object a line; default: standard output")
     private Path results;
 
     @Override
     public Integer call() throws Exception {
-      FaultScript read = FaultScript.read(script);
+      FaultScript faultScript = FaultScript.read(script);
       PrintStream out =
           results == null ? System.out : new PrintStream(results.toFile(), StandardCharsets.UTF_8);
       try {
-        return new Scenario(read, jar, System.err, out).play() ? 0 : 1;
+        return new Scenario(faultScript, jar, System.err, out).play() ? 0 : 1;
       } finally {
         out.flush();
       }
     }
   }
 
-  /** The proxy alone. */
+  /** Runs a single proxy. */
   @Command(
       name = "link",
-      description = "a proxy on loopback, for TCP and UDP, that goes wrong as told; until Ctrl-C")
+      description = "run a fault-injecting proxy for TCP and UDP on loopback; until Ctrl-C")
   static final class Proxy implements Callable<Integer> {
-    @Parameters(paramLabel = "HOST:PORT", description = "where it leads, on loopback")
+    @Parameters(paramLabel = "HOST:PORT", description = "target of the proxy, on loopback")
     private String to;
 
-    @Option(
-        names = "--delay",
-        paramLabel = "MS",
-        description = "what crosses comes later, both ways")
+    @Option(names = "--delay", paramLabel = "MS", description = "delay in both directions")
     private double delay;
 
-    @Option(names = "--jitter", paramLabel = "MS", description = "on top of the delay, at most")
+    @Option(
+        names = "--jitter",
+        paramLabel = "MS",
+        description = "largest random addition to the delay")
     private double jitter;
 
-    @Option(names = "--rate", paramLabel = "KB", description = "kB a second at most, each way")
+    @Option(
+        names = "--rate",
+        paramLabel = "KB",
+        description = "limit in kB a second, each direction")
     private Double rate;
 
     @Option(
@@ -88,37 +89,38 @@
     @Option(
         names = "--hole",
         paramLabel = "WAY",
-        description = "nothing comes through: both, there or back")
+        description = "deliver nothing in this direction: both, there or back")
     private String hole;
 
-    @Option(names = "--seed", paramLabel = "N", description = "of all that is drawn")
+    @Option(names = "--seed", paramLabel = "N", description = "seed of all random choices")
     private long seed = 1;
 
     @Override
     public Integer call() throws Exception {
       InetSocketAddress address = DaemonConfig.address("HOST:PORT", to);
       if (!address.getAddress().isLoopbackAddress()) {
-        throw new DaemonConfig.BadConfigException("a link leads to loopback alone, not to " + to);
+        throw new DaemonConfig.BadConfigException(
+            "HOST:PORT: the target of a proxy has to be on loopback, got " + to);
       }
       if (hole != null && !hole.matches("both|there|back")) {
         throw new DaemonConfig.BadConfigException(
-            "--hole is both, there or back, not '" + hole + "'");
+            "--hole: expected both, there or back, got '" + hole + "'");
       }
-      FaultProxy link = new FaultProxy(address, seed);
+      FaultProxy proxy = new FaultProxy(address, seed);
       if (delay > 0 || jitter > 0) {
-        link.trouble(FaultRule.Trouble.DELAY, delay, jitter, true, true);
+        proxy.apply(FaultRule.Effect.DELAY, delay, jitter, true, true);
       }
       if (rate != null) {
-        link.trouble(FaultRule.Trouble.RATE, rate, 0, true, true);
+        proxy.apply(FaultRule.Effect.RATE, rate, 0, true, true);
       }
       if (drop > 0) {
-        link.trouble(FaultRule.Trouble.DROP, drop, 0, true, true);
+        proxy.apply(FaultRule.Effect.DROP, drop, 0, true, true);
       }
       if (hole != null) {
-        link.trouble(FaultRule.Trouble.HOLE, 0, 0, !hole.equals("back"), !hole.equals("there"));
+        proxy.apply(FaultRule.Effect.HOLE, 0, 0, !hole.equals("back"), !hole.equals("there"));
       }
       System.out.println(
-          "127.0.0.1:" + link.address().getPort() + " leads to " + to + ", seed " + seed);
+          "127.0.0.1:" + proxy.address().getPort() + " leads to " + to + ", seed " + seed);
       System.out.flush();
       new CountDownLatch(1).await();
       return 0;
--- a/src/main/java/wharftrestle/testbed/WorkerPoolPeer.java
+++ b/src/main/java/wharftrestle/testbed/WorkerPoolPeer.java
@@ -14,26 +14,26 @@
 import wharftrestle.transport.BoundedReader;
 
 /**
- * The worker pool's side of its links, as the protocol has them: it owns the address, the links and
- * how commands are read. What is done and said is its script's.
+ * The worker pool's end of its links: listens, reads the commands of the protocol and passes them
+ * to a {@link Script}, which decides what to do and reply. One thread for each link.
  */
 public final class WorkerPoolPeer implements Closeable {
 
-  /** Milliseconds in which a new link says its first word. */
-  private static final int BIND_MS = 10_000;
+  /** Time in which a new link sends its bind command. */
+  private static final int BIND_TIMEOUT_MS = 10_000;
 
-  private static final int LONGEST_LINE = 400;
+  private static final int MAX_LINE_BYTES = 400;
 
-  /** What a worker pool does. */
+  /** The behaviour of the worker pool. */
   public interface Script {
-    /** A daemon binds that has read so many notices; false closes its link. */
+    /** A daemon that has read {@code read} notices binds; false closes its link. */
     boolean binds(Link link, int read) throws IOException;
 
-    /** A command came, with its body; empty for none. */
+    /** A command arrived; the body is empty if it has none. */
     void command(Link link, String[] words, String body) throws IOException;
   }
 
-  /** One link of a daemon. */
+  /** The link of one daemon. */
   public static final class Link {
     private final Socket socket;
 
@@ -41,19 +41,19 @@
       this.socket = socket;
     }
 
-    /** Says these bytes as one. */
+    /** Sends these bytes in one piece. */
     public void say(byte[] bytes) throws IOException {
       synchronized (socket) {
         socket.getOutputStream().write(bytes);
       }
     }
 
-    /** Says these words as they stand. */
+    /** Sends this text unchanged. */
     public void say(String text) throws IOException {
       say(BoundedReader.ascii(text));
     }
 
-    /** Breaks it. */
+    /** Closes the link. */
     public void cut() throws IOException {
       socket.close();
     }
@@ -72,9 +72,9 @@
     this.script = script;
   }
 
-  /** Takes daemons from now on. */
+  /** Starts to accept links. */
   public WorkerPoolPeer start() {
-    thread("stand-in pool", this::accept);
+    thread("fake-worker-pool", this::accept);
     return this;
   }
 
@@ -94,11 +94,11 @@
         Socket socket = server.accept();
         if (retired) {
           socket.close();
-          return; // whoever comes from now on waits at the address
+          return; // later connections stay in the backlog
         }
         Link link = new Link(socket);
         links.add(link);
-        thread("stand-in link", () -> serve(link));
+        thread("fake-worker-pool-link", () -> serve(link));
       }
     } catch (IOException closed) {
       return;
@@ -109,14 +109,14 @@
     try (Socket socket = link.socket) {
       socket.setTcpNoDelay(true);
       InputStream in = new BufferedInputStream(socket.getInputStream());
-      socket.setSoTimeout(BIND_MS);
-      int read = Integer.parseInt(BoundedReader.line(in, LONGEST_LINE).split(" ")[1]);
+      socket.setSoTimeout(BIND_TIMEOUT_MS);
+      int read = Integer.parseInt(BoundedReader.line(in, MAX_LINE_BYTES).split(" ")[1]);
       socket.setSoTimeout(0);
       if (!script.binds(link, read)) {
         return;
       }
       for (; ; ) {
-        String[] words = BoundedReader.line(in, LONGEST_LINE).split(" ");
+        String[] words = BoundedReader.line(in, MAX_LINE_BYTES).split(" ");
         String body = "";
         if (words[0].equals("spawn") || words[0].equals("supply")) {
           body =
@@ -135,8 +135,8 @@
   }
 
   /**
-   * Ends its links and takes no more, and keeps its address. Guards against somebody else having
-   * that address while a daemon that has not ended looks for its worker pool there for ever.
+   * Closes all links and accepts no more, but keeps the port bound: a daemon that has not ended
+   * keeps connecting to this address, which another process of the machine could otherwise bind.
    */
   public void retire() throws IOException {
     retired = true;
--- a/src/test/java/wharftrestle/prove/BadRelease.java
+++ b/src/test/java/wharftrestle/prove/BadRelease.java
@@ -28,23 +28,22 @@
 import wharftrestle.transport.BoundedReader;
 
 /**
- * The daemon made worse in one way, which the word in its jar names: what a rolling change has to
- * stop.
+ * The daemon with one defect, which the marker in its jar names. A rollout has to stop it.
  */
 public final class BadRelease {
   private BadRelease() {}
 
   public static void main(String[] args) throws Exception {
-    String[] word;
+    String[] marker;
     try (InputStream in = BadRelease.class.getResourceAsStream("/release.txt")) {
-      word = new String(in.readAllBytes(), StandardCharsets.UTF_8).split(" ");
+      marker = new String(in.readAllBytes(), StandardCharsets.UTF_8).split(" ");
     }
     Map<String, String> environment = new HashMap<>(System.getenv());
     Path config = Path.of(environment.get("EDGE_CONFIG"));
     ObjectNode root = (ObjectNode) new ObjectMapper().readTree(config.toFile());
-    switch (word[1]) {
-      case "fails" -> root.put("pool", "127.0.0.1:" + spoil(root.path("pool").asText()));
-      case "refuses" -> ((ObjectNode) root.at("/settings/specifics")).put("memoryKb", 6);
+    switch (marker[1]) {
+      case "fails" -> root.put("pool", "127.0.0.1:" + startFailingProxy(root.path("pool").asText()));
+      case "refuses" -> ((ObjectNode) root.index("/settings/specifics")).put("memoryKb", 6);
       case "crashes" ->
           thread(
               () -> {
@@ -61,36 +60,36 @@
                 }
               });
       case "leaks" -> thread(BadRelease::leak);
-      default -> throw new IllegalArgumentException(word[1]);
+      default -> throw new IllegalArgumentException("unknown defect in /release.txt: " + marker[1]);
     }
-    Path own = Files.createTempFile("bad", ".json");
-    Files.write(own, new ObjectMapper().writeValueAsBytes(root));
-    environment.put("EDGE_CONFIG", own.toString());
-    int at = Arrays.asList(args).indexOf("--appliance");
-    DaemonConfig.Appliance set =
-        at < 0 ? DaemonConfig.Appliance.none() : Settings.read(Path.of(args[at + 1])).appliance();
-    Lifecycle life = new Lifecycle(DaemonConfig.read(environment), set);
-    Signal.handle(new Signal("TERM"), signal -> life.leave());
-    life.start();
-    life.serveUntilStopped();
+    Path spoiledConfig = Files.createTempFile("bad", ".json");
+    Files.write(spoiledConfig, new ObjectMapper().writeValueAsBytes(root));
+    environment.put("EDGE_CONFIG", spoiledConfig.toString());
+    int index = Arrays.asList(args).indexOf("--appliance");
+    DaemonConfig.Appliance appliance =
+        index < 0 ? DaemonConfig.Appliance.none() : Settings.read(Path.of(args[index + 1])).appliance();
+    Lifecycle lifecycle = new Lifecycle(DaemonConfig.read(environment), appliance);
+    Signal.handle(new Signal("TERM"), signal -> lifecycle.leave());
+    lifecycle.start();
+    lifecycle.serveUntilStopped();
     System.exit(0);
   }
 
-  private static void thread(Runnable body) {
-    Thread thread = new Thread(body);
+  private static void thread(Runnable task) {
+    Thread thread = new Thread(task);
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** 4 MB a second that nobody gives back. */
+  /** Leaks 4 MB of native memory a second. */
   private static void leak() {
     try {
       Field field = Unsafe.class.getDeclaredField("theUnsafe");
       field.setAccessible(true);
-      Unsafe memory = (Unsafe) field.get(null);
+      Unsafe unsafe = (Unsafe) field.get(null);
       for (int i = 0; i < 400; i++) {
-        long at = memory.allocateMemory(1 << 20);
-        memory.setMemory(at, 1 << 20, (byte) 1);
+        long address = unsafe.allocateMemory(1 << 20);
+        unsafe.setMemory(address, 1 << 20, (byte) 1);
         LockSupport.parkNanos(250_000_000);
       }
     } catch (ReflectiveOperationException e) {
@@ -98,18 +97,18 @@
     }
   }
 
-  /** Stands before the worker pool, and has four in ten runs end badly; its port. */
-  private static int spoil(String pool) throws IOException {
+  /** Starts a proxy of the worker pool that reports 40% of executions as failed; returns its port. */
+  private static int startFailingProxy(String pool) throws IOException {
     ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
-    InetSocketAddress to = Address.of(pool);
+    InetSocketAddress target = Address.of(pool);
     thread(
         () -> {
           try {
             for (; ; ) {
               Socket daemon = server.accept();
-              Socket workers = new Socket(to.getAddress(), to.getPort());
+              Socket workers = new Socket(target.getAddress(), target.getPort());
               thread(() -> copy(daemon, workers));
-              thread(() -> spoil(workers, daemon));
+              thread(() -> copyWithFailures(workers, daemon));
             }
           } catch (IOException closed) {
             return;
@@ -118,16 +117,16 @@
     return server.getLocalPort();
   }
 
-  private static void copy(Socket from, Socket to) {
+  private static void copy(Socket from, Socket target) {
     try (from;
-        to) {
-      from.getInputStream().transferTo(to.getOutputStream());
+        target) {
+      from.getInputStream().transferTo(target.getOutputStream());
     } catch (IOException ended) {
       return;
     }
   }
 
-  private static void spoil(Socket workers, Socket daemon) {
+  private static void copyWithFailures(Socket workers, Socket daemon) {
     try (workers;
         daemon) {
       InputStream in = new BufferedInputStream(workers.getInputStream());
@@ -136,12 +135,12 @@
         String line = BoundedReader.line(in, 1000);
         String[] words = line.split(" ", 0);
         if (words[0].equals("finished")) {
-          byte[] body = BoundedReader.exactly(in, Integer.parseInt(words[5]));
+          byte[] task = BoundedReader.exactly(in, Integer.parseInt(words[5]));
           BoundedReader.crlf(in);
           out.write(
               BoundedReader.ascii(
                   i % 5 < 2 ? line.replace(" good ", " bad ") + "\r\n" : line + "\r\n"));
-          out.write(body);
+          out.write(task);
           out.write(BoundedReader.ascii("\r\n"));
         } else {
           out.write(BoundedReader.ascii(line + "\r\n"));
--- a/src/test/java/wharftrestle/prove/BenchChange.java
+++ b/src/test/java/wharftrestle/prove/BenchChange.java
@@ -15,46 +15,47 @@
 import wharftrestle.testbed.TestClients;
 
 /**
- * What a change and the way back cost: answers by the second with none, with a change, and with the
- * way back, in one run; time until ready, and the memory of both processes. Played with callers
- * that think, and again at 110% of what the box can do when it is held to a share of a core.
+ * Measures the cost of a change of the daemon and of the change back in one run: replies in each
+ * second without and during the changes, the time until the successor is ready, and the memory of
+ * both processes. Runs with clients that pause between requests, and at 110% of the capacity of a
+ * host that is limited to a share of a core.
  */
 public final class BenchChange {
-  private static final int CALLERS = 12;
-  private static final int SECONDS = 8;
-  private static final long READY_MS = 30_000;
+  private static final int CLIENTS = 12;
+  private static final int PHASE_SECONDS = 8;
+  private static final long READY_TIMEOUT_MS = 30_000;
 
-  /** Seconds that a change is waited for, and that are told after it. */
-  private static final int MOST_SECONDS = 30;
+  /** Longest wait for a change. */
+  private static final int MAX_CHANGE_SECONDS = 30;
 
-  private static final int MORE_SECONDS = 4;
+  private static final int SECONDS_AFTER_CHANGE = 4;
 
   /**
-   * Cores that the box is held to where it is overloaded; twice as many while it has two processes,
-   * as the platform has it.
+   * CPU limit of the overloaded host in cores; doubled while it has two processes, as on the
+   * platform.
    */
-  private static final double SHARE = 0.15;
+  private static final double LIMITED_CORES = 0.15;
 
-  private static final int CROWD = 64;
-  private static final double OVER = 1.1;
+  private static final int OVERLOAD_CLIENTS = 64;
+  private static final double OVERLOAD_FACTOR = 1.1;
 
-  private final HostTestbed floor;
-  private volatile DaemonProcess serves;
-  private volatile DaemonProcess comes;
-  private CpuLimiter holder; // null where it is held to nothing
+  private final HostTestbed testbed;
+  private volatile DaemonProcess active;
+  private volatile DaemonProcess successor;
+  private CpuLimiter cpuLimiter; // null without a limit
 
-  private BenchChange(HostTestbed floor) {
-    this.floor = floor;
+  private BenchChange(HostTestbed testbed) {
+    this.testbed = testbed;
   }
 
   public static void main(String[] args) throws Exception {
     long seed = args.length > 0 ? Long.parseLong(args[0]) : 7;
     boolean[] plays =
         args.length > 1 ? new boolean[] {args[1].equals("over")} : new boolean[] {false, true};
-    for (boolean over : plays) {
+    for (boolean overloaded : plays) {
       Path folder = Files.createTempDirectory("bench-change");
-      try (HostTestbed floor = new HostTestbed(folder, "", seed, HostTestbed.Play.of(192))) {
-        new BenchChange(floor).play(over, seed);
+      try (HostTestbed testbed = new HostTestbed(folder, "", seed, HostTestbed.Play.of(192))) {
+        new BenchChange(testbed).play(overloaded, seed);
       } finally {
         HostTestbed.delete(folder);
       }
@@ -62,127 +63,149 @@
   }
 
   private List<DaemonProcess> processes() {
-    return Stream.of(serves, comes).filter(Objects::nonNull).toList();
+    return Stream.of(active, successor).filter(Objects::nonNull).toList();
   }
 
-  private void play(boolean over, long seed) throws Exception {
-    HostTestbed.Version one =
-        new HostTestbed.Version(null, "wharftrestle.Main", floor.settings(), "");
-    HostTestbed.Version two =
+  private void play(boolean overloaded, long seed) throws Exception {
+    HostTestbed.Version firstVersion =
+        new HostTestbed.Version(null, "wharftrestle.Main", testbed.settings(), "");
+    HostTestbed.Version secondVersion =
         new HostTestbed.Version(
             null,
             "wharftrestle.Main",
             new HostTestbed.Settings(
-                floor.settings().memoryMb(), floor.settings().window() + 10, false, false),
+                testbed.settings().memoryMb(),
+                testbed.settings().keyWindowSeconds() + 10,
+                false,
+                false),
             "");
-    serves = floor.begin(one);
-    if (!serves.awaitReady(READY_MS)) {
-      throw new IllegalStateException("it did not start:\n" + serves.log());
+    active = testbed.begin(firstVersion);
+    if (!active.awaitReady(READY_TIMEOUT_MS)) {
+      throw new IllegalStateException(
+          "the daemon was not ready in time; its log:\n" + active.log());
     }
-    hold(over, SHARE);
+    limitCpu(overloaded, LIMITED_CORES);
     try {
-      TestClients.Habit habit = TestClients.Habit.of(CALLERS, 9000);
-      if (over) {
-        TestClients all =
-            new TestClients(floor, new TestClients.Habit(CROWD, 9000, 0.4, 1), seed, () -> false);
-        all.start();
-        seconds(all, 4);
-        double most = seconds(all, 4).stream().mapToInt(each -> each[0]).average().orElse(0);
-        all.stop();
-        habit = TestClients.Habit.paced(CROWD, 9000, OVER * most);
+      TestClients.Workload workload = TestClients.Workload.of(CLIENTS, 9000);
+      if (overloaded) {
+        TestClients overloadClients =
+            new TestClients(
+                testbed,
+                new TestClients.Workload(OVERLOAD_CLIENTS, 9000, 0.4, 1),
+                seed,
+                () -> false);
+        overloadClients.start();
+        countPerSecond(overloadClients, 4);
+        double capacityPerSecond =
+            countPerSecond(overloadClients, 4).stream()
+                .mapToInt(each -> each[0])
+                .average()
+                .orElse(0);
+        overloadClients.stop();
+        workload =
+            TestClients.Workload.paced(OVERLOAD_CLIENTS, 9000, OVERLOAD_FACTOR * capacityPerSecond);
         System.out.printf(
             Locale.ROOT,
-            "bench-change: held to %.2f cores it answers %.0f a second, asked for %.0f%n",
-            SHARE,
-            most,
-            OVER * most);
+            "bench-change: limited to %.2f cores: capacity %.0f results a second, offered %.0f%n",
+            LIMITED_CORES,
+            capacityPerSecond,
+            OVERLOAD_FACTOR * capacityPerSecond);
       }
-      TestClients callers = new TestClients(floor, habit, seed + 1, () -> false);
-      callers.start();
-      seconds(callers, 4); // its code is compiled by then
+      TestClients clients = new TestClients(testbed, workload, seed + 1, () -> false);
+      clients.start();
+      countPerSecond(clients, 4); // warm-up of the JIT compiler
       System.out.printf(
           Locale.ROOT,
-          "bench-change: seed %d, %d callers, results a second (refused, failed)%n",
+          "bench-change: seed %d, %d clients, results a second (refused, failed)%n",
           seed,
-          habit.many());
-      System.out.println("  no change:    " + shown(seconds(callers, SECONDS)));
-      change(callers, two, "  change:       ");
-      change(callers, one, "  and back:     ");
-      System.out.println("  after:        " + shown(seconds(callers, 4)));
-      callers.stop();
-      System.out.println("  " + callers.tally());
+          workload.clients());
+      System.out.println("  no change:    " + format(countPerSecond(clients, PHASE_SECONDS)));
+      change(clients, secondVersion, "  change:       ");
+      change(clients, firstVersion, "  and back:     ");
+      System.out.println("  after:        " + format(countPerSecond(clients, 4)));
+      clients.stop();
+      System.out.println("  " + clients.tally());
     } finally {
-      hold(false, 0);
+      limitCpu(false, 0);
     }
   }
 
-  private void hold(boolean held, double cores) throws Exception {
-    if (holder != null) {
-      holder.close();
+  private void limitCpu(boolean limited, double cores) throws Exception {
+    if (cpuLimiter != null) {
+      cpuLimiter.close();
     }
-    holder = held ? new CpuLimiter(this::processes, cores) : null;
+    cpuLimiter = limited ? new CpuLimiter(this::processes, cores) : null;
   }
 
-  private void change(TestClients callers, HostTestbed.Version to, String name) throws Exception {
-    long began = System.nanoTime();
-    boolean held = holder != null;
-    comes = floor.begin(to);
-    hold(held, 2 * SHARE);
+  private void change(TestClients clients, HostTestbed.Version version, String name)
+      throws Exception {
+    long startedAt = System.nanoTime();
+    boolean limited = cpuLimiter != null;
+    successor = testbed.begin(version);
+    limitCpu(limited, 2 * LIMITED_CORES);
     List<int[]> answers = new ArrayList<>();
     long ready = -1;
     String memory = "";
-    DaemonProcess old = serves;
-    int more = MORE_SECONDS;
-    for (int i = 0; i < MOST_SECONDS && more > 0; i++) {
-      more -= ready < 0 ? 0 : 1;
-      int[] before = counts(callers);
-      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
-      while (System.nanoTime() < until) {
-        if (ready < 0 && comes.ready()) {
-          ready = (System.nanoTime() - began) / 1_000_000;
+    DaemonProcess predecessor = active;
+    int remaining = SECONDS_AFTER_CHANGE;
+    for (int i = 0; i < MAX_CHANGE_SECONDS && remaining > 0; i++) {
+      remaining -= ready < 0 ? 0 : 1;
+      int[] before = counts(clients);
+      long endsAt = System.nanoTime() + TimeUnit.PHASE_SECONDS.toNanos(1);
+      while (System.nanoTime() < endsAt) {
+        if (ready < 0 && successor.ready()) {
+          ready = (System.nanoTime() - startedAt) / 1_000_000;
           memory =
-              old.memoryKb("RssAnon") / 1024 + " and " + comes.memoryKb("RssAnon") / 1024 + " MB";
-          old.term();
+              predecessor.memoryKb("RssAnon") / 1024
+                  + " and "
+                  + successor.memoryKb("RssAnon") / 1024
+                  + " MB";
+          predecessor.terminate();
         }
         LockSupport.parkNanos(2_000_000);
       }
-      answers.add(since(callers, before));
+      answers.add(countsSince(clients, before));
     }
     if (ready < 0) {
       throw new IllegalStateException(
-          "it was not ready in " + MOST_SECONDS + " s:\n" + comes.log());
+          "the successor was not ready in " + MAX_CHANGE_SECONDS + " s:\n" + successor.log());
     }
-    old.awaitEnd(READY_MS);
-    serves = comes;
-    comes = null;
-    hold(held, SHARE);
+    predecessor.awaitExit(READY_TIMEOUT_MS);
+    active = successor;
+    successor = null;
+    limitCpu(limited, LIMITED_CORES);
     System.out.println(
-        name + shown(answers) + ", ready after " + ready + " ms, own memory of both " + memory);
+        name
+            + format(answers)
+            + ", ready after "
+            + ready
+            + " ms, anonymous memory of both "
+            + memory);
   }
 
-  private static int[] counts(TestClients callers) {
-    return new int[] {callers.served(), callers.refused(), callers.failed()};
+  private static int[] counts(TestClients clients) {
+    return new int[] {clients.served(), clients.refused(), clients.failed()};
   }
 
-  private static int[] since(TestClients callers, int[] before) {
-    int[] now = counts(callers);
+  private static int[] countsSince(TestClients clients, int[] before) {
+    int[] now = counts(clients);
     for (int i = 0; i < now.length; i++) {
       now[i] -= before[i];
     }
     return now;
   }
 
-  private static List<int[]> seconds(TestClients callers, int many) {
+  private static List<int[]> countPerSecond(TestClients clients, int duration) {
     List<int[]> answers = new ArrayList<>();
-    for (int i = 0; i < many; i++) {
-      int[] before = counts(callers);
-      LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1));
-      answers.add(since(callers, before));
+    for (int i = 0; i < duration; i++) {
+      int[] before = counts(clients);
+      LockSupport.parkNanos(TimeUnit.PHASE_SECONDS.toNanos(1));
+      answers.add(countsSince(clients, before));
     }
     return answers;
   }
 
-  private static String shown(List<int[]> seconds) {
+  private static String format(List<int[]> seconds) {
     return String.join(
         " ",
         seconds.stream()
--- a/src/test/java/wharftrestle/prove/BenchResults.java
+++ b/src/test/java/wharftrestle/prove/BenchResults.java
@@ -15,13 +15,13 @@
 import wharftrestle.testbed.TestClient;
 
 /**
- * Measures what kept results cost at a real daemon: keyed requests a second and their latency with
- * the store off, on without sync, with group commit and with a sync a record, all in one run; then
- * resident memory and the time to be ready again over a store that was filled, for each limit on
- * memory. Figures are in docs/results.md.
+ * Measures the cost of durable results at a real daemon: keyed requests a second and their latency
+ * with the store off, on without sync, with group commit and with a sync for each record, all in
+ * one run; then resident memory and the time to be ready again with a full store, for each memory
+ * limit. Figures are in docs/results.md.
  */
 public final class BenchResults {
-  private static final int[] DESKS = {16, 96};
+  private static final int[] CLIENT_COUNTS = {16, 96};
 
   private BenchResults() {}
 
@@ -29,57 +29,63 @@
     int seconds = args.length > 0 ? Integer.parseInt(args[0]) : 8;
     int cores = Runtime.getRuntime().availableProcessors();
     System.out.println(
-        "cores " + cores + ", desks " + Arrays.toString(DESKS) + ", a run 0 to 25 ms");
-    for (int desks : DESKS) {
-      double off = 0;
+        "cores "
+            + cores
+            + ", clients "
+            + Arrays.toString(CLIENT_COUNTS)
+            + ", an execution 0 to 25 ms");
+    for (int clients : CLIENT_COUNTS) {
+      double rateWithoutStore = 0;
       for (String sync : new String[] {"off", "none", "group", "each"}) {
-        double rate = load(sync, desks, seconds, System.out);
-        off = sync.equals("off") ? rate : off;
+        double rate = measureLoad(sync, clients, seconds, System.out);
+        rateWithoutStore = sync.equals("off") ? rate : rateWithoutStore;
         System.out.printf(
-            Locale.ROOT, "         %.3f of the rate with the store off%n", rate / off);
+            Locale.ROOT, "         %.3f of the rate with the store off%n", rate / rateWithoutStore);
       }
     }
     for (int memory : new int[] {64, 128, 192}) {
-      full(memory, 8, System.out);
+      measureFullStore(memory, 8, System.out);
     }
     for (int mb : new int[] {4, 16, 32}) {
-      full(192, mb, System.out);
+      measureFullStore(192, mb, System.out);
     }
   }
 
-  private interface Played {
-    void on(HostTestbed floor, Path folder) throws Exception;
+  private interface Scenario {
+    void run(HostTestbed testbed, Path folder) throws Exception;
   }
 
-  private static void with(String settings, int memory, Played played) throws Exception {
+  private static void withDaemon(String settings, int memory, Scenario scenario) throws Exception {
     Path folder = Files.createTempDirectory("bench-results");
     String script =
         settings.isEmpty()
             ? ""
             : "durable(dir = \"" + folder.resolve("results") + "\", " + settings + ")\n";
-    try (HostTestbed floor = new HostTestbed(folder, script, 29421, HostTestbed.Play.of(memory))) {
-      floor.start();
-      played.on(floor, folder);
+    try (HostTestbed testbed =
+        new HostTestbed(folder, script, 29421, HostTestbed.Play.of(memory))) {
+      testbed.start();
+      scenario.run(testbed, folder);
     } finally {
       HostTestbed.delete(folder);
     }
   }
 
-  private static double load(String sync, int desks, int seconds, PrintStream out)
+  private static double measureLoad(String sync, int clients, int seconds, PrintStream out)
       throws Exception {
     double[] rate = {0};
     String settings =
         sync.equals("off") ? "" : "max_mb = 256, max_keys = 200000, sync = \"" + sync + "\"";
-    with(
+    withDaemon(
         settings,
         192,
-        (floor, folder) -> {
-          ask(floor, desks, 2, "note", new ConcurrentHistogram(60_000_000, 3)); // warm
+        (testbed, folder) -> {
+          sendNewKeys(
+              testbed, clients, 2, "note", new ConcurrentHistogram(60_000_000, 3)); // warm-up
           Histogram latency = new ConcurrentHistogram(60_000_000, 3);
-          int served = ask(floor, desks, seconds, "note", latency);
+          int served = sendNewKeys(testbed, clients, seconds, "note", latency);
           rate[0] = served / (double) seconds;
           String syncs =
-              floor
+              testbed
                   .daemon()
                   .get("/_results")
                   .lines()
@@ -92,105 +98,109 @@
                   .reduce("", (a, b) -> a + ", " + b);
           out.printf(
               Locale.ROOT,
-              "%3d desks, %-6s %6.0f served/s, "
+              "%3d clients, %-6s %6.0f served/s, "
                   + "p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms, resident %d MB%s%n",
-              desks,
+              clients,
               sync,
               rate[0],
               latency.getValueAtPercentile(50) / 1000.0,
               latency.getValueAtPercentile(99) / 1000.0,
               latency.getValueAtPercentile(99.9) / 1000.0,
-              floor.daemon().memoryKb("VmHWM") >> 10,
+              testbed.daemon().memoryKb("VmHWM") >> 10,
               syncs);
         });
     return rate[0];
   }
 
   /**
-   * Asks new keys for so long; how many were served. Latency is from the moment of asking, one at a
-   * time a desk.
+   * Sends requests with new keys for a time and returns how many were served. Each client has one
+   * request in flight; latency is from sending to the reply.
    */
-  private static int ask(
-      HostTestbed floor, int desks, double seconds, String note, Histogram latency)
+  private static int sendNewKeys(
+      HostTestbed testbed, int clients, double seconds, String bodyPrefix, Histogram latency)
       throws InterruptedException {
     AtomicInteger served = new AtomicInteger();
     AtomicLong references = new AtomicLong(System.nanoTime());
-    long until = System.nanoTime() + (long) (seconds * 1e9);
-    Thread[] all = new Thread[desks];
-    for (int i = 0; i < desks; i++) {
+    long endsAt = System.nanoTime() + (long) (seconds * 1e9);
+    Thread[] threads = new Thread[clients];
+    for (int i = 0; i < clients; i++) {
       Random random = new Random(i);
-      all[i] =
+      threads[i] =
           new Thread(
               () -> {
-                try (TestClient desk = new TestClient(floor.address())) {
-                  while (System.nanoTime() < until) {
+                try (TestClient client = new TestClient(testbed.address())) {
+                  while (System.nanoTime() < endsAt) {
                     String key =
                         Long.toHexString(random.nextLong()) + Long.toHexString(System.nanoTime());
-                    long at = System.nanoTime();
-                    if (desk.ask("save", references.incrementAndGet(), key, note + key)
+                    long sentAt = System.nanoTime();
+                    if (client
+                        .ask("save", references.incrementAndGet(), key, bodyPrefix + key)
                         .word()
                         .equals("done")) {
                       served.incrementAndGet();
-                      latency.recordValue((System.nanoTime() - at) / 1000);
+                      latency.recordValue((System.nanoTime() - sentAt) / 1000);
                     }
                   }
                 } catch (IOException e) {
-                  System.out.println("a desk ended: " + e);
+                  System.out.println("a client failed: " + e);
                 }
               });
-      all[i].start();
+      threads[i].start();
     }
-    for (Thread desk : all) {
-      desk.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
     return served.get();
   }
 
-  /** Fills a store until it refuses, and starts anew over it. */
-  private static void full(int memory, int mb, PrintStream out) throws Exception {
-    with(
+  /** Fills a store until it refuses requests, and restarts the daemon with it. */
+  private static void measureFullStore(int memory, int mb, PrintStream out) throws Exception {
+    withDaemon(
         "max_mb = " + mb + ", max_keys = 200000, sync = \"none\"",
         memory,
-        (floor, folder) -> {
+        (testbed, folder) -> {
           int served = 0;
           for (int i = 0;
               i < 25
-                  && !floor.daemon().get("/_results").matches("(?s).*refused_store_full +[1-9].*");
+                  && !testbed
+                      .daemon()
+                      .get("/_results")
+                      .matches("(?s).*refused_store_full +[1-9].*");
               i++) {
             served +=
-                ask(
-                    floor,
+                sendNewKeys(
+                    testbed,
                     mb > 8 ? 64 : 16,
                     1,
                     "x".repeat(1500),
                     new ConcurrentHistogram(60_000_000, 3));
           }
-          String figures = floor.daemon().get("/_results");
-          long resident = floor.daemon().memoryKb("VmHWM");
-          long own = floor.daemon().memoryKb("RssAnon");
-          floor.daemon().kill();
-          long began = System.nanoTime();
-          floor.start();
-          double again = (System.nanoTime() - began) / 1e6;
-          String after = floor.daemon().get("/_results");
+          String figures = testbed.daemon().get("/_results");
+          long residentKb = testbed.daemon().memoryKb("VmHWM");
+          long anonymousKb = testbed.daemon().memoryKb("RssAnon");
+          testbed.daemon().kill();
+          long restartedAt = System.nanoTime();
+          testbed.start();
+          double readyMs = (System.nanoTime() - restartedAt) / 1e6;
+          String figuresAfter = testbed.daemon().get("/_results");
           out.printf(
               Locale.ROOT,
               "memory_mb %d, max_mb %d: %d keys served, %s kB used, refused as full %s, "
                   + "resident %d MB, "
-                  + "%d of it its own; killed, ready after %.0f ms, %.0f of them reading (%s known), resident %d MB, "
-                  + "%d its own%n",
+                  + "%d of it anonymous; killed, ready after %.0f ms, %.0f of them recovery (%s keys), resident %d MB, "
+                  + "%d anonymous%n",
               memory,
               mb,
               served,
               figure(figures, "used_kb"),
               figure(figures, "refused_store_full"),
-              resident >> 10,
-              own >> 10,
-              again,
-              Long.parseLong(figure(after, "recovery_us")) / 1000.0,
-              figure(after, "recovered_known"),
-              floor.daemon().memoryKb("VmHWM") >> 10,
-              floor.daemon().memoryKb("RssAnon") >> 10);
+              residentKb >> 10,
+              anonymousKb >> 10,
+              readyMs,
+              Long.parseLong(figure(figuresAfter, "recovery_us")) / 1000.0,
+              figure(figuresAfter, "recovered_known"),
+              testbed.daemon().memoryKb("VmHWM") >> 10,
+              testbed.daemon().memoryKb("RssAnon") >> 10);
         });
   }
 
--- a/src/test/java/wharftrestle/prove/Crashes.java
+++ b/src/test/java/wharftrestle/prove/Crashes.java
@@ -1,11 +1,11 @@
 package wharftrestle.prove;
 
-/** A program that starts and crashes before it serves: a bad release. */
+/** A release that crashes before it is ready. */
 public final class Crashes {
   private Crashes() {}
 
   @SuppressWarnings("DoNotCallSuggester") // the java launcher calls it, no code does
   public static void main(String[] args) {
-    throw new IllegalStateException("a bad release");
+    throw new IllegalStateException("deliberate crash of a bad release");
   }
 }
--- a/src/test/java/wharftrestle/prove/FullDescriptorsTest.java
+++ b/src/test/java/wharftrestle/prove/FullDescriptorsTest.java
@@ -16,100 +16,99 @@
 import wharftrestle.testbed.TestClient;
 
 /**
- * A real process that may hold few descriptors, and idle clients that would fill them while the
- * name service is gone.
+ * Guards against a daemon that no longer serves front ends, operators and the worker pool because idle
+ * connections use up its descriptors, while the name service is gone.
  */
-@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // a story may spin
+@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // interrupts a busy wait
 class FullDescriptorsTest {
-  private static final int ALLOWED = 96;
+  private static final int DESCRIPTOR_LIMIT = 96;
 
-  /** Files of this build's many jars, which a daemon on the platform does not have: it has one. */
-  private static final int JARS = 40;
+  /** Open jars of this class path; a deployed daemon has a single jar. */
+  private static final int JAR_DESCRIPTORS = 40;
 
-  /** Twice what it has room for. */
-  private static final int IDLE = 200;
+  /** Twice the number of connections for which there are descriptors. */
+  private static final int IDLE_CONNECTIONS = 200;
 
-  private static final int MOST_LINES = 30;
-  private static final long BACK_NANOS = 20_000_000_000L;
-  private static final int MOST_TRIES = 100;
+  private static final int MAX_LOG_LINES = 30;
+  private static final long RECOVERY_NANOS = 20_000_000_000L;
+  private static final int MAX_ATTEMPTS = 100;
 
   @TempDir private Path folder;
 
-  private static long held(HostTestbed floor) throws IOException {
-    try (Stream<Path> all =
-        Files.list(Path.of("/proc", Long.toString(floor.daemon().pid()), "fd"))) {
-      return all.count();
+  private static long openDescriptors(HostTestbed testbed) throws IOException {
+    try (Stream<Path> descriptors =
+        Files.list(Path.of("/proc", Long.toString(testbed.daemon().pid()), "fd"))) {
+      return descriptors.count();
     }
   }
 
   /**
-   * A front end's work on a new connection; a refusal, as on a busy machine, is an answer and is
-   * asked again.
+   * Sends a request on a new connection, and again if it is refused, as can happen on a busy machine.
    */
-  private static String ask(HostTestbed floor, int number) throws IOException {
-    String word = "";
-    for (int tries = 0; tries < MOST_TRIES && !word.equals("done"); tries++) {
-      try (TestClient desk = new TestClient(floor.address())) {
-        word = desk.ask("save", 1000L * number + tries, "key " + number, "body " + number).word();
+  private static String ask(HostTestbed testbed, int number) throws IOException {
+    String replyWord = "";
+    for (int attempt = 0; attempt < MAX_ATTEMPTS && !replyWord.equals("done"); attempt++) {
+      try (TestClient client = new TestClient(testbed.address())) {
+        replyWord = client.ask("save", 1000L * number + attempt, "key " + number, "body " + number).replyWord();
       }
     }
-    return word;
+    return replyWord;
   }
 
   @Test
-  void allPartsFitWhatItIsAllowed() throws Exception {
-    String log = play(ALLOWED, ALLOWED + JARS);
+  void daemonStaysWithinItsConfiguredDescriptorLimit() throws Exception {
+    String log = runWithLimits(DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT + JAR_DESCRIPTORS);
     assertTrue(!log.contains("Too many open files") && !log.contains("no descriptor is left"), log);
   }
 
-  /** What the configuration says is four times what there is. */
+  /** The configured limit is four times the actual one. */
   @Test
-  void withFewerThanItWasToldItMakesDo() throws Exception {
-    String log = play(4 * ALLOWED, ALLOWED + JARS);
+  void daemonServesWithFewerDescriptorsThanConfigured() throws Exception {
+    String log = runWithLimits(4 * DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT + JAR_DESCRIPTORS);
     assertTrue(log.contains("no descriptor is left"), log);
   }
 
-  /** Work, operators and links get in before, during and after; what was logged. */
-  private String play(int told, int allowed) throws Exception {
+  /** Checks that requests, operators and links are served throughout; returns the log. */
+  private String runWithLimits(int configured, int actualLimit) throws Exception {
     List<TestClient> idle = new ArrayList<>();
-    try (HostTestbed floor = new HostTestbed(folder, "", 29421, HostTestbed.Play.of(192))) {
-      floor.limitDescriptors(told, allowed);
-      floor.start();
-      assertEquals("done", ask(floor, 1), "before");
-      long before = held(floor);
-      floor.loseNames();
-      for (int i = 0; i < IDLE; i++) {
-        TestClient rests = new TestClient(floor.address());
-        idle.add(rests);
+    try (HostTestbed testbed = new HostTestbed(folder, "", 29421, HostTestbed.Play.of(192))) {
+      testbed.limitDescriptors(configured, actualLimit);
+      testbed.start();
+      assertEquals("done", ask(testbed, 1), "before");
+      long descriptorsBefore = openDescriptors(testbed);
+      testbed.closeNameService();
+      for (int i = 0; i < IDLE_CONNECTIONS; i++) {
+        TestClient idleClient = new TestClient(testbed.address());
+        idle.add(idleClient);
         if (i % 2 == 0) {
-          rests.send("STATUS", "1", ""); // every other one was heard, and rests
+          idleClient.send("STATUS", "1", ""); // every other one has sent a command
         }
         if (i % 10 == 0) {
-          assertEquals("done", ask(floor, 100 + i), "a front end with work gets in");
+          assertEquals("done", ask(testbed, 100 + i), "a front end with a request is served");
           assertTrue(
-              floor.daemon().get("/_ready").startsWith("HTTP/1.1 200 "), "and so do operators");
+              testbed.daemon().get("/_ready").startsWith("HTTP/1.1 200 "), "the admin endpoint replies");
         }
-        assertTrue(held(floor) <= allowed, held(floor) + " descriptors");
+        assertTrue(openDescriptors(testbed) <= actualLimit, openDescriptors(testbed) + " descriptors");
       }
-      floor.movePool(); // a new link, while all is full
-      new ProcessBuilder("kill", "-HUP", Long.toString(floor.daemon().pid())).start().waitFor();
-      assertEquals("done", ask(floor, 2), "the worker pool's new link could be made");
-      for (TestClient each : idle) {
-        each.close();
+      testbed.moveWorkerPool(); // needs a new link while descriptors are scarce
+      new ProcessBuilder("kill", "-HUP", Long.toString(testbed.daemon().pid())).start().waitFor();
+      assertEquals("done", ask(testbed, 2), "the daemon connected to the moved worker pool");
+      for (TestClient client : idle) {
+        client.close();
       }
-      long until = System.nanoTime() + BACK_NANOS;
-      while (held(floor) > before + JARS / 2 && System.nanoTime() < until) {
+      long deadline = System.nanoTime() + RECOVERY_NANOS;
+      while (openDescriptors(testbed) > descriptorsBefore + JAR_DESCRIPTORS / 2 && System.nanoTime() < deadline) {
         Thread.onSpinWait();
       }
       assertTrue(
-          held(floor) <= before + JARS / 2,
-          held(floor) + " descriptors after, " + before + " before");
-      assertEquals("done", ask(floor, 3), "after");
-      assertTrue(floor.daemon().log().lines().count() < MOST_LINES, floor.daemon().log());
-      return floor.daemon().log();
+          openDescriptors(testbed) <= descriptorsBefore + JAR_DESCRIPTORS / 2,
+          openDescriptors(testbed) + " descriptors after, " + descriptorsBefore + " before");
+      assertEquals("done", ask(testbed, 3), "after");
+      assertTrue(testbed.daemon().log().lines().count() < MAX_LOG_LINES, testbed.daemon().log());
+      return testbed.daemon().log();
     } finally {
-      for (TestClient each : idle) {
-        each.close();
+      for (TestClient client : idle) {
+        client.close();
       }
     }
   }
--- a/src/test/java/wharftrestle/prove/HangupTest.java
+++ b/src/test/java/wharftrestle/prove/HangupTest.java
@@ -10,20 +10,20 @@
 import wharftrestle.testbed.HostTestbed;
 import wharftrestle.testbed.TestClient;
 
-/** A daemon that was started where hangups are ignored, as by nohup, and whose parties move. */
+/** A daemon started with SIGHUP ignored, as by nohup, still loads a changed configuration. */
 class HangupTest {
   @TempDir private Path folder;
 
   @Test
-  void aDaemonThatCannotHearAHangupStillTakesOverANewConfiguration() throws Exception {
-    try (HostTestbed floor = new HostTestbed(folder, "", 29421, HostTestbed.Play.of(192))) {
-      floor.ignoreHangups();
-      floor.start();
-      try (TestClient desk = new TestClient(floor.address())) {
-        assertEquals("done", desk.ask("save", 1, "before", "a").word());
-        floor.movePool();
+  void newConfigurationIsLoadedWhereSighupIsIgnored() throws Exception {
+    try (HostTestbed testbed = new HostTestbed(folder, "", 29421, HostTestbed.Play.of(192))) {
+      testbed.ignoreHangups();
+      testbed.start();
+      try (TestClient client = new TestClient(testbed.address())) {
+        assertEquals("done", client.ask("save", 1, "before", "a").word());
+        testbed.moveWorkerPool();
         assertEquals(
-            "done", desk.ask("save", 2, "after", "b").word(), "its worker pool was found again");
+            "done", client.ask("save", 2, "after", "b").word(), "the daemon connected to the moved worker pool");
       }
       String log = Files.readString(folder.resolve("daemon.log"));
       assertTrue(log.contains("SIGHUP is ignored by whoever started this process"), log);
--- a/src/test/java/wharftrestle/prove/LinkFlapTest.java
+++ b/src/test/java/wharftrestle/prove/LinkFlapTest.java
@@ -13,41 +13,44 @@
 import wharftrestle.testbed.HostTestbed;
 import wharftrestle.testbed.TestClient;
 
-/** A worker pool whose address takes connections and ends each at once, for seconds. */
+/**
+ * Guards against a flood of log lines from a worker pool whose address accepts connections and closes
+ * each at once.
+ */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LinkFlapTest {
-  private static final Pattern LINKS = Pattern.compile("(\\d+)\\s+worker pool links made");
-  private static final int TRIES = 60; // of 50 ms each, at the least
+  private static final Pattern LINKS_PATTERN = Pattern.compile("(\\d+)\\s+worker pool links made");
+  private static final int ATTEMPTS = 60; // each takes at least 50 ms
 
-  private static final long MOST_NANOS = 30_000_000_000L;
+  private static final long MAX_NANOS = 30_000_000_000L;
 
   @TempDir private Path folder;
 
   private static int links(DaemonProcess daemon) throws Exception {
-    Matcher said = LINKS.matcher(daemon.get("/_counters"));
-    assertTrue(said.find(), "the door tells the links made");
-    return Integer.parseInt(said.group(1));
+    Matcher matcher = LINKS_PATTERN.matcher(daemon.get("/_counters"));
+    assertTrue(matcher.find(), "the admin endpoint reports the links made");
+    return Integer.parseInt(matcher.group(1));
   }
 
   @Test
-  void itIsOneLineASecondAndItComesBack() throws Exception {
-    try (HostTestbed floor = new HostTestbed(folder, "", 29421, HostTestbed.Play.of(192), true)) {
-      floor.start();
-      DaemonProcess daemon = floor.daemon();
-      int before = links(daemon);
-      long began = System.nanoTime();
-      floor.link("pool").refuse();
-      floor.link("pool").cut();
-      while (links(daemon) < before + TRIES && System.nanoTime() - began < MOST_NANOS) {
+  void flappingLinkLogsAtMostOneLineASecondAndRecovers() throws Exception {
+    try (HostTestbed testbed = new HostTestbed(folder, "", 29421, HostTestbed.Play.of(192), true)) {
+      testbed.start();
+      DaemonProcess daemon = testbed.daemon();
+      int linksBefore = links(daemon);
+      long startedAt = System.nanoTime();
+      testbed.link("pool").refuse();
+      testbed.link("pool").cut();
+      while (links(daemon) < linksBefore + ATTEMPTS && System.nanoTime() - startedAt < MAX_NANOS) {
         Thread.onSpinWait();
       }
-      assertTrue(links(daemon) >= before + TRIES, "it tries again");
-      double seconds = (System.nanoTime() - began) / 1e9;
+      assertTrue(links(daemon) >= linksBefore + ATTEMPTS, "the daemon retries");
+      double seconds = (System.nanoTime() - startedAt) / 1e9;
       long lines = daemon.log().lines().filter(line -> line.contains("worker pool link")).count();
       assertTrue(lines >= 1 && lines <= 2 + seconds, lines + " lines in " + seconds + " s");
-      floor.link("pool").heal();
-      try (TestClient desk = new TestClient(floor.address())) {
-        assertEquals("done", desk.ask("save", 1, "key", "body").word());
+      testbed.link("pool").heal();
+      try (TestClient client = new TestClient(testbed.address())) {
+        assertEquals("done", client.ask("save", 1, "key", "body").word());
       }
     }
   }
--- a/src/test/java/wharftrestle/prove/ProveChange.java
+++ b/src/test/java/wharftrestle/prove/ProveChange.java
@@ -19,42 +19,48 @@
 import wharftrestle.testbed.TestClients;
 
 /**
- * Proves that one box can be changed and changed back under load: real processes of this build and
- * of earlier ones, with the same and with other settings, one of the two stopped or killed at
- * moments drawn from a seed, while desks ask keyed requests and repeat them. Held against the
- * stand-in worker pool: nothing runs twice while a process lives that holds the keys, nothing is
- * refused after its run, nothing is lost but by a kill, every change ends as changed or as before.
- * The same without the agreement has to break a rule, or the proof could not fail. It closes on one
- * line, and exit 0 or 1.
+ * Checks that the daemon of a host can be replaced and changed back under load: real processes of
+ * this build and of earlier ones, with the same and with other settings, of which one is paused or
+ * killed at random times, while clients send keyed requests and repeat them. Compared with the fake
+ * worker pool: no request is executed twice while a process with its key lives, none is refused
+ * after its execution, none is lost except by a kill, and every change completes or leaves the host
+ * as before. As a check of the proof, a daemon without the compatibility check has to break a rule.
+ * Prints a last line and exits with 0 or 1.
  */
 public final class ProveChange {
-  private static final int DESKS = 4;
+  private static final int CLIENTS = 4;
 
-  /** Milliseconds for which a key is repeated: inside the shortest window that is played. */
-  private static final long KEY_MS = 9_000;
+  /** Time for which a key is repeated; inside the shortest idempotency window used here. */
+  private static final long KEY_REUSE_MS = 9_000;
 
-  /** Milliseconds in which a change ends, on top of what a process was stopped for. */
-  private static final long READY_MS = 15_000;
+  /** Time in which a change completes, in addition to the time for which a process was paused. */
+  private static final long CHANGE_TIMEOUT_MS = 15_000;
 
-  /** Milliseconds for which the one that serves is watched after a change that cannot be. */
-  private static final long WATCH_MS = 700;
+  /** Time for which the active process is observed after a refused change. */
+  private static final long OBSERVATION_MS = 700;
 
-  /** Milliseconds after a kill in which a connection may end without its answer. */
-  private static final long KILL_MS = 1500;
+  /** Time after a kill in which a connection may end without its reply. */
+  private static final long KILL_EXCUSE_MS = 1500;
 
-  /** How a process says that another has no room for its keys. */
-  private static final String NO_ROOM = "keys are known here, and there is room for";
+  /** Log text of a daemon whose successor has no capacity for its keys. */
+  private static final String NO_CAPACITY_MESSAGE = "keys are known here, and there is room for";
 
-  private static final List<String> HISTORY = List.of("7ee9590", "f2bf4dc");
+  private static final List<String> EARLIER_COMMITS = List.of("7ee9590", "f2bf4dc");
 
-  /** One way to be: what a process is, and whether it can take over from any other here. */
-  private record Way(String name, HostTestbed.Version version, boolean fits, boolean former) {}
+  /**
+   * A variant of the daemon.
+   *
+   * @param compatible whether it can take over from every other variant
+   * @param earlierBuild whether it is a build of an earlier commit
+   */
+  private record Variant(
+      String name, HostTestbed.Version version, boolean compatible, boolean earlierBuild) {}
 
-  /** What was seen. */
-  static final class Seen {
+  /** What was observed. */
+  static final class Observations {
     TestClients.Tally tally;
-    final List<Long> readyMs = new ArrayList<>();
-    final Map<String, Integer> ended = new TreeMap<>();
+    final List<Long> readyTimesMs = new ArrayList<>();
+    final Map<String, Integer> outcomes = new TreeMap<>();
     int changes;
     int stops;
     int kills;
@@ -64,295 +70,318 @@
       return tally.holds() && unfinished == 0;
     }
 
-    private long ready(double part) {
-      List<Long> sorted = new ArrayList<>(readyMs);
+    private long quantile(double quantileShare) {
+      List<Long> sorted = new ArrayList<>(readyTimesMs);
       Collections.sort(sorted);
-      return sorted.isEmpty() ? 0 : sorted.get((int) (part * (sorted.size() - 1)));
+      return sorted.isEmpty() ? 0 : sorted.get((int) (quantileShare * (sorted.size() - 1)));
     }
 
     @Override
     public String toString() {
       return String.format(
           Locale.ROOT,
-          "%d changes %s, %d stops, %d kills, ready after %d ms (median; most %d), %d "
-              + "never ended; %s",
+          "%d changes %s, %d pauses, %d kills, ready after %d ms (median; maximum %d), %d "
+              + "unfinished; %s",
           changes,
-          ended,
+          outcomes,
           stops,
           kills,
-          ready(0.5),
-          ready(1),
+          quantile(0.5),
+          quantile(1),
           unfinished,
           tally);
     }
   }
 
-  private final HostTestbed floor;
-  private final Seen seen = new Seen();
+  private final HostTestbed testbed;
+  private final Observations observed = new Observations();
   private final PrintStream out;
-  private final List<Way> ways;
-  private final long readyMs;
-  private volatile boolean killing; // until another process serves
+  private final List<Variant> variants;
+  private final long readyTimeoutMs;
+  private volatile boolean awaitingReplacement; // from a kill until another process serves
   private volatile long killedAt = Long.MIN_VALUE / 2;
-  private TestClients callers;
+  private TestClients clients;
 
-  private ProveChange(HostTestbed floor, List<Way> ways, PrintStream out) {
-    this.floor = floor;
-    this.ways = ways;
-    // The mutant is left in states that nothing gets out of: it is not waited for as long.
-    readyMs = ways.get(0).version().main().equals("wharftrestle.Main") ? READY_MS : READY_MS / 5;
+  private ProveChange(HostTestbed testbed, List<Variant> variants, PrintStream out) {
+    this.testbed = testbed;
+    this.variants = variants;
+    // The daemon without the check can end in a state that it never leaves, so waits are shorter.
+    readyTimeoutMs =
+        variants.get(0).version().main().equals("wharftrestle.Main")
+            ? CHANGE_TIMEOUT_MS
+            : CHANGE_TIMEOUT_MS / 5;
     this.out = out;
   }
 
-  /** Plays so many changes, with kept results or without. */
-  private static Seen play(
-      boolean kept, boolean mutant, int changes, long seed, List<Path> builds, PrintStream out)
+  /** Makes a number of changes, with durable results or without. */
+  private static Observations play(
+      boolean durableResults,
+      boolean withoutCheck,
+      int changes,
+      long seed,
+      List<Path> builds,
+      PrintStream out)
       throws Exception {
     Path folder = Files.createTempDirectory("prove-change");
-    try (HostTestbed floor = new HostTestbed(folder, "", seed, HostTestbed.Play.of(192))) {
-      return new ProveChange(floor, ways(floor, folder, kept, mutant, builds), out)
+    try (HostTestbed testbed = new HostTestbed(folder, "", seed, HostTestbed.Play.of(192))) {
+      return new ProveChange(
+              testbed, variants(testbed, folder, durableResults, withoutCheck, builds), out)
           .play(changes, new Random(seed));
     } finally {
       HostTestbed.delete(folder);
     }
   }
 
-  private static List<Way> ways(
-      HostTestbed floor, Path folder, boolean kept, boolean mutant, List<Path> builds) {
+  private static List<Variant> variants(
+      HostTestbed testbed,
+      Path folder,
+      boolean durableResults,
+      boolean withoutCheck,
+      List<Path> builds) {
     String script =
-        kept ? "durable(dir = \"" + folder.resolve("results") + "\", max_mb = 16)\n" : "";
-    String main = mutant ? "wharftrestle.prove.Unagreed" : "wharftrestle.Main";
-    HostTestbed.Settings set = floor.settings();
-    List<Way> all = new ArrayList<>();
-    all.add(new Way("same", new HostTestbed.Version(null, main, set, script), true, false));
-    all.add(
-        new Way(
+        durableResults ? "durable(dir = \"" + folder.resolve("results") + "\", max_mb = 16)\n" : "";
+    String main = withoutCheck ? "wharftrestle.prove.Unagreed" : "wharftrestle.Main";
+    HostTestbed.Settings settings = testbed.settings();
+    List<Variant> result = new ArrayList<>();
+    result.add(
+        new Variant("same", new HostTestbed.Version(null, main, settings, script), true, false));
+    result.add(
+        new Variant(
             "moved",
             new HostTestbed.Version(
                 null,
                 main,
-                new HostTestbed.Settings(set.memoryMb(), set.window(), true, false),
+                new HostTestbed.Settings(
+                    settings.memoryMb(), settings.keyWindowSeconds(), true, false),
                 script),
             false,
             false));
-    if (mutant) {
-      return all;
+    if (withoutCheck) {
+      return result;
     }
-    all.add(
-        new Way(
+    result.add(
+        new Variant(
             "longer",
             new HostTestbed.Version(
                 null,
                 main,
-                new HostTestbed.Settings(set.memoryMb(), set.window() + 10, false, false),
+                new HostTestbed.Settings(
+                    settings.memoryMb(), settings.keyWindowSeconds() + 10, false, false),
                 script),
             true,
             false));
-    all.add(
-        new Way(
+    result.add(
+        new Variant(
             "shorter",
             new HostTestbed.Version(
                 null,
                 main,
-                new HostTestbed.Settings(set.memoryMb(), set.window() - 10, false, false),
+                new HostTestbed.Settings(
+                    settings.memoryMb(), settings.keyWindowSeconds() - 10, false, false),
                 script),
             true,
             false));
-    all.add(
-        new Way(
+    result.add(
+        new Variant(
             "more",
             new HostTestbed.Version(
                 null,
                 main,
-                new HostTestbed.Settings(set.memoryMb(), set.window(), false, true),
+                new HostTestbed.Settings(
+                    settings.memoryMb(), settings.keyWindowSeconds(), false, true),
                 script),
             true,
             false));
-    all.add(
-        new Way(
+    result.add(
+        new Variant(
             "smaller",
             new HostTestbed.Version(
-                null, main, new HostTestbed.Settings(88, set.window(), false, false), script),
+                null,
+                main,
+                new HostTestbed.Settings(88, settings.keyWindowSeconds(), false, false),
+                script),
             true,
             false));
-    if (kept) {
-      all.add(
-          new Way(
+    if (durableResults) {
+      result.add(
+          new Variant(
               "folder",
-              new HostTestbed.Version(null, main, set, script.replace("results", "elsewhere")),
+              new HostTestbed.Version(null, main, settings, script.replace("results", "elsewhere")),
               false,
               false));
     }
     for (Path build : builds) {
-      boolean fits = build.toString().contains(HISTORY.get(0));
-      all.add(
-          new Way(
+      boolean compatible = build.toString().contains(EARLIER_COMMITS.get(0));
+      result.add(
+          new Variant(
               build.getParent().getParent().getFileName().toString(),
-              new HostTestbed.Version(build, "wharftrestle.Main", set, script),
-              fits,
+              new HostTestbed.Version(build, "wharftrestle.Main", settings, script),
+              compatible,
               true));
     }
-    return all;
+    return result;
   }
 
-  private Seen play(int changes, Random random) throws Exception {
-    Way serves = ways.get(0);
-    DaemonProcess old = floor.begin(serves.version());
-    if (!old.awaitReady(readyMs)) {
-      throw new IOException("the first process did not start:\n" + old.log());
+  private Observations play(int changes, Random random) throws Exception {
+    Variant currentVariant = variants.get(0);
+    DaemonProcess current = testbed.begin(currentVariant.version());
+    if (!current.awaitReady(readyTimeoutMs)) {
+      throw new IOException("the first process was not ready in time; its log:\n" + current.log());
     }
-    callers =
+    clients =
         new TestClients(
-            floor,
-            TestClients.Habit.of(DESKS, KEY_MS),
+            testbed,
+            TestClients.Workload.of(CLIENTS, KEY_REUSE_MS),
             random.nextLong(),
-            () -> killing || System.nanoTime() - killedAt < TimeUnit.MILLISECONDS.toNanos(KILL_MS));
-    callers.start();
+            () ->
+                awaitingReplacement
+                    || System.nanoTime() - killedAt
+                        < TimeUnit.MILLISECONDS.toNanos(KILL_EXCUSE_MS));
+    clients.start();
     for (int i = 0; i < changes; i++) {
-      Way next = ways.get(1 + i % (ways.size() - 1));
-      // An earlier build that serves says no terms and asks for none: it is changed back to this
-      // one as it is.
-      next = random.nextInt(3) == 0 || serves.former() ? ways.get(0) : next;
-      DaemonProcess now = change(serves, old, next, random);
-      serves = now == old ? serves : next;
-      old = now;
+      Variant target = variants.get(1 + i % (variants.size() - 1));
+      // An earlier build has no compatibility check, so it is always changed back to the default
+      // variant of this build.
+      target = random.nextInt(3) == 0 || currentVariant.earlierBuild() ? variants.get(0) : target;
+      DaemonProcess result = change(currentVariant, current, target, random);
+      currentVariant = result == current ? currentVariant : target;
+      current = result;
       if ((i + 1) % 20 == 0) {
-        seen.tally = callers.tally();
-        out.println("  " + seen);
+        observed.tally = clients.tally();
+        out.println("  " + observed);
       }
     }
     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(500));
-    callers.stop();
-    seen.tally = callers.tally();
-    return seen;
+    clients.stop();
+    observed.tally = clients.tally();
+    return observed;
   }
 
-  /** One change, with what goes wrong in it; the process that serves after it. */
-  private DaemonProcess change(Way serves, DaemonProcess old, Way next, Random random)
-      throws Exception {
-    seen.changes++;
+  /** Makes one change, with a random fault; returns the process that serves after it. */
+  private DaemonProcess change(
+      Variant currentVariant, DaemonProcess active, Variant next, Random random) throws Exception {
+    observed.changes++;
     long began = System.nanoTime();
-    DaemonProcess now = floor.begin(next.version());
-    boolean fits = next.fits() || serves.version().equals(next.version());
-    // An earlier build closes what it does not like, and knows no seat: it is stopped, and not
-    // killed.
-    boolean former = next.former() || serves.former();
-    int kind = random.nextInt(10);
-    long wait = 0;
-    // Where the first one is killed, one that cannot take over serves in the end, and no other here
-    // could follow it.
-    DaemonProcess victim = fits && random.nextBoolean() ? old : now;
+    DaemonProcess successor = testbed.begin(next.version());
+    boolean compatible = next.compatible() || currentVariant.version().equals(next.version());
+    // An earlier build closes connections that it does not understand and has no ownership lock, so
+    // it is paused but not killed.
+    boolean earlierBuild = next.earlierBuild() || currentVariant.earlierBuild();
+    int faultKind = random.nextInt(10);
+    long pauseMs = 0;
+    // If the active process is killed, an incompatible successor serves in the end, and no other
+    // variant could replace it; so only compatible ones face that kill.
+    DaemonProcess victim = compatible && random.nextBoolean() ? active : successor;
     boolean killed = false;
-    if (kind < 3) {
+    if (faultKind < 3) {
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(random.nextInt(1200)));
-      wait = 100L + random.nextInt(1400);
-      seen.stops++;
-      victim.stopped(true);
-      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(wait));
-      callers.paused(wait);
-      victim.stopped(false);
-    } else if (kind < 6 && !former) {
+      pauseMs = 100L + random.nextInt(1400);
+      observed.stops++;
+      victim.setPaused(true);
+      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(pauseMs));
+      clients.recordPause(pauseMs);
+      victim.setPaused(false);
+    } else if (faultKind < 6 && !earlierBuild) {
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(random.nextInt(1200)));
-      seen.kills++;
+      observed.kills++;
       killedAt = System.nanoTime();
-      killing = true;
+      awaitingReplacement = true;
       victim.kill();
       killed = true;
     }
-    if (killed && victim == old) {
-      ended("took over from a killed one");
+    if (killed && victim == active) {
+      countOutcome("took over from a killed predecessor");
       long at = killedAt;
-      if (!now.awaitReady(readyMs)) {
-        return unfinished(now, "did not serve after the old one was killed");
+      if (!successor.awaitReady(readyTimeoutMs)) {
+        return unfinished(successor, "was not ready after its predecessor was killed");
       }
-      served();
-      if (!now.log().contains("to=OPENING_STORAGE event=")) {
-        callers.forgotten(at); // it had not been given the keys: they died with their only holder
+      recordServingAgain();
+      if (!successor.log().contains("to=OPENING_STORAGE event=")) {
+        clients.recordKeysLost(
+            at); // the keys were not transferred and are lost with the killed process
       }
-      return now;
+      return successor;
     }
     if (killed) {
-      ended("as before, the new one was killed");
-      if (!old.awaitReady(readyMs)) {
-        return unfinished(old, "did not serve on after the new one was killed");
+      countOutcome("unchanged, the successor was killed");
+      if (!active.awaitReady(readyTimeoutMs)) {
+        return unfinished(active, "was not ready after its successor was killed");
       }
-      served();
-      return old;
+      recordServingAgain();
+      return active;
     }
-    if (!fits) {
-      ended("refused");
-      return refused(old, now);
+    if (!compatible) {
+      countOutcome("refused");
+      return awaitRefused(active, successor);
     }
-    if (!now.awaitReady(readyMs + wait)) {
-      if (now.log().contains(NO_ROOM)) {
-        // As many keys were known as a smaller one has no room for: that is refused beforehand, and
-        // said.
-        ended("refused for want of room");
-        return refused(old, now);
+    if (!successor.awaitReady(readyTimeoutMs + pauseMs)) {
+      if (successor.log().contains(NO_CAPACITY_MESSAGE)) {
+        // The successor has less capacity than there are keys; the handover is refused and logged.
+        countOutcome("refused for lack of capacity");
+        return awaitRefused(active, successor);
       }
-      return unfinished(now, "was never ready (" + serves.name() + " to " + next.name() + ")");
+      return unfinished(
+          successor, "was never ready (" + currentVariant.name() + " to " + next.name() + ")");
     }
-    ended("changed");
-    seen.readyMs.add((System.nanoTime() - began) / 1_000_000 - wait);
-    old.term();
-    if (old.awaitEnd(8000) < 0) {
-      return unfinished(old, "did not end");
+    countOutcome("changed");
+    observed.readyTimesMs.add((System.nanoTime() - began) / 1_000_000 - pauseMs);
+    active.terminate();
+    if (active.awaitExit(8000) < 0) {
+      return unfinished(active, "did not exit");
     }
-    return now;
+    return successor;
   }
 
-  /** A process that cannot take over: the one that serves has to go on as if never asked. */
-  private DaemonProcess refused(DaemonProcess old, DaemonProcess now) throws Exception {
-    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(WATCH_MS + 800));
-    int refused = callers.refused();
-    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(WATCH_MS));
-    if (!old.ready() || now.ready() || callers.refused() - refused > 20) {
-      return unfinished(old, "did not serve on as if never asked");
+  /** An incompatible successor: the active process has to continue as if there were none. */
+  private DaemonProcess awaitRefused(DaemonProcess active, DaemonProcess successor)
+      throws Exception {
+    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(OBSERVATION_MS + 800));
+    int refusedBefore = clients.refused();
+    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(OBSERVATION_MS));
+    if (!active.ready() || successor.ready() || clients.refused() - refusedBefore > 20) {
+      return unfinished(active, "was disturbed by an incompatible successor");
     }
-    now.kill();
-    return old;
+    successor.kill();
+    return active;
   }
 
   /**
-   * A process serves again: what was on its way to the killed one may end without an answer a
-   * little longer.
+   * Records that a process serves again; requests in flight to the killed one may still end without
+   * a reply for a short time.
    */
-  private void served() {
+  private void recordServingAgain() {
     killedAt = System.nanoTime();
-    killing = false;
+    awaitingReplacement = false;
   }
 
-  private void ended(String how) {
-    seen.ended.merge(how, 1, Integer::sum);
+  private void countOutcome(String outcome) {
+    observed.outcomes.merge(outcome, 1, Integer::sum);
   }
 
-  private DaemonProcess unfinished(DaemonProcess which, String what) throws IOException {
-    seen.unfinished++;
-    String log = which.log();
+  private DaemonProcess unfinished(DaemonProcess process, String problem) throws IOException {
+    observed.unfinished++;
+    String log = process.log();
     out.println(
         "  a process "
-            + what
-            + "; its log ends:\n"
+            + problem
+            + "; the end of its log:\n"
             + log.substring(Math.max(0, log.length() - 1500)));
-    if (!which.alive()) {
-      throw new IOException("nothing serves any more");
+    if (!process.alive()) {
+      throw new IOException("no process serves any more");
     }
-    return which;
+    return process;
   }
 
-  // ---- Builds of this project's history ----
+  // ---- Builds of earlier commits ----
 
-  /**
-   * The jars of earlier builds, made from the repository's own commits; those that cannot be had
-   * are left out.
-   */
-  private static List<Path> history(boolean make, PrintStream out)
+  /** Jars of earlier commits, built from the repository; those that cannot be built are skipped. */
+  private static List<Path> earlierBuilds(boolean build, PrintStream out)
       throws IOException, InterruptedException {
     List<Path> jars = new ArrayList<>();
-    for (String commit : HISTORY) {
+    for (String commit : EARLIER_COMMITS) {
       Path folder = Path.of("target", "builds", commit);
       Path jar = folder.resolve("target/wharftrestle.jar");
-      if (!Files.exists(jar) && make) {
+      if (!Files.exists(jar) && build) {
         Files.createDirectories(folder);
         new ProcessBuilder(
                 "sh",
@@ -372,8 +401,7 @@
       if (Files.exists(jar)) {
         jars.add(jar);
       } else {
-        out.println(
-            "  the build of " + commit + " is left out: it is not here, or there is no history");
+        out.println("  skipped the build of " + commit + ": no jar, and it could not be built");
       }
     }
     return jars;
@@ -382,20 +410,21 @@
   public static void main(String[] args) throws Exception {
     boolean brief = "1".equals(System.getenv("SHORT"));
     long seed = args.length > 0 ? Long.parseLong(args[0]) : System.nanoTime();
-    String wanted = System.getenv("CHANGES");
-    int changes = wanted != null ? Integer.parseInt(wanted) : brief ? 7 : 500;
+    String changesSetting = System.getenv("CHANGES");
+    int changes = changesSetting != null ? Integer.parseInt(changesSetting) : brief ? 7 : 500;
     System.exit(prove(changes, !brief, seed, System.out) ? 0 : 1);
   }
 
-  /** Plays all ways and says so on one line. */
-  static boolean prove(int changes, boolean history, long seed, PrintStream out) throws Exception {
+  /** Runs all variants and prints one line with the result. */
+  static boolean prove(int changes, boolean earlierBuilds, long seed, PrintStream out)
+      throws Exception {
     out.println("prove-change: seed " + seed);
-    List<Path> builds = history ? history(true, out) : List.of();
-    Seen off = play(false, false, changes - changes / 2, seed, builds, out);
-    out.println("  nothing on disk: " + off);
-    Seen on = play(true, false, changes / 2, seed, builds, out);
-    out.println("  kept results: " + on);
-    Seen mutant =
+    List<Path> builds = earlierBuilds ? earlierBuilds(true, out) : List.of();
+    Observations withoutStore = play(false, false, changes - changes / 2, seed, builds, out);
+    out.println("  without durable results: " + withoutStore);
+    Observations withStore = play(true, false, changes / 2, seed, builds, out);
+    out.println("  durable results: " + withStore);
+    Observations withoutCheck =
         play(
             false,
             true,
@@ -403,23 +432,23 @@
             seed,
             List.of(),
             new PrintStream(OutputStream.nullOutputStream()));
-    out.println("  without the agreement: " + mutant);
+    out.println("  without the compatibility check: " + withoutCheck);
     boolean holds =
-        off.holds()
-            && on.holds()
-            && on.tally.runTwiceHolderKilled() == 0
-            && mutant.tally.runTwice() > 0
-            && off.tally.again() > 0;
+        withoutStore.holds()
+            && withStore.holds()
+            && withStore.tally.runTwiceHolderKilled() == 0
+            && withoutCheck.tally.runTwice() > 0
+            && withoutStore.tally.again() > 0;
     out.printf(
         Locale.ROOT,
-        "prove-change: %s, nothing on disk: %s; kept results: %s; without the agreement: %d "
-            + "double runs, %d refused after a run, %d never ended%n",
+        "prove-change: %s, without durable results: %s; durable results: %s; without the compatibility check: %d "
+            + "executed twice, %d refused after an execution, %d unfinished%n",
         holds ? "holds" : "falls short",
-        off,
-        on,
-        mutant.tally.runTwice(),
-        mutant.tally.refusedAfterRun(),
-        mutant.unfinished);
+        withoutStore,
+        withStore,
+        withoutCheck.tally.runTwice(),
+        withoutCheck.tally.refusedAfterRun(),
+        withoutCheck.unfinished);
     return holds;
   }
 }
--- a/src/test/java/wharftrestle/prove/ProveChangeTest.java
+++ b/src/test/java/wharftrestle/prove/ProveChangeTest.java
@@ -6,15 +6,14 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The brief form of the proof that a box can be changed and changed back; {@code make prove-change}
- * is the long one.
+ * Short run of {@link ProveChange}; {@code make prove-change} is the long one.
  */
 class ProveChangeTest {
   private static final long SEED = 20261201;
 
   @Test
   @Timeout(180)
-  void aBoxIsChangedAndChangedBackAndNothingRunsTwice() throws Exception {
+  void changedDaemonsExecuteNothingTwice() throws Exception {
     assertTrue(ProveChange.prove(7, false, SEED, System.out));
   }
 }
--- a/src/test/java/wharftrestle/prove/ProveCold.java
+++ b/src/test/java/wharftrestle/prove/ProveCold.java
@@ -6,100 +6,117 @@
 import java.util.stream.IntStream;
 import wharftrestle.simulation.ColdStartSimulation;
 import wharftrestle.simulation.ColdTrafficSimulation;
-import wharftrestle.simulation.ColdTrafficSimulation.Callers;
+import wharftrestle.simulation.ColdTrafficSimulation.Clients;
 import wharftrestle.simulation.ColdTrafficSimulation.Ramp;
 import wharftrestle.simulation.ColdTrafficSimulation.Start;
 
 /**
- * Proves in virtual time that boxes which start cold together and share nothing keep the store
- * alive, and themselves: what the store holds stays within the sum of their shares, and what each
- * lets onto its cores within what it survives, for one box and for thirty, whatever their callers
- * send. Boxes that each behave as if they were alone, or run all that comes, must fall short; and
- * so must callers that each ramp up as if they were alone, once there are several. What callers
- * send is not ours: its excess is measured and said. It closes on one line, and exit 0 or 1.
+ * Checks by simulation that hosts which start cold together overload neither the store nor
+ * themselves: the calls in flight in the store stay within the sum of the quotas, and the
+ * executions of each host within what it survives, for 1 to 30 hosts and any traffic. As a check of
+ * the proof, hosts that each use the whole quota or admit all requests have to fail, and so do
+ * several clients that each ramp up as if they were the only one. The traffic of the clients is not
+ * controlled by the daemon; its excess is only reported. Prints a last line and exits with 0 or 1.
  */
 public final class ProveCold {
-  private static final List<Integer> BOXES = List.of(1, 10, 20, 30);
+  private static final List<Integer> HOST_COUNTS = List.of(1, 10, 20, 30);
 
-  /** Part of requests whose callers follow no ramp. */
-  private static final double DEAF = 0.3;
+  /** Part of requests from clients that follow no ramp. */
+  private static final double IGNORING_SHARE = 0.3;
 
   private ProveCold() {}
 
-  private static double worst(int boxes, boolean alone, int seeds, long seed) {
+  private static double worstCallRatio(
+      int hosts, boolean eachTakesWholeQuota, int seeds, long seed) {
     return IntStream.range(0, seeds)
         .parallel()
-        .mapToObj(i -> ColdStartSimulation.play(boxes, alone, seed + i))
-        .mapToDouble(each -> each.worst() / each.bound())
+        .mapToObj(i -> ColdStartSimulation.play(hosts, eachTakesWholeQuota, seed + i))
+        .mapToDouble(result -> result.worstMeanCalls() / result.allowedCalls())
         .max()
         .orElse(Double.POSITIVE_INFINITY);
   }
 
-  /** The worst of so many seeds, with as many callers as boxes. */
-  private static ColdTrafficSimulation.Result reach(
-      int many, Ramp ramp, double deaf, Start start, int seeds, long seed) {
+  /** The worst result of all seeds, with as many clients as hosts. */
+  private static ColdTrafficSimulation.Result worstTraffic(
+      int hosts, Ramp ramp, double ignoringShare, Start start, int seeds, long seed) {
     return IntStream.range(0, seeds)
         .parallel()
         .mapToObj(
-            i -> ColdTrafficSimulation.play(many, new Callers(many, ramp, deaf), start, seed + i))
+            i ->
+                ColdTrafficSimulation.play(
+                    hosts, new Clients(hosts, ramp, ignoringShare), start, seed + i))
         .reduce(
             new ColdTrafficSimulation.Result(0, 0),
             (a, b) ->
                 new ColdTrafficSimulation.Result(
-                    Math.max(a.reached(), b.reached()), Math.max(a.crowd(), b.crowd())));
+                    Math.max(a.trafficRatio(), b.trafficRatio()),
+                    Math.max(a.contentionRatio(), b.contentionRatio())));
   }
 
-  private record Reached(boolean holds, String figures) {}
+  private record TrafficCheck(boolean holds, String figures) {}
 
-  /** What reaches cold boxes from callers of each kind, and what these let onto their cores. */
-  private static Reached reached(int seeds, long seed) {
+  /**
+   * Checks the traffic of cold hosts from clients of each kind, and the executions on their cores.
+   */
+  private static TrafficCheck checkTraffic(int seeds, long seed) {
     boolean holds = true;
     StringBuilder figures =
         new StringBuilder(
-            "; reached by callers of no ramp, of a share, of a share with three in ten"
-                + " deaf, each as if alone, and most on the cores (if all were run)");
-    for (int many : BOXES) {
+            "; traffic over its bound from clients without a ramp, with a share, with a share that"
+                + " 30% ignore, each as if alone; executions over their bound (without admission control)");
+    for (int hosts : HOST_COUNTS) {
       List<ColdTrafficSimulation.Result> all =
           List.of(
-              reach(many, Ramp.NONE, 0, Start.COLD, seeds, seed),
-              reach(many, Ramp.SHARE, 0, Start.COLD, seeds, seed),
-              reach(many, Ramp.SHARE, DEAF, Start.COLD, seeds, seed),
-              reach(many, Ramp.EACH_ALONE, 0, Start.COLD, seeds, seed));
-      double crowd =
+              worstTraffic(hosts, Ramp.NONE, 0, Start.COLD, seeds, seed),
+              worstTraffic(hosts, Ramp.SHARE, 0, Start.COLD, seeds, seed),
+              worstTraffic(hosts, Ramp.SHARE, IGNORING_SHARE, Start.COLD, seeds, seed),
+              worstTraffic(hosts, Ramp.EACH_ALONE, 0, Start.COLD, seeds, seed));
+      double contention =
           all.stream()
-              .mapToDouble(ColdTrafficSimulation.Result::crowd)
+              .mapToDouble(ColdTrafficSimulation.Result::contentionRatio)
               .max()
               .orElse(Double.POSITIVE_INFINITY);
-      double open = reach(many, Ramp.NONE, 0, Start.OPEN, seeds, seed).crowd();
-      holds &= crowd <= 1 && open > 1 && all.get(3).reached() > 1 == many > 1;
-      figures.append(String.format(Locale.ROOT, "; %d", many));
-      all.forEach(each -> figures.append(String.format(Locale.ROOT, " %.2f", each.reached())));
-      figures.append(String.format(Locale.ROOT, ", %.2f (%.2f)", crowd, open));
+      double uncontrolledContention =
+          worstTraffic(hosts, Ramp.NONE, 0, Start.OPEN, seeds, seed).contentionRatio();
+      holds &=
+          contention <= 1
+              && uncontrolledContention > 1
+              && all.get(3).trafficRatio() > 1 == hosts > 1;
+      figures.append(String.format(Locale.ROOT, "; %d", hosts));
+      all.forEach(
+          result -> figures.append(String.format(Locale.ROOT, " %.2f", result.trafficRatio())));
+      figures.append(
+          String.format(Locale.ROOT, ", %.2f (%.2f)", contention, uncontrolledContention));
     }
-    return new Reached(holds, figures.toString());
+    return new TrafficCheck(holds, figures.toString());
   }
 
-  /** Plays all sizes and says so on one line. */
+  /** Simulates all fleet sizes and prints one line with the result. */
   static boolean prove(int seeds, long seed, PrintStream out) {
-    Reached reached = reached(seeds, seed);
-    boolean holds = reached.holds();
+    TrafficCheck traffic = checkTraffic(seeds, seed);
+    boolean holds = traffic.holds();
     boolean caught = true;
     StringBuilder figures = new StringBuilder();
-    for (int boxes : BOXES) {
-      double own = worst(boxes, false, seeds, seed);
-      double alone = worst(boxes, true, seeds, seed);
-      holds &= own <= 1;
-      caught &= boxes == 1 || alone > 1;
+    for (int hosts : HOST_COUNTS) {
+      double ownQuota = worstCallRatio(hosts, false, seeds, seed);
+      double wholeQuota = worstCallRatio(hosts, true, seeds, seed);
+      holds &= ownQuota <= 1;
+      caught &= hosts == 1 || wholeQuota > 1;
       figures.append(
-          String.format(Locale.ROOT, "; %d boxes %.2f (as if alone %.2f)", boxes, own, alone));
+          String.format(
+              Locale.ROOT,
+              "; %d hosts %.2f (each with the whole quota %.2f)",
+              hosts,
+              ownQuota,
+              wholeQuota));
     }
     out.printf(
         Locale.ROOT,
-        "prove-cold: %s, %d seeds, most held by the store over the sum of shares%s%s%n",
+        "prove-cold: %s, %d seeds, calls in flight in the store over the sum of quotas%s%s%n",
         holds && caught ? "holds" : "falls short",
         seeds,
         figures,
-        reached.figures());
+        traffic.figures());
     return holds && caught;
   }
 
--- a/src/test/java/wharftrestle/prove/ProveColdTest.java
+++ b/src/test/java/wharftrestle/prove/ProveColdTest.java
@@ -5,12 +5,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The brief form of the proof about boxes that start cold together; {@code make prove-cold} is the
- * long one.
+ * Short run of {@link ProveCold}; {@code make prove-cold} is the long one.
  */
 class ProveColdTest {
   @Test
-  void coldBoxesKeepTheStoreAliveWithoutKnowingOfEachOther() {
+  void coldHostsOverloadNeitherTheStoreNorThemselves() {
     assertTrue(ProveCold.prove(2, 5, System.out));
   }
 }
--- a/src/test/java/wharftrestle/prove/ProveJudge.java
+++ b/src/test/java/wharftrestle/prove/ProveJudge.java
@@ -13,31 +13,33 @@
 import wharftrestle.simulation.RolloutSimulation.Trouble;
 
 /**
- * Proves the judge over rolls of a made-up fleet in virtual time, with the shipped policy: a
- * release that is no worse is stopped in under one of twenty, whatever else goes wrong; one that
- * loses 3% of worth is stopped before a quarter of the fleet has it in nineteen of twenty. A plain
- * comparison of means stands beside it. It closes on one line, and exit 0 or 1.
+ * Checks the canary analysis on simulated rollouts with the real admission controller: a release
+ * that is not worse is stopped in fewer than 5% of rollouts, whatever fault occurs, and one that
+ * loses 3% of value or more is stopped in at least 95% before a quarter of the fleet has it. A
+ * plain comparison of means is reported for comparison. Prints a last line and exits with 0 or 1.
  */
 public final class ProveJudge {
-  private static final double MOST_WRONG = 0.05;
-  private static final double LEAST_STOPPED = 0.95;
+  private static final double MAX_ERROR_SHARE = 0.05;
+  private static final double MIN_DETECTED_SHARE = 0.95;
 
-  /** A quarter of 14 boxes. */
-  private static final int QUARTER = 4;
+  /** A quarter of 14 hosts. */
+  private static final int QUARTER_OF_HOSTS = 4;
 
   private ProveJudge() {}
 
-  /** Rolls of one kind. */
+  /** The rollouts of one kind. */
   record Row(Release release, Trouble trouble, Judging judging, List<Result> results) {
     long stopped() {
       return results.stream().filter(Result::stopped).count();
     }
 
-    long early() {
-      return results.stream().filter(each -> each.stopped() && each.most() <= QUARTER).count();
+    long stoppedEarly() {
+      return results.stream()
+          .filter(each -> each.stopped() && each.most() <= QUARTER_OF_HOSTS)
+          .count();
     }
 
-    long through() {
+    long completed() {
       return results.stream().filter(each -> each.state() == Rollout.State.COMPLETED).count();
     }
 
@@ -46,74 +48,74 @@
     }
 
     double quantile(double part) {
-      double[] at =
+      double[] times =
           results.stream()
               .filter(each -> each.verdictAt() >= 0)
               .mapToDouble(Result::verdictAt)
               .sorted()
               .toArray();
-      return at.length == 0 ? Double.NaN : at[(int) (part * (at.length - 1))];
+      return times.length == 0 ? Double.NaN : times[(int) (part * (times.length - 1))];
     }
 
     @Override
     public String toString() {
       return String.format(
           Locale.ROOT,
-          "%-14s %-13s %-10s %4d rolls: %5.1f%% stopped, %5.1f%% by a quarter, %5.1f%%"
-              + " through, %5.1f%% held; stopped after %.0f s (90%%: %.0f s)",
+          "%-14s %-13s %-10s %4d rollouts: %5.1f%% stopped, %5.1f%% before a quarter, %5.1f%%"
+              + " completed, %5.1f%% held; stopped after %.0f s (90%%: %.0f s)",
           release,
           trouble,
           judging,
           results.size(),
           100.0 * stopped() / results.size(),
-          100.0 * early() / results.size(),
-          100.0 * through() / results.size(),
+          100.0 * stoppedEarly() / results.size(),
+          100.0 * completed() / results.size(),
           100.0 * held() / results.size(),
           quantile(0.5),
           quantile(0.9));
     }
   }
 
-  static Row play(Release release, Trouble trouble, Judging judging, int many, long seed) {
+  static Row play(Release release, Trouble trouble, Judging judging, int count, long seed) {
     return new Row(
         release,
         trouble,
         judging,
-        IntStream.range(0, many)
+        IntStream.range(0, count)
             .parallel()
             .mapToObj(i -> RolloutSimulation.play(release, trouble, judging, seed + i))
             .toList());
   }
 
-  /** Plays all kinds and says so on one line. */
-  static boolean prove(int each, long seed, PrintStream out) {
-    out.println("prove-judge: seed " + seed + ", " + each + " rolls of each kind");
+  /** Simulates all kinds and prints one line with the result. */
+  static boolean prove(int rolloutsPerKind, long seed, PrintStream out) {
+    out.println("prove-judge: seed " + seed + ", " + rolloutsPerKind + " rollouts of each kind");
     List<Row> rows = new ArrayList<>();
     for (Judging judging : Judging.values()) {
       for (Trouble trouble : Trouble.values()) {
-        rows.add(play(Release.GOOD, trouble, judging, each, seed));
+        rows.add(play(Release.GOOD, trouble, judging, rolloutsPerKind, seed));
         out.println("  " + rows.get(rows.size() - 1));
       }
       for (Release release : Release.values()) {
         if (release != Release.GOOD) {
-          rows.add(play(release, Trouble.NONE, judging, each, seed));
+          rows.add(play(release, Trouble.NONE, judging, rolloutsPerKind, seed));
           out.println("  " + rows.get(rows.size() - 1));
         }
       }
     }
-    double wrong =
+    double falseAlarms =
         rows.stream()
             .filter(row -> row.judging() == Judging.SEQUENTIAL && row.release() == Release.GOOD)
-            .mapToDouble(row -> (double) row.stopped() / each)
+            .mapToDouble(row -> (double) row.stopped() / rolloutsPerKind)
             .max()
             .orElse(1);
-    double plainWrong =
+    double plainFalseAlarms =
         rows.stream()
             .filter(row -> row.judging() == Judging.PLAIN && row.release() == Release.GOOD)
-            .mapToDouble(row -> (double) row.stopped() / each)
+            .mapToDouble(row -> (double) row.stopped() / rolloutsPerKind)
             .max()
             .orElse(0);
-    double least =
+    double detectedEarly =
         rows.stream()
             .filter(
                 row ->
@@ -125,31 +127,34 @@
                                 Release.FAILS_A_CLASS,
                                 Release.CRASHES)
                             .contains(row.release()))
-            .mapToDouble(row -> (double) row.early() / each)
+            .mapToDouble(row -> (double) row.stoppedEarly() / rolloutsPerKind)
             .min()
             .orElse(0);
-    double through =
+    double completed =
         rows.stream()
             .filter(
                 row ->
                     row.judging() == Judging.SEQUENTIAL
                         && row.release() != Release.GOOD
                         && row.release() != Release.MIXED)
-            .mapToDouble(row -> (double) row.through() / each)
+            .mapToDouble(row -> (double) row.completed() / rolloutsPerKind)
             .max()
             .orElse(1);
-    boolean holds = wrong < MOST_WRONG && least >= LEAST_STOPPED && through < MOST_WRONG;
+    boolean holds =
+        falseAlarms < MAX_ERROR_SHARE
+            && detectedEarly >= MIN_DETECTED_SHARE
+            && completed < MAX_ERROR_SHARE;
     out.printf(
         Locale.ROOT,
-        "prove-judge: %s, %d rolls: a release that is no worse is stopped in %.1f%% at most (a "
-            + "plain comparison: %.1f%%), one that loses 3%% or more by a quarter of the fleet in %.1f%% at least, "
-            + "and goes everywhere in %.1f%% at most%n",
+        "prove-judge: %s, %d rollouts: a release that is not worse is stopped in at most %.1f%% (plain "
+            + "comparison: %.1f%%), one that loses 3%% or more before a quarter of the fleet in at least %.1f%%, "
+            + "and a worse one completes in at most %.1f%%%n",
         holds ? "holds" : "falls short",
-        rows.size() * each,
-        100 * wrong,
-        100 * plainWrong,
-        100 * least,
-        100 * through);
+        rows.size() * rolloutsPerKind,
+        100 * falseAlarms,
+        100 * plainFalseAlarms,
+        100 * detectedEarly,
+        100 * completed);
     return holds;
   }
 
--- a/src/test/java/wharftrestle/prove/ProveMemory.java
+++ b/src/test/java/wharftrestle/prove/ProveMemory.java
@@ -26,117 +26,114 @@
 import wharftrestle.testbed.TestClient;
 
 /**
- * Proves that memory holds on long days: real daemons are asked keyed requests with bodies and
- * results of the largest sizes for many windows, more than any of them has room for. Memory must be
- * level after the first window, no request lost, no key run twice, none refused but for want of
- * room. The same is played with the bound off, where that must not hold, or the proof could not
- * fail. It closes on one line, and exit 0 or 1. How much memory is its own after a long day is
- * judged for the daemon as it is deployed, not for the classes of a test.
+ * Checks that memory stays bounded over a long day: real daemons get keyed requests with bodies and
+ * results of the largest sizes for many idempotency windows, more than they have capacity for.
+ * Memory has to stay level after the first window, no request may be lost, no key executed twice,
+ * and none refused without lack of capacity. As a check of the proof, a daemon without the bound has
+ * to fail. Prints a last line and exits with 0 or 1. The anonymous memory after a long day is checked
+ * for the deployed daemon only, not for the classes of a test.
  */
 public final class ProveMemory {
-  private static final int DESKS = 24;
+  private static final int CLIENTS = 24;
 
-  /**
-   * Requests a second of all desks: what filled the heap of a box with 64 MB within 14 s before.
-   */
-  private static final double RATE = 370;
+  /** Rate of all clients; before the bound it filled the heap of a host with 64 MB within 14 s. */
+  private static final double REQUESTS_PER_SECOND = 370;
 
-  /** Part of requests that are of a new key, that repeat one, and that have none. */
-  private static final double FRESH = 0.75;
+  /** Parts of requests with a new key and with a repeated key; the rest has no key. */
+  private static final double NEW_KEY_SHARE = 0.75;
 
-  private static final double REPEATS = 0.15;
+  private static final double REPEAT_SHARE = 0.15;
 
-  /** Seconds that a key is known past its window (KeyTable's slack and linger). */
-  private static final double LINGER = 10.5;
+  /** Time for which KeyTable retains a key after its window: slack and linger. */
+  private static final double KEY_LINGER_SECONDS = 10.5;
 
-  private static final int BODY = 2000;
-  private static final int RESULT = 4000;
+  private static final int BODY_BYTES = 2000;
+  private static final int RESULT_BYTES = 4000;
 
-  /** Bytes of one result as it is kept, at the least: its blocks. */
-  private static final double COST = 1.06 * RESULT;
+  /** Least memory of a kept result, which is stored in blocks. */
+  private static final double STORED_RESULT_BYTES = 1.06 * RESULT_BYTES;
 
   /**
-   * Part of the room for results that must be in use where a request is refused, as the prover
-   * counts it.
+   * Least used part of the capacity for results when a request is refused, by the count of this
+   * proof.
    */
-  private static final double FULL = 0.85;
+  private static final double MIN_USE_AT_REFUSAL = 0.85;
 
-  /** Part of the memory's limit by which memory outside the heap may rise in one life of a key. */
-  private static final double LEVEL = 0.01;
+  /** Part of the memory limit by which non-heap memory may rise during the life of one key. */
+  private static final double MAX_RISE_PER_KEY_LIFE = 0.01;
 
-  /** Hours of a long day. */
-  private static final double DAY = 0.75;
+    private static final double LONG_DAY_HOURS = 0.75;
 
-  /** Lives of a key from which a slope says something of a day: before, code is still compiled. */
-  private static final double MANY = 5;
+  /** Shortest run, in lives of a key, whose slope is meaningful: before, code is still compiled. */
+  private static final double MIN_KEY_LIVES_FOR_SLOPE = 5;
 
-  private static final Pattern KEPT =
+  private static final Pattern KEPT_PATTERN =
       Pattern.compile("kept +(\\d+) of (\\d+) keys, (\\d+) of (\\d+) kB");
 
-  /** One key that was served, as its desk knows it. */
+  /** A served key, as its client remembers it. */
   private record Served(String key, String body, byte[] result, long at) {}
 
-  /** What was seen at one daemon. */
-  static final class Seen {
+  /** What was observed at one daemon. */
+  static final class Observations {
     final AtomicInteger served = new AtomicInteger();
     final AtomicInteger again = new AtomicInteger();
     final AtomicInteger unkeyed = new AtomicInteger();
     final AtomicInteger refused = new AtomicInteger();
-    final AtomicInteger refusedWithRoom = new AtomicInteger();
-    final AtomicInteger withoutTime = new AtomicInteger();
+    final AtomicInteger refusedWithCapacity = new AtomicInteger();
+    final AtomicInteger refusedWithoutRetryAfter = new AtomicInteger();
     final AtomicInteger lost = new AtomicInteger();
-    final AtomicInteger wrong =
-        new AtomicInteger(); // a known key refused, failed, or with other bytes
-    int doubleRuns;
-    double residentMb; // at most, with pages of the JVM's own files, which the kernel takes back
-    double ownMb; // of it what can only be its own
-    double heapMb; // of that, at the end: pages of the heap that were touched
-    double heapMost; // and its limit
-    boolean judged; // as it is deployed, for long enough
-    double slope; // of all that is its own outside the heap, MB an hour
-    double slopeError;
+    final AtomicInteger wrongReplies =
+        new AtomicInteger(); // a served key was refused, failed or got other bytes
+    int duplicateExecutions;
+    double residentMb; // peak, including reclaimable file pages of the JVM
+    double anonymousMb; // peak of anonymous memory
+    double heapMb; // touched pages of the heap at the end
+    double heapLimitMb; // maximum heap size
+    boolean memoryChecked; // deployed daemon and a long enough run
+    double nonHeapSlope; // anonymous non-heap memory, MB an hour
+    double nonHeapSlopeError;
     double risePerLife; // MB
     int memoryMb;
-    boolean ended; // the process did, by itself
+    boolean exited; // the process ended by itself
 
     boolean holds() {
       return lost.get() == 0
-          && wrong.get() == 0
-          && doubleRuns == 0
-          && refusedWithRoom.get() == 0
-          && withoutTime.get() == 0
-          && !ended
-          && (!judged || afterDay() <= memoryMb)
-          && risePerLife <= LEVEL * memoryMb
+          && wrongReplies.get() == 0
+          && duplicateExecutions == 0
+          && refusedWithCapacity.get() == 0
+          && refusedWithoutRetryAfter.get() == 0
+          && !exited
+          && (!memoryChecked || anonymousMbAfterDay() <= memoryMb)
+          && risePerLife <= MAX_RISE_PER_KEY_LIFE * memoryMb
           && refused.get() > 0
           && again.get() > 0
           && unkeyed.get() > 0;
     }
 
-    /** MB of its own after a long day, with every page of its heap touched. */
-    double afterDay() {
-      return ownMb - heapMb + heapMost + Math.max(0, slope) * DAY;
+    /** Anonymous memory after a long day, if every page of the heap is touched. */
+    double anonymousMbAfterDay() {
+      return anonymousMb - heapMb + heapLimitMb + Math.max(0, nonHeapSlope) * LONG_DAY_HOURS;
     }
 
     @Override
     public String toString() {
       return String.format(
           Locale.ROOT,
-          "%d MB: resident %.1f, own %.1f, after 45 min %.1f MB, "
-              + "outside its heap %.2f +- %.2f MB an hour, %d lost, %d run twice, %d wrong, "
-              + "%d refused with room, %d without a time%s (%d served, %d again, %d unkeyed, %d refused)",
+          "%d MB: resident %.1f, anonymous %.1f, after 45 min %.1f MB, "
+              + "non-heap %.2f +- %.2f MB an hour, %d lost, %d executed twice, %d wrong, "
+              + "%d refused with capacity left, %d refused without Retry-After%s (%d served, %d again, %d unkeyed, %d refused)",
           memoryMb,
           residentMb,
-          ownMb,
-          afterDay(),
-          slope,
-          slopeError,
+          anonymousMb,
+          anonymousMbAfterDay(),
+          nonHeapSlope,
+          nonHeapSlopeError,
           lost.get(),
-          doubleRuns,
-          wrong.get(),
-          refusedWithRoom.get(),
-          withoutTime.get(),
-          ended ? ", ENDED" : "",
+          duplicateExecutions,
+          wrongReplies.get(),
+          refusedWithCapacity.get(),
+          refusedWithoutRetryAfter.get(),
+          exited ? ", ENDED" : "",
           served.get(),
           again.get(),
           unkeyed.get(),
@@ -144,22 +141,22 @@
     }
   }
 
-  private final HostTestbed floor;
-  private final Seen seen = new Seen();
-  private final double life;
+  private final HostTestbed testbed;
+  private final Observations observed = new Observations();
+  private final double keyLifeSeconds;
   private final AtomicLong references = new AtomicLong(1);
-  private final ArrayDeque<Long> ends =
-      new ArrayDeque<>(); // when results were given, the last life of a key
-  private volatile boolean over;
-  private volatile double roomBytes;
-
-  private ProveMemory(HostTestbed floor, double life) {
-    this.floor = floor;
-    this.life = life;
+  private final ArrayDeque<Long> recentResults =
+      new ArrayDeque<>(); // times and lengths of the results of the last key life
+  private volatile boolean stopping;
+  private volatile double resultCapacityBytes;
+
+  private ProveMemory(HostTestbed testbed, double keyLifeSeconds) {
+    this.testbed = testbed;
+    this.keyLifeSeconds = keyLifeSeconds;
   }
 
-  /** Plays one daemon: for so many lives of a key, of which the first does not count. */
-  static Seen play(int memoryMb, boolean bounded, int window, double lives, long seed)
+  /** Runs one daemon for a number of key lives, of which the first does not count. */
+  static Observations play(int memoryMb, boolean bounded, int window, double keyLives, long seed)
       throws Exception {
     Path folder = Files.createTempDirectory("prove-memory");
     HostTestbed.Play play =
@@ -167,172 +164,172 @@
             bounded ? "wharftrestle.Main" : "wharftrestle.prove.Unbounded",
             memoryMb,
             window,
-            RESULT);
-    try (HostTestbed floor = new HostTestbed(folder, "", seed, play)) {
-      return new ProveMemory(floor, window + LINGER).play(memoryMb, bounded, lives, seed);
+            RESULT_BYTES);
+    try (HostTestbed testbed = new HostTestbed(folder, "", seed, play)) {
+      return new ProveMemory(testbed, window + KEY_LINGER_SECONDS).play(memoryMb, bounded, keyLives, seed);
     } finally {
       HostTestbed.delete(folder);
     }
   }
 
-  private Seen play(int memoryMb, boolean bounded, double lives, long seed) throws Exception {
-    seen.memoryMb = memoryMb;
-    seen.heapMost = 1.05 * Math.max(16, Math.min(40, memoryMb * 3 / 10)); // rounded up by the JVM
-    seen.judged = bounded && Boolean.getBoolean("packaged") && lives >= MANY;
-    floor.start();
-    List<Thread> desks = new ArrayList<>();
-    for (int i = 0; i < DESKS; i++) {
+  private Observations play(int memoryMb, boolean bounded, double keyLives, long seed) throws Exception {
+    observed.memoryMb = memoryMb;
+    observed.heapLimitMb = 1.05 * Math.max(16, Math.min(40, memoryMb * 3 / 10)); // rounded up by the JVM
+    observed.memoryChecked = bounded && Boolean.getBoolean("packaged") && keyLives >= MIN_KEY_LIVES_FOR_SLOPE;
+    testbed.start();
+    List<Thread> clients = new ArrayList<>();
+    for (int i = 0; i < CLIENTS; i++) {
       Random random = new Random(seed + i);
-      Thread desk = new Thread(() -> sit(random), "desk " + i);
-      desk.start();
-      desks.add(desk);
+      Thread thread = new Thread(() -> runClient(random), "test-client " + i);
+      thread.start();
+      clients.add(thread);
     }
-    SimpleRegression level = new SimpleRegression();
-    long began = System.nanoTime();
-    for (double at = 0;
-        at < lives * life
-            && floor.daemon().alive()
-            && seen.lost.get() == 0
-            && (bounded || seen.wrong.get() == 0);
-        at = (System.nanoTime() - began) / 1e9) {
-      DaemonProcess.Own own = floor.daemon().own();
-      seen.residentMb = Math.max(seen.residentMb, floor.daemon().memoryKb("VmRSS") / 1024.0);
-      seen.ownMb = Math.max(seen.ownMb, own.heap() + own.outside());
-      seen.heapMb = Math.max(seen.heapMb, own.heap());
-      if (at > 1.15 * life) {
-        level.addData(at / 3600, own.outside());
+    SimpleRegression nonHeapTrend = new SimpleRegression();
+    long startedAt = System.nanoTime();
+    for (double seconds = 0;
+        seconds < keyLives * keyLifeSeconds
+            && testbed.daemon().alive()
+            && observed.lost.get() == 0
+            && (bounded || observed.wrongReplies.get() == 0);
+        seconds = (System.nanoTime() - startedAt) / 1e9) {
+      DaemonProcess.PrivateMemory memory = testbed.daemon().privateMemory();
+      observed.residentMb = Math.max(observed.residentMb, testbed.daemon().memoryKb("VmRSS") / 1024.0);
+      observed.anonymousMb = Math.max(observed.anonymousMb, memory.heapMb() + memory.nonHeapMb());
+      observed.heapMb = Math.max(observed.heapMb, memory.heapMb());
+      if (seconds > 1.15 * keyLifeSeconds) {
+        nonHeapTrend.addData(seconds / 3600, memory.nonHeapMb());
       }
-      Matcher kept = KEPT.matcher(status());
-      if (kept.find()) {
-        roomBytes = 0.75 * 1024 * Double.parseDouble(kept.group(4));
+      Matcher keptResults = KEPT_PATTERN.matcher(status());
+      if (keptResults.find()) {
+        resultCapacityBytes = 0.75 * 1024 * Double.parseDouble(keptResults.group(4));
       }
       LockSupport.parkNanos(500_000_000);
     }
-    seen.ended = !floor.daemon().alive();
-    over = true;
-    for (Thread desk : desks) {
-      desk.join();
+    observed.exited = !testbed.daemon().alive();
+    stopping = true;
+    for (Thread thread : clients) {
+      thread.join();
     }
-    seen.doubleRuns = floor.doubleRuns();
-    seen.slope = level.getSlope();
-    seen.slopeError = level.getSlopeStdErr();
-    seen.risePerLife =
-        Double.isNaN(seen.slope) ? Double.POSITIVE_INFINITY : seen.slope * life / 3600;
-    return seen;
+    observed.duplicateExecutions = testbed.doubleRuns();
+    observed.nonHeapSlope = nonHeapTrend.getSlope();
+    observed.nonHeapSlopeError = nonHeapTrend.getSlopeStdErr();
+    observed.risePerLife =
+        Double.isNaN(observed.nonHeapSlope) ? Double.POSITIVE_INFINITY : observed.nonHeapSlope * keyLifeSeconds / 3600;
+    return observed;
   }
 
   private String status() {
     try {
-      return floor.daemon().get("/_status");
+      return testbed.daemon().get("/_status");
     } catch (IOException e) {
-      return ""; // the desks say what is lost
+      return ""; // the clients count what is lost
     }
   }
 
-  /** One desk: new keys, repeats of its own, and requests without one, at an even pace. */
-  private void sit(Random random) {
-    ArrayDeque<Served> mine = new ArrayDeque<>();
-    try (TestClient desk = new TestClient(floor.address())) {
+  /** Sends new keys, repeats of its own keys, and requests without a key, at a steady rate. */
+  private void runClient(Random random) {
+    ArrayDeque<Served> servedKeys = new ArrayDeque<>();
+    try (TestClient client = new TestClient(testbed.address())) {
       String refusedKey = null;
-      while (!over) {
-        while (!mine.isEmpty()
-            && System.nanoTime() - mine.peek().at() > (life - LINGER - 0.5) * 1e9) {
-          mine.poll();
+      while (!stopping) {
+        while (!servedKeys.isEmpty()
+            && System.nanoTime() - servedKeys.peek().at() > (keyLifeSeconds - KEY_LINGER_SECONDS - 0.5) * 1e9) {
+          servedKeys.poll();
         }
         double kind = random.nextDouble();
-        if (kind < FRESH) {
-          // Who was refused comes again first, and all of them at the time they were told.
+        if (kind < NEW_KEY_SHARE) {
+          // A refused key is sent again before any new one.
           String key =
               refusedKey != null
                   ? refusedKey
                   : Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong());
-          refusedKey = fresh(desk, mine, key) ? null : key;
-        } else if (kind < FRESH + REPEATS) {
-          if (!mine.isEmpty()) {
-            repeat(desk, new ArrayList<>(mine).get(random.nextInt(mine.size())));
+          refusedKey = sendNewKey(client, servedKeys, key) ? null : key;
+        } else if (kind < NEW_KEY_SHARE + REPEAT_SHARE) {
+          if (!servedKeys.isEmpty()) {
+            repeatKey(client, new ArrayList<>(servedKeys).get(random.nextInt(servedKeys.size())));
           }
         } else {
-          unkeyed(desk);
+          sendUnkeyed(client);
         }
-        LockSupport.parkNanos((long) (DESKS / RATE * 1e9 * 2 * random.nextDouble()));
+        LockSupport.parkNanos((long) (CLIENTS / REQUESTS_PER_SECOND * 1e9 * 2 * random.nextDouble()));
       }
-    } catch (IOException gone) {
-      if (!over) {
-        seen.lost.incrementAndGet();
+    } catch (IOException connectionLost) {
+      if (!stopping) {
+        observed.lost.incrementAndGet();
       }
     }
   }
 
-  private void unkeyed(TestClient desk) throws IOException {
+  private void sendUnkeyed(TestClient client) throws IOException {
     long reference = references.incrementAndGet();
-    if (desk.ask("read", reference, null, body("read " + reference)).word().equals("done")) {
-      seen.unkeyed.incrementAndGet();
+    if (client.ask("read", reference, null, body("read " + reference)).word().equals("done")) {
+      observed.unkeyed.incrementAndGet();
     } else {
-      seen.wrong.incrementAndGet();
+      observed.wrongReplies.incrementAndGet();
     }
   }
 
   private static String body(String key) {
-    return key + "\n" + "b".repeat(BODY - key.length() - 1);
+    return key + "\n" + "b".repeatKey(BODY_BYTES - key.length() - 1);
   }
 
-  /** Asks a new key; false where it was refused. */
-  private boolean fresh(TestClient desk, ArrayDeque<Served> mine, String key) throws IOException {
-    RespPeer.Reply reply = desk.ask("save", references.incrementAndGet(), key, body(key));
+  /** Sends a new key; false if it was refused. */
+  private boolean sendNewKey(TestClient client, ArrayDeque<Served> servedKeys, String key) throws IOException {
+    RespPeer.Reply reply = client.ask("save", references.incrementAndGet(), key, body(key));
     switch (reply.word()) {
       case "done" -> {
-        seen.served.incrementAndGet();
-        mine.add(new Served(key, body(key), reply.bytes(), System.nanoTime()));
-        given(reply.bytes().length);
+        observed.served.incrementAndGet();
+        servedKeys.add(new Served(key, body(key), reply.bytes(), System.nanoTime()));
+        recordResult(reply.bytes().length);
         return true;
       }
       case "later" -> {
-        refused(key, reply);
+        checkRefusal(key, reply);
         return false;
       }
       default -> {
-        seen.wrong.incrementAndGet();
+        observed.wrongReplies.incrementAndGet();
         return true;
       }
     }
   }
 
-  private void refused(String key, RespPeer.Reply reply) {
-    seen.refused.incrementAndGet();
-    Matcher told = Pattern.compile("later=(\\d+)").matcher(reply.fields());
-    if (!told.find() || Integer.parseInt(told.group(1)) <= 0) {
-      seen.withoutTime.incrementAndGet();
+  private void checkRefusal(String key, RespPeer.Reply reply) {
+    observed.refused.incrementAndGet();
+    Matcher retryAfter = Pattern.compile("later=(\\d+)").matcher(reply.fields());
+    if (!retryAfter.find() || Integer.parseInt(retryAfter.group(1)) <= 0) {
+      observed.refusedWithoutRetryAfter.incrementAndGet();
     }
-    if (floor.runs(key) > 0) {
-      seen.wrong.incrementAndGet();
+    if (testbed.executions(key) > 0) {
+      observed.wrongReplies.incrementAndGet();
     }
-    double known;
-    synchronized (ends) {
-      known = ends.stream().mapToLong(each -> each & 0xffff).sum() * COST / RESULT;
+    double keptBytes;
+    synchronized (recentResults) {
+      keptBytes = recentResults.stream().mapToLong(each -> each & 0xffff).sum() * STORED_RESULT_BYTES / RESULT_BYTES;
     }
-    // What is in hand has its promise: the largest result each.
-    if (known + DESKS * COST < FULL * roomBytes) {
-      seen.refusedWithRoom.incrementAndGet();
+    // Each request in flight reserves the largest result.
+    if (keptBytes + CLIENTS * STORED_RESULT_BYTES < MIN_USE_AT_REFUSAL * resultCapacityBytes) {
+      observed.refusedWithCapacity.incrementAndGet();
     }
   }
 
-  private void given(int bytes) {
-    synchronized (ends) {
+  private void recordResult(int bytes) {
+    synchronized (recentResults) {
       long now = System.nanoTime();
-      ends.add((now & ~0xffffL) | bytes); // the time to 65 us, and the length
-      while (now - ends.peek() > (life + 0.5) * 1e9) {
-        ends.poll();
+      recentResults.add((now & ~0xffffL) | bytes); // the time with a resolution of 65 us, and the length
+      while (now - recentResults.peek() > (keyLifeSeconds + 0.5) * 1e9) {
+        recentResults.poll();
       }
     }
   }
 
-  private void repeat(TestClient desk, Served known) throws IOException {
+  private void repeatKey(TestClient client, Served served) throws IOException {
     RespPeer.Reply reply =
-        desk.ask("save", references.incrementAndGet(), known.key(), known.body());
-    if (reply.word().equals("done") && Arrays.equals(known.result(), reply.bytes())) {
-      seen.again.incrementAndGet();
+        client.ask("save", references.incrementAndGet(), served.key(), served.body());
+    if (reply.word().equals("done") && Arrays.equals(served.result(), reply.bytes())) {
+      observed.again.incrementAndGet();
     } else {
-      seen.wrong.incrementAndGet();
+      observed.wrongReplies.incrementAndGet();
     }
   }
 
@@ -342,45 +339,43 @@
     System.exit(prove(brief, seed, System.out) ? 0 : 1);
   }
 
-  /**
-   * Plays all limits side by side, and the least of them without the bound; says so on one line.
-   */
+  /** Runs all limits in parallel, and the smallest without the bound; prints one line. */
   static boolean prove(boolean brief, long seed, PrintStream out) throws Exception {
     out.println("prove-memory: seed " + seed);
     int window = brief ? 1 : 24;
-    double lives = brief ? 3 : 9;
+    double keyLives = brief ? 3 : 9;
     List<Integer> limits = brief ? List.of(64) : List.of(64, 128, 192);
-    ExecutorService all = Executors.newCachedThreadPool();
-    List<Future<Seen>> played = new ArrayList<>();
+    ExecutorService executor = Executors.newCachedThreadPool();
+    List<Future<Observations>> results = new ArrayList<>();
     try {
       for (int limit : limits) {
-        played.add(all.submit((Callable<Seen>) () -> play(limit, true, window, lives, seed)));
+        results.add(executor.submit((Callable<Observations>) () -> play(limit, true, window, keyLives, seed)));
       }
-      Future<Seen> without = all.submit((Callable<Seen>) () -> play(64, false, 24, 1.5, seed));
+      Future<Observations> unboundedResult = executor.submit((Callable<Observations>) () -> play(64, false, 24, 1.5, seed));
       boolean holds = true;
       StringBuilder figures = new StringBuilder();
-      for (Future<Seen> each : played) {
-        Seen seen = each.get();
-        out.println("  bounded, " + seen);
-        holds &= seen.holds();
-        figures.append(figures.length() == 0 ? "" : "; ").append(seen);
+      for (Future<Observations> each : results) {
+        Observations observed = each.get();
+        out.println("  bounded, " + observed);
+        holds &= observed.holds();
+        figures.append(figures.length() == 0 ? "" : "; ").append(observed);
       }
-      Seen off = without.get();
-      out.println("  bound off, " + off);
-      // Without the bound the heap is full: requests are lost, known keys fail, or the process
+      Observations unbounded = unboundedResult.get();
+      out.println("  without the bound, " + unbounded);
+      // Without the bound the heap fills up: requests are lost, served keys fail, or the process
       // ends.
-      holds &= off.lost.get() > 0 || off.wrong.get() > 0 || off.ended;
+      holds &= unbounded.lost.get() > 0 || unbounded.wrongReplies.get() > 0 || unbounded.exited;
       out.printf(
           Locale.ROOT,
-          "prove-memory: %s, %s; bound off at 64 MB: %d lost, %d wrong%s%n",
+          "prove-memory: %s, %s; without the bound at 64 MB: %d lost, %d wrong%s%n",
           holds ? "holds" : "falls short",
           figures,
-          off.lost.get(),
-          off.wrong.get(),
-          off.ended ? ", ended" : "");
+          unbounded.lost.get(),
+          unbounded.wrongReplies.get(),
+          unbounded.exited ? ", ended" : "");
       return holds;
     } finally {
-      all.shutdownNow();
+      executor.shutdownNow();
     }
   }
 }
--- a/src/test/java/wharftrestle/prove/ProveMemoryTest.java
+++ b/src/test/java/wharftrestle/prove/ProveMemoryTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The short form of the proof, as 'make prove-memory SHORT=1' plays it. */
+/** Short run of {@link ProveMemory}, as of {@code make prove-memory SHORT=1}. */
 class ProveMemoryTest {
   @Test
-  void memoryIsLevelWithTheBoundAndNotWithoutIt() throws Exception {
+  void memoryIsLevelOnlyWithTheBound() throws Exception {
     assertTrue(ProveMemory.prove(true, 29421, System.out));
   }
 }
