--- a/src/test/java/wharftrestle/prove/ProveReady.java
+++ b/src/test/java/wharftrestle/prove/ProveReady.java
@@ -14,130 +14,130 @@
 import wharftrestle.testbed.TestClient;
 
 /**
- * Proves that restarted processes are ready again: many are started at once on this machine, and
- * each is asked until it has served its first request, says that it is healthy and has reported so.
- * Nine in ten are ready within 10 s, also where the worker pool comes late and where the name
- * service is gone. It closes on one line, and exit 0 or 1.
+ * Checks that restarted daemons become ready: many start at once on this machine, and each gets
+ * requests until it has served one, is healthy and has reported that. Nine in ten have to be ready
+ * within 10 s, also if the worker pool starts late and if the name service is gone. Prints a last line
+ * and exits with 0 or 1.
  */
 public final class ProveReady {
-  private static final double PART = 0.9;
-  private static final double WITHIN_S = 10;
-  private static final double LATE_S = 2;
-  private static final long MOST_NANOS = 40_000_000_000L;
+  private static final double READY_SHARE = 0.9;
+  private static final double MAX_READY_SECONDS = 10;
+  private static final double POOL_DELAY_SECONDS = 2;
+  private static final long GIVE_UP_NANOS = 40_000_000_000L;
 
   private ProveReady() {}
 
-  /** What goes wrong as they start. */
-  private enum Trouble {
+  /** Fault during the start. */
+  private enum Fault {
     NONE,
     POOL_LATE,
     NAMES_GONE
   }
 
   /**
-   * Seconds from a start to all that ready means; infinite for never. CPU in seconds until then.
+   * Time from the start until the daemon is ready, infinite for never, and CPU time until then.
    */
-  private record Ready(double after, double cpu) {}
+  private record Ready(double readySeconds, double cpuSeconds) {}
 
-  private static Ready play(HostTestbed floor, Trouble trouble) throws Exception {
-    if (trouble == Trouble.NAMES_GONE) {
-      floor.loseNames();
+  private static Ready play(HostTestbed testbed, Fault fault) throws Exception {
+    if (fault == Fault.NAMES_GONE) {
+      testbed.closeNameService();
     }
-    floor.pool().late(trouble == Trouble.POOL_LATE);
-    long began = System.nanoTime();
-    DaemonProcess daemon = floor.launch();
-    if (trouble == Trouble.POOL_LATE) {
+    testbed.pool().holdBind(fault == Fault.POOL_LATE);
+    long startedAt = System.nanoTime();
+    DaemonProcess daemon = testbed.launch();
+    if (fault == Fault.POOL_LATE) {
       new Thread(
               () -> {
-                LockSupport.parkNanos((long) (LATE_S * 1e9));
-                floor.pool().late(false);
+                LockSupport.parkNanos((long) (POOL_DELAY_SECONDS * 1e9));
+                testbed.pool().holdBind(false);
               })
           .start();
     }
-    boolean done = false;
-    for (int i = 1; !done && System.nanoTime() - began < MOST_NANOS; i++) {
-      try (TestClient desk = new TestClient(floor.address())) {
-        done = desk.ask("save", i, "key " + i, "body " + i).word().equals("done");
-        if (done) {
-          desk.send("STATUS", "1000", "");
-          done = desk.reply().word().equals("healthy");
+    boolean ready = false;
+    for (int i = 1; !ready && System.nanoTime() - startedAt < GIVE_UP_NANOS; i++) {
+      try (TestClient client = new TestClient(testbed.address())) {
+        ready = client.ask("save", i, "key " + i, "body " + i).word().equals("done");
+        if (ready) {
+          client.send("STATUS", "1000", "");
+          ready = client.reply().word().equals("healthy");
         }
       } catch (IOException notYet) {
         LockSupport.parkNanos(5_000_000);
       }
     }
-    done = done && (trouble == Trouble.NAMES_GONE || floor.awaitListed(1000));
-    double after = done ? (System.nanoTime() - began) / 1e9 : Double.POSITIVE_INFINITY;
-    return new Ready(after, daemon.cpuSeconds());
+    ready = ready && (fault == Fault.NAMES_GONE || testbed.awaitReportedReady(1000));
+    double readySeconds = ready ? (System.nanoTime() - startedAt) / 1e9 : Double.POSITIVE_INFINITY;
+    return new Ready(readySeconds, daemon.cpuSeconds());
   }
 
-  private static List<Ready> start(int many, Trouble trouble, long seed) throws Exception {
-    ConcurrentLinkedQueue<Ready> all = new ConcurrentLinkedQueue<>();
+  private static List<Ready> start(int count, Fault fault, long seed) throws Exception {
+    ConcurrentLinkedQueue<Ready> results = new ConcurrentLinkedQueue<>();
     List<Thread> threads = new ArrayList<>();
-    List<HostTestbed> floors = new ArrayList<>();
+    List<HostTestbed> testbeds = new ArrayList<>();
     Path folder = Files.createTempDirectory("ready");
     try {
-      for (int i = 0; i < many; i++) {
-        HostTestbed floor =
+      for (int i = 0; i < count; i++) {
+        HostTestbed testbed =
             new HostTestbed(
                 Files.createDirectories(folder.resolve(Integer.toString(i))),
                 "",
                 seed + i,
                 HostTestbed.Play.of(192));
-        floors.add(floor);
+        testbeds.add(testbed);
         threads.add(
             new Thread(
                 () -> {
                   try {
-                    all.add(play(floor, trouble));
-                  } catch (Exception never) {
-                    all.add(new Ready(Double.POSITIVE_INFINITY, 0));
+                    results.add(play(testbed, fault));
+                  } catch (Exception failed) {
+                    results.add(new Ready(Double.POSITIVE_INFINITY, 0));
                   }
                 }));
       }
-      for (Thread each : threads) {
-        each.start();
+      for (Thread thread : threads) {
+        thread.start();
       }
-      for (Thread each : threads) {
-        each.join();
+      for (Thread thread : threads) {
+        thread.join();
       }
     } finally {
-      for (HostTestbed each : floors) {
-        each.close();
+      for (HostTestbed testbed : testbeds) {
+        testbed.close();
       }
       HostTestbed.delete(folder);
     }
-    return all.stream().sorted((a, b) -> Double.compare(a.after(), b.after())).toList();
+    return results.stream().sorted((a, b) -> Double.compare(a.readySeconds(), b.readySeconds())).toList();
   }
 
-  private static double at(List<Ready> all, double part) {
-    return all.get((int) Math.ceil(part * all.size()) - 1).after();
+  private static double quantile(List<Ready> results, double share) {
+    return results.get((int) Math.ceil(share * results.size()) - 1).readySeconds();
   }
 
-  /** Starts so many at once, with each trouble, and says so on one line. */
-  static boolean prove(int many, long seed, PrintStream out) throws Exception {
+  /** Starts a number of daemons at once with each fault; prints one line with the result. */
+  static boolean prove(int count, long seed, PrintStream out) throws Exception {
     StringBuilder figures = new StringBuilder();
     boolean holds = true;
-    for (Trouble trouble : Trouble.values()) {
-      List<Ready> all = start(many, trouble, seed);
-      double cpu = all.stream().mapToDouble(Ready::cpu).average().orElse(0);
-      holds &= at(all, PART) <= WITHIN_S;
+    for (Fault fault : Fault.values()) {
+      List<Ready> results = start(count, fault, seed);
+      double cpuSeconds = results.stream().mapToDouble(Ready::cpuSeconds).average().orElse(0);
+      holds &= quantile(results, READY_SHARE) <= MAX_READY_SECONDS;
       figures.append(
           String.format(
               Locale.ROOT,
               "%s %s %.2f, %.2f, %.2f s (CPU of a start %.2f s)",
               figures.length() == 0 ? "" : ";",
-              trouble.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-              at(all, 0.5),
-              at(all, PART),
-              at(all, 1),
-              cpu));
+              fault.name().toLowerCase(Locale.ROOT).replace('_', ' '),
+              quantile(results, 0.5),
+              quantile(results, READY_SHARE),
+              quantile(results, 1),
+              cpuSeconds));
     }
     out.printf(
         Locale.ROOT,
         "prove-ready: %s, %d at once, half, nine in ten and all ready after:%s%n",
         holds ? "holds" : "falls short",
-        many,
+        count,
         figures);
     return holds;
   }
--- a/src/test/java/wharftrestle/prove/ProveReadyTest.java
+++ b/src/test/java/wharftrestle/prove/ProveReadyTest.java
@@ -6,13 +6,12 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The brief form of the proof that restarted processes are ready again; {@code make prove-ready}
- * starts 20 at once.
+ * Short run of {@link ProveReady}; {@code make prove-ready} starts 20 daemons at once.
  */
 class ProveReadyTest {
   @Test
   @Timeout(120)
-  void someStartedAtOnceAreReadyInTime() throws Exception {
+  void daemonsStartedAtOnceAreReadyInTime() throws Exception {
     assertTrue(ProveReady.prove(3, 5, System.out));
   }
 }
--- a/src/test/java/wharftrestle/prove/ProveResults.java
+++ b/src/test/java/wharftrestle/prove/ProveResults.java
@@ -11,35 +11,34 @@
 import wharftrestle.testbed.TestClients;
 
 /**
- * Proves that no keyed request runs twice over restarts: a real daemon is killed at moments drawn
- * from a seed while desks ask keyed requests and repeat them. Runs are counted by the stand-in
- * worker pool. The same is played with the store off, where double runs must be found, or the proof
- * could not fail. It closes on one line, and exit 0 or 1.
+ * Checks that no keyed request is executed twice across restarts: a real daemon is killed at random
+ * times while clients send keyed requests and repeat them. The fake worker pool counts the executions.
+ * As a check of the proof, duplicate executions have to be found with the store off. Prints a last line
+ * and exits with 0 or 1.
  */
 public final class ProveResults {
-  private static final int DESKS = 8;
+  private static final int CLIENTS = 8;
 
-  /** Milliseconds for which a key is repeated: well inside its window of 24 s. */
-  private static final long KEY_MS = 14_000;
+  /** Time for which a key is repeated; well inside the idempotency window of 24 s. */
+  private static final long KEY_REUSE_MS = 14_000;
 
   /** Part of requests that repeat a key. */
-  private static final double AGAIN = 0.7;
+  private static final double REPEAT_SHARE = 0.7;
 
-  /** Milliseconds that a desk waits between two requests, at most. */
-  private static final int THINK = 50;
+  /** Longest pause of a client between two requests. */
+  private static final int MAX_THINK_MS = 50;
 
-  /** Milliseconds that a daemon serves before it is killed, at most. */
-  private static final int LONGEST_LIFE = 900;
+  /** Longest time that a daemon serves before it is killed. */
+  private static final int MAX_UPTIME_MS = 900;
 
-  /** What was seen of one way of playing. */
-  static final class Seen {
+  /** What was observed with the store on or off. */
+  static final class Observations {
     TestClients.Tally tally;
     int kills;
     int keys;
 
     /**
-     * Its result was on disk before it was answered once: nothing but that may come of a key after
-     * it.
+     * A result is on disk before its first reply, so a repeated key may get only that result.
      */
     boolean holds() {
       return tally.runTwice() == 0
@@ -52,8 +51,8 @@
     public String toString() {
       return String.format(
           Locale.ROOT,
-          "%d repeats of %d keys, %d kills, %d double runs, %d refused after a run, "
-              + "%d not with their bytes (%d served, %d of them again, %d failed, %d refused)",
+          "%d repeats of %d keys, %d kills, %d executed twice, %d refused after an execution, "
+              + "%d with other bytes or an error (%d served, %d of them again, %d failed, %d refused)",
           tally.repeats(),
           keys,
           kills,
@@ -67,95 +66,95 @@
     }
   }
 
-  private final HostTestbed floor;
-  private final Seen seen = new Seen();
-  private final int wanted;
+  private final HostTestbed testbed;
+  private final Observations observed = new Observations();
+  private final int minRepeats;
   private final int kills;
   private final PrintStream out;
 
-  private ProveResults(HostTestbed floor, int wanted, int kills, PrintStream out) {
-    this.floor = floor;
-    this.wanted = wanted;
+  private ProveResults(HostTestbed testbed, int minRepeats, int kills, PrintStream out) {
+    this.testbed = testbed;
+    this.minRepeats = minRepeats;
     this.kills = kills;
     this.out = out;
   }
 
-  /** Plays one way: so many repeats and kills at least, with the store on or off. */
-  static Seen play(boolean kept, int repeats, int kills, long seed, PrintStream out)
+  /** Runs at least a number of repeats and kills, with the store on or off. */
+  static Observations play(boolean durableResults, int repeats, int kills, long seed, PrintStream out)
       throws Exception {
     Path folder = Files.createTempDirectory("prove-results");
     String script =
-        kept ? "durable(dir = \"" + folder.resolve("results") + "\", max_mb = 16)\n" : "";
-    try (HostTestbed floor = new HostTestbed(folder, script, seed, HostTestbed.Play.of(192))) {
-      return new ProveResults(floor, repeats, kills, out).play(new Random(seed));
+        durableResults ? "durable(dir = \"" + folder.resolve("results") + "\", max_mb = 16)\n" : "";
+    try (HostTestbed testbed = new HostTestbed(folder, script, seed, HostTestbed.Play.of(192))) {
+      return new ProveResults(testbed, repeats, kills, out).play(new Random(seed));
     } finally {
       HostTestbed.delete(folder);
     }
   }
 
-  private Seen play(Random random) throws Exception {
-    floor.start();
-    TestClients callers =
+  private Observations play(Random random) throws Exception {
+    testbed.start();
+    TestClients clients =
         new TestClients(
-            floor,
-            new TestClients.Habit(DESKS, KEY_MS, AGAIN, THINK),
+            testbed,
+            new TestClients.Workload(CLIENTS, KEY_REUSE_MS, REPEAT_SHARE, MAX_THINK_MS),
             random.nextLong(),
             () -> true);
-    callers.start();
-    while (callers.repeats() < wanted || seen.kills < kills) {
-      killAt(random);
-      seen.kills++;
-      floor.start();
-      if (seen.kills % 20 == 0) {
-        out.println("  " + callers.repeats() + " repeats, " + seen.kills + " kills");
+    clients.start();
+    while (clients.repeats() < minRepeats || observed.kills < kills) {
+      killAtRandomMoment(random);
+      observed.kills++;
+      testbed.start();
+      if (observed.kills % 20 == 0) {
+        out.println("  " + clients.repeats() + " repeats, " + observed.kills + " kills");
       }
     }
-    callers.stop();
-    seen.tally = callers.tally();
-    seen.keys = floor.bodies();
-    return seen;
+    clients.stop();
+    observed.tally = clients.tally();
+    observed.keys = testbed.executedBodies();
+    return observed;
   }
 
   /**
-   * Kills the daemon at a moment: any, or just after a run was asked for, or just after one ended.
+   * Kills the daemon at a random time, or shortly after an execution started or ended.
    */
-  private void killAt(Random random) throws InterruptedException {
-    LockSupport.parkNanos(random.nextInt(LONGEST_LIFE) * 1_000_000L);
-    int kind = random.nextInt(3);
-    long late =
-        random.nextInt(3000) * 1000L; // ns: the writes and syncs that follow lie within 3 ms
-    Object moment = new Object();
-    boolean[] now = {kind == 0};
-    floor.watch(
-        new FakeWorkerPool.Moments() {
-          private void take(boolean wanted) {
-            if (wanted) {
-              synchronized (moment) {
-                now[0] = true;
-                moment.notifyAll();
+  private void killAtRandomMoment(Random random) throws InterruptedException {
+    LockSupport.parkNanos(random.nextInt(MAX_UPTIME_MS) * 1_000_000L);
+    int trigger = random.nextInt(3);
+    long delayNanos =
+        random.nextInt(3000) * 1000L; // the following writes and syncs take less than 3 ms
+    Object lock = new Object();
+    boolean[] reached = {trigger == 0};
+    testbed.setExecutionListener(
+        new FakeWorkerPool.ExecutionListener() {
+          private void signalIf(boolean matches) {
+            if (matches) {
+              synchronized (lock) {
+                reached[0] = true;
+                lock.notifyAll();
               }
             }
           }
 
           @Override
-          public void spawned() {
-            take(kind == 1);
+          public void onStarted() {
+            signalIf(trigger == 1);
           }
 
           @Override
-          public void finished() {
-            take(kind == 2);
+          public void onFinished() {
+            signalIf(trigger == 2);
           }
         });
-    synchronized (moment) {
-      long until = System.nanoTime() + 500_000_000L;
-      while (!now[0] && System.nanoTime() < until) {
-        moment.wait(50);
+    synchronized (lock) {
+      long deadline = System.nanoTime() + 500_000_000L;
+      while (!reached[0] && System.nanoTime() < deadline) {
+        lock.wait(50);
       }
     }
-    LockSupport.parkNanos(late);
-    floor.daemon().kill();
-    floor.watch(null);
+    LockSupport.parkNanos(delayNanos);
+    testbed.daemon().kill();
+    testbed.setExecutionListener(null);
   }
 
   public static void main(String[] args) throws Exception {
@@ -164,21 +163,21 @@
     System.exit(prove(brief ? 800 : 10_000, brief ? 12 : 100, seed, System.out) ? 0 : 1);
   }
 
-  /** Plays both ways and says so on one line. */
+  /** Runs with the store on and off; prints one line with the result. */
   static boolean prove(int repeats, int kills, long seed, PrintStream out) throws Exception {
     out.println("prove-results: seed " + seed);
-    Seen on = play(true, repeats, kills, seed, out);
-    out.println("  kept: " + on);
-    Seen off = play(false, 0, Math.min(kills, 12), seed, out);
-    out.println("  not kept: " + off);
-    boolean holds = on.holds() && off.tally.runTwice() > 0 && on.tally.again() > 0 && on.kills > 0;
+    Observations withStore = play(true, repeats, kills, seed, out);
+    out.println("  store on: " + withStore);
+    Observations withoutStore = play(false, 0, Math.min(kills, 12), seed, out);
+    out.println("  store off: " + withoutStore);
+    boolean holds = withStore.holds() && withoutStore.tally.runTwice() > 0 && withStore.tally.again() > 0 && withStore.kills > 0;
     out.printf(
         Locale.ROOT,
-        "prove-results: %s, kept: %s; not kept: %d double runs in %d repeats%n",
+        "prove-results: %s, store on: %s; store off: %d executed twice in %d repeats%n",
         holds ? "holds" : "falls short",
-        on,
-        off.tally.runTwice(),
-        off.tally.repeats());
+        withStore,
+        withoutStore.tally.runTwice(),
+        withoutStore.tally.repeats());
     return holds;
   }
 }
--- a/src/test/java/wharftrestle/prove/ProveRoll.java
+++ b/src/test/java/wharftrestle/prove/ProveRoll.java
@@ -19,63 +19,63 @@
 import wharftrestle.testbed.HostTestbed;
 
 /**
- * Proves rolling changes with real processes: 14 boxes, each a keeper with its daemon and callers,
- * a link between each keeper and the driver, and faults drawn from a seed: dropped, delayed, cut
- * one way and both; keepers, daemons and the driver killed or stopped. A release that is no worse
- * arrives everywhere; a bad one is stopped and taken back; no rule is broken in either. With the
- * judge off a bad one has to get through, or the proof could not fail. It closes on one line, and
- * exit 0 or 1.
+ * Checks rollouts with real processes: 14 hosts, each with a supervisor, its daemon and clients, a proxy
+ * between each supervisor and the controller, and random faults: connections cut, delayed, and
+ * blackholed in one direction; supervisors, daemons and the controller killed or paused. A release
+ * that is not worse has to reach all hosts, a bad one has to be rolled back, and no rule may be broken.
+ * As a check of the proof, a bad release has to reach all hosts without the canary analysis. Prints a
+ * last line and exits with 0 or 1.
  */
 public final class ProveRoll {
-  private static final int BOXES = 14;
+  private static final int HOSTS = 14;
   private static final int ZONES = 4;
-  private static final long READY_MS = 30_000;
+  private static final long READY_TIMEOUT_MS = 30_000;
   private static final String FIRST = "one";
-  private static final List<String> BAD = List.of("fails", "crashes", "slow", "leaks", "refuses");
+  private static final List<String> BAD_RELEASES = List.of("fails", "crashes", "slow", "leaks", "refuses");
 
-  /** What is put between and into processes; none of it is a fault of a release. */
-  private enum Trouble {
+  /** A fault that is not caused by a release. */
+  private enum Fault {
     DELAY,
     HOLE_THERE,
     HOLE_BACK,
     CUT,
-    STOP_KEEPER,
-    KILL_KEEPER,
-    STOP_DAEMON,
-    STOP_DRIVER,
-    KILL_DRIVER
+    PAUSE_SUPERVISOR,
+    KILL_SUPERVISOR,
+    PAUSE_DAEMON,
+    PAUSE_CONTROLLER,
+    KILL_CONTROLLER
   }
 
-  /** How one roll ended. */
-  private record Played(
+  /** Result of one rollout. */
+  private record RolloutResult(
       String release,
-      String wanted,
-      boolean arrived,
+      String expectedOutcome,
+      boolean asExpected,
       int exit,
-      int troubles,
-      int drivers,
+      int faults,
+      int controllers,
       double seconds,
-      int most,
-      Map<String, Integer> broken,
-      String why) {
+      int maxHosts,
+      Map<String, Integer> brokenRules,
+      String reason) {
     boolean holds() {
-      return arrived && broken.isEmpty();
+      return asExpected && brokenRules.isEmpty();
     }
 
     @Override
     public String toString() {
       return String.format(
           Locale.ROOT,
-          "%-8s %s in %.0f s, exit %d, at most %d boxes had it, %d troubles, %d drivers%s%s",
+          "%-8s %s in %.0f s, exit %d, at most %d hosts had it, %d faults, %d controllers%s%s",
           release,
-          arrived ? "ended as " + wanted : "DID NOT END as " + wanted,
+          asExpected ? "ended as " + expectedOutcome : "DID NOT END as " + expectedOutcome,
           seconds,
           exit,
-          most,
-          troubles,
-          drivers,
-          broken.isEmpty() ? "" : ", BROKEN " + broken,
-          why.isEmpty() ? "" : " (" + why + ")");
+          maxHosts,
+          faults,
+          controllers,
+          brokenRules.isEmpty() ? "" : ", BROKEN " + brokenRules,
+          reason.isEmpty() ? "" : " (" + reason + ")");
     }
   }
 
@@ -83,8 +83,8 @@
   private final Random random;
   private final long seed;
   private final boolean brief;
-  private String serves = FIRST;
-  private int rolls;
+  private String currentRelease = FIRST;
+  private int rolloutCount;
 
   private ProveRoll(long seed, boolean brief, PrintStream out) {
     this.seed = seed;
@@ -93,7 +93,7 @@
     random = new Random(seed);
   }
 
-  private static String change(String to, String worse, boolean brief) {
+  private static String changeText(String to, String criteria, boolean brief) {
     return "change(to = \""
         + to
         + "\", stages = [stage(boxes = 1, hold = "
@@ -102,7 +102,7 @@
         + "spread = \"zone\", hold = "
         + (brief ? 2 : 8)
         + "), stage(share = 1, spread = \"zone\", hold = 2)], worse = ["
-        + worse
+        + criteria
         + "], most_away = "
         + (brief ? 4 : 3)
         + ", window = 0.5, watch = "
@@ -111,237 +111,248 @@
         + "patience = 90)";
   }
 
-  private static final String BRIEFLY = "worth(0.1), failed(0.1), refused(0.2)";
-  private static final String JUDGED = BRIEFLY + ", cpu(3), growth(90)";
+  private static final String SHORT_CRITERIA = "worth(0.1), failed(0.1), refused(0.2)";
+  private static final String FULL_CRITERIA = SHORT_CRITERIA + ", cpu(3), growth(90)";
 
-  /** The fleet with its callers, all of it on the first release. */
-  private FleetTestbed fleet(Path folder, int boxes, String keeper) throws Exception {
-    FleetTestbed floor = new FleetTestbed(folder, boxes, ZONES, seed);
-    floor.pack(FIRST, "wharftrestle.Main", "");
-    floor.pack("two", "wharftrestle.Main", "");
-    floor.pack("three", "wharftrestle.Main", "");
-    for (String bad : BAD) {
-      floor.pack(bad, "wharftrestle.prove.BadRelease", bad);
+  /** Starts the fleet with its clients, all hosts on the first release. */
+  private FleetTestbed startFleet(Path folder, int hosts, String supervisorMain) throws Exception {
+    FleetTestbed testbed = new FleetTestbed(folder, hosts, ZONES, seed);
+    testbed.pack(FIRST, "wharftrestle.Main", "");
+    testbed.pack("two", "wharftrestle.Main", "");
+    testbed.pack("three", "wharftrestle.Main", "");
+    for (String bad : BAD_RELEASES) {
+      testbed.pack(bad, "wharftrestle.prove.BadRelease", bad);
     }
-    for (FleetTestbed.Box box : floor.boxes().values()) {
-      floor.keep(box, FIRST, keeper);
+    for (FleetTestbed.Host host : testbed.hosts().values()) {
+      testbed.startSupervisor(host, FIRST, supervisorMain);
     }
-    if (!floor.awaitAll(FIRST, READY_MS)) {
-      String logs = floor.logs();
-      floor.close();
-      throw new IOException("the fleet did not start:\n" + logs);
+    if (!testbed.awaitAll(FIRST, READY_TIMEOUT_MS)) {
+      String logs = testbed.logs();
+      testbed.close();
+      throw new IOException("the fleet was not ready in time; its status and logs:\n" + logs);
     }
-    floor.call(2, 9000);
-    return floor;
+    testbed.startClients(2, 9000);
+    return testbed;
   }
 
-  /** One change of the fleet, with faults while it goes on. */
-  private Played roll(FleetTestbed floor, String release, boolean good, String worse, int troubles)
+  /** Runs one rollout and injects faults meanwhile. */
+  private RolloutResult runRollout(
+      FleetTestbed testbed, String release, boolean good, String criteria, int faults)
       throws Exception {
-    String name = "d" + ++rolls;
-    Path plan = floor.plan(name + ".star", change(release, worse, brief));
-    long began = System.nanoTime();
-    Process driver = floor.drive(plan, name, "--take-over");
-    int drivers = 1;
-    int put = 0;
-    int most = 0;
+    String name = "d" + ++rolloutCount;
+    Path plan = testbed.plan(name + ".star", changeText(release, criteria, brief));
+    long startedAt = System.nanoTime();
+    Process controller = testbed.startController(plan, name, "--take-over");
+    int controllers = 1;
+    int faultsInjected = 0;
+    int maxHosts = 0;
     List<long[]> counts = new ArrayList<>();
-    long next = began + TimeUnit.SECONDS.toNanos(brief ? 6 : 10);
-    long until = began + TimeUnit.SECONDS.toNanos(brief ? 75 : 300);
-    while (driver.isAlive() && System.nanoTime() < until) {
-      if (put < troubles && System.nanoTime() > next) {
-        put++;
-        next =
+    long nextFaultAt = startedAt + TimeUnit.SECONDS.toNanos(brief ? 6 : 10);
+    long deadline = startedAt + TimeUnit.SECONDS.toNanos(brief ? 75 : 300);
+    while (controller.isAlive() && System.nanoTime() < deadline) {
+      if (faultsInjected < faults && System.nanoTime() > nextFaultAt) {
+        faultsInjected++;
+        nextFaultAt =
             System.nanoTime()
                 + TimeUnit.MILLISECONDS.toNanos(brief ? 2500 : 2000 + random.nextInt(8000));
-        Trouble trouble = Trouble.values()[random.nextInt(Trouble.values().length)];
-        if (trouble == Trouble.KILL_DRIVER) {
-          driver.destroyForcibly().waitFor();
-          driver = floor.drive(plan, name, "--take-over"); // goes on from the journal
-          drivers++;
+        Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
+        if (fault == Fault.KILL_CONTROLLER) {
+          controller.destroyForcibly().waitFor();
+          controller = testbed.startController(plan, name, "--take-over"); // resumes from the journal
+          controllers++;
         } else {
-          trouble(floor, trouble, driver);
+          inject(testbed, fault, controller);
         }
       }
       if (release.equals("crashes")) {
-        floor
-            .boxes()
+        testbed
+            .hosts()
             .values()
-            .forEach(FleetTestbed.Box::trouble); // what it has in hand goes with it
+            .forEach(FleetTestbed.Host::recordFault); // its crash loses requests in flight
       }
-      int[] now = floor.answers();
-      counts.add(new long[] {System.currentTimeMillis(), now[0], now[1], now[2]});
-      most = Math.max(most, count(floor, release));
+      int[] replies = testbed.replyCounts();
+      counts.add(new long[] {System.currentTimeMillis(), replies[0], replies[1], replies[2]});
+      maxHosts = Math.max(maxHosts, countHosts(testbed, release));
       LockSupport.parkNanos(100_000_000);
     }
-    boolean ended = driver.waitFor(1, TimeUnit.MILLISECONDS);
+    boolean ended = controller.waitFor(1, TimeUnit.MILLISECONDS);
     if (!ended) {
-      driver.destroyForcibly();
+      controller.destroyForcibly();
     }
-    String wanted = good ? release : serves;
-    boolean arrived = ended && floor.awaitAll(wanted, 30_000);
-    double seconds = (System.nanoTime() - began) / 1e9;
-    List<JsonNode> told = floor.told(name);
-    String why =
-        told.stream()
+    String expectedRelease = good ? release : currentRelease;
+    boolean asExpected = ended && testbed.awaitAll(expectedRelease, 30_000);
+    double seconds = (System.nanoTime() - startedAt) / 1e9;
+    List<JsonNode> events = testbed.events(name);
+    String reason =
+        events.stream()
             .filter(
                 line ->
                     line.path("what").asText().equals("returning")
                         || line.path("what").asText().equals("held"))
             .map(line -> line.path("why").asText())
             .collect(Collectors.joining("; "));
-    Played played =
-        new Played(
+    RolloutResult rolloutResult =
+        new RolloutResult(
             release,
-            good ? "arrived" : "taken back",
-            arrived && driver.exitValue() == (good ? 0 : 1),
-            ended ? driver.exitValue() : -1,
-            put,
-            drivers,
+            good ? "completed" : "rolled back",
+            asExpected && controller.exitValue() == (good ? 0 : 1),
+            ended ? controller.exitValue() : -1,
+            faultsInjected,
+            controllers,
             seconds,
-            most,
-            floor.broken(),
-            brief(why));
-    out.println("  " + played);
+            maxHosts,
+            testbed.brokenRules(),
+            brief(reason));
+    out.println("  " + rolloutResult);
     if (good) {
-      out.println("    " + byStage(told, counts));
+      out.println("    " + byStage(events, counts));
     }
-    if (!played.holds()) {
-      told.stream().skip(Math.max(0, told.size() - 40)).forEach(line -> out.println("    " + line));
-      floor
-          .boxes()
+    if (!rolloutResult.holds()) {
+      events.stream().skip(Math.max(0, events.size() - 40)).forEach(line -> out.println("    " + line));
+      testbed
+          .hosts()
           .values()
-          .forEach(box -> out.println("    " + box.name() + " " + box.shows().path("box")));
+          .forEach(host -> out.println("    " + host.name() + " " + host.status().path("box")));
     }
-    serves = wanted;
-    return played;
+    currentRelease = expectedRelease;
+    return rolloutResult;
   }
 
   /**
-   * Results a second of all callers, by stage; before the first box goes it is what the fleet does
-   * without a change.
+   * Results a second of all clients by stage; "before" is the rate until the first order.
    */
-  private static String byStage(List<JsonNode> told, List<long[]> counts) {
+  private static String byStage(List<JsonNode> events, List<long[]> counts) {
     Map<String, long[]> spans = new LinkedHashMap<>();
     String stage = "before";
-    int at = 0;
-    for (JsonNode event : told) {
-      boolean first = event.path("what").asText().equals("tells") && stage.equals("before");
-      boolean begins =
+    int index = 0;
+    for (JsonNode event : events) {
+      boolean isFirstOrder = event.path("what").asText().equals("tells") && stage.equals("before");
+      boolean beginsStage =
           event.path("what").asText().startsWith("begins stage") && !stage.equals("before");
       for (;
-          (first || begins) && at < counts.size() && counts.get(at)[0] <= event.path("at").asLong();
-          at++) {
-        long[] sum = spans.computeIfAbsent(stage, key -> new long[4]);
-        for (int i = 0; at > 0 && i < sum.length; i++) {
-          sum[i] += counts.get(at)[i] - counts.get(at - 1)[i];
+          (isFirstOrder || beginsStage) && index < counts.size() && counts.get(index)[0] <= event.path("at").asLong();
+          index++) {
+        long[] totals = spans.computeIfAbsent(stage, key -> new long[4]);
+        for (int i = 0; index > 0 && i < totals.length; i++) {
+          totals[i] += counts.get(index)[i] - counts.get(index - 1)[i];
         }
       }
-      stage = first || begins ? "stage " + event.path("stage").asInt() : stage;
+      stage = isFirstOrder || beginsStage ? "stage " + event.path("stage").asInt() : stage;
     }
-    for (; at < counts.size(); at++) {
-      long[] sum = spans.computeIfAbsent(stage, key -> new long[4]);
-      for (int i = 0; at > 0 && i < sum.length; i++) {
-        sum[i] += counts.get(at)[i] - counts.get(at - 1)[i];
+    for (; index < counts.size(); index++) {
+      long[] totals = spans.computeIfAbsent(stage, key -> new long[4]);
+      for (int i = 0; index > 0 && i < totals.length; i++) {
+        totals[i] += counts.get(index)[i] - counts.get(index - 1)[i];
       }
     }
     return spans.entrySet().stream()
         .map(
-            each ->
+            entry ->
                 String.format(
                     Locale.ROOT,
                     "%s: %.0f results a second (%.2f%% refused, " + "%.2f%% failed)",
-                    each.getKey(),
-                    each.getValue()[1] * 1000.0 / Math.max(1, each.getValue()[0]),
-                    100.0 * each.getValue()[2] / Math.max(1, each.getValue()[1]),
-                    100.0 * each.getValue()[3] / Math.max(1, each.getValue()[1])))
+                    entry.getKey(),
+                    entry.getValue()[1] * 1000.0 / Math.max(1, entry.getValue()[0]),
+                    100.0 * entry.getValue()[2] / Math.max(1, entry.getValue()[1]),
+                    100.0 * entry.getValue()[3] / Math.max(1, entry.getValue()[1])))
         .collect(Collectors.joining("; "));
   }
 
   /**
-   * Two operators start two plans, the second one in the first one's place; boxes that went to the
-   * first one's release after the second one gave its first order.
+   * Two operators start two plans, of which the second takes over. Returns the number of orders of the
+   * first controller after the first order of the second.
    */
-  private int twoDrivers(String keeper) throws Exception {
+  private int ordersAfterTakeover(String supervisorMain) throws Exception {
     Path folder = Files.createTempDirectory("prove-roll");
-    try (FleetTestbed floor = fleet(folder, 6, keeper)) {
+    try (FleetTestbed testbed = startFleet(folder, 6, supervisorMain)) {
       String plan =
           "stages = [stage(boxes = 1, hold = 1), stage(share = 1, hold = 1)], worse = [], most_away = 1, "
               + "window = 0.5, watch = 1, warm = 1)";
-      Process first =
-          floor.drive(
-              floor.plan("two.star", "change(to = \"two\", " + plan), "ann", "--driver", "ann");
+      Process firstController =
+          testbed.startController(
+              testbed.plan("two.star", "change(to = \"two\", " + plan), "ann", "--driver", "ann");
       long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(40);
-      while (told(floor, "ann").isEmpty() && System.nanoTime() < until) {
+      while (orders(testbed, "ann").isEmpty() && System.nanoTime() < until) {
         LockSupport.parkNanos(20_000_000);
       }
-      Process second =
-          floor.drive(
-              floor.plan("three.star", "change(to = \"three\", " + plan),
+      Process secondController =
+          testbed.startController(
+              testbed.plan("three.star", "change(to = \"three\", " + plan),
               "bob",
               "--driver",
               "bob",
               "--take-over");
-      second.waitFor(40, TimeUnit.SECONDS);
-      first.waitFor(15, TimeUnit.SECONDS);
-      for (FleetTestbed.Box box : floor.boxes().values()) {
-        box.callers().stop();
+      secondController.waitFor(40, TimeUnit.SECONDS);
+      firstController.waitFor(15, TimeUnit.SECONDS);
+      for (FleetTestbed.Host host : testbed.hosts().values()) {
+        host.clients().stop();
       }
-      long from =
-          told(floor, "bob").stream()
+      long firstOrderAt =
+          orders(testbed, "bob").stream()
               .mapToLong(line -> line.path("at").asLong())
               .min()
               .orElse(Long.MAX_VALUE);
       return (int)
-          told(floor, "ann").stream().filter(line -> line.path("at").asLong() > from).count();
+          orders(testbed, "ann").stream().filter(line -> line.path("at").asLong() > firstOrderAt).countHosts();
     } finally {
       HostTestbed.delete(folder);
     }
   }
 
-  private static List<JsonNode> told(FleetTestbed floor, String driver) throws IOException {
-    return floor.told(driver).stream()
+  private static List<JsonNode> orders(FleetTestbed testbed, String controller) throws IOException {
+    return testbed.events(controller).stream()
         .filter(line -> line.path("what").asText().equals("tells"))
         .toList();
   }
 
-  private static String brief(String why) {
-    return why.length() > 160 ? why.substring(0, 160) : why;
+  private static String brief(String reason) {
+    return reason.length() > 160 ? reason.substring(0, 160) : reason;
   }
 
-  private static int count(FleetTestbed floor, String release) {
-    return (int) floor.boxes().values().stream().filter(box -> box.acts().equals(release)).count();
+  private static int countHosts(FleetTestbed testbed, String release) {
+    return (int)
+        testbed.hosts().values().stream()
+            .filter(host -> host.activeRelease().equals(release))
+            .countHosts();
   }
 
-  private void trouble(FleetTestbed floor, Trouble trouble, Process driver) throws Exception {
-    List<FleetTestbed.Box> boxes = new ArrayList<>(floor.boxes().values());
-    FleetTestbed.Box box = boxes.get(random.nextInt(boxes.size()));
-    switch (trouble) {
+  private void inject(FleetTestbed testbed, Fault fault, Process controller) throws Exception {
+    List<FleetTestbed.Host> hosts = new ArrayList<>(testbed.hosts().values());
+    FleetTestbed.Host host = hosts.get(random.nextInt(hosts.size()));
+    switch (fault) {
       case DELAY ->
-          boxes.forEach(
+          hosts.forEach(
               each ->
-                  later(
+                  doThenUndo(
                       3000,
-                      () -> each.link().heal(),
-                      () -> each.link().trouble(FaultRule.Trouble.DELAY, 60, 60, true, true)));
+                      () -> each.controllerProxy().heal(),
+                      () ->
+                          each.controllerProxy()
+                              .apply(FaultRule.Effect.DELAY, 60, 60, true, true)));
       case HOLE_THERE ->
-          zone(boxes, box, each -> each.link().trouble(FaultRule.Trouble.HOLE, 0, 0, true, false));
+          zone(
+              hosts,
+              host,
+              each -> each.controllerProxy().apply(FaultRule.Effect.HOLE, 0, 0, true, false));
       case HOLE_BACK ->
-          zone(boxes, box, each -> each.link().trouble(FaultRule.Trouble.HOLE, 0, 0, false, true));
-      case CUT -> zone(boxes, box, each -> each.link().cut());
-      case STOP_KEEPER -> stopped(box.keeper().pid(), 2500);
-      case KILL_KEEPER -> {
-        box.keeper().destroyForcibly().waitFor();
-        floor.keep(box, serves);
+          zone(
+              hosts,
+              host,
+              each -> each.controllerProxy().apply(FaultRule.Effect.HOLE, 0, 0, false, true));
+      case CUT -> zone(hosts, host, each -> each.controllerProxy().cut());
+      case PAUSE_SUPERVISOR -> pauseFor(host.supervisor().pid(), 2500);
+      case KILL_SUPERVISOR -> {
+        host.supervisor().destroyForcibly().waitFor();
+        testbed.startSupervisor(host, currentRelease);
       }
-      case STOP_DAEMON -> {
-        box.trouble();
-        long pid = box.daemonPid();
+      case PAUSE_DAEMON -> {
+        host.recordFault();
+        long pid = host.daemonPid();
         if (pid != 0) {
-          stopped(pid, 600);
+          pauseFor(pid, 600);
         }
       }
-      default -> stopped(driver.pid(), 4500);
+      default -> pauseFor(controller.pid(), 4500);
     }
   }
 
@@ -349,24 +360,24 @@
     void run() throws Exception;
   }
 
-  private interface OnBox {
-    void run(FleetTestbed.Box box) throws Exception;
+  private interface OnHost {
+    void run(FleetTestbed.Host host) throws Exception;
   }
 
-  private static void zone(List<FleetTestbed.Box> boxes, FleetTestbed.Box of, OnBox fault) {
-    boxes.stream()
+  private static void zone(List<FleetTestbed.Host> hosts, FleetTestbed.Host of, OnHost fault) {
+    hosts.stream()
         .filter(each -> each.zone().equals(of.zone()))
-        .forEach(each -> later(4000, () -> each.link().heal(), () -> fault.run(each)));
+        .forEach(each -> doThenUndo(4000, () -> each.controllerProxy().heal(), () -> fault.run(each)));
   }
 
-  private static void stopped(long pid, long ms) {
-    later(ms, () -> FleetTestbed.signal(pid, "CONT"), () -> FleetTestbed.signal(pid, "STOP"));
+  private static void pauseFor(long pid, long ms) {
+    doThenUndo(ms, () -> FleetTestbed.signal(pid, "CONT"), () -> FleetTestbed.signal(pid, "STOP"));
   }
 
-  /** Does the one now, and the other after so many ms. */
-  private static void later(long ms, Step then, Step now) {
+  /** Runs the first step now and the other after {@code ms}. */
+  private static void doThenUndo(long ms, Step undo, Step first) {
     try {
-      now.run();
+      first.run();
     } catch (Exception gone) {
       return;
     }
@@ -375,7 +386,7 @@
             () -> {
               LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(ms));
               try {
-                then.run();
+                undo.run();
               } catch (Exception gone) {
                 return;
               }
@@ -385,65 +396,65 @@
   }
 
   private boolean prove() throws Exception {
-    out.println("prove-roll: seed " + seed + ", " + BOXES + " boxes");
-    List<Played> all = new ArrayList<>();
-    boolean unjudged = true;
-    int broken;
+    out.println("prove-roll: seed " + seed + ", " + HOSTS + " hosts");
+    List<RolloutResult> results = new ArrayList<>();
+    boolean spreadsWithoutAnalysis = true;
+    int brokenRules;
     Path folder = Files.createTempDirectory("prove-roll");
-    try (FleetTestbed floor = fleet(folder, BOXES, "wharftrestle.Main")) {
-      for (String bad : brief ? BAD.subList(0, 1) : BAD) {
-        all.add(roll(floor, bad, false, brief ? BRIEFLY : JUDGED, brief ? 0 : 4));
+    try (FleetTestbed testbed = startFleet(folder, HOSTS, "wharftrestle.Main")) {
+      for (String bad : brief ? BAD_RELEASES.subList(0, 1) : BAD_RELEASES) {
+        results.add(runRollout(testbed, bad, false, brief ? SHORT_CRITERIA : FULL_CRITERIA, brief ? 0 : 4));
       }
-      all.add(roll(floor, "two", true, brief ? BRIEFLY : JUDGED, brief ? 2 : 12));
+      results.add(runRollout(testbed, "two", true, brief ? SHORT_CRITERIA : FULL_CRITERIA, brief ? 2 : 12));
       if (!brief) {
-        // With nothing compared a release that is slow goes everywhere: the judge is what stops it.
-        Played off = roll(floor, "slow", true, "", 0);
-        unjudged = off.arrived();
+        // Without criteria a slow release reaches all hosts: only the canary analysis stops it.
+        RolloutResult withoutAnalysis = runRollout(testbed, "slow", true, "", 0);
+        spreadsWithoutAnalysis = withoutAnalysis.asExpected();
       }
-      for (FleetTestbed.Box box : floor.boxes().values()) {
-        box.callers().stop();
+      for (FleetTestbed.Host host : testbed.hosts().values()) {
+        host.clients().stop();
       }
-      broken = floor.broken().values().stream().mapToInt(Integer::intValue).sum();
-      out.println("  " + floor.served() + " answers, broken: " + floor.broken());
+      brokenRules = testbed.brokenRules().values().stream().mapToInt(Integer::intValue).sum();
+      out.println("  " + testbed.served() + " results, broken rules: " + testbed.brokenRules());
     } finally {
       HostTestbed.delete(folder);
     }
-    int fenced = 0;
-    int unfenced = 1;
+    int ordersWithFence = 0;
+    int ordersWithoutFence = 1;
     if (!brief) {
-      fenced = twoDrivers("wharftrestle.Main");
-      unfenced = twoDrivers("wharftrestle.prove.Unfenced");
+      ordersWithFence = ordersAfterTakeover("wharftrestle.Main");
+      ordersWithoutFence = ordersAfterTakeover("wharftrestle.prove.Unfenced");
       out.println(
-          "  two drivers at once: the first one gave "
-              + fenced
-              + " orders after the second one's first, with epochs "
-              + "off "
-              + unfenced);
+          "  two controllers: the first one sent "
+              + ordersWithFence
+              + " orders after the first order of the second; without the fence "
+              + ""
+              + ordersWithoutFence);
     }
-    long holds = all.stream().filter(Played::holds).count();
-    boolean whole = holds == all.size() && unjudged && broken == 0 && fenced == 0 && unfenced > 0;
-    int had =
-        all.stream()
-            .filter(each -> each.wanted().equals("taken back"))
-            .mapToInt(Played::most)
+    long successful = results.stream().filter(RolloutResult::holds).countHosts();
+    boolean allHold = successful == results.size() && spreadsWithoutAnalysis && brokenRules == 0 && ordersWithFence == 0 && ordersWithoutFence > 0;
+    int maxHostsWithBadRelease =
+        results.stream()
+            .filter(result -> result.expectedOutcome().equals("rolled back"))
+            .mapToInt(RolloutResult::maxHosts)
             .max()
             .orElse(0);
     out.printf(
         Locale.ROOT,
-        "prove-roll: %s, %d of %d rolls ended as they had to, %d boxes had a bad release at most, "
-            + "%d troubles, %d drivers, %d broken rules; with the judge off a bad one %s, with epochs off %s%n",
-        whole ? "holds" : "falls short",
-        holds,
-        all.size(),
-        had,
-        all.stream().mapToInt(Played::troubles).sum(),
-        all.stream().mapToInt(Played::drivers).sum(),
-        broken,
-        brief ? "is not played" : unjudged ? "goes everywhere" : "does not go everywhere",
+        "prove-roll: %s, %d of %d rollouts ended as expected, at most %d hosts had a bad release, "
+            + "%d faults, %d controllers, %d broken rules; without the canary analysis a bad one %s, without the fence %s%n",
+        allHold ? "holds" : "falls short",
+        successful,
+        results.size(),
+        maxHostsWithBadRelease,
+        results.stream().mapToInt(RolloutResult::faults).sum(),
+        results.stream().mapToInt(RolloutResult::controllers).sum(),
+        brokenRules,
+        brief ? "was not run" : spreadsWithoutAnalysis ? "reaches all hosts" : "does not reach all hosts",
         brief
-            ? "nothing is played"
-            : unfenced > 0 ? "two drivers steer" : "one driver steers all the same");
-    return whole;
+            ? "nothing was run"
+            : ordersWithoutFence > 0 ? "two controllers send orders" : "only one controller sends orders");
+    return allHold;
   }
 
   static boolean prove(long seed, boolean brief, PrintStream out) throws Exception {
--- a/src/test/java/wharftrestle/prove/Unbounded.java
+++ b/src/test/java/wharftrestle/prove/Unbounded.java
@@ -5,19 +5,19 @@
 import wharftrestle.idempotency.KeyMemoryBudget;
 
 /**
- * The daemon with no bound on what it knows of keys: what a proof plays beside the real one, and
- * never more.
+ * The daemon without a memory budget of the key table. A proof runs it to see that memory then grows
+ * past its limit.
  */
 public final class Unbounded {
   private Unbounded() {}
 
   public static void main(String[] args) throws Exception {
-    Lifecycle life =
+    Lifecycle lifecycle =
         new Lifecycle(
             DaemonConfig.read(System.getenv()),
             DaemonConfig.Appliance.none(),
             KeyMemoryBudget.unbounded());
-    life.start();
-    life.serveUntilStopped();
+    lifecycle.start();
+    lifecycle.serveUntilStopped();
   }
 }
--- a/src/test/java/wharftrestle/prove/Unfenced.java
+++ b/src/test/java/wharftrestle/prove/Unfenced.java
@@ -19,8 +19,9 @@
 import wharftrestle.transport.Address;
 
 /**
- * A keeper that obeys whoever calls: all drivers are one to it, of one epoch, and each is told that
- * it is the one. What a proof plays beside the real one, and never more.
+ * A supervisor without the epoch fence: it presents all controllers to the real supervisor as one,
+ * and answers each as if it held the lease. A proof runs it to see that two controllers then
+ * conflict.
  */
 public final class Unfenced {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -28,69 +29,73 @@
   private Unfenced() {}
 
   public static void main(String[] args) throws Exception {
-    List<String> words = new ArrayList<>(Arrays.asList(args));
-    int at = words.indexOf("--fleet") + 1;
-    InetSocketAddress front = Address.of(words.get(at));
-    int behind = Address.freePort();
-    words.set(at, "127.0.0.1:" + behind);
+    List<String> arguments = new ArrayList<>(Arrays.asList(args));
+    int addressIndex = arguments.indexOf("--fleet") + 1;
+    InetSocketAddress publicAddress = Address.of(arguments.get(addressIndex));
+    int supervisorPort = Address.freePort();
+    arguments.set(addressIndex, "127.0.0.1:" + supervisorPort);
     HttpClient client = HttpClient.newHttpClient();
     HttpServer server =
         HttpServer.create(
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), front.getPort()), 16);
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), publicAddress.getPort()), 16);
     server.setExecutor(Executors.newCachedThreadPool());
     server.createContext(
         "/",
-        call -> {
-          try (call;
-              InputStream in = call.getRequestBody()) {
-            URI to = URI.create("http://127.0.0.1:" + behind + call.getRequestURI());
+        exchange -> {
+          try (exchange;
+              InputStream in = exchange.getRequestBody()) {
+            URI uri = URI.create("http://127.0.0.1:" + supervisorPort + exchange.getRequestURI());
             byte[] body = in.readAllBytes();
-            HttpRequest.Builder request = HttpRequest.newBuilder(to);
-            ObjectNode asked = body.length == 0 ? null : (ObjectNode) JSON.readTree(body);
-            if (asked != null) {
-              boolean order = call.getRequestURI().getPath().equals("/order");
-              ObjectNode one =
-                  asked.deepCopy().put("driver", "anybody").put("epoch", Math.max(1, newest));
+            HttpRequest.Builder request = HttpRequest.newBuilder(uri);
+            ObjectNode originalBody = body.length == 0 ? null : (ObjectNode) JSON.readTree(body);
+            if (originalBody != null) {
+              boolean order = exchange.getRequestURI().getPath().equals("/order");
+              ObjectNode forwarded =
+                  originalBody
+                      .deepCopy()
+                      .put("driver", "anybody")
+                      .put("epoch", Math.max(1, lastEpoch));
               if (order) {
-                // A new epoch for each order, so that nothing but the driver's own lease holds it
-                // up.
+                // A new epoch for each order, so that only the controller's own lease can stop it.
                 ObjectNode claim =
-                    JSON.createObjectNode().put("driver", "anybody").put("epoch", epoch());
+                    JSON.createObjectNode().put("driver", "anybody").put("epoch", nextEpoch());
                 ObjectNode granted =
                     send(
                         client,
-                        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + behind + "/claim"))
+                        HttpRequest.newBuilder(
+                                URI.create("http://127.0.0.1:" + supervisorPort + "/claim"))
                             .POST(HttpRequest.BodyPublishers.ofString(claim.toString()))
                             .build());
-                one.put("epoch", granted.path("epoch").asLong())
+                forwarded
+                    .put("epoch", granted.path("epoch").asLong())
                     .put("stamp", granted.path("stamp").asLong());
               }
-              request.POST(HttpRequest.BodyPublishers.ofString(one.toString()));
+              request.POST(HttpRequest.BodyPublishers.ofString(forwarded.toString()));
             }
-            ObjectNode answer = send(client, request.build());
-            if (asked != null) {
-              answer
-                  .put("epoch", asked.path("epoch").asLong())
-                  .put("driver", asked.path("driver").asText());
-              if (answer.path("answer").asText().equals("FENCED")) {
-                answer.put("answer", "STAMPED").put("stamp", 1);
+            ObjectNode reply = send(client, request.build());
+            if (originalBody != null) {
+              reply
+                  .put("epoch", originalBody.path("epoch").asLong())
+                  .put("driver", originalBody.path("driver").asText());
+              if (reply.path("answer").asText().equals("FENCED")) {
+                reply.put("answer", "STAMPED").put("stamp", 1);
               }
-              answer.put("stamp", Math.max(1, answer.path("stamp").asLong()));
+              reply.put("stamp", Math.max(1, reply.path("stamp").asLong()));
             }
-            byte[] back = JSON.writeValueAsBytes(answer);
-            call.sendResponseHeaders(200, back.length);
-            call.getResponseBody().write(back);
+            byte[] replyBytes = JSON.writeValueAsBytes(reply);
+            exchange.sendResponseHeaders(200, replyBytes.length);
+            exchange.getResponseBody().write(replyBytes);
           }
         });
     server.start();
-    Main.main(words.toArray(new String[0]));
+    Main.main(arguments.toArray(new String[0]));
   }
 
-  private static volatile long newest = 1;
+  private static volatile long lastEpoch = 1;
 
-  /** A new epoch for each order. */
-  private static synchronized long epoch() {
-    return ++newest;
+  /** Returns a new epoch, higher than all earlier ones. */
+  private static synchronized long nextEpoch() {
+    return ++lastEpoch;
   }
 
   private static ObjectNode send(HttpClient client, HttpRequest request) throws IOException {
--- a/src/test/java/wharftrestle/prove/UnusableStartTest.java
+++ b/src/test/java/wharftrestle/prove/UnusableStartTest.java
@@ -17,15 +17,15 @@
 import wharftrestle.testbed.HostTestbed;
 
 /**
- * A configuration, or arguments, with which no daemon can be: one line, exit 2, and no address was
- * asked for.
+ * A start with an invalid configuration or invalid arguments prints one line and exits with code 2,
+ * before it binds an address.
  */
 class UnusableStartTest {
   private static final long WAIT_S = 20;
 
   @TempDir private Path folder;
 
-  /** What such a start says: its one line. */
+  /** Starts the daemon and returns its single line of output. */
   private String start(String config, String... arguments) throws Exception {
     Path file = folder.resolve("config.json");
     Files.deleteIfExists(file);
@@ -49,60 +49,60 @@
     builder.environment().put("EDGE_CONFIG", file.toString());
     Process process = builder.start();
     try {
-      String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
       assertTrue(process.waitFor(WAIT_S, TimeUnit.SECONDS));
-      assertEquals(2, process.exitValue(), said);
-      assertEquals(1, said.lines().count(), said);
-      return said;
+      assertEquals(2, process.exitValue(), output);
+      assertEquals(1, output.lines().count(), output);
+      return output;
     } finally {
       process.destroyForcibly();
     }
   }
 
   @Test
-  void isOneLineAndExitTwoBeforeAnyAddressIsAskedFor() throws Exception {
-    // The address to listen at is taken: whoever asked for it would say so, and not what else is
-    // wrong.
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      String whole = config(taken.getLocalPort());
-      String[][] wrongs = {
+  void unusableStartPrintsOneLineAndExitsTwoBeforeBindingAnAddress() throws Exception {
+    // The listen address is in use: a daemon that binds it first would report that instead of the
+    // invalid configuration.
+    try (ServerSocket occupiedPort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      String validConfig = config(occupiedPort.getLocalPort());
+      String[][] cases = {
         {null, "cannot be read"},
         {"{", "is no JSON"},
         {"[]", "settings"},
         {"{}", "settings"},
         {
-          whole.replaceFirst("\"pool\": \"[^\"]*\"", "\"pool\": \"nowhere\""),
+          validConfig.replaceFirst("\"pool\": \"[^\"]*\"", "\"pool\": \"nowhere\""),
           "'pool' is no address: 'nowhere'"
         },
         {
-          whole.replaceFirst("\"naming\": \"[^\"]*\"", "\"naming\": 7"),
+          validConfig.replaceFirst("\"naming\": \"[^\"]*\"", "\"naming\": 7"),
           "'naming' is no address: '7'"
         },
         {
-          whole.replaceFirst("\"seed\": \"[^\"]*\"", "\"seed\": \"much\""),
+          validConfig.replaceFirst("\"seed\": \"[^\"]*\"", "\"seed\": \"much\""),
           "'seed' is no hexadecimal number"
         },
-        {whole.replace("idempotency_key", "sometimes"), "unknown repeat 'sometimes'"},
-        {whole.substring(0, whole.length() / 2), "is no JSON"},
+        {validConfig.replace("idempotency_key", "sometimes"), "unknown repeat 'sometimes'"},
+        {validConfig.substring(0, validConfig.length() / 2), "is no JSON"},
       };
-      for (String[] wrong : wrongs) {
-        String said = start(wrong[0], "serve");
-        assertTrue(said.startsWith("wharftrestle: ") && said.contains(wrong[1]), said);
-        assertTrue(!said.contains("cannot listen"), said);
+      for (String[] invalidCase : cases) {
+        String output = start(invalidCase[0], "serve");
+        assertTrue(output.startsWith("wharftrestle: ") && output.contains(invalidCase[1]), output);
+        assertTrue(!output.contains("cannot listen"), output);
       }
       assertTrue(
-          start(whole, "serve").contains("cannot listen"),
-          "with nothing else wrong it asks for it");
-      assertTrue(start(whole, "serve", "--what").contains("--what"));
-      assertTrue(start(whole, "surve").contains("surve"));
+          start(validConfig, "serve").contains("cannot listen"),
+          "a valid configuration reaches the bind");
+      assertTrue(start(validConfig, "serve", "--what").contains("--what"));
+      assertTrue(start(validConfig, "surve").contains("surve"));
     }
   }
 
-  /** A configuration with which a daemon could be, but for its address. */
+  /** A configuration that is valid except for the address in use. */
   private String config(int port) throws IOException {
-    Path other = Files.createDirectories(folder.resolve("floor"));
-    try (HostTestbed floor = new HostTestbed(other, "", 7, HostTestbed.Play.of(192))) {
-      return Files.readString(other.resolve("config.json"))
+    Path testbedFolder = Files.createDirectories(folder.resolve("floor"));
+    try (HostTestbed testbed = new HostTestbed(testbedFolder, "", 7, HostTestbed.Play.of(192))) {
+      return Files.readString(testbedFolder.resolve("config.json"))
           .replaceFirst("\"listen\": \"[^\"]*\"", "\"listen\": \"127.0.0.1:" + port + "\"");
     }
   }
--- a/src/test/java/wharftrestle/simulation/ServedShareFloorTest.java
+++ b/src/test/java/wharftrestle/simulation/ServedShareFloorTest.java
@@ -11,176 +11,185 @@
 import wharftrestle.admission.Admission;
 
 /**
- * Each class and each third of a day has its floor, with the shipped policy on a fleet in virtual
- * time. The yardstick is what the cores of all boxes can do, given to classes by worth: no policy
- * serves more worth. Floors are as the standing test has them: half of it for each class, a fifth
- * in each third; a class of which it serves under 0.3 is left out.
+ * Guards against starvation: on a simulated fleet with the real admission controller, each class
+ * and each phase has a minimum share of what could be served. The reference is the capacity of all
+ * cores assigned to the classes by weight; no admission policy serves more value. The minimum is
+ * half of the reference for each class and a fifth in each phase; a class of which the reference
+ * serves less than 0.3 is left out.
  */
 class ServedShareFloorTest {
-  private static final double THIRD = 20;
-  private static final double A_THIRD = 0.2;
-  private static final double A_CLASS = 0.5;
-  private static final double LEAST = 0.3;
+  private static final double PHASE_SECONDS = 20;
+  private static final double MIN_PHASE_SHARE = 0.2;
+  private static final double MIN_CLASS_SHARE = 0.5;
+  private static final double MIN_POSSIBLE_SHARE = 0.3;
   private static final double[] SHARES = SimulatedFleet.SHARES;
 
-  /** What goes wrong in the second third. */
-  private interface Trouble {
+  /** A fault in the second of three phases. */
+  private interface Fault {
     /**
-     * By how much the part of the cores that is needed is greater then; 1 for a trouble that costs
-     * none.
+     * Starts the fault and returns the factor by which the needed part of the cores grows; 1 for a
+     * fault that costs no capacity.
      */
-    double strike(SimulatedFleet fleet);
+    double startFault(SimulatedFleet fleet);
 
-    void over(SimulatedFleet fleet);
+    void endFault(SimulatedFleet fleet);
   }
 
-  /** Half as much again, or a flood. */
-  private record Burst(double factor) implements Trouble {
+  /** More requests. */
+  private record Burst(double factor) implements Fault {
     @Override
-    public double strike(SimulatedFleet fleet) {
-      fleet.burst(factor);
+    public double startFault(SimulatedFleet fleet) {
+      fleet.setLoadFactor(factor);
       return factor;
     }
 
     @Override
-    public void over(SimulatedFleet fleet) {
-      fleet.burst(1);
+    public void endFault(SimulatedFleet fleet) {
+      fleet.setLoadFactor(1);
     }
   }
 
-  /** Each other box is slower. */
-  private record Slow(double factor) implements Trouble {
-    private static void all(SimulatedFleet fleet, double factor) {
-      IntStream.range(0, fleet.boxes.size())
+  /** Every second host is slower. */
+  private record Slow(double factor) implements Fault {
+    private static void slowAlternateHosts(SimulatedFleet fleet, double factor) {
+      IntStream.range(0, fleet.hosts.size())
           .filter(i -> i % 2 == 0)
-          .forEach(i -> fleet.boxes.get(i).slow(factor));
+          .forEach(i -> fleet.hosts.get(i).setSpeedFactor(factor));
     }
 
     @Override
-    public double strike(SimulatedFleet fleet) {
-      all(fleet, factor);
+    public double startFault(SimulatedFleet fleet) {
+      slowAlternateHosts(fleet, factor);
       return 2 / (1 + factor);
     }
 
     @Override
-    public void over(SimulatedFleet fleet) {
-      all(fleet, 1);
+    public void endFault(SimulatedFleet fleet) {
+      slowAlternateHosts(fleet, 1);
     }
   }
 
-  /** Three in ten boxes lose all that is in hand and come back cold at its end. */
-  private record Die() implements Trouble {
-    private static List<SimulatedHost> some(SimulatedFleet fleet) {
-      return fleet.boxes.subList(0, fleet.boxes.size() * 3 / 10);
+  /** Three in ten hosts crash, lose all requests in flight, and restart cold at the end. */
+  private record Crash() implements Fault {
+    private static List<SimulatedHost> crashedHosts(SimulatedFleet fleet) {
+      return fleet.hosts.subList(0, fleet.hosts.size() * 3 / 10);
     }
 
     @Override
-    public double strike(SimulatedFleet fleet) {
-      some(fleet).forEach(SimulatedHost::die);
-      return 1 / (1 - (double) some(fleet).size() / fleet.boxes.size());
+    public double startFault(SimulatedFleet fleet) {
+      crashedHosts(fleet).forEach(SimulatedHost::crash);
+      return 1 / (1 - (double) crashedHosts(fleet).size() / fleet.hosts.size());
     }
 
     @Override
-    public void over(SimulatedFleet fleet) {
-      some(fleet).forEach(each -> each.start(SimulatedHost.Flaw.none(SHARES.length), false));
+    public void endFault(SimulatedFleet fleet) {
+      crashedHosts(fleet)
+          .forEach(host -> host.start(SimulatedHost.Defects.none(SHARES.length), false));
     }
   }
 
-  /** Served in time so far, by class. */
+  /** Requests served within their latency objective so far, by class. */
   private static double[] served(SimulatedFleet fleet) {
     return IntStream.range(0, SHARES.length)
         .mapToDouble(
             type ->
-                fleet.boxes.stream()
-                    .mapToLong(each -> each.tally().served[type] - each.tally().late[type])
+                fleet.hosts.stream()
+                    .mapToLong(host -> host.tally().served[type] - host.tally().late[type])
                     .sum())
         .toArray();
   }
 
-  /** What could be served of so many requests a class: by worth, until the cores are full. */
-  private static double[] yardstick(SimulatedFleet fleet, double asked, double needed) {
-    double[] most = new double[SHARES.length];
-    double left = asked / needed;
+  /** Requests that could be served, by class: in the order of weight, until the cores are full. */
+  private static double[] possiblyServed(
+      SimulatedFleet fleet, double requests, double neededUtilization) {
+    double[] possible = new double[SHARES.length];
+    double remaining = requests / neededUtilization;
     for (int type :
         IntStream.range(0, SHARES.length)
             .boxed()
             .sorted(Comparator.comparing(i -> -fleet.settings.classes().get(i).weight()))
             .toList()) {
-      most[type] = Math.min(left, asked * SHARES[type]);
-      left -= most[type];
+      possible[type] = Math.min(remaining, requests * SHARES[type]);
+      remaining -= possible[type];
     }
-    return most;
+    return possible;
   }
 
-  /** What fell under its floor; empty for nothing. */
-  private static String play(Trouble trouble, double load, long seed, double refuses) {
+  /** Runs a simulation and describes the first violation; empty for none. */
+  private static String findViolation(
+      Fault fault, double load, long seed, double rejectProbability) {
     SimulatedFleet.Site site = new SimulatedFleet.Site(14, 3, 12, load, 0.5, 0);
     SimulatedFleet fleet = new SimulatedFleet(site, seed);
-    if (refuses > 0) {
-      SimulatedHost.Flaw flaw =
-          new SimulatedHost.Flaw(0, new double[SHARES.length], refuses, 0, 0, 0);
-      fleet.boxes.forEach(each -> each.start(flaw, true));
+    if (rejectProbability > 0) {
+      SimulatedHost.Defects defects =
+          new SimulatedHost.Defects(0, new double[SHARES.length], rejectProbability, 0, 0, 0);
+      fleet.hosts.forEach(host -> host.start(defects, true));
     }
-    double[] worths =
+    double[] weights =
         fleet.settings.classes().stream().mapToDouble(Admission.RequestClass::weight).toArray();
-    double[] whole = new double[SHARES.length];
-    double[] best = new double[SHARES.length];
-    double all = 0;
-    for (int third = 1; third <= 3; third++) {
-      double[] before = served(fleet);
-      double factor = third == 2 ? trouble.strike(fleet) : 1;
-      double asked = THIRD * site.rate() * site.boxes() * (trouble instanceof Burst ? factor : 1);
-      fleet.agenda.runTo(third * THIRD);
-      if (third == 2) {
-        trouble.over(fleet);
+    double[] servedByClass = new double[SHARES.length];
+    double[] possibleByClass = new double[SHARES.length];
+    double totalRequests = 0;
+    for (int phase = 1; phase <= 3; phase++) {
+      double[] servedBefore = served(fleet);
+      double factor = phase == 2 ? fault.startFault(fleet) : 1;
+      double requests =
+          PHASE_SECONDS
+              * site.requestsPerSecond()
+              * site.hosts()
+              * (fault instanceof Burst ? factor : 1);
+      fleet.eventQueue.runTo(phase * PHASE_SECONDS);
+      if (phase == 2) {
+        fault.endFault(fleet);
       }
-      double[] now = served(fleet);
-      double[] most = yardstick(fleet, asked, Math.max(1, load * factor));
-      double worth = 0;
-      double could = 0;
+      double[] servedNow = served(fleet);
+      double[] possible = possiblyServed(fleet, requests, Math.max(1, load * factor));
+      double servedValue = 0;
+      double possibleValue = 0;
       for (int type = 0; type < SHARES.length; type++) {
-        whole[type] += now[type] - before[type];
-        best[type] += most[type];
-        worth += (now[type] - before[type]) * worths[type];
-        could += most[type] * worths[type];
+        servedByClass[type] += servedNow[type] - servedBefore[type];
+        possibleByClass[type] += possible[type];
+        servedValue += (servedNow[type] - servedBefore[type]) * weights[type];
+        possibleValue += possible[type] * weights[type];
       }
-      all += asked;
-      if (worth < A_THIRD * could) {
-        return trouble + ", third " + third + ": worth " + worth + " of " + could;
+      totalRequests += requests;
+      if (servedValue < MIN_PHASE_SHARE * possibleValue) {
+        return fault + ", phase " + phase + ": value " + servedValue + " of " + possibleValue;
       }
     }
     for (int type = 0; type < SHARES.length; type++) {
-      if (best[type] >= LEAST * all * SHARES[type] && whole[type] < A_CLASS * best[type]) {
-        return trouble
+      if (possibleByClass[type] >= MIN_POSSIBLE_SHARE * totalRequests * SHARES[type]
+          && servedByClass[type] < MIN_CLASS_SHARE * possibleByClass[type]) {
+        return fault
             + ", class "
             + type
             + ": "
-            + Arrays.toString(whole)
+            + Arrays.toString(servedByClass)
             + " of "
-            + Arrays.toString(best);
+            + Arrays.toString(possibleByClass);
       }
     }
     return "";
   }
 
-  private static List<Trouble> troubles() {
-    return List.of(new Burst(1.5), new Burst(3), new Slow(0.3), new Die());
+  private static List<Fault> faults() {
+    return List.of(new Burst(1.5), new Burst(3), new Slow(0.3), new Crash());
   }
 
   @Test
-  void noClassAndNoThirdOfADayGoesUnderItsFloor() {
+  void everyClassAndEveryPhaseKeepsItsServedShareFloor() {
     for (long seed = 1; seed <= 4; seed++) {
-      for (Trouble trouble : troubles()) {
-        assertEquals("", play(trouble, 0.85, seed, 0), "seed " + seed);
-        assertEquals("", play(trouble, 0.6, seed, 0), "seed " + seed);
+      for (Fault fault : faults()) {
+        assertEquals("", findViolation(fault, 0.85, seed, 0), "seed " + seed);
+        assertEquals("", findViolation(fault, 0.6, seed, 0), "seed " + seed);
       }
     }
   }
 
   @Test
-  void boxesThatTurnMostAwayAreFoundToDoSo() {
-    for (Trouble trouble : troubles()) {
-      assertNotEquals("", play(trouble, 0.6, 1, 0.8));
+  void hostsThatRejectMostRequestsViolateTheFloor() {
+    for (Fault fault : faults()) {
+      assertNotEquals("", findViolation(fault, 0.6, 1, 0.8));
     }
   }
 }
--- a/src/test/java/wharftrestle/testbed/PausedProcessTest.java
+++ b/src/test/java/wharftrestle/testbed/PausedProcessTest.java
@@ -12,61 +12,61 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The process that handed over sleeps, the one that took over runs what it could not tell it, and
- * is killed.
+ * Guards against a second execution of requests after a handover: the predecessor is paused, so the
+ * successor cannot report its executions to it; then the successor is killed and the predecessor
+ * resumes.
  */
 @Timeout(90)
 class PausedProcessTest {
-  private static final long READY_MS = 20_000;
+  private static final long READY_TIMEOUT_MS = 20_000;
 
-  /** More words than the socket between the two can hold. */
-  private static final int MOST = 600;
+  /** More requests than the socket buffer between the processes holds reports. */
+  private static final int MAX_REQUESTS = 600;
 
   @TempDir private Path folder;
 
   @Test
-  void whatRanWhileTheFormerOwnerSleptDoesNotRunAgain() throws Exception {
-    try (HostTestbed floor = new HostTestbed(folder, "", 12, HostTestbed.Play.of(192))) {
+  void executionsDuringAPauseOfThePredecessorAreNotRepeated() throws Exception {
+    try (HostTestbed testbed = new HostTestbed(folder, "", 12, HostTestbed.Play.of(192))) {
       HostTestbed.Version version =
-          new HostTestbed.Version(null, "wharftrestle.Main", floor.settings(), "");
-      DaemonProcess old = floor.begin(version);
-      assertTrue(old.awaitReady(READY_MS), old::toString);
-      DaemonProcess next = floor.begin(version);
-      assertTrue(next.awaitReady(READY_MS), old::toString);
-      old.stopped(true);
-      List<String> unheard = new ArrayList<>();
-      try (TestClient desk = new TestClient(floor.address())) {
-        // A run whose word finds no room in the socket waits a second for it: from the first such
-        // one on.
-        for (int i = 0; i < MOST && unheard.size() < 3; i++) {
+          new HostTestbed.Version(null, "wharftrestle.Main", testbed.settings(), "");
+      DaemonProcess predecessor = testbed.begin(version);
+      assertTrue(predecessor.awaitReady(READY_TIMEOUT_MS), predecessor::toString);
+      DaemonProcess successor = testbed.begin(version);
+      assertTrue(successor.awaitReady(READY_TIMEOUT_MS), predecessor::toString);
+      predecessor.setPaused(true);
+      List<String> unreportedKeys = new ArrayList<>();
+      try (TestClient client = new TestClient(testbed.address())) {
+        // An execution whose report does not fit the socket buffer waits a second for it.
+        for (int i = 0; i < MAX_REQUESTS && unreportedKeys.size() < 3; i++) {
           String key = "k" + i;
-          long began = System.nanoTime();
-          assertEquals("done", desk.ask("save", 100 + i, key, body(key)).word());
-          if (System.nanoTime() - began > 900_000_000L) {
-            unheard.add(key);
+          long startedAt = System.nanoTime();
+          assertEquals("done", client.ask("save", 100 + i, key, body(key)).word());
+          if (System.nanoTime() - startedAt > 900_000_000L) {
+            unreportedKeys.add(key);
           }
         }
       }
-      assertFalse(unheard.isEmpty(), "the socket was never full");
-      next.kill();
-      old.stopped(false);
-      assertTrue(old.awaitReady(READY_MS), old::toString);
-      try (TestClient desk = new TestClient(floor.address())) {
-        for (String key : unheard) {
+      assertFalse(unreportedKeys.isEmpty(), "the socket was never full");
+      successor.kill();
+      predecessor.setPaused(false);
+      assertTrue(predecessor.awaitReady(READY_TIMEOUT_MS), predecessor::toString);
+      try (TestClient client = new TestClient(testbed.address())) {
+        for (String key : unreportedKeys) {
           assertEquals(
               "error",
-              desk.ask("save", 5000 + unheard.indexOf(key), key, body(key)).word(),
-              "nobody knows what became of it");
+              client.ask("save", 5000 + unreportedKeys.indexOf(key), key, body(key)).word(),
+              "the outcome is unknown");
         }
         assertEquals(
-            "done", desk.ask("save", 6000, "k0", body("k0")).word(), "what was heard is known");
-        assertEquals("done", desk.ask("read", 6001, null, "x").word());
+            "done", client.ask("save", 6000, "k0", body("k0")).word(), "the predecessor has the reported result");
+        assertEquals("done", client.ask("read", 6001, null, "x").word());
       }
-      assertEquals(0, floor.doubleRuns());
+      assertEquals(0, testbed.doubleRuns());
     }
   }
 
-  /** As long as a body may be, so that few words fill the socket. */
+  /** A long body, so that few requests fill the socket buffer. */
   private static String body(String key) {
     return key + "\n" + "x".repeat(1500);
   }
--- a/src/test/java/wharftrestle/testbed/TestbedTest.java
+++ b/src/test/java/wharftrestle/testbed/TestbedTest.java
@@ -38,26 +38,26 @@
 import wharftrestle.transport.BoundedReader;
 
 /**
- * The rig itself: links that fail as told, scripts that are refused with their place, checkers that
- * see what is wrong.
+ * Tests the test environment itself: fault-injecting proxies, errors of fault scripts, and checkers
+ * that detect each broken rule.
  */
 @Timeout(60)
 class TestbedTest {
-  /** Enough that resets arrive before, within and after the connecting. */
+  /** Enough that resets arrive before, during and after the connection is made. */
   private static final int REFUSED_CONNECTIONS = 3000;
 
-  private static final InetAddress HOST = InetAddress.getLoopbackAddress();
+  private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-  // ---- What a link decides ----
+  // ---- Fault rules ----
 
   @Property(tries = 200)
-  void aStreamKeepsItsOrderWhateverItsDelayAndRate(
+  void streamKeepsItsOrderWithDelayAndRateLimit(
       @ForAll long seed,
       @ForAll @IntRange(max = 200) int jitter,
       @ForAll @IntRange(min = 1, max = 1000) int rate) {
-    FaultRule wire = new FaultRule(seed);
-    wire.trouble(FaultRule.Trouble.DELAY, 10, jitter);
-    wire.trouble(FaultRule.Trouble.RATE, rate, 0);
+    FaultRule rule = new FaultRule(seed);
+    rule.apply(FaultRule.Effect.DELAY, 10, jitter);
+    rule.apply(FaultRule.Effect.RATE, rate, 0);
     Random random = new Random(seed);
     double now = 0;
     double last = 0;
@@ -65,7 +65,7 @@
     for (int i = 0; i < 100; i++) {
       int bytes = 1 + random.nextInt(5000);
       sent += bytes;
-      double at = wire.passes(bytes, now);
+      double at = rule.deliveryTime(bytes, now);
       assertTrue(at >= last && at >= now + 10, "in order, and not before its delay");
       assertTrue(at >= (double) sent / rate - 1e-6, "not faster than its rate");
       last = at;
@@ -74,38 +74,38 @@
   }
 
   @Test
-  void theSameSeedLosesTheSameDatagrams() {
+  void sameSeedDropsTheSameDatagrams() {
     FaultRule one = new FaultRule(7);
     FaultRule two = new FaultRule(7);
     int lost = 0;
     int twice = 0;
-    for (FaultRule wire : new FaultRule[] {one, two}) {
-      wire.trouble(FaultRule.Trouble.DROP, 0.3, 0);
-      wire.trouble(FaultRule.Trouble.DOUBLE, 0.2, 0);
-      wire.trouble(FaultRule.Trouble.REORDER, 0.1, 0);
+    for (FaultRule rule : new FaultRule[] {one, two}) {
+      rule.apply(FaultRule.Effect.DROP, 0.3, 0);
+      rule.apply(FaultRule.Effect.DOUBLE, 0.2, 0);
+      rule.apply(FaultRule.Effect.REORDER, 0.1, 0);
     }
     for (int i = 0; i < 1000; i++) {
-      double[] copies = one.datagram(i);
-      assertArrayEquals(copies, two.datagram(i));
+      double[] copies = one.datagramDeliveries(i);
+      assertArrayEquals(copies, two.datagramDeliveries(i));
       lost += copies.length == 0 ? 1 : 0;
       twice += copies.length == 2 ? 1 : 0;
     }
     assertTrue(lost > 250 && lost < 350, "lost " + lost);
     assertTrue(twice > 100 && twice < 180, "doubled " + twice);
     one.heal();
-    assertEquals(1, one.datagram(5000).length);
+    assertEquals(1, one.datagramDeliveries(5000).length);
   }
 
-  // ---- Links ----
+  // ---- Proxies ----
 
-  private interface Story {
-    void tell(FaultProxy link, Socket caller, InputStream in) throws Exception;
+  private interface ProxyTest {
+    void run(FaultProxy proxy, Socket client, InputStream in) throws Exception;
   }
 
-  /** A caller's connection through a link to a server that sends back what it reads. */
-  private static void withEcho(Story story) throws Exception {
-    try (ServerSocket server = new ServerSocket(0, 50, HOST);
-        FaultProxy link = new FaultProxy((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
+  /** Runs a test with a client connected through a proxy to an echo server. */
+  private static void withEcho(ProxyTest test) throws Exception {
+    try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK);
+        FaultProxy proxy = new FaultProxy((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
       Thread echo =
           new Thread(
               () -> {
@@ -127,27 +127,27 @@
                 }
               });
       echo.start();
-      try (Socket caller = new Socket(HOST, link.address().getPort())) {
-        caller.setSoTimeout(10_000);
-        caller.setTcpNoDelay(true);
-        story.tell(link, caller, caller.getInputStream());
+      try (Socket client = new Socket(LOOPBACK, proxy.address().getPort())) {
+        client.setSoTimeout(10_000);
+        client.setTcpNoDelay(true);
+        test.run(proxy, client, client.getInputStream());
       }
     }
   }
 
   @Test
-  void aHoleInOneDirectionHoldsWhatWasSentUntilItIsHealed() throws Exception {
+  void blackholeDelaysStreamBytesUntilItIsHealed() throws Exception {
     withEcho(
-        (link, caller, in) -> {
-          caller.getOutputStream().write('a');
+        (proxy, client, in) -> {
+          client.getOutputStream().write('a');
           assertEquals('a', in.read());
-          link.trouble(FaultRule.Trouble.HOLE, 0, 0, false, true);
-          caller.getOutputStream().write('b');
-          caller.setSoTimeout(200);
+          proxy.apply(FaultRule.Effect.HOLE, 0, 0, false, true);
+          client.getOutputStream().write('b');
+          client.setSoTimeout(200);
           assertThrows(SocketTimeoutException.class, in::read);
-          link.heal();
-          caller.setSoTimeout(10_000);
-          assertEquals('b', in.read(), "nothing was lost");
+          proxy.heal();
+          client.setSoTimeout(10_000);
+          assertEquals('b', in.read(), "no byte was lost");
         });
   }
 
@@ -169,12 +169,12 @@
   }
 
   @Test
-  void aCutEndsConnectionsAndRefusesFurtherOnesUntilItIsHealed() throws Exception {
+  void cutResetsConnectionsAndRefusesNewOnesUntilItIsHealed() throws Exception {
     withEcho(
-        (link, caller, in) -> {
-          caller.getOutputStream().write('a');
+        (proxy, client, in) -> {
+          client.getOutputStream().write('a');
           assertEquals('a', in.read());
-          link.cut();
+          proxy.cut();
           assertThrows(
               IOException.class,
               () -> {
@@ -184,55 +184,55 @@
               });
           // The reset of a refused connection may arrive while it is still being made.
           for (int i = 0; i < REFUSED_CONNECTIONS; i++) {
-            assertThrows(IOException.class, () -> readThrough(link.address()));
+            assertThrows(IOException.class, () -> readThrough(proxy.address()));
           }
-          link.heal();
-          try (Socket again = new Socket(HOST, link.address().getPort())) {
-            again.getOutputStream().write('c');
-            assertEquals('c', again.getInputStream().read());
+          proxy.heal();
+          try (Socket repeated = new Socket(LOOPBACK, proxy.address().getPort())) {
+            repeated.getOutputStream().write('c');
+            assertEquals('c', repeated.getInputStream().read());
           }
         });
   }
 
   @Test
-  void aDelayIsKeptAndAHalfCloseEndsOneWayAlone() throws Exception {
+  void delayAppliesToBothDirectionsAndHalfCloseToOne() throws Exception {
     withEcho(
-        (link, caller, in) -> {
-          link.trouble(FaultRule.Trouble.DELAY, 60, 0, true, true);
+        (proxy, client, in) -> {
+          proxy.apply(FaultRule.Effect.DELAY, 60, 0, true, true);
           long began = System.nanoTime();
-          caller.getOutputStream().write('a');
+          client.getOutputStream().write('a');
           assertEquals('a', in.read());
           assertTrue(
-              System.nanoTime() - began >= TimeUnit.MILLISECONDS.toNanos(119), "there and back");
-          link.heal();
-          link.halfClose();
-          assertEquals(-1, in.read(), "the server saw an end, and ended in turn");
+              System.nanoTime() - began >= TimeUnit.MILLISECONDS.toNanos(119), "delayed in both directions");
+          proxy.heal();
+          proxy.halfClose();
+          assertEquals(-1, in.read(), "the server read the end of the stream and closed its side");
         });
   }
 
   @Test
-  void datagramsGoThereAndBackAndAHoleLosesThem() throws Exception {
-    try (DatagramSocket server = new DatagramSocket(0, HOST);
-        DatagramSocket caller = new DatagramSocket(0, HOST);
-        FaultProxy link = new FaultProxy((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
+  void datagramsAreForwardedAndABlackholeDropsThem() throws Exception {
+    try (DatagramSocket server = new DatagramSocket(0, LOOPBACK);
+        DatagramSocket client = new DatagramSocket(0, LOOPBACK);
+        FaultProxy proxy = new FaultProxy((InetSocketAddress) server.getLocalSocketAddress(), 7)) {
       server.setSoTimeout(5000);
-      DatagramPacket told = new DatagramPacket(new byte[10], 10);
-      caller.send(new DatagramPacket(BoundedReader.ascii("one"), 3, link.address()));
-      server.receive(told);
-      assertEquals(3, told.getLength());
-      server.send(new DatagramPacket(BoundedReader.ascii("back"), 4, told.getSocketAddress()));
-      caller.setSoTimeout(5000);
-      caller.receive(told);
-      assertEquals(4, told.getLength());
-      link.trouble(FaultRule.Trouble.HOLE, 0, 0, true, false);
-      caller.send(new DatagramPacket(BoundedReader.ascii("lost"), 4, link.address()));
+      DatagramPacket packet = new DatagramPacket(new byte[10], 10);
+      client.send(new DatagramPacket(BoundedReader.ascii("one"), 3, proxy.address()));
+      server.receive(packet);
+      assertEquals(3, packet.getLength());
+      server.send(new DatagramPacket(BoundedReader.ascii("back"), 4, packet.getSocketAddress()));
+      client.setSoTimeout(5000);
+      client.receive(packet);
+      assertEquals(4, packet.getLength());
+      proxy.apply(FaultRule.Effect.HOLE, 0, 0, true, false);
+      client.send(new DatagramPacket(BoundedReader.ascii("lost"), 4, proxy.address()));
       server.setSoTimeout(200);
-      assertThrows(SocketTimeoutException.class, () -> server.receive(told));
+      assertThrows(SocketTimeoutException.class, () -> server.receive(packet));
     }
   }
 
   @Test
-  void aLinkLeadsToLoopbackAlone() {
+  void proxyRejectsATargetOffLoopback() {
     assertThrows(
         IOException.class, () -> new FaultProxy(new InetSocketAddress("192.0.2.1", 80), 1));
   }
@@ -240,7 +240,7 @@
   // ---- Scripts ----
 
   @Test
-  void aScriptIsReadInTheOrderOfItsTimes() throws Exception {
+  void scriptStepsAreSortedByTime() throws Exception {
     FaultScript script =
         FaultScript.parse(
             "f.star",
@@ -250,7 +250,7 @@
                     at(2, cut(box, "pool"))
                 at(1, delay("b1", "front", 40, jitter = 5, way = "there"))
                 """);
-    assertEquals(9, script.play().seed());
+    assertEquals(9, script.run().seed());
     assertEquals(3, script.steps().size());
     assertEquals(
         new FaultScript.Step(
@@ -259,8 +259,8 @@
   }
 
   @Test
-  void whatIsWrongIsToldWithItsPlaceBeforeAnythingStarts() {
-    String[][] wrongs = {
+  void scriptErrorsNameLineAndColumn() {
+    String[][] cases = {
       {"at(1, cut(\"b1\"))", "f.star:1:7: cut needs path"},
       {
         "at(1, cut(\"b1\", \"moon\"))",
@@ -287,90 +287,89 @@
       },
       {"at(1, kill(\"b1\"), 3)", "f.star:1:19: at takes 2 values: time, fault"},
     };
-    for (String[] wrong : wrongs) {
+    for (String[] invalidCase : cases) {
       BadSettingsException e =
-          assertThrows(BadSettingsException.class, () -> FaultScript.parse("f.star", wrong[0]));
-      assertEquals(wrong[1], e.getMessage());
+          assertThrows(BadSettingsException.class, () -> FaultScript.parse("f.star", invalidCase[0]));
+      assertEquals(invalidCase[1], e.getMessage());
     }
   }
 
   @Test
-  void theScriptThatShipsCanBeRead() throws Exception {
-    assertEquals(3, FaultScript.read(Path.of("docs/examples/faults.star")).play().boxes());
+  void exampleScriptIsValid() throws Exception {
+    assertEquals(3, FaultScript.read(Path.of("docs/examples/faults.star")).run().hosts());
   }
 
-  // ---- Checkers: each is seen to fail on a daemon that breaks its rule ----
+  // ---- Checkers: each has to detect a daemon that breaks its rule ----
 
   private enum Mutant {
     NONE,
     RUNS_TWICE,
     REFUSES_AFTER_RUN,
-    GIVES_OTHER_BYTES,
+    SENDS_OTHER_BYTES,
     LOSES,
-    SAYS_WHAT_NOBODY_KNOWS,
+    SENDS_UNKNOWN_WORD,
     ANSWERS_TWICE,
     RUNS_AFTER_ITS_NOTICE,
     ANSWERS_WHEN_OVERDUE
   }
 
   /**
-   * Milliseconds in which the daemon of the checkers' stories owes an answer, and those after which
-   * one answers late.
+   * Deadline of the requests in the tests of the checkers, and the delay of a late reply.
    */
-  private static final long DUE_MS = 1000;
+  private static final long DEADLINE_MS = 1000;
 
-  private static final long LATE_MS = 1700;
+  private static final long LATE_REPLY_MS = 1700;
 
   /**
-   * A daemon in one thread that knows each key's result, and breaks one rule where it is told to.
+   * Runs clients against a fake daemon that keeps the result of each key and breaks at most one rule.
    */
-  private static TestClients.Tally play(Mutant mutant) throws Exception {
+  private static TestClients.Tally runMutant(Mutant mutant) throws Exception {
     try (FakeWorkerPool pool = new FakeWorkerPool(null, new Random(3), 5, 20);
-        ServerSocket front = new ServerSocket(0, 50, HOST)) {
+        ServerSocket front = new ServerSocket(0, 50, LOOPBACK)) {
       Thread daemon =
           new Thread(
               () -> {
                 try {
                   for (; ; ) {
-                    Socket caller = front.accept();
-                    new Thread(() -> serve(caller, pool, mutant)).start();
+                    Socket client = front.accept();
+                    new Thread(() -> serve(client, pool, mutant)).start();
                   }
                 } catch (IOException closed) {
                   return;
                 }
               });
       daemon.start();
-      TestClients callers =
+      TestClients clients =
           new TestClients(
               (InetSocketAddress) front.getLocalSocketAddress(),
               pool,
               System::currentTimeMillis,
-              TestClients.Habit.of(1, 9000),
-              DUE_MS,
+              TestClients.Workload.of(1, 9000),
+              DEADLINE_MS,
               11,
               () -> false);
       if (mutant == Mutant.RUNS_AFTER_ITS_NOTICE) {
-        callers.noticed(System.nanoTime() - TimeUnit.SECONDS.toNanos(3));
+        clients.recordLeaveNotice(System.nanoTime() - TimeUnit.SECONDS.toNanos(3));
       }
-      callers.start();
-      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-      while (callers.served() < 60
-          && System.nanoTime() < until
-          && (mutant == Mutant.NONE || callers.tally().holds())) {
+      clients.start();
+      long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+      while (clients.served() < 60
+          && System.nanoTime() < deadline
+          && (mutant == Mutant.NONE || clients.tally().holds())) {
         LockSupport.parkNanos(5_000_000);
       }
-      callers.stop();
-      return callers.tally();
+      clients.stop();
+      return clients.tally();
     }
   }
 
-  private static void serve(Socket caller, FakeWorkerPool pool, Mutant mutant) {
-    Map<String, byte[]> known = new HashMap<>();
-    try (caller;
-        Socket workers = new Socket(HOST, pool.address().getPort())) {
-      InputStream in = new BufferedInputStream(caller.getInputStream());
+  private static void serve(Socket client, FakeWorkerPool pool, Mutant mutant) {
+    Map<String, byte[]> resultsByBody = new HashMap<>();
+    try (client;
+        Socket workers = new Socket(LOOPBACK, pool.address().getPort())) {
+      InputStream in = new BufferedInputStream(client.getInputStream());
       InputStream runs = new BufferedInputStream(workers.getInputStream());
-      OutputStream out = caller.getOutputStream();
+      OutputStream out = client.getOutputStream();
       workers.getOutputStream().write(BoundedReader.ascii("bind 0\r\n"));
       BoundedReader.line(runs, 100);
       for (int request = 1; ; request++) {
@@ -380,19 +379,19 @@
           words[i] = new String(BoundedReader.exactly(in, length), StandardCharsets.ISO_8859_1);
           BoundedReader.crlf(in);
         }
-        byte[] result = known.get(words[4]);
-        boolean again = result != null;
+        byte[] result = resultsByBody.get(words[4]);
+        boolean repeated = result != null;
         if (mutant == Mutant.LOSES && request == 9) {
           return;
         }
         if (mutant == Mutant.ANSWERS_WHEN_OVERDUE && request == 9) {
-          LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LATE_MS));
+          LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LATE_REPLY_MS));
         }
-        if (again && mutant == Mutant.REFUSES_AFTER_RUN) {
+        if (repeated && mutant == Mutant.REFUSES_AFTER_RUN) {
           out.write(reply(words[1], "later", new byte[0]));
           continue;
         }
-        if (!again || mutant == Mutant.RUNS_TWICE) {
+        if (!repeated || mutant == Mutant.RUNS_TWICE) {
           workers
               .getOutputStream()
               .write(
@@ -408,17 +407,17 @@
           String[] end = BoundedReader.line(runs, 400).split(" ", 0);
           result = BoundedReader.exactly(runs, Integer.parseInt(end[5]));
           BoundedReader.crlf(runs);
-          known.put(words[4], result);
+          resultsByBody.put(words[4], result);
         }
-        byte[] told =
-            again && mutant == Mutant.GIVES_OTHER_BYTES
+        byte[] reply =
+            repeated && mutant == Mutant.SENDS_OTHER_BYTES
                 ? BoundedReader.join(result, BoundedReader.ascii("!"))
                 : result;
         if (mutant == Mutant.ANSWERS_TWICE && request == 9) {
-          out.write(reply(words[1], "done", told));
+          out.write(reply(words[1], "done", reply));
         }
         out.write(
-            reply(words[1], mutant == Mutant.SAYS_WHAT_NOBODY_KNOWS ? "perhaps" : "done", told));
+            reply(words[1], mutant == Mutant.SENDS_UNKNOWN_WORD ? "perhaps" : "done", reply));
       }
     } catch (IOException ended) {
       return;
@@ -444,77 +443,78 @@
   }
 
   @Test
-  void eachCheckerFailsOnADaemonThatBreaksItsRuleAndOnNoOther() throws Exception {
-    TestClients.Tally good = play(Mutant.NONE);
-    assertTrue(good.holds() && good.again() > 5, good.toString());
-    assertTrue(play(Mutant.RUNS_TWICE).runTwice() > 0);
-    assertTrue(play(Mutant.REFUSES_AFTER_RUN).refusedAfterRun() > 0);
-    assertTrue(play(Mutant.GIVES_OTHER_BYTES).otherBytes() > 0);
-    assertTrue(play(Mutant.LOSES).lost() > 0);
-    assertTrue(play(Mutant.SAYS_WHAT_NOBODY_KNOWS).unknown() > 0);
-    assertTrue(play(Mutant.ANSWERS_TWICE).doubled() > 0);
-    assertTrue(play(Mutant.RUNS_AFTER_ITS_NOTICE).ranLate() > 0);
-    assertTrue(play(Mutant.ANSWERS_WHEN_OVERDUE).overdue() > 0);
+  void eachCheckerDetectsOnlyADaemonThatBreaksItsRule() throws Exception {
+    TestClients.Tally unmodified = runMutant(Mutant.NONE);
+    assertTrue(unmodified.holds() && unmodified.again() > 5, unmodified.toString());
+    assertTrue(runMutant(Mutant.RUNS_TWICE).runTwice() > 0);
+    assertTrue(runMutant(Mutant.REFUSES_AFTER_RUN).refusedAfterRun() > 0);
+    assertTrue(runMutant(Mutant.SENDS_OTHER_BYTES).otherBytes() > 0);
+    assertTrue(runMutant(Mutant.LOSES).lost() > 0);
+    assertTrue(runMutant(Mutant.SENDS_UNKNOWN_WORD).unknown() > 0);
+    assertTrue(runMutant(Mutant.ANSWERS_TWICE).doubled() > 0);
+    assertTrue(runMutant(Mutant.RUNS_AFTER_ITS_NOTICE).ranLate() > 0);
+    assertTrue(runMutant(Mutant.ANSWERS_WHEN_OVERDUE).overdue() > 0);
   }
 
-  private static void takesAnotherThan(int held) throws Exception {
-    FaultProxy.Ports pair = FaultProxy.ports(held);
-    try (ServerSocket streams = pair.streams();
-        DatagramSocket datagrams = pair.datagrams()) {
+  private static void bindsAnotherPortThan(int occupiedPort) throws Exception {
+    FaultProxy.Ports ports = FaultProxy.ports(occupiedPort);
+    try (ServerSocket streams = ports.streams();
+        DatagramSocket datagrams = ports.datagrams()) {
       assertEquals(streams.getLocalPort(), datagrams.getLocalPort());
-      assertTrue(streams.getLocalPort() != held);
+      assertTrue(streams.getLocalPort() != occupiedPort);
     }
   }
 
   @Test
-  void aLinkTakesAnotherPortWhereSomebodyElseHasTheFirst() throws Exception {
-    try (DatagramSocket datagrams = new DatagramSocket(0, HOST);
-        ServerSocket streams = new ServerSocket(0, 1, HOST)) {
-      takesAnotherThan(datagrams.getLocalPort());
-      takesAnotherThan(streams.getLocalPort());
+  void proxyBindsAnotherPortIfTheFirstIsInUse() throws Exception {
+    try (DatagramSocket datagrams = new DatagramSocket(0, LOOPBACK);
+        ServerSocket streams = new ServerSocket(0, 1, LOOPBACK)) {
+      bindsAnotherPortThan(datagrams.getLocalPort());
+      bindsAnotherPortThan(streams.getLocalPort());
     }
   }
 
   @Test
-  void theStandInPoolRunsARequestOnceHoweverOftenItIsAskedFor() throws Exception {
+  void fakeWorkerPoolExecutesARespawnedRequestOnce() throws Exception {
     byte[] spawn = BoundedReader.ascii("spawn 0000000000000001 save 4\r\nnote\r\n");
     try (FakeWorkerPool pool = new FakeWorkerPool(null, new Random(3), 50, 20)) {
       String first;
-      try (Socket link = new Socket(HOST, pool.address().getPort())) {
-        link.setSoTimeout(5000);
-        InputStream in = new BufferedInputStream(link.getInputStream());
-        link.getOutputStream()
+      try (Socket proxy = new Socket(LOOPBACK, pool.address().getPort())) {
+        proxy.setSoTimeout(5000);
+        InputStream in = new BufferedInputStream(proxy.getInputStream());
+        proxy.getOutputStream()
             .write(BoundedReader.join(BoundedReader.ascii("bind 0\r\n"), spawn, spawn));
         assertTrue(
             BoundedReader.line(in, 100).matches("bound old 6\\d{4}"),
-            "up for a minute, and this story");
+            "the pool reports an uptime of a minute");
         first = BoundedReader.line(in, 100);
         assertTrue(first.startsWith("finished 1 0000000000000001 good "), first);
       }
-      try (Socket link = new Socket(HOST, pool.address().getPort())) {
-        link.setSoTimeout(5000);
-        InputStream in = new BufferedInputStream(link.getInputStream());
-        link.getOutputStream().write(BoundedReader.join(BoundedReader.ascii("bind 7\r\n"), spawn));
+      try (Socket proxy = new Socket(LOOPBACK, pool.address().getPort())) {
+        proxy.setSoTimeout(5000);
+        InputStream in = new BufferedInputStream(proxy.getInputStream());
+        proxy.getOutputStream().write(BoundedReader.join(BoundedReader.ascii("bind 7\r\n"), spawn));
         assertTrue(
             BoundedReader.line(in, 100).matches("bound old 6\\d{4}"),
-            "up for a minute, and this story");
+            "the pool reports an uptime of a minute");
         assertEquals(
             first.replace("finished 1 ", "finished 8 "),
             BoundedReader.line(in, 100),
-            "its end, told again");
+            "the outcome is sent again");
       }
-      assertEquals(1, pool.begun("note").size());
+      assertEquals(1, pool.executionStarts("note").size());
     }
   }
 
-  // ---- A play ----
+  // ---- Scenarios ----
 
   /**
-   * Stamps are of the machine's clock: where it steps, windows of keys and due times may not move.
+   * Requests are stamped with the wall clock of the host: a step of it must move neither idempotency
+   * windows nor deadlines.
    */
   @ParameterizedTest
   @ValueSource(strings = {"True", "False"})
-  void aClockThatStepsWithinAWindowRunsNoKeyTwice(String kept) throws Exception {
+  void clockStepWithinTheWindowExecutesNoKeyTwice(String kept) throws Exception {
     FaultScript script =
         FaultScript.parse(
             "f.star",
@@ -539,11 +539,11 @@
     assertTrue(tally.path("again").asInt() > 50, "keys were repeated throughout: " + tally);
     assertTrue(
         tally.path("failed").asInt() + tally.path("refused").asInt() < 20,
-        "it served on: " + tally);
+        "the daemon kept serving: " + tally);
   }
 
   @Test
-  void aBoxThatIsToldToLeaveRunsNothingThatCameTooLateAndStartsAgain() throws Exception {
+  void terminatedDaemonExecutesNoLateRequestAndRestarts() throws Exception {
     FaultScript script =
         FaultScript.parse(
             "f.star",
@@ -561,7 +561,7 @@
   }
 
   @Test
-  void aPlayWithFaultsBetweenRealProcessesKeepsTheRules() throws Exception {
+  void realProcessesWithFaultsBreakNoRule() throws Exception {
     FaultScript script =
         FaultScript.parse(
             "f.star",
