--- a/src/test/java/wharftrestle/prove/BadRelease.java
+++ b/src/test/java/wharftrestle/prove/BadRelease.java
@@ -27,9 +27,7 @@
 import wharftrestle.transport.Address;
 import wharftrestle.transport.BoundedReader;
 
-/**
- * The daemon with one defect, which the marker in its jar names. A rollout has to stop it.
- */
+/** The daemon with one defect, which the marker in its jar names. A rollout has to stop it. */
 public final class BadRelease {
   private BadRelease() {}
 
@@ -42,8 +40,9 @@
     Path config = Path.of(environment.get("EDGE_CONFIG"));
     ObjectNode root = (ObjectNode) new ObjectMapper().readTree(config.toFile());
     switch (marker[1]) {
-      case "fails" -> root.put("pool", "127.0.0.1:" + startFailingProxy(root.path("pool").asText()));
-      case "refuses" -> ((ObjectNode) root.index("/settings/specifics")).put("memoryKb", 6);
+      case "fails" ->
+          root.put("pool", "127.0.0.1:" + startFailingProxy(root.path("pool").asText()));
+      case "refuses" -> ((ObjectNode) root.at("/settings/specifics")).put("memoryKb", 6);
       case "crashes" ->
           thread(
               () -> {
@@ -67,7 +66,9 @@
     environment.put("EDGE_CONFIG", spoiledConfig.toString());
     int index = Arrays.asList(args).indexOf("--appliance");
     DaemonConfig.Appliance appliance =
-        index < 0 ? DaemonConfig.Appliance.none() : Settings.read(Path.of(args[index + 1])).appliance();
+        index < 0
+            ? DaemonConfig.Appliance.none()
+            : Settings.read(Path.of(args[index + 1])).appliance();
     Lifecycle lifecycle = new Lifecycle(DaemonConfig.read(environment), appliance);
     Signal.handle(new Signal("TERM"), signal -> lifecycle.leave());
     lifecycle.start();
@@ -97,7 +98,9 @@
     }
   }
 
-  /** Starts a proxy of the worker pool that reports 40% of executions as failed; returns its port. */
+  /**
+   * Starts a proxy of the worker pool that reports 40% of executions as failed; returns its port.
+   */
   private static int startFailingProxy(String pool) throws IOException {
     ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
     InetSocketAddress target = Address.of(pool);
--- a/src/test/java/wharftrestle/prove/BenchBuilds.java
+++ b/src/test/java/wharftrestle/prove/BenchBuilds.java
@@ -33,7 +33,11 @@
         sums[build][0] += figures[0];
         sums[build][1] += figures[1];
         System.out.printf(
-            Locale.ROOT, "  %s: start %.2f s, a reply %.0f us%n", args[build], figures[0], figures[1]);
+            Locale.ROOT,
+            "  %s: start %.2f s, a reply %.0f us%n",
+            args[build],
+            figures[0],
+            figures[1]);
       }
     }
     System.out.printf(
@@ -55,7 +59,8 @@
       DaemonProcess daemon =
           testbed.begin(new HostTestbed.Version(jar, "wharftrestle.Main", testbed.settings(), ""));
       if (!daemon.awaitReady(READY_TIMEOUT_MS)) {
-        throw new IllegalStateException("the daemon was not ready in time; its log:\n" + daemon.log());
+        throw new IllegalStateException(
+            "the daemon was not ready in time; its log:\n" + daemon.log());
       }
       double start = daemon.cpuSeconds();
       TestClients clients =
--- a/src/test/java/wharftrestle/prove/BenchChange.java
+++ b/src/test/java/wharftrestle/prove/BenchChange.java
@@ -151,7 +151,7 @@
     for (int i = 0; i < MAX_CHANGE_SECONDS && remaining > 0; i++) {
       remaining -= ready < 0 ? 0 : 1;
       int[] before = counts(clients);
-      long endsAt = System.nanoTime() + TimeUnit.PHASE_SECONDS.toNanos(1);
+      long endsAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
       while (System.nanoTime() < endsAt) {
         if (ready < 0 && successor.ready()) {
           ready = (System.nanoTime() - startedAt) / 1_000_000;
@@ -199,7 +199,7 @@
     List<int[]> answers = new ArrayList<>();
     for (int i = 0; i < duration; i++) {
       int[] before = counts(clients);
-      LockSupport.parkNanos(TimeUnit.PHASE_SECONDS.toNanos(1));
+      LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1));
       answers.add(countsSince(clients, before));
     }
     return answers;
--- a/src/test/java/wharftrestle/prove/FullDescriptorsTest.java
+++ b/src/test/java/wharftrestle/prove/FullDescriptorsTest.java
@@ -16,8 +16,8 @@
 import wharftrestle.testbed.TestClient;
 
 /**
- * Guards against a daemon that no longer serves front ends, operators and the worker pool because idle
- * connections use up its descriptors, while the name service is gone.
+ * Guards against a daemon that no longer serves front ends, operators and the worker pool because
+ * idle connections use up its descriptors, while the name service is gone.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // interrupts a busy wait
 class FullDescriptorsTest {
@@ -43,13 +43,17 @@
   }
 
   /**
-   * Sends a request on a new connection, and again if it is refused, as can happen on a busy machine.
+   * Sends a request on a new connection, and again if it is refused, as can happen on a busy
+   * machine.
    */
   private static String ask(HostTestbed testbed, int number) throws IOException {
     String replyWord = "";
     for (int attempt = 0; attempt < MAX_ATTEMPTS && !replyWord.equals("done"); attempt++) {
       try (TestClient client = new TestClient(testbed.address())) {
-        replyWord = client.ask("save", 1000L * number + attempt, "key " + number, "body " + number).replyWord();
+        replyWord =
+            client
+                .ask("save", 1000L * number + attempt, "key " + number, "body " + number)
+                .word();
       }
     }
     return replyWord;
@@ -86,9 +90,11 @@
         if (i % 10 == 0) {
           assertEquals("done", ask(testbed, 100 + i), "a front end with a request is served");
           assertTrue(
-              testbed.daemon().get("/_ready").startsWith("HTTP/1.1 200 "), "the admin endpoint replies");
+              testbed.daemon().get("/_ready").startsWith("HTTP/1.1 200 "),
+              "the admin endpoint replies");
         }
-        assertTrue(openDescriptors(testbed) <= actualLimit, openDescriptors(testbed) + " descriptors");
+        assertTrue(
+            openDescriptors(testbed) <= actualLimit, openDescriptors(testbed) + " descriptors");
       }
       testbed.moveWorkerPool(); // needs a new link while descriptors are scarce
       new ProcessBuilder("kill", "-HUP", Long.toString(testbed.daemon().pid())).start().waitFor();
@@ -97,7 +103,8 @@
         client.close();
       }
       long deadline = System.nanoTime() + RECOVERY_NANOS;
-      while (openDescriptors(testbed) > descriptorsBefore + JAR_DESCRIPTORS / 2 && System.nanoTime() < deadline) {
+      while (openDescriptors(testbed) > descriptorsBefore + JAR_DESCRIPTORS / 2
+          && System.nanoTime() < deadline) {
         Thread.onSpinWait();
       }
       assertTrue(
--- a/src/test/java/wharftrestle/prove/HangupTest.java
+++ b/src/test/java/wharftrestle/prove/HangupTest.java
@@ -23,7 +23,9 @@
         assertEquals("done", client.ask("save", 1, "before", "a").word());
         testbed.moveWorkerPool();
         assertEquals(
-            "done", client.ask("save", 2, "after", "b").word(), "the daemon connected to the moved worker pool");
+            "done",
+            client.ask("save", 2, "after", "b").word(),
+            "the daemon connected to the moved worker pool");
       }
       String log = Files.readString(folder.resolve("daemon.log"));
       assertTrue(log.contains("SIGHUP is ignored by whoever started this process"), log);
--- a/src/test/java/wharftrestle/prove/LinkFlapTest.java
+++ b/src/test/java/wharftrestle/prove/LinkFlapTest.java
@@ -14,8 +14,8 @@
 import wharftrestle.testbed.TestClient;
 
 /**
- * Guards against a flood of log lines from a worker pool whose address accepts connections and closes
- * each at once.
+ * Guards against a flood of log lines from a worker pool whose address accepts connections and
+ * closes each at once.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LinkFlapTest {
--- a/src/test/java/wharftrestle/prove/ProveColdTest.java
+++ b/src/test/java/wharftrestle/prove/ProveColdTest.java
@@ -4,9 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/**
- * Short run of {@link ProveCold}; {@code make prove-cold} is the long one.
- */
+/** Short run of {@link ProveCold}; {@code make prove-cold} is the long one. */
 class ProveColdTest {
   @Test
   void coldHostsOverloadNeitherTheStoreNorThemselves() {
--- a/src/test/java/wharftrestle/prove/ProveMemory.java
+++ b/src/test/java/wharftrestle/prove/ProveMemory.java
@@ -29,9 +29,9 @@
  * Checks that memory stays bounded over a long day: real daemons get keyed requests with bodies and
  * results of the largest sizes for many idempotency windows, more than they have capacity for.
  * Memory has to stay level after the first window, no request may be lost, no key executed twice,
- * and none refused without lack of capacity. As a check of the proof, a daemon without the bound has
- * to fail. Prints a last line and exits with 0 or 1. The anonymous memory after a long day is checked
- * for the deployed daemon only, not for the classes of a test.
+ * and none refused without lack of capacity. As a check of the proof, a daemon without the bound
+ * has to fail. Prints a last line and exits with 0 or 1. The anonymous memory after a long day is
+ * checked for the deployed daemon only, not for the classes of a test.
  */
 public final class ProveMemory {
   private static final int CLIENTS = 24;
@@ -62,7 +62,7 @@
   /** Part of the memory limit by which non-heap memory may rise during the life of one key. */
   private static final double MAX_RISE_PER_KEY_LIFE = 0.01;
 
-    private static final double LONG_DAY_HOURS = 0.75;
+  private static final double LONG_DAY_HOURS = 0.75;
 
   /** Shortest run, in lives of a key, whose slope is meaningful: before, code is still compiled. */
   private static final double MIN_KEY_LIVES_FOR_SLOPE = 5;
@@ -166,16 +166,20 @@
             window,
             RESULT_BYTES);
     try (HostTestbed testbed = new HostTestbed(folder, "", seed, play)) {
-      return new ProveMemory(testbed, window + KEY_LINGER_SECONDS).play(memoryMb, bounded, keyLives, seed);
+      return new ProveMemory(testbed, window + KEY_LINGER_SECONDS)
+          .play(memoryMb, bounded, keyLives, seed);
     } finally {
       HostTestbed.delete(folder);
     }
   }
 
-  private Observations play(int memoryMb, boolean bounded, double keyLives, long seed) throws Exception {
+  private Observations play(int memoryMb, boolean bounded, double keyLives, long seed)
+      throws Exception {
     observed.memoryMb = memoryMb;
-    observed.heapLimitMb = 1.05 * Math.max(16, Math.min(40, memoryMb * 3 / 10)); // rounded up by the JVM
-    observed.memoryChecked = bounded && Boolean.getBoolean("packaged") && keyLives >= MIN_KEY_LIVES_FOR_SLOPE;
+    observed.heapLimitMb =
+        1.05 * Math.max(16, Math.min(40, memoryMb * 3 / 10)); // rounded up by the JVM
+    observed.memoryChecked =
+        bounded && Boolean.getBoolean("packaged") && keyLives >= MIN_KEY_LIVES_FOR_SLOPE;
     testbed.start();
     List<Thread> clients = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
@@ -193,7 +197,8 @@
             && (bounded || observed.wrongReplies.get() == 0);
         seconds = (System.nanoTime() - startedAt) / 1e9) {
       DaemonProcess.PrivateMemory memory = testbed.daemon().privateMemory();
-      observed.residentMb = Math.max(observed.residentMb, testbed.daemon().memoryKb("VmRSS") / 1024.0);
+      observed.residentMb =
+          Math.max(observed.residentMb, testbed.daemon().memoryKb("VmRSS") / 1024.0);
       observed.anonymousMb = Math.max(observed.anonymousMb, memory.heapMb() + memory.nonHeapMb());
       observed.heapMb = Math.max(observed.heapMb, memory.heapMb());
       if (seconds > 1.15 * keyLifeSeconds) {
@@ -214,7 +219,9 @@
     observed.nonHeapSlope = nonHeapTrend.getSlope();
     observed.nonHeapSlopeError = nonHeapTrend.getSlopeStdErr();
     observed.risePerLife =
-        Double.isNaN(observed.nonHeapSlope) ? Double.POSITIVE_INFINITY : observed.nonHeapSlope * keyLifeSeconds / 3600;
+        Double.isNaN(observed.nonHeapSlope)
+            ? Double.POSITIVE_INFINITY
+            : observed.nonHeapSlope * keyLifeSeconds / 3600;
     return observed;
   }
 
@@ -233,7 +240,8 @@
       String refusedKey = null;
       while (!stopping) {
         while (!servedKeys.isEmpty()
-            && System.nanoTime() - servedKeys.peek().at() > (keyLifeSeconds - KEY_LINGER_SECONDS - 0.5) * 1e9) {
+            && System.nanoTime() - servedKeys.peek().at()
+                > (keyLifeSeconds - KEY_LINGER_SECONDS - 0.5) * 1e9) {
           servedKeys.poll();
         }
         double kind = random.nextDouble();
@@ -251,7 +259,8 @@
         } else {
           sendUnkeyed(client);
         }
-        LockSupport.parkNanos((long) (CLIENTS / REQUESTS_PER_SECOND * 1e9 * 2 * random.nextDouble()));
+        LockSupport.parkNanos(
+            (long) (CLIENTS / REQUESTS_PER_SECOND * 1e9 * 2 * random.nextDouble()));
       }
     } catch (IOException connectionLost) {
       if (!stopping) {
@@ -270,11 +279,12 @@
   }
 
   private static String body(String key) {
-    return key + "\n" + "b".repeatKey(BODY_BYTES - key.length() - 1);
+    return key + "\n" + "b".repeat(BODY_BYTES - key.length() - 1);
   }
 
   /** Sends a new key; false if it was refused. */
-  private boolean sendNewKey(TestClient client, ArrayDeque<Served> servedKeys, String key) throws IOException {
+  private boolean sendNewKey(TestClient client, ArrayDeque<Served> servedKeys, String key)
+      throws IOException {
     RespPeer.Reply reply = client.ask("save", references.incrementAndGet(), key, body(key));
     switch (reply.word()) {
       case "done" -> {
@@ -305,7 +315,10 @@
     }
     double keptBytes;
     synchronized (recentResults) {
-      keptBytes = recentResults.stream().mapToLong(each -> each & 0xffff).sum() * STORED_RESULT_BYTES / RESULT_BYTES;
+      keptBytes =
+          recentResults.stream().mapToLong(each -> each & 0xffff).sum()
+              * STORED_RESULT_BYTES
+              / RESULT_BYTES;
     }
     // Each request in flight reserves the largest result.
     if (keptBytes + CLIENTS * STORED_RESULT_BYTES < MIN_USE_AT_REFUSAL * resultCapacityBytes) {
@@ -316,7 +329,8 @@
   private void recordResult(int bytes) {
     synchronized (recentResults) {
       long now = System.nanoTime();
-      recentResults.add((now & ~0xffffL) | bytes); // the time with a resolution of 65 us, and the length
+      recentResults.add(
+          (now & ~0xffffL) | bytes); // the time with a resolution of 65 us, and the length
       while (now - recentResults.peek() > (keyLifeSeconds + 0.5) * 1e9) {
         recentResults.poll();
       }
@@ -349,9 +363,12 @@
     List<Future<Observations>> results = new ArrayList<>();
     try {
       for (int limit : limits) {
-        results.add(executor.submit((Callable<Observations>) () -> play(limit, true, window, keyLives, seed)));
+        results.add(
+            executor.submit(
+                (Callable<Observations>) () -> play(limit, true, window, keyLives, seed)));
       }
-      Future<Observations> unboundedResult = executor.submit((Callable<Observations>) () -> play(64, false, 24, 1.5, seed));
+      Future<Observations> unboundedResult =
+          executor.submit((Callable<Observations>) () -> play(64, false, 24, 1.5, seed));
       boolean holds = true;
       StringBuilder figures = new StringBuilder();
       for (Future<Observations> each : results) {
--- a/src/test/java/wharftrestle/prove/ProveReady.java
+++ b/src/test/java/wharftrestle/prove/ProveReady.java
@@ -16,8 +16,8 @@
 /**
  * Checks that restarted daemons become ready: many start at once on this machine, and each gets
  * requests until it has served one, is healthy and has reported that. Nine in ten have to be ready
- * within 10 s, also if the worker pool starts late and if the name service is gone. Prints a last line
- * and exits with 0 or 1.
+ * within 10 s, also if the worker pool starts late and if the name service is gone. Prints a last
+ * line and exits with 0 or 1.
  */
 public final class ProveReady {
   private static final double READY_SHARE = 0.9;
@@ -34,9 +34,7 @@
     NAMES_GONE
   }
 
-  /**
-   * Time from the start until the daemon is ready, infinite for never, and CPU time until then.
-   */
+  /** Time from the start until the daemon is ready, infinite for never, and CPU time until then. */
   private record Ready(double readySeconds, double cpuSeconds) {}
 
   private static Ready play(HostTestbed testbed, Fault fault) throws Exception {
@@ -107,7 +105,9 @@
       }
       HostTestbed.delete(folder);
     }
-    return results.stream().sorted((a, b) -> Double.compare(a.readySeconds(), b.readySeconds())).toList();
+    return results.stream()
+        .sorted((a, b) -> Double.compare(a.readySeconds(), b.readySeconds()))
+        .toList();
   }
 
   private static double quantile(List<Ready> results, double share) {
--- a/src/test/java/wharftrestle/prove/ProveReadyTest.java
+++ b/src/test/java/wharftrestle/prove/ProveReadyTest.java
@@ -5,9 +5,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * Short run of {@link ProveReady}; {@code make prove-ready} starts 20 daemons at once.
- */
+/** Short run of {@link ProveReady}; {@code make prove-ready} starts 20 daemons at once. */
 class ProveReadyTest {
   @Test
   @Timeout(120)
--- a/src/test/java/wharftrestle/prove/ProveResults.java
+++ b/src/test/java/wharftrestle/prove/ProveResults.java
@@ -12,9 +12,9 @@
 
 /**
  * Checks that no keyed request is executed twice across restarts: a real daemon is killed at random
- * times while clients send keyed requests and repeat them. The fake worker pool counts the executions.
- * As a check of the proof, duplicate executions have to be found with the store off. Prints a last line
- * and exits with 0 or 1.
+ * times while clients send keyed requests and repeat them. The fake worker pool counts the
+ * executions. As a check of the proof, duplicate executions have to be found with the store off.
+ * Prints a last line and exits with 0 or 1.
  */
 public final class ProveResults {
   private static final int CLIENTS = 8;
@@ -37,9 +37,7 @@
     int kills;
     int keys;
 
-    /**
-     * A result is on disk before its first reply, so a repeated key may get only that result.
-     */
+    /** A result is on disk before its first reply, so a repeated key may get only that result. */
     boolean holds() {
       return tally.runTwice() == 0
           && tally.refusedAfterRun() == 0
@@ -80,8 +78,8 @@
   }
 
   /** Runs at least a number of repeats and kills, with the store on or off. */
-  static Observations play(boolean durableResults, int repeats, int kills, long seed, PrintStream out)
-      throws Exception {
+  static Observations play(
+      boolean durableResults, int repeats, int kills, long seed, PrintStream out) throws Exception {
     Path folder = Files.createTempDirectory("prove-results");
     String script =
         durableResults ? "durable(dir = \"" + folder.resolve("results") + "\", max_mb = 16)\n" : "";
@@ -115,9 +113,7 @@
     return observed;
   }
 
-  /**
-   * Kills the daemon at a random time, or shortly after an execution started or ended.
-   */
+  /** Kills the daemon at a random time, or shortly after an execution started or ended. */
   private void killAtRandomMoment(Random random) throws InterruptedException {
     LockSupport.parkNanos(random.nextInt(MAX_UPTIME_MS) * 1_000_000L);
     int trigger = random.nextInt(3);
@@ -170,7 +166,11 @@
     out.println("  store on: " + withStore);
     Observations withoutStore = play(false, 0, Math.min(kills, 12), seed, out);
     out.println("  store off: " + withoutStore);
-    boolean holds = withStore.holds() && withoutStore.tally.runTwice() > 0 && withStore.tally.again() > 0 && withStore.kills > 0;
+    boolean holds =
+        withStore.holds()
+            && withoutStore.tally.runTwice() > 0
+            && withStore.tally.again() > 0
+            && withStore.kills > 0;
     out.printf(
         Locale.ROOT,
         "prove-results: %s, store on: %s; store off: %d executed twice in %d repeats%n",
--- a/src/test/java/wharftrestle/prove/ProveResultsTest.java
+++ b/src/test/java/wharftrestle/prove/ProveResultsTest.java
@@ -20,6 +20,7 @@
     assertTrue(withStore.tally.again() > 50, "results were sent again");
     ProveResults.Observations withoutStore = ProveResults.play(false, 0, 5, SEED, System.out);
     System.out.println("store off: " + withoutStore);
-    assertTrue(withoutStore.tally.runTwice() > 0, "without the store the proof must find double runs");
+    assertTrue(
+        withoutStore.tally.runTwice() > 0, "without the store the proof must find double runs");
   }
 }
--- a/src/test/java/wharftrestle/prove/ProveRoll.java
+++ b/src/test/java/wharftrestle/prove/ProveRoll.java
@@ -19,19 +19,20 @@
 import wharftrestle.testbed.HostTestbed;
 
 /**
- * Checks rollouts with real processes: 14 hosts, each with a supervisor, its daemon and clients, a proxy
- * between each supervisor and the controller, and random faults: connections cut, delayed, and
- * blackholed in one direction; supervisors, daemons and the controller killed or paused. A release
- * that is not worse has to reach all hosts, a bad one has to be rolled back, and no rule may be broken.
- * As a check of the proof, a bad release has to reach all hosts without the canary analysis. Prints a
- * last line and exits with 0 or 1.
+ * Checks rollouts with real processes: 14 hosts, each with a supervisor, its daemon and clients, a
+ * proxy between each supervisor and the controller, and random faults: connections cut, delayed,
+ * and blackholed in one direction; supervisors, daemons and the controller killed or paused. A
+ * release that is not worse has to reach all hosts, a bad one has to be rolled back, and no rule
+ * may be broken. As a check of the proof, a bad release has to reach all hosts without the canary
+ * analysis. Prints a last line and exits with 0 or 1.
  */
 public final class ProveRoll {
   private static final int HOSTS = 14;
   private static final int ZONES = 4;
   private static final long READY_TIMEOUT_MS = 30_000;
   private static final String FIRST = "one";
-  private static final List<String> BAD_RELEASES = List.of("fails", "crashes", "slow", "leaks", "refuses");
+  private static final List<String> BAD_RELEASES =
+      List.of("fails", "crashes", "slow", "leaks", "refuses");
 
   /** A fault that is not caused by a release. */
   private enum Fault {
@@ -158,7 +159,8 @@
         Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
         if (fault == Fault.KILL_CONTROLLER) {
           controller.destroyForcibly().waitFor();
-          controller = testbed.startController(plan, name, "--take-over"); // resumes from the journal
+          controller =
+              testbed.startController(plan, name, "--take-over"); // resumes from the journal
           controllers++;
         } else {
           inject(testbed, fault, controller);
@@ -208,7 +210,9 @@
       out.println("    " + byStage(events, counts));
     }
     if (!rolloutResult.holds()) {
-      events.stream().skip(Math.max(0, events.size() - 40)).forEach(line -> out.println("    " + line));
+      events.stream()
+          .skip(Math.max(0, events.size() - 40))
+          .forEach(line -> out.println("    " + line));
       testbed
           .hosts()
           .values()
@@ -218,9 +222,7 @@
     return rolloutResult;
   }
 
-  /**
-   * Results a second of all clients by stage; "before" is the rate until the first order.
-   */
+  /** Results a second of all clients by stage; "before" is the rate until the first order. */
   private static String byStage(List<JsonNode> events, List<long[]> counts) {
     Map<String, long[]> spans = new LinkedHashMap<>();
     String stage = "before";
@@ -230,7 +232,9 @@
       boolean beginsStage =
           event.path("what").asText().startsWith("begins stage") && !stage.equals("before");
       for (;
-          (isFirstOrder || beginsStage) && index < counts.size() && counts.get(index)[0] <= event.path("at").asLong();
+          (isFirstOrder || beginsStage)
+              && index < counts.size()
+              && counts.get(index)[0] <= event.path("at").asLong();
           index++) {
         long[] totals = spans.computeIfAbsent(stage, key -> new long[4]);
         for (int i = 0; index > 0 && i < totals.length; i++) {
@@ -259,8 +263,8 @@
   }
 
   /**
-   * Two operators start two plans, of which the second takes over. Returns the number of orders of the
-   * first controller after the first order of the second.
+   * Two operators start two plans, of which the second takes over. Returns the number of orders of
+   * the first controller after the first order of the second.
    */
   private int ordersAfterTakeover(String supervisorMain) throws Exception {
     Path folder = Files.createTempDirectory("prove-roll");
@@ -293,7 +297,9 @@
               .min()
               .orElse(Long.MAX_VALUE);
       return (int)
-          orders(testbed, "ann").stream().filter(line -> line.path("at").asLong() > firstOrderAt).countHosts();
+          orders(testbed, "ann").stream()
+              .filter(line -> line.path("at").asLong() > firstOrderAt)
+              .count();
     } finally {
       HostTestbed.delete(folder);
     }
@@ -313,7 +319,7 @@
     return (int)
         testbed.hosts().values().stream()
             .filter(host -> host.activeRelease().equals(release))
-            .countHosts();
+            .count();
   }
 
   private void inject(FleetTestbed testbed, Fault fault, Process controller) throws Exception {
@@ -367,7 +373,8 @@
   private static void zone(List<FleetTestbed.Host> hosts, FleetTestbed.Host of, OnHost fault) {
     hosts.stream()
         .filter(each -> each.zone().equals(of.zone()))
-        .forEach(each -> doThenUndo(4000, () -> each.controllerProxy().heal(), () -> fault.run(each)));
+        .forEach(
+            each -> doThenUndo(4000, () -> each.controllerProxy().heal(), () -> fault.run(each)));
   }
 
   private static void pauseFor(long pid, long ms) {
@@ -403,9 +410,11 @@
     Path folder = Files.createTempDirectory("prove-roll");
     try (FleetTestbed testbed = startFleet(folder, HOSTS, "wharftrestle.Main")) {
       for (String bad : brief ? BAD_RELEASES.subList(0, 1) : BAD_RELEASES) {
-        results.add(runRollout(testbed, bad, false, brief ? SHORT_CRITERIA : FULL_CRITERIA, brief ? 0 : 4));
+        results.add(
+            runRollout(testbed, bad, false, brief ? SHORT_CRITERIA : FULL_CRITERIA, brief ? 0 : 4));
       }
-      results.add(runRollout(testbed, "two", true, brief ? SHORT_CRITERIA : FULL_CRITERIA, brief ? 2 : 12));
+      results.add(
+          runRollout(testbed, "two", true, brief ? SHORT_CRITERIA : FULL_CRITERIA, brief ? 2 : 12));
       if (!brief) {
         // Without criteria a slow release reaches all hosts: only the canary analysis stops it.
         RolloutResult withoutAnalysis = runRollout(testbed, "slow", true, "", 0);
@@ -431,8 +440,13 @@
               + ""
               + ordersWithoutFence);
     }
-    long successful = results.stream().filter(RolloutResult::holds).countHosts();
-    boolean allHold = successful == results.size() && spreadsWithoutAnalysis && brokenRules == 0 && ordersWithFence == 0 && ordersWithoutFence > 0;
+    long successful = results.stream().filter(RolloutResult::holds).count();
+    boolean allHold =
+        successful == results.size()
+            && spreadsWithoutAnalysis
+            && brokenRules == 0
+            && ordersWithFence == 0
+            && ordersWithoutFence > 0;
     int maxHostsWithBadRelease =
         results.stream()
             .filter(result -> result.expectedOutcome().equals("rolled back"))
@@ -450,10 +464,14 @@
         results.stream().mapToInt(RolloutResult::faults).sum(),
         results.stream().mapToInt(RolloutResult::controllers).sum(),
         brokenRules,
-        brief ? "was not run" : spreadsWithoutAnalysis ? "reaches all hosts" : "does not reach all hosts",
+        brief
+            ? "was not run"
+            : spreadsWithoutAnalysis ? "reaches all hosts" : "does not reach all hosts",
         brief
             ? "nothing was run"
-            : ordersWithoutFence > 0 ? "two controllers send orders" : "only one controller sends orders");
+            : ordersWithoutFence > 0
+                ? "two controllers send orders"
+                : "only one controller sends orders");
     return allHold;
   }
 
--- a/src/test/java/wharftrestle/prove/Unbounded.java
+++ b/src/test/java/wharftrestle/prove/Unbounded.java
@@ -5,8 +5,8 @@
 import wharftrestle.idempotency.KeyMemoryBudget;
 
 /**
- * The daemon without a memory budget of the key table. A proof runs it to see that memory then grows
- * past its limit.
+ * The daemon without a memory budget of the key table. A proof runs it to see that memory then
+ * grows past its limit.
  */
 public final class Unbounded {
   private Unbounded() {}
--- a/src/test/java/wharftrestle/testbed/CpuLimiterTest.java
+++ b/src/test/java/wharftrestle/testbed/CpuLimiterTest.java
@@ -27,8 +27,8 @@
   @TempDir private Path folder;
 
   /**
-   * Work that arrives evenly and waits while the processes are stopped; each continue wakes all threads
-   * at a cost.
+   * Work that arrives evenly and waits while the processes are stopped; each continue wakes all
+   * threads at a cost.
    */
   private static final class SimulatedLoad {
     private final CpuQuota quota;
@@ -86,8 +86,12 @@
       each.stops = 0;
       each.advance(1, 20, 0.2, waking);
     }
-    assertTrue(fewThreads.waitingSeconds < 0.01, "with 190 threads " + fewThreads.waitingSeconds + " s of work wait");
-    assertTrue(manyThreads.waitingSeconds > 1, "with 490 threads " + manyThreads.waitingSeconds + " s of work wait");
+    assertTrue(
+        fewThreads.waitingSeconds < 0.01,
+        "with 190 threads " + fewThreads.waitingSeconds + " s of work wait");
+    assertTrue(
+        manyThreads.waitingSeconds > 1,
+        "with 490 threads " + manyThreads.waitingSeconds + " s of work wait");
     assertTrue(manyThreads.stops > 1500, manyThreads.stops + " stops in 19 s");
   }
 
@@ -132,7 +136,8 @@
       DaemonProcess daemon =
           testbed.begin(new HostTestbed.Version(null, "wharftrestle.Main", testbed.settings(), ""));
       AtomicReference<List<DaemonProcess>> hostProcesses = new AtomicReference<>(List.of(daemon));
-      try (CpuLimiter limiter = new CpuLimiter(hostProcesses::get, 0.05)) { // its start alone exceeds that
+      try (CpuLimiter limiter =
+          new CpuLimiter(hostProcesses::get, 0.05)) { // its start alone exceeds that
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!isStopped(daemon) && System.nanoTime() < deadline) {
           Thread.onSpinWait();
--- a/src/test/java/wharftrestle/testbed/PausedProcessTest.java
+++ b/src/test/java/wharftrestle/testbed/PausedProcessTest.java
@@ -59,7 +59,9 @@
               "the outcome is unknown");
         }
         assertEquals(
-            "done", client.ask("save", 6000, "k0", body("k0")).word(), "the predecessor has the reported result");
+            "done",
+            client.ask("save", 6000, "k0", body("k0")).word(),
+            "the predecessor has the reported result");
         assertEquals("done", client.ask("read", 6001, null, "x").word());
       }
       assertEquals(0, testbed.doubleRuns());
--- a/src/test/java/wharftrestle/testbed/TestbedTest.java
+++ b/src/test/java/wharftrestle/testbed/TestbedTest.java
@@ -203,7 +203,8 @@
           client.getOutputStream().write('a');
           assertEquals('a', in.read());
           assertTrue(
-              System.nanoTime() - began >= TimeUnit.MILLISECONDS.toNanos(119), "delayed in both directions");
+              System.nanoTime() - began >= TimeUnit.MILLISECONDS.toNanos(119),
+              "delayed in both directions");
           proxy.heal();
           proxy.halfClose();
           assertEquals(-1, in.read(), "the server read the end of the stream and closed its side");
@@ -289,7 +290,8 @@
     };
     for (String[] invalidCase : cases) {
       BadSettingsException e =
-          assertThrows(BadSettingsException.class, () -> FaultScript.parse("f.star", invalidCase[0]));
+          assertThrows(
+              BadSettingsException.class, () -> FaultScript.parse("f.star", invalidCase[0]));
       assertEquals(invalidCase[1], e.getMessage());
     }
   }
@@ -313,15 +315,14 @@
     ANSWERS_WHEN_OVERDUE
   }
 
-  /**
-   * Deadline of the requests in the tests of the checkers, and the delay of a late reply.
-   */
+  /** Deadline of the requests in the tests of the checkers, and the delay of a late reply. */
   private static final long DEADLINE_MS = 1000;
 
   private static final long LATE_REPLY_MS = 1700;
 
   /**
-   * Runs clients against a fake daemon that keeps the result of each key and breaks at most one rule.
+   * Runs clients against a fake daemon that keeps the result of each key and breaks at most one
+   * rule.
    */
   private static TestClients.Tally runMutant(Mutant mutant) throws Exception {
     try (FakeWorkerPool pool = new FakeWorkerPool(null, new Random(3), 5, 20);
@@ -416,8 +417,7 @@
         if (mutant == Mutant.ANSWERS_TWICE && request == 9) {
           out.write(reply(words[1], "done", reply));
         }
-        out.write(
-            reply(words[1], mutant == Mutant.SENDS_UNKNOWN_WORD ? "perhaps" : "done", reply));
+        out.write(reply(words[1], mutant == Mutant.SENDS_UNKNOWN_WORD ? "perhaps" : "done", reply));
       }
     } catch (IOException ended) {
       return;
@@ -482,7 +482,8 @@
       try (Socket proxy = new Socket(LOOPBACK, pool.address().getPort())) {
         proxy.setSoTimeout(5000);
         InputStream in = new BufferedInputStream(proxy.getInputStream());
-        proxy.getOutputStream()
+        proxy
+            .getOutputStream()
             .write(BoundedReader.join(BoundedReader.ascii("bind 0\r\n"), spawn, spawn));
         assertTrue(
             BoundedReader.line(in, 100).matches("bound old 6\\d{4}"),
@@ -509,8 +510,8 @@
   // ---- Scenarios ----
 
   /**
-   * Requests are stamped with the wall clock of the host: a step of it must move neither idempotency
-   * windows nor deadlines.
+   * Requests are stamped with the wall clock of the host: a step of it must move neither
+   * idempotency windows nor deadlines.
    */
   @ParameterizedTest
   @ValueSource(strings = {"True", "False"})
