--- a/src/main/java/wharftrestle/simulation/ColdStartSimulation.java
+++ b/src/main/java/wharftrestle/simulation/ColdStartSimulation.java
@@ -44,7 +44,7 @@
    * @param eachTakesWholeQuota whether each host uses the quota of all hosts, as if it were the
    *     only one, with which the result must not hold
    */
-  public static Result play(int hosts, boolean eachTakesWholeQuota, long seed) {
+  public static Result simulate(int hosts, boolean eachTakesWholeQuota, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     EventQueue eventQueue = new EventQueue();
     SimulatedStore store = new SimulatedStore(eventQueue);
--- a/src/main/java/wharftrestle/simulation/ColdTrafficSimulation.java
+++ b/src/main/java/wharftrestle/simulation/ColdTrafficSimulation.java
@@ -103,7 +103,7 @@
   private ColdTrafficSimulation() {}
 
   /** Simulates hosts that start cold at once, each with a stream of requests from all clients. */
-  public static Result play(int hosts, Clients clients, Start start, long seed) {
+  public static Result simulate(int hosts, Clients clients, Start start, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     EventQueue eventQueue = new EventQueue();
     SimulatedStore store = new SimulatedStore(eventQueue);
--- a/src/main/java/wharftrestle/testbed/FaultScript.java
+++ b/src/main/java/wharftrestle/testbed/FaultScript.java
@@ -140,7 +140,7 @@
       switch (call.word()) {
         case "play" -> {
           if (runSeen) {
-            throw new Scripts.RefusedException(call.place(), "play stands twice");
+            throw new Scripts.RefusedException(call.place(), "play is called twice");
           }
           runSeen = true;
           run =
@@ -190,10 +190,10 @@
     private String findError(Step step) {
       int host = Integer.parseInt(step.fault().box().substring(1));
       if (host > run.hosts()) {
-        return "there is no " + step.fault().box() + ": " + run.hosts() + " boxes are played";
+        return "no box " + step.fault().box() + ": play declares " + run.hosts() + " boxes";
       }
       if (step.at() > run.seconds()) {
-        return "nothing happens after " + run.seconds() + " s, which is when the play ends";
+        return "expected a time of at most " + run.seconds() + " s, the end of the scenario";
       }
       boolean datagramsOnly =
           List.of(Kind.DROP, Kind.DOUBLE, Kind.REORDER).contains(step.fault().kind());
--- a/src/main/java/wharftrestle/testbed/Scenario.java
+++ b/src/main/java/wharftrestle/testbed/Scenario.java
@@ -83,7 +83,7 @@
   }
 
   /** Runs the script; true if no rule was broken on any host. */
-  public boolean play() throws IOException, InterruptedException {
+  public boolean execute() throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("lab");
     List<Host> hosts = new ArrayList<>();
     try {
--- a/src/main/java/wharftrestle/testbed/TestClients.java
+++ b/src/main/java/wharftrestle/testbed/TestClients.java
@@ -76,7 +76,7 @@
   private static final long MAX_PACING_LAG_NANOS = 1_000_000_000L;
 
   /** The only process of the host got SIGTERM, and another one started later; System.nanoTime. */
-  private record Notice(long noticedAt, long restartedAt) {}
+  private record LeaveNotice(long noticedAt, long restartedAt) {}
 
   /** A refusal of a request whose execution had started before; System.nanoTime. */
   private record Refusal(String body, long executionStart, long refusedAt) {}
@@ -176,7 +176,7 @@
   private final AtomicInteger overdue = new AtomicInteger();
   private final AtomicInteger doubled = new AtomicInteger();
   private final Map<String, Long> firstAsked = new ConcurrentHashMap<>();
-  private final List<Notice> notices = new CopyOnWriteArrayList<>();
+  private final List<LeaveNotice> leaveNotices = new CopyOnWriteArrayList<>();
   private final AtomicInteger lostExcused = new AtomicInteger();
   private final AtomicLong slowestNanos = new AtomicLong();
   private final AtomicLong pausedNanos = new AtomicLong();
@@ -264,15 +264,15 @@
    * @param at System.nanoTime
    */
   public void recordLeaveNotice(long at) {
-    notices.add(new Notice(at, Long.MAX_VALUE));
+    leaveNotices.add(new LeaveNotice(at, Long.MAX_VALUE));
   }
 
   /** Records that another process of the host starts after SIGTERM; System.nanoTime. */
   public void recordRestart(long restartedAt) {
-    notices.replaceAll(
+    leaveNotices.replaceAll(
         notice ->
             notice.restartedAt() == Long.MAX_VALUE
-                ? new Notice(notice.noticedAt(), restartedAt)
+                ? new LeaveNotice(notice.noticedAt(), restartedAt)
                 : notice);
   }
 
@@ -280,7 +280,7 @@
     int lateExecutions = 0;
     for (String name : pool.executedNames()) {
       long askedAt = firstAsked.getOrDefault(name, Long.MIN_VALUE);
-      for (Notice notice : notices) {
+      for (LeaveNotice notice : leaveNotices) {
         boolean askedAfterGrace =
             askedAt
                 > notice.noticedAt()
--- a/src/main/java/wharftrestle/testbed/TestbedCommand.java
+++ b/src/main/java/wharftrestle/testbed/TestbedCommand.java
@@ -50,7 +50,7 @@
       PrintStream out =
           results == null ? System.out : new PrintStream(results.toFile(), StandardCharsets.UTF_8);
       try {
-        return new Scenario(faultScript, jar, System.err, out).play() ? 0 : 1;
+        return new Scenario(faultScript, jar, System.err, out).execute() ? 0 : 1;
       } finally {
         out.flush();
       }
--- a/src/test/java/wharftrestle/bench/KeyStructures.java
+++ b/src/test/java/wharftrestle/bench/KeyStructures.java
@@ -19,9 +19,9 @@
 import wharftrestle.idempotency.KeyDigest;
 
 /**
- * The compact index on its timing wheel against a plain HashMap that is swept: a look-up, and one
- * second of life (1/30 of the keys come, as many go, and what is over is found). Run by 'make
- * bench-results'.
+ * Compares the compact index, which expires keys by a timing wheel, with a HashMap that is swept: a
+ * lookup, and one second of operation, in which 1/30 of the keys are added and as many expire. Run by
+ * {@code make bench-results}.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -29,10 +29,10 @@
 @Measurement(iterations = 4, time = 1)
 @Fork(1)
 public class KeyStructures {
-  private static final int WINDOW = 30;
+  private static final int WINDOW_SECONDS = 30;
 
-  /** What the plain map holds of a key. */
-  private record Plain(long place, long lastDoor, long check, double until) {}
+  /** Entry of the plain map. */
+  private record PlainEntry(long position, long lastSentAt, long checksum, double expiresAt) {}
 
   @Param({"1000", "100000", "1000000"})
   private int keys;
@@ -40,10 +40,10 @@
   private KeyDigest[] digests;
   private String[] names;
   private CompactIndex index;
-  private Map<String, Plain> map;
+  private Map<String, PlainEntry> map;
   private double now;
-  private int next;
-  private int look;
+  private int nextKey;
+  private int lookupPosition;
 
   @Setup
   public void fill() {
@@ -56,34 +56,34 @@
     index = new CompactIndex(2 * keys);
     map = new HashMap<>();
     now = 0;
-    for (next = 0; next < keys; next++) {
-      double until = WINDOW * (double) next / keys;
-      index.put(digests[next], next, next, next, until);
-      map.put(names[next], new Plain(next, next, next, until));
+    for (nextKey = 0; nextKey < keys; nextKey++) {
+      double expiresAt = WINDOW_SECONDS * (double) nextKey / keys;
+      index.put(digests[nextKey], nextKey, nextKey, nextKey, expiresAt);
+      map.put(names[nextKey], new PlainEntry(nextKey, nextKey, nextKey, expiresAt));
     }
   }
 
   @Benchmark
   @OutputTimeUnit(TimeUnit.NANOSECONDS)
   public Object lookIndex() {
-    look = (look + 7919) % keys;
-    return index.find(digests[look]);
+    lookupPosition = (lookupPosition + 7919) % keys;
+    return index.find(digests[lookupPosition]);
   }
 
   @Benchmark
   @OutputTimeUnit(TimeUnit.NANOSECONDS)
   public Object lookMap() {
-    look = (look + 7919) % keys;
-    return map.get(names[look]);
+    lookupPosition = (lookupPosition + 7919) % keys;
+    return map.get(names[lookupPosition]);
   }
 
   @Benchmark
   @OutputTimeUnit(TimeUnit.MICROSECONDS)
   public int secondIndex() {
     now += 1;
-    for (int i = 0; i < keys / WINDOW; i++) {
-      next = (next + 1) % digests.length;
-      index.put(digests[next], next, next, next, now + WINDOW);
+    for (int i = 0; i < keys / WINDOW_SECONDS; i++) {
+      nextKey = (nextKey + 1) % digests.length;
+      index.put(digests[nextKey], nextKey, nextKey, nextKey, now + WINDOW_SECONDS);
     }
     index.expire(now);
     return index.size();
@@ -93,43 +93,43 @@
   @OutputTimeUnit(TimeUnit.MICROSECONDS)
   public int secondMap() {
     now += 1;
-    for (int i = 0; i < keys / WINDOW; i++) {
-      next = (next + 1) % digests.length;
-      map.put(names[next], new Plain(next, next, next, now + WINDOW));
+    for (int i = 0; i < keys / WINDOW_SECONDS; i++) {
+      nextKey = (nextKey + 1) % digests.length;
+      map.put(names[nextKey], new PlainEntry(nextKey, nextKey, nextKey, now + WINDOW_SECONDS));
     }
-    for (Iterator<Plain> all = map.values().iterator(); all.hasNext(); ) {
-      if (all.next().until() < now) {
-        all.remove();
+    for (Iterator<PlainEntry> entries = map.values().iterator(); entries.hasNext(); ) {
+      if (entries.next().expiresAt() < now) {
+        entries.remove();
       }
     }
     return map.size();
   }
 
-  /** Bytes a key in both, by what the heap holds after a collection: 'KeyStructures bytes'. */
+  /** Prints the heap bytes of a key in both structures, measured after a collection. */
   public static void main(String[] args) {
     for (int keys : new int[] {1000, 100_000, 1_000_000}) {
-      long before = used();
+      long before = usedBytes();
       CompactIndex index = new CompactIndex(keys);
       for (int i = 0; i < keys; i++) {
         index.put(KeyDigest.of("2/0/" + i), i, i, i, 30);
       }
-      long flat = used() - before;
-      before = used();
-      Map<String, Plain> map = new HashMap<>();
+      long indexBytes = usedBytes() - before;
+      before = usedBytes();
+      Map<String, PlainEntry> map = new HashMap<>();
       for (int i = 0; i < keys; i++) {
-        map.put(String.format("2/0/%032x", i * 0x9E3779B97F4A7C15L), new Plain(i, i, i, 30));
+        map.put(String.format("2/0/%032x", i * 0x9E3779B97F4A7C15L), new PlainEntry(i, i, i, 30));
       }
-      long plain = used() - before;
+      long mapBytes = usedBytes() - before;
       System.out.printf(
-          "%8d keys: index %d bytes a key (%d by its own account), map %d%n",
-          keys, flat / keys, index.bytes() / keys, plain / keys);
+          "%8d keys: index %d bytes a key (%d by its own count), map %d%n",
+          keys, indexBytes / keys, index.bytes() / keys, mapBytes / keys);
       if (map.size() + index.size() != 2 * keys) {
-        throw new IllegalStateException("keys were lost");
+        throw new IllegalStateException("an entry was lost");
       }
     }
   }
 
-  private static long used() {
+  private static long usedBytes() {
     for (int i = 0; i < 3; i++) {
       System.gc();
     }
--- a/src/test/java/wharftrestle/bench/ResultStructures.java
+++ b/src/test/java/wharftrestle/bench/ResultStructures.java
@@ -11,59 +11,59 @@
 import wharftrestle.idempotency.BlockStore;
 
 /**
- * Results in blocks against a map of arrays, both at the life of a box: results come, stay for a
- * window and go, with the garbage of requests between them. Each is played in a process with a
- * daemon's heap; what is told is bytes a result, how often and how long the collector stopped all,
- * and the most results that a heap holds. Run by 'make bench-memory'.
+ * Compares results in blocks with a map of arrays under the load of a host: results are added, kept for
+ * a window and removed, with garbage of requests between them. Each structure runs in a process with
+ * the heap of a daemon. Prints the time of a result, the number and duration of collections, and
+ * whether the heap holds the window. Run by {@code make bench-memory}.
  */
 public final class ResultStructures {
   private static final int ROUNDS = 200_000;
 
-  /** Bytes of garbage that a request makes beside its result: a guess at the least. */
-  private static final int GARBAGE = 8192;
+  /** Garbage of a request in addition to its result; a lower bound. */
+  private static final int GARBAGE_BYTES = 8192;
 
-  private static final int LONGEST = 4096;
+  private static final int MAX_RESULT_BYTES = 4096;
 
   private ResultStructures() {}
 
-  /** Keeps results by number. */
-  private interface Kept {
+  /** Stores results by number. */
+  private interface ResultStore {
     boolean put(int number, byte[] result);
 
-    void drop(int number);
+    void remove(int number);
   }
 
-  private static Kept blocks(int most) {
-    BlockStore blocks = new BlockStore(most);
-    Map<Integer, Integer> at = new HashMap<>();
-    return new Kept() {
+  private static ResultStore blocks(int maxBytes) {
+    BlockStore blocks = new BlockStore(maxBytes);
+    Map<Integer, Integer> firstBlocks = new HashMap<>();
+    return new ResultStore() {
       @Override
       public boolean put(int number, byte[] result) {
         int first = blocks.put(result);
-        at.put(number, first);
+        firstBlocks.put(number, first);
         return first >= 0;
       }
 
       @Override
-      public void drop(int number) {
-        blocks.free(at.remove(number));
+      public void remove(int number) {
+        blocks.free(firstBlocks.remove(number));
       }
     };
   }
 
-  private static Kept arrays() {
-    @SuppressWarnings("ModifiedButNotUsed") // what it holds is to fill the heap, not to be read
-    Map<Integer, byte[]> at = new HashMap<>();
-    return new Kept() {
+  private static ResultStore arrays() {
+    @SuppressWarnings("ModifiedButNotUsed") // the content only fills the heap
+    Map<Integer, byte[]> results = new HashMap<>();
+    return new ResultStore() {
       @Override
       public boolean put(int number, byte[] result) {
-        at.put(number, result);
+        results.put(number, result);
         return true;
       }
 
       @Override
-      public void drop(int number) {
-        at.remove(number);
+      public void remove(int number) {
+        results.remove(number);
       }
     };
   }
@@ -71,8 +71,8 @@
   public static void main(String[] args) throws Exception {
     if (args.length == 0) {
       for (int window : new int[] {1000, 2000, 3000, 4000, 5000}) {
-        for (String form : new String[] {"arrays", "blocks"}) {
-          Process one =
+        for (String structure : new String[] {"arrays", "blocks"}) {
+          Process process =
               new ProcessBuilder(
                       System.getProperty("java.home") + "/bin/java",
                       "-XX:+UseSerialGC",
@@ -82,59 +82,59 @@
                       "-cp",
                       System.getProperty("java.class.path"),
                       ResultStructures.class.getName(),
-                      form,
+                      structure,
                       Integer.toString(window))
                   .redirectErrorStream(true)
                   .start();
-          String said = new String(one.getInputStream().readAllBytes(), Charset.defaultCharset());
+          String output = new String(process.getInputStream().readAllBytes(), Charset.defaultCharset());
           System.out.print(
-              one.waitFor() == 0
-                  ? said
-                  : form
+              process.waitFor() == 0
+                  ? output
+                  : structure
                       + ", "
                       + window
                       + " results: "
-                      + said.lines().findFirst().orElse("ended")
+                      + output.lines().findFirst().orElse("ended")
                       + "\n");
         }
       }
       return;
     }
     int window = Integer.parseInt(args[1]);
-    Kept kept = args[0].equals("blocks") ? blocks(1 << 20) : arrays();
+    ResultStore store = args[0].equals("blocks") ? blocks(1 << 20) : arrays();
     Random random = new Random(29421);
     ArrayDeque<byte[]> garbage = new ArrayDeque<>();
-    long took = 0;
+    long storeNanos = 0;
     for (int i = 0; i < ROUNDS; i++) {
-      byte[] result = new byte[random.nextInt(LONGEST)];
-      garbage.add(new byte[GARBAGE]);
+      byte[] result = new byte[random.nextInt(MAX_RESULT_BYTES)];
+      garbage.add(new byte[GARBAGE_BYTES]);
       if (garbage.size() > 40) {
-        garbage.poll(); // requests in hand
+        garbage.poll(); // requests in flight
       }
-      long at = System.nanoTime();
-      kept.put(i, result);
+      long startedAt = System.nanoTime();
+      store.put(i, result);
       if (i >= window) {
-        kept.drop(i - window);
+        store.remove(i - window);
       }
-      took += System.nanoTime() - at;
+      storeNanos += System.nanoTime() - startedAt;
     }
-    long stops = 0;
-    long full = 0;
-    long millis = 0;
-    for (GarbageCollectorMXBean each : ManagementFactory.getGarbageCollectorMXBeans()) {
-      stops += each.getCollectionCount();
-      millis += each.getCollectionTime();
-      full += each.getName().contains("MarkSweep") ? each.getCollectionCount() : 0;
+    long collections = 0;
+    long fullCollections = 0;
+    long collectionMs = 0;
+    for (GarbageCollectorMXBean collector : ManagementFactory.getGarbageCollectorMXBeans()) {
+      collections += collector.getCollectionCount();
+      collectionMs += collector.getCollectionTime();
+      fullCollections += collector.getName().contains("MarkSweep") ? collector.getCollectionCount() : 0;
     }
     System.out.printf(
         Locale.ROOT,
-        "%s, %d results: put and drop %.2f us with their pauses, %d collections, %d of them "
+        "%s, %d results: put and remove %.2f us with pauses, %d collections, %d of them "
             + "full, %d ms in all%n",
         args[0],
         window,
-        took / 1e3 / ROUNDS,
-        stops,
-        full,
-        millis);
+        storeNanos / 1e3 / ROUNDS,
+        collections,
+        fullCollections,
+        collectionMs);
   }
 }
--- a/src/test/java/wharftrestle/prove/BenchBuilds.java
+++ b/src/test/java/wharftrestle/prove/BenchBuilds.java
@@ -29,7 +29,7 @@
     for (int round = 0; round < ROUNDS; round++) {
       for (int i = 0; i < 2; i++) {
         int build = round % 2 == 0 ? i : 1 - i; // alternate the order
-        double[] figures = play(Path.of(args[build]), 7 + round);
+        double[] figures = measureBuild(Path.of(args[build]), 7 + round);
         sums[build][0] += figures[0];
         sums[build][1] += figures[1];
         System.out.printf(
@@ -53,7 +53,7 @@
         sums[1][1] / sums[0][1]);
   }
 
-  private static double[] play(Path jar, long seed) throws Exception {
+  private static double[] measureBuild(Path jar, long seed) throws Exception {
     Path folder = Files.createTempDirectory("bench-builds");
     try (HostTestbed testbed = new HostTestbed(folder, "", seed, HostTestbed.Play.of(192))) {
       DaemonProcess daemon =
--- a/src/test/java/wharftrestle/prove/BenchChange.java
+++ b/src/test/java/wharftrestle/prove/BenchChange.java
@@ -50,12 +50,12 @@
 
   public static void main(String[] args) throws Exception {
     long seed = args.length > 0 ? Long.parseLong(args[0]) : 7;
-    boolean[] plays =
+    boolean[] loadLevels =
         args.length > 1 ? new boolean[] {args[1].equals("over")} : new boolean[] {false, true};
-    for (boolean overloaded : plays) {
+    for (boolean overloaded : loadLevels) {
       Path folder = Files.createTempDirectory("bench-change");
       try (HostTestbed testbed = new HostTestbed(folder, "", seed, HostTestbed.Play.of(192))) {
-        new BenchChange(testbed).play(overloaded, seed);
+        new BenchChange(testbed).measureChanges(overloaded, seed);
       } finally {
         HostTestbed.delete(folder);
       }
@@ -66,7 +66,7 @@
     return Stream.of(active, successor).filter(Objects::nonNull).toList();
   }
 
-  private void play(boolean overloaded, long seed) throws Exception {
+  private void measureChanges(boolean overloaded, long seed) throws Exception {
     HostTestbed.Version firstVersion =
         new HostTestbed.Version(null, "wharftrestle.Main", testbed.settings(), "");
     HostTestbed.Version secondVersion =
--- a/src/test/java/wharftrestle/prove/ProveChange.java
+++ b/src/test/java/wharftrestle/prove/ProveChange.java
@@ -114,7 +114,7 @@
   }
 
   /** Makes a number of changes, with durable results or without. */
-  private static Observations play(
+  private static Observations runChanges(
       boolean durableResults,
       boolean withoutCheck,
       int changes,
@@ -126,7 +126,7 @@
     try (HostTestbed testbed = new HostTestbed(folder, "", seed, HostTestbed.Play.of(192))) {
       return new ProveChange(
               testbed, variants(testbed, folder, durableResults, withoutCheck, builds), out)
-          .play(changes, new Random(seed));
+          .runChanges(changes, new Random(seed));
     } finally {
       HostTestbed.delete(folder);
     }
@@ -222,7 +222,7 @@
     return result;
   }
 
-  private Observations play(int changes, Random random) throws Exception {
+  private Observations runChanges(int changes, Random random) throws Exception {
     Variant currentVariant = variants.get(0);
     DaemonProcess current = testbed.begin(currentVariant.version());
     if (!current.awaitReady(readyTimeoutMs)) {
@@ -420,12 +420,12 @@
       throws Exception {
     out.println("prove-change: seed " + seed);
     List<Path> builds = earlierBuilds ? earlierBuilds(true, out) : List.of();
-    Observations withoutStore = play(false, false, changes - changes / 2, seed, builds, out);
+    Observations withoutStore = runChanges(false, false, changes - changes / 2, seed, builds, out);
     out.println("  without durable results: " + withoutStore);
-    Observations withStore = play(true, false, changes / 2, seed, builds, out);
+    Observations withStore = runChanges(true, false, changes / 2, seed, builds, out);
     out.println("  durable results: " + withStore);
     Observations withoutCheck =
-        play(
+        runChanges(
             false,
             true,
             Math.min(6, changes),
--- a/src/test/java/wharftrestle/prove/ProveCold.java
+++ b/src/test/java/wharftrestle/prove/ProveCold.java
@@ -30,7 +30,7 @@
       int hosts, boolean eachTakesWholeQuota, int seeds, long seed) {
     return IntStream.range(0, seeds)
         .parallel()
-        .mapToObj(i -> ColdStartSimulation.play(hosts, eachTakesWholeQuota, seed + i))
+        .mapToObj(i -> ColdStartSimulation.simulate(hosts, eachTakesWholeQuota, seed + i))
         .mapToDouble(result -> result.worstMeanCalls() / result.allowedCalls())
         .max()
         .orElse(Double.POSITIVE_INFINITY);
@@ -43,7 +43,7 @@
         .parallel()
         .mapToObj(
             i ->
-                ColdTrafficSimulation.play(
+                ColdTrafficSimulation.simulate(
                     hosts, new Clients(hosts, ramp, ignoringShare), start, seed + i))
         .reduce(
             new ColdTrafficSimulation.Result(0, 0),
--- a/src/test/java/wharftrestle/prove/ProveJudge.java
+++ b/src/test/java/wharftrestle/prove/ProveJudge.java
@@ -76,7 +76,7 @@
     }
   }
 
-  static Row play(Release release, Trouble trouble, Judging judging, int count, long seed) {
+  static Row simulate(Release release, Trouble trouble, Judging judging, int count, long seed) {
     return new Row(
         release,
         trouble,
@@ -93,12 +93,12 @@
     List<Row> rows = new ArrayList<>();
     for (Judging judging : Judging.values()) {
       for (Trouble trouble : Trouble.values()) {
-        rows.add(play(Release.GOOD, trouble, judging, rolloutsPerKind, seed));
+        rows.add(simulate(Release.GOOD, trouble, judging, rolloutsPerKind, seed));
         out.println("  " + rows.get(rows.size() - 1));
       }
       for (Release release : Release.values()) {
         if (release != Release.GOOD) {
-          rows.add(play(release, Trouble.NONE, judging, rolloutsPerKind, seed));
+          rows.add(simulate(release, Trouble.NONE, judging, rolloutsPerKind, seed));
           out.println("  " + rows.get(rows.size() - 1));
         }
       }
@@ -163,7 +163,7 @@
     long seed = args.length > 0 ? Long.parseLong(args[0]) : 29421;
     if (args.length > 3) {
       for (Result each :
-          play(
+          simulate(
                   Release.valueOf(args[1]),
                   Trouble.valueOf(args[2]),
                   Judging.SEQUENTIAL,
--- a/src/test/java/wharftrestle/prove/ProveMemory.java
+++ b/src/test/java/wharftrestle/prove/ProveMemory.java
@@ -156,24 +156,24 @@
   }
 
   /** Runs one daemon for a number of key lives, of which the first does not count. */
-  static Observations play(int memoryMb, boolean bounded, int window, double keyLives, long seed)
+  static Observations runDaemon(int memoryMb, boolean bounded, int window, double keyLives, long seed)
       throws Exception {
     Path folder = Files.createTempDirectory("prove-memory");
-    HostTestbed.Play play =
+    HostTestbed.Play daemonSpec =
         new HostTestbed.Play(
             bounded ? "wharftrestle.Main" : "wharftrestle.prove.Unbounded",
             memoryMb,
             window,
             RESULT_BYTES);
-    try (HostTestbed testbed = new HostTestbed(folder, "", seed, play)) {
+    try (HostTestbed testbed = new HostTestbed(folder, "", seed, daemonSpec)) {
       return new ProveMemory(testbed, window + KEY_LINGER_SECONDS)
-          .play(memoryMb, bounded, keyLives, seed);
+          .runDaemon(memoryMb, bounded, keyLives, seed);
     } finally {
       HostTestbed.delete(folder);
     }
   }
 
-  private Observations play(int memoryMb, boolean bounded, double keyLives, long seed)
+  private Observations runDaemon(int memoryMb, boolean bounded, double keyLives, long seed)
       throws Exception {
     observed.memoryMb = memoryMb;
     observed.heapLimitMb =
@@ -365,10 +365,10 @@
       for (int limit : limits) {
         results.add(
             executor.submit(
-                (Callable<Observations>) () -> play(limit, true, window, keyLives, seed)));
+                (Callable<Observations>) () -> runDaemon(limit, true, window, keyLives, seed)));
       }
       Future<Observations> unboundedResult =
-          executor.submit((Callable<Observations>) () -> play(64, false, 24, 1.5, seed));
+          executor.submit((Callable<Observations>) () -> runDaemon(64, false, 24, 1.5, seed));
       boolean holds = true;
       StringBuilder figures = new StringBuilder();
       for (Future<Observations> each : results) {
--- a/src/test/java/wharftrestle/prove/ProveReady.java
+++ b/src/test/java/wharftrestle/prove/ProveReady.java
@@ -37,7 +37,7 @@
   /** Time from the start until the daemon is ready, infinite for never, and CPU time until then. */
   private record Ready(double readySeconds, double cpuSeconds) {}
 
-  private static Ready play(HostTestbed testbed, Fault fault) throws Exception {
+  private static Ready measureStart(HostTestbed testbed, Fault fault) throws Exception {
     if (fault == Fault.NAMES_GONE) {
       testbed.closeNameService();
     }
@@ -87,7 +87,7 @@
             new Thread(
                 () -> {
                   try {
-                    results.add(play(testbed, fault));
+                    results.add(measureStart(testbed, fault));
                   } catch (Exception failed) {
                     results.add(new Ready(Double.POSITIVE_INFINITY, 0));
                   }
--- a/src/test/java/wharftrestle/prove/ProveResults.java
+++ b/src/test/java/wharftrestle/prove/ProveResults.java
@@ -78,19 +78,19 @@
   }
 
   /** Runs at least a number of repeats and kills, with the store on or off. */
-  static Observations play(
+  static Observations runWithKills(
       boolean durableResults, int repeats, int kills, long seed, PrintStream out) throws Exception {
     Path folder = Files.createTempDirectory("prove-results");
     String script =
         durableResults ? "durable(dir = \"" + folder.resolve("results") + "\", max_mb = 16)\n" : "";
     try (HostTestbed testbed = new HostTestbed(folder, script, seed, HostTestbed.Play.of(192))) {
-      return new ProveResults(testbed, repeats, kills, out).play(new Random(seed));
+      return new ProveResults(testbed, repeats, kills, out).runWithKills(new Random(seed));
     } finally {
       HostTestbed.delete(folder);
     }
   }
 
-  private Observations play(Random random) throws Exception {
+  private Observations runWithKills(Random random) throws Exception {
     testbed.start();
     TestClients clients =
         new TestClients(
@@ -162,9 +162,9 @@
   /** Runs with the store on and off; prints one line with the result. */
   static boolean prove(int repeats, int kills, long seed, PrintStream out) throws Exception {
     out.println("prove-results: seed " + seed);
-    Observations withStore = play(true, repeats, kills, seed, out);
+    Observations withStore = runWithKills(true, repeats, kills, seed, out);
     out.println("  store on: " + withStore);
-    Observations withoutStore = play(false, 0, Math.min(kills, 12), seed, out);
+    Observations withoutStore = runWithKills(false, 0, Math.min(kills, 12), seed, out);
     out.println("  store off: " + withoutStore);
     boolean holds =
         withStore.holds()
--- a/src/test/java/wharftrestle/prove/ProveResultsTest.java
+++ b/src/test/java/wharftrestle/prove/ProveResultsTest.java
@@ -11,14 +11,14 @@
 
   @Test
   void killsCauseDuplicateExecutionsOnlyWithoutTheStore() throws Exception {
-    ProveResults.Observations withStore = ProveResults.play(true, 400, 8, SEED, System.out);
+    ProveResults.Observations withStore = ProveResults.runWithKills(true, 400, 8, SEED, System.out);
     System.out.println("store on, seed " + SEED + ": " + withStore);
     assertEquals(0, withStore.tally.runTwice());
     assertEquals(0, withStore.tally.refusedAfterRun());
     assertEquals(0, withStore.tally.otherBytes());
     assertEquals(0, withStore.tally.failedAfterResult());
     assertTrue(withStore.tally.again() > 50, "results were sent again");
-    ProveResults.Observations withoutStore = ProveResults.play(false, 0, 5, SEED, System.out);
+    ProveResults.Observations withoutStore = ProveResults.runWithKills(false, 0, 5, SEED, System.out);
     System.out.println("store off: " + withoutStore);
     assertTrue(
         withoutStore.tally.runTwice() > 0, "without the store the proof must find double runs");
--- a/src/test/java/wharftrestle/prove/ProveRoll.java
+++ b/src/test/java/wharftrestle/prove/ProveRoll.java
@@ -436,8 +436,8 @@
       out.println(
           "  two controllers: the first one sent "
               + ordersWithFence
-              + " orders after the first order of the second; without the fence "
-              + ""
+              + " orders after the first order of the second; "
+              + "without the fence "
               + ordersWithoutFence);
     }
     long successful = results.stream().filter(RolloutResult::holds).count();
--- a/src/test/java/wharftrestle/testbed/TestbedTest.java
+++ b/src/test/java/wharftrestle/testbed/TestbedTest.java
@@ -267,11 +267,11 @@
         "at(1, cut(\"b1\", \"moon\"))",
         "f.star:1:17: cut.path: expected one of front, pool, store, names, got moon"
       },
-      {"at(1, cut(\"b2\", \"pool\"))", "f.star:1:1: there is no b2: 1 boxes are played"},
+      {"at(1, cut(\"b2\", \"pool\"))", "f.star:1:1: no box b2: play declares 1 boxes"},
       {"at(1, 2)", "f.star:1:7: at takes a fault, such as cut(\"b1\", \"front\")"},
       {
         "at(99, kill(\"b1\"))",
-        "f.star:1:1: nothing happens after 10.0 s, which is when the play ends"
+        "f.star:1:1: expected a time of at most 10.0 s, the end of the scenario"
       },
       {
         "at(1, delay(\"b1\", \"pool\", -4))",
@@ -531,7 +531,7 @@
     assertTrue(
         new Scenario(
                 script, null, System.out, new PrintStream(results, false, StandardCharsets.UTF_8))
-            .play(),
+            .execute(),
         results.toString(StandardCharsets.UTF_8));
     JsonNode tally =
         new ObjectMapper()
@@ -557,7 +557,7 @@
     assertTrue(
         new Scenario(
                 script, null, System.out, new PrintStream(results, false, StandardCharsets.UTF_8))
-            .play(),
+            .execute(),
         results.toString(StandardCharsets.UTF_8));
   }
 
@@ -581,7 +581,7 @@
     assertTrue(
         new Scenario(
                 script, null, System.out, new PrintStream(results, false, StandardCharsets.UTF_8))
-            .play());
+            .execute());
     String[] lines = results.toString(StandardCharsets.UTF_8).split("\n", 0);
     assertEquals(8 + 2 + 1, lines.length, results.toString(StandardCharsets.UTF_8));
     assertTrue(lines[lines.length - 1].contains("\"holds\":true"));
