--- a/src/main/java/wharftrestle/simulation/SimulatedFleet.java
+++ b/src/main/java/wharftrestle/simulation/SimulatedFleet.java
@@ -21,8 +21,7 @@
    * @param requestsPerSecond arrival rate for each host
    * @param utilization part of the cores that the requests need
    * @param retryProbability part of refused requests that are retried on another host
-   * @param shiftProbability part of requests that go to the less loaded of two hosts; 0 for
-   *     none
+   * @param shiftProbability part of requests that go to the less loaded of two hosts; 0 for none
    */
   record Site(
       int hosts,
--- a/src/main/java/wharftrestle/testbed/FaultRule.java
+++ b/src/main/java/wharftrestle/testbed/FaultRule.java
@@ -17,9 +17,11 @@
     DELAY,
     /** Streams are limited to a number of kB a second. */
     RATE,
-    /** This part of datagrams, 0 to 1, is lost (and for the next two: duplicated, reordered). */
+    /** This part of datagrams, 0 to 1, is lost. */
     DROP,
+    /** This part of datagrams, 0 to 1, is duplicated. */
     DOUBLE,
+    /** This part of datagrams, 0 to 1, is delivered after the next one. */
     REORDER
   }
 
--- a/src/test/java/wharftrestle/bench/KeyStructures.java
+++ b/src/test/java/wharftrestle/bench/KeyStructures.java
@@ -20,8 +20,8 @@
 
 /**
  * Compares the compact index, which expires keys by a timing wheel, with a HashMap that is swept: a
- * lookup, and one second of operation, in which 1/30 of the keys are added and as many expire. Run by
- * {@code make bench-results}.
+ * lookup, and one second of operation, in which 1/30 of the keys are added and as many expire. Run
+ * by {@code make bench-results}.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
--- a/src/test/java/wharftrestle/bench/ResultStructures.java
+++ b/src/test/java/wharftrestle/bench/ResultStructures.java
@@ -11,10 +11,10 @@
 import wharftrestle.idempotency.BlockStore;
 
 /**
- * Compares results in blocks with a map of arrays under the load of a host: results are added, kept for
- * a window and removed, with garbage of requests between them. Each structure runs in a process with
- * the heap of a daemon. Prints the time of a result, the number and duration of collections, and
- * whether the heap holds the window. Run by {@code make bench-memory}.
+ * Compares results in blocks with a map of arrays under the load of a host: results are added, kept
+ * for a window and removed, with garbage of requests between them. Each structure runs in a process
+ * with the heap of a daemon. Prints the time of a result, the number and duration of collections,
+ * and whether the heap holds the window. Run by {@code make bench-memory}.
  */
 public final class ResultStructures {
   private static final int ROUNDS = 200_000;
@@ -86,7 +86,8 @@
                       Integer.toString(window))
                   .redirectErrorStream(true)
                   .start();
-          String output = new String(process.getInputStream().readAllBytes(), Charset.defaultCharset());
+          String output =
+              new String(process.getInputStream().readAllBytes(), Charset.defaultCharset());
           System.out.print(
               process.waitFor() == 0
                   ? output
@@ -124,7 +125,8 @@
     for (GarbageCollectorMXBean collector : ManagementFactory.getGarbageCollectorMXBeans()) {
       collections += collector.getCollectionCount();
       collectionMs += collector.getCollectionTime();
-      fullCollections += collector.getName().contains("MarkSweep") ? collector.getCollectionCount() : 0;
+      fullCollections +=
+          collector.getName().contains("MarkSweep") ? collector.getCollectionCount() : 0;
     }
     System.out.printf(
         Locale.ROOT,
--- a/src/test/java/wharftrestle/prove/FullDescriptorsTest.java
+++ b/src/test/java/wharftrestle/prove/FullDescriptorsTest.java
@@ -51,9 +51,7 @@
     for (int attempt = 0; attempt < MAX_ATTEMPTS && !replyWord.equals("done"); attempt++) {
       try (TestClient client = new TestClient(testbed.address())) {
         replyWord =
-            client
-                .ask("save", 1000L * number + attempt, "key " + number, "body " + number)
-                .word();
+            client.ask("save", 1000L * number + attempt, "key " + number, "body " + number).word();
       }
     }
     return replyWord;
--- a/src/test/java/wharftrestle/prove/ProveMemory.java
+++ b/src/test/java/wharftrestle/prove/ProveMemory.java
@@ -156,8 +156,8 @@
   }
 
   /** Runs one daemon for a number of key lives, of which the first does not count. */
-  static Observations runDaemon(int memoryMb, boolean bounded, int window, double keyLives, long seed)
-      throws Exception {
+  static Observations runDaemon(
+      int memoryMb, boolean bounded, int window, double keyLives, long seed) throws Exception {
     Path folder = Files.createTempDirectory("prove-memory");
     HostTestbed.Play daemonSpec =
         new HostTestbed.Play(
--- a/src/test/java/wharftrestle/prove/ProveResultsTest.java
+++ b/src/test/java/wharftrestle/prove/ProveResultsTest.java
@@ -18,7 +18,8 @@
     assertEquals(0, withStore.tally.otherBytes());
     assertEquals(0, withStore.tally.failedAfterResult());
     assertTrue(withStore.tally.again() > 50, "results were sent again");
-    ProveResults.Observations withoutStore = ProveResults.runWithKills(false, 0, 5, SEED, System.out);
+    ProveResults.Observations withoutStore =
+        ProveResults.runWithKills(false, 0, 5, SEED, System.out);
     System.out.println("store off: " + withoutStore);
     assertTrue(
         withoutStore.tally.runTwice() > 0, "without the store the proof must find double runs");
