--- a/src/main/java/wharftrestle/simulation/RolloutSimulation.java
+++ b/src/main/java/wharftrestle/simulation/RolloutSimulation.java
@@ -243,8 +243,8 @@
         injectTrouble(now);
         apply(rollout.tick(reportedStates(), verdict(now), true, now), now);
       }
-      long have = activeReleases.values().stream().filter(NEW_RELEASE::equals).count();
-      if (release == Release.OVER_HALF && have * 2 > fleet.hosts.size()) {
+      long newHosts = activeReleases.values().stream().filter(NEW_RELEASE::equals).count();
+      if (release == Release.OVER_HALF && newHosts * 2 > fleet.hosts.size()) {
         fleet.hosts.stream()
             .filter(host -> activeReleases.get(host.name).equals(NEW_RELEASE))
             .forEach(SimulatedHost::showDefects);
@@ -363,8 +363,8 @@
       counts[classes * 5 + 2] = tally.cpu;
       counts[classes * 5 + 3] = host.memoryMb(now);
       double[] last = previousCounts.put(host.name, counts);
-      Integer process = previousGenerations.put(host.name, host.generation());
-      if (last == null || process == null || process != host.generation()) {
+      Integer generation = previousGenerations.put(host.name, host.generation());
+      if (last == null || generation == null || generation != host.generation()) {
         generationSeenAt.put(host.name, now);
         continue;
       }
--- a/src/main/java/wharftrestle/testbed/FleetTestbed.java
+++ b/src/main/java/wharftrestle/testbed/FleetTestbed.java
@@ -404,8 +404,8 @@
     Map<String, Integer> totals = new HashMap<>();
     for (Host host : hosts.values()) {
       TestClients.Tally tally = host.clients.tally();
-      totals.merge("run twice", tally.runTwice(), Integer::sum);
-      totals.merge("refused after a run", tally.refusedAfterRun(), Integer::sum);
+      totals.merge("executed twice", tally.runTwice(), Integer::sum);
+      totals.merge("refused after an execution", tally.refusedAfterRun(), Integer::sum);
       totals.merge("other bytes", tally.otherBytes(), Integer::sum);
       totals.merge("lost", tally.lost(), Integer::sum);
       totals.merge("unknown", tally.unknown(), Integer::sum);
--- a/src/main/java/wharftrestle/testbed/TestClients.java
+++ b/src/main/java/wharftrestle/testbed/TestClients.java
@@ -132,10 +132,10 @@
     public String toString() {
       return String.format(
           Locale.ROOT,
-          "%d run twice, %d refused after a run, %d other bytes, %d lost, %d unknown "
-              + "answers, %d answered twice, %d run too late after a notice, %d answers overdue; "
-              + "where the only holder of keys was killed %d more run twice, by kills and cuts %d lost; "
-              + "%d served, %d of them again, %d failed, %d refused, the slowest after %d ms; %d repeats",
+          "%d executed twice, %d refused after an execution, %d with other bytes, %d lost, %d unknown "
+              + "replies, %d answered twice, %d executed too late after SIGTERM, %d replies overdue; "
+              + "%d more executed twice after their keys were lost, %d lost by faults; "
+              + "%d served, %d of them repeated, %d failed, %d refused, slowest reply %d ms; %d repeats",
           runTwice,
           refusedAfterRun,
           otherBytes,
--- a/src/test/java/wharftrestle/prove/ProveChange.java
+++ b/src/test/java/wharftrestle/prove/ProveChange.java
@@ -261,7 +261,7 @@
   private DaemonProcess change(
       Variant currentVariant, DaemonProcess active, Variant next, Random random) throws Exception {
     observed.changes++;
-    long began = System.nanoTime();
+    long startedAt = System.nanoTime();
     DaemonProcess successor = testbed.begin(next.version());
     boolean compatible = next.compatible() || currentVariant.version().equals(next.version());
     // An earlier build closes connections that it does not understand and has no ownership lock, so
@@ -291,14 +291,14 @@
     }
     if (killed && victim == active) {
       countOutcome("took over from a killed predecessor");
-      long at = killedAt;
+      long killTime = killedAt;
       if (!successor.awaitReady(readyTimeoutMs)) {
         return unfinished(successor, "was not ready after its predecessor was killed");
       }
       recordServingAgain();
       if (!successor.log().contains("to=OPENING_STORAGE event=")) {
         clients.recordKeysLost(
-            at); // the keys were not transferred and are lost with the killed process
+            killTime); // the keys were not transferred and are lost with the killed process
       }
       return successor;
     }
@@ -324,7 +324,7 @@
           successor, "was never ready (" + currentVariant.name() + " to " + next.name() + ")");
     }
     countOutcome("changed");
-    observed.readyTimesMs.add((System.nanoTime() - began) / 1_000_000 - pauseMs);
+    observed.readyTimesMs.add((System.nanoTime() - startedAt) / 1_000_000 - pauseMs);
     active.terminate();
     if (active.awaitExit(8000) < 0) {
       return unfinished(active, "did not exit");
--- a/src/test/java/wharftrestle/prove/ProveRoll.java
+++ b/src/test/java/wharftrestle/prove/ProveRoll.java
@@ -336,16 +336,16 @@
                           each.controllerProxy()
                               .apply(FaultRule.Effect.DELAY, 60, 60, true, true)));
       case HOLE_THERE ->
-          zone(
+          onEachHostOfZone(
               hosts,
               host,
               each -> each.controllerProxy().apply(FaultRule.Effect.HOLE, 0, 0, true, false));
       case HOLE_BACK ->
-          zone(
+          onEachHostOfZone(
               hosts,
               host,
               each -> each.controllerProxy().apply(FaultRule.Effect.HOLE, 0, 0, false, true));
-      case CUT -> zone(hosts, host, each -> each.controllerProxy().cut());
+      case CUT -> onEachHostOfZone(hosts, host, each -> each.controllerProxy().cut());
       case PAUSE_SUPERVISOR -> pauseFor(host.supervisor().pid(), 2500);
       case KILL_SUPERVISOR -> {
         host.supervisor().destroyForcibly().waitFor();
@@ -370,7 +370,8 @@
     void run(FleetTestbed.Host host) throws Exception;
   }
 
-  private static void zone(List<FleetTestbed.Host> hosts, FleetTestbed.Host of, OnHost fault) {
+  private static void onEachHostOfZone(
+      List<FleetTestbed.Host> hosts, FleetTestbed.Host of, OnHost fault) {
     hosts.stream()
         .filter(each -> each.zone().equals(of.zone()))
         .forEach(
