--- a/src/main/java/wharftrestle/idempotency/CompactIndex.java
+++ b/src/main/java/wharftrestle/idempotency/CompactIndex.java
@@ -6,20 +6,21 @@
 
 /**
  * A hash index of settled keys in flat arrays: the location of each result, until when attempts are
- * covered, the body's checksum, and the expiry. Open addressing with linear probing over row
- * numbers, deletion by shifting back; a row keeps its number for life, by which its {@link
- * TimingWheel} knows it. Keys are known by digest. It does not grow past its capacity: {@link #put}
- * then returns false. All operations cost O(1) on the mean. Not thread-safe.
+ * duplicates, the body's checksum, and the expiry. Keys are identified by their digests. Uses open
+ * addressing with linear probing over row numbers and backward-shift deletion; the row number of a
+ * key does not change, as it identifies the key on the {@link TimingWheel}. The index does not grow
+ * past its capacity: {@link #put} then returns false. All operations take O(1) time on average. Not
+ * thread-safe.
  */
 public final class CompactIndex {
-  /** The location of a key without a result: its outcome is unknown. */
+  /** The location of a key without a result, as its outcome is unknown. */
   public static final long NO_RESULT = -1;
 
-  /** Tick and slots of the wheel: one turn is longer than usual windows. */
+  /** Tick of the wheel; one turn of {@link #WHEEL_SLOTS} ticks is longer than usual windows. */
   private static final double TICK_SECONDS = 0.25;
 
   private static final int WHEEL_SLOTS = 512;
-  private static final int FIRST_ROWS = 64;
+  private static final int INITIAL_ROWS = 64;
   private static final int EMPTY = -1;
 
   private final int capacity;
@@ -29,47 +30,48 @@
   private long[] locations = new long[0];
   private long[] coveredUntilMillis = new long[0];
   private long[] checksums = new long[0];
-  private int[] rowBySlot = new int[0]; // of rows, a power of two, at most half full
+  // Rows by hash; the length is a power of two, at most half of the slots are used.
+  private int[] rowBySlot = new int[0];
   private int[] freeRows = new int[0];
   private int freeRowCount;
   private int rowCount;
-  private final LocationReleaseListener releases;
+  private final LocationReleaseListener releaseListener;
 
-  /** Called with the location of each key that is forgotten or replaced. */
+  /** Receives the location of each key that is removed or replaced. */
   interface LocationReleaseListener {
-    void released(long location);
+    void onReleased(long location);
   }
 
-  /** Visits keys by expiry; false where no further one is wanted. */
+  /** Visits keys in order of expiry; returns false to stop. */
   interface ExpiryVisitor {
     boolean visit(double expiresAtSeconds, long location);
   }
 
-  /** What is known of one settled key. */
+  /** The data of one settled key. */
   public record IndexedKey(int row, long location, long coveredUntilMillis, long checksum) {}
 
   /**
-   * An empty index.
+   * Creates an empty index.
    *
-   * @param capacity keys at once
+   * @param capacity maximum number of keys
    */
   public CompactIndex(int capacity) {
-    this(capacity, place -> {});
+    this(capacity, location -> {});
   }
 
-  CompactIndex(int capacity, LocationReleaseListener releases) {
+  CompactIndex(int capacity, LocationReleaseListener releaseListener) {
     this.capacity = capacity;
-    this.releases = releases;
+    this.releaseListener = releaseListener;
   }
 
-  /** Keys known now. */
+  /** Number of keys. */
   public int size() {
     return rowCount - freeRowCount;
   }
 
-  /** What is known of this key; null for nothing. */
+  /** The data of this key; null if it is not in the index. */
   public IndexedKey find(KeyDigest key) {
-    int slot = slotOf(key);
+    int slot = findSlot(key);
     int row = slot < 0 ? EMPTY : rowBySlot[slot];
     return row == EMPTY
         ? null
@@ -77,13 +79,13 @@
   }
 
   /**
-   * Adds a key, or replaces what is known of it.
+   * Adds a key, or replaces its data.
    *
-   * @param location of its result, or {@link #NO_RESULT}
-   * @param lastCoveredMillis no attempt with a timestamp up to here may run, Unix ms
-   * @param checksum of the body
-   * @param expiresAtSeconds on the caller's clock
-   * @return false where the index is full
+   * @param location location of its result, or {@link #NO_RESULT}
+   * @param lastCoveredMillis attempts with a timestamp up to here may not execute, Unix ms
+   * @param checksum checksum of the body
+   * @param expiresAtSeconds when the key expires, on the caller's clock
+   * @return false if the index is full
    */
   public boolean put(
       KeyDigest key,
@@ -91,7 +93,7 @@
       long lastCoveredMillis,
       long checksum,
       double expiresAtSeconds) {
-    int slot = slotOf(key);
+    int slot = findSlot(key);
     int row = slot < 0 ? EMPTY : rowBySlot[slot];
     if (row == EMPTY) {
       if (size() >= capacity) {
@@ -100,9 +102,9 @@
       row = freeRowCount > 0 ? freeRows[--freeRowCount] : newRow();
       digestHighs[row] = key.high();
       digestLows[row] = key.low();
-      rowBySlot[slotOf(key)] = row;
+      rowBySlot[findSlot(key)] = row;
     } else {
-      releases.released(locations[row]);
+      releaseListener.onReleased(locations[row]);
     }
     locations[row] = location;
     coveredUntilMillis[row] = lastCoveredMillis;
@@ -111,9 +113,9 @@
     return true;
   }
 
-  /** Forgets a key; false where it is not known. */
+  /** Removes a key; false if it is not in the index. */
   public boolean remove(KeyDigest key) {
-    int slot = slotOf(key);
+    int slot = findSlot(key);
     if (slot < 0 || rowBySlot[slot] == EMPTY) {
       return false;
     }
@@ -122,18 +124,18 @@
     return true;
   }
 
-  /** Forgets the keys whose time is over; how many. */
+  /** Removes the expired keys and returns their number. */
   public int expire(double now) {
     return wheel.advance(
-        now, row -> removeSlot(slotOf(new KeyDigest(digestHighs[row], digestLows[row]))));
+        now, row -> removeSlot(findSlot(new KeyDigest(digestHighs[row], digestLows[row]))));
   }
 
-  /** Visits keys in the order of expiry, up to one turn of the wheel ahead. */
+  /** Visits the keys that expire within one turn of the wheel, in order of expiry. */
   void forEachByExpiry(ExpiryVisitor visitor) {
-    wheel.forEachUpcoming((row, at) -> visitor.visit(at, locations[row]));
+    wheel.forEachUpcoming((row, probedSlot) -> visitor.visit(probedSlot, locations[row]));
   }
 
-  /** When the key of this row is forgotten, to a tick, in seconds on the caller's clock. */
+  /** When the key of this row expires, rounded up to a tick, in seconds on the caller's clock. */
   double expiresAtSeconds(int row) {
     return wheel.dueSeconds(row);
   }
@@ -149,13 +151,13 @@
     return all;
   }
 
-  /** Bytes of its arrays. */
+  /** Memory of the arrays in bytes. */
   public long bytes() {
     return 40L * digestHighs.length + 4L * (rowBySlot.length + freeRows.length) + wheel.bytes();
   }
 
-  /** The slot of this key, or where it would be; -1 where there is no table yet. */
-  private int slotOf(KeyDigest key) {
+  /** The slot of this key, or the free one for it; -1 if the hash table is not allocated yet. */
+  private int findSlot(KeyDigest key) {
     if (rowBySlot.length == 0) {
       return -1;
     }
@@ -173,23 +175,26 @@
   }
 
   /**
-   * Empties a slot and moves back what stands behind it out of place, so that no search ends early.
+   * Empties a slot and shifts displaced rows behind it back, so that probing does not stop early.
    */
   private void removeSlot(int slot) {
     if (freeRowCount == freeRows.length) {
       freeRows = Arrays.copyOf(freeRows, Math.max(16, freeRowCount + (freeRowCount >> 1)));
     }
     freeRows[freeRowCount++] = rowBySlot[slot];
-    releases.released(locations[rowBySlot[slot]]);
+    releaseListener.onReleased(locations[rowBySlot[slot]]);
     int hole = slot;
-    for (int at = slot + 1 & rowBySlot.length - 1;
-        rowBySlot[at] != EMPTY;
-        at = at + 1 & rowBySlot.length - 1) {
-      int home = homeSlot(digestLows[rowBySlot[at]]);
-      boolean between = hole <= at ? hole < home && home <= at : hole < home || home <= at;
-      if (!between) {
-        rowBySlot[hole] = rowBySlot[at];
-        hole = at;
+    for (int probedSlot = slot + 1 & rowBySlot.length - 1;
+        rowBySlot[probedSlot] != EMPTY;
+        probedSlot = probedSlot + 1 & rowBySlot.length - 1) {
+      int home = homeSlot(digestLows[rowBySlot[probedSlot]]);
+      boolean isHomeAfterHole =
+          hole <= probedSlot
+              ? hole < home && home <= probedSlot
+              : hole < home || home <= probedSlot;
+      if (!isHomeAfterHole) {
+        rowBySlot[hole] = rowBySlot[probedSlot];
+        hole = probedSlot;
       }
     }
     rowBySlot[hole] = EMPTY;
@@ -197,23 +202,24 @@
 
   private int newRow() {
     if (rowCount == digestHighs.length) {
-      int to = (int) Math.min(capacity, Math.max(FIRST_ROWS, rowCount + (long) (rowCount >> 1)));
-      digestHighs = Arrays.copyOf(digestHighs, to);
-      digestLows = Arrays.copyOf(digestLows, to);
-      locations = Arrays.copyOf(locations, to);
-      coveredUntilMillis = Arrays.copyOf(coveredUntilMillis, to);
-      checksums = Arrays.copyOf(checksums, to);
+      int newLength =
+          (int) Math.min(capacity, Math.max(INITIAL_ROWS, rowCount + (long) (rowCount >> 1)));
+      digestHighs = Arrays.copyOf(digestHighs, newLength);
+      digestLows = Arrays.copyOf(digestLows, newLength);
+      locations = Arrays.copyOf(locations, newLength);
+      coveredUntilMillis = Arrays.copyOf(coveredUntilMillis, newLength);
+      checksums = Arrays.copyOf(checksums, newLength);
     }
     if (2L * (rowCount + 1) > rowBySlot.length) {
-      rowBySlot = new int[Math.max(2 * FIRST_ROWS, 2 * rowBySlot.length)];
+      rowBySlot = new int[Math.max(2 * INITIAL_ROWS, 2 * rowBySlot.length)];
       Arrays.fill(rowBySlot, EMPTY);
-      boolean[] idle = new boolean[rowCount];
+      boolean[] isFree = new boolean[rowCount];
       for (int i = 0; i < freeRowCount; i++) {
-        idle[freeRows[i]] = true;
+        isFree[freeRows[i]] = true;
       }
       for (int row = 0; row < rowCount; row++) {
-        if (!idle[row]) {
-          rowBySlot[slotOf(new KeyDigest(digestHighs[row], digestLows[row]))] = row;
+        if (!isFree[row]) {
+          rowBySlot[findSlot(new KeyDigest(digestHighs[row], digestLows[row]))] = row;
         }
       }
     }
--- a/src/main/java/wharftrestle/request/Executions.java
+++ b/src/main/java/wharftrestle/request/Executions.java
@@ -6,7 +6,7 @@
 import wharftrestle.metrics.Counters.Count;
 
 /**
- * What the worker pool reports of executions, and what their ends mean for the request, its key and
+ * Handles the worker pool's reports on executions: completes the request and its key, and notifies
  * the admission module. Guarded by the coordinator's lock.
  */
 final class Executions {
@@ -15,7 +15,7 @@
   private final InFlightTable inFlight;
   private final AdmissionDriver admission;
   private final CallerNotifier callers;
-  private final KeyedRequests keyed;
+  private final KeyedRequests keyedRequests;
   private final ResultRecorder recorder;
 
   Executions(
@@ -24,32 +24,32 @@
       InFlightTable inFlight,
       AdmissionDriver admission,
       CallerNotifier callers,
-      KeyedRequests keyed,
+      KeyedRequests keyedRequests,
       ResultRecorder recorder) {
     this.counters = counters;
     this.clock = clock;
     this.inFlight = inFlight;
     this.admission = admission;
     this.callers = callers;
-    this.keyed = keyed;
+    this.keyedRequests = keyedRequests;
     this.recorder = recorder;
   }
 
-  /** The result is null unless the execution succeeded; unknown references mean nothing. */
-  void completed(String reference, Outcome outcome, double elapsedSeconds, byte[] result) {
-    InFlightRequest request = inFlight.executing(reference);
+  /** An execution has ended; the result is null unless it succeeded. Ignores unknown references. */
+  void onCompleted(String reference, Outcome outcome, double elapsedSeconds, byte[] result) {
+    InFlightRequest request = inFlight.findExecuting(reference);
     if (request != null) {
       complete(request, outcome, elapsedSeconds, result);
     }
   }
 
-  /** An execution is blocked on a dependency call, announced in this notice. */
-  void blocked(String reference, long announcementNumber, byte[] callBody) {
-    InFlightRequest request = inFlight.executing(reference);
+  /** An execution is blocked on the dependency call announced in the message of this number. */
+  void onBlocked(String reference, long announcementNumber, byte[] callBody) {
+    InFlightRequest request = inFlight.findExecuting(reference);
     if (request == null) {
       return;
     }
-    request.callAnnouncement = announcementNumber;
+    request.callAnnouncementNumber = announcementNumber;
     request.hasFailedCall = false;
     request.callBody = callBody;
     double now = clock.now();
@@ -57,7 +57,7 @@
     admission.completeBatchSoon(now);
   }
 
-  /** The worker pool has restarted: what executed there is over, and may have had its effect. */
+  /** The worker pool has restarted: its executions are broken and may have had their effect. */
   void workerPoolRestarted() {
     for (InFlightRequest request : List.copyOf(inFlight.all())) {
       if (request.isExecuting() && !recorder.isWritingIntent(request)) {
@@ -67,9 +67,9 @@
     }
   }
 
-  /** An execution that was decided is over, or was never begun and so is void. */
+  /** Completes an execution that was decided on; its outcome is VOID if it never began. */
   void complete(InFlightRequest request, Outcome outcome, double elapsedSeconds, byte[] result) {
-    if (!recorder.isWritingIntent(request) && !request.isNeverSent) {
+    if (!recorder.isWritingIntent(request) && !request.isRejectedBeforeSend) {
       counters.add(
           outcome == Outcome.SUCCESS ? Count.EXECUTIONS_SUCCEEDED : Count.EXECUTIONS_UNSUCCESSFUL);
     }
@@ -91,15 +91,15 @@
     }
   }
 
-  /** True where the answer waits until the result is on disk. */
+  /** Completes the key of a request; true if the answer must wait until the result is on disk. */
   private boolean completeKey(InFlightRequest request, Outcome outcome, byte[] result) {
-    if (!request.holdsKey()) {
+    if (!request.isCurrentAttempt()) {
       return false;
     }
     if (outcome == Outcome.VOID) {
-      keyed.neverExecuted(request.entry);
+      keyedRequests.abandonKey(request.entry);
       return false;
     }
-    return keyed.complete(request.entry, outcome == Outcome.SUCCESS ? result : null);
+    return keyedRequests.complete(request.entry, outcome == Outcome.SUCCESS ? result : null);
   }
 }
--- a/src/main/java/wharftrestle/request/HostHealth.java
+++ b/src/main/java/wharftrestle/request/HostHealth.java
@@ -1,8 +1,8 @@
 package wharftrestle.request;
 
 /**
- * What health checks and load reports show of this host. Written under the coordinator's lock or by
- * its own setters, read by any thread.
+ * The health of this host as health checks and load reports show it. Set under the coordinator's
+ * lock, except {@link #setRelinquished}; read by any thread.
  */
 final class HostHealth {
   private HealthListener listener = isHealthy -> {};
@@ -10,13 +10,13 @@
   private volatile boolean isDraining;
   private volatile boolean isRelinquished;
 
-  void start(HealthListener reporter) {
-    listener = reporter;
+  void start(HealthListener healthListener) {
+    listener = healthListener;
   }
 
-  /** The health as the admission module judges it, with the operator's drain over it. */
+  /** False while an operator drains the host, otherwise the admission module's decision. */
   boolean isHealthy() {
-    // A process that hands its clients over ends as intended: its own end is no fault of the host.
+    // A process that has relinquished its clients ends as intended, so the host is healthy.
     return (isModuleHealthy || isRelinquished) && !isDraining;
   }
 
@@ -33,7 +33,7 @@
     isRelinquished = relinquished;
   }
 
-  void moduleDecided(boolean healthy) {
+  void setModuleHealthy(boolean healthy) {
     isModuleHealthy = healthy;
     listener.onHealthChanged(isHealthy());
   }
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -11,15 +11,16 @@
 import wharftrestle.metrics.Counters.Count;
 
 /**
- * Requests with an idempotency key: their place in the {@link IdempotencyTable}, the memory that is
- * reserved for them, and how duplicates end as the execution that they are attached to. Guarded by
- * the coordinator's lock, but for {@link #indexBytes}.
+ * Handles requests with an idempotency key: maintains their entries in the {@link
+ * IdempotencyTable}, reserves memory for them, and completes duplicates with the outcome of the
+ * execution that they are attached to. Guarded by the coordinator's lock, except {@link
+ * #indexBytes}.
  */
 final class KeyedRequests {
 
   private static final double EXPIRY_INTERVAL_SECONDS = 1;
 
-  /** The least Retry-After where there is no memory for a further key. */
+  /** The minimum Retry-After of a rejection for lack of memory for another key. */
   private static final double MIN_RETRY_AFTER_SECONDS = 0.05;
 
   private final IdempotencyTable<InFlightRequest> keys;
@@ -31,7 +32,7 @@
   private final CallerNotifier callers;
   private KeyOwnershipTransfer<InFlightRequest> ownership;
   private ResultRecorder recorder;
-  private double expiredAtSeconds;
+  private double lastExpiryAtSeconds;
   private volatile long indexBytes;
 
   KeyedRequests(
@@ -50,25 +51,25 @@
     keys = new IdempotencyTable<>(this::executionCompleted, memory);
   }
 
-  /** Before the first request; these three refer to each other. */
-  void connect(KeyOwnershipTransfer<InFlightRequest> transfer, ResultRecorder results) {
+  /** Called before the first request. A setter, as the three objects refer to each other. */
+  void connect(KeyOwnershipTransfer<InFlightRequest> transfer, ResultRecorder resultRecorder) {
     ownership = transfer;
-    recorder = results;
+    recorder = resultRecorder;
   }
 
   IdempotencyTable<InFlightRequest> table() {
     return keys;
   }
 
-  /** Bytes of memory of the index of completed keys, as of the last expiry; without the lock. */
+  /** Memory of the index of completed keys in bytes, as of the last expiry. Needs no lock. */
   long indexBytes() {
     return indexBytes;
   }
 
-  /** Takes over what an earlier process of this host has left on disk. */
+  /** Restores the keys that an earlier process of this host recorded on disk. */
   void restore(ResultStore.RecoveredKeys recovered) {
     boolean isComplete = true;
-    double latestExpiry = recovered.unknownKeysFailUntilSeconds();
+    double latestExpirySeconds = recovered.unknownKeysFailUntilSeconds();
     for (ResultStore.RecoveredKey key : recovered.keys()) {
       isComplete &=
           keys.recover(
@@ -77,23 +78,23 @@
               key.lastAttemptAtMillis(),
               key.bodyChecksum(),
               key.expiresAtSeconds());
-      latestExpiry = Math.max(latestExpiry, key.expiresAtSeconds());
+      latestExpirySeconds = Math.max(latestExpirySeconds, key.expiresAtSeconds());
     }
     double now = clock.now();
     if (!isComplete || recovered.unknownKeysFailUntilSeconds() > now) {
-      // A key that is on disk and not known here must not execute again: unknown keys fail.
+      // A key that is on disk but missing here must not execute again, so all unknown keys fail.
       Logger.warn(
-          "keys on disk may be missing in memory, unknown keys fail seconds={}",
-          Math.round(latestExpiry - now));
-      keys.failUnknownKeysUntil(latestExpiry);
+          "recovered keys may be incomplete, unknown keys fail for seconds={}",
+          Math.round(latestExpirySeconds - now));
+      keys.failUnknownKeysUntil(latestExpirySeconds);
     }
   }
 
-  /** True where memory is reserved to know the key of this request to its end. */
+  /** Reserves memory for the key of this request until it expires; false if there is none. */
   boolean reserveMemory(InFlightRequest request) {
     request.hasReservation = request.hasReservation || keys.tryReserveMemory();
     if (!request.hasReservation) {
-      keys.expire(clock.now()); // keys that are over by now need not wait for the next expiry
+      keys.expire(clock.now()); // frees keys that have expired since the last periodic expiry
       request.hasReservation = keys.tryReserveMemory();
     }
     return request.hasReservation;
@@ -106,20 +107,23 @@
     }
   }
 
-  /** Rejects a request for want of memory, until there is some as far as is known now. */
-  Answer rejectedForMemory(double now, double maxRetryAfterSeconds) {
+  /**
+   * Counts and returns a rejection for lack of key memory, whose Retry-After is the time until
+   * enough keys have expired, as far as that is known.
+   */
+  Answer newMemoryRejection(double now, double maxRetryAfterSeconds) {
     counters.add(Count.GUARD_REJECTIONS);
     counters.add(Count.KEY_MEMORY_FULL);
     double retryAfter = Math.max(MIN_RETRY_AFTER_SECONDS, keys.secondsUntilCapacity(now));
     return Answer.rejected(Math.min(maxRetryAfterSeconds, retryAfter), false);
   }
 
-  /** Removes expired keys and updates the gauges; does nothing more than once a second. */
+  /** Removes expired keys and updates the gauges, at most once a second. */
   void expire(double now) {
-    if (now < expiredAtSeconds + EXPIRY_INTERVAL_SECONDS) {
+    if (now < lastExpiryAtSeconds + EXPIRY_INTERVAL_SECONDS) {
       return;
     }
-    expiredAtSeconds = now;
+    lastExpiryAtSeconds = now;
     keys.expire(now);
     indexBytes = keys.indexBytes();
     counters.updateKeyUsage(
@@ -128,13 +132,13 @@
   }
 
   /**
-   * The execution of a key has ended; the result is null unless it succeeded. True where the answer
-   * waits for the disk.
+   * The execution of a key has ended; the result is null unless it succeeded. True if the answer
+   * must wait until the result is on disk.
    */
   boolean complete(KeyEntry<InFlightRequest> entry, byte[] result) {
     ownership.sendCompletion(entry, result);
     boolean wasExecuting =
-        entry.state() == KeyState.RUNNING || entry.state() == KeyState.OWNED_BY_PEER;
+        entry.state() == KeyState.EXECUTING || entry.state() == KeyState.OWNED_BY_PEER;
     keys.complete(entry, result);
     if (wasExecuting) {
       recorder.recordResult(entry, result);
@@ -143,15 +147,15 @@
     return entry.state() == KeyState.SAVING;
   }
 
-  /** The execution of a key was never begun, so that a retry may execute. */
-  void neverExecuted(KeyEntry<InFlightRequest> entry) {
-    if (entry.state() == KeyState.RUNNING) {
-      recorder.neverExecuted(entry);
+  /** The execution of a key never began: removes the key, so that a retry may execute. */
+  void abandonKey(KeyEntry<InFlightRequest> entry) {
+    if (entry.state() == KeyState.EXECUTING) {
+      recorder.discardIntent(entry);
     }
     keys.abandon(entry);
   }
 
-  /** Has a duplicate wait for the execution that its key is in. */
+  /** Attaches a duplicate to the execution of its key, or completes it if that has ended. */
   void attach(InFlightRequest request) {
     KeyEntry<InFlightRequest> entry = request.entry;
     request.isAttached = true;
@@ -161,8 +165,8 @@
     }
   }
 
-  /** Reserves a place in the table for a request that the module keeps for later. */
-  void hold(InFlightRequest request) {
+  /** Adds an entry for a request that the module queues, so that duplicates attach to it. */
+  void enqueueKey(InFlightRequest request) {
     KeyEntry<InFlightRequest> entry =
         keys.enqueue(
             request.key, request.incoming.body(), request.incoming.receivedAtMillis(), request);
@@ -171,22 +175,22 @@
     }
   }
 
-  void release(InFlightRequest request) {
+  void releaseKey(InFlightRequest request) {
     if (request.entry != null) {
       keys.release(request.entry, request);
     }
   }
 
-  /** This request does not wait for its key any more. */
-  void leave(InFlightRequest request) {
+  /** Detaches a request from the execution of its key. */
+  void detach(InFlightRequest request) {
     if (request.entry != null) {
       keys.detach(request.entry, request);
     }
   }
 
   /**
-   * Ends a request as the execution that it is attached to did, with its result byte for byte. A
-   * result on disk is read by the request's own thread, never under the lock.
+   * Completes a request with the outcome of the execution that it is attached to, with the result
+   * byte for byte. A result on disk is read by the request's thread, never under the lock.
    */
   void completeAttached(InFlightRequest request, KeyEntry<InFlightRequest> entry) {
     byte[] result = entry == null ? null : keys.result(entry);
@@ -195,11 +199,11 @@
       request.enqueue(InFlightRequest.Step.REPLAY_RESULT);
       return;
     }
-    completeWith(request, result);
+    completeWithResult(request, result);
   }
 
-  /** The result is null where the execution failed, or its result cannot be read. */
-  void completeWith(InFlightRequest request, byte[] result) {
+  /** Completes a request; the result is null if the execution failed or it cannot be read. */
+  void completeWithResult(InFlightRequest request, byte[] result) {
     if (request.isAnswered) {
       return;
     }
@@ -215,6 +219,6 @@
   }
 
   private void executionCompleted(InFlightRequest attached, KeyEntry<InFlightRequest> entry) {
-    admission.runAfterInstant(() -> completeAttached(attached, entry));
+    admission.runAfterBatch(() -> completeAttached(attached, entry));
   }
 }
--- a/src/main/java/wharftrestle/request/RequestArrival.java
+++ b/src/main/java/wharftrestle/request/RequestArrival.java
@@ -7,12 +7,13 @@
 import wharftrestle.metrics.Counters.Count;
 
 /**
- * Decides what a request meets before the admission module: guards against overfull tables and a
- * worker pool that has not started, then the rules of its key. Guarded by the coordinator's lock.
+ * Checks a request before the admission module does: rejects it if the in-flight table is full or
+ * the worker pool has not started, then applies the rules of its idempotency key. Guarded by the
+ * coordinator's lock.
  */
 final class RequestArrival {
 
-  /** Tells the module of a duplicate whose execution is not of a request in flight here. */
+  /** Value for the module if the execution belongs to no request that is in flight here. */
   private static final long DUPLICATE_OF_NO_REQUEST = -1;
 
   private final Counters counters;
@@ -22,7 +23,7 @@
   private final CallerNotifier callers;
   private final RequestDeadlines deadlines;
   private final double maxRetryAfterSeconds;
-  private final KeyedRequests keyed;
+  private final KeyedRequests keyedRequests;
   private final PeerClaims claims;
   private final ResultRecorder recorder;
 
@@ -34,45 +35,46 @@
     callers = parts.callers;
     deadlines = parts.deadlines;
     maxRetryAfterSeconds = parts.settings.retries().maxRetryAfterSeconds();
-    keyed = parts.keyed;
+    keyedRequests = parts.keyedRequests;
     claims = parts.claims;
     recorder = parts.recorder;
   }
 
-  /** Submits the request to the module, or answers it. */
-  void arrive(InFlightRequest request) {
-    request.hasArrived = true;
+  /** Submits the request to the admission module, or answers it. */
+  void submitOrAnswer(InFlightRequest request) {
+    request.isArrivalProcessed = true;
     if (request.isAnswered) {
       return;
     }
-    KeyEntry<InFlightRequest> known = request.key == null ? null : keyed.table().find(request.key);
+    KeyEntry<InFlightRequest> existing =
+        request.key == null ? null : keyedRequests.table().find(request.key);
     boolean mayHaveExecuted =
-        (known != null && known.mayHaveRun()) || (request.key != null && !claims.ownsKeys());
+        (existing != null && existing.mayHaveRun()) || (request.key != null && !claims.ownsKeys());
     if (inFlight.isFull()) {
-      // Each request in flight has a thread: a flood of them must not use up the memory.
+      // Each request in flight has a thread, so their number must be bounded to bound the memory.
       rejectByGuard(request, mayHaveExecuted);
-    } else if (!admission.isStarted() && isAnsweredBy(known, request)) {
-      // A result from before the restart needs no worker pool to be given again.
-      request.backstopSeconds = deadlines.backstopSeconds(request.incoming, clock.now());
-      keyed.completeAttached(request, known);
+    } else if (!admission.isStarted() && hasResultFor(existing, request)) {
+      // The result was recorded before a restart, and is returned without the worker pool.
+      request.backstopAtSeconds = deadlines.backstopAtSeconds(request.incoming, clock.now());
+      keyedRequests.completeAttached(request, existing);
     } else if (!admission.isStarted()) {
       rejectByGuard(request, mayHaveExecuted);
-    } else if (inFlight.withReference(request.incoming.reference()) != null) {
-      // Its execution could not be told from the one in flight.
+    } else if (inFlight.findByReference(request.incoming.reference()) != null) {
+      // The worker pool could not distinguish its execution from the one in flight.
       rejectByGuard(request, true);
     } else {
       register(request);
     }
   }
 
-  private static boolean isAnsweredBy(KeyEntry<InFlightRequest> known, InFlightRequest request) {
-    return known != null
-        && known.state() == KeyState.SUCCEEDED
-        && known.covers(request.incoming.receivedAtMillis())
-        && known.body().matches(request.incoming.body());
+  private static boolean hasResultFor(KeyEntry<InFlightRequest> existing, InFlightRequest request) {
+    return existing != null
+        && existing.state() == KeyState.SUCCEEDED
+        && existing.covers(request.incoming.receivedAtMillis())
+        && existing.body().matches(request.incoming.body());
   }
 
-  /** A rejection promises that nothing has executed: where that is not known, it is a failure. */
+  /** Rejects a request, or fails it if it may have executed, which a rejection rules out. */
   private void rejectByGuard(InFlightRequest request, boolean mayHaveExecuted) {
     counters.add(Count.GUARD_REJECTIONS);
     callers.answer(
@@ -81,44 +83,44 @@
 
   private void register(InFlightRequest request) {
     double now = clock.now();
-    request.backstopSeconds = deadlines.backstopSeconds(request.incoming, now);
+    request.backstopAtSeconds = deadlines.backstopAtSeconds(request.incoming, now);
     inFlight.add(request);
-    keyed.expire(now);
+    keyedRequests.expire(now);
     if (request.key == null || isKeyAccepted(request, now)) {
       submit(request, now);
     }
   }
 
   private boolean isKeyAccepted(InFlightRequest request, double now) {
-    KeyEntry<InFlightRequest> prior =
-        keyed.table().findDuplicate(request.key, request.incoming.receivedAtMillis());
-    if (prior == null) {
+    KeyEntry<InFlightRequest> original =
+        keyedRequests.table().findDuplicate(request.key, request.incoming.receivedAtMillis());
+    if (original == null) {
       return isNewKeyAccepted(request, now);
     }
-    if (!prior.body().matches(request.incoming.body())) {
-      // The same key with another body is no duplicate: its result would answer what nobody asked.
+    if (!original.body().matches(request.incoming.body())) {
+      // The same key with another body is a conflict: the stored result belongs to another request.
       counters.add(Count.INVALID);
       callers.answer(request, Answer.conflict());
       return false;
     }
-    request.entry = prior;
+    request.entry = original;
     return true;
   }
 
   private boolean isNewKeyAccepted(InFlightRequest request, double now) {
     if (claims.isClaimUnanswered(request)) {
-      // The process that owns the key may have executed it: neither execute nor reject it here.
+      // The peer owns the key and may have executed it, so it can be neither executed nor rejected.
       callers.answer(request, Answer.deadlineExceeded());
       return false;
     }
     ResultStore.RejectionReason reason = recorder.rejectionReason();
     if (reason != null) {
       counters.add(Count.GUARD_REJECTIONS);
-      callers.answer(request, recorder.rejected(reason));
+      callers.answer(request, recorder.newRejection(reason));
       return false;
     }
-    if (!keyed.reserveMemory(request)) {
-      callers.answer(request, keyed.rejectedForMemory(now, maxRetryAfterSeconds));
+    if (!keyedRequests.reserveMemory(request)) {
+      callers.answer(request, keyedRequests.newMemoryRejection(now, maxRetryAfterSeconds));
       return false;
     }
     return true;
@@ -140,17 +142,17 @@
                 incoming.callerId(),
                 incoming.expectedWorkSeconds(),
                 incoming.subject(),
-                duplicateOf(request),
+                duplicateIdOf(request),
                 0,
                 incoming.rank()));
     admission.completeBatch(now);
   }
 
-  private static long duplicateOf(InFlightRequest request) {
+  private static long duplicateIdOf(InFlightRequest request) {
     if (request.entry == null) {
       return 0;
     }
-    InFlightRequest holder = request.entry.attempt();
-    return holder == null ? DUPLICATE_OF_NO_REQUEST : holder.id;
+    InFlightRequest attempt = request.entry.attempt();
+    return attempt == null ? DUPLICATE_OF_NO_REQUEST : attempt.id;
   }
 }
--- a/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
+++ b/src/test/java/wharftrestle/rollout/ControllerLeaseModelTest.java
@@ -14,43 +14,49 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Explores all that can come of two controllers and three supervisors, by the shipped classes: the
- * first controller's answers and its order are late by any time or lost, it pauses between any two
- * steps, a supervisor restarts. No order of an earlier epoch may be accepted anywhere after one of
- * a later epoch. What the second controller receives late only makes it later, so it receives at
- * once. Each seeded bug has to be found, or the search shows nothing.
+ * Model checking of {@link ControllerLease} and {@link EpochFence} with two controllers and three
+ * supervisors. The search covers arbitrary delay or loss of the first controller's replies and
+ * order, pauses of that controller between any two steps, and the restart of a supervisor. No
+ * supervisor may accept an order of the earlier epoch after an order of the later epoch was
+ * accepted anywhere. Replies to the second controller arrive at once, because a delay would only
+ * postpone its order. The search must also find each seeded bug; otherwise its result has no
+ * meaning.
  */
 @Timeout(60)
 class ControllerLeaseModelTest {
-  /** What is wrong on purpose. */
+  /** The seeded bugs. */
   enum Bug {
     NONE,
     NO_EXPIRY_WAIT,
     EXPIRY_WAIT_OF_ONE_LEASE,
-    NO_TOKENS,
-    A_MINORITY_GRANTS,
-    ACKNOWLEDGED_WHEN_RECEIVED,
-    SUPERVISOR_FORGETS,
+    NO_TOKEN_EXPIRY,
+    MINORITY_QUORUM,
+    ACKNOWLEDGED_AT_RECEIPT_TIME,
+    GRANT_LOST_ON_RESTART,
     LEASE_NOT_CHECKED,
-    ONE_EPOCH_FOR_TWO
+    SHARED_EPOCH
   }
 
   private static final int SUPERVISORS = 3;
 
-  /** Seconds of a tick: a lease. */
+  /** Seconds of a tick, which is one lease. */
   private static final double TICK_SECONDS = EpochFence.LEASE_SECONDS;
 
-  /** Ticks after which a token or an answer has expired, and the wait for expiry is over. */
+  /** Ticks after which a token or a reply has expired. */
   private static final int TICKS_UNTIL_EXPIRED = 2;
 
+  /** Ticks after which the wait for expiry has ended. */
   private static final int TICKS_OF_EXPIRY_WAIT = 3;
 
   private record PendingReply(EpochFence.Reply reply, double sentAt) {}
 
   private record PendingOrder(int supervisor, long token) {}
 
-  /** Everything at one moment; the first controller holds the lease, the second claims it. */
-  private static final class World {
+  /**
+   * One state of the model. Initially the first controller holds the lease and the second one
+   * claims it.
+   */
+  private static final class ModelState {
     private int tick;
     private final EpochFence[] fences = new EpochFence[SUPERVISORS];
     private ControllerLease first;
@@ -60,16 +66,16 @@
     private PendingOrder order; // of the first controller, in transit
     private boolean laterOrderAccepted;
     private boolean restarted;
-    private boolean isRuleBroken;
+    private boolean isViolated;
 
     double now() {
       return tick * TICK_SECONDS;
     }
 
-    World copy(Bug bug) {
-      World next = new World();
+    ModelState copy(Bug bug) {
+      ModelState next = new ModelState();
       next.tick = tick;
-      double lease = bug == Bug.NO_TOKENS ? 1e9 : EpochFence.LEASE_SECONDS;
+      double lease = bug == Bug.NO_TOKEN_EXPIRY ? 1e9 : EpochFence.LEASE_SECONDS;
       double expiryWait =
           bug == Bug.NO_EXPIRY_WAIT
               ? 0
@@ -77,11 +83,11 @@
                   ? EpochFence.LEASE_SECONDS
                   : ControllerLease.EXPIRY_WAIT_SECONDS;
       for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
-        next.fences[supervisor] = new EpochFence(fences[supervisor], kept -> true, lease);
+        next.fences[supervisor] = new EpochFence(fences[supervisor], persisted -> true, lease);
       }
       next.first = new ControllerLease(first, SUPERVISORS, expiryWait);
       next.second =
-          new ControllerLease(second, bug == Bug.A_MINORITY_GRANTS ? 1 : SUPERVISORS, expiryWait);
+          new ControllerLease(second, bug == Bug.MINORITY_QUORUM ? 1 : SUPERVISORS, expiryWait);
       next.replies = replies.clone();
       next.order = order;
       next.laterOrderAccepted = laterOrderAccepted;
@@ -89,15 +95,16 @@
       return next;
     }
 
-    /** Ticks since then, as far as they matter. */
-    private String age(double at, int most) {
+    /** Ticks since {@code at}, capped at {@code maxTicks}, beyond which they make no difference. */
+    private String age(double at, int maxTicks) {
       return Double.isNaN(at)
           ? "-"
-          : Integer.toString((int) Math.min(most, Math.round((now() - at) / TICK_SECONDS)));
+          : Integer.toString((int) Math.min(maxTicks, Math.round((now() - at) / TICK_SECONDS)));
     }
 
     /**
-     * Worlds that differ by names of supervisors, by the date, or by expired tokens only, are one.
+     * Identifies equivalent states: those that differ only in the order of supervisors, in absolute
+     * time or in expired tokens have the same key.
      */
     String key() {
       String[] each = new String[SUPERVISORS];
@@ -134,109 +141,117 @@
     }
   }
 
-  private static World first(Bug bug) {
-    World world = new World();
+  private static ModelState initialState(Bug bug) {
+    ModelState initial = new ModelState();
     ControllerLease holder = new ControllerLease("A", SUPERVISORS, 0);
     holder.claim();
     for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
-      world.fences[supervisor] = new EpochFence(EpochFence.Grant.NONE, 0, kept -> true);
-      holder.onReply("k" + supervisor, 1, world.fences[supervisor].claim(1, "A", -20), -20, -20);
+      initial.fences[supervisor] = new EpochFence(EpochFence.Grant.NONE, 0, persisted -> true);
+      holder.onReply("k" + supervisor, 1, initial.fences[supervisor].claim(1, "A", -20), -20, -20);
     }
     holder.tick(-1);
     for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
-      holder.onReply("k" + supervisor, 1, world.fences[supervisor].heartbeat(1, "A", 0), 0, 0);
+      holder.onReply("k" + supervisor, 1, initial.fences[supervisor].heartbeat(1, "A", 0), 0, 0);
     }
     assertTrue(holder.mayOrder(0));
-    world.first = holder;
-    world.second = new ControllerLease("B", SUPERVISORS, bug == Bug.ONE_EPOCH_FOR_TWO ? 0 : 1);
-    world.second.claim();
-    return world.copy(bug);
+    initial.first = holder;
+    initial.second = new ControllerLease("B", SUPERVISORS, bug == Bug.SHARED_EPOCH ? 0 : 1);
+    initial.second.claim();
+    return initial.copy(bug);
   }
 
-  private static List<World> next(World at, Bug bug) {
-    List<World> all = new ArrayList<>();
-    World later = at.copy(bug);
+  private static List<ModelState> successors(ModelState current, Bug bug) {
+    List<ModelState> nextStates = new ArrayList<>();
+    ModelState later = current.copy(bug);
     later.tick++;
     later.first.tick(later.now());
     later.second.tick(later.now());
-    all.add(later);
+    nextStates.add(later);
     for (int supervisor = 0; supervisor < SUPERVISORS; supervisor++) {
       String name = "k" + supervisor;
-      if (!at.restarted && at.fences[supervisor].grant().epoch() > 1) {
-        World restarted = at.copy(bug);
+      if (!current.restarted && current.fences[supervisor].grant().epoch() > 1) {
+        ModelState restarted = current.copy(bug);
         restarted.restarted = true;
         restarted.fences[supervisor] =
             new EpochFence(
-                bug == Bug.SUPERVISOR_FORGETS
+                bug == Bug.GRANT_LOST_ON_RESTART
                     ? new EpochFence.Grant(1, "A", "", 0)
-                    : at.fences[supervisor].grant(),
+                    : current.fences[supervisor].grant(),
                 1000,
-                kept -> true);
-        all.add(restarted);
+                persisted -> true);
+        nextStates.add(restarted);
       }
-      if (at.first.state() != ControllerLease.State.LOST) {
-        // A new question overtakes an answer that is late: so answers are lost as well.
-        World sent = at.copy(bug);
+      if (current.first.state() != ControllerLease.State.LOST) {
+        // A new request replaces a reply that is still in transit, which models a lost reply.
+        ModelState sent = current.copy(bug);
         sent.replies[supervisor] =
             new PendingReply(
                 sent.fences[supervisor].heartbeat(
-                    1, controllerName(at, bug, supervisor), sent.now()),
+                    1, controllerName(current, bug, supervisor), sent.now()),
                 sent.now());
-        all.add(sent);
+        nextStates.add(sent);
       }
-      if (at.replies[supervisor] != null) {
-        World received = at.copy(bug);
+      if (current.replies[supervisor] != null) {
+        ModelState received = current.copy(bug);
         PendingReply reply = received.replies[supervisor];
         received.replies[supervisor] = null;
         received.first.onReply(
             name,
             1,
             reply.reply(),
-            bug == Bug.ACKNOWLEDGED_WHEN_RECEIVED ? received.now() : reply.sentAt(),
+            bug == Bug.ACKNOWLEDGED_AT_RECEIPT_TIME ? received.now() : reply.sentAt(),
             received.now());
-        all.add(received);
+        nextStates.add(received);
       }
-      boolean may =
+      boolean isOrderAllowed =
           bug == Bug.LEASE_NOT_CHECKED
-              ? at.first.state() == ControllerLease.State.HELD
-              : at.first.mayOrder(at.now());
-      if (at.order == null && may && at.first.token(name) != 0) {
-        World sent = at.copy(bug);
+              ? current.first.state() == ControllerLease.State.HELD
+              : current.first.mayOrder(current.now());
+      if (current.order == null && isOrderAllowed && current.first.token(name) != 0) {
+        ModelState sent = current.copy(bug);
         sent.order = new PendingOrder(supervisor, sent.first.token(name));
-        all.add(sent);
+        nextStates.add(sent);
       }
-      if (at.second.state() != ControllerLease.State.LOST && !at.laterOrderAccepted) {
-        all.add(second(at, bug, supervisor));
+      if (current.second.state() != ControllerLease.State.LOST && !current.laterOrderAccepted) {
+        nextStates.add(pollBySecond(current, bug, supervisor));
       }
     }
-    if (at.order != null) {
-      World accepted = at.copy(bug);
+    if (current.order != null) {
+      ModelState accepted = current.copy(bug);
       accepted.order = null;
-      int supervisor = at.order.supervisor();
+      int supervisor = current.order.supervisor();
       EpochFence.Answer answer =
           accepted
               .fences[supervisor]
-              .order(1, controllerName(at, bug, supervisor), at.order.token(), "x", accepted.now())
+              .order(
+                  1,
+                  controllerName(current, bug, supervisor),
+                  current.order.token(),
+                  "x",
+                  accepted.now())
               .answer();
-      accepted.isRuleBroken = answer == EpochFence.Answer.ACCEPTED && accepted.laterOrderAccepted;
-      all.add(accepted);
+      accepted.isViolated = answer == EpochFence.Answer.ACCEPTED && accepted.laterOrderAccepted;
+      nextStates.add(accepted);
     }
-    return all;
+    return nextStates;
   }
 
-  /** The first controller, or whoever has its epoch where only the epoch is checked. */
-  private static String controllerName(World at, Bug bug, int supervisor) {
-    return bug == Bug.ONE_EPOCH_FOR_TWO ? at.fences[supervisor].grant().controller() : "A";
+  /**
+   * The first controller's name; with {@link Bug#SHARED_EPOCH}, the name of the current holder, as
+   * if only the epoch were checked.
+   */
+  private static String controllerName(ModelState current, Bug bug, int supervisor) {
+    return bug == Bug.SHARED_EPOCH ? current.fences[supervisor].grant().controller() : "A";
   }
 
   /** The second controller polls a supervisor and sends its order as soon as it may. */
-  private static World second(World at, Bug bug, int supervisor) {
-    World next = at.copy(bug);
+  private static ModelState pollBySecond(ModelState current, Bug bug, int supervisor) {
+    ModelState next = current.copy(bug);
     String name = "k" + supervisor;
     long epoch = next.second.epoch();
-    if (bug == Bug.ONE_EPOCH_FOR_TWO && next.second.needsClaim(name)) {
+    if (bug == Bug.SHARED_EPOCH && next.second.needsClaim(name)) {
       next.fences[supervisor] =
-          new EpochFence(new EpochFence.Grant(epoch, "B", "", 0), 500, kept -> true);
+          new EpochFence(new EpochFence.Grant(epoch, "B", "", 0), 500, persisted -> true);
     }
     EpochFence.Reply reply =
         next.second.needsClaim(name)
@@ -251,19 +266,20 @@
     return next;
   }
 
-  /** Worlds that were seen; negative where one broke the rule. */
+  /** Returns the number of explored states, negated if one violates the rule. */
   private static int explore(Bug bug) {
     Set<String> seen = new HashSet<>();
-    ArrayDeque<World> open = new ArrayDeque<>();
-    open.add(first(bug));
-    seen.add(open.peek().key());
-    while (!open.isEmpty()) {
-      for (World next : next(bug == Bug.NONE ? open.poll() : open.pollLast(), bug)) {
-        if (next.isRuleBroken) {
+    ArrayDeque<ModelState> frontier = new ArrayDeque<>();
+    frontier.add(initialState(bug));
+    seen.add(frontier.peek().key());
+    while (!frontier.isEmpty()) {
+      for (ModelState next :
+          successors(bug == Bug.NONE ? frontier.poll() : frontier.pollLast(), bug)) {
+        if (next.isViolated) {
           return -seen.size();
         }
         if (seen.add(next.key())) {
-          open.add(next);
+          frontier.add(next);
         }
       }
     }
@@ -271,17 +287,17 @@
   }
 
   @Test
-  void noOrderOfAnEarlierControllerIsAcceptedAfterOneOfALater() {
+  void explore_withoutBug_neverAcceptsAnEarlierOrderAfterALaterOne() {
     int seen = explore(Bug.NONE);
-    System.out.println("controller lease: " + seen + " worlds, none wrong");
-    assertTrue(seen > 10_000, "too few worlds, or a wrong one: " + seen);
+    System.out.println("controller lease: " + seen + " states, no violation");
+    assertTrue(seen > 10_000, "too few states, or a violation: " + seen);
   }
 
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-  void aSeededBugIsFound(Bug bug) {
+  void explore_withSeededBug_findsViolation(Bug bug) {
     int seen = explore(bug);
-    System.out.println("controller lease, " + bug + ": found after " + -seen + " worlds");
-    assertTrue(seen < 0, "not found in " + seen + " worlds");
+    System.out.println("controller lease, " + bug + ": found after " + -seen + " states");
+    assertTrue(seen < 0, "not found in " + seen + " states");
   }
 }
--- a/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
+++ b/src/test/java/wharftrestle/rollout/controller/RolloutControllerTest.java
@@ -35,10 +35,10 @@
 import wharftrestle.supervisor.ReleaseDirectory;
 import wharftrestle.transport.Address;
 
-/** Controllers and the endpoints of supervisors whose hosts execute every order at once. */
+/** Tests controllers against supervisor endpoints whose hosts execute every order at once. */
 @Timeout(60)
 class RolloutControllerTest {
-  private static final PrintStream NOWHERE = new PrintStream(OutputStream.nullOutputStream());
+  private static final PrintStream DISCARDED = new PrintStream(OutputStream.nullOutputStream());
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
 
   @TempDir private Path folder;
@@ -46,7 +46,7 @@
   private final List<String> executed = new CopyOnWriteArrayList<>();
   private ReleaseDirectory releases;
 
-  /** A supervisor's endpoint, and a host that runs every ordered release at once. */
+  /** A supervisor's endpoint and a simulated host that runs every ordered release at once. */
   private final class TestSupervisor {
     private final String name;
     private final int port;
@@ -115,7 +115,7 @@
   }
 
   @BeforeEach
-  void fleet() throws IOException {
+  void startSupervisors() throws IOException {
     releases = new ReleaseDirectory(folder.resolve("releases"));
     Path jar = Files.writeString(folder.resolve("any.jar"), "a program");
     releases.pack(jar, null, "one");
@@ -133,13 +133,14 @@
   }
 
   private PlanScript planScript(String targetRelease, double holdSeconds) throws Exception {
-    StringBuilder line = new StringBuilder();
+    StringBuilder hostLines = new StringBuilder();
     supervisors.forEach(
         each ->
-            line.append("box(\"" + each.name + "\", keeper = \"127.0.0.1:" + each.port + "\")\n"));
+            hostLines.append(
+                "box(\"" + each.name + "\", keeper = \"127.0.0.1:" + each.port + "\")\n"));
     return PlanScript.parse(
         "p.star",
-        line
+        hostLines
             + "change(to = \""
             + targetRelease
             + "\", stages = [stage(boxes = 1, hold = "
@@ -151,10 +152,10 @@
   private RolloutController controller(String directory, PlanScript script, String name)
       throws Exception {
     return new RolloutController(
-        folder.resolve(directory), script, name, new RolloutEventLog(NOWHERE, true));
+        folder.resolve(directory), script, name, new RolloutEventLog(DISCARDED, true));
   }
 
-  private static FutureTask<RolloutController.Outcome> run(RolloutController controller) {
+  private static FutureTask<RolloutController.Outcome> runInThread(RolloutController controller) {
     FutureTask<RolloutController.Outcome> outcome =
         new FutureTask<>((Callable<RolloutController.Outcome>) controller::run);
     new Thread(outcome).start();
@@ -167,31 +168,30 @@
   }
 
   @Test
-  void aSecondControllerIsRefusedUntilItTakesOverAndThenTheFirstIsFenced() throws Exception {
+  void check_anotherControllerAlive_isRefusedUntilTakeOverFencesIt() throws Exception {
     try (RolloutController first = controller("d1", planScript("two", 600), "ann")) {
       first.check(false);
-      FutureTask<RolloutController.Outcome> outcome = run(first);
+      FutureTask<RolloutController.Outcome> outcome = runInThread(first);
       while (executed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
-      assertEquals(List.of("b1 two"), executed, "one host, and the hold goes on");
+      assertEquals(List.of("b1 two"), executed, "one host, and the stage is still in its hold");
       try (RolloutController second = controller("d2", planScript("two", 0), "bob")) {
         String refusal =
             assertThrows(RolloutRefusedException.class, () -> second.check(false)).getMessage();
         assertTrue(refusal.contains("ann holds the lease in epoch 1"), refusal);
         second.check(true);
-        FutureTask<RolloutController.Outcome> nextOutcome = run(second);
+        FutureTask<RolloutController.Outcome> nextOutcome = runInThread(second);
         assertEquals(RolloutController.Outcome.FENCED, outcome.get(20, TimeUnit.SECONDS));
         assertTrue(send("d2", "status").contains("\"driver\":\"bob\""));
         assertEquals(RolloutController.Outcome.COMPLETED, nextOutcome.get(30, TimeUnit.SECONDS));
-        assertEquals(
-            List.of("b1 two", "b2 two", "b3 two"), executed, "and b1 was not ordered again");
+        assertEquals(List.of("b1 two", "b2 two", "b3 two"), executed, "b1 is not ordered again");
       }
     }
   }
 
   @Test
-  void anImpossibleRolloutIsRefusedBeforeAnyOrder() throws Exception {
+  void check_missingReleaseOrQuorum_isRefusedBeforeAnyOrder() throws Exception {
     try (RolloutController controller = controller("d1", planScript("three", 0), "ann")) {
       String refusal =
           assertThrows(RolloutRefusedException.class, () -> controller.check(false)).getMessage();
@@ -208,11 +208,11 @@
   }
 
   @Test
-  void aRolloutUnderWayResumesWithItsOwnPlanAndItsDirectoryHasOneController() throws Exception {
+  void open_directoryOfAnUnfinishedRollout_resumesItsPlanWithOneController() throws Exception {
     PlanScript plan = planScript("two", 600);
     try (RolloutController first = controller("d1", plan, "ann")) {
       assertThrows(RolloutRefusedException.class, () -> controller("d1", plan, "bob"));
-      FutureTask<RolloutController.Outcome> outcome = run(first);
+      FutureTask<RolloutController.Outcome> outcome = runInThread(first);
       while (executed.isEmpty()) {
         TimeUnit.MILLISECONDS.sleep(20);
       }
@@ -226,19 +226,19 @@
     assertTrue(refusal.startsWith("another change is under way in "), refusal);
     try (RolloutController next = controller("d1", plan, "bob")) {
       next.check(false); // earlier controllers of this directory have ended
-      FutureTask<RolloutController.Outcome> outcome = run(next);
+      FutureTask<RolloutController.Outcome> outcome = runInThread(next);
       while (!send("d1", "status").contains("\"steering\":\"steering\"")) {
         TimeUnit.MILLISECONDS.sleep(50);
       }
       assertEquals("no name a box of the plan, and what it broke", send("d1", "broken b9 x"));
       assertTrue(send("d1", "broken b1 a key ran twice").startsWith("ok "));
       assertEquals(RolloutController.Outcome.ROLLED_BACK, outcome.get(20, TimeUnit.SECONDS));
-      assertEquals(List.of("b1 two", "b1 one"), executed, "a broken rule is worse at once");
+      assertEquals(List.of("b1 two", "b1 one"), executed, "a broken rule fails the stage at once");
     }
   }
 
   @Test
-  void anEndpointKeepsItsEpochOverRestartsAndAnswersNonsenseWithAnError() throws Exception {
+  void endpoint_afterRestart_keepsItsEpochAndRejectsInvalidRequests() throws Exception {
     TestSupervisor supervisor = supervisors.get(0);
     JsonNode granted = supervisor.call("/claim", "{\"epoch\":7,\"driver\":\"ann\"}");
     assertEquals("GRANTED", granted.path("answer").asText());
@@ -257,14 +257,14 @@
             .call("/order", order + granted.path("stamp").asLong() + "}")
             .path("answer")
             .asText(),
-        "a token of the incarnation before");
-    long stamp = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
-    assertEquals("OBEYED", supervisor.call("/order", order + stamp + "}").path("answer").asText());
-    stamp = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
+        "a token of the previous incarnation");
+    long token = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
+    assertEquals("OBEYED", supervisor.call("/order", order + token + "}").path("answer").asText());
+    token = supervisor.call("/ask", "{\"epoch\":7,\"driver\":\"ann\"}").path("stamp").asLong();
     assertEquals(
         "TWO_TARGETS",
         supervisor
-            .call("/order", order.replace("two", "one") + stamp + "}")
+            .call("/order", order.replace("two", "one") + token + "}")
             .path("answer")
             .asText());
     assertEquals(400, supervisor.call("/claim", "nonsense").path("status").asInt());
