--- a/src/main/java/wharftrestle/request/RequestLifecycle.java
+++ b/src/main/java/wharftrestle/request/RequestLifecycle.java
@@ -12,12 +12,12 @@
 import wharftrestle.metrics.Counters.Count;
 
 /**
- * The life of each request, on a thread of its own: {@link #run} reads from its arrival to its last
- * step. Steps are decided under the coordinator's lock and carried out without it.
+ * Processes each request on its own thread: {@link #run} covers a request from its arrival to its
+ * last step. Steps are decided under the coordinator's lock and carried out without it.
  */
 final class RequestLifecycle {
 
-  /** Threads beyond the requests in flight, for those that have just ended. */
+  /** Threads beyond the maximum of requests in flight, for requests that have just ended. */
   private static final int EXTRA_THREADS = 32;
 
   private static final int CORE_THREADS = 8;
@@ -30,7 +30,7 @@
   private final InFlightTable inFlight;
   private final AdmissionDriver admission;
   private final CallerNotifier callers;
-  private final KeyedRequests keyed;
+  private final KeyedRequests keyedRequests;
   private final PeerClaims claims;
   private final ResultRecorder recorder;
   private final Executions executions;
@@ -48,7 +48,7 @@
     inFlight = parts.inFlight;
     admission = parts.admission;
     callers = parts.callers;
-    keyed = parts.keyed;
+    keyedRequests = parts.keyedRequests;
     claims = parts.claims;
     recorder = parts.recorder;
     executions = parts.executions;
@@ -68,22 +68,22 @@
     workerPool = workers;
   }
 
-  /** Begins the life of a request, on the thread that read it. */
-  Acceptance begin(IncomingRequest incoming, AnswerListener listener) {
+  /** Accepts a request, on the thread that read it. */
+  Acceptance accept(IncomingRequest incoming, AnswerListener listener) {
     counters.requestReceived();
     InFlightRequest request = create(incoming, listener);
     if (!claims.mustClaim(request)) {
-      arrive(request); // most of what is rejected needs no thread of its own
+      processArrival(request); // most rejected requests need no separate thread
     }
     if (isFinishedOnArrival(request)) {
-      runGuarded(request);
+      runOrFail(request);
       return Acceptance.Answered.ANSWERED;
     }
     try {
-      threads.execute(() -> runGuarded(request));
-    } catch (RejectedExecutionException | OutOfMemoryError noThread) {
-      failWithoutThread(request); // it is owed its answer all the same
-      runGuarded(request);
+      threads.execute(() -> runOrFail(request));
+    } catch (RejectedExecutionException | OutOfMemoryError noThreadAvailable) {
+      failWithoutThread(request); // it must be answered nevertheless
+      runOrFail(request);
       return Acceptance.Answered.ANSWERED;
     }
     return request;
@@ -98,10 +98,10 @@
     }
   }
 
-  private void arrive(InFlightRequest request) {
+  private void processArrival(InFlightRequest request) {
     lock.lock();
     try {
-      arrival.arrive(request);
+      arrival.submitOrAnswer(request);
     } finally {
       lock.unlock();
     }
@@ -110,18 +110,18 @@
   private boolean isFinishedOnArrival(InFlightRequest request) {
     lock.lock();
     try {
-      return request.hasArrived && request.isFinished();
+      return request.isArrivalProcessed && request.isFinished();
     } finally {
       lock.unlock();
     }
   }
 
-  /** The caller of a request waits no longer. */
+  /** The caller of a request has disconnected. */
   void callerDisconnected(InFlightRequest request) {
     lock.lock();
     try {
       if (callers.callerDisconnected(request)) {
-        keyed.leave(request);
+        keyedRequests.detach(request);
         admission.callerDisconnected(request);
       }
     } finally {
@@ -129,13 +129,13 @@
     }
   }
 
-  /** One request from its arrival to its last step. */
+  /** Processes one request from its arrival to its last step. */
   private void run(InFlightRequest request) {
     IncomingRequest incoming = request.incoming;
     String reference = incoming.reference();
-    if (!request.hasArrived) {
+    if (!request.isArrivalProcessed) {
       claims.claim(request);
-      arrive(request);
+      processArrival(request);
     }
     for (InFlightRequest.Step step = nextStep(request); step != null; step = nextStep(request)) {
       switch (step.kind()) {
@@ -147,7 +147,8 @@
               reference, settings.classes().get(incoming.classIndex()).name(), incoming.body());
         }
         case CALL_DEPENDENCY ->
-            dependencyCalls.begin(request, ((InFlightRequest.CallDependency) step).callBySeconds());
+            dependencyCalls.send(
+                request, ((InFlightRequest.CallDependency) step).callDeadlineSeconds());
         case DELIVER_RESPONSE ->
             workerPool.deliverResponse(
                 reference, ((InFlightRequest.DeliverResponse) step).response());
@@ -161,25 +162,28 @@
     }
   }
 
-  /** A fault in the life of one request must not take its answer with it. */
-  private void runGuarded(InFlightRequest request) {
+  /** Runs a request, and answers it with a failure if that throws an exception. */
+  private void runOrFail(InFlightRequest request) {
     try {
       run(request);
     } catch (RuntimeException | Error fault) {
-      Logger.error(fault, "request failed by a fault reference={}", request.incoming.reference());
+      Logger.error(
+          fault,
+          "request failed by an uncaught exception reference={}",
+          request.incoming.reference());
       if (abort(request)) {
         request.listener.onAnswer(Answer.failed());
       }
     }
   }
 
-  /** True where its listener has yet to be notified. */
+  /** Ends a request after an exception; true if its listener has yet to be notified. */
   private boolean abort(InFlightRequest request) {
     lock.lock();
     try {
-      boolean isOwedAnswer = callers.abort(request);
-      forget(request);
-      return isOwedAnswer;
+      boolean needsAnswer = callers.abort(request);
+      removeRequest(request);
+      return needsAnswer;
     } finally {
       lock.unlock();
     }
@@ -189,7 +193,7 @@
     lock.lock();
     try {
       counters.add(Count.GUARD_REJECTIONS);
-      request.hasArrived = true;
+      request.isArrivalProcessed = true;
       callers.answer(request, Answer.failed());
       if (request.isDispatched) {
         // Nothing was sent to the worker pool yet, so the execution is void.
@@ -203,7 +207,7 @@
     }
   }
 
-  /** Waits for the request's next step; null once it is answered and nothing of it executes. */
+  /** Waits for the request's next step; null once it is answered and does not execute. */
   private InFlightRequest.Step nextStep(InFlightRequest request) {
     lock.lock();
     try {
@@ -213,7 +217,7 @@
           return step;
         }
         if (request.isFinished()) {
-          forget(request);
+          removeRequest(request);
           return null;
         }
         if (!recorder.expireIntent(request)) {
@@ -221,28 +225,31 @@
         }
       }
     } catch (InterruptedException e) {
-      throw new IllegalStateException("nobody interrupts a request", e);
+      throw new IllegalStateException(
+          "request thread was interrupted, which nothing in the daemon does", e);
     } finally {
       lock.unlock();
     }
   }
 
-  /** Waits for a change up to the request's next time limit; past its backstop enforces that. */
-  @SuppressWarnings("WaitNotInLoop") // nextStep, the one caller, loops and reads the state again
+  /** Waits for a change until the request's next time limit; enforces the backstop once past it. */
+  @SuppressWarnings("WaitNotInLoop") // nextStep, the only caller, loops and reads the state again
   private void awaitChange(InFlightRequest request) throws InterruptedException {
     double now = clock.now();
-    double untilBackstop = request.backstopSeconds - now;
+    double untilBackstop = request.backstopAtSeconds - now;
     if (untilBackstop > 0) {
       double wait =
           recorder.isWritingIntent(request)
-              ? Math.min(untilBackstop, request.intentBySeconds - now)
+              ? Math.min(untilBackstop, request.intentDeadlineSeconds - now)
               : untilBackstop;
       request.changed.awaitNanos(EventClock.waitNanos(wait));
     } else if (request.isAnswered) {
-      Logger.warn("execution given up reference={}", request.incoming.reference());
+      Logger.warn(
+          "execution did not end after its request was answered, assumed broken reference={}",
+          request.incoming.reference());
       executions.complete(request, Outcome.BROKEN, now - request.startedAtSeconds, null);
     } else {
-      // Whatever holds up the module or its timer: no answer comes after its deadline.
+      // Answers in time even if the module or its timer is delayed.
       counters.add(Count.DEADLINE_BACKSTOPS);
       callers.answer(request, Answer.deadlineExceeded());
       admission.callerDisconnected(request);
@@ -262,15 +269,15 @@
     byte[] result = recorder.read(request.key, request.entry.location());
     lock.lock();
     try {
-      keyed.completeWith(request, result);
+      keyedRequests.completeWithResult(request, result);
       admission.completeBatchIfStarted();
     } finally {
       lock.unlock();
     }
   }
 
-  private void forget(InFlightRequest request) {
-    keyed.releaseMemory(request);
+  private void removeRequest(InFlightRequest request) {
+    keyedRequests.releaseMemory(request);
     inFlight.remove(request);
     claims.releaseKeyOf(request, inFlight.all());
   }
