--- a/src/main/java/wharftrestle/admin/RolloutStatus.java
+++ b/src/main/java/wharftrestle/admin/RolloutStatus.java
@@ -1,19 +1,19 @@
 package wharftrestle.admin;
 
 /**
- * Where a rolling change of the fleet stands, as this box's keeper was last told; for people alone,
- * nothing is decided by it.
+ * The status of a rollout as last reported by the supervisor of this host. It is shown to operators
+ * only; no decision depends on it.
  *
- * @param epoch of the driver that steers; 0 where no keeper of a fleet has said anything
- * @param stage from 1; 0 for none
- * @param verdict a word: same, worse, cannot-tell, or none
+ * @param epoch epoch of the controller; 0 if no status has been reported
+ * @param stage stage number from 1; 0 for none
+ * @param verdict verdict of the canary analysis: same, worse, cannot-tell, or none
  */
 public record RolloutStatus(long epoch, int stage, String verdict) {
-  /** Nobody has said anything. */
+  /** No status has been reported. */
   public static final RolloutStatus NONE = new RolloutStatus(0, 0, "none");
 
-  /** Reads {@code epoch=4&stage=2&verdict=same}; null where it is not that. */
-  public static RolloutStatus read(String query) {
+  /** Parses {@code epoch=4&stage=2&verdict=same}; returns null for any other form. */
+  public static RolloutStatus parse(String query) {
     long epoch = -1;
     int stage = -1;
     String verdict = "";
@@ -22,11 +22,11 @@
       if (pair.length < 2 || !pair[1].matches("[a-z-]{1,20}|[0-9]{1,9}")) {
         return null;
       }
-      boolean number = Character.isDigit(pair[1].charAt(0));
+      boolean numeric = Character.isDigit(pair[1].charAt(0));
       switch (pair[0]) {
-        case "epoch" -> epoch = number ? Long.parseLong(pair[1]) : -1;
-        case "stage" -> stage = number ? Integer.parseInt(pair[1]) : -1;
-        case "verdict" -> verdict = number ? "" : pair[1];
+        case "epoch" -> epoch = numeric ? Long.parseLong(pair[1]) : -1;
+        case "stage" -> stage = numeric ? Integer.parseInt(pair[1]) : -1;
+        case "verdict" -> verdict = numeric ? "" : pair[1];
         default -> {
           return null;
         }
@@ -37,8 +37,8 @@
         : new RolloutStatus(epoch, stage, verdict);
   }
 
-  /** One line. */
-  public String line() {
+  /** Formats the status for the admin endpoint. */
+  public String summary() {
     return epoch == 0 ? "none" : "epoch " + epoch + ", stage " + stage + ", verdict " + verdict;
   }
 }
