--- a/src/main/java/wharftrestle/admin/AdminConsole.java
+++ b/src/main/java/wharftrestle/admin/AdminConsole.java
@@ -29,7 +29,7 @@
             results       metrics of the results stored across restarts
             counters      all counters since the process started
             lameduck on   report unhealthy to health checks and in load reports; still serve
-            lameduck off  accept clients again
+            lameduck off  report the actual health again
             drain         finish the requests in flight, accept no more, exit
             help          show this list
             quit          leave the console; the daemon keeps running
@@ -66,7 +66,7 @@
         return execute(address, command) ? 0 : 1;
       }
       out.println(
-          "attached to "
+          "admin endpoint "
               + address.getHostString()
               + ":"
               + address.getPort()
--- a/src/main/java/wharftrestle/admission/AdmissionSettings.java
+++ b/src/main/java/wharftrestle/admission/AdmissionSettings.java
@@ -14,7 +14,7 @@
  * @param calls dependency calls
  * @param timing clock and time limits
  * @param retries retries of callers
- * @param weighting how the weight of answers is counted
+ * @param weighting what the weight of an answer depends on besides its request class
  * @param gauges names of the gauges that are reported when a timer fires, by position
  */
 public record AdmissionSettings(
@@ -53,7 +53,8 @@
    * @param executionMemoryFactor memory of an executing request, as a multiple of a queued one
    * @param keyMemoryKb memory of one retained key
    * @param preemption how executions can be preempted
-   * @param survivableConcurrencyPerCore mean executions per core that a warm host survives
+   * @param survivableConcurrencyPerCore highest mean number of concurrent executions per core at
+   *     which a warm host still works
    * @param concurrencyWindowSeconds the window of that mean
    */
   public record Capacity(
@@ -91,7 +92,7 @@
   /**
    * The host's clock, and time limits.
    *
-   * @param tickSeconds shortest interval between two instants of the host
+   * @param tickSeconds resolution of the host's clock
    * @param answerSlackSeconds how long after its deadline an answer still counts
    * @param drainGraceSeconds a request that arrives later than this after the start of draining may
    *     not be executed
--- a/src/main/java/wharftrestle/admission/DeadlineEnforcer.java
+++ b/src/main/java/wharftrestle/admission/DeadlineEnforcer.java
@@ -78,8 +78,8 @@
   /**
    * Returns until when the result of an answered execution may still be needed. A retry with the
    * same idempotency key may not be executed again, but can be answered with this result if the
-   * caller's timeout was shorter than the execution. The cost is a core that may work for a caller
-   * that has disconnected.
+   * caller's timeout was shorter than the execution. The drawback: a core may keep working for a
+   * caller that has disconnected.
    */
   private static double neededUntil(TrackedRequest request) {
     if (!request.hasIdempotencyKey()) {
--- a/src/main/java/wharftrestle/admission/RequestTable.java
+++ b/src/main/java/wharftrestle/admission/RequestTable.java
@@ -81,7 +81,8 @@
    * Removes a request from the queue to wait for the result of another one; it still occupies its
    * memory.
    *
-   * @param prior the request whose result it waits for; null if that is unknown here
+   * @param prior the request whose result it waits for; null if that request is not in flight in
+   *     this process
    */
   void attach(TrackedRequest request, TrackedRequest prior) {
     queued.remove(request);
@@ -113,7 +114,7 @@
     request.state = TrackedRequest.State.CALLING;
   }
 
-  /** Changes a blocked or calling request back to executing, with or without its call made. */
+  /** Changes a blocked or calling request back to executing, whether or not its call was sent. */
   void resume(double now, TrackedRequest request) {
     if (request.state == TrackedRequest.State.BLOCKED) {
       blocked.remove(request);
--- a/src/main/java/wharftrestle/daemon/DaemonAdmin.java
+++ b/src/main/java/wharftrestle/daemon/DaemonAdmin.java
@@ -111,7 +111,11 @@
       return false;
     }
     parts.requests().setDraining(isOn);
-    Logger.info("{}: lame duck mode={}", name(), isOn ? "on" : "off");
+    Logger.info(
+        "{}: lame duck mode={} set at the admin endpoint; health checks and load reports show unhealthy"
+            + " while it is on",
+        name(),
+        isOn ? "on" : "off");
     return true;
   }
 
--- a/src/main/java/wharftrestle/daemon/HandoverActions.java
+++ b/src/main/java/wharftrestle/daemon/HandoverActions.java
@@ -219,7 +219,11 @@
   // ---- The predecessor ----
 
   private void sendRejection(String reason) {
-    Logger.warn("{}: takeover request rejected reason={}", name, reason);
+    Logger.warn(
+        "{}: takeover request of a new process rejected; this process continues to serve and the new"
+            + " one waits until it ends reason={}",
+        name,
+        reason);
     links.current().send(Message.REJECTION, reason);
   }
 
@@ -282,6 +286,8 @@
     peerKeys.peerLost();
     host.shareResources(false);
     Logger.warn(
-        "{}: successor has ended or returned ownership; this process owns all keys again", name);
+        "{}: handover undone, as the successor exited or returned ownership; this process owns all"
+            + " keys again, see the successor's log for the cause",
+        name);
   }
 }
--- a/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
+++ b/src/main/java/wharftrestle/daemon/HandoverCoordinator.java
@@ -310,7 +310,11 @@
     }
     if (transition.from() != transition.to()) {
       Logger.info(
-          "{}: handover from={} to={} event={}", name, transition.from(), transition.to(), event);
+          "{}: handover state changed from={} to={} event={}",
+          name,
+          transition.from(),
+          transition.to(),
+          event);
     }
     if (transition.to().hasDeadline() && !transition.from().hasDeadline()) {
       attempt++;
--- a/src/main/java/wharftrestle/discovery/LoadReporter.java
+++ b/src/main/java/wharftrestle/discovery/LoadReporter.java
@@ -83,7 +83,10 @@
         }
       } catch (IOException | RuntimeException e) {
         if (!isOutageLogged && logLimiter.tryAcquire(System.nanoTime())) {
-          Logger.warn("load report to the name service failed: {}", e.getMessage());
+          Logger.warn(
+              "load report to the name service failed, retrying; without a report this host's entry"
+                  + " expires after 3 s: {}",
+              e.getMessage());
           isOutageLogged = true;
         }
         // Do not spin while no socket can be opened.
--- a/src/main/java/wharftrestle/handover/HandoverStateMachine.java
+++ b/src/main/java/wharftrestle/handover/HandoverStateMachine.java
@@ -90,8 +90,8 @@
     }
 
     /**
-     * True if a peer that stays silent for too long cancels the handover. No ownership has moved in
-     * these states, so nothing is lost.
+     * True if the handover is cancelled when the peer is silent for too long. No ownership has been
+     * transferred in these states, so cancelling loses no key.
      */
     public boolean hasDeadline() {
       return this == CHECKING_COMPATIBILITY || this == SENDING_KEYS || this == KEYS_SENT;
@@ -107,7 +107,7 @@
     /** The predecessor sent its capabilities, and this process cannot take over from it. */
     PREDECESSOR_INCOMPATIBLE,
     TAKEOVER_ACCEPTED,
-    /** All completed keys have been sent. */
+    /** The predecessor has sent all completed keys. */
     KEYS_COMPLETE,
     OWNERSHIP_RECEIVED,
     /** The ownership was received from a predecessor of handover format 1. */
@@ -132,6 +132,7 @@
     SUCCESSOR_INCOMPATIBLE,
     /** The successor found that it cannot take over. */
     SUCCESSOR_WITHDREW,
+    /** This process has sent all completed keys to the successor. */
     ALL_KEYS_SENT,
     /** The successor was silent for too long, or does not read its messages. */
     DEADLINE_EXCEEDED,
@@ -162,12 +163,19 @@
     STOP_SENDING_KEYS,
     SEND_KEYS_COMPLETE,
     SEND_KEYS_ACKNOWLEDGED,
-    /** Sends all open keys and gives up the ownership of all keys, in one step. */
+    /**
+     * Sends all active keys, which are those that are not in the index of completed keys, and gives
+     * up the ownership of all keys, in one step; {@link #SEND_OWNERSHIP} then notifies the
+     * successor.
+     */
     TRANSFER_OWNERSHIP,
     SEND_OWNERSHIP,
     /** Transfers the ownership in messages of format 1; the completed keys are sent after it. */
     TRANSFER_OWNERSHIP_LEGACY,
-    /** Leaves a takeover request unanswered; its link stays open until the requester ends. */
+    /**
+     * Leaves a takeover request unanswered: its sender can start once this process has ended. Its
+     * link stays open until the sender ends.
+     */
     PARK_LINK,
     /**
      * Opens the stored results; {@link Event#STORAGE_OPENED} or {@link Event#STORAGE_UNAVAILABLE}
--- a/src/main/java/wharftrestle/request/AdmissionTimers.java
+++ b/src/main/java/wharftrestle/request/AdmissionTimers.java
@@ -112,7 +112,11 @@
 
   // Without a timer no queued request would ever be answered.
   private void scheduleRetry(double now, long label, Throwable fault) {
-    Logger.error(fault, "admission timer failed, will fire again retrySeconds={}", RETRY_SECONDS);
+    Logger.error(
+        fault,
+        "admission timer failed with an internal error, queued requests wait until it fires again"
+            + " retrySeconds={}",
+        RETRY_SECONDS);
     timers.add(new Timer(now + RETRY_SECONDS, label));
   }
 
--- a/src/main/java/wharftrestle/request/KeyedRequests.java
+++ b/src/main/java/wharftrestle/request/KeyedRequests.java
@@ -51,7 +51,10 @@
     keys = new IdempotencyTable<>(this::executionCompleted, memory);
   }
 
-  /** Called before the first request. A setter, as the three objects refer to each other. */
+  /**
+   * Sets the ownership transfer and the recorder, before the first request. They cannot be passed
+   * to the constructor, as both are created after this object and depend on it.
+   */
   void connect(KeyOwnershipTransfer<InFlightRequest> transfer, ResultRecorder resultRecorder) {
     ownership = transfer;
     recorder = resultRecorder;
@@ -84,13 +87,13 @@
     if (!isComplete || recovered.unknownKeysFailUntilSeconds() > now) {
       // A key that is on disk but missing here must not execute again, so all unknown keys fail.
       Logger.warn(
-          "recovered keys may be incomplete, unknown keys fail for seconds={}",
+          "recovered keys may be incomplete; requests whose key was not recovered fail for seconds={}",
           Math.round(latestExpirySeconds - now));
       keys.failUnknownKeysUntil(latestExpirySeconds);
     }
   }
 
-  /** Reserves memory for the key of this request until it expires; false if there is none. */
+  /** Reserves memory for the key of this request until it expires; false if no memory is left. */
   boolean reserveMemory(InFlightRequest request) {
     request.hasReservation = request.hasReservation || keys.tryReserveMemory();
     if (!request.hasReservation) {
@@ -165,7 +168,7 @@
     }
   }
 
-  /** Adds an entry for a request that the module queues, so that duplicates attach to it. */
+  /** Adds an entry for a request that the admission module queues, for duplicates to attach to. */
   void enqueueKey(InFlightRequest request) {
     KeyEntry<InFlightRequest> entry =
         keys.enqueue(
--- a/src/main/java/wharftrestle/request/RequestArrival.java
+++ b/src/main/java/wharftrestle/request/RequestArrival.java
@@ -13,7 +13,7 @@
  */
 final class RequestArrival {
 
-  /** Value for the module if the execution belongs to no request that is in flight here. */
+  /** Passed to the admission module as the duplicated id if that request is not in flight here. */
   private static final long DUPLICATE_OF_NO_REQUEST = -1;
 
   private final Counters counters;
@@ -52,16 +52,16 @@
         (existing != null && existing.mayHaveRun()) || (request.key != null && !claims.ownsKeys());
     if (inFlight.isFull()) {
       // Each request in flight has a thread, so their number must be bounded to bound the memory.
-      rejectByGuard(request, mayHaveExecuted);
+      rejectOrFail(request, mayHaveExecuted);
     } else if (!admission.isStarted() && hasResultFor(existing, request)) {
       // The result was recorded before a restart, and is returned without the worker pool.
       request.backstopAtSeconds = deadlines.backstopAtSeconds(request.incoming, clock.now());
       keyedRequests.completeAttached(request, existing);
     } else if (!admission.isStarted()) {
-      rejectByGuard(request, mayHaveExecuted);
+      rejectOrFail(request, mayHaveExecuted);
     } else if (inFlight.findByReference(request.incoming.reference()) != null) {
       // The worker pool could not distinguish its execution from the one in flight.
-      rejectByGuard(request, true);
+      rejectOrFail(request, true);
     } else {
       register(request);
     }
@@ -74,8 +74,11 @@
         && existing.body().matches(request.incoming.body());
   }
 
-  /** Rejects a request, or fails it if it may have executed, which a rejection rules out. */
-  private void rejectByGuard(InFlightRequest request, boolean mayHaveExecuted) {
+  /**
+   * Rejects a request before the admission module sees it. If it may have executed, fails it
+   * instead, as a rejection states that it has not.
+   */
+  private void rejectOrFail(InFlightRequest request, boolean mayHaveExecuted) {
     counters.add(Count.GUARD_REJECTIONS);
     callers.answer(
         request, mayHaveExecuted ? Answer.failed() : Answer.rejected(maxRetryAfterSeconds, false));
--- a/src/main/java/wharftrestle/request/RequestLifecycle.java
+++ b/src/main/java/wharftrestle/request/RequestLifecycle.java
@@ -196,7 +196,7 @@
       request.isArrivalProcessed = true;
       callers.answer(request, Answer.failed());
       if (request.isDispatched) {
-        // Nothing was sent to the worker pool yet, so the execution is void.
+        // Nothing was sent to the worker pool yet, so the execution never started.
         request.steps.removeIf(step -> step.kind() != InFlightRequest.StepKind.ANSWER);
         executions.complete(request, Outcome.VOID, 0, null);
       } else {
@@ -232,7 +232,11 @@
     }
   }
 
-  /** Waits for a change until the request's next time limit; enforces the backstop once past it. */
+  /**
+   * Waits for a change until the request's next time limit. Past the backstop, the time by which
+   * the daemon ends a request that the admission module has not ended, it answers the request; if
+   * that is answered already, it completes the execution as broken.
+   */
   @SuppressWarnings("WaitNotInLoop") // nextStep, the only caller, loops and reads the state again
   private void awaitChange(InFlightRequest request) throws InterruptedException {
     double now = clock.now();
@@ -245,7 +249,7 @@
       request.changed.awaitNanos(EventClock.waitNanos(wait));
     } else if (request.isAnswered) {
       Logger.warn(
-          "execution did not end after its request was answered, assumed broken reference={}",
+          "worker pool reported no end of execution in time, outcome unknown reference={}",
           request.incoming.reference());
       executions.complete(request, Outcome.BROKEN, now - request.startedAtSeconds, null);
     } else {
--- a/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
+++ b/src/main/java/wharftrestle/rollout/ConfidenceSequence.java
@@ -5,7 +5,7 @@
  * one chosen in advance: a confidence sequence for sums that behave like a random walk (Robbins'
  * normal mixture; Waudby-Smith et al., Time-uniform central limit theory and asymptotic confidence
  * sequences, 2021, theorem 2.2). The variance is estimated from the values and increased for the
- * lag-one autocorrelation, because successive windows of a host are not independent.
+ * lag-one autocorrelation, because the values of successive time windows are not independent.
  *
  * <p>O(1) in time and memory for each value. Not thread-safe.
  */
@@ -51,9 +51,9 @@
   }
 
   /**
-   * Variance of one value, increased for the autocorrelation and for the small sample. An estimate
-   * of the variance from few values is often too small; so is an estimate of the autocorrelation,
-   * which has Kendall's bias correction.
+   * Variance of one value, increased for the autocorrelation and for the small sample. Estimates
+   * from few values are often too small: the variance is therefore multiplied by {@code 1 +
+   * SMALL_SAMPLE_VALUES / count}, and the autocorrelation has Kendall's bias correction.
    */
   public double variance() {
     if (count < 2 || squaredDeviations <= 0) {
--- a/src/main/java/wharftrestle/rollout/controller/OperatorCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/OperatorCommand.java
@@ -74,18 +74,24 @@
   static final class Back extends OperatorCommand {}
 
   /** {@code fleet roll abort}. */
-  @Command(name = "abort", description = "end the rollout and leave every host as it is")
+  @Command(
+      name = "abort",
+      description = "end the rollout; every host keeps the release that it has")
   static final class Abort extends OperatorCommand {}
 
   /** {@code fleet roll broken}. */
   @Command(
       name = "broken",
-      description = "report that the new release broke a rule at a host; fails the stage at once")
+      description =
+          "report that the new release violated an invariant at a host; fails the stage at once")
   static final class Broken extends OperatorCommand {
     @Parameters(paramLabel = "BOX", index = "0")
     private String host;
 
-    @Parameters(paramLabel = "WHAT", index = "1", description = "such as \"a key ran twice\"")
+    @Parameters(
+        paramLabel = "WHAT",
+        index = "1",
+        description = "such as \"a key was executed twice\"")
     private String violated;
 
     @Override
--- a/src/main/java/wharftrestle/storage/Compaction.java
+++ b/src/main/java/wharftrestle/storage/Compaction.java
@@ -15,6 +15,7 @@
  * since the evidence of the damage would be lost. An instance is used for one run, by one thread.
  */
 final class Compaction {
+  /** Batch number of all records; each new segment is a complete batch of its own. */
   private static final int BATCH = 1;
 
   private final SegmentStore store;
@@ -35,8 +36,8 @@
   private record LiveRecord(RecordLocation location, int size, boolean sameBoot) {}
 
   /**
-   * True if more than half of the allowed segments are in use, so that further starts would fill
-   * the space budget.
+   * True if more than half of the allowed segments are in use. Each start of a daemon creates a
+   * segment, so without compaction repeated starts would use up the space budget.
    */
   static boolean isWorthwhile(SpaceBudget space) {
     return space.segmentCount() > space.maxSegments() / 2;
--- a/src/main/java/wharftrestle/storage/Recovery.java
+++ b/src/main/java/wharftrestle/storage/Recovery.java
@@ -64,13 +64,12 @@
     if (sameBoot
         && monotonicMillis - record.writtenAtMonotonicMillis()
             > record.windowMillis() + LINGER_SECONDS * 1000) {
-      expiredCount++; // Otherwise each restart would extend the life of the key.
+      expiredCount++; // keeping the key would extend its life at each restart
       return false;
     }
     boolean hasResult = record.kind() == LogRecord.Kind.RESULT;
     // The clock that stamps attempts may have stepped since, so the key covers every attempt that
-    // is
-    // read within one window from now.
+    // is read within one window from now.
     keys.put(
         record.key(),
         new RecoveredKey(
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -141,12 +141,14 @@
     metrics.recordRecovery(recovery.knownCount(), recovery.unknownCount(), contents.damaged());
     if (contents.damaged()) {
       Logger.error(
-          "write-ahead log damaged, unknown keys fail folder={} seconds={}",
+          "write-ahead log damaged; requests whose key is not in it fail for a time; to examine it, copy"
+              + " the folder and run 'results verify' on the copy folder={} seconds={}",
           settings.folder(),
           (long) Math.ceil(longestWindowSeconds));
     }
     Logger.info(
-        "write-ahead log recovered results={} outcomes_unknown={} expired={}",
+        "write-ahead log recovered results={} outcomes_unknown={} expired={}; retries of requests with"
+            + " an unknown outcome fail until their idempotency window ends",
         recovery.knownCount(),
         recovery.unknownCount(),
         recovery.expiredCount());
--- a/src/main/java/wharftrestle/supervisor/HostSupervisor.java
+++ b/src/main/java/wharftrestle/supervisor/HostSupervisor.java
@@ -175,7 +175,7 @@
           entry.pid(),
           entry.startedAtMillis(),
           entry.adminPort(),
-          "its change had no keeper any more");
+          "the supervisor of this change has ended");
       process(entry).ifPresent(ProcessHandle::destroyForcibly);
     }
     recovery.terminating().forEach(entry -> process(entry).ifPresent(ProcessHandle::destroy));
@@ -196,7 +196,7 @@
       String startRelease = firstRelease != null ? firstRelease : recovery.activeRelease();
       String obstacle =
           startRelease.isEmpty()
-              ? "expected the name of a release, as the journal has none"
+              ? "no release was named, and the journal names none: run 'box run ... RELEASE'"
               : releases.obstacle(startRelease);
       if (!obstacle.isEmpty() && !recovery.fallbackRelease().isEmpty()) {
         startRelease = recovery.fallbackRelease();
@@ -254,7 +254,7 @@
                 process.pid(),
                 startMillis(process),
                 last.adminPort(),
-                "found by its door"));
+                "found by its admin port"));
       }
     }
   }
@@ -306,7 +306,7 @@
     return CommandSocket.order(stateDirectory.resolve(SOCKET_FILE), text);
   }
 
-  /** Executes a command; the answer begins with "ok" or "no". */
+  /** Executes a command; the answer is "ok", or begins with "ok " or "no ". */
   private String execute(String text) throws IOException {
     String[] parts = text.split(" ", 2);
     switch (parts[0]) {
@@ -353,7 +353,9 @@
   }
 
   /**
-   * Executes a controller's order: this release is to serve, in whatever state this host is.
+   * Executes a controller's order: this release is to serve. Does nothing if it serves or is the
+   * candidate already, undoes a change away from it, or begins a change to it, which is possible
+   * only in state SERVING.
    *
    * @param isRollback the active release was found bad: it doesn't become the fallback release
    */
@@ -481,7 +483,7 @@
             : !targetMissed
                 ? ""
                 : stateMachine.lastProblem().isEmpty()
-                    ? "it did not go"
+                    ? "the change failed for an unknown reason"
                     : stateMachine.lastProblem());
     fields.put("deaths", new LinkedHashMap<>(exitsByRelease));
     fields.put("good", stateMachine.fallbackRelease());
--- a/src/main/java/wharftrestle/supervisor/SupervisorCommand.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorCommand.java
@@ -60,7 +60,8 @@
     @Option(
         names = "--settings",
         paramLabel = "FILE",
-        description = "a settings script with box(...), which sets the limits")
+        description =
+            "a settings script whose box(...) sets the supervisor's limits; default: built-in limits")
     private Path settingsFile;
 
     @Option(
@@ -94,7 +95,8 @@
     public Integer call() throws Exception {
       String config = System.getenv("EDGE_CONFIG");
       if (config == null || config.isBlank()) {
-        throw new DaemonConfig.BadConfigException("EDGE_CONFIG names no configuration file");
+        throw new DaemonConfig.BadConfigException(
+            "environment variable EDGE_CONFIG is not set or blank; it must name the configuration file");
       }
       Settings settings = settingsFile == null ? Settings.none() : Settings.read(settingsFile);
       List<String> javaCommand = new ArrayList<>(Arrays.asList(javaOptions.trim().split(" +")));
--- a/src/main/java/wharftrestle/supervisor/SupervisorStateMachine.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorStateMachine.java
@@ -136,11 +136,14 @@
       START,
       /** Send the daemon a TERM signal: it shuts down gracefully. */
       TERM,
-      /** Kill the daemon at once: it owns no keys, or only until it ends. */
+      /**
+       * Kill the daemon at once: a candidate, whose end returns any keys that it has received, or
+       * the active daemon that was not ready in time.
+       */
       KILL,
       /** The candidate is the active daemon from now on. */
       PROMOTE,
-      /** Only write the reason to the journal and to operators. */
+      /** Only write the reason to the journal and to the standard output. */
       RECORD
     }
   }
@@ -148,9 +151,9 @@
   private final Limits limits;
   private State state = State.DOWN;
   private String activeRelease = "";
-  private String fallbackRelease = ""; // the last release that passed its probation
+  private String fallbackRelease = ""; // the release to return to; empty if there is none
   private String candidateRelease = "";
-  private boolean changeIsRollback; // the active release is bad: there is no way back to it
+  private boolean changeIsRollback; // the release that is left must not become the fallback
   private String lastProblem = "";
   private double stateEnteredAt;
   private int exitsInARow; // of the active release
@@ -217,8 +220,8 @@
   }
 
   /**
-   * The supervisor starts and finds a daemon that serves. If a candidate ran beside it, it has been
-   * ended, or it is the daemon that serves and is still in its probation.
+   * The supervisor starts and finds a daemon that serves. If a change was under way, its candidate
+   * has been ended, or has become the active daemon and is still in its probation.
    */
   public List<Action> adopt(String running, String fallback, boolean inProbation, double now) {
     activeRelease = running;
@@ -260,9 +263,9 @@
    */
   public List<Action> rollBack(double now) {
     if (state == State.CHANGING) {
-      abortChange("asked for", now);
+      abortChange("requested by an operator or controller", now);
     } else if (state == State.PROBATION) {
-      startRollback("asked for", now);
+      startRollback("requested by an operator or controller", now);
     } else if (state == State.SERVING
         && !fallbackRelease.isEmpty()
         && !fallbackRelease.equals(activeRelease)) {
@@ -290,7 +293,7 @@
       probationStart = null;
       enter(State.PROBATION, now);
     } else if (state == State.ROLLING_BACK && role == Role.CANDIDATE) {
-      addAction(Action.Kind.TERM, Role.ACTIVE, activeRelease, "taken back: " + lastProblem);
+      addAction(Action.Kind.TERM, Role.ACTIVE, activeRelease, "rolled back: " + lastProblem);
       addAction(Action.Kind.PROMOTE, Role.CANDIDATE, candidateRelease, "");
       activeRelease = candidateRelease;
       candidateRelease = "";
@@ -305,7 +308,7 @@
     if (role == Role.CANDIDATE && state == State.CHANGING) {
       abortChange("it cannot take over: " + reason, now);
     } else if (role == Role.CANDIDATE && state == State.ROLLING_BACK) {
-      abortRollback("cannot go back: " + reason, now);
+      abortRollback("the daemon of the former release cannot take over: " + reason, now);
     }
     return drainActions();
   }
@@ -320,7 +323,7 @@
         addAction(Action.Kind.RECORD, role, activeRelease, "change undone: " + lastProblem);
       } else if (state == State.ROLLING_BACK) {
         candidateRelease = "";
-        lastProblem = "the release before died as it came back";
+        lastProblem = "the daemon of the former release exited during the rollback";
         enter(State.SERVING, now);
         addAction(Action.Kind.RECORD, role, activeRelease, lastProblem);
       }
@@ -328,8 +331,7 @@
     }
     if (state == State.CHANGING || state == State.ROLLING_BACK) {
       // The candidate detects the exit by itself and serves: it is the host's only daemon now.
-      addAction(
-          Action.Kind.PROMOTE, Role.CANDIDATE, candidateRelease, "the one that served has died");
+      addAction(Action.Kind.PROMOTE, Role.CANDIDATE, candidateRelease, "the active daemon exited");
       fallbackRelease = state == State.CHANGING && !changeIsRollback ? activeRelease : "";
       activeRelease = candidateRelease;
       candidateRelease = "";
@@ -339,7 +341,10 @@
       enter(changing ? State.PROBATION : State.SERVING, now);
     } else if (state != State.BACKOFF && state != State.DOWN) {
       boolean inProbation = state == State.PROBATION;
-      scheduleRestart(inProbation ? "it died in its probation" : "it died", inProbation, now);
+      scheduleRestart(
+          inProbation ? "the daemon exited during its probation" : "the daemon exited",
+          inProbation,
+          now);
     }
     return drainActions();
   }
@@ -352,14 +357,14 @@
   public List<Action> tick(AnswerCounts counts, double now) {
     if (state == State.BACKOFF && now >= stateEnteredAt + backoffSeconds()) {
       enter(State.STARTING, now);
-      addAction(Action.Kind.START, Role.ACTIVE, activeRelease, "after a pause");
+      addAction(Action.Kind.START, Role.ACTIVE, activeRelease, "after the backoff");
     } else if (state == State.STARTING && now > stateEnteredAt + limits.readyTimeoutSeconds()) {
       addAction(Action.Kind.KILL, Role.ACTIVE, activeRelease, "not ready in time");
       scheduleRestart("it was not ready in time", false, now);
     } else if (state == State.CHANGING && now > stateEnteredAt + limits.readyTimeoutSeconds()) {
       abortChange("it was not ready in time", now);
     } else if (state == State.ROLLING_BACK && now > stateEnteredAt + limits.readyTimeoutSeconds()) {
-      abortRollback("the release before was not ready in time", now);
+      abortRollback("the daemon of the former release was not ready in time", now);
     } else if (state == State.PROBATION) {
       checkProbation(counts, now);
     } else if (state == State.SERVING && counts != null) {
@@ -412,7 +417,7 @@
     if (rejectedShare > rejectedShareBefore + limits.maxRejectedIncrease()) {
       return String.format(
           Locale.ROOT,
-          "%.1f%% were refused, %.1f%% before",
+          "%.1f%% rejected, %.1f%% before",
           100 * rejectedShare,
           100 * rejectedShareBefore);
     }
@@ -439,7 +444,7 @@
         Action.Kind.START,
         Role.CANDIDATE,
         fallbackRelease,
-        "back from " + activeRelease + ": " + reason);
+        "rollback from " + activeRelease + ": " + reason);
   }
 
   /** Aborts a rollback that failed: the active daemon continues to serve. */
@@ -461,7 +466,7 @@
           Action.Kind.RECORD,
           Role.ACTIVE,
           fallbackRelease,
-          "goes back from " + activeRelease + ": " + reason);
+          "rolled back from " + activeRelease + ": " + reason);
       activeRelease = fallbackRelease;
       fallbackRelease = "";
       exitsInARow = 1;
@@ -471,7 +476,8 @@
         Action.Kind.RECORD,
         Role.ACTIVE,
         activeRelease,
-        String.format(Locale.ROOT, "starts again after %.1f s: %s", backoffSeconds(), reason));
+        String.format(
+            Locale.ROOT, "restart after a backoff of %.1f s: %s", backoffSeconds(), reason));
   }
 
   /** Seconds of the current backoff: doubled by each further exit in a row, up to the maximum. */
--- a/src/main/java/wharftrestle/transport/BoundedReader.java
+++ b/src/main/java/wharftrestle/transport/BoundedReader.java
@@ -108,7 +108,8 @@
     if (value >= 0 && value <= max) {
       return value;
     }
-    throw new Server.MalformedException("expected an integer up to " + max + ": " + truncate(text));
+    throw new Server.MalformedException(
+        "expected an integer from 0 to " + max + ", found: " + truncate(text));
   }
 
   public static double parseDecimal(String text) throws IOException {
@@ -123,7 +124,10 @@
     throw new Server.MalformedException("expected a decimal number, found: " + truncate(text));
   }
 
-  /** Converts milliseconds to seconds; the worker pool sends milliseconds with decimals. */
+  /**
+   * Converts milliseconds to seconds; the worker pool sends milliseconds with decimals. A negative
+   * value becomes 0.
+   */
   public static double parseMillisAsSeconds(String text) throws IOException {
     return Math.max(0, parseDecimal(text) / 1000);
   }
@@ -156,7 +160,7 @@
         connection.close();
       }
     } catch (IOException e) {
-      Logger.debug(e, "closing");
+      Logger.debug(e, "connection could not be closed");
     }
   }
 
--- a/src/main/java/wharftrestle/transport/PeerLink.java
+++ b/src/main/java/wharftrestle/transport/PeerLink.java
@@ -284,7 +284,9 @@
         }
       }
     } catch (IOException e) {
-      Logger.info("peer process link closed: {}", e.getMessage());
+      Logger.info(
+          "link to the peer process closed, as the peer process ended or the link failed: {}",
+          e.getMessage());
     } finally {
       close();
       handler.onMessage(this, Message.LINK_LOST, "");
--- a/src/main/java/wharftrestle/transport/Server.java
+++ b/src/main/java/wharftrestle/transport/Server.java
@@ -30,10 +30,10 @@
 
 /**
  * Listens on one address and runs one thread for each connection; {@link Connection} implements how
- * each of them ends. The protocol is the front end's: it reads a connection until the peer closes
- * it and writes through {@link Connection#send}. Peers are isolated from each other: one that does
- * not read is closed, and one that sends malformed input is closed and counted. The accept thread
- * also enforces the deadlines of closing connections, until the last is closed.
+ * each of them ends. A {@link Front} implements the protocol: it reads a connection until the peer
+ * closes it and writes through {@link Connection#send}. Peers are isolated from each other: one
+ * that does not read is closed, and one that sends malformed input is closed and counted. The
+ * accept thread also enforces the deadlines of closing connections, until the last is closed.
  */
 public final class Server implements Closeable {
 
@@ -77,7 +77,7 @@
   /** Length of the queue of connections not yet accepted. */
   private static final int BACKLOG = 512;
 
-  /** Milliseconds between two checks for the end of the listener, and of the last accept. */
+  /** Milliseconds between two checks for shutdown and of the connections' deadlines. */
   private static final int POLL_MS = 50;
 
   /**
@@ -129,8 +129,8 @@
    * Creates a server that is not yet listening.
    *
    * @param maxConnections limit of open connections
-   * @param maxClosing limit of further connections that are closing; half as many rejected
-   *     connections may wait for their close
+   * @param maxClosing limit of connections that are closing, beyond maxConnections; up to half as
+   *     many rejected connections may also wait until the peer closes them
    */
   public Server(
       String name,
@@ -160,7 +160,7 @@
             1,
             TimeUnit.SECONDS,
             new LinkedBlockingQueue<>(),
-            task -> PlatformThreads.thread(name + "-words", task));
+            task -> PlatformThreads.thread(name + "-go-away", task));
     goAwayThreads.allowCoreThreadTimeOut(true);
   }
 
@@ -238,7 +238,7 @@
       } catch (IOException | RuntimeException | Error e) {
         // A shortage of descriptors or memory must neither end the accept loop nor make it spin.
         if (!accepting.isClosed()) {
-          warn("accept failed: " + e);
+          warn("connection could not be accepted, will try again: " + e);
           lowerConnectionLimit();
           LockSupport.parkNanos(20_000_000);
         }
@@ -353,12 +353,12 @@
 
   /**
    * Evicts the connection that is least likely to be used again; false if each has requests in
-   * flight. Silent peers, or peers that ask once and stay connected, could otherwise lock front
-   * ends out; and peers that take two seconds for their first request must not be closed before
-   * others that already have their answer. A request that crosses the close must not be lost on a
-   * process that was paused for a moment: so a peer that has sent messages is sent the go-away
-   * message first, and is closed when it has had time to read it, or when more connections are
-   * closing than the limit allows.
+   * flight. Otherwise silent peers, or peers that send one request and stay connected, could keep
+   * front ends from connecting. A peer that takes two seconds for its first request is not closed
+   * before peers that already have their answer. A peer whose process was paused may send a request
+   * while its connection is being closed. To lose no such request, a peer that has sent messages is
+   * first sent the go-away message, and is closed when it has had time to read it, or when more
+   * connections are closing than the limit allows.
    */
   private boolean evictOne() {
     int closingCount = closingConnections().size();
--- a/src/main/java/wharftrestle/upstream/StoreClient.java
+++ b/src/main/java/wharftrestle/upstream/StoreClient.java
@@ -28,8 +28,8 @@
 /**
  * HTTP/1.1 client of the store, with a pool of connections and one call at a time on each. It
  * reports the outcome of each call to its listener, on a thread of the pool. A call is reported as
- * never started only if the store proves it, is never repeated by this class, and its response is
- * passed on only if it is fully understood. Thread-safe.
+ * never started only if nothing was sent or the store states it with Never-Started: 1. It is never
+ * repeated by this class, and its response is passed on only if fully understood. Thread-safe.
  */
 public final class StoreClient implements DependencyClient {
   private static final int MAX_CONCURRENT_CALLS = 32;
@@ -56,7 +56,7 @@
    */
   private static final long MAX_IDLE_NANOS = 400_000_000L;
 
-  /** Connections idle for less than this are reused without a check, which costs a millisecond. */
+  /** Connections idle for less than this are reused without the check, which takes up to 1 ms. */
   private static final long UNCHECKED_IDLE_NANOS = 50_000_000L;
 
   /**
@@ -237,7 +237,7 @@
   }
 
   /**
-   * @param address null at a site without dependency calls: a call made nevertheless never runs
+   * @param address of the store; null if there is none: each call then ends as UNREACHABLE
    * @param maxConnections limit of connections, in use or idle
    */
   public StoreClient(InetSocketAddress address, int maxConnections, Counters counters) {
@@ -391,7 +391,10 @@
     return headers;
   }
 
-  /** Maps a status to an outcome. Only Never-Started: 1 proves that a call never ran. */
+  /**
+   * Maps a status to an outcome. A response without Never-Started: 1 does not prove that the call
+   * never ran.
+   */
   private static Outcome toOutcome(int status, boolean neverStarted) throws IOException {
     if (status == 200 && neverStarted) {
       throw new Server.MalformedException("store sent status 200 together with Never-Started: 1");
--- a/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
+++ b/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
@@ -345,7 +345,7 @@
       assertTrue(System.nanoTime() < deadline, "the daemon was not restarted");
       LockSupport.parkNanos(20_000_000);
     }
-    assertTrue(status().path("reason").asText().contains("it died"));
+    assertTrue(status().path("reason").asText().contains("the daemon exited"));
   }
 
   @Test
