--- a/src/main/antlr4/wharftrestle/settings/Star.g4
+++ b/src/main/antlr4/wharftrestle/settings/Star.g4
@@ -1,5 +1,5 @@
 // The settings' language: a subset of Starlark (bazelbuild's published language specification). Blocks are
-// by indentation: the lexer gives lines as they stand, Lines.java makes INDENT and DEDENT of them. Left out: while,
+// by indentation: the lexer gives lines as they stand, IndentationTokens.java makes INDENT and DEDENT of them. Left out: while,
 // lambda, load, slices, augmented assignment and string methods; nothing reads, writes or recurs.
 grammar Star;
 
--- a/src/main/java/wharftrestle/admission/MemoryBudget.java
+++ b/src/main/java/wharftrestle/admission/MemoryBudget.java
@@ -55,8 +55,8 @@
 
   /** Returns whether memory is short for dispatching this queued request. */
   boolean lacksExecutionMemory(TrackedRequest request) {
-    double more = request.request.memoryKb() * (capacity.executionMemoryFactor() - 1);
-    return queuedKb + executingKb + keysKb() + more
+    double additionalKb = request.request.memoryKb() * (capacity.executionMemoryFactor() - 1);
+    return queuedKb + executingKb + keysKb() + additionalKb
         > EXECUTION_FRACTION * quotaFraction * capacity.memoryKb();
   }
 
@@ -69,7 +69,10 @@
         < 0;
   }
 
-  /** Returns whether queued requests must be rejected to stay within the memory. */
+  /**
+   * Returns whether queued requests must be rejected to stay within the memory of the host. The
+   * quota does not apply here.
+   */
   boolean isExceeded() {
     return queuedKb + executingKb + keysKb() > TOTAL_FRACTION * capacity.memoryKb();
   }
--- a/src/main/java/wharftrestle/admission/OutlierDetector.java
+++ b/src/main/java/wharftrestle/admission/OutlierDetector.java
@@ -57,7 +57,10 @@
    */
   private static final double ACCEPT_LAG_SECONDS = 1;
 
-  /** Fraction of rejected arrivals for the same; an overloaded fleet still serves some requests. */
+  /**
+   * Fraction of rejected arrivals above which accept lag counts. In an overloaded fleet each host
+   * still serves some requests, so its fraction is lower.
+   */
   private static final double REJECTED_FRACTION = 0.8;
 
   /**
@@ -110,9 +113,9 @@
   }
 
   /** Adds an execution in flight: its time on the cores without stalls, and its estimate. */
-  void addExecution(double onCoresSeconds, double ownSeconds) {
-    elapsedSeconds += Math.min(MAX_SINGLE_OVERRUN * ownSeconds, Math.max(0, onCoresSeconds));
-    estimatedSeconds += ownSeconds;
+  void addExecution(double executingSeconds, double estimateSeconds) {
+    elapsedSeconds += Math.min(MAX_SINGLE_OVERRUN * estimateSeconds, Math.max(0, executingSeconds));
+    estimatedSeconds += estimateSeconds;
   }
 
   /** Ends the measurement of the overrun. */
@@ -121,7 +124,10 @@
     overrun = (elapsedSeconds + prior) / (estimatedSeconds + prior);
   }
 
-  /** Returns whether so many executions fail that only one at a time is dispatched. */
+  /**
+   * Returns whether the fraction of failed executions makes the host an outlier. Only one execution
+   * at a time is dispatched while it does.
+   */
   boolean isFailing() {
     return failureFraction > FAILURE_FRACTION;
   }
@@ -170,7 +176,7 @@
   }
 
   private void eject(double now) {
-    ejectedUntil = now + EJECTION_SECONDS * (0.75 + random.nextDouble() / 2);
+    ejectedUntil = now + EJECTION_SECONDS * (0.75 + random.nextDouble() / 2); // mean +/- 25 %
     healthy = false;
     actions.reportHealth(false, true);
     // The text is fixed: the simulator receives this line, and recorded decisions contain it.
--- a/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
+++ b/src/main/java/wharftrestle/daemon/ClassDataTrainingRun.java
@@ -27,7 +27,9 @@
   /** Requests after this one also call the store, at an address at which no server listens. */
   private static final int LAST_REQUEST_WITHOUT_CALL = 2;
 
+  /** In the order of the settings' gauges: cpu_busy, runnable, mem_used and sockets. */
   private static final double[] WORKER_POOL_GAUGES = {0.1, 0, 0.1, 1};
+
   private static final double EXECUTION_SECONDS = 0.01;
 
   private ClassDataTrainingRun() {}
@@ -90,7 +92,7 @@
       requests.executionBlocked(reference, tag, new byte[0]);
     }
     requests.executionCompleted(reference, Outcome.SUCCESS, EXECUTION_SECONDS, new byte[0]);
-    readUntil(in, "\r\n$0\r\n\r\n$0\r\n\r\n");
+    readUntil(in, "\r\n$0\r\n\r\n$0\r\n\r\n"); // The answer ends with two empty bulk strings.
   }
 
   private static String requestMessage(int tag, String reference) {
--- a/src/main/java/wharftrestle/daemon/GracefulShutdown.java
+++ b/src/main/java/wharftrestle/daemon/GracefulShutdown.java
@@ -13,18 +13,22 @@
   /** Time before the stop by which all responses have been sent, even under contention. */
   private static final double ANSWER_MARGIN_SECONDS = 0.5;
 
-  /** Time before the stop from which on open connections are no longer waited for. */
+  /**
+   * Time before the stop at which the front ends stop reading, even if connections are open. The
+   * last connections may close during the first half of it.
+   */
   private static final double CONNECTION_MARGIN_SECONDS = 0.35;
 
   /** Time after the grace period during which requests in transit are still accepted. */
   private static final double IN_TRANSIT_SECONDS = 0.05;
 
   /**
-   * A relinquished process ends this long after the shutdown request at the latest, plus the
-   * margin; sooner if its longest deadline is shorter.
+   * Maximum time that a relinquished process waits for its requests in flight after the shutdown
+   * request; less if its longest deadline is shorter.
    */
   private static final double MAX_RELINQUISHED_SECONDS = 3;
 
+  /** Time added to it for sending the answers and closing the connections. */
   private static final double RELINQUISHED_MARGIN_SECONDS = 0.7;
 
   private static final long CONNECTION_POLL_INTERVAL_MILLIS = 10;
@@ -63,14 +67,14 @@
     // A request that arrives from here on could not be answered: refuse connections instead.
     parts.frontends().stopListening();
     awaitAnswersAndDisconnects();
-    // Requests of peers that stay connected are no longer read, so none is lost after its receipt.
+    // Peers that are still connected get no further request accepted, so none stays unanswered.
     parts.frontends().finish();
     awaitLastDisconnects();
     parts.storedResults().close(Math.max(0, (long) (remainingSeconds() * 1000)));
     state.enter(Lifecycle.State.STOPPED);
   }
 
-  /** True if no other process serves the clients of this host. */
+  /** Enters DRAINING; returns true if no other process serves the clients of this host. */
   private boolean enterDraining() {
     return handover.runLocked(
         () -> {
--- a/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
+++ b/src/main/java/wharftrestle/frontend/UwsgiFrontend.java
@@ -47,11 +47,11 @@
   /** A response that is sent without the coordinator. */
   private static final class ImmediateResponse extends IOException {
     private static final long serialVersionUID = 1L;
-    private final String line;
+    private final String status;
 
-    ImmediateResponse(String line, String reason) {
+    ImmediateResponse(String status, String reason) {
       super(reason);
-      this.line = line;
+      this.status = status;
     }
   }
 
@@ -60,7 +60,7 @@
   private final double memoryKb;
   private final Map<String, Integer> classes = new HashMap<>();
   private final Map<String, Integer> tenants = new HashMap<>();
-  private final double[] classRanks;
+  private final double[] classRanks; // by class index: fraction of classes with a lower weight
   private final AtomicLong references;
 
   public UwsgiFrontend(
@@ -68,7 +68,7 @@
     this.coordinator = coordinator;
     this.counters = counters;
     this.memoryKb = memoryKb;
-    // References share the worker pool's name space with the random ones of the platform.
+    // The worker pool also gets the platform's random references, so these must not collide.
     references = new AtomicLong(seed * 0x9E3779B97F4A7C15L ^ System.nanoTime());
     List<Admission.RequestClass> requestClasses = coordinator.settings().classes();
     classRanks = new double[requestClasses.size()];
@@ -91,15 +91,15 @@
       connection.readUntil(connection.openedAt() + REQUEST_TIMEOUT_MS * 1_000_000L);
       request = readRequest(connection.in());
     } catch (ImmediateResponse e) {
-      connection.send(response(e.line, "", BoundedReader.ascii(e.getMessage() + "\n")));
+      connection.send(response(e.status, "", BoundedReader.ascii(e.getMessage() + "\n")));
       counters.add(Count.MALFORMED);
       return;
     } catch (MalformedException e) {
       connection.send(response("400 Bad Request", "", BoundedReader.ascii("malformed\n")));
       throw e;
     } catch (IOException e) {
-      counters.add(
-          Count.CALLERS_DISCONNECTED); // before the request was complete: nothing was accepted
+      // The caller disconnected before its request was complete, so nothing was accepted.
+      counters.add(Count.CALLERS_DISCONNECTED);
       throw e;
     }
     connection.heard(Connection.Merit.HEARD);
@@ -125,6 +125,8 @@
               connection.finish();
               connection.completeRequest();
             }));
+    // Waits until the gateway or the answer closes the connection. Input after the request is
+    // discarded up to a limit.
     int extraBytes = 0;
     while (extraBytes < MAX_VARS_BYTES) {
       connection.readUntil(System.nanoTime() + DISCONNECT_POLL_MS * 1_000_000L);
@@ -185,15 +187,15 @@
     }
     return new IncomingRequest(
         String.format("%016x", references.addAndGet(0x9E3779B97F4A7C15L)),
-        false,
+        /* isRetry= */ false,
         classIndex,
         tenantIndex,
         memoryKb,
-        -1,
+        /* callerId= */ -1,
         classRanks[classIndex],
-        0,
+        /* expectedWorkSeconds= */ 0,
         isKeyed ? key : null,
-        null,
+        /* subject= */ null,
         SteadyWallClock.steadyWallMillis(),
         body);
   }
@@ -207,7 +209,7 @@
         int size =
             at + 2 <= block.length
                 ? (block[at] & 0xff) | (block[at + 1] & 0xff) << 8
-                : block.length;
+                : block.length; // the length field is incomplete: fails the check below
         if (at + 2 + size > block.length) {
           throw new MalformedException("variable exceeds its packet");
         }
--- a/src/main/java/wharftrestle/handover/CompatibilityCheck.java
+++ b/src/main/java/wharftrestle/handover/CompatibilityCheck.java
@@ -125,9 +125,9 @@
                 + (i + 1)
                 + " is '"
                 + predecessorClass.name()
-                + "' here and '"
+                + "' in the predecessor and '"
                 + successorClass.name()
-                + "' there: keys are known by their class's place");
+                + "' in the successor: keys are known by their class's place");
       }
       if (predecessorClass.isKeyed() != successorClass.isKeyed()) {
         return Optional.of(
--- a/src/main/java/wharftrestle/request/AdmissionActions.java
+++ b/src/main/java/wharftrestle/request/AdmissionActions.java
@@ -89,7 +89,7 @@
     return true;
   }
 
-  // The request arrived as a duplicate of one that never executed, so no memory was reserved then.
+  // No memory was reserved on arrival, as the request was a duplicate of one that never executed.
   private void rejectForMemory(InFlightRequest request) {
     request.isDispatched = true;
     request.isRejectedBeforeSend = true;
@@ -138,6 +138,7 @@
     }
   }
 
+  // Checks again, as an earlier follow-up may have ended the write.
   private void withdraw(InFlightRequest request) {
     if (recorder.isWritingIntent(request)) {
       recorder.withdraw(request);
@@ -186,7 +187,7 @@
   }
 
   @Override
-  public void reportHealth(boolean isHealthy, boolean fromStore) {
+  public void reportHealth(boolean isHealthy, boolean cached) {
     health.setModuleHealthy(isHealthy);
   }
 
--- a/src/main/java/wharftrestle/request/AdmissionDriver.java
+++ b/src/main/java/wharftrestle/request/AdmissionDriver.java
@@ -60,10 +60,10 @@
   }
 
   /** Sets the fraction of the host's memory and dependency capacity that this process may use. */
-  void setShare(double share) {
+  void setQuota(double fraction) {
     if (module != null) {
       double now = clock.now();
-      module.quotaChanged(now, share);
+      module.quotaChanged(now, fraction);
       completeBatch(now);
     }
   }
--- a/src/main/java/wharftrestle/request/InFlightRequest.java
+++ b/src/main/java/wharftrestle/request/InFlightRequest.java
@@ -87,7 +87,10 @@
   final Condition changed;
   final ArrayDeque<Step> steps = new ArrayDeque<>();
 
-  /** When the answer is forced, and once the request is answered, its completion. */
+  /**
+   * When an unanswered request is answered as past its deadline without the admission module. Once
+   * it is answered: when an execution that has not ended is completed as broken.
+   */
   double backstopAtSeconds;
 
   /** The answer is set, or the caller has disconnected. */
--- a/src/main/java/wharftrestle/request/PeerCoordinator.java
+++ b/src/main/java/wharftrestle/request/PeerCoordinator.java
@@ -146,7 +146,7 @@
     lock.lock();
     try {
       int inFlightCount = ownership.transferTo(receiver, clock.now());
-      admission.setShare(SHARE_OF_TWO);
+      admission.setQuota(SHARE_OF_TWO);
       return inFlightCount;
     } finally {
       lock.unlock();
@@ -162,7 +162,7 @@
     lock.lock();
     try {
       ownership.attach(predecessor, stretchSeconds);
-      admission.setShare(SHARE_OF_TWO);
+      admission.setQuota(SHARE_OF_TWO);
     } finally {
       lock.unlock();
     }
@@ -186,7 +186,7 @@
       ownership.onPeerLost();
       recorder.writeUnsavedResults();
       claims.wakeAllWaiters();
-      admission.setShare(1);
+      admission.setQuota(1);
     } finally {
       lock.unlock();
     }
--- a/src/main/java/wharftrestle/rollout/Rollout.java
+++ b/src/main/java/wharftrestle/rollout/Rollout.java
@@ -27,7 +27,8 @@
  * PROGRESSING   hosts of this stage are ordered         OBSERVING (all of them have changed),
  *               to change                               ROLLING_BACK or HELD (worse), HELD (hosts
  *                                                       failed or are unreachable), PAUSED
- * OBSERVING     the stage is observed                   PROGRESSING (next stage), COMPLETED,
+ * OBSERVING     the stage is observed                   PROGRESSING (next stage, or a host no
+ *                                                       longer runs the release), COMPLETED,
  *                                                       ROLLING_BACK or HELD (worse), HELD (no
  *                                                       verdict in time), PAUSED
  * HELD          waits for an operator, with a reason    PROGRESSING or COMPLETED (resume),
@@ -155,6 +156,7 @@
       @JsonProperty("tries") Map<String, Integer> attempts,
       @JsonProperty("why") String reason) {}
 
+  /** Separates the reason for a rollback from the obstacle that keeps it from ending. */
   private static final String OBSTACLE_SEPARATOR = "; still: ";
 
   private final RolloutPlan plan;
@@ -395,6 +397,7 @@
         && plan.unreachablePolicy() == RolloutPlan.UnreachablePolicy.CONTINUE) {
       enter(State.OBSERVING, decision.obstacle() + "; continuing without unreachable hosts", now);
     } else if (secondsInState(now) > plan.verdictTimeoutSeconds()) {
+      // The same timeout limits the wait for hosts that are blocked and the wait for a verdict.
       enter(State.HELD, decision.obstacle(), now);
     }
   }
@@ -406,9 +409,10 @@
       return;
     }
     int unreachable = observed.unreachable().size();
+    // Under HOLD, a stage is not accepted while at least half of the fleet is unreachable.
     boolean tooManyUnreachable = holdsIfUnreachable && unreachable * 2 >= plan.hosts().size();
-    // Without a host on the old release there is nothing to compare with. Deaths and broken rules
-    // still fail the stage.
+    // Without a reachable host on the old release there is no baseline to compare with. Deaths of
+    // daemons and rule violations still fail the stage.
     boolean isBaselineGone =
         isLastStage() && observed.changed().size() + unreachable >= plan.hosts().size();
     boolean isAccepted = verdict.outcome() == CanaryAnalysis.Outcome.PASS || isBaselineGone;
--- a/src/main/java/wharftrestle/rollout/RolloutSchedule.java
+++ b/src/main/java/wharftrestle/rollout/RolloutSchedule.java
@@ -18,15 +18,17 @@
   /**
    * The change of one host.
    *
-   * @param stage from 0
-   * @param round of the stage, from 0; hosts of one round are unavailable together
+   * @param stage index of the stage, from 0
+   * @param round index of the round within the stage, from 0; hosts of one round are unavailable at
+   *     the same time
+   * @param reason why the host is changed at this position
    */
   public record Change(int stage, int round, RolloutPlan.Host host, String reason) {}
 
   /** Computes the schedule of a plan. */
   public static RolloutSchedule of(RolloutPlan plan) {
     Builder builder = new Builder(plan);
-    builder.addSoleOwners();
+    builder.reportSoleOwners();
     for (int stage = 0; stage < plan.stages().size(); stage++) {
       builder.addStage(stage);
     }
@@ -43,7 +45,7 @@
       this.plan = plan;
     }
 
-    void addSoleOwners() {
+    void reportSoleOwners() {
       for (RolloutPlan.Host host : plan.hosts()) {
         if (plan.isSoleOwner(host)) {
           unmet.add(
--- a/src/main/java/wharftrestle/rollout/controller/StartCommand.java
+++ b/src/main/java/wharftrestle/rollout/controller/StartCommand.java
@@ -11,8 +11,8 @@
 @Command(
     name = "start",
     description = {
-      "carry out a plan in the foreground; resumes it if it is in progress",
-      "exit: 0 completed, 1 rolled back, aborted or refused, 2 invalid usage,"
+      "carry out a plan in the foreground, or resume it if it is in progress",
+      "exit: 0 completed, 1 rolled back, aborted, stopped or refused, 2 invalid usage,"
           + " 3 another controller holds the lease"
     })
 final class StartCommand implements Callable<Integer> {
@@ -46,7 +46,10 @@
     PlanScript script = PlanScript.read(file);
     if (name != null && !name.matches(NAME_PATTERN)) {
       throw new DaemonConfig.BadConfigException(
-          "--driver: expected a name of letters, digits, '.', '_' and '-', got '" + name + "'");
+          "--driver: expected 1 to 64 letters, digits, '.', '_' or '-', beginning with a letter or"
+              + " digit, got '"
+              + name
+              + "'");
     }
     RolloutEventLog events = new RolloutEventLog(System.out, json);
     try (RolloutController controller =
--- a/src/main/java/wharftrestle/settings/Arithmetic.java
+++ b/src/main/java/wharftrestle/settings/Arithmetic.java
@@ -9,7 +9,7 @@
  * division by 0 and operands of incompatible types are reported as errors at the operator.
  */
 final class Arithmetic {
-  /** Also bounds the repeat count of an empty text. */
+  /** Maximum characters of a repeated text; also the maximum repeat count, even if it is empty. */
   private static final int MAX_REPEATED_LENGTH = 10_000;
 
   private Arithmetic() {}
--- a/src/main/java/wharftrestle/settings/Lines.java
+++ b/src/main/java/wharftrestle/settings/IndentationTokens.java
@@ -14,20 +14,20 @@
  * within brackets, and inserts INDENT and DEDENT tokens where the indentation of a line changes.
  * All other tokens pass through unchanged.
  */
-final class Lines {
+final class IndentationTokens {
   private final List<Token> tokens = new ArrayList<>();
   private final Deque<Integer> indentColumns = new ArrayDeque<>(List.of(0));
   private boolean atLineStart = true; // no token of this line has been added
   private int bracketDepth;
 
-  private Lines() {}
+  private IndentationTokens() {}
 
   static ListTokenSource tokenSource(Lexer lexer) throws Script.ScriptException {
-    Lines lines = new Lines();
+    IndentationTokens result = new IndentationTokens();
     for (Token token = lexer.nextToken(); ; token = lexer.nextToken()) {
-      lines.add(token);
+      result.add(token);
       if (token.getType() == Token.EOF) {
-        return new ListTokenSource(lines.tokens);
+        return new ListTokenSource(result.tokens);
       }
     }
   }
--- a/src/main/java/wharftrestle/settings/Script.java
+++ b/src/main/java/wharftrestle/settings/Script.java
@@ -97,9 +97,9 @@
     }
   }
 
-  /** How a statement ended; ON means that the next statement follows. */
+  /** How a statement ended; NEXT means that the next statement follows. */
   private enum ControlFlow {
-    ON,
+    NEXT,
     BREAK,
     CONTINUE,
     RETURN
@@ -123,7 +123,7 @@
     Script script = new Script(handler);
     for (StatementContext statement : file.statement()) {
       ControlFlow flow = script.run(statement);
-      if (flow != ControlFlow.ON) {
+      if (flow != ControlFlow.NEXT) {
         throw new ScriptException(
             place(statement.start),
             flow == ControlFlow.RETURN
@@ -170,7 +170,7 @@
                 at,
                 "unrecognized text: " + message.replaceFirst("token recognition error at: ", "")));
       }
-      String found = symbol instanceof Token token ? describe(token) : "this";
+      String found = symbol instanceof Token token ? describe(token) : "input";
       String expected =
           parser.getExpectedTokens().size() > 4
               ? ""
@@ -224,7 +224,8 @@
       StarLexer lexer = new StarLexer(CharStreams.fromString(text));
       lexer.removeErrorListeners();
       lexer.addErrorListener(new ThrowingErrorListener());
-      StarParser parser = new StarParser(new CommonTokenStream(Lines.tokenSource(lexer)));
+      StarParser parser =
+          new StarParser(new CommonTokenStream(IndentationTokens.tokenSource(lexer)));
       parser.removeErrorListeners();
       parser.addErrorListener(new ThrowingErrorListener());
       return parser.file();
@@ -248,15 +249,15 @@
     if (statement instanceof StarParser.LineContext line) {
       for (SmallContext small : line.simple().small()) {
         ControlFlow flow = run(small);
-        if (flow != ControlFlow.ON) {
+        if (flow != ControlFlow.NEXT) {
           return flow;
         }
       }
-      return ControlFlow.ON;
+      return ControlFlow.NEXT;
     }
     if (statement instanceof StarParser.DefContext def) {
       define(def);
-      return ControlFlow.ON;
+      return ControlFlow.NEXT;
     }
     if (statement instanceof StarParser.ChooseContext choose) {
       for (int i = 0; i < choose.expr().size(); i++) {
@@ -264,7 +265,7 @@
           return run(choose.block(i));
         }
       }
-      return choose.other == null ? ControlFlow.ON : run(choose.other);
+      return choose.other == null ? ControlFlow.NEXT : run(choose.other);
     }
     StarParser.LoopContext loop = (StarParser.LoopContext) statement;
     for (Object each : elements(loop.expr())) {
@@ -277,26 +278,26 @@
         return flow;
       }
     }
-    return ControlFlow.ON;
+    return ControlFlow.NEXT;
   }
 
   private ControlFlow run(BlockContext block) throws ScriptException {
     if (block.simple() != null) {
       for (SmallContext small : block.simple().small()) {
         ControlFlow flow = run(small);
-        if (flow != ControlFlow.ON) {
+        if (flow != ControlFlow.NEXT) {
           return flow;
         }
       }
-      return ControlFlow.ON;
+      return ControlFlow.NEXT;
     }
     for (StatementContext statement : block.statement()) {
       ControlFlow flow = run(statement);
-      if (flow != ControlFlow.ON) {
+      if (flow != ControlFlow.NEXT) {
         return flow;
       }
     }
-    return ControlFlow.ON;
+    return ControlFlow.NEXT;
   }
 
   private ControlFlow run(SmallContext small) throws ScriptException {
@@ -313,7 +314,7 @@
     } else if (small instanceof StarParser.GoOnContext) {
       return ControlFlow.CONTINUE;
     }
-    return ControlFlow.ON;
+    return ControlFlow.NEXT;
   }
 
   /** Rejects a name that would hide a declaration or a built-in function. */
--- a/src/main/java/wharftrestle/simulator/SettingsReader.java
+++ b/src/main/java/wharftrestle/simulator/SettingsReader.java
@@ -9,8 +9,8 @@
 import wharftrestle.admission.AdmissionSettings;
 
 /**
- * Reads the settings of an instance from JSON. Absent optional values are read as 0, false or
- * empty, unless the code names another default; unknown keys are ignored.
+ * Reads the settings of the admission module from JSON. Optional values default to 0, false or
+ * empty, except where a default is passed below; unknown keys are ignored.
  */
 public final class SettingsReader {
   private static final ObjectMapper MAPPER = new ObjectMapper();
--- a/src/main/java/wharftrestle/storage/Segment.java
+++ b/src/main/java/wharftrestle/storage/Segment.java
@@ -9,7 +9,10 @@
  * records.
  */
 final class Segment {
-  /** Magic, version, first batch, number, boot ID, capacity and CRC; records follow. */
+  /**
+   * Magic, version, first batch, number, boot ID, capacity and CRC (44 bytes), then 4 zero bytes;
+   * records follow.
+   */
   static final int HEADER_BYTES = 48;
 
   static final int VERSION = 1;
@@ -48,7 +51,7 @@
    * The result of a scan.
    *
    * @param header null if it is corrupt or truncated
-   * @param end offset behind the last intact record
+   * @param end offset of the first byte after the last intact record
    * @param recordCount number of intact records
    * @param lastBatch batch number of the last intact record; if there is none, the number before
    *     the header's first batch, or 0 without a header
@@ -101,7 +104,7 @@
     int version = bytes.getInt(VERSION_OFFSET);
     if (intact && version > VERSION) {
       throw new ForeignFormatException(
-          "a segment is of version " + version + ", expected at most " + VERSION);
+          "a segment has version " + version + ", expected at most " + VERSION);
     }
     return intact
         ? new Header(
--- a/src/main/java/wharftrestle/storage/SegmentWriter.java
+++ b/src/main/java/wharftrestle/storage/SegmentWriter.java
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Begins a segment after a failure. Skips a batch number, so that records of the failed batch
-   * that reached the disk cannot be mistaken for part of the next batch.
+   * Begins a segment after a failure. Skips the next two batch numbers, so that records of the
+   * failed batch that reached the disk cannot be mistaken for part of the next batch.
    */
   void beginSegmentAfterFailure() throws IOException {
     batch += 2;
@@ -128,8 +128,8 @@
       flush();
       sync();
       if (!hasCapacityForSegment()) {
-        return RecordLocation
-            .NOT_WRITTEN; // Exceeds its reservation: the result is kept only in memory.
+        // The record exceeds its reservation; its result is kept only in memory.
+        return RecordLocation.NOT_WRITTEN;
       }
       beginSegment();
     }
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -51,14 +51,17 @@
   /** Retry-After of a rejection when it is unknown how long its cause will last. */
   private static final double DEFAULT_RETRY_AFTER_SECONDS = 0.25;
 
-  /** Size of the first read for a result; covers the longest result that the protocol allows. */
+  /**
+   * Size of the first read for a result; covers the longest result that the protocol allows. The
+   * log format allows longer ones, which take a second read.
+   */
   private static final int FIRST_READ_BYTES = 5 * 1024;
 
   private final DaemonConfig.Durable settings;
   private final StoreOpener opener;
   private final SpaceBudget space;
-  private final Map<String, Integer> reservedIntentBytes =
-      new HashMap<>(); // by key; guarded by space
+  // By key; guarded by space.
+  private final Map<String, Integer> reservedIntentBytes = new HashMap<>();
   private final LogMetrics metrics = new LogMetrics();
   private volatile GroupCommitQueue<PendingRecord> queue;
   private volatile LogWriter writer; // null while closed
@@ -81,8 +84,8 @@
   /**
    * Locks the folder, recovers the records of earlier processes and starts the writer thread.
    *
-   * @param longestWindowSeconds the longest idempotency window, for which unknown keys fail where
-   *     the log is damaged
+   * @param longestWindowSeconds the longest idempotency window; if the log is damaged, unknown keys
+   *     fail for this long
    * @return the recovered keys, in the order of their last records
    * @throws UnusableStorageException if another process holds the folder's lock, the format is
    *     foreign or newer, or the folder cannot be read or written; the message is one line
--- a/src/main/java/wharftrestle/supervisor/ReleaseDirectory.java
+++ b/src/main/java/wharftrestle/supervisor/ReleaseDirectory.java
@@ -19,7 +19,7 @@
   /** The list of digests, in the format of sha256sum. */
   static final String DIGEST_LIST = "SHA256SUMS";
 
-  /** The program. */
+  /** The jar file of the program. */
   public static final String JAR = "wharftrestle.jar";
 
   /** The operators' settings of a release; optional. */
@@ -53,7 +53,7 @@
   /** Why a release cannot be started; empty if it can. Reads all of its files. */
   public String obstacle(String name) {
     if (!name.matches(NAME_PATTERN)) {
-      return "'" + name + "' is no name of a release";
+      return "'" + name + "' is not a valid release name";
     }
     Path release = path(name);
     if (!Files.isDirectory(release)) {
@@ -62,7 +62,7 @@
     try {
       Path list = release.resolve(DIGEST_LIST);
       if (!Files.exists(list)) {
-        return "release '" + name + "' is not whole: it has no " + DIGEST_LIST;
+        return "release '" + name + "' is incomplete: it has no " + DIGEST_LIST;
       }
       Map<String, String> digests = readDigests(list);
       if (!digests.containsKey(JAR)) {
@@ -71,14 +71,14 @@
       for (Map.Entry<String, String> entry : digests.entrySet()) {
         Path file = release.resolve(entry.getKey());
         if (!Files.isRegularFile(file)) {
-          return "release '" + name + "' is not whole: " + entry.getKey() + " is missing";
+          return "release '" + name + "' is incomplete: " + entry.getKey() + " is missing";
         }
         if (!BuildInfo.digest(file).equals(entry.getValue())) {
           return "release '"
               + name
-              + "' is not what was packed: the digest of "
+              + "' was modified: the digest of "
               + entry.getKey()
-              + " is another";
+              + " differs from the listed one";
         }
       }
       return "";
--- a/src/main/java/wharftrestle/supervisor/SupervisorRecovery.java
+++ b/src/main/java/wharftrestle/supervisor/SupervisorRecovery.java
@@ -5,18 +5,18 @@
 import java.util.function.Predicate;
 
 /**
- * What a supervisor resumes with, as its journal and the running processes show. It decides which
- * daemon is active and which ones are to be ended, without I/O: the caller supplies the test
- * whether a process runs.
+ * The state with which a supervisor resumes, derived from its journal and the running processes:
+ * which daemon is active, and which daemons have to be ended. Does no I/O: the caller supplies the
+ * test whether a process runs.
  *
- * @param activeRelease that serves, or served last
- * @param fallbackRelease the fallback release; empty for none
+ * @param activeRelease release of the active daemon, or of the last one if none runs
+ * @param fallbackRelease release to return to if the active one fails; empty for none
  * @param active the active daemon; null if none runs
  * @param inProbation whether the active daemon is still in its probation
  * @param obsolete running daemons to kill: candidates of a change that the former supervisor didn't
  *     complete
- * @param terminating running daemons to terminate: the journal has their end, but the former
- *     supervisor may have been killed before it signalled them
+ * @param terminating running daemons to terminate: the journal records that they ended, but the
+ *     former supervisor may have been killed before it signalled them
  */
 record SupervisorRecovery(
     String activeRelease,
@@ -72,7 +72,8 @@
     boolean candidateIsRunning = candidate != null && isRunning.test(candidate);
     List<SupervisorJournal.Entry> obsolete = new ArrayList<>();
     if (!activeIsRunning && candidateIsRunning) {
-      // The active daemon has ended, so the candidate has detected that and serves.
+      // A candidate takes over by itself when it detects that the active daemon has ended. The
+      // release of the active daemon becomes the fallback.
       return new SupervisorRecovery(
           candidate.release(), activeRelease, candidate, true, obsolete, terminating);
     }
--- a/src/main/java/wharftrestle/transport/Connection.java
+++ b/src/main/java/wharftrestle/transport/Connection.java
@@ -31,15 +31,16 @@
   }
 
   /**
-   * Milliseconds for a peer to close after the go-away message: longer than a process is paused by
-   * its CPU limit.
+   * Milliseconds for a peer to close after the go-away message if the server stops or sends peers
+   * away: longer than a process is paused by its CPU limit.
    */
-  static final int GO_AWAY_MS = 300;
+  static final int SHORT_GO_AWAY_MS = 300;
 
   /**
-   * The same without time pressure; if connections run out, those notified first are closed sooner.
+   * Milliseconds for a peer to close after the go-away message if its connection is idle, rejected
+   * or evicted. If too many are closing, those that were notified first are closed sooner.
    */
-  static final int UNHURRIED_GO_AWAY_MS = 1000;
+  static final int DEFAULT_GO_AWAY_MS = 1000;
 
   /**
    * Milliseconds for the peer to close after the output is shut down; then the socket is closed
@@ -47,7 +48,10 @@
    */
   static final int LINGER_MS = 500;
 
-  /** Maximum input to discard; more cannot be messages that were already under way. */
+  /**
+   * Maximum bytes of input to discard. Messages sent before the peer learned of the close are
+   * shorter; any further input is left unread until the deadline.
+   */
   private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
   /** Milliseconds between two polls of a closing connection by its reading thread. */
@@ -121,7 +125,7 @@
     return in;
   }
 
-  /** Sets the deadline of all reads on System.nanoTime; then they throw SocketTimeoutException. */
+  /** Sets the System.nanoTime at which pending and later reads throw SocketTimeoutException. */
   public void readUntil(long nanos) {
     input.setDeadlineNanos(nanos);
   }
@@ -190,17 +194,17 @@
    * Sends a complete message, in the order of the calls; never waits for a write of another thread.
    */
   public void send(byte[] message) {
-    Action act = state.enqueue(message);
-    if (act == Action.ABORT) {
-      // The peer does not read; its answers must not use up the memory.
-      closeUnreadPeer();
+    Action action = state.enqueue(message);
+    if (action == Action.ABORT) {
+      // The peer does not read; answers queued for it must not use up the memory.
+      closeNonReadingPeer();
     }
-    carryOut(act);
+    carryOut(action);
   }
 
-  private void carryOut(Action act) {
+  private void carryOut(Action action) {
     try {
-      Action next = act;
+      Action next = action;
       if (next == Action.WRITE) {
         for (byte[] each = state.nextMessage(System.nanoTime());
             each != null;
@@ -220,11 +224,11 @@
   // ---- Closing ----
 
   /**
-   * Sends the peer, once, the go-away message: it must send no new request here. Requests that
-   * cross the message are still accepted and answered.
+   * Sends the go-away message once: the peer must send no further request on this connection.
+   * Requests that cross the message are still accepted and answered.
    */
   public void goAway() {
-    goAway(UNHURRIED_GO_AWAY_MS);
+    goAway(DEFAULT_GO_AWAY_MS);
   }
 
   /** The same, with the milliseconds for the peer to close by itself. */
@@ -263,7 +267,7 @@
     return isPeerNotReading;
   }
 
-  private void closeUnreadPeer() {
+  private void closeNonReadingPeer() {
     isPeerNotReading = true;
     close();
   }
@@ -276,8 +280,9 @@
    */
   void checkDeadlines(long now, boolean isShuttingDown) {
     if (state.isWriteStuck(
-        now, isShuttingDown ? GO_AWAY_MS * 1_000_000L : ConnectionState.WRITE_TIMEOUT_NANOS)) {
-      closeUnreadPeer();
+        now,
+        isShuttingDown ? SHORT_GO_AWAY_MS * 1_000_000L : ConnectionState.WRITE_TIMEOUT_NANOS)) {
+      closeNonReadingPeer();
     } else if (state.nanosInPhase(Phase.HALF_CLOSED, now) > LINGER_MS * 1_000_000L) {
       close();
     } else if (state.isGoAwayExpired(now) && isQuiet()) {
@@ -294,9 +299,10 @@
   }
 
   /**
-   * Returns true if closing the socket now loses nothing: all answers are written and no input is
-   * unread, or the peer never sent a complete message. In the latter case the client treats a
-   * request that it sent first on the connection as failed.
+   * Returns true if closing the socket now loses no request or answer. If requests are no longer
+   * accepted, the output must be shut down. Otherwise no input may be unread, no request in flight,
+   * and the connection must be idle or the peer must never have sent a complete message. An
+   * incomplete first message is lost then; a client treats it as a failed request.
    */
   boolean isSafeToClose() {
     try {
--- a/src/main/java/wharftrestle/transport/OwnershipLock.java
+++ b/src/main/java/wharftrestle/transport/OwnershipLock.java
@@ -12,8 +12,9 @@
 /**
  * A file lock for the processes that own the keys of this host or are about to own them. Each such
  * process holds it shared; a process that would start without the keys has to acquire it
- * exclusively. The kernel releases the lock when its process ends and not earlier, so a stopped
- * process keeps it. If the file cannot be locked, no other process is assumed. Thread-safe.
+ * exclusively. If a process does not release the lock, the kernel releases it only when the process
+ * ends, so a suspended process keeps it. If locking the file fails, the process proceeds as if no
+ * other process held the lock. Thread-safe.
  */
 public final class OwnershipLock implements Closeable {
   private final Path file;
@@ -36,8 +37,8 @@
   }
 
   /**
-   * Tries to acquire the lock exclusively, until it is acquired shared or released. Returns true if
-   * no other process holds it, or if locking the file fails.
+   * Tries to acquire the lock exclusively; it is then held until {@link #acquireShared} or {@link
+   * #release} is called. Returns true if no other process holds it, or if locking the file fails.
    */
   public synchronized boolean tryAcquireExclusive() {
     release();
--- a/src/main/java/wharftrestle/transport/Server.java
+++ b/src/main/java/wharftrestle/transport/Server.java
@@ -313,7 +313,7 @@
     counters.add(Count.CONNECTIONS);
     if (isStopping) {
       // A peer accepted after goAway() would not get the go-away message otherwise.
-      requestGoAway(connection, Connection.GO_AWAY_MS);
+      requestGoAway(connection, Connection.SHORT_GO_AWAY_MS);
     }
     try {
       connectionThreads.execute(() -> serve(connection));
@@ -395,7 +395,7 @@
           candidate.goAway();
           candidate.finish(); // the client treats a first request sent meanwhile as failed
         } else {
-          requestGoAway(candidate, Connection.UNHURRIED_GO_AWAY_MS);
+          requestGoAway(candidate, Connection.DEFAULT_GO_AWAY_MS);
         }
         return true;
       }
@@ -441,12 +441,12 @@
             Comparator.comparingInt((Connection each) -> evictionRank(each, now))
                 .thenComparing(Connection::lastMessageNanos))
         .limit(Math.max(0, openConnections.size() - remaining))
-        .forEach(each -> requestGoAway(each, Connection.GO_AWAY_MS));
+        .forEach(each -> requestGoAway(each, Connection.SHORT_GO_AWAY_MS));
   }
 
   /** Sends all peers the go-away message; each connection closes once it is answered and quiet. */
   public void goAway() {
-    openConnections.forEach(each -> requestGoAway(each, Connection.GO_AWAY_MS));
+    openConnections.forEach(each -> requestGoAway(each, Connection.SHORT_GO_AWAY_MS));
   }
 
   /**
@@ -468,7 +468,7 @@
   public void finish() {
     openConnections.forEach(
         each -> {
-          requestGoAway(each, Connection.GO_AWAY_MS);
+          requestGoAway(each, Connection.SHORT_GO_AWAY_MS);
           each.finish();
         });
   }
--- a/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
+++ b/src/test/java/wharftrestle/handover/CompatibilityCheckTest.java
@@ -67,7 +67,7 @@
     assertNull(incompatibility(withClasses(READ, SAVE), extended));
     assertNull(incompatibility(extended, withClasses(READ, SAVE)));
     assertEquals(
-        "class 1 is 'read' here and 'save' there: keys are known by their class's place",
+        "class 1 is 'read' in the predecessor and 'save' in the successor: keys are known by their class's place",
         incompatibility(withClasses(READ, SAVE), withClasses(SAVE, READ)));
     assertEquals(
         "class 'save' has idempotency keys only in the predecessor",
--- a/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
+++ b/src/test/java/wharftrestle/supervisor/HostSupervisorTest.java
@@ -225,11 +225,13 @@
         releases.resolve("two").resolve(ReleaseDirectory.JAR),
         incomplete.resolve(ReleaseDirectory.JAR));
     assertTrue(
-        sendCommand("change half").startsWith("no release 'half' is not whole"),
+        sendCommand("change half").startsWith("no release 'half' is incomplete"),
         sendCommand("change half"));
     Files.writeString(
         releases.resolve("two").resolve(ReleaseDirectory.JAR), "x", StandardOpenOption.APPEND);
-    assertTrue(sendCommand("change two").contains("the digest of wharftrestle.jar is another"));
+    assertTrue(
+        sendCommand("change two")
+            .contains("the digest of wharftrestle.jar differs from the listed one"));
     assertTrue(sendCommand("change none").startsWith("no there is no release 'none'"));
     assertTrue(sendCommand("change one").startsWith("no one serves already"));
     await("serving", "one");
