--- a/src/test/java/wharftrestle/prove/ProveMemory.java
+++ b/src/test/java/wharftrestle/prove/ProveMemory.java
@@ -121,7 +121,8 @@
           Locale.ROOT,
           "%d MB: resident %.1f, anonymous %.1f, after 45 min %.1f MB, "
               + "non-heap %.2f +- %.2f MB an hour, %d lost, %d executed twice, %d wrong, "
-              + "%d refused with capacity left, %d refused without Retry-After%s (%d served, %d again, %d unkeyed, %d refused)",
+              + "%d refused with capacity left, %d refused without Retry-After%s "
+              + "(%d served, %d again, %d unkeyed, %d refused)",
           memoryMb,
           residentMb,
           anonymousMb,
