--- a/src/main/java/wharftrestle/request/RequestLifecycle.java
+++ b/src/main/java/wharftrestle/request/RequestLifecycle.java
@@ -249,7 +249,7 @@
       request.changed.awaitNanos(EventClock.waitNanos(wait));
     } else if (request.isAnswered) {
       Logger.warn(
-          "worker pool reported no end of execution in time, outcome unknown reference={}",
+          "worker pool reported no end of execution in time, result unknown reference={}",
           request.incoming.reference());
       executions.complete(request, Outcome.BROKEN, now - request.startedAtSeconds, null);
     } else {
--- a/src/main/java/wharftrestle/storage/WriteAheadLog.java
+++ b/src/main/java/wharftrestle/storage/WriteAheadLog.java
@@ -151,7 +151,7 @@
     }
     Logger.info(
         "write-ahead log recovered results={} outcomes_unknown={} expired={}; retries of requests with"
-            + " an unknown outcome fail until their idempotency window ends",
+            + " an unknown result fail until their idempotency window ends",
         recovery.knownCount(),
         recovery.unknownCount(),
         recovery.expiredCount());
